--- a/cmd/bramblespur/loopback_bench_test.go
+++ b/cmd/bramblespur/loopback_bench_test.go
@@ -28,17 +28,17 @@
 	api := l.world.Rentals(l.t.Context(), testkit.TestEnd)
 	const batch = 50
 	for n := 0; n < machines; n += batch {
-		r := record.Rental{Type: "big", Zone: []string{"a", "b"}[n/batch%2], Born: time.Now().UnixMilli()}
+		r := record.Provision{Type: "big", Zone: []string{"a", "b"}[n/batch%2], Born: time.Now().UnixMilli()}
 		count := min(batch, machines-n)
-		ids, err := api.Rent(l.t.Context(), wire.Rental{Request: fmt.Sprint("fleet-", n), Type: r.Type, Zone: r.Zone, Count: count})
+		ids, err := api.Rent(l.t.Context(), wire.ProvisionRequest{Request: fmt.Sprint("fleet-", n), Type: r.Type, Zone: r.Zone, Count: count})
 		if err != nil {
 			l.t.Fatal(err)
 		}
 		r.IDs = ids
 		for i := range ids {
-			r.Parts = append(r.Parts, i%partsWithMachines) // where the teams' jobs are
+			r.Shards = append(r.Shards, i%partsWithMachines) // where the teams' jobs are
 		}
-		put := wire.Txn{Then: []wire.Op{{Put: record.RentalKey(fmt.Sprint("fleet-", n)), Value: record.Encode(r)}}}
+		put := wire.Txn{Then: []wire.Op{{Put: record.ProvisionKey(fmt.Sprint("fleet-", n)), Value: record.Encode(r)}}}
 		if err := l.world.State.Put(put); err != nil {
 			l.t.Fatal(err)
 		}
@@ -92,9 +92,9 @@
 	l.addFleet(machines)
 	jobs := machines / tasksOfJob
 	for n := range jobs {
-		s := loopbackJob(n)
-		s.Tasks = tasksOfJob
-		l.submitLater(s, testkit.Length{Run: time.Hour, Fetch: 200 * time.Millisecond})
+		spec := loopbackJob(n)
+		spec.Tasks = tasksOfJob
+		l.submitLater(spec, testkit.Length{Run: time.Hour, Fetch: 200 * time.Millisecond})
 	}
 	running := func() int {
 		n := 0
--- a/cmd/bramblespur/loopback_drain_test.go
+++ b/cmd/bramblespur/loopback_drain_test.go
@@ -32,8 +32,8 @@
 	array.Ref = "run-000001"
 	gang.Ref, gang.Kind, gang.Tasks, gang.CPUs, gang.GPUs, gang.OneZone = "run-000002", wire.Gang, 2, 14, 2, true
 	others.Ref, others.Team, others.Tasks = "run-000003", "other", 4
-	for _, s := range []wire.Spec{array, gang, others} {
-		l.submit(s)
+	for _, spec := range []wire.Spec{array, gang, others} {
+		l.submit(spec)
 	}
 	counted := l.world.CountInterruptions(1, 3, loopbackWindow)
 	plan := drain.Plan{Name: "all", Selector: drain.Selector{Types: []string{"big"}}, AtOnce: 3, Reason: "test",
--- a/cmd/bramblespur/loopback_recover_test.go
+++ b/cmd/bramblespur/loopback_recover_test.go
@@ -64,7 +64,7 @@
 		t.Errorf("before the loss: %s", out)
 	}
 	lost := l.world.State.Lose(func(key string) bool {
-		return strings.HasPrefix(key, record.OpenPrefix) || strings.HasPrefix(key, record.FleetPrefix)
+		return strings.HasPrefix(key, record.ActiveJobPrefix) || strings.HasPrefix(key, record.FleetPrefix)
 	})
 	if len(lost) < jobs/2 {
 		t.Errorf("%d records were lost", len(lost))
--- a/cmd/bramblespur/loopback_restart_test.go
+++ b/cmd/bramblespur/loopback_restart_test.go
@@ -21,9 +21,9 @@
 	const seed, jobs, tasks = 2, 12, 4
 	l := newLoopback(t, seed)
 	submit := func(n int) {
-		s := loopbackJob(n)
-		s.Tasks = tasks
-		l.submitLater(s, testkit.Length{Run: time.Duration(8+n%7) * time.Second, Fetch: 200 * time.Millisecond})
+		spec := loopbackJob(n)
+		spec.Tasks = tasks
+		l.submitLater(spec, testkit.Length{Run: time.Duration(8+n%7) * time.Second, Fetch: 200 * time.Millisecond})
 	}
 	for n := range jobs {
 		submit(n)
@@ -62,7 +62,7 @@
 	}
 	for n := range 3 * jobs {
 		ref := loopbackJob(n).Ref
-		if ends := l.writesOf(record.JobKey(ref)); ends != 1 {
+		if ends := l.writesOf(record.FinishedJobKey(ref)); ends != 1 {
 			t.Errorf("the end of %s was recorded %d times", ref, ends)
 		}
 	}
--- a/cmd/bramblespur/loopback_test.go
+++ b/cmd/bramblespur/loopback_test.go
@@ -244,16 +244,16 @@
 }
 
 // submitLater submits a job beside the test, and follows it as its user does.
-func (l *loopback) submitLater(s wire.Spec, length testkit.Length) {
+func (l *loopback) submitLater(spec wire.Spec, length testkit.Length) {
 	l.t.Helper()
-	l.world.Register(s, length)
-	body, err := json.Marshal(s)
+	l.world.Register(spec, length)
+	body, err := json.Marshal(spec)
 	if err != nil {
 		l.t.Fatal(err)
 	}
 	l.world.Go(func() {
-		if _, ok := l.world.Until(testkit.Submission, s.Ref, body, giveUp); ok {
-			l.world.Follow(s.Ref)
+		if _, ok := l.world.Until(testkit.Submission, spec.Ref, body, giveUp); ok {
+			l.world.Follow(spec.Ref)
 		}
 	})
 }
@@ -272,18 +272,18 @@
 }
 
 // submit submits a job that runs on, and waits until it does.
-func (l *loopback) submit(s wire.Spec) {
+func (l *loopback) submit(spec wire.Spec) {
 	l.t.Helper()
-	l.submitLater(s, testkit.Length{Run: time.Hour, Fetch: 200 * time.Millisecond})
-	l.await(s.Ref+" running", func() bool {
+	l.submitLater(spec, testkit.Length{Run: time.Hour, Fetch: 200 * time.Millisecond})
+	l.await(spec.Ref+" running", func() bool {
 		n := 0
-		for _, m := range l.world.On(s.Ref) {
+		for _, m := range l.world.On(spec.Ref) {
 			for _, task := range m.Tasks() {
-				if strings.HasPrefix(task, s.Ref+"/") {
+				if strings.HasPrefix(task, spec.Ref+"/") {
 					n++
 				}
 			}
 		}
-		return n == s.Tasks
+		return n == spec.Tasks
 	})
 }
--- a/cmd/bramblespurctl/recover.go
+++ b/cmd/bramblespurctl/recover.go
@@ -261,7 +261,7 @@
 		},
 		RunE: func(cmd *cobra.Command, args []string) error {
 			key, choice := args[0], recovery.Choice(args[1])
-			if !strings.HasPrefix(key, record.OpenPrefix) && !strings.HasPrefix(key, record.JobPrefix) {
+			if !strings.HasPrefix(key, record.ActiveJobPrefix) && !strings.HasPrefix(key, record.FinishedJobPrefix) {
 				return usageError{fmt.Errorf("%s is not the key of a job", key)}
 			}
 			all := []recovery.Choice{recovery.ChooseDone, recovery.ChooseCancelled, recovery.ChooseAgain, recovery.ChooseForget}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -25,9 +25,9 @@
 type API interface {
 	// Command sends orders straight to a worker and returns its report, given both
 	// when they were carried out (ok) and when they were refused.
-	Command(ctx context.Context, addr string, o wire.DirectOrders) (r wire.Report, ok bool, err error)
+	Command(ctx context.Context, addr string, o wire.DirectOrders) (r wire.Heartbeat, ok bool, err error)
 	// Show asks a worker for its report.
-	Show(ctx context.Context, addr string) (wire.Report, error)
+	Show(ctx context.Context, addr string) (wire.Heartbeat, error)
 }
 
 // Client is an API over HTTP. Connections are not kept: direct commands are rare
@@ -37,7 +37,7 @@
 var _ API = Client{}
 
 // Command implements API.
-func (Client) Command(ctx context.Context, addr string, o wire.DirectOrders) (r wire.Report, ok bool, err error) {
+func (Client) Command(ctx context.Context, addr string, o wire.DirectOrders) (r wire.Heartbeat, ok bool, err error) {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return r, false, fmt.Errorf("encode: %w", err)
@@ -47,12 +47,12 @@
 }
 
 // Show implements API.
-func (Client) Show(ctx context.Context, addr string) (r wire.Report, err error) {
+func (Client) Show(ctx context.Context, addr string) (r wire.Heartbeat, err error) {
 	_, err = call(ctx, addr, probeTimeout, "GET", wire.ShowPath, nil, &r)
 	return r, err
 }
 
-func call(ctx context.Context, addr string, timeout time.Duration, method, path string, body []byte, r *wire.Report) (status int, err error) {
+func call(ctx context.Context, addr string, timeout time.Duration, method, path string, body []byte, r *wire.Heartbeat) (status int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	resp, err := httpwire.NewClient(addr, 0).WithMaxBody(maxReport).Do(ctx, method, path, body)
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -21,7 +21,7 @@
 // API is what controllers need of the cloud.
 type API interface {
 	Types(ctx context.Context) ([]wire.MachineType, error)
-	Rent(ctx context.Context, r wire.Rental) ([]string, error)
+	Rent(ctx context.Context, r wire.ProvisionRequest) ([]string, error)
 	Return(ctx context.Context, ids []string) error
 	List(ctx context.Context) ([]wire.Listed, error)
 	// Budget sets this controller's part of the cloud's calls a second.
@@ -99,7 +99,7 @@
 }
 
 // Rent rents machines; repeating a request name rents nothing twice.
-func (c *Client) Rent(ctx context.Context, r wire.Rental) ([]string, error) {
+func (c *Client) Rent(ctx context.Context, r wire.ProvisionRequest) ([]string, error) {
 	var n wire.Names
 	if err := c.do(ctx, "POST", "/rentals", r, &n); err != nil {
 		return nil, err
--- a/internal/controller/account_test.go
+++ b/internal/controller/account_test.go
@@ -15,7 +15,7 @@
 	"bramblespur/internal/fleet"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/record"
-	"bramblespur/internal/sched"
+	"bramblespur/internal/scheduler"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/testkit"
 	"bramblespur/internal/wire"
@@ -36,33 +36,33 @@
 func putRentals(put func(key string, v any), machines int) []*testkit.Worker {
 	var workers []*testkit.Worker
 	for at := 0; at < machines; at += machinesOfOne {
-		r := record.Rental{Type: "big", Zone: "z", Born: time.Now().UnixMilli()}
+		r := record.Provision{Type: "big", Zone: "z", Born: time.Now().UnixMilli()}
 		for i := at; i < min(at+machinesOfOne, machines); i++ {
-			r.IDs, r.Parts = append(r.IDs, machineName(i)), append(r.Parts, 0)
+			r.IDs, r.Shards = append(r.IDs, machineName(i)), append(r.Shards, 0)
 			workers = append(workers, testkit.NewWorker(machineName(i), "big", "z", false))
 		}
-		put(record.RentalKey(fmt.Sprint("r", at)), r)
+		put(record.ProvisionKey(fmt.Sprint("r", at)), r)
 	}
 	return workers
 }
 
 // putJobs records so many open jobs of part 0, each with two tasks on a machine.
 func putJobs(t testing.TB, state *testkit.State, workers []*testkit.Worker, jobs int) {
-	slot := record.Slot{Runs: map[string]record.Run{}}
+	slot := record.Placements{Ranges: map[string]record.TaskRange{}}
 	for i := range jobs {
 		name := ref(i)
-		s := mustSpec(t, body(t, set("ref", name)))
-		state.Put(record.OpenKey(name), record.Open{Spec: *s, At: time.Now().UnixMilli()})
+		spec := mustSpec(t, body(t, set("ref", name)))
+		state.Put(record.ActiveJobKey(name), record.ActiveJob{Spec: *spec, At: time.Now().UnixMilli()})
 		w := workers[i%len(workers)]
-		run := record.Run{Attempt: 1, On: map[int]record.Place{}}
+		run := record.TaskRange{Attempt: 1, On: map[int]record.TaskPlacement{}}
 		for n := range tasksOfJob {
-			run.On[n] = record.Place{Machine: w.ID, Attempt: 1}
+			run.On[n] = record.TaskPlacement{Machine: w.ID, Attempt: 1}
 			w.Tasks[name+"/"+strconv.Itoa(n)] = &testkit.WorkerTask{Attempt: 1, State: wire.Running}
 		}
-		slot.Runs[record.RunName(name, 0)] = run
-		if len(slot.Runs) == jobsOfSlot || i == jobs-1 {
-			state.Put(record.SlotKey(0, i/jobsOfSlot), slot)
-			slot.Runs = map[string]record.Run{}
+		slot.Ranges[record.RangeName(name, 0)] = run
+		if len(slot.Ranges) == jobsOfSlot || i == jobs-1 {
+			state.Put(record.PlacementsKey(0, i/jobsOfSlot), slot)
+			slot.Ranges = map[string]record.TaskRange{}
 		}
 	}
 }
@@ -70,11 +70,11 @@
 // mute are workers that no direct command reaches.
 type mute struct{}
 
-func (mute) Command(context.Context, string, wire.DirectOrders) (r wire.Report, ok bool, err error) {
+func (mute) Command(context.Context, string, wire.DirectOrders) (r wire.Heartbeat, ok bool, err error) {
 	return r, false, httpwire.ErrNotSent
 }
 
-func (mute) Show(context.Context, string) (r wire.Report, err error) { return r, testkit.ErrLost }
+func (mute) Show(context.Context, string) (r wire.Heartbeat, err error) { return r, testkit.ErrLost }
 
 // fleetController owns a part of so many machines and jobs, as it has just taken it over.
 func fleetController(t testing.TB, machines, jobs int) (*Controller, *countingState, []*testkit.Worker) {
@@ -88,14 +88,14 @@
 	state := &countingState{State: inner}
 	c.store = state
 	viewOpen(t, c)
-	takeOverPart(t, c, state, versioned[record.Part]{}, 1)
+	takeOverPart(t, c, state, versioned[record.Shard]{}, 1)
 	return c, state, workers
 }
 
 // viewOpen brings the view of open jobs up to the records, as the watch does.
 func viewOpen(t testing.TB, c *Controller) {
 	t.Helper()
-	entries, rev, err := c.store.List(context.Background(), statestore.Urgent("test"), record.OpenPrefix)
+	entries, rev, err := c.store.List(context.Background(), statestore.Urgent("test"), record.ActiveJobPrefix)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,10 +103,10 @@
 }
 
 // takeOverPart claims part 0 and waits until all that it reads has come.
-func takeOverPart(t testing.TB, c *Controller, state *countingState, held versioned[record.Part], inc uint64) {
+func takeOverPart(t testing.TB, c *Controller, state *countingState, held versioned[record.Shard], inc uint64) {
 	t.Helper()
 	state.reset()
-	if err := c.takeOver(context.Background(), 0, held, inc); err != nil {
+	if err := c.failOver(context.Background(), 0, held, inc); err != nil {
 		t.Fatal(err)
 	}
 	for state.lists.Load() < takeOverLists { // the last is another goroutine's, and must not count as a later one's
@@ -127,7 +127,7 @@
 
 func sent(c *Controller, report []byte, machine string) reply {
 	later := make(chan reply, 1)
-	r, now := c.handle(httpwire.Request{Method: "POST", Path: wire.ReportPath, Body: report}, func(r reply) { later <- r })
+	r, now := c.handle(httpwire.Request{Method: "POST", Path: wire.HeartbeatPath, Body: report}, func(r reply) { later <- r })
 	if !now {
 		c.mu.Lock()
 		c.release(machine, time.Now())
@@ -175,9 +175,9 @@
 			b.ReportMetric(float64(at-now)/float64(n), name+"-B/each")
 			at = now
 		}
-		held("scheduler", accountMachines, func() { c.parts = nil })
+		held("scheduler", accountMachines, func() { c.shards = nil })
 		held("fleet-view", accountMachines, func() { c.fleet = nil })
-		held("open-jobs", accountJobs, func() { c.open = nil })
+		held("open-jobs", accountJobs, func() { c.activeJobs = nil })
 		held("dependencies", accountJobs, func() { c.needs = nil })
 		runtime.KeepAlive(c)
 	}
@@ -198,8 +198,8 @@
 			most = now
 		}
 		c.mu.Lock()
-		held := c.partRecs[0]
-		c.parts = map[int]*sched.Part{}
+		held := c.shardRecords[0]
+		c.shards = map[int]*scheduler.Shard{}
 		c.mu.Unlock()
 		inc++
 		b.StartTimer()
@@ -307,14 +307,14 @@
 	c, _, workers := fleetController(b, accountMachines, accountJobs)
 	met(b, c, workers)
 	c.mu.Lock()
-	version := c.open[ref(7)].version
+	version := c.activeJobs[ref(7)].version
 	c.mu.Unlock()
 	srv := &server{log: c.log}
 	b.ReportAllocs()
 	for b.Loop() {
 		var all []*confirmation
 		for range together {
-			all = append(all, newConfirmation(wire.Cond{Key: record.OpenKey(ref(7)), Version: version}))
+			all = append(all, newConfirmation(wire.Cond{Key: record.ActiveJobKey(ref(7)), Version: version}))
 		}
 		c.confirmations.waiting = all
 		c.confirmAll()
--- a/internal/controller/audit.go
+++ b/internal/controller/audit.go
@@ -27,7 +27,7 @@
 )
 
 // audited are the prefixes whose records all controllers hold.
-var audited = []string{record.ClusterPrefix, record.FleetPrefix, record.OpenPrefix}
+var audited = []string{record.ClusterPrefix, record.FleetPrefix, record.ActiveJobPrefix}
 
 // relists is how often all views were to be read anew.
 func (c *Controller) relists() int {
@@ -42,7 +42,7 @@
 func (c *Controller) auditLoop(ctx context.Context) {
 	for sleep(ctx, jitter(c.safeMode.auditEvery)) {
 		c.mu.Lock()
-		safe, leads := c.safeMode.holder.Active(), c.leads(time.Now())
+		safe, leads := c.safeMode.holder.Active(), c.isLeader(time.Now())
 		c.mu.Unlock()
 		if safe {
 			continue
@@ -120,13 +120,13 @@
 	switch prefix {
 	case record.FleetPrefix:
 		return c.fleet.Versions()
-	case record.OpenPrefix:
-		for ref, j := range c.open {
-			out[record.OpenKey(ref)] = j.version
+	case record.ActiveJobPrefix:
+		for ref, j := range c.activeJobs {
+			out[record.ActiveJobKey(ref)] = j.version
 		}
 	case record.ClusterPrefix:
-		for id, r := range c.partRecs {
-			out[record.PartKey(id)] = r.version
+		for id, r := range c.shardRecords {
+			out[record.ShardKey(id)] = r.version
 		}
 	}
 	return out
@@ -170,9 +170,9 @@
 	for key, held := range missing {
 		lost := prefix == record.ClusterPrefix
 		switch {
-		case strings.HasPrefix(key, record.RentalPrefix):
+		case strings.HasPrefix(key, record.ProvisionPrefix):
 			lost = c.anyReports(key)
-		case prefix == record.OpenPrefix && looked < sampledOpen:
+		case prefix == record.ActiveJobPrefix && looked < sampledOpen:
 			looked++
 			over, err := c.isOver(ctx, record.Last(key))
 			if err != nil {
@@ -191,7 +191,7 @@
 
 // isOver reports whether a job has a final record.
 func (c *Controller) isOver(ctx context.Context, ref string) (bool, error) {
-	_, err := c.store.Get(ctx, auditUse, record.JobKey(ref))
+	_, err := c.store.Get(ctx, auditUse, record.FinishedJobKey(ref))
 	if errors.Is(err, statestore.ErrNotFound) {
 		return false, nil
 	}
@@ -204,7 +204,7 @@
 	defer c.mu.Unlock()
 	for _, id := range c.fleet.IDs(rental) {
 		v, _ := c.fleet.Machine(id)
-		if p := c.parts[v.Part]; p != nil && p.HeardWithin(id, p.Lease(), time.Now()) {
+		if shard := c.shards[v.Shard]; shard != nil && shard.HeardWithin(id, shard.Lease(), time.Now()) {
 			return true
 		}
 	}
@@ -220,7 +220,7 @@
 		}
 		if !over {
 			c.mu.Lock()
-			c.noticeLoss(recovery.Sign{Kind: recovery.RecordGone, Key: record.JobKey(ref)}, time.Now())
+			c.noticeLoss(recovery.Sign{Kind: recovery.RecordGone, Key: record.FinishedJobKey(ref)}, time.Now())
 			c.mu.Unlock()
 		}
 	}
--- a/internal/controller/bounds_test.go
+++ b/internal/controller/bounds_test.go
@@ -41,8 +41,8 @@
 		bubble(t, func(t *testing.T) {
 			c, state, _ := fleetController(t, size, size)
 			for i := range foreign {
-				s := mustSpec(t, body(t, set("ref", ref(1000+i))))
-				state.Put(record.OpenKey(s.Ref), record.Open{Spec: *s, Part: 1})
+				spec := mustSpec(t, body(t, set("ref", ref(1000+i))))
+				state.Put(record.ActiveJobKey(spec.Ref), record.ActiveJob{Spec: *spec, Shard: 1})
 			}
 			viewOpen(t, c)
 			allocs = takeOverAllocations(t, 5, c, state, synctest.Wait)
@@ -64,8 +64,8 @@
 	inc := uint64(1)
 	return testing.AllocsPerRun(runs, func() {
 		c.mu.Lock()
-		held := c.partRecs[0]
-		clear(c.parts)
+		held := c.shardRecords[0]
+		clear(c.shards)
 		c.mu.Unlock()
 		inc++
 		takeOverPart(t, c, state, held, inc)
@@ -92,7 +92,7 @@
 	for _, jobs := range []int{40, 400} {
 		bubble(t, func(t *testing.T) {
 			c, state, _ := fleetController(t, 40, jobs)
-			c.finals.put("run-900000", record.Job{State: wire.Done, Tasks: 2})
+			c.finals.put("run-900000", record.FinishedJob{State: wire.Done, Tasks: 2})
 			synctest.Wait()
 			state.reset()
 			const polls = 20
@@ -134,7 +134,7 @@
 					t.Fatalf("answered %+v", r)
 				}
 				time.Sleep(gatherStarts)
-				c.locked(c.parts[0], func(time.Time) {})
+				c.locked(c.shards[0], func(time.Time) {})
 				synctest.Wait()
 			})
 			if got > startAllocs {
@@ -153,7 +153,7 @@
 	const size = 200
 	c, state, _ := fleetController(t, size, size)
 	ctx := context.Background()
-	open, rev, err := state.List(ctx, statestore.Urgent("test"), record.OpenPrefix)
+	open, rev, err := state.List(ctx, statestore.Urgent("test"), record.ActiveJobPrefix)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -351,17 +351,17 @@
 			k.start(label)
 			time.Sleep(600 * time.Millisecond)
 		}
-		time.Sleep(2 * homeStable)
+		time.Sleep(2 * preferredOwnerStable)
 		claims := map[string]int{}
 		for _, w := range k.world.State.Writes()[before:] {
 			for _, op := range w.Txn.Then {
-				if strings.HasPrefix(op.Put, record.PartPrefix) {
+				if strings.HasPrefix(op.Put, record.ShardPrefix) {
 					claims[op.Put+" by "+w.From]++
 				}
 			}
 		}
 		for part := range k.params.Count {
-			if home := k.process(k.labels[0]).c.home(part); claims[record.PartKey(part)+" by "+home] != 1 || len(claims) != k.params.Count {
+			if home := k.process(k.labels[0]).c.preferredOwner(part); claims[record.ShardKey(part)+" by "+home] != 1 || len(claims) != k.params.Count {
 				t.Fatalf("claims %v, want one of each part by its home", claims)
 			}
 		}
--- a/internal/controller/budget.go
+++ b/internal/controller/budget.go
@@ -39,7 +39,7 @@
 // is left to it. The lock is held.
 func (c *Controller) share(needs map[string]need, turn time.Duration) budgets {
 	s := c.rates()
-	c.lead.pool.Limit(c.cfg.Params.Count, s.WriteRPS, time.Now())
+	c.leadership.pool.Limit(c.cfg.Params.Count, s.WriteRPS, time.Now())
 	rps, writes := s.RPS*budgetUse, s.WriteRPS*(budgetUse-statestore.LentRate)
 	requests, changes := map[string]float64{}, map[string]float64{}
 	for _, l := range c.cfg.Labels() {
@@ -52,7 +52,7 @@
 			writes -= s.WriteRPS / float64(c.cfg.Params.Count)
 		}
 	}
-	return budgets{fleet.Share(rps, requests), fleet.Share(writes, changes), c.shareOrders(c.lead, needs)}
+	return budgets{fleet.Share(rps, requests), fleet.Share(writes, changes), c.shareOrders(c.leadership, needs)}
 }
 
 // Lend implements peer.Handler: whether another controller may make changes beyond
@@ -61,7 +61,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	return c.leads(now) && c.lead != nil && c.lead.pool.Lend(a.Changes, a.Modest, now)
+	return c.isLeader(now) && c.leadership != nil && c.leadership.pool.Lend(a.Changes, a.Modest, now)
 }
 
 // borrow asks the leader for changes beyond this controller's budget.
--- a/internal/controller/budget_test.go
+++ b/internal/controller/budget_test.go
@@ -17,8 +17,8 @@
 	c.cfg.Params.Count = n
 	c.cfg.Params.State.RPS, c.cfg.Params.State.WriteRPS = 200, 25
 	c.lease.granted(leaseState{id: 1, incarnation: 5, renewedAt: time.Now()})
-	c.leader = versioned[record.Head]{rec: record.Head{Label: c.cfg.Label, Incarnation: 5}, version: 1}
-	c.lead = &leading{pool: statestore.NewPool()}
+	c.leader = versioned[record.Leader]{rec: record.Leader{Label: c.cfg.Label, Incarnation: 5}, version: 1}
+	c.leadership = &leadership{pool: statestore.NewPool()}
 }
 
 // What the leader shares out and what it lends keep within the limit together, and
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -43,7 +43,7 @@
 		if c.cancelling(ref) && !c.awaitEnd(ctx, ref) {
 			return ending()
 		}
-		key := record.OpenKey(ref)
+		key := record.ActiveJobKey(ref)
 		e, err := c.store.Get(ctx, use, key)
 		if errors.Is(err, statestore.ErrNotFound) {
 			// Never accepted, or over by now.
@@ -58,7 +58,7 @@
 			}
 			return reply{status: 200, body: wire.Brief{Ref: ref, State: state}}
 		}
-		var o record.Open
+		var o record.ActiveJob
 		if err != nil || json.Unmarshal(e.Value, &o) != nil {
 			return later()
 		}
@@ -72,7 +72,7 @@
 			if err != nil {
 				return later() // perhaps applied: the user's next try finds out
 			}
-			c.tellOwner(o.Part, t, rev)
+			c.notifyOwner(o.Shard, t, rev)
 		}
 		if !c.awaitEnd(ctx, ref) {
 			return ending()
@@ -86,7 +86,7 @@
 func (c *Controller) cancelling(ref string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.open[ref].cancelled && !c.blind(time.Now())
+	return c.activeJobs[ref].cancelled && !c.blind(time.Now())
 }
 
 // ending answers a cancellation whose tasks are not all proven gone yet, which
@@ -100,7 +100,7 @@
 	defer cancel()
 	for _, ref := range refs {
 		c.mu.Lock()
-		if _, open := c.open[ref]; !open {
+		if _, open := c.activeJobs[ref]; !open {
 			c.mu.Unlock()
 			continue
 		}
@@ -122,7 +122,7 @@
 // closeOpen takes in that a job is not open any more. The lock is held.
 func (c *Controller) closeOpen(ref string) {
 	changed := c.needs.Remove(ref)
-	delete(c.open, ref)
+	delete(c.activeJobs, ref)
 	c.inherit(changed)
 	if over := c.endWaiters[ref]; over != nil {
 		close(over)
--- a/internal/controller/claim.go
+++ b/internal/controller/claim.go
@@ -11,19 +11,19 @@
 
 	"bramblespur/internal/fleet"
 	"bramblespur/internal/record"
-	"bramblespur/internal/sched"
+	"bramblespur/internal/scheduler"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
 )
 
-// claimPatience is how long a controller that has begun leaves the parts of others that
+// acquirePatience is how long a controller that has begun leaves the parts of others that
 // are gone to them: where all restart together the first would else take most parts over,
 // which cost it its processor's share and are handed home soon after.
-const claimPatience = 3 * time.Second
+const acquirePatience = 3 * time.Second
 
-func (c *Controller) home(part int) string { return c.cfg.Labels()[part%c.cfg.Params.Count] }
+func (c *Controller) preferredOwner(part int) string { return c.cfg.Labels()[part%c.cfg.Params.Count] }
 
-func (c *Controller) live() []string {
+func (c *Controller) liveMembers() []string {
 	var out []string
 	for l := range c.members {
 		out = append(out, l)
@@ -32,41 +32,41 @@
 	return out
 }
 
-// considerClaims claims what is this controller's to claim: its own parts after
+// considerAcquisitions claims what is this controller's to claim: its own parts after
 // a restart, parts offered to it, and those of owners that are gone.
-func (c *Controller) considerClaims(ctx context.Context, now time.Time) {
+func (c *Controller) considerAcquisitions(ctx context.Context, now time.Time) {
 	if c.schedCfg == nil || !c.sure(now) || c.viewAt.IsZero() {
 		return
 	}
 	owners := map[int]string{}
-	for id, r := range c.partRecs {
+	for id, r := range c.shardRecords {
 		owners[id] = r.rec.Owner
 	}
 	for id := range c.cfg.Params.Count {
-		if c.parts[id] != nil || c.claiming[id] {
+		if c.shards[id] != nil || c.acquiring[id] {
 			continue
 		}
-		r, known := c.partRecs[id]
+		r, known := c.shardRecords[id]
 		_, ownerLives := c.members[r.rec.Owner]
 		mine := false
 		switch {
-		case known && r.rec.To == c.cfg.Label:
+		case known && r.rec.TransferTo == c.cfg.Label:
 			mine = true
 		case known && r.rec.Owner == c.cfg.Label:
 			mine = true // a restart, or records read back after an outage
-		case !known && c.home(id) == c.cfg.Label:
+		case !known && c.preferredOwner(id) == c.cfg.Label:
 			mine = true
-		case now.Sub(c.begun) < claimPatience:
+		case now.Sub(c.begun) < acquirePatience:
 			// Its owner may have restarted together with this controller.
 		case !ownerLives && now.Sub(c.viewAt) < 2*c.watchWait() && len(c.members) > 0:
-			home := c.home(id)
+			home := c.preferredOwner(id)
 			if !known && now.Sub(c.lease.current().renewedAt) < leaseTTL && c.firstSeen(home, now) {
 				continue // it is probably about to start
 			}
-			mine = fleet.Claimant(c.live(), owners, home) == c.cfg.Label
+			mine = fleet.Claimant(c.liveMembers(), owners, home) == c.cfg.Label
 		}
 		if mine {
-			c.claim(ctx, id)
+			c.acquire(ctx, id)
 		}
 	}
 }
@@ -80,27 +80,27 @@
 	return now.Sub(c.started) < 2*leaseTTL
 }
 
-// claim takes a part over: the claim's revision becomes its token, then the
+// acquire takes a part over: the claim's revision becomes its token, then the
 // records are read. The lock is held by the caller.
-func (c *Controller) claim(ctx context.Context, id int) {
-	c.claiming[id] = true
-	r := c.partRecs[id]
+func (c *Controller) acquire(ctx context.Context, id int) {
+	c.acquiring[id] = true
+	r := c.shardRecords[id]
 	incarnation := c.lease.current().incarnation
 	go func() {
-		err := c.takeOver(ctx, id, r, incarnation)
+		err := c.failOver(ctx, id, r, incarnation)
 		c.mu.Lock()
-		delete(c.claiming, id)
+		delete(c.acquiring, id)
 		c.mu.Unlock()
 		if err != nil {
-			c.log.Info("claim failed", "part", id, "err", err)
+			c.log.Info("shard not acquired", "shard", id, "err", err)
 		}
 	}()
 }
 
-// takeOver claims a part whose record is as r says, reads its records and begins to serve
+// failOver claims a part whose record is as r says, reads its records and begins to serve
 // it.
-func (c *Controller) takeOver(ctx context.Context, id int, r versioned[record.Part], incarnation uint64) error {
-	token, err := c.recordClaim(ctx, id, r, incarnation)
+func (c *Controller) failOver(ctx context.Context, id int, r versioned[record.Shard], incarnation uint64) error {
+	token, err := c.recordOwnership(ctx, id, r, incarnation)
 	if err != nil {
 		return fmt.Errorf("claim: %w", err)
 	}
@@ -108,16 +108,16 @@
 	cfg := c.schedCfg
 	c.mu.Unlock()
 	for ctx.Err() == nil {
-		p, err := c.load(ctx, cfg, id, token)
+		shard, err := c.load(ctx, cfg, id, token)
 		if err == nil {
-			return c.install(ctx, p)
+			return c.install(ctx, shard)
 		}
-		c.log.Info("loading part", "part", id, "err", err)
+		c.log.Info("shard not loaded yet", "shard", id, "err", err)
 		if !sleep(ctx, jitter(300*time.Millisecond)) {
 			break
 		}
 		c.mu.Lock()
-		lost := c.partRecs[id].version > token
+		lost := c.shardRecords[id].version > token
 		c.mu.Unlock()
 		if lost {
 			return errors.New("claim: part lost while loading")
@@ -126,11 +126,11 @@
 	return ctx.Err()
 }
 
-// recordClaim writes this controller as a part's owner and returns the token. If that
+// recordOwnership writes this controller as a part's owner and returns the token. If that
 // fails, the part's record is read for what stands in the way.
-func (c *Controller) recordClaim(ctx context.Context, id int, r versioned[record.Part], incarnation uint64) (token uint64, err error) {
-	key := record.PartKey(id)
-	rec := record.Part{Owner: c.cfg.Label, Incarnation: incarnation}
+func (c *Controller) recordOwnership(ctx context.Context, id int, r versioned[record.Shard], incarnation uint64) (token uint64, err error) {
+	key := record.ShardKey(id)
+	rec := record.Shard{Owner: c.cfg.Label, Incarnation: incarnation}
 	token, err = c.store.Txn(ctx, statestore.Urgent("claim"), wire.Txn{
 		If:   []wire.Cond{{Key: key, Version: r.version}},
 		Then: []wire.Op{{Put: key, Value: record.Encode(rec)}},
@@ -138,51 +138,51 @@
 	if err == nil {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.setPart(id, rec, token)
+		c.setShardRecord(id, rec, token)
 		return token, nil
 	}
 	e, readErr := c.store.Get(ctx, statestore.Urgent("claim"), key)
-	var cur record.Part
+	var cur record.Shard
 	if readErr == nil && json.Unmarshal(e.Value, &cur) == nil {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.setPart(id, cur, e.Version)
+		c.setShardRecord(id, cur, e.Version)
 	}
 	return 0, err
 }
 
 // install begins to serve a part that was loaded under its token, unless somebody else
 // has claimed it meanwhile.
-func (c *Controller) install(ctx context.Context, p *sched.Part) error {
-	id := p.ID()
+func (c *Controller) install(ctx context.Context, shard *scheduler.Shard) error {
+	id := shard.ID()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.safeMode.holder.Active() {
 		return errors.New("claim: safe mode began meanwhile")
 	}
-	if cur := c.partRecs[id]; cur.version > p.Token() {
+	if cur := c.shardRecords[id]; cur.version > shard.Token() {
 		return fmt.Errorf("claim: part claimed by %s meanwhile", cur.rec.Owner)
 	}
-	c.parts[id] = p
+	c.shards[id] = shard
 	now := time.Now()
 	// Views may have moved on while the records were read.
 	c.fleet.Each(func(machine string, v record.View) {
-		if v.Part != id {
+		if v.Shard != id {
 			return
 		}
-		if err := p.SetMachine(machine, v, now); err != nil {
+		if err := shard.SetMachine(machine, v, now); err != nil {
 			c.log.Error("machine record", "machine", machine, "err", err)
 		}
 	})
-	for ref, j := range c.open {
+	for ref, j := range c.activeJobs {
 		if j.part == id {
-			p.Inherit(ref, c.needs.Claim(ref))
+			shard.Inherit(ref, c.needs.Claim(ref))
 		}
 	}
-	c.log.Info("part claimed", "part", id, "token", p.Token())
-	c.beginEpisode(p, now)
-	c.pump(p, now)
-	go c.rereadOpen(ctx, p)
+	c.log.Info("shard acquired", "shard", id, "token", shard.Token())
+	c.beginEpisode(shard, now)
+	c.step(shard, now)
+	go c.rereadOpen(ctx, shard)
 	return nil
 }
 
@@ -202,48 +202,48 @@
 }
 
 // load reads the records of a part and makes its core, under the token of a claim.
-func (c *Controller) load(ctx context.Context, cfg *sched.Config, id int, token uint64) (*sched.Part, error) {
+func (c *Controller) load(ctx context.Context, cfg *scheduler.Config, id int, token uint64) (*scheduler.Shard, error) {
 	use := statestore.Urgent("take over")
 	fl, err := c.readFleet(ctx, use)
 	if err != nil {
 		return nil, err
 	}
-	open, _, err := c.store.List(ctx, use, record.OpenPrefix)
+	open, _, err := c.store.List(ctx, use, record.ActiveJobPrefix)
 	if err != nil {
 		return nil, err
 	}
-	slots, _, err := c.store.List(ctx, use, record.SlotsOf(id))
+	slots, _, err := c.store.List(ctx, use, record.ShardPlacementsPrefix(id))
 	if err != nil {
 		return nil, err
 	}
-	p := sched.New(cfg, id, token)
+	shard := scheduler.New(cfg, id, token)
 	if c.safeMode.on {
-		p.SetStrict()
+		shard.SetStrict()
 	}
 	c.mu.Lock()
 	open = slices.DeleteFunc(open, func(e wire.Entry) bool { return c.knownElsewhere(e, id) })
 	if c.upgraded() {
-		p.SetUpgraded()
+		shard.SetUpgraded()
 	}
 	if c.allStated() {
-		p.SetStated() // before it writes anything
+		shard.SetStated() // before it writes anything
 	}
 	c.mu.Unlock()
-	return p, p.Load(fl, open, slots, time.Now())
+	return shard, shard.Load(fl, open, slots, time.Now())
 }
 
 // knownElsewhere reports whether an open job's record is one that the view holds, and
 // another part's: it need not be decoded to tell. The lock is held.
 func (c *Controller) knownElsewhere(e wire.Entry, part int) bool {
-	j, open := c.open[record.Last(e.Key)]
+	j, open := c.activeJobs[record.Last(e.Key)]
 	return open && j.version == e.Version && j.part != part
 }
 
 // rereadOpen reads the open jobs once more after a claim: one accepted between
 // the first reading and the part's being there was told to nobody.
-func (c *Controller) rereadOpen(ctx context.Context, p *sched.Part) {
+func (c *Controller) rereadOpen(ctx context.Context, shard *scheduler.Shard) {
 	for ctx.Err() == nil {
-		open, _, err := c.store.List(ctx, statestore.Urgent("take over"), record.OpenPrefix)
+		open, _, err := c.store.List(ctx, statestore.Urgent("take over"), record.ActiveJobPrefix)
 		if err != nil {
 			sleep(ctx, jitter(300*time.Millisecond))
 			continue
@@ -251,21 +251,21 @@
 		now := time.Now()
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.parts[p.ID()] != p {
+		if c.shards[shard.ID()] != shard {
 			return
 		}
 		for _, e := range open {
-			if p.KnowsJob(record.Last(e.Key), e.Version) || c.knownElsewhere(e, p.ID()) {
+			if shard.KnowsJob(record.Last(e.Key), e.Version) || c.knownElsewhere(e, shard.ID()) {
 				continue
 			}
-			var o record.Open
+			var o record.ActiveJob
 			if err := json.Unmarshal(e.Value, &o); err != nil {
 				c.log.Error("job record", "key", e.Key, "err", err)
 				continue
 			}
-			p.SetJob(record.Last(e.Key), o, e.Version, now)
+			shard.SetJob(record.Last(e.Key), o, e.Version, now)
 		}
-		c.pump(p, now)
+		c.step(shard, now)
 		return
 	}
 }
--- a/internal/controller/cloud_list.go
+++ b/internal/controller/cloud_list.go
@@ -15,7 +15,7 @@
 
 // remember notes which machines are ours, so that the cloud's list, which lags,
 // does not make strangers of those that are gone. The lock is held.
-func (c *Controller) remember(l *leading, now time.Time) {
+func (c *Controller) remember(l *leadership, now time.Time) {
 	c.fleet.Each(func(id string, _ record.View) { l.known[id] = now })
 	for id, at := range l.known {
 		if now.Sub(at) > time.Duration(knownLags)*config.Seconds(c.cfg.Params.Cloud.ListLagS) {
@@ -31,7 +31,7 @@
 
 // compareCloudList reads the cloud's list for machines that nobody recorded,
 // as a request executed late leaves them, and gives them back.
-func (c *Controller) compareCloudList(ctx context.Context, l *leading) {
+func (c *Controller) compareCloudList(ctx context.Context, l *leadership) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	list, err := c.cloud.List(ctx)
@@ -75,7 +75,7 @@
 
 // unknownMachines returns those of a list that no record seems to name, with in how many
 // lists they were. The lock is held.
-func (c *Controller) unknownMachines(l *leading, list []wire.Listed) map[string]int {
+func (c *Controller) unknownMachines(l *leadership, list []wire.Listed) map[string]int {
 	unknown := map[string]int{}
 	for _, m := range list {
 		_, ours := c.fleet.Machine(m.ID)
--- a/internal/controller/cluster_jobs_test.go
+++ b/internal/controller/cluster_jobs_test.go
@@ -35,20 +35,20 @@
 )
 
 // submit submits a job, again if need be, and follows it as its user does.
-func (k *cluster) submit(s wire.Spec, l testkit.Length) {
+func (k *cluster) submit(spec wire.Spec, l testkit.Length) {
 	k.t.Helper()
 	k.mu.Lock()
-	k.refs = append(k.refs, s.Ref)
+	k.refs = append(k.refs, spec.Ref)
 	k.mu.Unlock()
-	k.world.Submit(k.labels[0], s, l)
-	if _, ok := k.world.Until(testkit.Submission, s.Ref, encode(s), time.Minute); !ok {
-		k.t.Fatalf("%s was not accepted", s.Ref)
+	k.world.Submit(k.labels[0], spec, l)
+	if _, ok := k.world.Until(testkit.Submission, spec.Ref, encode(spec), time.Minute); !ok {
+		k.t.Fatalf("%s was not accepted", spec.Ref)
 	}
-	k.world.Follow(s.Ref)
+	k.world.Follow(spec.Ref)
 }
 
-func encode(s wire.Spec) []byte {
-	b, err := json.Marshal(s)
+func encode(spec wire.Spec) []byte {
+	b, err := json.Marshal(spec)
 	if err != nil {
 		panic(err)
 	}
@@ -135,8 +135,8 @@
 
 // gang makes a specification one of a gang of whole machines in one zone.
 func gang(n int) func(*wire.Spec) {
-	return func(s *wire.Spec) {
-		s.Kind, s.Tasks, s.CPUs, s.GPUs, s.MemoryGB, s.OneZone, s.Priority = wire.Gang, n, 14, 2, 51, true, "urgent"
+	return func(spec *wire.Spec) {
+		spec.Kind, spec.Tasks, spec.CPUs, spec.GPUs, spec.MemoryGB, spec.OneZone, spec.Priority = wire.Gang, n, 14, 2, 51, true, "urgent"
 	}
 }
 
@@ -152,14 +152,14 @@
 }
 
 // submitLater submits a job beside the test, and follows it once it is accepted.
-func (k *cluster) submitLater(s wire.Spec, l testkit.Length) {
+func (k *cluster) submitLater(spec wire.Spec, l testkit.Length) {
 	k.mu.Lock()
-	k.refs = append(k.refs, s.Ref)
+	k.refs = append(k.refs, spec.Ref)
 	k.mu.Unlock()
-	k.world.Register(s, l)
+	k.world.Register(spec, l)
 	k.world.Go(func() {
-		if _, ok := k.world.Until(testkit.Submission, s.Ref, encode(s), 5*time.Minute); ok {
-			k.world.Follow(s.Ref)
+		if _, ok := k.world.Until(testkit.Submission, spec.Ref, encode(spec), 5*time.Minute); ok {
+			k.world.Follow(spec.Ref)
 		}
 	})
 }
--- a/internal/controller/cluster_process_test.go
+++ b/internal/controller/cluster_process_test.go
@@ -91,7 +91,7 @@
 		h.Nudge(args.(peer.NudgeArgs))
 		return func() {}, nil
 	case "Report":
-		r := h.Report(args.(wire.Report))
+		r := h.Report(args.(wire.Heartbeat))
 		return func() { *result.(*peer.ReportReply) = r }, nil
 	case "User":
 		r := h.User(args.(peer.UserArgs))
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -123,8 +123,8 @@
 
 // leader returns the label of the leader on record, if its process lives.
 func (k *cluster) leader() string {
-	e, ok := k.world.State.Entry(record.Leader)
-	var h record.Head
+	e, ok := k.world.State.Entry(record.LeaderKey)
+	var h record.Leader
 	if !ok || json.Unmarshal(e.Value, &h) != nil || k.process(h.Label) == nil {
 		return ""
 	}
@@ -133,8 +133,8 @@
 
 // owner returns who owns a part on record.
 func (k *cluster) owner(part int) string {
-	e, ok := k.world.State.Entry(record.PartKey(part))
-	var r record.Part
+	e, ok := k.world.State.Entry(record.ShardKey(part))
+	var r record.Shard
 	if !ok || json.Unmarshal(e.Value, &r) != nil {
 		return ""
 	}
@@ -152,7 +152,7 @@
 		teams = append(teams, t.Name)
 	}
 	slices.Sort(teams)
-	return record.PartOf(teams, team, "", k.params.Count)
+	return record.ShardOf(teams, team, "", k.params.Count)
 }
 
 // others returns the labels of the controllers but those named.
@@ -168,7 +168,7 @@
 			return false
 		}
 		p.c.mu.Lock()
-		held := p.c.parts[part] != nil
+		held := p.c.shards[part] != nil
 		p.c.mu.Unlock()
 		if !held {
 			return false
--- a/internal/controller/cluster_troubles_test.go
+++ b/internal/controller/cluster_troubles_test.go
@@ -59,8 +59,8 @@
 }
 
 // reports returns copies of the latest reports of all machines, the oldest first.
-func (k *cluster) reports() []wire.Report {
-	var out []wire.Report
+func (k *cluster) reports() []wire.Heartbeat {
+	var out []wire.Heartbeat
 	for _, m := range k.world.Machines() {
 		out = append(out, m.Reports()...)
 	}
@@ -68,7 +68,7 @@
 }
 
 // replay brings copies of reports to every controller that lives.
-func (k *cluster) replay(reports []wire.Report) {
+func (k *cluster) replay(reports []wire.Heartbeat) {
 	for _, l := range k.labels {
 		if k.process(l) == nil {
 			continue
@@ -91,7 +91,7 @@
 		}
 		p.c.mu.Lock()
 		defer p.c.mu.Unlock()
-		return p.c.parts[k.part(team)] != nil
+		return p.c.shards[k.part(team)] != nil
 	})
 	return k.ownerOf(team)
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -27,23 +27,23 @@
 	"bramblespur/internal/peer"
 	"bramblespur/internal/policy"
 	"bramblespur/internal/record"
-	"bramblespur/internal/sched"
+	"bramblespur/internal/scheduler"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
 )
 
 // Defaults of the shell, each a compromise named here.
 const (
-	tickEvery     = 250 * time.Millisecond // timers of the cores, which look at machines as often
-	longestWatch  = 4 * time.Second        // how long a watch may be silent
-	shortestWatch = 500 * time.Millisecond
-	watchPause    = 300 * time.Millisecond // changes this close together share one answer
-	countsEvery   = 15 * time.Second       // requests and changes are logged this often
-	syncEvery     = time.Second            // the leader asks every controller
-	syncTimeout   = 1500 * time.Millisecond
-	homeStable    = 20 * time.Second // a returned controller answers this long before its part goes home
-	listFactor    = 3.0              // the cloud's list is read once in this many of its lags
-	relayTimeout  = 2200 * time.Millisecond
+	tickEvery            = 250 * time.Millisecond // timers of the cores, which look at machines as often
+	longestWatch         = 4 * time.Second        // how long a watch may be silent
+	shortestWatch        = 500 * time.Millisecond
+	watchPause           = 300 * time.Millisecond // changes this close together share one answer
+	countsEvery          = 15 * time.Second       // requests and changes are logged this often
+	syncEvery            = time.Second            // the leader asks every controller
+	syncTimeout          = 1500 * time.Millisecond
+	preferredOwnerStable = 20 * time.Second // a returned controller answers this long before its part goes home
+	listFactor           = 3.0              // the cloud's list is read once in this many of its lags
+	relayTimeout         = 2200 * time.Millisecond
 )
 
 // Controller is one process of the service.
@@ -67,18 +67,18 @@
 
 	// mu guards all that follows. It is never held across input or output.
 	mu               sync.Mutex
-	schedCfg         *sched.Config // nil until the machine types are known
+	schedCfg         *scheduler.Config // nil until the machine types are known
 	types            []wire.MachineType
-	parts            map[int]*sched.Part
-	claiming         map[int]bool
-	partRecs         map[int]versioned[record.Part]
+	shards           map[int]*scheduler.Shard
+	acquiring        map[int]bool
+	shardRecords     map[int]versioned[record.Shard]
 	fleet            *record.Fleet
-	open             map[string]openJob       // unfinished jobs as the watch tells them
+	activeJobs       map[string]activeJob     // unfinished jobs as the watch tells them
 	needs            *fragment.Needs          // how unfinished jobs need each other
 	dependencyReads  map[string]time.Time     // when final records are read again, or for the first time
 	endWaiters       map[string]chan struct{} // by job; closed when it is not open any more
 	members          map[string]record.Member
-	leader           versioned[record.Head]
+	leader           versioned[record.Leader]
 	typesSeen        bool
 	viewAt           time.Time                // the cluster view was true at this time or later
 	formats          map[string]record.Format // by controller, what it writes and reads
@@ -87,8 +87,8 @@
 	viewRevisions    map[string]uint64        // of the views, by prefix
 	redirects        workerRedirects
 	peerLoads        map[string]peerLoad // what peers last told the leader
-	lastReportAt     time.Time           // of any worker, to this controller itself
-	lead             *leading
+	lastHeartbeatAt  time.Time           // of any worker, to this controller itself
+	leadership       *leadership
 	selfPlan         *selfPlanning // nil while the leader reaches this controller
 	rentalsRequested int           // numbers the rentals that it requests, never used again under one token
 	syncedAt         time.Time     // when the leader last asked
@@ -112,8 +112,8 @@
 	refusals         refusals
 }
 
-// openJob is what polls need to know of an unfinished job.
-type openJob struct {
+// activeJob is what polls need to know of an unfinished job.
+type activeJob struct {
 	version   uint64
 	part      int
 	cancelled bool
@@ -172,10 +172,10 @@
 	go c.formatLoop(ctx)
 	go c.watchLoop(ctx, record.ClusterPrefix, c.resetCluster, c.changeCluster)
 	go c.watchLoop(ctx, record.FleetPrefix, c.resetFleet, c.changeFleet)
-	go c.watchLoop(ctx, record.OpenPrefix, c.resetOpen, c.changeOpen)
+	go c.watchLoop(ctx, record.ActiveJobPrefix, c.resetOpen, c.changeOpen)
 	go c.typesLoop(ctx)
 	go c.tickLoop(ctx)
-	go c.leadLoop(ctx)
+	go c.leaderLoop(ctx)
 	go c.countLoop(ctx)
 	if c.drains.settings != nil {
 		go c.drainLoop(ctx)
@@ -195,11 +195,11 @@
 	sort.Strings(c.teams)
 	c.syncedAt = time.Now()
 	c.peers = map[string]peer.Caller{}
-	c.parts = map[int]*sched.Part{}
-	c.claiming = map[int]bool{}
-	c.partRecs = map[int]versioned[record.Part]{}
+	c.shards = map[int]*scheduler.Shard{}
+	c.acquiring = map[int]bool{}
+	c.shardRecords = map[int]versioned[record.Shard]{}
 	c.fleet = record.NewFleet()
-	c.open = map[string]openJob{}
+	c.activeJobs = map[string]activeJob{}
 	c.viewRevisions = map[string]uint64{}
 	c.endWaiters = map[string]chan struct{}{}
 	c.needs = fragment.NewNeeds()
@@ -240,7 +240,7 @@
 // so they are asked again now and then by the leader.
 func (c *Controller) typesLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		if e, err := c.store.Get(ctx, statestore.Urgent("types"), record.Types); err == nil {
+		if e, err := c.store.Get(ctx, statestore.Urgent("types"), record.MachineTypesKey); err == nil {
 			var t []wire.MachineType
 			if json.Unmarshal(e.Value, &t) == nil && len(t) > 0 {
 				c.mu.Lock()
@@ -263,8 +263,8 @@
 		}
 		for range 5 {
 			_, err := c.store.Txn(ctx, statestore.Routine("types"), wire.Txn{
-				If:   []wire.Cond{{Key: record.Types}},
-				Then: []wire.Op{{Put: record.Types, Value: record.Encode(t)}},
+				If:   []wire.Cond{{Key: record.MachineTypesKey}},
+				Then: []wire.Op{{Put: record.MachineTypesKey, Value: record.Encode(t)}},
 			})
 			var conflict *statestore.ConflictError
 			if err == nil || errors.As(err, &conflict) {
@@ -291,20 +291,20 @@
 		now := time.Now()
 		c.mu.Lock()
 		c.turn(now.Sub(due), now)
-		cut := c.cutZones(now)
+		cut := c.partitionedZones(now)
 		backlog := c.store.Backlog()
-		for _, p := range c.parts {
+		for _, shard := range c.shards {
 			if c.allStated() {
-				p.SetStated()
+				shard.SetStated()
 			}
-			p.SetCut(cut)
-			p.SetBehind(c.pressure.behind)
-			p.SetBacklog(backlog)
-			c.pump(p, now)
+			shard.SetCut(cut)
+			shard.SetBehind(c.pressure.behind)
+			shard.SetBacklog(backlog)
+			c.step(shard, now)
 		}
 		if !c.safeMode.holder.Active() {
-			c.seekDependencies(ctx, now)
-			c.considerClaims(ctx, now)
+			c.lookUpDependencies(ctx, now)
+			c.considerAcquisitions(ctx, now)
 		}
 		c.checkBudget(now)
 		c.redirects.expire(now)
@@ -316,10 +316,10 @@
 	}
 }
 
-// cutZones returns the zones of which no controller can be reached: their
+// partitionedZones returns the zones of which no controller can be reached: their
 // machines may be silent for us alone. Where no other controller can be reached at
 // all that goes for this one's own zone, too.
-func (c *Controller) cutZones(now time.Time) map[string]bool {
+func (c *Controller) partitionedZones(now time.Time) map[string]bool {
 	cut := map[string]bool{c.cfg.Zone: len(c.cfg.Peers) > 0}
 	for _, p := range c.cfg.Peers {
 		if _, ok := cut[p.Zone]; !ok {
@@ -334,11 +334,11 @@
 
 func (c *Controller) handle(req httpwire.Request, answer func(reply)) (reply, bool) {
 	switch {
-	case req.Path == wire.ReportPath && req.Method == "POST":
-		return c.handleReport(req, answer)
+	case req.Path == wire.HeartbeatPath && req.Method == "POST":
+		return c.handleHeartbeat(req, answer)
 	case req.Path == wire.ReadyPath && req.Method == "GET":
 		return c.ready(), true
-	case req.Path == wire.ReportPath, req.Path == wire.ReadyPath:
+	case req.Path == wire.HeartbeatPath, req.Path == wire.ReadyPath:
 		return reply{status: 405}, true
 	}
 	if !c.admits(req) {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -78,15 +78,15 @@
 }
 
 func endCancelled(state *testkit.State, c *Controller) {
-	open, _, _ := state.List(context.Background(), statestore.Urgent("test"), record.OpenPrefix)
+	open, _, _ := state.List(context.Background(), statestore.Urgent("test"), record.ActiveJobPrefix)
 	for _, e := range open {
-		var o record.Open
+		var o record.ActiveJob
 		if json.Unmarshal(e.Value, &o) != nil || !o.Cancelled {
 			continue
 		}
 		rev, err := state.Txn(context.Background(), statestore.Urgent("test"), wire.Txn{
 			If: []wire.Cond{{Key: e.Key, Version: e.Version}},
-			Then: []wire.Op{{Put: record.JobKey(record.Last(e.Key)), Value: record.Encode(record.Job{State: wire.Cancelled})},
+			Then: []wire.Op{{Put: record.FinishedJobKey(record.Last(e.Key)), Value: record.Encode(record.FinishedJob{State: wire.Cancelled})},
 				{Delete: e.Key}},
 		})
 		if err == nil {
@@ -104,7 +104,7 @@
 	c, leader := newTest(t, state), newTest(t, state)
 	c.cloud, leader.cloud = cl, cl
 	c.submit(body(t, nil))
-	if err := c.takeOver(ctx, 0, versioned[record.Part]{}, 1); err != nil {
+	if err := c.failOver(ctx, 0, versioned[record.Shard]{}, 1); err != nil {
 		t.Fatal(err)
 	}
 	now := time.Now()
@@ -117,7 +117,7 @@
 	c.planWithoutLeader(ctx, now)
 	var name string
 	for range 1000 { // the write is another goroutine's
-		entries, _, err := state.List(ctx, statestore.Urgent("test"), record.RentalPrefix)
+		entries, _, err := state.List(ctx, statestore.Urgent("test"), record.ProvisionPrefix)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -131,13 +131,13 @@
 	if name == "" {
 		t.Fatal("no rental recorded")
 	}
-	l := &leading{plan: fleet.NewLeader(leader.fleetConfig()), rentals: map[string]record.Rental{}}
+	l := &leadership{plan: fleet.NewLeader(leader.fleetConfig()), rentals: map[string]record.Provision{}}
 	r := leader.fleet.Unfinished()[name]
 	leader.finishRental(ctx, l, name, r.Rec, r.Version)
 	if len(cl.Rentals[name]) == 0 {
 		t.Fatalf("rentals %v, want %s", cl.Rentals, name)
 	}
-	if v, ok := leader.fleet.Machine(cl.Rentals[name][0]); !ok || v.Part != 0 {
+	if v, ok := leader.fleet.Machine(cl.Rentals[name][0]); !ok || v.Shard != 0 {
 		t.Fatalf("machine %+v, want it in the owner's part", v)
 	}
 	leader.mu.Lock()
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -9,7 +9,7 @@
 	"bramblespur/internal/fragment"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/record"
-	"bramblespur/internal/sched"
+	"bramblespur/internal/scheduler"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
 )
@@ -30,26 +30,26 @@
 
 // checkDependencies refuses a submission that names what was never accepted, or a
 // service. What this controller does not know is asked of the state service.
-func (c *Controller) checkDependencies(ctx context.Context, s *wire.Spec) reply {
+func (c *Controller) checkDependencies(ctx context.Context, spec *wire.Spec) reply {
 	use := statestore.Urgent("dependencies")
-	for _, root := range s.DependsOn {
+	for _, root := range spec.DependsOn {
 		c.mu.Lock()
-		j, open := c.open[root]
+		j, open := c.activeJobs[root]
 		_, over := c.finals.get(root)
 		c.mu.Unlock()
 		switch {
 		case over || (open && !j.service):
 			continue
 		case open:
-			return c.refuseUnlessAccepted(ctx, s.Ref, 422)
+			return c.refuseUnlessAccepted(ctx, spec.Ref, 422)
 		}
 		// The open record first: a job that has none any more is in the other.
-		e, err := c.store.Get(ctx, use, record.OpenKey(root))
-		var o record.Open
+		e, err := c.store.Get(ctx, use, record.ActiveJobKey(root))
+		var o record.ActiveJob
 		switch {
 		case err == nil && json.Unmarshal(e.Value, &o) == nil:
 			if o.Spec.Kind == wire.Service {
-				return c.refuseUnlessAccepted(ctx, s.Ref, 422)
+				return c.refuseUnlessAccepted(ctx, spec.Ref, 422)
 			}
 			continue
 		case !errors.Is(err, statestore.ErrNotFound):
@@ -57,7 +57,7 @@
 		}
 		switch _, err := c.readFinal(ctx, use, root); {
 		case errors.Is(err, statestore.ErrNotFound):
-			return c.refuseUnlessAccepted(ctx, s.Ref, 422)
+			return c.refuseUnlessAccepted(ctx, spec.Ref, 422)
 		case err != nil:
 			return later()
 		}
@@ -66,9 +66,9 @@
 }
 
 // readFinal reads a job's final record.
-func (c *Controller) readFinal(ctx context.Context, u statestore.Use, ref string) (record.Job, error) {
-	var j record.Job
-	e, err := c.store.Get(ctx, u, record.JobKey(ref))
+func (c *Controller) readFinal(ctx context.Context, u statestore.Use, ref string) (record.FinishedJob, error) {
+	var j record.FinishedJob
+	e, err := c.store.Get(ctx, u, record.FinishedJobKey(ref))
 	if err != nil {
 		return j, err
 	}
@@ -80,14 +80,14 @@
 }
 
 // dependencyEnded takes in a job's final record and tells the parts. The lock is held.
-func (c *Controller) dependencyEnded(ref string, j record.Job, now time.Time) {
+func (c *Controller) dependencyEnded(ref string, j record.FinishedJob, now time.Time) {
 	c.finals.put(ref, j)
 	if len(c.needs.After(ref)) == 0 {
 		return
 	}
-	for _, p := range c.parts {
-		p.DependencyEnded(ref, j, now)
-		c.pump(p, now)
+	for _, shard := range c.shards {
+		shard.DependencyEnded(ref, j, now)
+		c.step(shard, now)
 	}
 }
 
@@ -96,8 +96,8 @@
 func (c *Controller) tellEnd(ref string, op wire.Op) {
 	owners := map[peer.Caller]bool{}
 	for d := range c.needs.After(ref) {
-		part := c.open[d].part
-		if owner := c.peers[c.partRecs[part].rec.Owner]; c.parts[part] == nil && owner != nil {
+		part := c.activeJobs[d].part
+		if owner := c.peers[c.shardRecords[part].rec.Owner]; c.shards[part] == nil && owner != nil {
 			owners[owner] = true
 		}
 	}
@@ -111,26 +111,26 @@
 	}
 }
 
-// seekDependencies reads the final records of roots that are not open any more: for the
+// lookUpDependencies reads the final records of roots that are not open any more: for the
 // parts held here at once, and for others later, in case their owners can't end
 // what needs a cancelled job. The lock is held.
-func (c *Controller) seekDependencies(ctx context.Context, now time.Time) {
+func (c *Controller) lookUpDependencies(ctx context.Context, now time.Time) {
 	if c.jobsAt.IsZero() {
 		return // before there is a view nothing can be missing from it
 	}
 	mine := map[string]bool{}
-	for _, p := range c.parts {
-		for _, r := range p.Dependencies() {
+	for _, shard := range c.shards {
+		for _, r := range shard.Dependencies() {
 			if j, ok := c.finals.get(r); ok {
-				p.DependencyEnded(r, j, now)
-				c.pump(p, now)
+				shard.DependencyEnded(r, j, now)
+				c.step(shard, now)
 				continue
 			}
 			mine[r] = true
 		}
 	}
 	c.needs.Each(func(r string, needed map[string]struct{}) {
-		if _, open := c.open[r]; open {
+		if _, open := c.activeJobs[r]; open {
 			return
 		}
 		at, noted := c.dependencyReads[r]
@@ -154,11 +154,11 @@
 		}
 		var others []string
 		for d := range needed {
-			if c.parts[c.open[d].part] == nil {
+			if c.shards[c.activeJobs[d].part] == nil {
 				others = append(others, d)
 			}
 		}
-		go c.seekDependency(ctx, r, others)
+		go c.lookUpDependency(ctx, r, others)
 	})
 	for r := range c.dependencyReads {
 		if len(c.needs.After(r)) == 0 {
@@ -168,8 +168,8 @@
 }
 
 // step is an open job as those that it needs see it.
-func step(o *record.Open) fragment.Step {
-	s := fragment.Step{Claim: fragment.Claim{Rank: sched.Rank(o.Spec.Priority)}, DependsOn: o.Spec.DependsOn, Length: wire.Seconds(o.Spec.EstimateS)}
+func step(o *record.ActiveJob) fragment.Step {
+	s := fragment.Step{Claim: fragment.Claim{Rank: scheduler.Rank(o.Spec.Priority)}, DependsOn: o.Spec.DependsOn, Length: wire.Seconds(o.Spec.EstimateS)}
 	if o.Spec.DeadlineS != nil {
 		s.Due = time.UnixMilli(o.At).Add(wire.Seconds(*o.Spec.DeadlineS))
 	}
@@ -182,15 +182,15 @@
 // inherit tells the parts what jobs are to be given. The lock is held.
 func (c *Controller) inherit(refs []string) {
 	for _, ref := range refs {
-		if p := c.parts[c.open[ref].part]; p != nil {
-			p.Inherit(ref, c.needs.Claim(ref))
+		if shard := c.shards[c.activeJobs[ref].part]; shard != nil {
+			shard.Inherit(ref, c.needs.Claim(ref))
 		}
 	}
 }
 
-// seekDependency reads a root's final record and, where it was cancelled, ends jobs of
+// lookUpDependency reads a root's final record and, where it was cancelled, ends jobs of
 // others that need it.
-func (c *Controller) seekDependency(ctx context.Context, root string, others []string) {
+func (c *Controller) lookUpDependency(ctx context.Context, root string, others []string) {
 	ctx, cancel := context.WithTimeout(ctx, userTimeout)
 	defer cancel()
 	j, ok := c.finals.get(root)
@@ -221,16 +221,16 @@
 // so that needs no word of its owner: only that its record is as it was.
 func (c *Controller) cancelDependent(ctx context.Context, ref string) {
 	c.mu.Lock()
-	j, open := c.open[ref]
+	j, open := c.activeJobs[ref]
 	c.mu.Unlock()
 	if !open {
 		return
 	}
-	key := record.OpenKey(ref)
+	key := record.ActiveJobKey(ref)
 	t := wire.Txn{
 		If: []wire.Cond{{Key: key, Version: j.version}},
 		Then: []wire.Op{
-			{Put: record.JobKey(ref), Value: record.Encode(record.Job{State: wire.Cancelled, At: time.Now().UnixMilli()})},
+			{Put: record.FinishedJobKey(ref), Value: record.Encode(record.FinishedJob{State: wire.Cancelled, At: time.Now().UnixMilli()})},
 			{Delete: key},
 		},
 	}
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -16,7 +16,7 @@
 	"bramblespur/internal/config"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/record"
-	"bramblespur/internal/sched"
+	"bramblespur/internal/scheduler"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/testkit"
 	"bramblespur/internal/wire"
@@ -40,12 +40,12 @@
 		if got := other.submit(body(t, func(m map[string]any) { m["ref"], m["habit"] = "run-000002", "standing" })); got.status != 201 {
 			t.Fatal(got)
 		}
-		state.Put(record.JobKey("run-000003"), record.Job{State: wire.Done, Tasks: 2})
-		state.Put(record.JobKey("run-000004"), record.Job{State: wire.Cancelled})
+		state.Put(record.FinishedJobKey("run-000003"), record.FinishedJob{State: wire.Done, Tasks: 2})
+		state.Put(record.FinishedJobKey("run-000004"), record.FinishedJob{State: wire.Cancelled})
 		var many []string
 		for i := range 400 {
 			ref := fmt.Sprintf("run-9%05d", i)
-			state.Put(record.JobKey(ref), record.Job{State: wire.Done})
+			state.Put(record.FinishedJobKey(ref), record.FinishedJob{State: wire.Done})
 			many = append(many, ref)
 		}
 		for name, x := range map[string]struct {
@@ -75,16 +75,16 @@
 			if got := c.submit(dependent(t, "run-000500", x.roots)); got.status != x.want {
 				t.Errorf("%s: status %d, want %d", name, got.status, x.want)
 			}
-			e, err := state.Get(context.Background(), statestore.Urgent("test"), record.OpenKey("run-000500"))
+			e, err := state.Get(context.Background(), statestore.Urgent("test"), record.ActiveJobKey("run-000500"))
 			if (err == nil) != (x.want == 201) {
 				t.Errorf("%s: recorded: %v", name, err)
 			}
 			if err != nil {
 				continue
 			}
-			var o record.Open
-			if err := json.Unmarshal(e.Value, &o); err != nil || o.Held != (len(o.Spec.DependsOn) > 0) {
-				t.Errorf("%s: held %t with roots %v, %v", name, o.Held, o.Spec.DependsOn, err)
+			var o record.ActiveJob
+			if err := json.Unmarshal(e.Value, &o); err != nil || o.AwaitsDependencies != (len(o.Spec.DependsOn) > 0) {
+				t.Errorf("%s: held %t with roots %v, %v", name, o.AwaitsDependencies, o.Spec.DependsOn, err)
 			}
 			// A known job is never refused, whatever it names now, and whatever the
 			// limits have become.
@@ -111,7 +111,7 @@
 func endedAs(t *testing.T, state *testkit.State, ref, how string) {
 	t.Helper()
 	_, err := state.Txn(context.Background(), statestore.Urgent("test"), wire.Txn{Then: []wire.Op{
-		{Put: record.JobKey(ref), Value: record.Encode(record.Job{State: how})}, {Delete: record.OpenKey(ref)}}})
+		{Put: record.FinishedJobKey(ref), Value: record.Encode(record.FinishedJob{State: how})}, {Delete: record.ActiveJobKey(ref)}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,7 +120,7 @@
 // view brings a controller's view of open jobs up to date.
 func view(t *testing.T, state *testkit.State, c *Controller) {
 	t.Helper()
-	open, rev, err := state.List(context.Background(), statestore.Urgent("test"), record.OpenPrefix)
+	open, rev, err := state.List(context.Background(), statestore.Urgent("test"), record.ActiveJobPrefix)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,11 +129,11 @@
 
 func finalState(t *testing.T, state *testkit.State, ref string) string {
 	t.Helper()
-	e, err := state.Get(context.Background(), statestore.Urgent("test"), record.JobKey(ref))
+	e, err := state.Get(context.Background(), statestore.Urgent("test"), record.FinishedJobKey(ref))
 	if err != nil {
 		return ""
 	}
-	var j record.Job
+	var j record.FinishedJob
 	if err := json.Unmarshal(e.Value, &j); err != nil {
 		t.Fatal(err)
 	}
@@ -145,14 +145,14 @@
 func TestOwnerLearnsOfRoots(t *testing.T) {
 	state := testkit.NewState()
 	c, other := newTest(t, state), newTest(t, state)
-	p := sched.New(c.schedCfg, 0, 1)
-	c.parts[0] = p
+	shard := scheduler.New(c.schedCfg, 0, 1)
+	c.shards[0] = shard
 	for _, ref := range []string{"run-000001", "run-000002"} {
 		other.submit(body(t, set("ref", ref)))
 	}
 	view(t, state, c)
 	c.submit(dependent(t, "run-000003", []string{"run-000001", "run-000002"}))
-	if got := p.Dependencies(); len(got) != 2 {
+	if got := shard.Dependencies(); len(got) != 2 {
 		t.Fatalf("waits for %v, want both", got)
 	}
 	if got, err := c.state(context.Background(), statestore.Urgent("test"), "run-000003"); err != nil || got != wire.Pending {
@@ -160,22 +160,22 @@
 	}
 	// One end is told by its owner, the other only by the state service.
 	endedAs(t, state, "run-000001", wire.Done)
-	c.Nudge(peer.NudgeArgs{Key: record.JobKey("run-000001"), Value: record.Encode(record.Job{State: wire.Done})})
-	if got := p.Dependencies(); len(got) != 1 || got[0] != "run-000002" {
+	c.Nudge(peer.NudgeArgs{Key: record.FinishedJobKey("run-000001"), Value: record.Encode(record.FinishedJob{State: wire.Done})})
+	if got := shard.Dependencies(); len(got) != 1 || got[0] != "run-000002" {
 		t.Fatalf("waits for %v after it was told of the first", got)
 	}
 	endedAs(t, state, "run-000002", wire.Done)
 	view(t, state, c)
-	c.seekDependency(context.Background(), "run-000002", nil) // as its loops do
-	if got := p.Dependencies(); len(got) != 0 {
+	c.lookUpDependency(context.Background(), "run-000002", nil) // as its loops do
+	if got := shard.Dependencies(); len(got) != 0 {
 		t.Fatalf("still waits for %v", got)
 	}
 	// What is not known yet is asked for again, not taken for done.
 	other.submit(body(t, set("ref", "run-000004")))
-	c.Nudge(peer.NudgeArgs{Key: record.OpenKey("run-000005"), Version: 99,
-		Value: record.Encode(record.Open{Spec: wire.Spec{Ref: "run-000005", Tasks: 1, DependsOn: []string{"run-000004"}}, Held: true})})
-	c.seekDependency(context.Background(), "run-000004", nil)
-	if got := p.Dependencies(); len(got) != 1 {
+	c.Nudge(peer.NudgeArgs{Key: record.ActiveJobKey("run-000005"), Version: 99,
+		Value: record.Encode(record.ActiveJob{Spec: wire.Spec{Ref: "run-000005", Tasks: 1, DependsOn: []string{"run-000004"}}, AwaitsDependencies: true})})
+	c.lookUpDependency(context.Background(), "run-000004", nil)
+	if got := shard.Dependencies(); len(got) != 1 {
 		t.Fatalf("waits for %v, want the one that the view lacks", got)
 	}
 }
@@ -204,7 +204,7 @@
 		var roots []string
 		after := map[string][]string{}
 		c.needs.Each(func(r string, needed map[string]struct{}) {
-			if _, open := c.open[r]; open {
+			if _, open := c.activeJobs[r]; open {
 				return
 			}
 			roots = append(roots, r)
@@ -213,7 +213,7 @@
 			}
 		})
 		for _, r := range roots {
-			c.seekDependency(context.Background(), r, after[r])
+			c.lookUpDependency(context.Background(), r, after[r])
 		}
 	}
 	for i := range 12 {
@@ -221,7 +221,7 @@
 			if finalState(t, state, ref) != wire.Cancelled {
 				t.Errorf("%s is not ended", ref)
 			}
-			if got := c.poll(ref); got.status != 200 || got.body.(wire.Status).State != wire.Cancelled {
+			if got := c.statusQuery(ref); got.status != 200 || got.body.(wire.Status).State != wire.Cancelled {
 				t.Errorf("%s: poll %+v", ref, got)
 			}
 		}
@@ -242,7 +242,7 @@
 	c.submit(dependent(t, "run-000002", []string{"run-000001"}))
 	endedAs(t, state, "run-000001", wire.Done)
 	view(t, state, c)
-	c.seekDependency(context.Background(), "run-000001", []string{"run-000002"})
+	c.lookUpDependency(context.Background(), "run-000001", []string{"run-000002"})
 	if finalState(t, state, "run-000002") != "" {
 		t.Error("ended though its root was done")
 	}
@@ -261,7 +261,7 @@
 		t.Fatalf("writes by %+v", l)
 	}
 	word := func(label string) {
-		e := state.Put(record.FormatKey(label), record.Format{N: record.Stated})
+		e := state.Put(record.FormatKey(label), record.Format{N: record.SizedRanges})
 		c.changeCluster(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
 	}
 	c.viewAt = time.Now()
@@ -307,9 +307,9 @@
 	if n < 30 {
 		t.Errorf("only %d machines a rental", n)
 	}
-	rental := record.Rental{Type: strings.Repeat("t", 32), Zone: strings.Repeat("z", 32), Spot: true, Born: time.Now().UnixMilli()}
+	rental := record.Provision{Type: strings.Repeat("t", 32), Zone: strings.Repeat("z", 32), Spot: true, Born: time.Now().UnixMilli()}
 	for i := range n {
-		rental.Parts = append(rental.Parts, 6)
+		rental.Shards = append(rental.Shards, 6)
 		rental.IDs = append(rental.IDs, fmt.Sprintf("i-%08d", i))
 		rental.Addrs = append(rental.Addrs, "255.255.255.255:65535")
 	}
@@ -320,8 +320,8 @@
 		t.Errorf("a specification of 3,000 bytes: status %d, want 422", got.status)
 	}
 	// One accepted under the wider limits can still be cancelled.
-	o := record.Open{Spec: wire.Spec{Ref: "run-000778", Team: "a", Tasks: 2, Image: strings.Repeat("i", 3000), Types: []string{"big"}}}
-	var short record.Open
+	o := record.ActiveJob{Spec: wire.Spec{Ref: "run-000778", Team: "a", Tasks: 2, Image: strings.Repeat("i", 3000), Types: []string{"big"}}}
+	var short record.ActiveJob
 	if err := json.Unmarshal(c.cancelled(o), &short); err != nil || !short.Cancelled || short.Spec.Team != "a" || short.Spec.Tasks != 2 {
 		t.Errorf("cancelled: %+v, %v", short, err)
 	}
@@ -379,7 +379,7 @@
 		c.mu.Lock()
 		got := maps.Clone(c.formats)
 		c.mu.Unlock()
-		if got["c-2"].N == record.Stated {
+		if got["c-2"].N == record.SizedRanges {
 			if len(got) != 1 {
 				t.Errorf("words %v", got)
 			}
--- a/internal/controller/doubts.go
+++ b/internal/controller/doubts.go
@@ -9,7 +9,7 @@
 	"bramblespur/internal/config"
 	"bramblespur/internal/record"
 	"bramblespur/internal/recovery"
-	"bramblespur/internal/sched"
+	"bramblespur/internal/scheduler"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
 )
@@ -29,7 +29,7 @@
 func (c *Controller) knownOpen(ref string) knownOpen {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return knownOpen{c.open[ref].version, c.viewRevisions[record.OpenPrefix]}
+	return knownOpen{c.activeJobs[ref].version, c.viewRevisions[record.ActiveJobPrefix]}
 }
 
 // believeOpen compares a job's open record with what was known before it was read. It must not
@@ -44,7 +44,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.noticeOlder(record.OpenKey(ref), held, found, time.Now())
+	c.noticeOlder(record.ActiveJobKey(ref), held, found, time.Now())
 	return errDoubtful
 }
 
@@ -60,7 +60,7 @@
 	now := time.Now()
 	switch {
 	case known.version > 0:
-		c.noticeOlder(record.OpenKey(ref), known.version, 0, now)
+		c.noticeOlder(record.ActiveJobKey(ref), known.version, 0, now)
 		return errDoubtful
 	case now.Sub(c.begun) < reportsToBelieve*config.Seconds(c.cfg.Params.Workers.ReportS):
 		return errDoubtful
@@ -72,17 +72,17 @@
 // job that it was never submitted.
 const reportsToBelieve = 2
 
-// seekRecords looks for records that explain why a worker has a task which its part does not
+// lookUpMissingRecords looks for records that explain why a worker has a task which its part does not
 // know. A job may be over, or another part's; and one that is over may come back into the view
 // for a moment, without its placements.
-func (c *Controller) seekRecords(p *sched.Part, u sched.Unrecorded) {
-	ref, _, _ := sched.SplitTask(u.Task)
-	keys := []string{record.JobKey(ref), recovery.LostKey(ref)}
+func (c *Controller) lookUpMissingRecords(shard *scheduler.Shard, u scheduler.Unrecorded) {
+	ref, _, _ := scheduler.SplitTask(u.Task)
+	keys := []string{record.FinishedJobKey(ref), recovery.LostKey(ref)}
 	if !u.KnownJob {
-		keys = append(keys, record.OpenKey(ref), record.JobKey(ref)) // it may end in between
+		keys = append(keys, record.ActiveJobKey(ref), record.FinishedJobKey(ref)) // it may end in between
 	}
 	explained := false
-	ok := c.again(p, func(ctx context.Context) error {
+	ok := c.again(shard, func(ctx context.Context) error {
 		for _, key := range keys {
 			e, err := c.getIfThere(ctx, key)
 			if explained = e != nil; err != nil || explained {
@@ -94,12 +94,12 @@
 	if !ok {
 		return
 	}
-	c.locked(p, func(now time.Time) {
+	c.locked(shard, func(now time.Time) {
 		if explained {
-			p.Explain(u.Task)
+			shard.Explain(u.Task)
 			return
 		}
-		if p.ConfirmUnrecorded(u.Task) {
+		if shard.ConfirmUnrecorded(u.Task) {
 			c.noticeLoss(recovery.Sign{Kind: recovery.RecordGone, Key: u.Task, Held: u.Attempt, Found: u.Recorded}, now)
 		}
 	})
@@ -108,18 +108,18 @@
 // readBack compares a record that was read again with what its part holds of it. It reports
 // false if it is older than that, or gone though nothing ended it: then the part must not
 // hear of it.
-func (c *Controller) readBack(ctx context.Context, p *sched.Part, key string, e *wire.Entry) (bool, error) {
+func (c *Controller) readBack(ctx context.Context, shard *scheduler.Shard, key string, e *wire.Entry) (bool, error) {
 	if !c.safeMode.on {
 		return true, nil
 	}
 	c.mu.Lock()
-	held := p.Version(key)
+	held := shard.Version(key)
 	c.mu.Unlock()
 	found := uint64(0)
 	if e != nil {
 		found = e.Version
 	}
-	if e == nil && strings.HasPrefix(key, record.OpenPrefix) {
+	if e == nil && strings.HasPrefix(key, record.ActiveJobPrefix) {
 		over, err := c.isOver(ctx, record.Last(key))
 		if err != nil || over {
 			return over, err
@@ -157,7 +157,7 @@
 
 // suspectMachine looks into a report of a machine of which there is no record, though it was
 // told to do something once. The lock is held.
-func (c *Controller) suspectMachine(r *wire.Report) {
+func (c *Controller) suspectMachine(r *wire.Heartbeat) {
 	m := &c.safeMode
 	if !m.on || r.Token == 0 || m.asking || m.holder.Active() {
 		return
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -12,7 +12,7 @@
 	"bramblespur/internal/config"
 	"bramblespur/internal/drain"
 	"bramblespur/internal/record"
-	"bramblespur/internal/sched"
+	"bramblespur/internal/scheduler"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
 )
@@ -79,7 +79,7 @@
 
 // noteLosses takes in interruptions of running work. Those that a drain was granted are in
 // its team's ledger already. The lock is held.
-func (c *Controller) noteLosses(all []sched.Interruption, now time.Time) {
+func (c *Controller) noteLosses(all []scheduler.Interruption, now time.Time) {
 	d := &c.drains
 	for _, i := range all {
 		ledger := d.view.Ledger(i.Team).Rec
@@ -94,14 +94,14 @@
 
 // keepCordons tells a part which machines are cordoned, if that may have changed. The lock
 // is held.
-func (c *Controller) keepCordons(p *sched.Part) {
-	if c.drains.settings != nil && p.CordonsAsOf() != c.drains.view.Changes() {
-		c.setCordons(p)
+func (c *Controller) keepCordons(shard *scheduler.Shard) {
+	if c.drains.settings != nil && shard.CordonsAsOf() != c.drains.view.Changes() {
+		c.setCordons(shard)
 	}
 }
 
-func (c *Controller) setCordons(p *sched.Part) {
-	p.WatchInterruptions(true)
+func (c *Controller) setCordons(shard *scheduler.Shard) {
+	shard.WatchInterruptions(true)
 	view, ready := c.drains.view, c.drainsReady()
 	var active []drain.Plan
 	for _, plan := range view.Plans() {
@@ -110,15 +110,15 @@
 		}
 	}
 	cordons := view.Cordons().Rec.Machines
-	p.SetCordons(view.Changes(), func(m *sched.Machine) (sched.Cordon, bool) {
+	shard.SetCordons(view.Changes(), func(m *scheduler.Machine) (scheduler.Cordon, bool) {
 		cordon, ok := cordons[m.ID]
 		if plan, known := view.Plan(cordon.Drain); ok && known && !plan.Rec.State.Over() {
 			if ready && plan.Rec.State == drain.Active {
-				return sched.CordonedForReturn, false
+				return scheduler.CordonedForReturn, false
 			}
-			return sched.Cordoned, false
+			return scheduler.Cordoned, false
 		}
-		return sched.NotCordoned, slices.ContainsFunc(active, func(p drain.Plan) bool {
+		return scheduler.NotCordoned, slices.ContainsFunc(active, func(p drain.Plan) bool {
 			return p.Selects(m.ID, m.Type.Name, m.Zone, m.Rented())
 		})
 	})
@@ -129,17 +129,17 @@
 	for sleep(ctx, drainEvery) {
 		c.announceDrains(ctx)
 		c.mu.Lock()
-		var parts []*sched.Part
+		var parts []*scheduler.Shard
 		if c.drains.view.InUse() {
-			for _, p := range c.parts {
-				parts = append(parts, p)
+			for _, shard := range c.shards {
+				parts = append(parts, shard)
 			}
 		} else {
 			c.forgetLosses(time.Now())
 		}
 		c.mu.Unlock()
-		for _, p := range parts {
-			c.drainPart(ctx, p)
+		for _, shard := range parts {
+			c.drainPart(ctx, shard)
 		}
 		c.concludeDrains(ctx)
 	}
@@ -180,37 +180,37 @@
 
 // drainPart takes one turn of a part's drains: it carries out what was granted, and
 // records what follows from how things stand.
-func (c *Controller) drainPart(ctx context.Context, p *sched.Part) {
+func (c *Controller) drainPart(ctx context.Context, shard *scheduler.Shard) {
 	c.mu.Lock()
 	now := time.Now()
-	if c.parts[p.ID()] != p || c.fleetAt.IsZero() || !c.sure(now) {
+	if c.shards[shard.ID()] != shard || c.fleetAt.IsZero() || !c.sure(now) {
 		c.mu.Unlock()
 		return
 	}
-	c.setCordons(p)
-	for _, d := range c.drains.view.Orders(p.ID()) {
-		p.Evict(d, now)
+	c.setCordons(shard)
+	for _, d := range c.drains.view.Orders(shard.ID()) {
+		shard.Evict(d, now)
 	}
-	writes := c.drainWrites(p, now)
-	c.pump(p, now)
+	writes := c.drainWrites(shard, now)
+	c.step(shard, now)
 	c.mu.Unlock()
 	for _, w := range writes {
 		if c.drains.limit.AllowN(now, len(w.Txn.Then)) && c.writeDrain(ctx, w.Txn) {
-			c.drainRecorded(p.ID(), w, now)
+			c.drainRecorded(shard.ID(), w, now)
 		}
 	}
 }
 
 // drainWrites plans a part's next steps and returns what is to be recorded for them. The
 // lock is held.
-func (c *Controller) drainWrites(p *sched.Part, now time.Time) []drain.Write {
+func (c *Controller) drainWrites(shard *scheduler.Shard, now time.Time) []drain.Write {
 	d := &c.drains
 	ledgers := drain.NewLedgers(d.view)
-	ledgers.Lose(slices.DeleteFunc(slices.Clone(d.losses), func(l drain.Loss) bool { return l.Part != p.ID() }))
-	ledgers.Settle(p.ID(), p.FateOf, now)
+	ledgers.Lose(slices.DeleteFunc(slices.Clone(d.losses), func(l drain.Loss) bool { return l.Part != shard.ID() }))
+	ledgers.Settle(shard.ID(), shard.FateOf, now)
 	a := &drain.Author{
-		Input: drain.Input{Now: now, Settings: d.settings, View: d.view, Part: p.ID(), Bytes: c.limits().Bytes()},
-		Owner: wire.Cond{Key: record.PartKey(p.ID()), Version: p.Token()},
+		Input: drain.Input{Now: now, Settings: d.settings, View: d.view, Part: shard.ID(), Bytes: c.limits().Bytes()},
+		Owner: wire.Cond{Key: record.ShardKey(shard.ID()), Version: shard.Token()},
 		Gone: func(id string) bool {
 			v, ok := c.fleet.Machine(id)
 			return !ok || v.Phase == record.Gone
@@ -218,12 +218,12 @@
 	}
 	var steps drain.Steps
 	if c.drainsReady() {
-		a.Machines = p.DrainMachines(d.view.WantsMore(), now)
+		a.Machines = shard.DrainMachines(d.view.WantsMore(), now)
 		a.Zones = c.machinesByZone()
 		steps = drain.Next(&a.Input, ledgers)
 	}
-	p.SetReplacements(steps.Replace)
-	a.Waited = d.hold(p.ID(), steps.Held, now)
+	shard.SetReplacements(steps.Replace)
+	a.Waited = d.hold(shard.ID(), steps.Held, now)
 	return a.Writes(steps, ledgers)
 }
 
@@ -293,7 +293,7 @@
 	now := time.Now()
 	var t wire.Txn
 	due := false
-	if c.leads(now) && c.drainsReady() && !c.fleetAt.IsZero() {
+	if c.isLeader(now) && c.drainsReady() && !c.fleetAt.IsZero() {
 		t, due = drain.Conclude(c.drains.view, c.drainLeft, c.limits().TxnOps, now)
 	}
 	c.mu.Unlock()
--- a/internal/controller/drains_bench_test.go
+++ b/internal/controller/drains_bench_test.go
@@ -38,13 +38,13 @@
 				put(drain.PlanKey("all"), plan)
 				put(drain.CordonsKey, cordons)
 			}
-			p := c.parts[0]
+			shard := c.shards[0]
 			b.ReportAllocs()
 			for b.Loop() {
 				c.mu.Lock()
 				if c.drains.view.InUse() {
-					c.setCordons(p)
-					c.drainWrites(p, now)
+					c.setCordons(shard)
+					c.drainWrites(shard, now)
 				}
 				c.mu.Unlock()
 			}
--- a/internal/controller/drains_harness_test.go
+++ b/internal/controller/drains_harness_test.go
@@ -71,7 +71,7 @@
 // loadEvenly submits jobs of every kind and one priority, so that none is preempted.
 func (k *drainCluster) loadEvenly() {
 	k.t.Helper()
-	k.loadWith(func(s *wire.Spec) { s.Priority = "normal" })
+	k.loadWith(func(spec *wire.Spec) { spec.Priority = "normal" })
 }
 
 // drainOn plays a script on both layouts with the usual budget.
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -18,7 +18,7 @@
 	quietAfter  = 15 * time.Second // and does not lead for this long
 )
 
-func (c *Controller) leads(now time.Time) bool {
+func (c *Controller) isLeader(now time.Time) bool {
 	lease := c.lease.current()
 	return c.leader.rec.Label == c.cfg.Label && c.leader.rec.Incarnation == lease.incarnation && lease.incarnation != 0 && lease.certain(now)
 }
@@ -44,38 +44,38 @@
 	return c.sure(time.Now())
 }
 
-func (c *Controller) stand(ctx context.Context, cur versioned[record.Head]) {
+func (c *Controller) campaign(ctx context.Context, cur versioned[record.Leader]) {
 	lease := c.lease.current()
-	head := record.Head{Label: c.cfg.Label, Incarnation: lease.incarnation}
+	head := record.Leader{Label: c.cfg.Label, Incarnation: lease.incarnation}
 	rev, err := c.store.Txn(ctx, statestore.Urgent("lead"), wire.Txn{
-		If:   []wire.Cond{{Key: record.Leader, Version: cur.version}},
-		Then: []wire.Op{{Put: record.Leader, Value: record.Encode(head), Lease: lease.id}},
+		If:   []wire.Cond{{Key: record.LeaderKey, Version: cur.version}},
+		Then: []wire.Op{{Put: record.LeaderKey, Value: record.Encode(head), Lease: lease.id}},
 	})
 	if err != nil {
 		return
 	}
-	c.log.Info("leading")
+	c.log.Info("elected leader")
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if rev > c.leader.version {
-		c.leader = versioned[record.Head]{head, rev}
+		c.leader = versioned[record.Leader]{head, rev}
 	}
 }
 
-// handHome gives a part back to its home: whoever writes the record loses the
+// transferBack gives a part back to its home: whoever writes the record loses the
 // token with it, so the core is dropped first. The lock is held.
-func (c *Controller) handHome(ctx context.Context, id int) {
-	r := c.partRecs[id]
-	home := c.home(id)
-	if c.parts[id] == nil || home == c.cfg.Label {
+func (c *Controller) transferBack(ctx context.Context, id int) {
+	r := c.shardRecords[id]
+	home := c.preferredOwner(id)
+	if c.shards[id] == nil || home == c.cfg.Label {
 		return
 	}
 	go func() {
 		_, err := c.store.Txn(ctx, statestore.Urgent("claim"), wire.Txn{
-			If:   []wire.Cond{{Key: record.PartKey(id), Version: r.version}},
-			Then: []wire.Op{{Put: record.PartKey(id), Value: record.Encode(record.Part{To: home})}},
+			If:   []wire.Cond{{Key: record.ShardKey(id), Version: r.version}},
+			Then: []wire.Op{{Put: record.ShardKey(id), Value: record.Encode(record.Shard{TransferTo: home})}},
 		})
-		c.log.Info("part handed home", "part", id, "to", home, "err", err)
+		c.log.Info("shard transferred back", "shard", id, "to", home, "err", err)
 		c.rereadPart(id)
 	}()
 }
@@ -92,33 +92,33 @@
 	claims, hand = map[string][]int{}, map[string][]int{}
 	reach := []string{c.cfg.Label}
 	for label, m := range c.members {
-		if label != c.cfg.Label && !m.Deaf && c.peerHealth.contact(label).reachable(now) {
+		if label != c.cfg.Label && !m.Isolated && c.peerHealth.contact(label).reachable(now) {
 			reach = append(reach, label)
 		}
 	}
-	if c.status.cutFromAll || (len(reach) == 1 && c.othersMeet() && now.Sub(c.lead.started) > standAside) ||
+	if c.status.cutFromAll || (len(reach) == 1 && c.othersMeet() && now.Sub(c.leadership.started) > standAside) ||
 		(c.pressure.behind && c.someoneHasRoom(reach, now)) {
 		return nil, nil, true
 	}
 	owners := map[int]string{}
-	for id, r := range c.partRecs {
+	for id, r := range c.shardRecords {
 		owners[id] = r.rec.Owner
 	}
-	relief := c.relieve(reach, owners, now)
-	for id, r := range c.partRecs {
-		owner, home := r.rec.Owner, c.home(id)
+	relief := c.rebalance(reach, owners, now)
+	for id, r := range c.shardRecords {
+		owner, home := r.rec.Owner, c.preferredOwner(id)
 		m, lives := c.members[owner]
 		to := ""
 		switch {
-		case lives && m.Deaf && owner != c.cfg.Label:
+		case lives && m.Isolated && owner != c.cfg.Label:
 			to = fleet.Claimant(reach, owners, "")
 		case relief.to != "" && relief.part == id:
 			to = relief.to
 		}
 		if to != "" {
 			if to == c.cfg.Label {
-				if !c.claiming[id] {
-					c.claim(ctx, id)
+				if !c.acquiring[id] {
+					c.acquire(ctx, id)
 				}
 			} else {
 				claims[to] = append(claims[to], id)
@@ -130,16 +130,16 @@
 		}
 		switch atHome := c.peerHealth.contact(home); {
 		case home == c.cfg.Label:
-			if now.Sub(c.lead.started) > homeStable && c.keepsUp(home, now) {
+			if now.Sub(c.leadership.started) > preferredOwnerStable && c.keepsUp(home, now) {
 				hand[owner] = append(hand[owner], id)
 			}
-		case atHome.answeringFor(now) < homeStable || !atHome.reachable(now) || !atHome.reachesState(now) || c.members[home].Deaf || c.members[home].Incarnation == 0,
+		case atHome.answeringFor(now) < preferredOwnerStable || !atHome.reachable(now) || !atHome.reachesState(now) || c.members[home].Isolated || c.members[home].Incarnation == 0,
 			!c.keepsUp(home, now):
 			// One that answers but is refused by the state service could not
 			// claim its part, and another would, for ever in turn. One that does not
 			// keep up would lose it again.
 		case owner == c.cfg.Label:
-			c.handHome(ctx, id)
+			c.transferBack(ctx, id)
 		default:
 			hand[owner] = append(hand[owner], id)
 		}
@@ -153,24 +153,24 @@
 func (c *Controller) othersMeet() bool {
 	n := 0
 	for label, m := range c.members {
-		if label != c.cfg.Label && !m.Alone {
+		if label != c.cfg.Label && !m.WithoutPeers {
 			n++
 		}
 	}
 	return n > 1
 }
 
-// standAside gives the lead up: nobody can be reached from here.
-func (c *Controller) standAside(ctx context.Context) {
+// stepDown gives the lead up: nobody can be reached from here.
+func (c *Controller) stepDown(ctx context.Context) {
 	c.mu.Lock()
 	version := c.leader.version
 	c.quietUntil = time.Now().Add(quietAfter)
-	c.lead = nil
+	c.leadership = nil
 	c.mu.Unlock()
-	c.log.Info("standing aside as leader")
+	c.log.Info("stepping down as leader")
 	if _, err := c.store.Txn(ctx, statestore.Urgent("lead"), wire.Txn{
-		If: []wire.Cond{{Key: record.Leader, Version: version}}, Then: []wire.Op{{Delete: record.Leader}},
+		If: []wire.Cond{{Key: record.LeaderKey, Version: version}}, Then: []wire.Op{{Delete: record.LeaderKey}},
 	}); err != nil {
-		c.log.Info("give up lead", "err", err)
+		c.log.Info("leader record not deleted", "err", err)
 	}
 }
--- a/internal/controller/evidence.go
+++ b/internal/controller/evidence.go
@@ -30,7 +30,7 @@
 	r := peer.EvidenceReply{Mode: mode}
 	if a.After == "" {
 		r.View = recovery.View{Revision: m.openRevision, Open: map[string]recovery.OpenJob{}}
-		for ref, j := range c.open {
+		for ref, j := range c.activeJobs {
 			r.View.Open[ref] = recovery.OpenJob{Version: j.version, Cancelled: j.cancelled}
 		}
 		for _, id := range slices.Sorted(maps.Keys(m.reports)) {
@@ -49,18 +49,18 @@
 // heldRecords returns all records that are known here, by key. The lock is held.
 func (c *Controller) heldRecords() []wire.Entry {
 	out := c.fleet.Entries()
-	for _, p := range c.safeMode.frozen {
-		out = append(out, p.Records()...)
+	for _, shard := range c.safeMode.frozen {
+		out = append(out, shard.Records()...)
 	}
 	for ref, j := range c.finals.all() {
-		out = append(out, wire.Entry{Key: record.JobKey(ref), Value: record.Encode(j)})
+		out = append(out, wire.Entry{Key: record.FinishedJobKey(ref), Value: record.Encode(j)})
 	}
 	slices.SortFunc(out, func(a, b wire.Entry) int { return cmp.Compare(a.Key, b.Key) })
 	return out
 }
 
 // all returns a copy of the cached final states.
-func (f *finalStates) all() map[string]record.Job {
+func (f *finalStates) all() map[string]record.FinishedJob {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return maps.Clone(f.jobs)
--- a/internal/controller/final_states.go
+++ b/internal/controller/final_states.go
@@ -15,15 +15,15 @@
 // without the controller's lock, and no other is taken under it.
 type finalStates struct {
 	mu   sync.Mutex
-	jobs map[string]record.Job // by job id
+	jobs map[string]record.FinishedJob // by job id
 }
 
 func newFinalStates() *finalStates {
-	return &finalStates{jobs: map[string]record.Job{}}
+	return &finalStates{jobs: map[string]record.FinishedJob{}}
 }
 
 // get returns the final record of a job, if it is cached.
-func (f *finalStates) get(ref string) (record.Job, bool) {
+func (f *finalStates) get(ref string) (record.FinishedJob, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	j, ok := f.jobs[ref]
@@ -32,7 +32,7 @@
 
 // put caches a final record. A full cache drops an arbitrary other one: it can be read
 // again.
-func (f *finalStates) put(ref string, j record.Job) {
+func (f *finalStates) put(ref string, j record.FinishedJob) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.jobs) >= finalStatesKept {
--- a/internal/controller/final_states_test.go
+++ b/internal/controller/final_states_test.go
@@ -13,7 +13,7 @@
 	f := newFinalStates()
 	for i := range finalStatesKept + 10 {
 		ref := fmt.Sprintf("run-%06d", i)
-		f.put(ref, record.Job{State: wire.Done, Tasks: i})
+		f.put(ref, record.FinishedJob{State: wire.Done, Tasks: i})
 		if j, ok := f.get(ref); !ok || j.Tasks != i {
 			t.Fatalf("%s: %+v, %t", ref, j, ok)
 		}
--- a/internal/controller/lead.go
+++ b/internal/controller/lead.go
@@ -37,12 +37,12 @@
 	clearOps      = 16              // more often where a transaction holds less
 )
 
-// leading is what a leader holds.
-type leading struct {
+// leadership is what a leader holds.
+type leadership struct {
 	plan     *fleet.Leader
-	rentals  map[string]record.Rental // under way
-	strange  map[string]int           // listed, but unknown to us, so many times
-	known    map[string]time.Time     // machines known at this time
+	rentals  map[string]record.Provision // under way
+	strange  map[string]int              // listed, but unknown to us, so many times
+	known    map[string]time.Time        // machines known at this time
 	started  time.Time
 	seq      int
 	nextList time.Time
@@ -58,23 +58,23 @@
 	planned    time.Time
 	addrs      map[string]string // of machines, as their owners tell
 	returned   time.Time         // when machines were last given back
-	relief     relief
+	relief     rebalance
 }
 
-// leadLoop leads when this controller is the leader, and otherwise stands for
+// leaderLoop leads when this controller is the leader, and otherwise stands for
 // it when there is none.
-func (c *Controller) leadLoop(ctx context.Context) {
+func (c *Controller) leaderLoop(ctx context.Context) {
 	leaderless := 0 // turns
 	for sleep(ctx, syncEvery) {
 		now := time.Now()
 		c.mu.Lock()
 		safe := c.safeMode.holder.Active()
-		leads, sure, types := c.leads(now) && !safe, c.sure(now) && !safe, c.types
+		leads, sure, types := c.isLeader(now) && !safe, c.sure(now) && !safe, c.types
 		cur := c.leader
 		stand := !leads && sure && types != nil && now.After(c.quietUntil) && !c.viewAt.IsZero() &&
 			(cur.version == 0 || cur.rec.Label == c.cfg.Label)
 		if !leads {
-			c.lead = nil
+			c.leadership = nil
 		}
 		if leaderless++; !stand {
 			leaderless = 0
@@ -84,9 +84,9 @@
 		c.mu.Unlock()
 		switch {
 		case leads:
-			c.leadStep(ctx)
+			c.leaderTurn(ctx)
 		case stand:
-			c.stand(ctx, cur)
+			c.campaign(ctx, cur)
 		}
 		share := leaderShare
 		if !leads {
@@ -141,17 +141,17 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	for _, o := range a.Orders {
-		if p := c.parts[o.Part]; p != nil {
-			p.Order(o, now)
+		if shard := c.shards[o.Part]; shard != nil {
+			shard.Order(o, now)
 		}
 	}
 	for _, id := range a.Claim {
-		if c.parts[id] == nil && !c.claiming[id] && c.schedCfg != nil && c.sure(now) {
-			c.claim(ctx, id)
+		if c.shards[id] == nil && !c.acquiring[id] && c.schedCfg != nil && c.sure(now) {
+			c.acquire(ctx, id)
 		}
 	}
 	for _, id := range a.HandHome {
-		c.handHome(ctx, id)
+		c.transferBack(ctx, id)
 	}
 	c.syncedAt = now
 	c.setBudget(a.Requests, a.Changes, now)
@@ -168,11 +168,11 @@
 
 func (c *Controller) summaries(now time.Time) []fleet.Summary {
 	var out []fleet.Summary
-	for _, p := range c.parts {
-		c.pump(p, now)
+	for _, shard := range c.shards {
+		c.step(shard, now)
 	}
-	for _, p := range c.parts {
-		out = append(out, p.Summary(now))
+	for _, shard := range c.shards {
+		out = append(out, shard.Summary(now))
 	}
 	return out
 }
@@ -196,14 +196,14 @@
 	}
 }
 
-// leadStep is one turn of the leader: it asks every controller for its parts, shares out
+// leaderTurn is one turn of the leader: it asks every controller for its parts, shares out
 // the budget of the state service, plans rentals, moves and returns, and hands them out.
-func (c *Controller) leadStep(ctx context.Context) {
+func (c *Controller) leaderTurn(ctx context.Context) {
 	now := time.Now()
-	l := c.leadership(now)
+	l := c.ensureLeadership(now)
 	claims, hand, alone := c.owners(ctx, now)
 	if alone {
-		c.standAside(ctx)
+		c.stepDown(ctx)
 		return
 	}
 	sums, needs := c.syncPeers(claims, hand, l.grants)
@@ -246,23 +246,23 @@
 
 // leadership returns what this controller holds as the leader, anew if it has just come
 // to lead.
-func (c *Controller) leadership(now time.Time) *leading {
+func (c *Controller) ensureLeadership(now time.Time) *leadership {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.lead == nil {
-		c.lead = &leading{
+	if c.leadership == nil {
+		c.leadership = &leadership{
 			plan:    fleet.NewLeader(c.fleetConfig()),
-			rentals: map[string]record.Rental{}, strange: map[string]int{}, known: map[string]time.Time{}, started: now,
+			rentals: map[string]record.Provision{}, strange: map[string]int{}, known: map[string]time.Time{}, started: now,
 			backs: map[string]bool{}, addrs: map[string]string{}, addressing: map[string]bool{},
 			pool: statestore.NewPool(),
 		}
 	}
-	return c.lead
+	return c.leadership
 }
 
 // shareBudget shares out what all controllers may use of the state service, by what each
 // needed since the last turn. The lock is held.
-func (c *Controller) shareBudget(l *leading, needs map[string]need, now time.Time) {
+func (c *Controller) shareBudget(l *leadership, needs map[string]need, now time.Time) {
 	turn := syncEvery
 	if !l.synced.IsZero() {
 		turn = max(turn, now.Sub(l.synced))
@@ -278,7 +278,7 @@
 
 // planFleet plans with the summaries of all parts, carries out what concerns the parts
 // held here, begins rentals, and returns the orders for others, by owner. The lock is held.
-func (c *Controller) planFleet(ctx context.Context, l *leading, sums []fleet.Summary, now time.Time) map[string][]fleet.Order {
+func (c *Controller) planFleet(ctx context.Context, l *leadership, sums []fleet.Summary, now time.Time) map[string][]fleet.Order {
 	c.adoptRentals(ctx, l)
 	c.remember(l, now)
 	c.address(ctx, l, sums)
@@ -287,12 +287,12 @@
 	c.logPlan(sums, orders, rents, len(l.rentals))
 	byOwner := map[string][]fleet.Order{}
 	for _, o := range orders {
-		if p := c.parts[o.Part]; p != nil {
-			p.Order(o, now)
-			c.pump(p, now)
+		if shard := c.shards[o.Part]; shard != nil {
+			shard.Order(o, now)
+			c.step(shard, now)
 			continue
 		}
-		owner := c.partRecs[o.Part].rec.Owner
+		owner := c.shardRecords[o.Part].rec.Owner
 		byOwner[owner] = append(byOwner[owner], o)
 	}
 	// A queue of requests would go stale before the cloud's few calls got to
@@ -307,8 +307,8 @@
 
 // logPlan logs what was planned, and from what.
 func (c *Controller) logPlan(sums []fleet.Summary, orders []fleet.Order, rents []fleet.Rent, rentals int) {
-	for _, s := range sums {
-		c.log.Debug("plan", "part", s.Part, "state", s, "rentals", rentals)
+	for _, summary := range sums {
+		c.log.Debug("plan", "shard", summary.Part, "state", summary, "rentals", rentals)
 	}
 	if len(orders) > 0 {
 		c.log.Debug("orders", "orders", orders)
--- a/internal/controller/lean_test.go
+++ b/internal/controller/lean_test.go
@@ -68,7 +68,7 @@
 	all := make([]*confirmation, polls) // as those that come within confirmGather
 	for i := range all {
 		ref := "run-00000" + strconv.Itoa(i)
-		all[i] = newConfirmation(wire.Cond{Key: record.OpenKey(ref), Version: c.open[ref].version})
+		all[i] = newConfirmation(wire.Cond{Key: record.ActiveJobKey(ref), Version: c.activeJobs[ref].version})
 	}
 	c.confirmations.waiting = all
 	c.confirmAll()
@@ -117,7 +117,7 @@
 				t.Fatal(err)
 			}
 			later := make(chan reply, 1)
-			r, now := c.handle(httpwire.Request{Method: "POST", Path: wire.ReportPath, Body: b}, func(r reply) { later <- r })
+			r, now := c.handle(httpwire.Request{Method: "POST", Path: wire.HeartbeatPath, Body: b}, func(r reply) { later <- r })
 			if !now {
 				c.mu.Lock()
 				c.release(w.ID, time.Now())
@@ -153,11 +153,11 @@
 	c, state, _ := fleetController(t, 200, 0)
 	c.submit(body(t, nil))
 	c.mu.Lock()
-	held := c.partRecs[0]
-	delete(c.parts, 0)
+	held := c.shardRecords[0]
+	delete(c.shards, 0)
 	c.mu.Unlock()
 	state.reset()
-	if err := c.takeOver(context.Background(), 0, held, 2); err != nil {
+	if err := c.failOver(context.Background(), 0, held, 2); err != nil {
 		t.Fatal(err)
 	}
 	for state.lists.Load() < takeOverLists { // the last is another goroutine's
@@ -187,13 +187,13 @@
 	for i := range jobs {
 		ref := fmt.Sprintf("run-%06d", i)
 		value := body(t, set("ref", ref))
-		rec := record.Encode(record.Open{Spec: *mustSpec(t, value), Part: 0})
-		c.changeOpen(wire.Change{Put: record.OpenKey(ref), Value: rec, Version: uint64(2*i + 1)}, c.begun)
-		c.finals.put(ref, record.Job{State: wire.Done, Tasks: 2, At: int64(i)})
-		c.changeOpen(wire.Change{Delete: record.OpenKey(ref), Version: uint64(2*i + 2)}, c.begun)
+		rec := record.Encode(record.ActiveJob{Spec: *mustSpec(t, value), Shard: 0})
+		c.changeOpen(wire.Change{Put: record.ActiveJobKey(ref), Value: rec, Version: uint64(2*i + 1)}, c.begun)
+		c.finals.put(ref, record.FinishedJob{State: wire.Done, Tasks: 2, At: int64(i)})
+		c.changeOpen(wire.Change{Delete: record.ActiveJobKey(ref), Version: uint64(2*i + 2)}, c.begun)
 	}
 	got := (heap() - before) / jobs
-	if n := len(c.open); n != 0 {
+	if n := len(c.activeJobs); n != 0 {
 		t.Fatalf("%d jobs open", n)
 	}
 	runtime.KeepAlive(c)
@@ -204,11 +204,11 @@
 
 func mustSpec(t testing.TB, b []byte) *wire.Spec {
 	t.Helper()
-	s, ok := parseSpec(b)
+	spec, ok := parseSpec(b)
 	if !ok {
 		t.Fatal("no specification")
 	}
-	return s
+	return spec
 }
 
 // Bounds are about half as much again as was measured, so that twice the work fails.
@@ -240,8 +240,8 @@
 		if n := state.gets.Load() + state.txns.Load(); n != 0 {
 			t.Errorf("%d requests for repeated cancellations", n)
 		}
-		inner.Put(record.JobKey("run-000412"), record.Job{State: wire.Cancelled})
-		if _, err := inner.Txn(t.Context(), statestore.Urgent("test"), wire.Txn{Then: []wire.Op{{Delete: record.OpenKey("run-000412")}}}); err != nil {
+		inner.Put(record.FinishedJobKey("run-000412"), record.FinishedJob{State: wire.Cancelled})
+		if _, err := inner.Txn(t.Context(), statestore.Urgent("test"), wire.Txn{Then: []wire.Op{{Delete: record.ActiveJobKey("run-000412")}}}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Minute) // without a word of the watch
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -40,7 +40,7 @@
 // on its format, and so none of the first version is left. The lock is held.
 func (c *Controller) upgraded() bool {
 	for _, l := range c.cfg.Labels() {
-		if c.formats[l].N < record.Stated {
+		if c.formats[l].N < record.SizedRanges {
 			return false
 		}
 	}
@@ -55,7 +55,7 @@
 func (c *Controller) formatLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.mu.Lock()
-		known, viewed := c.formats[c.cfg.Label].N >= record.Stated, !c.viewAt.IsZero()
+		known, viewed := c.formats[c.cfg.Label].N >= record.SizedRanges, !c.viewAt.IsZero()
 		c.mu.Unlock()
 		if known || (viewed && c.recordFormat(ctx, c.cfg.Label, c.Format())) {
 			return
@@ -65,7 +65,7 @@
 }
 
 // Format implements peer.Handler.
-func (c *Controller) Format() int { return record.Stated }
+func (c *Controller) Format() int { return record.SizedRanges }
 
 // recordFormat records the format of a controller. It needs no conditions: it says the
 // same each time.
@@ -86,7 +86,7 @@
 func (c *Controller) askFormats(ctx context.Context) {
 	for label, p := range c.peers {
 		c.mu.Lock()
-		known := c.formats[label].N >= record.Stated || c.viewAt.IsZero() || !c.sure(time.Now())
+		known := c.formats[label].N >= record.SizedRanges || c.viewAt.IsZero() || !c.sure(time.Now())
 		c.mu.Unlock()
 		if known {
 			continue
@@ -94,7 +94,7 @@
 		go func() {
 			var n int
 			// The first version has no such method; one that is silent says nothing.
-			if err := p.Call("Format", c.cfg.Label, &n, pingTimeout); err == nil && n >= record.Stated {
+			if err := p.Call("Format", c.cfg.Label, &n, pingTimeout); err == nil && n >= record.SizedRanges {
 				c.recordFormat(ctx, label, n)
 			}
 		}()
--- a/internal/controller/meetings_jobs_test.go
+++ b/internal/controller/meetings_jobs_test.go
@@ -205,9 +205,9 @@
 }
 
 // without encodes a specification without one of its fields.
-func without(s wire.Spec, field string) []byte {
+func without(spec wire.Spec, field string) []byte {
 	var m map[string]json.RawMessage
-	if err := json.Unmarshal(encode(s), &m); err != nil {
+	if err := json.Unmarshal(encode(spec), &m); err != nil {
 		panic(err)
 	}
 	delete(m, field)
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -111,7 +111,7 @@
 				var met atomic.Bool
 				gap(k, 6*time.Second, func(owner string) {
 					k.world.State.Decide(func(from string, w wire.Txn) testkit.Fate {
-						if writes(w, record.SlotPrefix) {
+						if writes(w, record.PlacementsPrefix) {
 							met.Store(true)
 							return fate
 						}
@@ -191,7 +191,7 @@
 				k.load()
 				n, met := map[string]int{}, map[string]int{}
 				k.world.State.Decide(func(_ string, w wire.Txn) testkit.Fate {
-					for _, p := range []string{record.OpenPrefix, record.JobPrefix, record.SlotPrefix, record.FleetPrefix, record.ClusterPrefix} {
+					for _, p := range []string{record.ActiveJobPrefix, record.FinishedJobPrefix, record.PlacementsPrefix, record.FleetPrefix, record.ClusterPrefix} {
 						if !writes(w, p) {
 							continue
 						}
@@ -216,7 +216,7 @@
 				k.restartMissing()
 				time.Sleep(30 * time.Second)
 				k.world.State.Decide(nil)
-				for _, p := range []string{record.OpenPrefix, record.JobPrefix, record.SlotPrefix} {
+				for _, p := range []string{record.ActiveJobPrefix, record.FinishedJobPrefix, record.PlacementsPrefix} {
 					k.happened(met[p] > 0, "writes of "+p+" without an answer")
 				}
 				k.await(k.timing.Cancel, "the cancellations", confirmed)
--- a/internal/controller/member_status.go
+++ b/internal/controller/member_status.go
@@ -25,7 +25,7 @@
 
 // member returns the member record of an incarnation with that status.
 func (s memberStatus) member(incarnation uint64) record.Member {
-	return record.Member{Incarnation: incarnation, Alone: s.cutFromPeers, Deaf: s.cutFromAll, Overloaded: s.overloaded}
+	return record.Member{Incarnation: incarnation, WithoutPeers: s.cutFromPeers, Isolated: s.cutFromAll, Overloaded: s.overloaded}
 }
 
 // statusNow returns this controller's status. The lock is held.
@@ -37,7 +37,7 @@
 		}
 	}
 	silent := config.Seconds(c.cfg.Params.Workers.ReportS)*2 + time.Second
-	s.cutFromAll = s.cutFromPeers && c.fleet.Len() > 0 && now.Sub(c.lastReportAt) > silent
+	s.cutFromAll = s.cutFromPeers && c.fleet.Len() > 0 && now.Sub(c.lastHeartbeatAt) > silent
 	return s
 }
 
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -46,28 +46,28 @@
 // and the owner may have restarted with it; nobody a live owner's.
 func TestWhoClaims(t *testing.T) {
 	for name, x := range map[string]struct {
-		rec     record.Part
+		rec     record.Shard
 		members []string
 		up      time.Duration
 		want    bool
 	}{
-		"own part after a restart":  {record.Part{Owner: "c-0", Incarnation: 1}, []string{"c-0"}, 0, true},
-		"live owner":                {record.Part{Owner: "c-1", Incarnation: 1}, []string{"c-0", "c-1"}, time.Minute, false},
-		"dead owner":                {record.Part{Owner: "c-1", Incarnation: 1}, []string{"c-0"}, claimPatience, true},
-		"dead owner at the start":   {record.Part{Owner: "c-1", Incarnation: 1}, []string{"c-0"}, claimPatience - 1, false},
-		"offered":                   {record.Part{To: "c-0"}, []string{"c-0", "c-1"}, time.Minute, true},
-		"offered as it has started": {record.Part{To: "c-0"}, []string{"c-0", "c-1"}, 0, true},
+		"own part after a restart":  {record.Shard{Owner: "c-0", Incarnation: 1}, []string{"c-0"}, 0, true},
+		"live owner":                {record.Shard{Owner: "c-1", Incarnation: 1}, []string{"c-0", "c-1"}, time.Minute, false},
+		"dead owner":                {record.Shard{Owner: "c-1", Incarnation: 1}, []string{"c-0"}, acquirePatience, true},
+		"dead owner at the start":   {record.Shard{Owner: "c-1", Incarnation: 1}, []string{"c-0"}, acquirePatience - 1, false},
+		"offered":                   {record.Shard{TransferTo: "c-0"}, []string{"c-0", "c-1"}, time.Minute, true},
+		"offered as it has started": {record.Shard{TransferTo: "c-0"}, []string{"c-0", "c-1"}, 0, true},
 	} {
 		c := newTest(t, testkit.NewState())
 		now := time.Now()
 		c.lease.state.incarnation, c.viewAt, c.begun = 2, now, now.Add(-x.up)
-		c.partRecs[0] = versioned[record.Part]{x.rec, 5}
+		c.shardRecords[0] = versioned[record.Shard]{x.rec, 5}
 		for _, m := range x.members {
 			c.members[m] = record.Member{Incarnation: 1}
 		}
 		c.mu.Lock()
-		c.considerClaims(context.Background(), now)
-		got := c.claiming[0]
+		c.considerAcquisitions(context.Background(), now)
+		got := c.acquiring[0]
 		c.mu.Unlock()
 		if got != x.want {
 			t.Errorf("%s: claims %v, want %v", name, got, x.want)
@@ -77,10 +77,10 @@
 	c := newTest(t, testkit.NewState())
 	c.viewAt = time.Now()
 	c.lease.setRenewed(c.viewAt.Add(-time.Minute))
-	c.partRecs[0] = versioned[record.Part]{record.Part{Owner: "c-0"}, 5}
+	c.shardRecords[0] = versioned[record.Shard]{record.Shard{Owner: "c-0"}, 5}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.considerClaims(context.Background(), time.Now()); c.claiming[0] {
+	if c.considerAcquisitions(context.Background(), time.Now()); c.acquiring[0] {
 		t.Error("claims without a lease")
 	}
 }
@@ -91,23 +91,23 @@
 	state := testkit.NewState()
 	c := newTest(t, state)
 	c.submit(body(t, nil))
-	if err := c.takeOver(context.Background(), 0, versioned[record.Part]{}, 1); err != nil {
+	if err := c.failOver(context.Background(), 0, versioned[record.Shard]{}, 1); err != nil {
 		t.Fatal(err)
 	}
-	p := c.parts[0]
-	if p == nil || !p.HasJob("run-000412") {
+	shard := c.shards[0]
+	if shard == nil || !shard.HasJob("run-000412") {
 		t.Fatal("part not loaded")
 	}
-	e := state.Put(record.PartKey(0), record.Part{Owner: "c-1"})
+	e := state.Put(record.ShardKey(0), record.Shard{Owner: "c-1"})
 	c.changeCluster(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
-	if c.parts[0] != nil {
+	if c.shards[0] != nil {
 		t.Fatal("still owner after another's claim")
 	}
 	// A claim on an outdated view fails.
-	if err := c.takeOver(context.Background(), 0, versioned[record.Part]{}, 1); err == nil {
+	if err := c.failOver(context.Background(), 0, versioned[record.Shard]{}, 1); err == nil {
 		t.Fatal("claimed under a version that is gone")
 	}
-	if got, err := state.Get(context.Background(), statestore.Urgent("test"), record.PartKey(0)); err != nil || got.Version != e.Version {
+	if got, err := state.Get(context.Background(), statestore.Urgent("test"), record.ShardKey(0)); err != nil || got.Version != e.Version {
 		t.Fatalf("record %+v, %v", got, err)
 	}
 }
@@ -115,7 +115,7 @@
 // Leaders stand aside only when others hear each other.
 func TestOthersMeet(t *testing.T) {
 	c := newTest(t, testkit.NewState())
-	c.members = map[string]record.Member{"c-0": {Incarnation: 1}, "c-1": {Incarnation: 2, Alone: true}, "c-2": {Incarnation: 3, Alone: true}}
+	c.members = map[string]record.Member{"c-0": {Incarnation: 1}, "c-1": {Incarnation: 2, WithoutPeers: true}, "c-2": {Incarnation: 3, WithoutPeers: true}}
 	if c.othersMeet() {
 		t.Error("would stand aside though everybody is alone")
 	}
@@ -132,27 +132,27 @@
 	state := testkit.NewState()
 	before, after := newTest(t, state), newTest(t, state)
 	before.lease.state.incarnation, after.lease.state.incarnation = 1, 2
-	before.stand(ctx, versioned[record.Head]{})
+	before.campaign(ctx, versioned[record.Leader]{})
 	now := time.Now()
-	if !before.leads(now) {
+	if !before.isLeader(now) {
 		t.Fatal("does not lead")
 	}
 	after.leader = before.leader // as the watch tells the next life
-	if after.leads(now) {
+	if after.isLeader(now) {
 		t.Fatal("leads by its label")
 	}
-	after.stand(ctx, after.leader)
-	if !after.leads(now) {
+	after.campaign(ctx, after.leader)
+	if !after.isLeader(now) {
 		t.Fatal("the next life can't lead")
 	}
 	stale := before.leader
-	before.stand(ctx, stale) // late
-	if e, err := state.Get(ctx, statestore.Urgent("test"), record.Leader); err != nil || e.Version != after.leader.version {
+	before.campaign(ctx, stale) // late
+	if e, err := state.Get(ctx, statestore.Urgent("test"), record.LeaderKey); err != nil || e.Version != after.leader.version {
 		t.Fatalf("record %+v, %v: the earlier life took the lead back", e, err)
 	}
 	if _, err := state.Txn(ctx, statestore.Urgent("test"), wire.Txn{
-		If:   []wire.Cond{{Key: record.RentalKey("x")}, {Key: record.Leader, Version: stale.version}},
-		Then: []wire.Op{{Put: record.RentalKey("x"), Value: record.Encode(record.Rental{})}},
+		If:   []wire.Cond{{Key: record.ProvisionKey("x")}, {Key: record.LeaderKey, Version: stale.version}},
+		Then: []wire.Op{{Put: record.ProvisionKey("x"), Value: record.Encode(record.Provision{})}},
 	}); err == nil {
 		t.Fatal("a rental decided under the earlier lead was recorded")
 	}
@@ -166,23 +166,23 @@
 	state := testkit.NewState()
 	c := newTest(t, state)
 	c.viewAt, c.jobsAt, c.fleetAt = time.Now(), time.Now(), time.Now()
-	if err := c.takeOver(ctx, 0, versioned[record.Part]{}, 1); err != nil {
+	if err := c.failOver(ctx, 0, versioned[record.Shard]{}, 1); err != nil {
 		t.Fatal(err)
 	}
-	e := state.Put(record.RentalKey("r"), record.Rental{Type: "big", Zone: "z", Parts: []int{0}, IDs: []string{"m"}})
+	e := state.Put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"m"}})
 	c.changeFleet(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
 	w := testkit.NewWorker("m", "big", "z", false)
 	r := w.Report()
 	r.Addr = "" // nothing is sent straight to it
 	c.mu.Lock()
-	c.ownReport(c.parts[0], &r, time.Now())
+	c.ownReport(c.shards[0], &r, time.Now())
 	c.mu.Unlock()
 	// held is an answer kept back that is due after the lease's last renewal.
 	held := func(renewed time.Time) (starts int) {
 		got := make(chan reply, 1)
 		c.mu.Lock()
 		c.lease.setRenewed(renewed)
-		c.hold(c.parts[0], "m", time.Hour, func(r reply) { got <- r })
+		c.hold(c.shards[0], "m", time.Hour, func(r reply) { got <- r })
 		c.release("m", time.Now())
 		c.mu.Unlock()
 		o, _ := (<-got).body.(wire.Orders)
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -36,7 +36,7 @@
 		if most := c.cfg.Params.State.TxnOps; a.Changes <= 0 || a.Changes > most {
 			err = errSenseless("%d changes, of %d at most", a.Changes, most)
 		}
-	case wire.Report:
+	case wire.Heartbeat:
 		kind, from, err = "relayed report", a.Machine, a.Check()
 	case peer.UserArgs:
 		kind, from, err = "request passed on", "a controller", checkUser(&a)
@@ -52,18 +52,18 @@
 	c.refusals.tell(c.log, "call of a controller", from, err)
 }
 
-// isPart reports whether there is such a part.
-func (c *Controller) isPart(id int) bool { return id >= 0 && id < c.cfg.Params.Count }
+// isShard reports whether there is such a part.
+func (c *Controller) isShard(id int) bool { return id >= 0 && id < c.cfg.Params.Count }
 
 // checkSync refuses orders for parts that there are not, and impossible budgets.
 func (c *Controller) checkSync(a *peer.SyncArgs) error {
 	for _, id := range slices.Concat(a.Claim, a.HandHome) {
-		if !c.isPart(id) {
+		if !c.isShard(id) {
 			return errSenseless("part %d", id)
 		}
 	}
 	for _, o := range a.Orders {
-		if !c.isPart(o.Part) || (o.To != fleet.Back && !c.isPart(o.To)) {
+		if !c.isShard(o.Part) || (o.To != fleet.Back && !c.isShard(o.To)) {
 			return errSenseless("an order from part %d to %d", o.Part, o.To)
 		}
 	}
@@ -85,10 +85,10 @@
 		return errSenseless("a record of %.64q", a.Key)
 	}
 	switch a.Key {
-	case record.OpenKey(ref):
+	case record.ActiveJobKey(ref):
 		return c.checkOpen(ref, a)
-	case record.JobKey(ref):
-		var j record.Job
+	case record.FinishedJobKey(ref):
+		var j record.FinishedJob
 		if err := json.Unmarshal(a.Value, &j); err != nil {
 			return errSenseless("final record: %v", err)
 		}
@@ -102,12 +102,12 @@
 
 // checkOpen refuses an open job's record that could not have been accepted.
 func (c *Controller) checkOpen(ref string, a *peer.NudgeArgs) error {
-	var o record.Open
+	var o record.ActiveJob
 	if err := json.Unmarshal(a.Value, &o); err != nil {
 		return errSenseless("open record: %v", err)
 	}
-	if a.Version == 0 || !c.isPart(o.Part) || o.Spec.Ref != ref || !validSpec(&o.Spec) {
-		return errSenseless("open record of %s, part %d, version %d", ref, o.Part, a.Version)
+	if a.Version == 0 || !c.isShard(o.Shard) || o.Spec.Ref != ref || !validSpec(&o.Spec) {
+		return errSenseless("open record of %s, part %d, version %d", ref, o.Shard, a.Version)
 	}
 	return nil
 }
@@ -137,22 +137,22 @@
 // one a little below zero.
 func isTold(v float64) bool { return v > -1 && !math.IsInf(v, 0) }
 
-func (c *Controller) checkSummary(s *fleet.Summary) error {
-	amounts := []float64{s.Arriving, s.ArrivingSpot}
-	for i := range s.Needs {
-		n := &s.Needs[i]
+func (c *Controller) checkSummary(summary *fleet.Summary) error {
+	amounts := []float64{summary.Arriving, summary.ArrivingSpot}
+	for i := range summary.Needs {
+		n := &summary.Needs[i]
 		if n.Count < 0 || n.Count > maxTasks || n.ZoneLimit < 0 {
-			return errSenseless("part %d needs %d of %.32q", s.Part, n.Count, n.Job)
+			return errSenseless("part %d needs %d of %.32q", summary.Part, n.Count, n.Job)
 		}
 		amounts = append(amounts, n.CPUs, n.GPUs, n.MemoryGB)
 	}
-	for i := range s.Machines {
-		if s.Machines[i].Tasks < 0 {
-			return errSenseless("%d tasks on %.32q", s.Machines[i].Tasks, s.Machines[i].ID)
+	for i := range summary.Machines {
+		if summary.Machines[i].Tasks < 0 {
+			return errSenseless("%d tasks on %.32q", summary.Machines[i].Tasks, summary.Machines[i].ID)
 		}
 	}
-	if !c.isPart(s.Part) || slices.ContainsFunc(amounts, func(v float64) bool { return !isTold(v) }) {
-		return errSenseless("summary of part %d", s.Part)
+	if !c.isShard(summary.Part) || slices.ContainsFunc(amounts, func(v float64) bool { return !isTold(v) }) {
+		return errSenseless("summary of part %d", summary.Part)
 	}
 	return nil
 }
@@ -166,9 +166,9 @@
 }
 
 // checkStatus refuses a job's state that is another's or has impossible counts.
-func checkStatus(s *wire.Status, ref string) error {
-	if s.Ref != ref || s.Done < 0 || s.Running < 0 {
-		return errSenseless("the state of %.32q with %d done and %d running", s.Ref, s.Done, s.Running)
+func checkStatus(status *wire.Status, ref string) error {
+	if status.Ref != ref || status.Done < 0 || status.Running < 0 {
+		return errSenseless("the state of %.32q with %d done and %d running", status.Ref, status.Done, status.Running)
 	}
 	return nil
 }
--- a/internal/controller/messages_test.go
+++ b/internal/controller/messages_test.go
@@ -36,7 +36,7 @@
 	c := newTest(t, state)
 	c.store = store
 	c.viewAt, c.jobsAt, c.fleetAt = time.Now(), time.Now(), time.Now()
-	if err := c.takeOver(context.Background(), 0, versioned[record.Part]{}, 1); err != nil {
+	if err := c.failOver(context.Background(), 0, versioned[record.Shard]{}, 1); err != nil {
 		t.Fatal(err)
 	}
 	return c
@@ -50,8 +50,8 @@
 }
 
 // openOf is a job's open record, changed as wished.
-func openOf(change func(*record.Open)) []byte {
-	o := record.Open{Spec: spec("run-000001", "a", nil)}
+func openOf(change func(*record.ActiveJob)) []byte {
+	o := record.ActiveJob{Spec: spec("run-000001", "a", nil)}
 	change(&o)
 	return record.Encode(o)
 }
@@ -60,7 +60,7 @@
 // that a negative number of tasks or a negative part ends the process, and a machine
 // moved to a part that there is not is lost for ever.
 func TestSenselessMessagesOfControllersAreRefused(t *testing.T) {
-	key := record.OpenKey("run-000001")
+	key := record.ActiveJobKey("run-000001")
 	for name, args := range map[string]any{
 		"a claim of a negative part":   peer.SyncArgs{Claim: []int{-1}},
 		"a claim of an unknown part":   peer.SyncArgs{Claim: []int{1 << 40}},
@@ -74,21 +74,21 @@
 		"no changes to be lent":        peer.LendArgs{From: "c-1"},
 		"negative changes to be lent":  peer.LendArgs{From: "c-1", Changes: -2},
 		"too many changes to be lent":  peer.LendArgs{From: "c-1", Changes: 1 << 40},
-		"negative tasks":               peer.NudgeArgs{Key: key, Version: 9, Value: openOf(func(o *record.Open) { o.Spec.Tasks = -5 })},
-		"too many tasks":               peer.NudgeArgs{Key: key, Version: 9, Value: openOf(func(o *record.Open) { o.Spec.Tasks = 1 << 40 })},
-		"no tasks":                     peer.NudgeArgs{Key: key, Version: 9, Value: openOf(func(o *record.Open) { o.Spec.Tasks = 0 })},
-		"negative cards":               peer.NudgeArgs{Key: key, Version: 9, Value: openOf(func(o *record.Open) { o.Spec.GPUs = -1 })},
-		"a job of an unknown part":     peer.NudgeArgs{Key: key, Version: 9, Value: openOf(func(o *record.Open) { o.Part = 3 })},
-		"another job's record":         peer.NudgeArgs{Key: record.OpenKey("run-000002"), Version: 9, Value: openOf(func(*record.Open) {})},
-		"a record without a version":   peer.NudgeArgs{Key: key, Value: openOf(func(*record.Open) {})},
+		"negative tasks":               peer.NudgeArgs{Key: key, Version: 9, Value: openOf(func(o *record.ActiveJob) { o.Spec.Tasks = -5 })},
+		"too many tasks":               peer.NudgeArgs{Key: key, Version: 9, Value: openOf(func(o *record.ActiveJob) { o.Spec.Tasks = 1 << 40 })},
+		"no tasks":                     peer.NudgeArgs{Key: key, Version: 9, Value: openOf(func(o *record.ActiveJob) { o.Spec.Tasks = 0 })},
+		"negative cards":               peer.NudgeArgs{Key: key, Version: 9, Value: openOf(func(o *record.ActiveJob) { o.Spec.GPUs = -1 })},
+		"a job of an unknown part":     peer.NudgeArgs{Key: key, Version: 9, Value: openOf(func(o *record.ActiveJob) { o.Shard = 3 })},
+		"another job's record":         peer.NudgeArgs{Key: record.ActiveJobKey("run-000002"), Version: 9, Value: openOf(func(*record.ActiveJob) {})},
+		"a record without a version":   peer.NudgeArgs{Key: key, Value: openOf(func(*record.ActiveJob) {})},
 		"a record of the wrong type":   peer.NudgeArgs{Key: key, Version: 9, Value: []byte(`{"spec":"x"}`)},
 		"a record that is null":        peer.NudgeArgs{Key: key, Version: 9, Value: []byte("null")},
 		"a record that is nothing":     peer.NudgeArgs{Key: key, Version: 9},
-		"a record of no job":           peer.NudgeArgs{Key: "open/", Version: 9, Value: openOf(func(*record.Open) {})},
-		"a record of another kind":     peer.NudgeArgs{Key: record.PartKey(0), Version: 9, Value: []byte("{}")},
-		"a final state that is none":   peer.NudgeArgs{Key: record.JobKey("run-000001"), Value: []byte(`{"state":"perhaps"}`)},
+		"a record of no job":           peer.NudgeArgs{Key: "open/", Version: 9, Value: openOf(func(*record.ActiveJob) {})},
+		"a record of another kind":     peer.NudgeArgs{Key: record.ShardKey(0), Version: 9, Value: []byte("{}")},
+		"a final state that is none":   peer.NudgeArgs{Key: record.FinishedJobKey("run-000001"), Value: []byte(`{"state":"perhaps"}`)},
 		"a large record":               peer.NudgeArgs{Key: key, Version: 9, Value: bytes.Repeat([]byte(" "), 1<<20)},
-		"a report of no machine":       wire.Report{Session: 1, Seq: 1},
+		"a report of no machine":       wire.Heartbeat{Session: 1, Seq: 1},
 		"a large request passed on":    peer.UserArgs{Method: "POST", Path: wire.JobsPath, Body: make([]byte, httpwire.MaxBody+1)},
 		"a request with an endless id": peer.UserArgs{Method: "GET", Path: strings.Repeat("x", httpwire.MaxHead+1)},
 	} {
@@ -111,9 +111,9 @@
 	for _, args := range []any{
 		peer.SyncArgs{}, peer.SyncArgs{From: "c-1", Claim: []int{0}, HandHome: []int{0}, Requests: 1, Changes: 2},
 		peer.SyncArgs{Orders: []fleet.Order{{Machine: "m", To: fleet.Back}}},
-		peer.NudgeArgs{Key: record.OpenKey("run-000001"), Version: 9, Value: openOf(func(*record.Open) {})},
-		peer.NudgeArgs{Key: record.JobKey("run-000001"), Value: record.Encode(record.Job{State: wire.Done, Tasks: 3})},
-		peer.LendArgs{From: "c-1", Changes: 2}, wire.Report{Machine: "m", Session: 1, Seq: 1}, peer.UserArgs{Method: "GET", Path: wire.JobsPath + "/run-000001"},
+		peer.NudgeArgs{Key: record.ActiveJobKey("run-000001"), Version: 9, Value: openOf(func(*record.ActiveJob) {})},
+		peer.NudgeArgs{Key: record.FinishedJobKey("run-000001"), Value: record.Encode(record.FinishedJob{State: wire.Done, Tasks: 3})},
+		peer.LendArgs{From: "c-1", Changes: 2}, wire.Heartbeat{Machine: "m", Session: 1, Seq: 1}, peer.UserArgs{Method: "GET", Path: wire.JobsPath + "/run-000001"},
 	} {
 		if err := c.Check(args); err != nil {
 			t.Errorf("%+v: %v", args, err)
@@ -169,7 +169,7 @@
 		`{"bush":"m","season":1,"tally":1,"frost_s":1e300}`,
 	} {
 		for range 2 {
-			r, answered := c.handleReport(httpwire.Request{Method: "POST", Path: wire.ReportPath, Body: []byte(body)}, func(reply) { t.Error("answered later") })
+			r, answered := c.handleHeartbeat(httpwire.Request{Method: "POST", Path: wire.HeartbeatPath, Body: []byte(body)}, func(reply) { t.Error("answered later") })
 			if !answered || r.status != http.StatusBadRequest {
 				t.Errorf("%s: answered %t, %d", body, answered, r.status)
 			}
@@ -188,7 +188,7 @@
 	c.lease.setRenewed(time.Time{})
 	c.cfg.Peers = []config.Peer{{Label: "c-1", Zone: "z"}}
 	for i := range maxRemembered + 100 {
-		r := wire.Report{Machine: fmt.Sprint("i-", i), Session: 1, Seq: 1, Token: 5}
+		r := wire.Heartbeat{Machine: fmt.Sprint("i-", i), Session: 1, Seq: 1, Token: 5}
 		c.renewForOwner(&r, 0)
 	}
 	if len(c.searches) > maxRemembered || len(c.renewals) > maxRemembered || len(c.renewals) == 0 {
@@ -200,7 +200,7 @@
 // process lives, gives its lock back and answers with a status that its sender knows.
 func FuzzBodies(f *testing.F) {
 	for _, seed := range []string{
-		``, `null`, `{}`, `[]`, `{"ref":"run-000001"}`, string(openOf(func(*record.Open) {})),
+		``, `null`, `{}`, `[]`, `{"ref":"run-000001"}`, string(openOf(func(*record.ActiveJob) {})),
 		`{"bush":"m","season":1,"tally":1,"berries":[{"berry":"run-000001/-1","sprout":1,"bloom":"running"}]}`,
 		`{"ref":"pipe-000001","jobs":[{}],"links":[{"from":["x"],"to":null}],"choices":[{"at":"","done":""}]}`,
 		string(encode(spec("run-000001", "a", func(s *wire.Spec) { s.EstimateS, s.DependsOn = 1e300, []string{"run-000002"} }))),
@@ -219,8 +219,8 @@
 				t.Errorf("%s answered with %d", path, r.status)
 			}
 		}
-		c.handleReport(httpwire.Request{Body: body}, func(reply) {})
-		for _, key := range []string{record.OpenKey("run-000001"), record.JobKey("run-000001")} {
+		c.handleHeartbeat(httpwire.Request{Body: body}, func(reply) {})
+		for _, key := range []string{record.ActiveJobKey("run-000001"), record.FinishedJobKey("run-000001")} {
 			a := peer.NudgeArgs{Key: key, Value: body, Version: 1}
 			if c.Check(a) == nil {
 				c.Nudge(a)
--- a/internal/controller/nudges.go
+++ b/internal/controller/nudges.go
@@ -10,18 +10,18 @@
 	"bramblespur/internal/wire"
 )
 
-// tellOwner brings jobs' new records to their owner without waiting for the watch.
-func (c *Controller) tellOwner(part int, t wire.Txn, rev uint64) {
+// notifyOwner brings jobs' new records to their owner without waiting for the watch.
+func (c *Controller) notifyOwner(part int, t wire.Txn, rev uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.applied(t, rev, time.Now())
-	owner := c.peers[c.partRecs[part].rec.Owner]
-	if c.parts[part] != nil || owner == nil {
+	owner := c.peers[c.shardRecords[part].rec.Owner]
+	if c.shards[part] != nil || owner == nil {
 		return
 	}
 	go func() {
 		for _, op := range t.Then {
-			if !strings.HasPrefix(op.Put, record.OpenPrefix) {
+			if !strings.HasPrefix(op.Put, record.ActiveJobPrefix) {
 				continue
 			}
 			a := peer.NudgeArgs{Key: op.Put, Value: op.Value, Version: rev}
@@ -38,10 +38,10 @@
 // Upgrade: the first version takes open records only and passes over others.
 func (c *Controller) Nudge(a peer.NudgeArgs) {
 	switch {
-	case strings.HasPrefix(a.Key, record.OpenPrefix):
+	case strings.HasPrefix(a.Key, record.ActiveJobPrefix):
 		c.changeOpen(wire.Change{Put: a.Key, Value: a.Value, Version: a.Version}, time.Now())
-	case strings.HasPrefix(a.Key, record.JobPrefix):
-		var j record.Job
+	case strings.HasPrefix(a.Key, record.FinishedJobPrefix):
+		var j record.FinishedJob
 		if err := json.Unmarshal(a.Value, &j); err != nil {
 			c.log.Error("final record", "key", a.Key, "err", err)
 			return
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -100,7 +100,7 @@
 // where this one itself falls behind: what it does not hear tells nothing.
 func TestBehindSendsWorkersOn(t *testing.T) {
 	c := newTest(t, testkit.NewState())
-	r := &wire.Report{Tasks: []wire.ReportTask{{}}}
+	r := &wire.Heartbeat{Tasks: []wire.HeartbeatTask{{}}}
 	now := time.Now()
 	if c.mayLeave(r, "c-1", now) {
 		t.Error("sent to an owner that does not answer")
@@ -179,7 +179,7 @@
 func (k *cluster) homeOf(label string) int {
 	c := k.process(label).c
 	for part := range k.params.Count {
-		if c.home(part) == label {
+		if c.preferredOwner(part) == label {
 			return part
 		}
 	}
--- a/internal/controller/parts.go
+++ b/internal/controller/parts.go
@@ -13,7 +13,7 @@
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/policy"
 	"bramblespur/internal/record"
-	"bramblespur/internal/sched"
+	"bramblespur/internal/scheduler"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
 )
@@ -35,11 +35,11 @@
 	gatherBacks  = 2 * time.Second // unused machines cost little in that time
 )
 
-func (c *Controller) newSchedConfig(types []wire.MachineType) *sched.Config {
+func (c *Controller) newSchedConfig(types []wire.MachineType) *scheduler.Config {
 	p := c.cfg.Params
 	kinds := map[string]string{wire.Array: "array", wire.Gang: "gang", wire.Service: "service"}
-	s := &sched.Config{
-		Teams: map[string]sched.Team{}, Types: map[string]wire.MachineType{},
+	s := &scheduler.Config{
+		Teams: map[string]scheduler.Team{}, Types: map[string]wire.MachineType{},
 		Report: config.Seconds(p.Workers.ReportS), Lease: config.Seconds(p.Workers.LeaseS),
 		SilentAfter:  config.Seconds(p.Workers.ReportS)*silentReports + silentExtra,
 		BootFactor:   bootFactor,
@@ -48,13 +48,13 @@
 		Probes:       max(1, p.Resources.MaxSockets/probeSockets),
 		TxnOps:       c.limits().TxnOps,
 		ValueBytes:   c.limits().Bytes(),
-		SlotTasks:    sched.SlotTasks(p.State.ValueKB),
+		SlotTasks:    scheduler.SlotTasks(p.State.ValueKB),
 		GatherEnds:   gatherEnds,
 		GatherStarts: gatherStarts,
 		GatherBacks:  gatherBacks,
 		Pace:         c.restarts.pace,
-		Urgency: func(s *wire.Spec, waited time.Duration, deadline *float64) float64 {
-			j := policy.Job{Class: s.Class, Team: s.Team, Kind: kinds[s.Kind], Tasks: s.Tasks, WaitedS: waited.Seconds(), EstimateS: s.EstimateS}
+		Urgency: func(spec *wire.Spec, waited time.Duration, deadline *float64) float64 {
+			j := policy.Job{Class: spec.Class, Team: spec.Team, Kind: kinds[spec.Kind], Tasks: spec.Tasks, WaitedS: waited.Seconds(), EstimateS: spec.EstimateS}
 			if deadline != nil {
 				j.HasDeadline, j.DeadlineS = true, *deadline
 			}
@@ -62,7 +62,7 @@
 		},
 	}
 	for _, t := range p.Teams {
-		s.Teams[t.Name] = sched.Team{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MaxCPUs: t.CPUsMax, MaxGPUs: t.GPUsMax,
+		s.Teams[t.Name] = scheduler.Team{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MaxCPUs: t.CPUsMax, MaxGPUs: t.GPUsMax,
 			Share: c.policy.Share(policy.Team{Team: t.Name, CPUs: t.CPUs, GPUs: t.GPUs})}
 	}
 	for _, t := range types {
@@ -71,54 +71,54 @@
 	return s
 }
 
-// pump lets a core do what is due and carries it out. The lock is held by the
+// step lets a core do what is due and carries it out. The lock is held by the
 // caller; all input and output happens in goroutines of its own.
-func (c *Controller) pump(p *sched.Part, now time.Time) {
-	if c.parts[p.ID()] != p {
+func (c *Controller) step(shard *scheduler.Shard, now time.Time) {
+	if c.shards[shard.ID()] != shard {
 		return
 	}
-	c.lookUp(p, now)
-	c.keepCordons(p)
-	eff := p.Step(now)
+	c.refreshAuthority(shard, now)
+	c.keepCordons(shard)
+	eff := shard.Step(now)
 	c.noteLosses(eff.Interrupted, now)
 	c.noteContradictions(eff.Contradictions)
-	if p.Lost() {
-		delete(c.parts, p.ID())
-		go c.rereadPart(p.ID())
+	if shard.Lost() {
+		delete(c.shards, shard.ID())
+		go c.rereadPart(shard.ID())
 	}
 	for _, t := range eff.Txns {
-		go c.commit(p, t)
+		go c.commit(shard, t)
 	}
 	for _, ref := range eff.RereadJobs {
-		go c.rereadJob(p, ref)
+		go c.rereadJob(shard, ref)
 	}
 	for _, n := range eff.RereadSlots {
-		go c.rereadSlot(p, n)
+		go c.rereadSlot(shard, n)
 	}
 	for _, id := range eff.RereadMachines {
-		go c.rereadMachine(p, id)
+		go c.rereadMachine(shard, id)
 	}
 	for _, ref := range eff.RereadPipes {
-		go c.rereadPipe(p, ref)
+		go c.rereadPipe(shard, ref)
 	}
 	for _, d := range eff.Pushes {
-		go c.push(p, d)
+		go c.push(shard, d)
 	}
 	for _, q := range eff.Probes {
-		go c.probe(p, q)
+		go c.probe(shard, q)
 	}
 	for _, u := range eff.Unrecorded {
-		go c.seekRecords(p, u)
+		go c.lookUpMissingRecords(shard, u)
 	}
 	for _, id := range eff.Wake {
 		if c.held[id] != nil {
 			c.release(id, now)
-		} else if d, ok := p.Start(id, now); ok {
-			go c.push(p, d)
+		} else if d, ok := shard.Start(id, now); ok {
+			go c.push(shard, d)
 		}
 	}
 	for _, g := range eff.Returned {
-		c.log.Info("giving back", "machine", g.Machine, "part", p.ID(), "why", g.Why, "tasks", g.Tasks, "silent", g.Silent.Round(time.Millisecond))
+		c.log.Info("machine released", "machine", g.Machine, "shard", shard.ID(), "why", g.Why, "tasks", g.Tasks, "silent", g.Silent.Round(time.Millisecond))
 	}
 	for _, e := range eff.Ended {
 		c.log.Debug("job over", "ref", e.Ref, "class", e.Class, "state", e.State, "took", e.Took.Round(time.Millisecond), "estimate", e.Estimate,
@@ -130,41 +130,41 @@
 	}
 }
 
-// lookUp tells a part whether it may still start anything. A controller that stood
+// refreshAuthority tells a part whether it may still start anything. A controller that stood
 // still finds its lease ended, and its timers and answers due, before any of its
 // loops has run again: it must not send what was recorded before.
-func (c *Controller) lookUp(p *sched.Part, now time.Time) {
-	p.SetBlind(c.blind(now) || !c.sure(now))
+func (c *Controller) refreshAuthority(shard *scheduler.Shard, now time.Time) {
+	shard.SetBlind(c.blind(now) || !c.sure(now))
 }
 
 // locked runs f on a part under the lock, then pumps it.
-func (c *Controller) locked(p *sched.Part, f func(now time.Time)) {
+func (c *Controller) locked(shard *scheduler.Shard, f func(now time.Time)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	f(now)
-	c.pump(p, now)
+	c.step(shard, now)
 }
 
-func (c *Controller) commit(p *sched.Part, t *sched.Txn) {
+func (c *Controller) commit(shard *scheduler.Shard, t *scheduler.Txn) {
 	rev, err := c.store.Txn(c.life, statestore.Use{For: t.Purpose, Routine: t.Routine}, t.Body)
 	var conflict *statestore.ConflictError
-	c.locked(p, func(now time.Time) {
+	c.locked(shard, func(now time.Time) {
 		switch {
 		case err == nil:
-			p.Applied(t, rev, now)
+			shard.Applied(t, rev, now)
 			c.applied(t.Body, rev, now)
 		case errors.As(err, &conflict):
-			c.log.Debug("conflict", "part", p.ID(), "keys", conflict.Keys)
-			p.Conflict(t, conflict.Keys, now)
+			c.log.Debug("conflict", "shard", shard.ID(), "keys", conflict.Keys)
+			shard.Conflict(t, conflict.Keys, now)
 		case errors.Is(err, statestore.ErrRefused):
-			p.Refused(t, now)
+			shard.Refused(t, now)
 		case errors.Is(err, statestore.ErrInvalid):
-			c.log.Error("transaction not taken: writing less from now on", "part", p.ID(), "for", t.Purpose, "err", err)
-			p.Shrink(t, now)
+			c.log.Error("transaction not taken: writing less from now on", "shard", shard.ID(), "for", t.Purpose, "err", err)
+			shard.Shrink(t, now)
 		default:
-			c.log.Info("transaction without answer", "part", p.ID(), "err", err)
-			p.Unknown(t, now)
+			c.log.Info("transaction without answer", "shard", shard.ID(), "err", err)
+			shard.Unknown(t, now)
 		}
 	})
 }
@@ -177,10 +177,10 @@
 		switch key := op.Put + op.Delete; {
 		case strings.HasPrefix(key, record.FleetPrefix):
 			c.takeFleet([]wire.Change{e}, now)
-		case strings.HasPrefix(key, record.OpenPrefix):
+		case strings.HasPrefix(key, record.ActiveJobPrefix):
 			c.openChange(e, now)
-		case strings.HasPrefix(key, record.JobPrefix):
-			var j record.Job
+		case strings.HasPrefix(key, record.FinishedJobPrefix):
+			var j record.FinishedJob
 			if err := json.Unmarshal(op.Value, &j); err != nil {
 				c.log.Error("final record", "key", key, "err", err)
 				continue
@@ -192,7 +192,7 @@
 }
 
 // again repeats a read until it succeeds or the part is not ours any more.
-func (c *Controller) again(p *sched.Part, read func(context.Context) error) bool {
+func (c *Controller) again(shard *scheduler.Shard, read func(context.Context) error) bool {
 	ctx := c.life
 	for {
 		if err := read(ctx); err == nil {
@@ -202,7 +202,7 @@
 			return false
 		}
 		c.mu.Lock()
-		ours := c.parts[p.ID()] == p
+		ours := c.shards[shard.ID()] == shard
 		c.mu.Unlock()
 		if !ours {
 			return false
@@ -222,51 +222,51 @@
 }
 
 // reread reads one key again, until it succeeds, and tells the part.
-func (c *Controller) reread(p *sched.Part, key string, tell func(e *wire.Entry, now time.Time) error) {
+func (c *Controller) reread(shard *scheduler.Shard, key string, tell func(e *wire.Entry, now time.Time) error) {
 	var e *wire.Entry
 	intact := true
-	ok := c.again(p, func(ctx context.Context) (err error) {
+	ok := c.again(shard, func(ctx context.Context) (err error) {
 		if e, err = c.getIfThere(ctx, key); err != nil {
 			return err
 		}
-		intact, err = c.readBack(ctx, p, key, e)
+		intact, err = c.readBack(ctx, shard, key, e)
 		return err
 	})
 	if !ok || !intact {
 		return
 	}
-	c.locked(p, func(now time.Time) {
+	c.locked(shard, func(now time.Time) {
 		if err := tell(e, now); err != nil {
 			c.log.Error("read back", "key", key, "err", err)
 		}
 	})
 }
 
-func (c *Controller) rereadJob(p *sched.Part, ref string) {
-	c.reread(p, record.OpenKey(ref), func(e *wire.Entry, now time.Time) error { return p.JobRead(ref, e, now) })
+func (c *Controller) rereadJob(shard *scheduler.Shard, ref string) {
+	c.reread(shard, record.ActiveJobKey(ref), func(e *wire.Entry, now time.Time) error { return shard.JobRead(ref, e, now) })
 }
 
-func (c *Controller) rereadSlot(p *sched.Part, n int) {
-	c.reread(p, record.SlotKey(p.ID(), n), func(e *wire.Entry, now time.Time) error { return p.SlotRead(n, e, now) })
+func (c *Controller) rereadSlot(shard *scheduler.Shard, n int) {
+	c.reread(shard, record.PlacementsKey(shard.ID(), n), func(e *wire.Entry, now time.Time) error { return shard.SlotRead(n, e, now) })
 }
 
-func (c *Controller) rereadMachine(p *sched.Part, id string) {
-	c.reread(p, record.OwnKey(id), func(e *wire.Entry, now time.Time) error { return p.MachineRead(id, e, now) })
+func (c *Controller) rereadMachine(shard *scheduler.Shard, id string) {
+	c.reread(shard, record.OverrideKey(id), func(e *wire.Entry, now time.Time) error { return shard.MachineRead(id, e, now) })
 }
 
-func (c *Controller) rereadPipe(p *sched.Part, ref string) {
-	var ends []record.PipeEnd
+func (c *Controller) rereadPipe(shard *scheduler.Shard, ref string) {
+	var ends []record.PipelineJobEnd
 	var e *wire.Entry
-	ok := c.again(p, func(ctx context.Context) (err error) {
-		if e, err = c.getIfThere(ctx, record.PipeKey(ref)); err != nil || e == nil {
+	ok := c.again(shard, func(ctx context.Context) (err error) {
+		if e, err = c.getIfThere(ctx, record.PipelineKey(ref)); err != nil || e == nil {
 			return err
 		}
-		var rec record.Pipe
+		var rec record.Pipeline
 		if err = json.Unmarshal(e.Value, &rec); err != nil {
 			return err
 		}
 		c.mu.Lock()
-		held := slices.DeleteFunc(slices.Clone(rec.Jobs), func(ref string) bool { return !p.HasJob(ref) })
+		held := slices.DeleteFunc(slices.Clone(rec.Jobs), func(ref string) bool { return !shard.HasJob(ref) })
 		c.mu.Unlock()
 		ends, err = c.untold(ctx, statestore.Urgent("read back"), &rec, held)
 		return err
@@ -274,8 +274,8 @@
 	if !ok {
 		return
 	}
-	c.locked(p, func(now time.Time) {
-		if err := p.PipeRead(ref, e, ends, now); err != nil {
+	c.locked(shard, func(now time.Time) {
+		if err := shard.PipeRead(ref, e, ends, now); err != nil {
 			c.log.Error("read back", "pipeline", ref, "err", err)
 		}
 	})
@@ -284,8 +284,8 @@
 // untold reads the final records of a pipeline's jobs whose ends its own record
 // does not tell: it may have been too large to be written again.
 // Those named are known to be open.
-func (c *Controller) untold(ctx context.Context, u statestore.Use, rec *record.Pipe, open []string) ([]record.PipeEnd, error) {
-	var ends []record.PipeEnd
+func (c *Controller) untold(ctx context.Context, u statestore.Use, rec *record.Pipeline, open []string) ([]record.PipelineJobEnd, error) {
+	var ends []record.PipelineJobEnd
 	for _, ref := range rec.Untold() {
 		if slices.Contains(open, ref) {
 			continue
@@ -301,7 +301,7 @@
 				return nil, err
 			}
 		}
-		ends = append(ends, record.PipeEnd{Ref: ref, State: j.State})
+		ends = append(ends, record.PipelineJobEnd{Ref: ref, State: j.State})
 	}
 	return ends, nil
 }
@@ -309,22 +309,22 @@
 func (c *Controller) rereadPart(id int) {
 	ctx := c.life
 	for range 10 {
-		e, err := c.store.Get(ctx, statestore.Urgent("read back"), record.PartKey(id))
+		e, err := c.store.Get(ctx, statestore.Urgent("read back"), record.ShardKey(id))
 		if err == nil {
-			var r record.Part
+			var r record.Shard
 			if err := json.Unmarshal(e.Value, &r); err != nil {
-				c.log.Error("part record", "part", id, "err", err)
+				c.log.Error("shard record", "shard", id, "err", err)
 				return
 			}
 			c.mu.Lock()
-			c.noticeOlder(record.PartKey(id), c.partRecs[id].version, e.Version, time.Now())
-			c.setPart(id, r, e.Version)
+			c.noticeOlder(record.ShardKey(id), c.shardRecords[id].version, e.Version, time.Now())
+			c.setShardRecord(id, r, e.Version)
 			c.mu.Unlock()
 			return
 		}
 		if errors.Is(err, statestore.ErrNotFound) {
 			c.mu.Lock()
-			c.noticeOlder(record.PartKey(id), c.partRecs[id].version, 0, time.Now())
+			c.noticeOlder(record.ShardKey(id), c.shardRecords[id].version, 0, time.Now())
 			c.mu.Unlock()
 		}
 		sleep(ctx, jitter(400*time.Millisecond))
@@ -332,7 +332,7 @@
 }
 
 // probe asks a worker for its report and tells the part.
-func (c *Controller) probe(p *sched.Part, q sched.Probe) {
+func (c *Controller) probe(shard *scheduler.Shard, q scheduler.Probe) {
 	r, err := c.agents.Show(c.life, q.Addr)
 	err = c.sensible("worker's answer", q.Machine, err, r.Check)
 	if err == nil && r.Machine != q.Machine {
@@ -341,17 +341,17 @@
 	if err != nil {
 		c.log.Debug("probe", "machine", q.Machine, "err", err)
 	}
-	c.locked(p, func(now time.Time) {
+	c.locked(shard, func(now time.Time) {
 		if err != nil {
-			p.Probed(q.Machine, nil, now)
+			shard.Probed(q.Machine, nil, now)
 			return
 		}
-		p.Probed(q.Machine, &r, now)
+		shard.Probed(q.Machine, &r, now)
 	})
 }
 
 // push sends commands straight to a worker and tells the part what came of it.
-func (c *Controller) push(p *sched.Part, d sched.Push) {
+func (c *Controller) push(shard *scheduler.Shard, d scheduler.Push) {
 	c.commands <- struct{}{}
 	r, ok, err := c.agents.Command(c.life, d.Addr, d.Orders)
 	<-c.commands
@@ -359,23 +359,23 @@
 	if err == nil && r.Machine != d.Machine {
 		err = fmt.Errorf("%s answers for %s", r.Machine, d.Machine) // another has its address by now
 	}
-	outcome := sched.NoAnswer
+	outcome := scheduler.NoAnswer
 	switch {
 	case errors.Is(err, httpwire.ErrNotSent):
-		outcome = sched.NotSent
+		outcome = scheduler.NotSent
 	case err != nil:
 	case ok:
-		outcome = sched.Executed
+		outcome = scheduler.Executed
 	default:
-		outcome = sched.Refused
+		outcome = scheduler.Refused
 	}
 	if err != nil {
 		c.log.Debug("direct command", "machine", d.Machine, "err", err)
 	}
-	c.locked(p, func(now time.Time) {
-		p.PushDone(d, outcome, now)
+	c.locked(shard, func(now time.Time) {
+		shard.PushDone(d, outcome, now)
 		if err == nil {
-			p.Report(&r, true, now)
+			shard.Report(&r, true, now)
 		}
 	})
 }
--- a/internal/controller/pipelines.go
+++ b/internal/controller/pipelines.go
@@ -15,24 +15,24 @@
 
 // Pipelines are an extension of ours, documented in docs/api.md. One is accepted
 // with all its jobs in one transaction or not at all; what it releases is its
-// owner's to decide, see package sched.
+// owner's to decide, see package scheduler.
 
 // parsePipeline checks a submission's form, as parseSpec does a job's.
-func parsePipeline(body []byte) (ref string, rec record.Pipe, specs []*wire.Spec, ok bool) {
+func parsePipeline(body []byte) (ref string, rec record.Pipeline, specs []*wire.Spec, ok bool) {
 	var w wire.Pipeline
 	if json.Unmarshal(body, &w) != nil || !validName(w.Ref, "pipe-") || len(w.Jobs) == 0 {
 		return "", rec, nil, false
 	}
 	for _, raw := range w.Jobs {
-		s, ok := parseSpec(raw)
-		if !ok || len(s.DependsOn) > 0 { // links say what follows what
+		spec, ok := parseSpec(raw)
+		if !ok || len(spec.DependsOn) > 0 { // links say what follows what
 			return "", rec, nil, false
 		}
-		specs = append(specs, s)
-		rec.Jobs = append(rec.Jobs, s.Ref)
+		specs = append(specs, spec)
+		rec.Jobs = append(rec.Jobs, spec.Ref)
 	}
 	rec.Links, rec.Choices = w.Links, w.Choices
-	oneTeam := !slices.ContainsFunc(specs, func(s *wire.Spec) bool { return s.Team != specs[0].Team })
+	oneTeam := !slices.ContainsFunc(specs, func(spec *wire.Spec) bool { return spec.Team != specs[0].Team })
 	return w.Ref, rec, specs, oneTeam && wellFormed(&rec)
 }
 
@@ -53,10 +53,10 @@
 	if r := c.knownPipeline(ctx, use, ref); r.status != 404 {
 		return r
 	}
-	if slices.ContainsFunc(specs, func(s *wire.Spec) bool { return !c.canRun(s, types) }) {
+	if slices.ContainsFunc(specs, func(spec *wire.Spec) bool { return !c.canRun(spec, types) }) {
 		return reply{status: 422}
 	}
-	rec.Part = record.PartOf(c.teams, specs[0].Team, ref, c.cfg.Params.Count)
+	rec.Shard = record.ShardOf(c.teams, specs[0].Team, ref, c.cfg.Params.Count)
 	t, ok := c.pipelineTxn(ref, rec, specs)
 	if !ok {
 		return reply{status: 422}
@@ -65,7 +65,7 @@
 	var conflict *statestore.ConflictError
 	switch {
 	case err == nil:
-		c.tellOwner(rec.Part, t, rev)
+		c.notifyOwner(rec.Shard, t, rev)
 		return reply{status: 201, body: wire.Brief{Ref: ref, State: wire.Pending}}
 	case errors.As(err, &conflict):
 		r := c.knownPipeline(ctx, use, ref)
@@ -78,7 +78,7 @@
 }
 
 // wellFormed checks references, structure, and that each choice is stated.
-func wellFormed(rec *record.Pipe) bool {
+func wellFormed(rec *record.Pipeline) bool {
 	net, err := rec.Net()
 	if err != nil {
 		return false
@@ -96,12 +96,12 @@
 
 // pipelineTxn records a pipeline and its jobs, all but the first held. It
 // reports false if a record would be too large, or a step that follows.
-func (c *Controller) pipelineTxn(ref string, rec record.Pipe, specs []*wire.Spec) (wire.Txn, bool) {
+func (c *Controller) pipelineTxn(ref string, rec record.Pipeline, specs []*wire.Spec) (wire.Txn, bool) {
 	p := c.limits()
 	fits := !rec.InPieces(p.Bytes(), p.TxnOps)
 	t := wire.Txn{
-		If:   []wire.Cond{{Key: record.PipeKey(ref)}},
-		Then: []wire.Op{{Put: record.PipeKey(ref), Value: record.Encode(rec)}},
+		If:   []wire.Cond{{Key: record.PipelineKey(ref)}},
+		Then: []wire.Op{{Put: record.PipelineKey(ref), Value: record.Encode(rec)}},
 	}
 	follows := map[string]bool{}
 	for _, l := range rec.Links {
@@ -110,12 +110,12 @@
 		}
 	}
 	size := 0
-	for _, s := range specs {
-		open := record.Encode(record.Open{Spec: *s, Part: rec.Part, At: time.Now().UnixMilli(), Pipe: ref, Held: follows[s.Ref]})
+	for _, spec := range specs {
+		open := record.Encode(record.ActiveJob{Spec: *spec, Shard: rec.Shard, At: time.Now().UnixMilli(), Pipeline: ref, AwaitsDependencies: follows[spec.Ref]})
 		size += len(open)
 		fits = fits && len(open) <= p.Bytes()
-		t.If = append(t.If, wire.Cond{Key: record.JobKey(s.Ref)}, wire.Cond{Key: record.OpenKey(s.Ref)})
-		t.Then = append(t.Then, wire.Op{Put: record.OpenKey(s.Ref), Value: open})
+		t.If = append(t.If, wire.Cond{Key: record.FinishedJobKey(spec.Ref)}, wire.Cond{Key: record.ActiveJobKey(spec.Ref)})
+		t.Then = append(t.Then, wire.Op{Put: record.ActiveJobKey(spec.Ref), Value: open})
 	}
 	return t, fits && size <= maxTxnBytes && len(t.Then) <= p.TxnOps && len(t.If) <= 4*p.TxnOps
 }
@@ -123,10 +123,10 @@
 // maxTxnBytes keeps a transaction below the protocol's 64 KiB.
 const maxTxnBytes = 48 << 10
 
-// pipe reads a pipeline's record.
-func (c *Controller) pipe(ctx context.Context, u statestore.Use, ref string) (record.Pipe, uint64, error) {
-	var rec record.Pipe
-	e, err := c.store.Get(ctx, u, record.PipeKey(ref))
+// pipelineRecord reads a pipeline's record.
+func (c *Controller) pipelineRecord(ctx context.Context, u statestore.Use, ref string) (record.Pipeline, uint64, error) {
+	var rec record.Pipeline
+	e, err := c.store.Get(ctx, u, record.PipelineKey(ref))
 	if err != nil {
 		return rec, 0, err
 	}
@@ -136,7 +136,7 @@
 // knownPipeline answers with the state of an accepted pipeline, 404 if there is
 // none.
 func (c *Controller) knownPipeline(ctx context.Context, u statestore.Use, ref string) reply {
-	rec, _, err := c.pipe(ctx, u, ref)
+	rec, _, err := c.pipelineRecord(ctx, u, ref)
 	if errors.Is(err, statestore.ErrNotFound) {
 		return reply{status: 404}
 	}
@@ -153,7 +153,7 @@
 // pipeOver reports whether a pipeline has its final state: as with a single job,
 // it is called cancelled only once none of its jobs is open any more, and so all
 // tasks are proven gone.
-func (c *Controller) pipeOver(ctx context.Context, u statestore.Use, rec *record.Pipe) (bool, error) {
+func (c *Controller) pipeOver(ctx context.Context, u statestore.Use, rec *record.Pipeline) (bool, error) {
 	if rec.State != wire.Cancelled {
 		return rec.State != "", nil
 	}
@@ -161,7 +161,7 @@
 	for refs := range slices.Chunk(rec.Jobs, 4*c.limits().TxnOps) {
 		t := wire.Txn{Then: []wire.Op{}}
 		for _, ref := range refs {
-			t.If = append(t.If, wire.Cond{Key: record.OpenKey(ref)})
+			t.If = append(t.If, wire.Cond{Key: record.ActiveJobKey(ref)})
 		}
 		_, err := c.store.Txn(ctx, u, t)
 		var conflict *statestore.ConflictError
@@ -176,7 +176,7 @@
 }
 
 // pipeState is the state of a pipeline as a whole.
-func (c *Controller) pipeState(rec *record.Pipe, over bool) string {
+func (c *Controller) pipeState(rec *record.Pipeline, over bool) string {
 	if over {
 		return rec.State
 	}
@@ -184,7 +184,7 @@
 		return wire.Running
 	}
 	for _, ref := range rec.Jobs {
-		if s, ok := c.ownerStatus(ref); ok && s.State == wire.Running {
+		if status, ok := c.ownerStatus(ref); ok && status.State == wire.Running {
 			return wire.Running
 		}
 	}
@@ -198,7 +198,7 @@
 	}
 	ctx, cancel := context.WithTimeout(c.life, userTimeout)
 	defer cancel()
-	rec, _, err := c.pipe(ctx, statestore.Routine("poll"), ref)
+	rec, _, err := c.pipelineRecord(ctx, statestore.Routine("poll"), ref)
 	switch {
 	case errors.Is(err, statestore.ErrNotFound):
 		return reply{status: 404}
@@ -222,8 +222,8 @@
 		b := wire.Brief{Ref: j, State: wire.Pending}
 		if over {
 			b.State = wire.Cancelled // what has not run by the end never does
-		} else if s, ok := c.ownerStatus(j); ok {
-			b.State = s.State
+		} else if status, ok := c.ownerStatus(j); ok {
+			b.State = status.State
 		}
 		for _, e := range ends {
 			if e.Ref == j {
@@ -246,7 +246,7 @@
 	defer cancel()
 	use := statestore.Urgent("cancel")
 	for range cancelTries {
-		rec, version, err := c.pipe(ctx, use, ref)
+		rec, version, err := c.pipelineRecord(ctx, use, ref)
 		if errors.Is(err, statestore.ErrNotFound) {
 			return reply{status: 404}
 		}
@@ -260,8 +260,8 @@
 			rec.State = wire.Cancelled
 			rec = rec.Over(c.limits().Bytes())
 			t := wire.Txn{
-				If:   []wire.Cond{{Key: record.PipeKey(ref), Version: version}},
-				Then: []wire.Op{{Put: record.PipeKey(ref), Value: record.Encode(rec)}},
+				If:   []wire.Cond{{Key: record.PipelineKey(ref), Version: version}},
+				Then: []wire.Op{{Put: record.PipelineKey(ref), Value: record.Encode(rec)}},
 			}
 			_, err := c.store.Txn(ctx, use, t)
 			var conflict *statestore.ConflictError
@@ -283,7 +283,7 @@
 // cancelAll cancels the open jobs of a withdrawn pipeline, as many at once as a
 // transaction holds. Its own record was written before, so nothing more of it is
 // released.
-func (c *Controller) cancelAll(ctx context.Context, rec *record.Pipe) bool {
+func (c *Controller) cancelAll(ctx context.Context, rec *record.Pipeline) bool {
 	use := statestore.Urgent("cancel")
 	for refs := range slices.Chunk(rec.Jobs, c.limits().TxnOps) {
 		for try := 0; ; try++ {
@@ -296,7 +296,7 @@
 			}
 			rev, err := c.store.Txn(ctx, use, t)
 			if err == nil {
-				c.tellOwner(rec.Part, t, rev)
+				c.notifyOwner(rec.Shard, t, rev)
 				break
 			}
 			var conflict *statestore.ConflictError
@@ -312,7 +312,7 @@
 func (c *Controller) cancelTxn(ctx context.Context, use statestore.Use, refs []string) (wire.Txn, error) {
 	var t wire.Txn
 	for _, ref := range refs {
-		key := record.OpenKey(ref)
+		key := record.ActiveJobKey(ref)
 		e, err := c.store.Get(ctx, use, key)
 		if errors.Is(err, statestore.ErrNotFound) {
 			continue // it is over
@@ -320,7 +320,7 @@
 		if err != nil {
 			return t, err
 		}
-		var o record.Open
+		var o record.ActiveJob
 		if err := json.Unmarshal(e.Value, &o); err != nil {
 			return t, err
 		}
@@ -335,7 +335,7 @@
 
 // cancelled is an open job's record once it is cancelled. One that the state
 // service took when its limits were wider goes without what only a start needs.
-func (c *Controller) cancelled(o record.Open) json.RawMessage {
+func (c *Controller) cancelled(o record.ActiveJob) json.RawMessage {
 	o.Cancelled = true
 	if v := record.Encode(o); len(v) <= c.limits().Bytes() {
 		return v
@@ -346,7 +346,7 @@
 
 // pipelineOver answers with the final state of a pipeline once all its jobs are
 // over.
-func (c *Controller) pipelineOver(ctx context.Context, ref string, rec *record.Pipe) reply {
+func (c *Controller) pipelineOver(ctx context.Context, ref string, rec *record.Pipeline) reply {
 	if rec.State == wire.Cancelled && !c.awaitEnd(ctx, rec.Jobs...) {
 		return ending()
 	}
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -77,8 +77,8 @@
 		if got := c.submitPipeline(x.body); got.status != x.want {
 			t.Errorf("%s: status %d, want %d", name, got.status, x.want)
 		}
-		if x.want != 201 && len(c.open) != 0 {
-			t.Errorf("%s: refused, but %d jobs are known", name, len(c.open))
+		if x.want != 201 && len(c.activeJobs) != 0 {
+			t.Errorf("%s: refused, but %d jobs are known", name, len(c.activeJobs))
 		}
 	}
 	c := newTest(t, testkit.NewState())
@@ -106,7 +106,7 @@
 	}
 	c.submitPipeline(pipeline(t, "pipe-000001", 3, [][2]int{{1, 2}, {2, 3}}, nil))
 	for i := 1; i <= 3; i++ {
-		if got := other.poll(fmt.Sprintf("run-%06d", i)); got.status != 200 || got.body.(wire.Status).State != wire.Pending {
+		if got := other.statusQuery(fmt.Sprintf("run-%06d", i)); got.status != 200 || got.body.(wire.Status).State != wire.Pending {
 			t.Errorf("job %d: %+v", i, got)
 		}
 	}
@@ -123,14 +123,14 @@
 	}
 	c.resetOpen(nil, math.MaxUint64, time.Now())
 	for i := 1; i <= 3; i++ {
-		if got := c.poll(fmt.Sprintf("run-%06d", i)); got.body.(wire.Status).State != wire.Cancelled {
+		if got := c.statusQuery(fmt.Sprintf("run-%06d", i)); got.body.(wire.Status).State != wire.Cancelled {
 			t.Errorf("job %d after the withdrawal: %+v", i, got)
 		}
 	}
 	if got := c.submitPipeline(pipeline(t, "pipe-000001", 3, [][2]int{{1, 2}, {2, 3}}, nil)); got.status != 200 || got.body.(wire.Brief).State != wire.Cancelled {
 		t.Errorf("repeat after the withdrawal: %+v", got)
 	}
-	state.Put(record.PipeKey("pipe-000002"), record.Pipe{Jobs: []string{"run-000009"}, State: wire.Done})
+	state.Put(record.PipelineKey("pipe-000002"), record.Pipeline{Jobs: []string{"run-000009"}, State: wire.Done})
 	if got := c.cancelPipeline("pipe-000002"); got.body.(wire.Brief).State != wire.Done {
 		t.Errorf("withdrawal of a pipeline that is done: %+v", got)
 	}
--- a/internal/controller/poll_confirmation.go
+++ b/internal/controller/poll_confirmation.go
@@ -62,12 +62,12 @@
 // only that the records must be read.
 func (c *Controller) confirmed(ctx context.Context, ref string) bool {
 	c.mu.Lock()
-	j, ok := c.open[ref]
+	j, ok := c.activeJobs[ref]
 	c.mu.Unlock()
 	if !ok || j.cancelled {
 		return false
 	}
-	q := newConfirmation(wire.Cond{Key: record.OpenKey(ref), Version: j.version})
+	q := newConfirmation(wire.Cond{Key: record.ActiveJobKey(ref), Version: j.version})
 	c.confirmations.add(q)
 	select {
 	case ok := <-q.done:
--- a/internal/controller/polls.go
+++ b/internal/controller/polls.go
@@ -22,7 +22,7 @@
 		}
 		u = statestore.Urgent(u.For) // a reading that has begun goes on
 	}
-	e, err := c.store.Get(ctx, u, record.OpenKey(ref))
+	e, err := c.store.Get(ctx, u, record.ActiveJobKey(ref))
 	if err == nil {
 		// Also of one that is being cancelled: see cancel.
 		return wire.Pending, c.believeOpen(ref, known, e.Version)
@@ -43,13 +43,13 @@
 	return j.State, err
 }
 
-func finalStatus(ref string, j record.Job) wire.Status {
+func finalStatus(ref string, j record.FinishedJob) wire.Status {
 	return wire.Status{Ref: ref, State: j.State, Done: j.Tasks}
 }
 
-// poll answers a user's question for a job's state, which is never older than what any
+// statusQuery answers a user's question for a job's state, which is never older than what any
 // controller has told a user before the question came.
-func (c *Controller) poll(ref string) reply {
+func (c *Controller) statusQuery(ref string) reply {
 	if !validRef(ref) {
 		return reply{status: 404}
 	}
@@ -87,31 +87,31 @@
 // its part, this controller or another. It reports false if the owner does not answer.
 func (c *Controller) ownerStatus(ref string) (wire.Status, bool) {
 	c.mu.Lock()
-	part := c.open[ref].part
-	p := c.parts[part]
-	if p != nil {
-		s, ok := p.Status(ref)
+	part := c.activeJobs[ref].part
+	shard := c.shards[part]
+	if shard != nil {
+		status, ok := shard.Status(ref)
 		c.mu.Unlock()
-		return s, ok
+		return status, ok
 	}
-	owner := c.peers[c.partRecs[part].rec.Owner]
+	owner := c.peers[c.shardRecords[part].rec.Owner]
 	c.mu.Unlock()
 	if owner == nil {
 		return wire.Status{}, false
 	}
-	s := new(wire.Status)
-	err := owner.Call("Status", ref, s, statusTimeout)
-	err = c.sensible("job's state", "a controller", err, func() error { return checkStatus(s, ref) })
-	return *s, err == nil
+	status := new(wire.Status)
+	err := owner.Call("Status", ref, status, statusTimeout)
+	err = c.sensible("job's state", "a controller", err, func() error { return checkStatus(status, ref) })
+	return *status, err == nil
 }
 
 // Status implements peer.Handler.
 func (c *Controller) Status(ref string) (wire.Status, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, p := range c.parts {
-		if s, ok := p.Status(ref); ok {
-			return s, true
+	for _, shard := range c.shards {
+		if status, ok := shard.Status(ref); ok {
+			return status, true
 		}
 	}
 	return wire.Status{}, false
--- a/internal/controller/pressure_test.go
+++ b/internal/controller/pressure_test.go
@@ -133,7 +133,7 @@
 	if r := ask("POST", wire.JobsPath, body(t, nil)); r.status != 201 {
 		t.Errorf("submission: %+v", r)
 	}
-	if r := ask("POST", wire.ReportPath, []byte(`{"bush":""}`)); r.status != 400 {
+	if r := ask("POST", wire.HeartbeatPath, []byte(`{"bush":""}`)); r.status != 400 {
 		t.Errorf("report: %+v", r)
 	}
 	for range 2 * int(inTimeFor/tickEvery) {
@@ -199,7 +199,7 @@
 	for range 10 {
 		ready.Store(false)
 		go ready.Store(true)
-		c.in.Write(httpwire.AppendRequest(nil, "POST", wire.ReportPath, "x", nil))
+		c.in.Write(httpwire.AppendRequest(nil, "POST", wire.HeartbeatPath, "x", nil))
 		s.OnTraffic(c)
 	}
 	if ran < 8 { // each 61st time the runtime takes another order
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -40,8 +40,8 @@
 
 // decision is what an operator decides who knows what became of a job.
 func decision(key string, truth testkit.Image) recovery.Choice {
-	var j record.Job
-	e, over := truth.Entries[record.JobKey(record.Last(key))]
+	var j record.FinishedJob
+	e, over := truth.Entries[record.FinishedJobKey(record.Last(key))]
 	switch {
 	case !over || json.Unmarshal(e.Value, &j) != nil:
 		return recovery.ChooseAgain
@@ -89,7 +89,7 @@
 	k.t.Helper()
 	for _, i := range p.Items {
 		e, was := truth.Entries[i.Key]
-		known := strings.HasPrefix(i.Key, record.OpenPrefix) || strings.HasPrefix(i.Key, record.JobPrefix) ||
+		known := strings.HasPrefix(i.Key, record.ActiveJobPrefix) || strings.HasPrefix(i.Key, record.FinishedJobPrefix) ||
 			strings.HasPrefix(i.Key, record.FleetPrefix) && i.From != recovery.FromReport
 		if !known || i.From == recovery.FromOperator {
 			continue
@@ -298,7 +298,7 @@
 					}
 				}
 				lost := k.world.State.Lose(func(key string) bool {
-					return strings.HasPrefix(key, record.FleetPrefix) || strings.HasPrefix(key, record.SlotPrefix) || r.IntN(2) == 0
+					return strings.HasPrefix(key, record.FleetPrefix) || strings.HasPrefix(key, record.PlacementsPrefix) || r.IntN(2) == 0
 				})
 				k.happened(len(lost) > 0, "records are lost")
 				k.restartMissing()
--- a/internal/controller/redirects.go
+++ b/internal/controller/redirects.go
@@ -56,7 +56,7 @@
 // without tasks there is nothing to lose. Nor does an owner's silence say anything
 // where this controller itself falls behind: then the worker is better off anywhere else.
 // The lock is held.
-func (c *Controller) mayLeave(r *wire.Report, owner string, now time.Time) bool {
+func (c *Controller) mayLeave(r *wire.Heartbeat, owner string, now time.Time) bool {
 	contact := c.peerHealth.contact(owner)
 	return len(r.Tasks) == 0 || c.pressure.behind || contact.answers(now) || contact.refuses(now)
 }
@@ -114,7 +114,7 @@
 // lock is held.
 func (c *Controller) servesZone(label, controllerZone, zone string) bool {
 	m, lives := c.members[label]
-	return lives && !m.Deaf && controllerZone == zone
+	return lives && !m.Isolated && controllerZone == zone
 }
 
 // A worker waits workerWait for an answer and tries the next controller after
--- a/internal/controller/relief.go
+++ b/internal/controller/relief.go
@@ -12,9 +12,9 @@
 // changes hands once for as long as the cause lasts.
 
 const (
-	// reliefPause is how long the leader waits after one part for what that changes
+	// rebalancePause is how long the leader waits after one part for what that changes
 	// before it picks the next.
-	reliefPause = 10 * time.Second
+	rebalancePause = 10 * time.Second
 	// mostTaken is how many parts a controller may own with one taken for relief:
 	// else one after the other would be overloaded.
 	mostTaken = 2
@@ -58,21 +58,21 @@
 	return c.members[label].Overloaded
 }
 
-// relief is a part that the leader has another controller take from its owner.
-type relief struct {
+// rebalance is a part that the leader has another controller take from its owner.
+type rebalance struct {
 	part     int
 	from, to string
 	at       time.Time
 }
 
-// relieve picks a part of an overloaded owner and who claims it, or goes on with what
+// rebalance picks a part of an overloaded owner and who claims it, or goes on with what
 // it picked last until that shows. It returns no taker if there is nothing to do or
 // nobody has room. The lock is held.
-func (c *Controller) relieve(reach []string, owners map[int]string, now time.Time) relief {
-	l := c.lead
-	if now.Sub(l.relief.at) < reliefPause {
+func (c *Controller) rebalance(reach []string, owners map[int]string, now time.Time) rebalance {
+	l := c.leadership
+	if now.Sub(l.relief.at) < rebalancePause {
 		if owners[l.relief.part] != l.relief.from {
-			return relief{} // done
+			return rebalance{} // done
 		}
 		return l.relief
 	}
@@ -88,17 +88,17 @@
 		}
 	}
 	if len(takers) == 0 {
-		return relief{}
+		return rebalance{}
 	}
 	for part, owner := range owners {
 		// Of several parts those that it took from others go first.
-		guest := c.home(part) != owner
+		guest := c.preferredOwner(part) != owner
 		if c.overloaded(owner) && (guest || parts[owner] == 1) {
-			l.relief = relief{part, owner, fleet.Claimant(takers, owners, ""), now}
+			l.relief = rebalance{part, owner, fleet.Claimant(takers, owners, ""), now}
 			return l.relief
 		}
 	}
-	return relief{}
+	return rebalance{}
 }
 
 // someoneHasRoom reports whether a controller that can be reached could lead instead
--- a/internal/controller/relief_test.go
+++ b/internal/controller/relief_test.go
@@ -36,7 +36,7 @@
 		t.Run(name, func(t *testing.T) {
 			now := time.Now()
 			c, owners := reliefLeader(t, &r, now)
-			got := c.relieve(home[:], owners, now)
+			got := c.rebalance(home[:], owners, now)
 			if got.to != r.to || (r.to != "" && got.part != r.part) {
 				t.Fatalf("part %d to %q, want %d to %q", got.part, got.to, r.part, r.to)
 			}
@@ -44,11 +44,11 @@
 				return
 			}
 			// It is asked for again until it shows, and nothing else is picked meanwhile.
-			if again := c.relieve(home[:], owners, now.Add(time.Second)); again != got {
+			if again := c.rebalance(home[:], owners, now.Add(time.Second)); again != got {
 				t.Errorf("then %+v, first %+v", again, got)
 			}
 			owners[got.part] = got.to
-			if more := c.relieve(home[:], owners, now.Add(2*time.Second)); more.to != "" {
+			if more := c.rebalance(home[:], owners, now.Add(2*time.Second)); more.to != "" {
 				t.Errorf("part %d to %s right after", more.part, more.to)
 			}
 		})
@@ -61,7 +61,7 @@
 	c := newTest(t, testkit.NewState())
 	c.cfg.Params.Count = 3
 	c.cfg.Peers = []config.Peer{{Label: "c-1"}, {Label: "c-2"}}
-	c.lead = &leading{}
+	c.leadership = &leadership{}
 	for _, label := range c.cfg.Labels() {
 		c.members[label] = record.Member{Incarnation: 1, Overloaded: label == r.overloaded}
 		c.peerLoads[label] = peerLoad{at: now, recovering: true}
--- a/internal/controller/renewals.go
+++ b/internal/controller/renewals.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"bramblespur/internal/config"
-	"bramblespur/internal/sched"
+	"bramblespur/internal/scheduler"
 	"bramblespur/internal/wire"
 )
 
@@ -53,7 +53,7 @@
 // same token is accepted from any controller, so the worker's lease is renewed
 // and its tasks live. No commands are given. While a report shows tasks of a job
 // that is cancelled or over, that ends after a while, so that they end too.
-func (c *Controller) renewForOwner(r *wire.Report, token uint64) reply {
+func (c *Controller) renewForOwner(r *wire.Heartbeat, token uint64) reply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -90,7 +90,7 @@
 // renewed for now, the answer is held as long as it would still be taken: what
 // cut this controller off may end meanwhile, and a worker sent away would lose
 // its lease asking controllers that are cut off from it.
-func (c *Controller) answerForOwner(r *wire.Report, token uint64, answer func(reply)) {
+func (c *Controller) answerForOwner(r *wire.Heartbeat, token uint64, answer func(reply)) {
 	rep := c.renewForOwner(r, token)
 	if rep.status != 503 {
 		answer(rep)
@@ -101,7 +101,7 @@
 		c.mu.Lock()
 		token = 0
 		if m, known := c.fleet.Machine(r.Machine); known {
-			token = max(c.partRecs[m.Part].version, m.Version)
+			token = max(c.shardRecords[m.Shard].version, m.Version)
 		}
 		c.mu.Unlock()
 		if rep = c.renewForOwner(r, token); rep.status != 503 {
@@ -121,10 +121,10 @@
 
 // mustEnd reports whether a report shows tasks of a job that is cancelled or
 // over, as far as is known here. The lock is held.
-func (c *Controller) mustEnd(r *wire.Report) bool {
+func (c *Controller) mustEnd(r *wire.Heartbeat) bool {
 	for _, t := range r.Tasks {
-		ref, _, ok := sched.SplitTask(t.Task)
-		if j, open := c.open[ref]; ok && t.State != wire.Exited && (!open || j.cancelled) {
+		ref, _, ok := scheduler.SplitTask(t.Task)
+		if j, open := c.activeJobs[ref]; ok && t.State != wire.Exited && (!open || j.cancelled) {
 			return true
 		}
 	}
--- a/internal/controller/rentals.go
+++ b/internal/controller/rentals.go
@@ -18,12 +18,12 @@
 
 // complete adds to the summaries what is rented but not yet told by owners. The
 // lock is held.
-func (c *Controller) complete(sums []fleet.Summary, rentals map[string]record.Rental) {
+func (c *Controller) complete(sums []fleet.Summary, rentals map[string]record.Provision) {
 	at := map[int]int{}
 	told := map[string]bool{}
-	for i, s := range sums {
-		at[s.Part] = i
-		for _, m := range s.Machines {
+	for i, summary := range sums {
+		at[summary.Part] = i
+		for _, m := range summary.Machines {
 			told[m.ID] = true
 		}
 	}
@@ -42,10 +42,10 @@
 	}
 	c.fleet.Each(func(id string, v record.View) {
 		if !told[id] && v.Phase == record.InUse {
-			coming(id, v.Type, v.Zone, v.Spot, v.Part)
+			coming(id, v.Type, v.Zone, v.Spot, v.Shard)
 		}
 	})
-	under := map[string]record.Rental{}
+	under := map[string]record.Provision{}
 	for name, r := range c.fleet.Unfinished() {
 		under[name] = r.Rec
 	}
@@ -55,7 +55,7 @@
 		}
 	}
 	for _, r := range under {
-		for _, part := range r.Parts {
+		for _, part := range r.Shards {
 			coming("", r.Type, r.Zone, r.Spot, part)
 		}
 	}
@@ -63,9 +63,9 @@
 
 // address records the addresses of a rental's machines once all that will come up
 // have reported, a few rentals at a time. The lock is held.
-func (c *Controller) address(ctx context.Context, l *leading, sums []fleet.Summary) {
-	for _, s := range sums {
-		for _, m := range s.Machines {
+func (c *Controller) address(ctx context.Context, l *leadership, sums []fleet.Summary) {
+	for _, summary := range sums {
+		for _, m := range summary.Machines {
 			if m.Addr != "" {
 				l.addrs[m.ID] = m.Addr
 			}
@@ -101,13 +101,13 @@
 			copy(rec.Addrs, addrs[:n])
 			return rec
 		}
-		rec = some(record.Within(c.limits().Bytes(), 0, len(addrs), some)).(record.Rental)
+		rec = some(record.Within(c.limits().Bytes(), 0, len(addrs), some)).(record.Provision)
 		if len(record.Encode(rec)) > c.limits().Bytes() {
 			continue // written before the limits were known, and too large by itself
 		}
 		t := wire.Txn{
-			If:   []wire.Cond{{Key: record.RentalKey(name), Version: r.Version}},
-			Then: []wire.Op{{Put: record.RentalKey(name), Value: record.Encode(rec)}},
+			If:   []wire.Cond{{Key: record.ProvisionKey(name), Version: r.Version}},
+			Then: []wire.Op{{Put: record.ProvisionKey(name), Value: record.Encode(rec)}},
 		}
 		l.addressing[name] = true
 		go func() {
@@ -129,8 +129,8 @@
 func (c *Controller) maxRental() int {
 	id, addr := "i-"+strings.Repeat("0", 8), "255.255.255.255:65535"
 	return record.Within(c.limits().Bytes(), 1, protocolRental, func(n int) any {
-		return record.Rental{Type: strings.Repeat("t", 32), Zone: strings.Repeat("z", 32), Spot: true, Born: math.MaxInt64,
-			Parts: make([]int, n), IDs: slices.Repeat([]string{id}, n), Addrs: slices.Repeat([]string{addr}, n)}
+		return record.Provision{Type: strings.Repeat("t", 32), Zone: strings.Repeat("z", 32), Spot: true, Born: math.MaxInt64,
+			Shards: make([]int, n), IDs: slices.Repeat([]string{id}, n), Addrs: slices.Repeat([]string{addr}, n)}
 	})
 }
 
@@ -157,18 +157,18 @@
 }
 
 // rent begins a rental. The lock is held.
-func (c *Controller) rent(ctx context.Context, l *leading, r fleet.Rent) {
+func (c *Controller) rent(ctx context.Context, l *leadership, r fleet.Rent) {
 	l.seq++
 	name := fmt.Sprintf("%s-%d-%d", c.cfg.Label, c.leader.version, l.seq)
-	rec := record.Rental{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Parts: r.Parts}
+	rec := record.Provision{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Shards: r.Parts}
 	l.rentals[name] = rec
 	leader := c.leader.version
 	go func() {
 		// The record comes first, under the lead it was decided under: a name
 		// is never used again, and whoever leads next repeats the request.
 		rev, err := c.store.Txn(ctx, statestore.Urgent("rental"), wire.Txn{
-			If:   []wire.Cond{{Key: record.RentalPrefix + name}, {Key: record.Leader, Version: leader}},
-			Then: []wire.Op{{Put: record.RentalPrefix + name, Value: record.Encode(rec)}},
+			If:   []wire.Cond{{Key: record.ProvisionPrefix + name}, {Key: record.LeaderKey, Version: leader}},
+			Then: []wire.Op{{Put: record.ProvisionPrefix + name, Value: record.Encode(rec)}},
 		})
 		if err != nil {
 			// Perhaps written all the same: then the next leader finishes it.
@@ -179,22 +179,22 @@
 	}()
 }
 
-func (c *Controller) dropRental(l *leading, name string) {
+func (c *Controller) dropRental(l *leadership, name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(l.rentals, name)
 }
 
-func (c *Controller) finishRental(ctx context.Context, l *leading, name string, rec record.Rental, version uint64) {
+func (c *Controller) finishRental(ctx context.Context, l *leadership, name string, rec record.Provision, version uint64) {
 	defer c.dropRental(l, name)
-	key := record.RentalPrefix + name
+	key := record.ProvisionPrefix + name
 	cond := []wire.Cond{{Key: key, Version: version}}
 	for ctx.Err() == nil {
-		ids, err := c.cloud.Rent(ctx, wire.Rental{Request: name, Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot, Count: len(rec.Parts)})
+		ids, err := c.cloud.Rent(ctx, wire.ProvisionRequest{Request: name, Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot, Count: len(rec.Shards)})
 		if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
 			c.log.Info("rental", "name", name, "err", err)
 			c.mu.Lock()
-			leads := c.lead == l
+			leads := c.leadership == l
 			c.mu.Unlock()
 			if !leads {
 				return // the record stays for the next leader
@@ -204,18 +204,18 @@
 		}
 		now := time.Now()
 		pool := fleet.Rent{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}
-		ids = ids[:min(len(ids), len(rec.Parts))]
+		ids = ids[:min(len(ids), len(rec.Shards))]
 		c.mu.Lock()
-		if len(ids) < len(rec.Parts) {
+		if len(ids) < len(rec.Shards) {
 			l.plan.Refused(pool, now)
 		} else {
 			l.plan.Granted(pool)
 		}
 		c.mu.Unlock()
-		c.log.Info("rented", "name", name, "type", rec.Type, "zone", rec.Zone, "spot", rec.Spot, "asked", len(rec.Parts), "got", len(ids))
+		c.log.Info("rented", "name", name, "type", rec.Type, "zone", rec.Zone, "spot", rec.Spot, "asked", len(rec.Shards), "got", len(ids))
 		op := wire.Op{Delete: key}
 		if len(ids) > 0 {
-			rec.Parts, rec.IDs, rec.Born = rec.Parts[:len(ids)], ids, now.UnixMilli()
+			rec.Shards, rec.IDs, rec.Born = rec.Shards[:len(ids)], ids, now.UnixMilli()
 			op = wire.Op{Put: key, Value: record.Encode(rec)}
 		}
 		for ctx.Err() == nil {
--- a/internal/controller/restarts.go
+++ b/internal/controller/restarts.go
@@ -12,7 +12,7 @@
 	"bramblespur/internal/pace"
 	"bramblespur/internal/reconcile"
 	"bramblespur/internal/restart"
-	"bramblespur/internal/sched"
+	"bramblespur/internal/scheduler"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
 )
@@ -63,14 +63,14 @@
 }
 
 // beginEpisode takes in that a part was taken over. The lock is held.
-func (c *Controller) beginEpisode(p *sched.Part, now time.Time) {
+func (c *Controller) beginEpisode(shard *scheduler.Shard, now time.Time) {
 	r := &c.restarts
-	malformed := p.Malformed()
+	malformed := shard.Malformed()
 	for _, err := range malformed {
-		c.log.Error("malformed record passed over", "part", p.ID(), "err", err)
+		c.log.Error("malformed record passed over", "shard", shard.ID(), "err", err)
 	}
-	if !r.on || !p.HasMachines() {
-		p.EndSettling() // where there are no workers there is nothing to find out
+	if !r.on || !shard.HasMachines() {
+		shard.EndSettling() // where there are no workers there is nothing to find out
 		return
 	}
 	if r.episode == nil {
@@ -85,9 +85,9 @@
 	}
 	r.episode.Malformed += len(malformed)
 	r.pace.Begin(c.equalOrders(), now)
-	r.parts[p.ID()] = true
-	if !slices.Contains(r.episode.Parts, p.ID()) {
-		r.episode.Parts = append(r.episode.Parts, p.ID())
+	r.parts[shard.ID()] = true
+	if !slices.Contains(r.episode.Parts, shard.ID()) {
+		r.episode.Parts = append(r.episode.Parts, shard.ID())
 	}
 }
 
@@ -129,7 +129,7 @@
 
 // shareOrders shares out the orders of all by what waited at each controller that answered.
 // The lock is held.
-func (c *Controller) shareOrders(l *leading, needs map[string]need) map[string]float64 {
+func (c *Controller) shareOrders(l *leadership, needs map[string]need) map[string]float64 {
 	if !c.restarts.on {
 		return nil
 	}
@@ -201,19 +201,19 @@
 	tally := r.tally
 	e.Awaited, e.Unheard, e.Names = 0, 0, nil
 	for id := range r.parts {
-		p := c.parts[id]
-		if p == nil {
+		shard := c.shards[id]
+		if shard == nil {
 			delete(r.parts, id) // another's by now
 			continue
 		}
-		progress, settling := p.Progress()
+		progress, settling := shard.Progress()
 		tally.Plus(progress.Tally)
 		e.Awaited += progress.Awaited
 		e.Unheard += progress.Unheard
 		e.Names = append(e.Names, progress.Names...)
 		if !settling || progress.Awaited+progress.Unheard == 0 {
 			r.tally.Plus(progress.Tally)
-			p.EndSettling()
+			shard.EndSettling()
 			delete(r.parts, id)
 		}
 	}
@@ -273,7 +273,7 @@
 
 // noteContradictions logs claims that disagree with what is known, and counts them. The
 // lock is held.
-func (c *Controller) noteContradictions(all []sched.Contradiction) {
+func (c *Controller) noteContradictions(all []scheduler.Contradiction) {
 	for _, x := range all {
 		c.log.Info("contradictory claim", "task", x.Task, "machine", x.Machine, "claimed", x.Claimed, "known", x.Known)
 		if c.restarts.episode != nil {
--- a/internal/controller/restarts_damaged_test.go
+++ b/internal/controller/restarts_damaged_test.go
@@ -23,7 +23,7 @@
 	}
 	for part := range k.labels {
 		for n := range most {
-			if e, ok := k.world.State.Entry(record.SlotKey(part, n)); ok {
+			if e, ok := k.world.State.Entry(record.PlacementsKey(part, n)); ok {
 				intact[e.Key] = e.Value
 				put(e.Key, json.RawMessage(`"damaged"`))
 			}
--- a/internal/controller/restarts_test.go
+++ b/internal/controller/restarts_test.go
@@ -146,7 +146,7 @@
 	phases := map[string]func(k *cluster){
 		"before the write": func(k *cluster) {
 			k.world.State.Decide(func(_ string, w wire.Txn) testkit.Fate {
-				return testkit.Fate{Refused: writes(w, record.SlotPrefix)}
+				return testkit.Fate{Refused: writes(w, record.PlacementsPrefix)}
 			})
 			k.flood()
 			time.Sleep(3 * time.Second)
@@ -155,7 +155,7 @@
 			n := len(k.world.State.Writes())
 			k.flood()
 			k.await(time.Minute, "a start on record", func() bool {
-				return slices.ContainsFunc(k.world.State.Writes()[n:], func(w testkit.Write) bool { return writes(w.Txn, record.SlotPrefix) })
+				return slices.ContainsFunc(k.world.State.Writes()[n:], func(w testkit.Write) bool { return writes(w.Txn, record.PlacementsPrefix) })
 			})
 		},
 		"after the order": func(k *cluster) {
@@ -297,13 +297,13 @@
 // the answer to a rental is lost as its leader ends.
 func TestRestartFindsMachines(t *testing.T) {
 	restarting(t, func(k *cluster, r *rand.Rand) {
-		stranger := wire.Rental{Request: "late", Type: "big", Zone: "a", Count: 1}
+		stranger := wire.ProvisionRequest{Request: "late", Type: "big", Zone: "a", Count: 1}
 		names, err := k.world.Rentals(t.Context(), "late").Rent(t.Context(), stranger)
 		if err != nil {
 			k.t.Fatal(err)
 		}
-		ghost := record.Rental{Type: "big", Zone: "a", Parts: []int{0}, IDs: []string{"i-999999"}, Born: time.Now().UnixMilli()}
-		if err := k.world.State.Put(wire.Txn{Then: []wire.Op{{Put: record.RentalKey("ghost"), Value: record.Encode(ghost)}}}); err != nil {
+		ghost := record.Provision{Type: "big", Zone: "a", Shards: []int{0}, IDs: []string{"i-999999"}, Born: time.Now().UnixMilli()}
+		if err := k.world.State.Put(wire.Txn{Then: []wire.Op{{Put: record.ProvisionKey("ghost"), Value: record.Encode(ghost)}}}); err != nil {
 			k.t.Fatal(err)
 		}
 		heal := k.world.Net.Cut(&testkit.Cut{Match: func(from, _ string) bool { return from == testkit.CloudEnd }})
@@ -316,7 +316,7 @@
 		k.await(5*time.Minute, "the ghost returned", func() bool {
 			return slices.ContainsFunc(k.world.State.Writes(), func(w testkit.Write) bool {
 				return slices.ContainsFunc(w.Txn.Then, func(op wire.Op) bool {
-					return strings.HasPrefix(op.Put, record.BackPrefix) && strings.Contains(string(op.Value), "i-999999")
+					return strings.HasPrefix(op.Put, record.ReleasePrefix) && strings.Contains(string(op.Value), "i-999999")
 				})
 			})
 		})
--- a/internal/controller/returns.go
+++ b/internal/controller/returns.go
@@ -13,14 +13,14 @@
 // returns gives back what the parts' owners have recorded as to be given back,
 // several batches with one call. The answer is recorded: it proves gone what
 // ran on the machines, to whoever owns their parts by then.
-func (c *Controller) returns(ctx context.Context, l *leading, now time.Time) {
+func (c *Controller) returns(ctx context.Context, l *leadership, now time.Time) {
 	c.mu.Lock()
 	if c.safeMode.holder.Active() || len(c.fleet.Pending()) > 0 && !c.allowCloudCall(now) {
 		c.mu.Unlock()
 		return
 	}
 	var ids []string
-	batches := map[string]record.Versioned[record.Back]{}
+	batches := map[string]record.Versioned[record.Release]{}
 	for key, b := range c.fleet.Pending() {
 		if l.backs[key] || len(ids)+len(b.Rec.IDs) > maxReturn {
 			continue
@@ -59,10 +59,10 @@
 const maxReturn = 100
 
 // returned records that a batch is gone.
-func (c *Controller) returned(ctx context.Context, key string, b record.Versioned[record.Back]) {
+func (c *Controller) returned(ctx context.Context, key string, b record.Versioned[record.Release]) {
 	t := wire.Txn{
 		If:   []wire.Cond{{Key: key, Version: b.Version}},
-		Then: []wire.Op{{Put: key, Value: record.Encode(record.Back{IDs: b.Rec.IDs, Done: true})}},
+		Then: []wire.Op{{Put: key, Value: record.Encode(record.Release{IDs: b.Rec.IDs, Done: true})}},
 	}
 	for ctx.Err() == nil {
 		rev, err := c.store.Txn(ctx, statestore.Urgent("back"), t)
@@ -81,7 +81,7 @@
 }
 
 // clear removes records of machines that are long gone, a few at a time.
-func (c *Controller) clear(ctx context.Context, l *leading, now time.Time) {
+func (c *Controller) clear(ctx context.Context, l *leadership, now time.Time) {
 	if now.Before(l.clearing) {
 		return
 	}
--- a/internal/controller/safe_mode.go
+++ b/internal/controller/safe_mode.go
@@ -9,7 +9,7 @@
 	"bramblespur/internal/operations"
 	"bramblespur/internal/record"
 	"bramblespur/internal/recovery"
-	"bramblespur/internal/sched"
+	"bramblespur/internal/scheduler"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
 )
@@ -26,7 +26,7 @@
 	guard      *statestore.Guard
 	holder     recovery.Holder
 	// frozen are the parts that were owned when it began: what they hold is evidence.
-	frozen map[int]*sched.Part
+	frozen map[int]*scheduler.Shard
 	// openRevision is up to which revision all unfinished jobs were known then, and held the
 	// records that were, once somebody has asked for them.
 	openRevision uint64
@@ -117,9 +117,9 @@
 	c.log.Error("the state service has lost data: safe mode", "sign", mode.Sign, "noticed_by", mode.By, "epoch", mode.Epoch)
 	m.guard.Close(true)
 	go c.safeModeLoop(c.life)
-	m.frozen, m.reports = c.parts, recovery.Reports{}
-	m.openRevision, m.held = c.viewRevisions[record.OpenPrefix], nil
-	c.parts = map[int]*sched.Part{}
+	m.frozen, m.reports = c.shards, recovery.Reports{}
+	m.openRevision, m.held = c.viewRevisions[record.ActiveJobPrefix], nil
+	c.shards = map[int]*scheduler.Shard{}
 	for machine := range c.held {
 		c.release(machine, now)
 	}
@@ -133,9 +133,9 @@
 	m.guard.Reset()
 	m.guard.Close(false)
 	m.relists++
-	c.partRecs = map[int]versioned[record.Part]{}
+	c.shardRecords = map[int]versioned[record.Shard]{}
 	c.fleet = record.NewFleet()
-	for ref := range c.open {
+	for ref := range c.activeJobs {
 		c.closeOpen(ref)
 	}
 	c.viewRevisions = map[string]uint64{}
@@ -194,7 +194,7 @@
 
 // renewInSafeMode answers a worker's report: its lease is renewed, under the token that it
 // knows, by whichever controller it asks, and it is told to do nothing. The lock is held.
-func (c *Controller) renewInSafeMode(r *wire.Report) reply {
+func (c *Controller) renewInSafeMode(r *wire.Heartbeat) reply {
 	m := &c.safeMode
 	m.holder.Raise(r.Token)
 	m.reports.Take(r)
@@ -206,7 +206,7 @@
 
 // suspectToken looks into a worker's token that is ahead of all revisions seen: tokens are
 // revisions of the state service. The lock is held.
-func (c *Controller) suspectToken(r *wire.Report) {
+func (c *Controller) suspectToken(r *wire.Heartbeat) {
 	if m := &c.safeMode; m.on && r.Token > m.guard.Highest() {
 		go c.confirmLoss(recovery.Sign{Kind: recovery.TokenAhead, Key: r.Machine, Held: r.Token})
 	}
--- a/internal/controller/safe_mode_test.go
+++ b/internal/controller/safe_mode_test.go
@@ -83,14 +83,14 @@
 // silentLosses are what a state service may lose without a word.
 var silentLosses = map[string]func(k *cluster){
 	"everything":   func(k *cluster) { k.lose("") },
-	"open jobs":    func(k *cluster) { k.lose(record.OpenPrefix) },
-	"a part's own": func(k *cluster) { k.lose(record.PartKey(k.part("wide"))) },
-	"parts":        func(k *cluster) { k.lose(record.PartPrefix) },
+	"open jobs":    func(k *cluster) { k.lose(record.ActiveJobPrefix) },
+	"a part's own": func(k *cluster) { k.lose(record.ShardKey(k.part("wide"))) },
+	"parts":        func(k *cluster) { k.lose(record.ShardPrefix) },
 	"machines":     func(k *cluster) { k.lose(record.FleetPrefix) },
-	"rentals":      func(k *cluster) { k.lose(record.RentalPrefix) },
-	"final states": func(k *cluster) { k.lose(record.JobPrefix) },
+	"rentals":      func(k *cluster) { k.lose(record.ProvisionPrefix) },
+	"final states": func(k *cluster) { k.lose(record.FinishedJobPrefix) },
 	"placements, while they are written": func(k *cluster) {
-		k.lose(record.SlotPrefix)
+		k.lose(record.PlacementsPrefix)
 		for i, team := range []string{"wide", "other", "tight"} {
 			k.submitLater(spec(ref(firstOwn+20+i), team, nil), quick)
 		}
@@ -192,7 +192,7 @@
 // All controllers have just started when nothing but the workers can tell that records are
 // gone.
 func TestSafeModeAfterLossAndRestart(t *testing.T) {
-	for _, prefix := range []string{record.OpenPrefix, record.FleetPrefix, record.SlotPrefix, record.SlotsOf(1), ""} {
+	for _, prefix := range []string{record.ActiveJobPrefix, record.FleetPrefix, record.PlacementsPrefix, record.ShardPlacementsPrefix(1), ""} {
 		t.Run("lost "+prefix, func(t *testing.T) {
 			meet(t, func(k *cluster) {
 				k.loses = true
--- a/internal/controller/saturated_test.go
+++ b/internal/controller/saturated_test.go
@@ -40,12 +40,12 @@
 func TestPollLearnsOfAnEndWhileTheBudgetIsUsedUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		state := testkit.NewState()
-		state.Put(record.JobKey("run-000412"), record.Job{State: wire.Done, Tasks: 2})
+		state.Put(record.FinishedJobKey("run-000412"), record.FinishedJob{State: wire.Done, Tasks: 2})
 		c := newTest(t, state)
 		c.store = &saturatedState{state, 450 * time.Millisecond} // as long as who waits can
 		begun := time.Now()
-		got := c.poll("run-000412")
-		if s, _ := got.body.(wire.Status); got.status != 200 || s.State != wire.Done {
+		got := c.statusQuery("run-000412")
+		if status, _ := got.body.(wire.Status); got.status != 200 || status.State != wire.Done {
 			t.Errorf("got %+v, want 200 and done", got)
 		}
 		if took := time.Since(begun); took > userTimeout {
--- a/internal/controller/self_planning.go
+++ b/internal/controller/self_planning.go
@@ -7,7 +7,7 @@
 
 	"bramblespur/internal/fleet"
 	"bramblespur/internal/record"
-	"bramblespur/internal/sched"
+	"bramblespur/internal/scheduler"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
 )
@@ -32,7 +32,7 @@
 func (c *Controller) planWithoutLeader(ctx context.Context, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.parts) == 0 || c.schedCfg == nil || !c.sure(now) || c.leads(now) || now.Sub(c.syncedAt) < selfPlanAfter {
+	if len(c.shards) == 0 || c.schedCfg == nil || !c.sure(now) || c.isLeader(now) || now.Sub(c.syncedAt) < selfPlanAfter {
 		c.selfPlan = nil
 		return
 	}
@@ -45,15 +45,15 @@
 	c.complete(sums, nil)
 	orders, rents := c.selfPlan.plan.Plan(sums, now)
 	for _, o := range orders {
-		if p := c.parts[o.Part]; p != nil && (o.To == fleet.Back || c.parts[o.To] != nil) {
-			p.Order(o, now)
-			c.pump(p, now)
+		if shard := c.shards[o.Part]; shard != nil && (o.To == fleet.Back || c.shards[o.To] != nil) {
+			shard.Order(o, now)
+			c.step(shard, now)
 		}
 	}
 	for _, r := range rents {
-		p := c.parts[r.Parts[0]]
-		if len(c.selfPlan.requested) < rentalsAtOnce && p != nil {
-			c.requestRental(ctx, c.selfPlan, p, r)
+		shard := c.shards[r.Parts[0]]
+		if len(c.selfPlan.requested) < rentalsAtOnce && shard != nil {
+			c.requestRental(ctx, c.selfPlan, shard, r)
 		}
 	}
 }
@@ -77,13 +77,13 @@
 
 // requestRental records a rental under the token of a part held here, for the leader to
 // carry out. The lock is held.
-func (c *Controller) requestRental(ctx context.Context, sp *selfPlanning, p *sched.Part, r fleet.Rent) {
+func (c *Controller) requestRental(ctx context.Context, sp *selfPlanning, shard *scheduler.Shard, r fleet.Rent) {
 	c.rentalsRequested++
-	name := fmt.Sprintf("%s-%d-alone-%d", c.cfg.Label, p.Token(), c.rentalsRequested)
-	rec := record.Rental{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Parts: r.Parts}
+	name := fmt.Sprintf("%s-%d-alone-%d", c.cfg.Label, shard.Token(), c.rentalsRequested)
+	rec := record.Provision{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Shards: r.Parts}
 	t := wire.Txn{
-		If:   []wire.Cond{{Key: record.RentalKey(name)}, {Key: record.PartKey(p.ID()), Version: p.Token()}},
-		Then: []wire.Op{{Put: record.RentalKey(name), Value: record.Encode(rec)}},
+		If:   []wire.Cond{{Key: record.ProvisionKey(name)}, {Key: record.ShardKey(shard.ID()), Version: shard.Token()}},
+		Then: []wire.Op{{Put: record.ProvisionKey(name), Value: record.Encode(rec)}},
 	}
 	sp.requested[name] = r
 	c.log.Info("rental requested", "name", name, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "number", len(r.Parts))
@@ -101,7 +101,7 @@
 
 // adoptRentals carries out rentals that others recorded: an earlier leader, or owners
 // that this one does not reach. The lock is held.
-func (c *Controller) adoptRentals(ctx context.Context, l *leading) {
+func (c *Controller) adoptRentals(ctx context.Context, l *leadership) {
 	for name, r := range c.fleet.Unfinished() {
 		if _, ok := l.rentals[name]; !ok {
 			l.rentals[name] = r.Rec
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -91,7 +91,7 @@
 		}
 		c.Discard(n)
 		s.whole(st, now)
-		req.Close = req.Close || (req.Path == wire.ReportPath && len(s.conns) > s.workerConn)
+		req.Close = req.Close || (req.Path == wire.HeartbeatPath && len(s.conns) > s.workerConn)
 		r, answered := s.handle(req, func(r reply) { s.answerLater(c, st, r, req.Close) })
 		if !answered {
 			return gnet.None
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -31,36 +31,36 @@
 			return nil, false
 		}
 	}
-	var s wire.Spec
-	if json.Unmarshal(body, &s) != nil {
+	var spec wire.Spec
+	if json.Unmarshal(body, &spec) != nil {
 		return nil, false
 	}
-	ok := validSpec(&s)
-	slices.Sort(s.DependsOn)
-	s.DependsOn = slices.Compact(s.DependsOn)
-	return &s, ok
+	ok := validSpec(&spec)
+	slices.Sort(spec.DependsOn)
+	spec.DependsOn = slices.Compact(spec.DependsOn)
+	return &spec, ok
 }
 
 // isAmount reports whether a number may be an amount of something.
 func isAmount(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
 
 // validSpec checks the values of a specification's fields.
-func validSpec(s *wire.Spec) bool {
-	return validRef(s.Ref) && s.Class != "" && s.Team != "" && s.Image != "" &&
-		slices.Contains([]string{wire.Array, wire.Gang, wire.Service}, s.Kind) &&
-		slices.Contains([]string{"prod", "urgent", "normal", "low"}, s.Priority) &&
-		s.Tasks >= 1 && s.Tasks <= maxTasks &&
-		isAmount(s.CPUs) && isAmount(s.GPUs) && isAmount(s.MemoryGB) && isAmount(s.ImageGB) &&
-		isAmount(s.EstimateS) && isAmount(s.CheckpointS) && isAmount(s.SaveS) && (s.DeadlineS == nil || isAmount(*s.DeadlineS)) &&
-		!slices.ContainsFunc(s.DependsOn, func(r string) bool { return !validRef(r) })
+func validSpec(spec *wire.Spec) bool {
+	return validRef(spec.Ref) && spec.Class != "" && spec.Team != "" && spec.Image != "" &&
+		slices.Contains([]string{wire.Array, wire.Gang, wire.Service}, spec.Kind) &&
+		slices.Contains([]string{"prod", "urgent", "normal", "low"}, spec.Priority) &&
+		spec.Tasks >= 1 && spec.Tasks <= maxTasks &&
+		isAmount(spec.CPUs) && isAmount(spec.GPUs) && isAmount(spec.MemoryGB) && isAmount(spec.ImageGB) &&
+		isAmount(spec.EstimateS) && isAmount(spec.CheckpointS) && isAmount(spec.SaveS) && (spec.DeadlineS == nil || isAmount(*spec.DeadlineS)) &&
+		!slices.ContainsFunc(spec.DependsOn, func(r string) bool { return !validRef(r) })
 }
 
 // canRun reports whether a job could ever run here.
-func (c *Controller) canRun(s *wire.Spec, types []wire.MachineType) bool {
+func (c *Controller) canRun(spec *wire.Spec, types []wire.MachineType) bool {
 	fits := false
 	for _, t := range types {
-		if (s.Types == nil || slices.Contains(s.Types, t.Name)) && s.CPUs <= t.CPUs && s.GPUs <= t.GPUs &&
-			s.MemoryGB <= t.MemoryGB && (s.Zone == nil || slices.Contains(t.Zones, *s.Zone)) {
+		if (spec.Types == nil || slices.Contains(spec.Types, t.Name)) && spec.CPUs <= t.CPUs && spec.GPUs <= t.GPUs &&
+			spec.MemoryGB <= t.MemoryGB && (spec.Zone == nil || slices.Contains(t.Zones, *spec.Zone)) {
 			fits = true
 		}
 	}
@@ -70,14 +70,14 @@
 	if len(c.cfg.Params.Teams) == 0 {
 		return true
 	}
-	n := float64(s.Tasks)
-	if s.Kind == wire.Array {
+	n := float64(spec.Tasks)
+	if spec.Kind == wire.Array {
 		n = 1
 	}
 	const slack = 1e-6
 	for _, t := range c.cfg.Params.Teams {
-		if t.Name == s.Team {
-			return (t.CPUsMax <= 0 || n*s.CPUs <= t.CPUsMax+slack) && (t.GPUsMax <= 0 || n*s.GPUs <= t.GPUsMax+slack)
+		if t.Name == spec.Team {
+			return (t.CPUsMax <= 0 || n*spec.CPUs <= t.CPUsMax+slack) && (t.GPUsMax <= 0 || n*spec.GPUs <= t.GPUsMax+slack)
 		}
 	}
 	return false
@@ -95,12 +95,12 @@
 // submit answers a submission. 201 and 200 are durable: the job's record is in the state
 // service by then.
 func (c *Controller) submit(body []byte) reply {
-	s, ok := parseSpec(body)
+	spec, ok := parseSpec(body)
 	if !ok {
 		return reply{status: 400}
 	}
-	if j, ok := c.finals.get(s.Ref); ok {
-		return reply{status: 200, body: wire.Brief{Ref: s.Ref, State: j.State}}
+	if j, ok := c.finals.get(spec.Ref); ok {
+		return reply{status: 200, body: wire.Brief{Ref: spec.Ref, State: j.State}}
 	}
 	types, ok := c.decides()
 	if !ok {
@@ -108,40 +108,40 @@
 	}
 	ctx, cancel := context.WithTimeout(c.life, userTimeout)
 	defer cancel()
-	if c.isOpen(s.Ref) {
+	if c.isOpen(spec.Ref) {
 		// Accepted before: reading tells so without a change, of which the state
 		// service also counts those that fail.
-		if r := c.acceptedReply(ctx, s.Ref); r.status != 404 {
+		if r := c.acceptedReply(ctx, spec.Ref); r.status != 404 {
 			return r
 		}
 	}
-	if !c.canRun(s, types) {
-		return c.refuseUnlessAccepted(ctx, s.Ref, 422)
+	if !c.canRun(spec, types) {
+		return c.refuseUnlessAccepted(ctx, spec.Ref, 422)
 	}
-	part := record.PartOf(c.teams, s.Team, s.Ref, c.cfg.Params.Count)
-	open := record.Encode(record.Open{Spec: *s, Part: part, At: time.Now().UnixMilli(), Held: len(s.DependsOn) > 0})
+	part := record.ShardOf(c.teams, spec.Team, spec.Ref, c.cfg.Params.Count)
+	open := record.Encode(record.ActiveJob{Spec: *spec, Shard: part, At: time.Now().UnixMilli(), AwaitsDependencies: len(spec.DependsOn) > 0})
 	if len(open) > c.limits().Bytes() {
-		return c.refuseUnlessAccepted(ctx, s.Ref, 422)
+		return c.refuseUnlessAccepted(ctx, spec.Ref, 422)
 	}
-	if no := c.checkDependencies(ctx, s); !no.zero() {
+	if no := c.checkDependencies(ctx, spec); !no.zero() {
 		return no
 	}
 	t := wire.Txn{
-		If:   []wire.Cond{{Key: record.JobKey(s.Ref)}, {Key: record.OpenKey(s.Ref)}},
-		Then: []wire.Op{{Put: record.OpenKey(s.Ref), Value: open}},
+		If:   []wire.Cond{{Key: record.FinishedJobKey(spec.Ref)}, {Key: record.ActiveJobKey(spec.Ref)}},
+		Then: []wire.Op{{Put: record.ActiveJobKey(spec.Ref), Value: open}},
 	}
 	rev, err := c.store.Txn(ctx, statestore.Urgent("accept"), t)
 	var conflict *statestore.ConflictError
 	switch {
 	case err == nil:
-		c.tellOwner(part, t, rev)
-		return reply{status: 201, body: wire.Brief{Ref: s.Ref, State: wire.Pending}}
+		c.notifyOwner(part, t, rev)
+		return reply{status: 201, body: wire.Brief{Ref: spec.Ref, State: wire.Pending}}
 	case errors.As(err, &conflict):
-		if r := c.acceptedReply(ctx, s.Ref); r.status == 200 {
+		if r := c.acceptedReply(ctx, spec.Ref); r.status == 200 {
 			return r
 		}
 	default:
-		c.log.Debug("submission", "ref", s.Ref, "err", err)
+		c.log.Debug("submission", "ref", spec.Ref, "err", err)
 	}
 	return later()
 }
@@ -150,7 +150,7 @@
 func (c *Controller) isOpen(ref string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, open := c.open[ref]
+	_, open := c.activeJobs[ref]
 	return open
 }
 
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -64,7 +64,7 @@
 // for none.
 func (c *Controller) route(req httpwire.Request) (work func() reply, no reply) {
 	for path, r := range map[string]resource{
-		wire.JobsPath:      {c.submit, c.poll, c.cancel},
+		wire.JobsPath:      {c.submit, c.statusQuery, c.cancel},
 		wire.PipelinesPath: {c.submitPipeline, c.pollPipeline, c.cancelPipeline},
 	} {
 		if req.Path == path {
--- a/internal/controller/users_test.go
+++ b/internal/controller/users_test.go
@@ -88,7 +88,7 @@
 	if got := c.submit(body(t, nil)); got.status != 201 {
 		t.Fatalf("new: %+v, want 201", got)
 	}
-	e, err := state.Get(context.Background(), statestore.Urgent("test"), record.OpenKey("run-000412"))
+	e, err := state.Get(context.Background(), statestore.Urgent("test"), record.ActiveJobKey("run-000412"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,9 +104,9 @@
 	}
 	state.HoldTxns = 0
 	// A view that is behind tells nothing older than the records do.
-	endRec := record.Encode(record.Job{State: wire.Done, Tasks: 2})
+	endRec := record.Encode(record.FinishedJob{State: wire.Done, Tasks: 2})
 	if _, err := state.Txn(context.Background(), statestore.Urgent("test"), wire.Txn{
-		Then: []wire.Op{{Put: record.JobKey("run-000412"), Value: endRec}, {Delete: e.Key}},
+		Then: []wire.Op{{Put: record.FinishedJobKey("run-000412"), Value: endRec}, {Delete: e.Key}},
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -118,28 +118,28 @@
 func TestPollAndCancel(t *testing.T) {
 	state := testkit.NewState()
 	c, other := newTest(t, state), newTest(t, state)
-	if got := c.poll("run-000412"); got.status != 404 {
+	if got := c.statusQuery("run-000412"); got.status != 404 {
 		t.Fatalf("unknown job: %+v", got)
 	}
 	if got := c.cancel("run-000412"); got.status != 404 {
 		t.Fatalf("cancel of an unknown job: %+v", got)
 	}
 	c.submit(body(t, nil))
-	if got := other.poll("run-000412"); got.status != 200 || got.body.(wire.Status).State != wire.Pending {
+	if got := other.statusQuery("run-000412"); got.status != 200 || got.body.(wire.Status).State != wire.Pending {
 		t.Fatalf("accepted job elsewhere: %+v", got)
 	}
 	if got := owned(state, c, func() reply { return c.cancel("run-000412") }); got.status != 200 || got.body.(wire.Brief).State != wire.Cancelled {
 		t.Fatalf("cancel: %+v", got)
 	}
 	// No controller says anything older from now on.
-	if got := other.poll("run-000412"); got.body.(wire.Status).State != wire.Cancelled {
+	if got := other.statusQuery("run-000412"); got.body.(wire.Status).State != wire.Cancelled {
 		t.Fatalf("poll elsewhere after the cancellation: %+v", got)
 	}
 	if got := other.submit(body(t, nil)); got.status != 200 || got.body.(wire.Brief).State != wire.Cancelled {
 		t.Fatalf("repeat after the cancellation: %+v", got)
 	}
 	state.Down = true
-	if got := other.poll("run-000412"); got.status != 200 {
+	if got := other.statusQuery("run-000412"); got.status != 200 {
 		t.Fatalf("final states are kept: %+v", got)
 	}
 }
@@ -150,11 +150,11 @@
 	state := testkit.NewState()
 	c, other := newTest(t, state), newTest(t, state)
 	c.submit(body(t, nil))
-	e, err := state.Get(context.Background(), statestore.Urgent("test"), record.OpenKey("run-000412"))
+	e, err := state.Get(context.Background(), statestore.Urgent("test"), record.ActiveJobKey("run-000412"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var o record.Open
+	var o record.ActiveJob
 	if err := json.Unmarshal(e.Value, &o); err != nil {
 		t.Fatal(err)
 	}
@@ -162,7 +162,7 @@
 	e = state.Put(e.Key, o) // asked for by a user; the tasks still run
 	c.changeOpen(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
 	for name, x := range map[string]*Controller{"owner": c, "other": other} {
-		if got := x.poll("run-000412"); got.status != 200 || got.body.(wire.Status).State != wire.Pending {
+		if got := x.statusQuery("run-000412"); got.status != 200 || got.body.(wire.Status).State != wire.Pending {
 			t.Errorf("%s: poll answers %+v", name, got)
 		}
 		if got := x.submit(body(t, nil)); got.status != 200 || got.body.(wire.Brief).State != wire.Pending {
@@ -183,7 +183,7 @@
 func TestCancelOfDone(t *testing.T) {
 	state := testkit.NewState()
 	c := newTest(t, state)
-	state.Put(record.JobKey("run-000009"), record.Job{State: wire.Done, Tasks: 2})
+	state.Put(record.FinishedJobKey("run-000009"), record.FinishedJob{State: wire.Done, Tasks: 2})
 	if got := c.cancel("run-000009"); got.body.(wire.Brief).State != wire.Done {
 		t.Fatalf("got %+v", got)
 	}
@@ -236,7 +236,7 @@
 		"outage": func(s *testkit.State, c *Controller) *Controller {
 			s.Outage(true)
 			c.resetOpen(nil, math.MaxUint64, time.Now())
-			if got := c.poll("run-000001"); got.status == 404 {
+			if got := c.statusQuery("run-000001"); got.status == 404 {
 				t.Error("forgotten in an outage")
 			}
 			s.Outage(false)
@@ -244,7 +244,7 @@
 		},
 		"restart": func(s *testkit.State, c *Controller) *Controller { return newTest(t, s) },
 		"take over": func(s *testkit.State, c *Controller) *Controller {
-			if err := c.takeOver(ctx, 0, c.partRecs[0], 2); err != nil {
+			if err := c.failOver(ctx, 0, c.shardRecords[0], 2); err != nil {
 				t.Error(err)
 			}
 			return c
@@ -254,7 +254,7 @@
 			return c
 		},
 		"views read anew": func(s *testkit.State, c *Controller) *Controller {
-			open, _, err := s.List(ctx, statestore.Urgent("test"), record.OpenPrefix)
+			open, _, err := s.List(ctx, statestore.Urgent("test"), record.ActiveJobPrefix)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -277,7 +277,7 @@
 			c = second(state, first(state, c))
 			c.resetOpen(nil, math.MaxUint64, time.Now()) // without watched copies the records are read
 			for ref, want := range map[string]string{"run-000001": wire.Pending, "run-000002": wire.Cancelled, "run-000003": wire.Pending} {
-				got := c.poll(ref)
+				got := c.statusQuery(ref)
 				if st, ok := got.body.(wire.Status); got.status != 200 || !ok || st.State != want {
 					t.Errorf("%s then %s: %s answers %+v, want %s", a, b, ref, got, want)
 				}
@@ -295,7 +295,7 @@
 	var batch []*confirmation
 	for _, ref := range []string{"run-000001", "run-000002", "run-000003"} {
 		c.submit(body(t, set("ref", ref)))
-		batch = append(batch, newConfirmation(wire.Cond{Key: record.OpenKey(ref), Version: c.open[ref].version}))
+		batch = append(batch, newConfirmation(wire.Cond{Key: record.ActiveJobKey(ref), Version: c.activeJobs[ref].version}))
 	}
 	owned(state, other, func() reply { return other.cancel("run-000002") })
 	c.confirm(ctx, batch)
