--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -60,7 +60,7 @@
 	switch prefix {
 	case record.ClusterPrefix:
 		c.viewAt = at
-	case record.OpenPrefix:
+	case record.ActiveJobPrefix:
 		c.jobsAt = at
 	case record.FleetPrefix:
 		c.fleetAt = at
@@ -78,11 +78,11 @@
 
 func (c *Controller) resetCluster(entries []wire.Entry, rev uint64, at time.Time) {
 	c.mu.Lock()
-	c.checkParts(entries, rev, at)
+	c.checkShards(entries, rev, at)
 	c.resetDrains(entries, rev)
-	c.partRecs = map[int]versioned[record.Part]{}
+	c.shardRecords = map[int]versioned[record.Shard]{}
 	c.members = map[string]record.Member{}
-	c.leader = versioned[record.Head]{}
+	c.leader = versioned[record.Leader]{}
 	// Formats are never taken back, so those known stay.
 	c.mu.Unlock()
 	for _, e := range entries {
@@ -98,14 +98,14 @@
 	gone := e.Put == ""
 	var err error
 	switch {
-	case key == record.Leader:
-		c.leader = versioned[record.Head]{version: e.Version}
+	case key == record.LeaderKey:
+		c.leader = versioned[record.Leader]{version: e.Version}
 		if gone {
-			c.leader = versioned[record.Head]{}
+			c.leader = versioned[record.Leader]{}
 		} else {
 			err = json.Unmarshal(e.Value, &c.leader.rec)
 		}
-	case key == record.Types:
+	case key == record.MachineTypesKey:
 		if !gone && !c.typesSeen {
 			var t []wire.MachineType
 			if err = json.Unmarshal(e.Value, &t); err == nil {
@@ -138,14 +138,14 @@
 		}
 	case strings.HasPrefix(key, drain.Prefix):
 		err = c.drains.view.Change(e)
-	case strings.HasPrefix(key, record.PartPrefix):
-		id, ok := partID(key)
+	case strings.HasPrefix(key, record.ShardPrefix):
+		id, ok := shardID(key)
 		if !ok || gone {
 			break
 		}
-		var r record.Part
+		var r record.Shard
 		if err = json.Unmarshal(e.Value, &r); err == nil {
-			c.setPart(id, r, e.Version)
+			c.setShardRecord(id, r, e.Version)
 		}
 	}
 	if err != nil {
@@ -153,21 +153,21 @@
 	}
 }
 
-// partID returns the part that a key under record.PartPrefix names.
-func partID(key string) (int, bool) {
+// shardID returns the part that a key under record.PartPrefix names.
+func shardID(key string) (int, bool) {
 	n, err := strconv.Atoi(record.Last(key))
 	return n, err == nil && n >= 0
 }
 
-// setPart takes in who owns a part. A claim by somebody else ends ours.
-func (c *Controller) setPart(id int, r record.Part, version uint64) {
-	if old := c.partRecs[id]; version < old.version {
+// setShardRecord takes in who owns a part. A claim by somebody else ends ours.
+func (c *Controller) setShardRecord(id int, r record.Shard, version uint64) {
+	if old := c.shardRecords[id]; version < old.version {
 		return
 	}
-	c.partRecs[id] = versioned[record.Part]{r, version}
-	if p := c.parts[id]; p != nil && version > p.Token() {
-		c.log.Info("part lost", "part", id, "to", r.Owner)
-		delete(c.parts, id)
+	c.shardRecords[id] = versioned[record.Shard]{r, version}
+	if shard := c.shards[id]; shard != nil && version > shard.Token() {
+		c.log.Info("shard lost", "shard", id, "to", r.Owner)
+		delete(c.shards, id)
 	}
 }
 
@@ -226,9 +226,9 @@
 	}
 }
 
-// checkParts compares the records of parts in a list with those held: they are never deleted.
+// checkShards compares the records of parts in a list with those held: they are never deleted.
 // The lock is held.
-func (c *Controller) checkParts(entries []wire.Entry, rev uint64, now time.Time) {
+func (c *Controller) checkShards(entries []wire.Entry, rev uint64, now time.Time) {
 	if !c.safeMode.on {
 		return
 	}
@@ -260,26 +260,26 @@
 			changed[id] = true
 			// Only a rental's end proves a machine gone; that the rental is not
 			// known here proves nothing.
-			if strings.HasPrefix(e.Delete, record.RentalPrefix) {
+			if strings.HasPrefix(e.Delete, record.ProvisionPrefix) {
 				gone[id] = true
 			}
 		}
 	}
 	for id := range changed {
 		v, ok := c.fleet.Machine(id)
-		for _, p := range c.parts {
+		for _, shard := range c.shards {
 			switch {
 			case !ok && gone[id]:
-				p.DropMachine(id, now)
-			case ok && (v.Part == p.ID() || p.HasMachine(id)):
-				if err := p.SetMachine(id, v, now); err != nil {
+				shard.DropMachine(id, now)
+			case ok && (v.Shard == shard.ID() || shard.HasMachine(id)):
+				if err := shard.SetMachine(id, v, now); err != nil {
 					c.log.Error("machine record", "machine", id, "err", err)
 				}
 			}
 		}
 	}
-	for _, p := range c.parts {
-		c.pump(p, now)
+	for _, shard := range c.shards {
+		c.step(shard, now)
 	}
 }
 
@@ -293,17 +293,17 @@
 	}
 	missing := map[string]uint64{}
 	c.mu.Lock()
-	for ref, j := range c.open {
+	for ref, j := range c.activeJobs {
 		if !keep[ref] && j.version <= rev {
-			missing[record.OpenKey(ref)] = j.version
+			missing[record.ActiveJobKey(ref)] = j.version
 			c.closeOpen(ref)
 		}
 	}
 	c.mu.Unlock()
 	if c.safeMode.on {
-		go c.confirmMissing(c.life, record.OpenPrefix, missing)
+		go c.confirmMissing(c.life, record.ActiveJobPrefix, missing)
 	}
-	c.viewed(record.OpenPrefix, at)
+	c.viewed(record.ActiveJobPrefix, at)
 }
 
 func (c *Controller) changeOpen(e wire.Change, _ time.Time) {
@@ -315,39 +315,39 @@
 // openChange takes in an open job's record and tells its part. The lock is held.
 func (c *Controller) openChange(e wire.Change, now time.Time) {
 	ref := record.Last(e.Put + e.Delete)
-	if held := c.open[ref].version; held > e.Version || (held == e.Version && e.Put != "") {
+	if held := c.activeJobs[ref].version; held > e.Version || (held == e.Version && e.Put != "") {
 		return // older, or known: what was written here comes once more with the watch
 	}
 	if e.Put == "" {
 		c.closeOpen(ref) // the owner ends jobs itself, but those that only waited
-		for _, p := range c.parts {
-			if p.HasJob(ref) {
-				p.JobGone(ref, now)
-				c.pump(p, now)
+		for _, shard := range c.shards {
+			if shard.HasJob(ref) {
+				shard.JobGone(ref, now)
+				c.step(shard, now)
 			}
 		}
 		if len(c.needs.After(ref)) > 0 {
-			c.seekDependencies(c.life, now)
+			c.lookUpDependencies(c.life, now)
 		}
 		return
 	}
-	var o record.Open
+	var o record.ActiveJob
 	if err := json.Unmarshal(e.Value, &o); err != nil {
 		c.log.Error("job record", "key", e.Put, "err", err)
 		return
 	}
-	c.open[ref] = openJob{version: e.Version, part: o.Part, cancelled: o.Cancelled, service: o.Spec.Kind == wire.Service}
+	c.activeJobs[ref] = activeJob{version: e.Version, part: o.Shard, cancelled: o.Cancelled, service: o.Spec.Kind == wire.Service}
 	changed := c.needs.Set(ref, step(&o))
-	p := c.parts[o.Part]
-	if p != nil {
-		p.SetJob(ref, o, e.Version, now)
+	shard := c.shards[o.Shard]
+	if shard != nil {
+		shard.SetJob(ref, o, e.Version, now)
 	}
 	c.inherit(changed)
-	if p != nil {
+	if shard != nil {
 		if len(o.Spec.DependsOn) > 0 {
-			c.seekDependencies(c.life, now)
+			c.lookUpDependencies(c.life, now)
 		}
-		c.pump(p, now)
+		c.step(shard, now)
 	}
 }
 
--- a/internal/controller/views_test.go
+++ b/internal/controller/views_test.go
@@ -18,17 +18,17 @@
 	c := newTest(t, state)
 	now := time.Now()
 	c.submit(body(t, nil))
-	e := state.Put(record.RentalKey("r"), record.Rental{Type: "big", Zone: "z", Parts: []int{0}, IDs: []string{"m"}})
+	e := state.Put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"m"}})
 	c.resetFleet([]wire.Entry{e}, e.Version, now)
-	if _, ok := c.fleet.Machine("m"); !ok || len(c.open) != 1 {
+	if _, ok := c.fleet.Machine("m"); !ok || len(c.activeJobs) != 1 {
 		t.Fatal("views are empty")
 	}
 	c.resetFleet(nil, math.MaxUint64, now)
 	c.resetOpen(nil, math.MaxUint64, now)
-	if _, ok := c.fleet.Machine("m"); ok || len(c.open) != 0 {
+	if _, ok := c.fleet.Machine("m"); ok || len(c.activeJobs) != 0 {
 		t.Fatal("views keep what is gone")
 	}
-	c.resetFleet([]wire.Entry{state.Put(record.RentalKey("r"), record.Rental{Type: "big", Zone: "z", Parts: []int{0}, IDs: []string{"m"}})}, math.MaxUint64, now)
+	c.resetFleet([]wire.Entry{state.Put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"m"}})}, math.MaxUint64, now)
 	if _, ok := c.fleet.Machine("m"); !ok {
 		t.Fatal("what comes again is not taken in")
 	}
@@ -43,12 +43,12 @@
 	c := newTest(t, state)
 	now := time.Now()
 	rental := func(name, id string) wire.Entry {
-		return state.Put(record.RentalKey(name), record.Rental{Type: "big", Zone: "z", Parts: []int{0}, IDs: []string{id}})
+		return state.Put(record.ProvisionKey(name), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{id}})
 	}
 	rental("r", "m")
-	state.Put(record.OwnKey("m"), record.Machine{Type: "big", Zone: "z"})
-	state.Put(record.BackKey(9, 9, 9), record.Back{IDs: []string{"x"}})
-	if err := c.takeOver(ctx, 0, versioned[record.Part]{}, 1); err != nil {
+	state.Put(record.OverrideKey("m"), record.Machine{Type: "big", Zone: "z"})
+	state.Put(record.ReleaseKey(9, 9, 9), record.Release{IDs: []string{"x"}})
+	if err := c.failOver(ctx, 0, versioned[record.Shard]{}, 1); err != nil {
 		t.Fatal(err)
 	}
 	entries, rev, err := state.List(ctx, statestore.Urgent("test"), record.FleetPrefix)
@@ -60,12 +60,12 @@
 	c.changeFleet(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, now)
 	for _, e := range entries { // one by one, as a watch could tell them
 		c.changeFleet(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, now)
-		if p := c.parts[0]; !p.HasMachine("m") || !p.HasMachine("n") {
+		if shard := c.shards[0]; !shard.HasMachine("m") || !shard.HasMachine("n") {
 			t.Fatalf("a machine is gone after %s", e.Key)
 		}
 	}
 	c.resetFleet(entries, rev, now)
-	if p := c.parts[0]; !p.HasMachine("m") || !p.HasMachine("n") {
+	if shard := c.shards[0]; !shard.HasMachine("m") || !shard.HasMachine("n") {
 		t.Fatal("a machine is gone after the views were read anew")
 	}
 }
@@ -90,11 +90,11 @@
 	state := testkit.NewState()
 	c := newTest(t, state)
 	c.store = &forgetful{state, 2}
-	state.Put(record.RentalKey("r"), record.Rental{Type: "big", Zone: "z", Parts: []int{0}, IDs: []string{"m"}})
+	state.Put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"m"}})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	resets := make(chan int)
-	gone := wire.Txn{Then: []wire.Op{{Delete: record.RentalKey("r")}}}
+	gone := wire.Txn{Then: []wire.Op{{Delete: record.ProvisionKey("r")}}}
 	go c.watchLoop(ctx, record.FleetPrefix, func(entries []wire.Entry, rev uint64, at time.Time) {
 		c.resetFleet(entries, rev, at)
 		if _, err := state.Txn(ctx, statestore.Urgent("test"), gone); err != nil { // unseen
--- a/internal/controller/wave_test.go
+++ b/internal/controller/wave_test.go
@@ -64,13 +64,13 @@
 	state := testkit.NewState()
 	c := newTest(t, state)
 	put := fleetPut(state, c)
-	put(record.RentalKey("r"), record.Rental{Type: "big", Zone: "z", Parts: []int{0}, IDs: []string{"a"}})
-	put(record.RentalKey("gone"), record.Rental{Type: "big", Zone: "z", Parts: []int{0}, IDs: []string{"b"}, Addrs: []string{"b:1"}})
-	put(record.BackKey(0, 1, 1), record.Back{IDs: []string{"b"}, Done: true})
+	put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"a"}})
+	put(record.ProvisionKey("gone"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"b"}, Addrs: []string{"b:1"}})
+	put(record.ReleaseKey(0, 1, 1), record.Release{IDs: []string{"b"}, Done: true})
 	slow := &slowState{state, make(chan struct{}, 99), make(chan struct{})}
 	c.store = slow
 	c.fleetAt = time.Now()
-	l := &leading{addrs: map[string]string{}, addressing: map[string]bool{}}
+	l := &leadership{addrs: map[string]string{}, addressing: map[string]bool{}}
 	turn := func(i int) {
 		c.mu.Lock()
 		c.address(ctx, l, []fleet.Summary{{Machines: []fleet.Machine{{ID: "a", Addr: "a:1"}}}})
@@ -110,8 +110,8 @@
 	state := testkit.NewState()
 	c := newTest(t, state)
 	put := fleetPut(state, c)
-	put(record.RentalKey("r"), record.Rental{Type: "big", Zone: "z", Parts: []int{0, 0, 0}, IDs: []string{"a", "b", "c"}})
-	l := &leading{addrs: map[string]string{}, addressing: map[string]bool{}}
+	put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0, 0, 0}, IDs: []string{"a", "b", "c"}})
+	l := &leadership{addrs: map[string]string{}, addressing: map[string]bool{}}
 	tell := func(id, addr string) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -122,7 +122,7 @@
 	if len(c.fleet.Unaddressed()) != 1 || len(l.addrs) != 2 {
 		t.Fatal("recorded though a machine may yet come up")
 	}
-	put(record.BackKey(0, 1, 1), record.Back{IDs: []string{"c"}}) // it never did
+	put(record.ReleaseKey(0, 1, 1), record.Release{IDs: []string{"c"}}) // it never did
 	tell("b", "b:1")
 	for { // the write is another goroutine's
 		c.mu.Lock()
@@ -137,7 +137,7 @@
 		}
 		runtime.Gosched()
 	}
-	e, err := state.Get(ctx, statestore.Urgent("test"), record.RentalKey("r"))
+	e, err := state.Get(ctx, statestore.Urgent("test"), record.ProvisionKey("r"))
 	if err != nil || !strings.Contains(string(e.Value), `"addrs":["a:1","b:1",""]`) {
 		t.Fatalf("record %s, %v", e.Value, err)
 	}
@@ -188,8 +188,8 @@
 		method, path string
 		kept         bool
 	}{
-		{"POST", wire.ReportPath, true}, {"POST", wire.ReportPath, true}, {"POST", wire.ReportPath, false},
-		{"GET", wire.JobsPath + "/run-000001", true}, {"POST", wire.ReportPath, false},
+		{"POST", wire.HeartbeatPath, true}, {"POST", wire.HeartbeatPath, true}, {"POST", wire.HeartbeatPath, false},
+		{"GET", wire.JobsPath + "/run-000001", true}, {"POST", wire.HeartbeatPath, false},
 		{"GET", wire.ReadyPath, true}, {"GET", wire.ReadyPath, false},
 	} {
 		if kept := ask(x.method, x.path); kept != x.kept {
--- a/internal/controller/withheld_test.go
+++ b/internal/controller/withheld_test.go
@@ -24,7 +24,7 @@
 
 func (s *lossyState) Txn(ctx context.Context, u statestore.Use, t wire.Txn) (uint64, error) {
 	revision, err := s.State.Txn(ctx, u, t)
-	if !writes(t, record.SlotPrefix) {
+	if !writes(t, record.PlacementsPrefix) {
 		return revision, err
 	}
 	s.mu.Lock()
@@ -37,7 +37,7 @@
 }
 
 func (s *lossyState) Get(ctx context.Context, u statestore.Use, key string) (wire.Entry, error) {
-	if strings.HasPrefix(key, record.SlotPrefix) {
+	if strings.HasPrefix(key, record.PlacementsPrefix) {
 		s.mu.Lock()
 		s.asked = append(s.asked, "read")
 		s.mu.Unlock()
@@ -50,7 +50,7 @@
 func ownerOfOne(t *testing.T, state *testkit.State, store statestore.Store) (c *Controller, starts func() int) {
 	t.Helper()
 	c = ownerForTest(t, state, store)
-	e := state.Put(record.RentalKey("r"), record.Rental{Type: "big", Zone: "z", Parts: []int{0}, IDs: []string{"m"}})
+	e := state.Put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"m"}})
 	c.changeFleet(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
 	w := testkit.NewWorker("m", "big", "z", false)
 	starts = func() int {
@@ -58,7 +58,7 @@
 		r.Addr = ""
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		orders, _ := c.ownReport(c.parts[0], &r, time.Now()).body.(wire.Orders)
+		orders, _ := c.ownReport(c.shards[0], &r, time.Now()).body.(wire.Orders)
 		return len(orders.Commands) // not obeyed: the next report asks for them again
 	}
 	starts()
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -9,12 +9,12 @@
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/record"
-	"bramblespur/internal/sched"
+	"bramblespur/internal/scheduler"
 	"bramblespur/internal/wire"
 )
 
-func (c *Controller) handleReport(req httpwire.Request, answer func(reply)) (reply, bool) {
-	var r wire.Report
+func (c *Controller) handleHeartbeat(req httpwire.Request, answer func(reply)) (reply, bool) {
+	var r wire.Heartbeat
 	err := json.Unmarshal(req.Body, &r)
 	if err == nil {
 		err = r.Check()
@@ -26,7 +26,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	c.lastReportAt = now
+	c.lastHeartbeatAt = now
 	if c.safeMode.holder.Active() {
 		return c.renewInSafeMode(&r), true
 	}
@@ -42,20 +42,20 @@
 		go c.answerForOwner(&r, token, answer)
 		return reply{}, false
 	}
-	if p := c.parts[m.Part]; p != nil {
+	if shard := c.shards[m.Shard]; shard != nil {
 		if to := c.redirectTo(m.Zone, r.Machine, c.cfg.Label, now); to != "" {
 			return reply{status: 421, body: wire.Redirect{Label: to}}, true
 		}
-		rep := c.ownReport(p, &r, now)
+		rep := c.ownReport(shard, &r, now)
 		if o, ok := rep.body.(wire.Orders); ok && len(o.Commands) == 0 {
-			if d := c.mayHold(p, r.Machine, now); d > 0 {
-				c.hold(p, r.Machine, d, answer)
+			if d := c.mayHold(shard, r.Machine, now); d > 0 {
+				c.hold(shard, r.Machine, d, answer)
 				return reply{}, false
 			}
 		}
 		return rep, true
 	}
-	part := c.partRecs[m.Part]
+	part := c.shardRecords[m.Shard]
 	owner := part.rec.Owner
 	peerc := c.peers[owner]
 	token := max(part.version, m.Version)
@@ -75,7 +75,7 @@
 }
 
 // relay answers a report with what its machine's owner says.
-func (c *Controller) relay(r *wire.Report, m record.View, owner string, token uint64, answer func(reply)) {
+func (c *Controller) relay(r *wire.Heartbeat, m record.View, owner string, token uint64, answer func(reply)) {
 	var rr peer.ReportReply
 	err := c.peers[owner].Call("Report", *r, &rr, relayTimeout)
 	err = c.sensible("answer to a relayed report", owner, err, func() error { return checkReportReply(&rr) })
@@ -103,7 +103,7 @@
 
 // held is a report's answer kept back in case a start comes for its machine.
 type held struct {
-	part   *sched.Part
+	part   *scheduler.Shard
 	answer func(reply)
 	timer  *time.Timer
 }
@@ -122,17 +122,17 @@
 
 // mayHold returns how long an answer may be held. A strained controller holds none: a held answer costs it a timer and another turn, while a start only waits for
 // the machine's next report. The lock is held.
-func (c *Controller) mayHold(p *sched.Part, machine string, now time.Time) time.Duration {
+func (c *Controller) mayHold(shard *scheduler.Shard, machine string, now time.Time) time.Duration {
 	if c.pressure.strained {
 		return 0
 	}
-	return p.Hold(machine, now)
+	return shard.Hold(machine, now)
 }
 
 // hold keeps an answer back for at most d. The lock is held.
-func (c *Controller) hold(p *sched.Part, machine string, d time.Duration, answer func(reply)) {
+func (c *Controller) hold(shard *scheduler.Shard, machine string, d time.Duration, answer func(reply)) {
 	c.release(machine, time.Now()) // an older one: its worker has gone on
-	h := &held{part: p, answer: answer}
+	h := &held{part: shard, answer: answer}
 	h.timer = time.AfterFunc(together(time.Since(c.begun), d), func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -152,8 +152,8 @@
 	delete(c.held, machine)
 	h.timer.Stop()
 	rep := reply{status: 503, retryAfter: 1}
-	if c.parts[h.part.ID()] == h.part {
-		c.lookUp(h.part, now)
+	if c.shards[h.part.ID()] == h.part {
+		c.refreshAuthority(h.part, now)
 		if o, ok := h.part.Held(machine, now); ok {
 			rep = reply{status: 200, body: o}
 		}
@@ -162,39 +162,39 @@
 }
 
 // ownReport answers a report of one of our machines. The lock is held.
-func (c *Controller) ownReport(p *sched.Part, r *wire.Report, now time.Time) reply {
+func (c *Controller) ownReport(shard *scheduler.Shard, r *wire.Heartbeat, now time.Time) reply {
 	if to, look := c.betterController(r.Machine, now); look {
 		return reply{status: 421, body: wire.Redirect{Label: to}}
 	}
-	c.lookUp(p, now)
-	orders, verdict := p.Report(r, false, now)
-	c.pump(p, now)
+	c.refreshAuthority(shard, now)
+	orders, verdict := shard.Report(r, false, now)
+	c.step(shard, now)
 	switch verdict {
-	case sched.Answered:
+	case scheduler.Answered:
 		return reply{status: 200, body: orders}
-	case sched.Deposed:
+	case scheduler.Deposed:
 		// A 200 would be dropped by the worker while its lease runs out.
-		go c.rereadPart(p.ID())
+		go c.rereadPart(shard.ID())
 		return reply{status: 421, body: wire.Redirect{}}
 	}
 	return reply{status: 503, retryAfter: 1}
 }
 
 // Report implements peer.Handler: a report relayed by another controller.
-func (c *Controller) Report(r wire.Report) peer.ReportReply {
+func (c *Controller) Report(r wire.Heartbeat) peer.ReportReply {
 	c.mu.Lock()
 	now := time.Now()
 	m, known := c.fleet.Machine(r.Machine)
-	p := c.parts[m.Part]
-	if !known || p == nil {
+	shard := c.shards[m.Shard]
+	if !known || shard == nil {
 		c.mu.Unlock()
 		return peer.ReportReply{Status: 503}
 	}
-	rep := c.ownReport(p, &r, now)
+	rep := c.ownReport(shard, &r, now)
 	if o, ok := rep.body.(wire.Orders); ok && len(o.Commands) == 0 {
-		if d := min(c.mayHold(p, r.Machine, now), relayHold); d > 0 {
+		if d := min(c.mayHold(shard, r.Machine, now), relayHold); d > 0 {
 			done := make(chan reply, 1)
-			c.hold(p, r.Machine, d, func(r reply) { done <- r })
+			c.hold(shard, r.Machine, d, func(r reply) { done <- r })
 			c.mu.Unlock()
 			return relayed(<-done)
 		}
--- a/internal/controller/workers_test.go
+++ b/internal/controller/workers_test.go
@@ -138,9 +138,9 @@
 		r.blockedSince = time.Now().Add(-time.Hour)
 		c.renewals["m"] = r
 	}
-	c.open["run-000001"] = openJob{version: 1}
-	r := &wire.Report{Machine: "m", Token: 5, Tasks: []wire.ReportTask{{Task: "run-000001/0", State: wire.Running}}}
-	answered := func(r *wire.Report, known, want uint64, what string) {
+	c.activeJobs["run-000001"] = activeJob{version: 1}
+	r := &wire.Heartbeat{Machine: "m", Token: 5, Tasks: []wire.HeartbeatTask{{Task: "run-000001/0", State: wire.Running}}}
+	answered := func(r *wire.Heartbeat, known, want uint64, what string) {
 		t.Helper()
 		got := c.renewForOwner(r, known)
 		o, ok := got.body.(wire.Orders)
@@ -152,16 +152,16 @@
 	answered(r, 7, 7, "owner out of reach")
 	long()
 	answered(r, 7, 7, "a live job, for long")
-	answered(&wire.Report{Machine: "n", Token: 9}, 7, 0, "a worker that has seen a higher token")
-	answered(&wire.Report{Machine: "n", Token: 9}, 0, 0, "a machine that nobody knows")
-	c.open["run-000001"] = openJob{version: 2, cancelled: true}
+	answered(&wire.Heartbeat{Machine: "n", Token: 9}, 7, 0, "a worker that has seen a higher token")
+	answered(&wire.Heartbeat{Machine: "n", Token: 9}, 0, 0, "a machine that nobody knows")
+	c.activeJobs["run-000001"] = activeJob{version: 2, cancelled: true}
 	answered(r, 7, 7, "a cancelled job, at first")
 	long()
 	answered(r, 7, 0, "a cancelled job, for long")
 	c.lease.setRenewed(time.Now().Add(-time.Minute)) // cut off from the state service
 	seen(time.Hour)
 	answered(r, 7, 7, "cut off")
-	answered(&wire.Report{Machine: "n", Token: 9}, 7, 9, "cut off, with a newer owner")
-	answered(&wire.Report{Machine: "n", Token: 9}, 0, 9, "restarted while cut off")
-	answered(&wire.Report{Machine: "n"}, 0, 0, "a machine that has never been told anything")
+	answered(&wire.Heartbeat{Machine: "n", Token: 9}, 7, 9, "cut off, with a newer owner")
+	answered(&wire.Heartbeat{Machine: "n", Token: 9}, 0, 9, "restarted while cut off")
+	answered(&wire.Heartbeat{Machine: "n"}, 0, 0, "a machine that has never been told anything")
 }
--- a/internal/controller/zones_apart_test.go
+++ b/internal/controller/zones_apart_test.go
@@ -63,7 +63,7 @@
 		view, known := process.c.fleet.Machine(id)
 		process.c.mu.Unlock()
 		if known {
-			return k.owner(view.Part)
+			return k.owner(view.Shard)
 		}
 	}
 	return ""
--- a/internal/drainctl/dryrun.go
+++ b/internal/drainctl/dryrun.go
@@ -66,17 +66,17 @@
 // work reads what is placed where, by machine.
 func (c *Client) work(ctx context.Context) (map[string][]*drain.Unit, error) {
 	use := statestore.Routine("drain")
-	open, _, err := c.Store.List(ctx, use, record.OpenPrefix)
+	open, _, err := c.Store.List(ctx, use, record.ActiveJobPrefix)
 	if err != nil {
 		return nil, fmt.Errorf("read the jobs: %w", err)
 	}
-	slots, _, err := c.Store.List(ctx, use, record.SlotPrefix)
+	slots, _, err := c.Store.List(ctx, use, record.PlacementsPrefix)
 	if err != nil {
 		return nil, fmt.Errorf("read the placements: %w", err)
 	}
 	specs := map[string]*wire.Spec{}
 	for _, e := range open {
-		var o record.Open
+		var o record.ActiveJob
 		if err := json.Unmarshal(e.Value, &o); err != nil {
 			return nil, fmt.Errorf("record %s: %w", e.Key, err)
 		}
@@ -84,7 +84,7 @@
 	}
 	w := workReader{specs: specs, units: map[drain.UnitID]*drain.Unit{}, on: map[string]map[drain.UnitID]*drain.Unit{}}
 	for _, e := range slots {
-		var s record.Slot
+		var s record.Placements
 		if err := json.Unmarshal(e.Value, &s); err != nil {
 			return nil, fmt.Errorf("record %s: %w", e.Key, err)
 		}
@@ -100,9 +100,9 @@
 	on    map[string]map[drain.UnitID]*drain.Unit // by machine
 }
 
-func (w *workReader) take(s *record.Slot) {
-	for name, run := range s.Runs {
-		ref, _, ok := record.SplitRunName(name)
+func (w *workReader) take(s *record.Placements) {
+	for name, run := range s.Ranges {
+		ref, _, ok := record.SplitRangeName(name)
 		spec := w.specs[ref]
 		if !ok || spec == nil {
 			continue // its end is recorded
@@ -113,14 +113,14 @@
 	}
 }
 
-func (w *workReader) place(s *wire.Spec, task int, machine string) {
-	id := drain.UnitID{Job: s.Ref, Task: task}
+func (w *workReader) place(spec *wire.Spec, task int, machine string) {
+	id := drain.UnitID{Job: spec.Ref, Task: task}
 	tasks := 1
-	if s.Kind == wire.Gang {
-		id.Task, tasks = drain.WholeGang, s.Tasks
+	if spec.Kind == wire.Gang {
+		id.Task, tasks = drain.WholeGang, spec.Tasks
 	}
 	if w.units[id] == nil {
-		w.units[id] = &drain.Unit{UnitID: id, Team: s.Team, Class: s.Class, Tasks: tasks, Service: s.Kind == wire.Service}
+		w.units[id] = &drain.Unit{UnitID: id, Team: spec.Team, Class: spec.Class, Tasks: tasks, Service: spec.Kind == wire.Service}
 	}
 	if w.on[machine] == nil {
 		w.on[machine] = map[drain.UnitID]*drain.Unit{}
--- a/internal/fleet/leader.go
+++ b/internal/fleet/leader.go
@@ -164,13 +164,13 @@
 
 // take reads the summaries.
 func (p *plan) take() {
-	for _, s := range p.sums {
-		for _, n := range s.Needs {
+	for _, summary := range p.sums {
+		for _, n := range summary.Needs {
 			n.InZone = maps.Clone(n.InZone)
 			if n.ZoneLimit > 0 && n.InZone == nil {
 				n.InZone = map[string]int{}
 			}
-			w := &waiting{n, s.Part}
+			w := &waiting{n, summary.Part}
 			p.needs = append(p.needs, w)
 			p.hunger(w, 1)
 		}
@@ -185,12 +185,12 @@
 	for _, n := range p.needs {
 		least.CPUs, least.GPUs, least.MemoryGB = min(least.CPUs, n.CPUs), min(least.GPUs, n.GPUs), min(least.MemoryGB, n.MemoryGB)
 	}
-	for _, s := range p.sums {
-		for _, m := range s.Machines {
+	for _, summary := range p.sums {
+		for _, m := range summary.Machines {
 			if m.Leaving || (m.Up && !m.Usable) {
 				continue
 			}
-			b := &bin{Machine: m, part: s.Part}
+			b := &bin{Machine: m, part: summary.Part}
 			p.bins = append(p.bins, b)
 			p.have[b.Zone]++
 			if b.Tasks == 0 {
@@ -198,7 +198,7 @@
 			}
 			least.Job = b.For
 			if b.fits(&least) {
-				p.roomy[s.Part] = append(p.roomy[s.Part], b)
+				p.roomy[summary.Part] = append(p.roomy[summary.Part], b)
 			}
 		}
 	}
--- a/internal/fleet/rent.go
+++ b/internal/fleet/rent.go
@@ -127,13 +127,13 @@
 	}
 	want = map[int]float64{}
 	sum := 0.0
-	for _, s := range p.sums {
-		arriving := s.Arriving
+	for _, summary := range p.sums {
+		arriving := summary.Arriving
 		if spot {
-			arriving = s.ArrivingSpot
+			arriving = summary.ArrivingSpot
 		}
-		want[s.Part] = p.cfg.Headroom(arriving, boot, spot)
-		sum += want[s.Part]
+		want[summary.Part] = p.cfg.Headroom(arriving, boot, spot)
+		sum += want[summary.Part]
 	}
 	return want, int(sum + 0.5)
 }
@@ -153,9 +153,9 @@
 	}
 	for ; total < target; total++ {
 		best := -1
-		for _, s := range p.sums {
-			if best < 0 || want[s.Part] > want[best] {
-				best = s.Part
+		for _, summary := range p.sums {
+			if best < 0 || want[summary.Part] > want[best] {
+				best = summary.Part
 			}
 		}
 		want[best]--
--- a/internal/fleet/shortage.go
+++ b/internal/fleet/shortage.go
@@ -47,15 +47,15 @@
 
 func (p *plan) freeing() freeing {
 	f := freeing{byPart: map[int]int{}, byZone: map[partZone]int{}, inZone: map[string]int{}}
-	for _, s := range p.sums {
-		for i := range s.Machines {
-			m := &s.Machines[i]
+	for _, summary := range p.sums {
+		for i := range summary.Machines {
+			m := &summary.Machines[i]
 			switch {
 			case m.Moving:
 				f.add(partZone{m.To, m.Zone}, 1)
 			case m.Leaving || m.Lasting || (m.Up && !m.Usable):
 			default:
-				f.add(partZone{s.Part, m.Zone}, 1)
+				f.add(partZone{summary.Part, m.Zone}, 1)
 			}
 		}
 	}
--- a/internal/fleet/size_test.go
+++ b/internal/fleet/size_test.go
@@ -12,14 +12,14 @@
 	const parts, machines, needs = 7, 4000, 64
 	var sums []Summary
 	for p := range parts {
-		s := Summary{Part: p, Arriving: 0.3, ArrivingSpot: 0.3}
+		summary := Summary{Part: p, Arriving: 0.3, ArrivingSpot: 0.3}
 		for i := range machines / parts {
 			m := idleMachine(fmt.Sprintf("i-%d-%06d", p, i), []string{"z1", "z2"}[i%2], i%3 == 0)
 			m.Images = []string{"img-1", "img-2", fmt.Sprint("img-", i%16)}
 			if i%20 > 0 {
 				m.Tasks, m.CPUs, m.GPUs, m.Idle, m.TopRank = 2, 4, 0, 0, 1+i%3
 			}
-			s.Machines = append(s.Machines, m)
+			summary.Machines = append(summary.Machines, m)
 		}
 		for i := range needs {
 			n := need(i%2 == 0, 10, time.Duration(i)*time.Second)
@@ -27,9 +27,9 @@
 			if i%3 == 1 {
 				n.Gang, n.OneZone, n.Count, n.GPUs = true, true, 8, 2
 			}
-			s.Needs = append(s.Needs, n)
+			summary.Needs = append(summary.Needs, n)
 		}
-		sums = append(sums, s)
+		sums = append(sums, summary)
 	}
 	b.ReportAllocs()
 	for now := start; b.Loop(); now = now.Add(time.Second) {
--- a/internal/peer/layout_test.go
+++ b/internal/peer/layout_test.go
@@ -48,8 +48,8 @@
 			"bgEGAAEDU2VxAQYAAQVUb2tlbgEGAAEHTm90aWNlUwEIAAEFVGFza3MB/54AAAAg/50CAQERW113aXJlLlJlcG9ydFRhc2sB/54A" +
 			"Af+cAABJ/5sDAQEKUmVwb3J0VGFzawH/nAABBQEEVGFzawEMAAEHQXR0ZW1wdAEGAAEFU3RhdGUBDAABA1doeQEMAAEFU2F2ZWQB" +
 			"AgAAAEH/mgECbTEBAmExAQNiaWcBAnoxAQEBAQECAQMB/ihAAQEBDHJ1bi0wMDAwMDEvMAECAQdydW5uaW5nAQF3AQEAAA==",
-			wire.Report{Machine: "m1", Addr: "a1", Type: "big", Zone: "z1", Spot: true, Session: 1, Seq: 2, Token: 3, NoticeS: &notice,
-				Tasks: []wire.ReportTask{{Task: "run-000001/0", Attempt: 2, State: wire.Running, Why: "w", Saved: true}}}},
+			wire.Heartbeat{Machine: "m1", Addr: "a1", Type: "big", Zone: "z1", Spot: true, Session: 1, Seq: 2, Token: 3, NoticeS: &notice,
+				Tasks: []wire.HeartbeatTask{{Task: "run-000001/0", Attempt: 2, State: wire.Running, Why: "w", Saved: true}}}},
 		{"MP+fAwEBC1JlcG9ydFJlcGx5Af+gAAECAQZTdGF0dXMBBAABBk9yZGVycwH/ogAAACz/oQMBAQZPcmRlcnMB/6IAAQIBBVRva2Vu" +
 			"AQYAAQhDb21tYW5kcwH/pgAAAB3/pQIBAQ5bXXdpcmUuQ29tbWFuZAH/pgAB/6QAADz/owMBAQdDb21tYW5kAf+kAAEEAQJPcAEM" +
 			"AAEEVGFzawEMAAEHQXR0ZW1wdAEGAAEGR3JhY2VTAQgAAAAn/6AB/gGQAQEFAQEBA3J1bgEMcnVuLTAwMDAwMS8wAQIB/ihAAAAA",
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -91,7 +91,7 @@
 	View    recovery.View
 	Held    []wire.Entry
 	More    bool
-	Reports []wire.Report // with the first page
+	Reports []wire.Heartbeat // with the first page
 }
 
 // Handler carries out what peers ask.
@@ -102,7 +102,7 @@
 	Malformed(from string, err error)
 	Sync(SyncArgs) SyncReply
 	Nudge(NudgeArgs)
-	Report(wire.Report) ReportReply
+	Report(wire.Heartbeat) ReportReply
 	Status(ref string) (wire.Status, bool)
 	User(UserArgs) UserReply
 	Ping() bool
@@ -133,7 +133,7 @@
 }
 
 // Report serves Handler.Report.
-func (s *Service) Report(a wire.Report, r *ReportReply) error {
+func (s *Service) Report(a wire.Heartbeat, r *ReportReply) error {
 	if err := s.h.Check(a); err != nil {
 		return err
 	}
--- a/internal/peer/serve_test.go
+++ b/internal/peer/serve_test.go
@@ -48,7 +48,7 @@
 }
 
 func (s *scripted) Sync(SyncArgs) SyncReply           { return SyncReply{} }
-func (s *scripted) Report(wire.Report) ReportReply    { return ReportReply{} }
+func (s *scripted) Report(wire.Heartbeat) ReportReply { return ReportReply{} }
 func (s *scripted) Status(string) (wire.Status, bool) { return wire.Status{}, false }
 func (s *scripted) User(UserArgs) UserReply           { return UserReply{} }
 func (s *scripted) Ping() bool                        { return true }
--- a/internal/reconcile/report.go
+++ b/internal/reconcile/report.go
@@ -17,7 +17,7 @@
 type Order struct{ Session, Seq uint64 }
 
 // OrderOf returns where a report stands.
-func OrderOf(r *wire.Report) Order { return Order{Session: r.Session, Seq: r.Seq} }
+func OrderOf(r *wire.Heartbeat) Order { return Order{Session: r.Session, Seq: r.Seq} }
 
 // After reports whether a report is newer than another.
 func (o Order) After(held Order) bool {
--- a/internal/record/fleet.go
+++ b/internal/record/fleet.go
@@ -31,9 +31,9 @@
 // Fleet is all machines as the records under FleetPrefix tell them. It takes
 // changes in the order of their versions and is not safe for concurrent use.
 type Fleet struct {
-	rentals  map[string]kept[Rental]
+	rentals  map[string]kept[Provision]
 	own      map[string]kept[Machine]
-	backs    map[string]kept[Back]
+	backs    map[string]kept[Release]
 	rentalOf map[string]place  // by machine
 	backOf   map[string]string // by machine
 }
@@ -52,14 +52,14 @@
 // NewFleet returns a fleet without machines.
 func NewFleet() *Fleet {
 	return &Fleet{
-		rentals: map[string]kept[Rental]{}, own: map[string]kept[Machine]{}, backs: map[string]kept[Back]{},
+		rentals: map[string]kept[Provision]{}, own: map[string]kept[Machine]{}, backs: map[string]kept[Release]{},
 		rentalOf: map[string]place{}, backOf: map[string]string{},
 	}
 }
 
 // IDs returns the machines of a rental, by its record's key.
 func (f *Fleet) IDs(rentalKey string) []string {
-	return f.rentals[strings.TrimPrefix(rentalKey, RentalPrefix)].rec.IDs
+	return f.rentals[strings.TrimPrefix(rentalKey, ProvisionPrefix)].rec.IDs
 }
 
 // Machine returns a machine's view; there is none without a rental that names it.
@@ -69,7 +69,7 @@
 		return View{}, false
 	}
 	r := f.rentals[at.rental].rec
-	v := View{Machine: Machine{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Part: r.Parts[at.at], Born: r.Born}}
+	v := View{Machine: Machine{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Shard: r.Shards[at.at], Born: r.Born}}
 	if len(r.Addrs) > 0 {
 		v.Addr = r.Addrs[at.at]
 	}
@@ -100,13 +100,13 @@
 func (f *Fleet) Versions() map[string]uint64 {
 	out := map[string]uint64{}
 	for n, r := range f.rentals {
-		out[RentalKey(n)] = r.version
+		out[ProvisionKey(n)] = r.version
 	}
 	for id, o := range f.own {
-		out[OwnKey(id)] = o.version
+		out[OverrideKey(id)] = o.version
 	}
 	for n, b := range f.backs {
-		out[BackPrefix+n] = b.version
+		out[ReleasePrefix+n] = b.version
 	}
 	return out
 }
@@ -115,13 +115,13 @@
 func (f *Fleet) Entries() []wire.Entry {
 	var out []wire.Entry
 	for n, r := range f.rentals {
-		out = append(out, wire.Entry{Key: RentalKey(n), Value: Encode(r.rec), Version: r.version})
+		out = append(out, wire.Entry{Key: ProvisionKey(n), Value: Encode(r.rec), Version: r.version})
 	}
 	for id, o := range f.own {
-		out = append(out, wire.Entry{Key: OwnKey(id), Value: Encode(o.rec), Version: o.version})
+		out = append(out, wire.Entry{Key: OverrideKey(id), Value: Encode(o.rec), Version: o.version})
 	}
 	for n, b := range f.backs {
-		out = append(out, wire.Entry{Key: BackPrefix + n, Value: Encode(b.rec), Version: b.version})
+		out = append(out, wire.Entry{Key: ReleasePrefix + n, Value: Encode(b.rec), Version: b.version})
 	}
 	return out
 }
@@ -131,10 +131,10 @@
 func (f *Fleet) Change(e wire.Change) ([]string, error) {
 	key := e.Put + e.Delete
 	switch {
-	case strings.HasPrefix(key, RentalPrefix):
-		return f.rental(key[len(RentalPrefix):], e)
-	case strings.HasPrefix(key, OwnPrefix):
-		id := key[len(OwnPrefix):]
+	case strings.HasPrefix(key, ProvisionPrefix):
+		return f.rental(key[len(ProvisionPrefix):], e)
+	case strings.HasPrefix(key, OverridePrefix):
+		id := key[len(OverridePrefix):]
 		if passed(f.own[id].version, e) {
 			return nil, nil
 		}
@@ -148,8 +148,8 @@
 		}
 		f.own[id] = kept[Machine]{r, e.Version}
 		return []string{id}, nil
-	case strings.HasPrefix(key, BackPrefix):
-		return f.back(key[len(BackPrefix):], e)
+	case strings.HasPrefix(key, ReleasePrefix):
+		return f.back(key[len(ReleasePrefix):], e)
 	}
 	return nil, nil
 }
@@ -164,13 +164,13 @@
 	if passed(old.version, e) {
 		return nil, nil
 	}
-	var r Rental
+	var r Provision
 	if e.Put != "" {
 		if err := json.Unmarshal(e.Value, &r); err != nil {
 			return nil, fmt.Errorf("%s: %w", e.Put, err)
 		}
-		if len(r.IDs) > len(r.Parts) {
-			return nil, fmt.Errorf("%s: %d machines for %d parts", e.Put, len(r.IDs), len(r.Parts))
+		if len(r.IDs) > len(r.Shards) {
+			return nil, fmt.Errorf("%s: %d machines for %d parts", e.Put, len(r.IDs), len(r.Shards))
 		}
 		if len(r.Addrs) > 0 && len(r.Addrs) != len(r.IDs) {
 			return nil, fmt.Errorf("%s: %d addresses of %d machines", e.Put, len(r.Addrs), len(r.IDs))
@@ -184,7 +184,7 @@
 		delete(f.rentals, name)
 	}
 	if e.Put != "" {
-		f.rentals[name] = kept[Rental]{r, e.Version}
+		f.rentals[name] = kept[Provision]{r, e.Version}
 		for i, id := range r.IDs {
 			f.rentalOf[id] = place{name, i}
 		}
@@ -208,11 +208,11 @@
 		}
 		return nil, nil
 	}
-	var b Back
+	var b Release
 	if err := json.Unmarshal(e.Value, &b); err != nil {
 		return nil, fmt.Errorf("%s: %w", e.Put, err)
 	}
-	f.backs[name] = kept[Back]{b, e.Version}
+	f.backs[name] = kept[Release]{b, e.Version}
 	for _, id := range b.IDs {
 		f.backOf[id] = name
 	}
@@ -221,11 +221,11 @@
 
 // Pending returns the batches that still have to be given back, by key, with
 // their versions.
-func (f *Fleet) Pending() map[string]Versioned[Back] {
-	out := map[string]Versioned[Back]{}
+func (f *Fleet) Pending() map[string]Versioned[Release] {
+	out := map[string]Versioned[Release]{}
 	for n, b := range f.backs {
 		if !b.rec.Done {
-			out[BackPrefix+n] = Versioned[Back]{b.rec, b.version}
+			out[ReleasePrefix+n] = Versioned[Release]{b.rec, b.version}
 		}
 	}
 	return out
@@ -255,18 +255,18 @@
 		}
 		for _, id := range r.rec.IDs {
 			if o, ok := f.own[id]; ok && len(t.Then) < most {
-				remove(OwnKey(id), o.version)
+				remove(OverrideKey(id), o.version)
 			}
 		}
 		if len(t.Then) == 0 {
-			remove(RentalKey(name), r.version)
+			remove(ProvisionKey(name), r.version)
 		}
 		return t, true
 	}
 	for name, b := range f.backs {
 		used := func(id string) bool { _, ok := f.rentalOf[id]; return ok }
 		if b.rec.Done && len(t.Then) < most && !slices.ContainsFunc(b.rec.IDs, used) {
-			remove(BackPrefix+name, b.version)
+			remove(ReleasePrefix+name, b.version)
 		}
 	}
 	return t, len(t.Then) > 0
@@ -282,28 +282,28 @@
 }
 
 // Rental returns a rental's record.
-func (f *Fleet) Rental(name string) (Rental, bool) {
+func (f *Fleet) Rental(name string) (Provision, bool) {
 	r, ok := f.rentals[name]
 	return r.rec, ok
 }
 
 // Unaddressed returns the rentals of which no addresses are recorded yet.
-func (f *Fleet) Unaddressed() map[string]Versioned[Rental] {
-	out := map[string]Versioned[Rental]{}
+func (f *Fleet) Unaddressed() map[string]Versioned[Provision] {
+	out := map[string]Versioned[Provision]{}
 	for n, r := range f.rentals {
 		if len(r.rec.IDs) > 0 && len(r.rec.Addrs) == 0 {
-			out[n] = Versioned[Rental]{r.rec, r.version}
+			out[n] = Versioned[Provision]{r.rec, r.version}
 		}
 	}
 	return out
 }
 
 // Unfinished returns the rentals whose machines are not known yet.
-func (f *Fleet) Unfinished() map[string]Versioned[Rental] {
-	out := map[string]Versioned[Rental]{}
+func (f *Fleet) Unfinished() map[string]Versioned[Provision] {
+	out := map[string]Versioned[Provision]{}
 	for n, r := range f.rentals {
 		if len(r.rec.IDs) == 0 {
-			out[n] = Versioned[Rental]{r.rec, r.version}
+			out[n] = Versioned[Provision]{r.rec, r.version}
 		}
 	}
 	return out
--- a/internal/record/fleet_test.go
+++ b/internal/record/fleet_test.go
@@ -30,38 +30,38 @@
 			}
 		}
 	}
-	rental := Rental{Type: "big", Zone: "z", Parts: []int{0, 0, 1}}
-	change(put(RentalKey("r"), rental, 1))
+	rental := Provision{Type: "big", Zone: "z", Shards: []int{0, 0, 1}}
+	change(put(ProvisionKey("r"), rental, 1))
 	if len(f.Unfinished()) != 1 {
 		t.Fatal("a rental without machines is under way")
 	}
 	rental.IDs = []string{"a", "b", "c"}
-	change(put(RentalKey("r"), rental, 2), "a", "b", "c")
-	if v, ok := f.Machine("c"); !ok || v.Part != 1 || v.Version != 0 || v.Phase != InUse {
+	change(put(ProvisionKey("r"), rental, 2), "a", "b", "c")
+	if v, ok := f.Machine("c"); !ok || v.Shard != 1 || v.Version != 0 || v.Phase != InUse {
 		t.Fatalf("got %+v %t", v, ok)
 	}
 	rental.Addrs = []string{"x:1", "", "z:1"} // one never came up
-	change(put(RentalKey("r"), rental, 3), "a", "b", "c")
+	change(put(ProvisionKey("r"), rental, 3), "a", "b", "c")
 	if v, _ := f.Machine("c"); v.Addr != "z:1" || len(f.Unaddressed()) != 0 {
 		t.Fatalf("got %+v", v)
 	}
-	change(put(OwnKey("a"), Machine{Type: "big", Zone: "z", Part: 1}, 5), "a")
-	change(put(OwnKey("a"), Machine{Type: "big", Zone: "z", Part: 0}, 4)) // older news
-	change(put(OwnKey("a"), Machine{Type: "big", Zone: "z", Part: 1}, 5)) // no news
-	change(put(RentalKey("r"), rental, 3))
-	if v, _ := f.Machine("a"); v.Part != 1 || v.Version != 5 {
+	change(put(OverrideKey("a"), Machine{Type: "big", Zone: "z", Shard: 1}, 5), "a")
+	change(put(OverrideKey("a"), Machine{Type: "big", Zone: "z", Shard: 0}, 4)) // older news
+	change(put(OverrideKey("a"), Machine{Type: "big", Zone: "z", Shard: 1}, 5)) // no news
+	change(put(ProvisionKey("r"), rental, 3))
+	if v, _ := f.Machine("a"); v.Shard != 1 || v.Version != 5 {
 		t.Fatalf("got %+v", v)
 	}
-	back := BackKey(1, 7, 1)
-	change(put(back, Back{IDs: []string{"a", "b"}}, 8), "a", "b")
+	back := ReleaseKey(1, 7, 1)
+	change(put(back, Release{IDs: []string{"a", "b"}}, 8), "a", "b")
 	if v, _ := f.Machine("b"); v.Phase != Returning || len(f.Pending()) != 1 {
 		t.Fatalf("got %+v", v)
 	}
-	change(put(back, Back{IDs: []string{"a", "b"}, Done: true}, 9), "a", "b")
+	change(put(back, Release{IDs: []string{"a", "b"}, Done: true}, 9), "a", "b")
 	if _, ok := f.Clear(16); ok {
 		t.Fatal("cleared while one of the rental's machines is in use")
 	}
-	change(put(BackKey(1, 7, 2), Back{IDs: []string{"c"}, Done: true}, 10), "c")
+	change(put(ReleaseKey(1, 7, 2), Release{IDs: []string{"c"}, Done: true}, 10), "c")
 	// A machine's own record goes before its rental, the batches last.
 	for range 4 {
 		txn, ok := f.Clear(2)
@@ -72,10 +72,10 @@
 			t.Fatalf("clears with %+v", txn)
 		}
 		for _, op := range txn.Then {
-			if _, ok := f.own["a"]; ok && op.Delete == RentalKey("r") {
+			if _, ok := f.own["a"]; ok && op.Delete == ProvisionKey("r") {
 				t.Fatal("the rental goes before a machine's own record")
 			}
-			if _, ok := f.rentals["r"]; ok && strings.HasPrefix(op.Delete, BackPrefix) {
+			if _, ok := f.rentals["r"]; ok && strings.HasPrefix(op.Delete, ReleasePrefix) {
 				t.Fatal("a batch goes before the rental of its machines")
 			}
 			change(wire.Change{Delete: op.Delete, Version: 11})
@@ -89,11 +89,11 @@
 func TestFleetRefusesNonsense(t *testing.T) {
 	f := NewFleet()
 	for _, e := range []wire.Change{
-		{Put: RentalKey("r"), Value: []byte(`"x"`), Version: 1},
-		put(RentalKey("r"), Rental{IDs: []string{"a"}}, 1),
-		put(RentalKey("r"), Rental{IDs: []string{"a", "b"}, Parts: []int{0, 0}, Addrs: []string{"x"}}, 1),
-		{Put: OwnKey("a"), Value: []byte(`[]`), Version: 1},
-		{Put: BackPrefix + "x", Value: []byte(`3`), Version: 1},
+		{Put: ProvisionKey("r"), Value: []byte(`"x"`), Version: 1},
+		put(ProvisionKey("r"), Provision{IDs: []string{"a"}}, 1),
+		put(ProvisionKey("r"), Provision{IDs: []string{"a", "b"}, Shards: []int{0, 0}, Addrs: []string{"x"}}, 1),
+		{Put: OverrideKey("a"), Value: []byte(`[]`), Version: 1},
+		{Put: ReleasePrefix + "x", Value: []byte(`3`), Version: 1},
 	} {
 		if _, err := f.Change(e); err == nil {
 			t.Errorf("took in %s", e.Put)
--- a/internal/record/place_test.go
+++ b/internal/record/place_test.go
@@ -7,13 +7,13 @@
 
 // A place is a pair of a name and a whole number, and nothing else.
 func TestPlaceIsAPair(t *testing.T) {
-	want := Place{Machine: "i-000001", Attempt: 1<<63 + 1} // more than a float holds
-	var got Place
+	want := TaskPlacement{Machine: "i-000001", Attempt: 1<<63 + 1} // more than a float holds
+	var got TaskPlacement
 	if err := json.Unmarshal(Encode(want), &got); err != nil || got != want {
 		t.Errorf("got %+v (%v), want %+v", got, err, want)
 	}
 	for _, text := range []string{`[]`, `["a"]`, `["a",1,2]`, `[1,"a"]`, `["a",-1]`, `["a",1.5]`, `{}`, `"a"`, `7`} {
-		if err := json.Unmarshal([]byte(text), new(Place)); err == nil {
+		if err := json.Unmarshal([]byte(text), new(TaskPlacement)); err == nil {
 			t.Errorf("%s was taken for a place", text)
 		}
 	}
--- a/internal/recoverctl/measure_test.go
+++ b/internal/recoverctl/measure_test.go
@@ -35,9 +35,9 @@
 // fleetReports are the reports of its workers.
 func fleetReports(e *recovery.Evidence, machines int) {
 	for i := range machines {
-		r := wire.Report{Machine: testkit.FleetMachine(i), Session: 1, Seq: 1, Token: 5}
+		r := wire.Heartbeat{Machine: testkit.FleetMachine(i), Session: 1, Seq: 1, Token: 5}
 		for n := 2 * i; n < 2*i+2; n++ {
-			r.Tasks = append(r.Tasks, wire.ReportTask{Task: fmt.Sprintf("run-%06d/%d", n/10, n%10), Attempt: 1, State: wire.Running})
+			r.Tasks = append(r.Tasks, wire.HeartbeatTask{Task: fmt.Sprintf("run-%06d/%d", n/10, n%10), Attempt: 1, State: wire.Running})
 		}
 		e.Reports.Take(&r)
 	}
@@ -48,7 +48,7 @@
 // snapshot and the workers' reports are there.
 func BenchmarkRecover(b *testing.B) {
 	for _, machines := range []int{30, 300, 4000} {
-		for name, kept := range map[string]string{"all but final states": record.JobPrefix, "everything": "none/"} {
+		for name, kept := range map[string]string{"all but final states": record.FinishedJobPrefix, "everything": "none/"} {
 			b.Run(fmt.Sprintf("%d machines, %s", machines, name), func(b *testing.B) {
 				for range b.N {
 					measureRecovery(b, machines, kept)
--- a/internal/recoverctl/recoverctl_test.go
+++ b/internal/recoverctl/recoverctl_test.go
@@ -43,8 +43,8 @@
 	s.Put(recovery.SafeModeKey, recovery.SafeMode{Active: true, Epoch: 1, Floor: 30})
 	old := &snapshot.Contents{Manifest: &snapshot.Manifest{Revision: 9}, Records: map[string]wire.Entry{}}
 	for n := range jobs {
-		key := record.JobKey(fmt.Sprintf("run-%06d", n))
-		old.Records[key] = wire.Entry{Key: key, Version: 5, Value: record.Encode(record.Job{State: wire.Done})}
+		key := record.FinishedJobKey(fmt.Sprintf("run-%06d", n))
+		old.Records[key] = wire.Entry{Key: key, Version: 5, Value: record.Encode(record.FinishedJob{State: wire.Done})}
 	}
 	return s, c, old
 }
@@ -67,7 +67,7 @@
 func recovered(t *testing.T, s *store) {
 	t.Helper()
 	for n := range jobs {
-		if _, err := s.Get(t.Context(), use, record.JobKey(fmt.Sprintf("run-%06d", n))); err != nil {
+		if _, err := s.Get(t.Context(), use, record.FinishedJobKey(fmt.Sprintf("run-%06d", n))); err != nil {
 			t.Errorf("job %d: %v", n, err)
 		}
 	}
@@ -136,7 +136,7 @@
 	recovered(t, s)
 	s, c, old = newRig()
 	p = makePlan(t, c, old)
-	delete(old.Records, record.JobKey("run-000003"))
+	delete(old.Records, record.FinishedJobKey("run-000003"))
 	other = makePlan(t, c, old)
 	s.before = func(n int) error {
 		if n == 2 {
@@ -160,7 +160,7 @@
 		meanwhile func(s *store, p *recovery.Plan)
 		want      error
 	}{
-		"a record was written": {func(s *store, _ *recovery.Plan) { s.Put(record.JobKey("run-000004"), "other") }, recovery.ErrMoved},
+		"a record was written": {func(s *store, _ *recovery.Plan) { s.Put(record.FinishedJobKey("run-000004"), "other") }, recovery.ErrMoved},
 		"it is another safe mode": {func(s *store, _ *recovery.Plan) {
 			s.Put(recovery.SafeModeKey, recovery.SafeMode{Active: true, Epoch: 2})
 		}, recovery.ErrOtherEpoch},
@@ -194,8 +194,8 @@
 // Decisions are kept by safe mode, and the next plan carries them out.
 func TestDecisions(t *testing.T) {
 	s, c, old := newRig()
-	key := record.OpenKey("run-000077")
-	old.Records[key] = wire.Entry{Key: key, Version: 5, Value: record.Encode(record.Open{Spec: wire.Spec{Ref: "run-000077", Tasks: 1}})}
+	key := record.ActiveJobKey("run-000077")
+	old.Records[key] = wire.Entry{Key: key, Version: 5, Value: record.Encode(record.ActiveJob{Spec: wire.Spec{Ref: "run-000077", Tasks: 1}})}
 	p := makePlan(t, c, old)
 	if n := len(p.Undecided()); n != 1 {
 		t.Fatalf("%d undecided", n)
@@ -208,7 +208,7 @@
 	if err := apply(t, c, makePlan(t, c, old)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.Get(t.Context(), use, record.JobKey("run-000077")); err != nil {
+	if _, err := s.Get(t.Context(), use, record.FinishedJobKey("run-000077")); err != nil {
 		t.Errorf("decided as done: %v", err)
 	}
 	if err := c.Decide(t.Context(), key, recovery.ChooseAgain); !errors.Is(err, recovery.ErrNotSafe) {
--- a/internal/recoverreport/report.go
+++ b/internal/recoverreport/report.go
@@ -49,8 +49,8 @@
 
 // kinds names the records by their prefixes.
 var kinds = []struct{ prefix, name string }{
-	{record.JobPrefix, "final states"}, {record.OpenPrefix, "unfinished jobs"}, {record.SlotPrefix, "placements"},
-	{record.FleetPrefix, "machines"}, {record.PipePrefix, "pipelines"}, {record.ClusterPrefix, "cluster, drains and budgets"},
+	{record.FinishedJobPrefix, "final states"}, {record.ActiveJobPrefix, "unfinished jobs"}, {record.PlacementsPrefix, "placements"},
+	{record.FleetPrefix, "machines"}, {record.PipelinePrefix, "pipelines"}, {record.ClusterPrefix, "cluster, drains and budgets"},
 }
 
 func rows(p *recovery.Plan) []row {
--- a/internal/recovery/evidence.go
+++ b/internal/recovery/evidence.go
@@ -20,10 +20,10 @@
 )
 
 // Reports are the newest reports of workers, by machine.
-type Reports map[string]wire.Report
+type Reports map[string]wire.Heartbeat
 
 // Take takes in a report; late and doubled ones come in any order.
-func (rs Reports) Take(r *wire.Report) {
+func (rs Reports) Take(r *wire.Heartbeat) {
 	if old, ok := rs[r.Machine]; !ok || reconcile.OrderOf(r).After(reconcile.OrderOf(&old)) {
 		rs[r.Machine] = *r
 	}
--- a/internal/recovery/jobs.go
+++ b/internal/recovery/jobs.go
@@ -6,7 +6,7 @@
 	"strings"
 
 	"bramblespur/internal/record"
-	"bramblespur/internal/sched"
+	"bramblespur/internal/scheduler"
 	"bramblespur/internal/wire"
 )
 
@@ -21,7 +21,7 @@
 		from    Source
 	}{{p.Store, FromStore}, {p.Held, FromController}, {p.Snapshot, FromSnapshot}} {
 		e, ok := s.records[key]
-		var j record.Job
+		var j record.FinishedJob
 		if !ok || json.Unmarshal(e.Value, &j) != nil {
 			continue
 		}
@@ -45,7 +45,7 @@
 
 // over reports whether a job has a final state by what was planned so far.
 func (p *planner) over(ref string) bool {
-	i := p.items[record.JobKey(ref)]
+	i := p.items[record.FinishedJobKey(ref)]
 	return i != nil && (i.Verdict == Intact || i.Verdict == Recovered)
 }
 
@@ -54,7 +54,7 @@
 	ref := record.Last(key)
 	_, stored := p.Store[key]
 	if p.over(ref) {
-		i := p.item(key, Finished, p.items[record.JobKey(ref)].From, "its final state is known")
+		i := p.item(key, Finished, p.items[record.FinishedJobKey(ref)].From, "its final state is known")
 		i.Delete = stored
 		return
 	}
@@ -62,7 +62,7 @@
 		return // its final record tells more
 	}
 	e, from, _ := p.newest(key)
-	var o record.Open
+	var o record.ActiveJob
 	if err := json.Unmarshal(e.Value, &o); err != nil || o.Spec.Ref != ref {
 		p.undecided(key, ref, "its record makes no sense", ChooseDone, ChooseCancelled)
 		return
@@ -120,11 +120,11 @@
 		if p.Decisions[key] == ChooseCancelled {
 			state = wire.Cancelled
 		}
-		final := record.JobKey(ref)
+		final := record.FinishedJobKey(ref)
 		i := p.item(final, Recovered, FromOperator, why)
-		i.Put = record.Encode(record.Job{State: state})
-		if _, stored := p.Store[record.OpenKey(ref)]; stored {
-			p.item(record.OpenKey(ref), Finished, FromOperator, why).Delete = true
+		i.Put = record.Encode(record.FinishedJob{State: state})
+		if _, stored := p.Store[record.ActiveJobKey(ref)]; stored {
+			p.item(record.ActiveJobKey(ref), Finished, FromOperator, why).Delete = true
 		}
 		return
 	case ChooseAgain:
@@ -141,7 +141,7 @@
 func (p *planner) lostJobs() {
 	for _, r := range p.Reports {
 		for _, t := range r.Tasks {
-			ref, _, ok := sched.SplitTask(t.Task)
+			ref, _, ok := scheduler.SplitTask(t.Task)
 			_, open := p.jobs[ref]
 			if !ok || open || t.State == wire.Exited || p.over(ref) || p.doubt[ref] {
 				continue
@@ -152,7 +152,7 @@
 }
 
 func (p *planner) lostJob(ref, why string) {
-	key := record.OpenKey(ref)
+	key := record.ActiveJobKey(ref)
 	if _, accepted := p.Store[LostKey(ref)]; accepted || p.items[LostKey(ref)] != nil {
 		return
 	}
--- a/internal/recovery/machines.go
+++ b/internal/recovery/machines.go
@@ -7,7 +7,7 @@
 	"strings"
 
 	"bramblespur/internal/record"
-	"bramblespur/internal/sched"
+	"bramblespur/internal/scheduler"
 	"bramblespur/internal/wire"
 )
 
@@ -35,7 +35,7 @@
 
 // machinesOf returns the machines that a record is about.
 func machinesOf(e wire.Entry) ([]string, error) {
-	if strings.HasPrefix(e.Key, record.OwnPrefix) {
+	if strings.HasPrefix(e.Key, record.OverridePrefix) {
 		return []string{record.Last(e.Key)}, nil
 	}
 	var r struct { // a rental's and a batch's alike
@@ -73,19 +73,19 @@
 		if _, known := f.Machine(id); known || !listed || r.Token == 0 {
 			continue
 		}
-		rental := record.Rental{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Parts: []int{p.partOf(&r)}, IDs: []string{id}, Addrs: []string{r.Addr}, Born: p.Mode.Since}
-		i := p.item(record.RentalKey("recovered-"+id), Recovered, FromReport, "its worker and the cloud tell it")
+		rental := record.Provision{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Shards: []int{p.partOf(&r)}, IDs: []string{id}, Addrs: []string{r.Addr}, Born: p.Mode.Since}
+		i := p.item(record.ProvisionKey("recovered-"+id), Recovered, FromReport, "its worker and the cloud tell it")
 		i.Put = record.Encode(rental)
 	}
 }
 
 // partOf returns the part of the first unfinished job of which a worker has a task, or else the
 // first part: what is not needed there moves on.
-func (p *planner) partOf(r *wire.Report) int {
+func (p *planner) partOf(r *wire.Heartbeat) int {
 	for _, t := range r.Tasks {
-		ref, _, _ := sched.SplitTask(t.Task)
+		ref, _, _ := scheduler.SplitTask(t.Task)
 		if o, open := p.jobs[ref]; open {
-			return o.Part
+			return o.Shard
 		}
 	}
 	return 0
--- a/internal/recovery/placements.go
+++ b/internal/recovery/placements.go
@@ -8,7 +8,7 @@
 	"strings"
 
 	"bramblespur/internal/record"
-	"bramblespur/internal/sched"
+	"bramblespur/internal/scheduler"
 	"bramblespur/internal/wire"
 )
 
@@ -16,7 +16,7 @@
 type known struct {
 	next    map[int]int // by part, the number of the next record
 	jobs    map[string]bool
-	on      map[string]record.Place // by task
+	on      map[string]record.TaskPlacement // by task
 	done    map[string]bool
 	turns   map[string]int // of the range that tells a task
 	certain map[int]bool   // parts whose owner told all of its records
@@ -24,7 +24,7 @@
 
 // known reads the planned records of placements.
 func (p *planner) known() *known {
-	k := &known{next: map[int]int{}, jobs: map[string]bool{}, on: map[string]record.Place{}, done: map[string]bool{},
+	k := &known{next: map[int]int{}, jobs: map[string]bool{}, on: map[string]record.TaskPlacement{}, done: map[string]bool{},
 		turns: map[string]int{}, certain: map[int]bool{}}
 	for key := range p.Held {
 		if part, _, ok := splitSlot(key); ok {
@@ -41,7 +41,7 @@
 		if value == nil {
 			value = p.Store[key].Value
 		}
-		var s record.Slot
+		var s record.Placements
 		if json.Unmarshal(value, &s) != nil {
 			continue
 		}
@@ -55,12 +55,12 @@
 
 // raiseAttempts makes a record that may be older than what was started tell an attempt above
 // all that were, so that none is used again.
-func (p *planner) raiseAttempts(key string, i *Item, s record.Slot) {
-	for name, run := range s.Runs {
+func (p *planner) raiseAttempts(key string, i *Item, s record.Placements) {
+	for name, run := range s.Ranges {
 		run.Attempt = max(run.Attempt, p.Mode.Floor)
-		s.Runs[name] = run
+		s.Ranges[name] = run
 	}
-	if len(s.Runs) == 0 {
+	if len(s.Ranges) == 0 {
 		return
 	}
 	i.Put = record.Encode(s)
@@ -70,22 +70,22 @@
 }
 
 // add takes in a record: of ranges that tell the same task the one entered later counts.
-func (k *known) add(s *record.Slot) {
-	for name, run := range s.Runs {
-		ref, _, ok := record.SplitRunName(name)
+func (k *known) add(s *record.Placements) {
+	for name, run := range s.Ranges {
+		ref, _, ok := record.SplitRangeName(name)
 		if !ok {
 			continue
 		}
 		k.jobs[ref] = true
 		for i, place := range run.On {
-			if task := sched.TaskName(ref, i); k.later(task, run.Turn) {
+			if task := scheduler.TaskName(ref, i); k.later(task, run.Turn) {
 				k.on[task] = place
 				delete(k.done, task)
 			}
 		}
 		for _, span := range run.Done {
 			for i := span[0]; i <= span[1]; i++ {
-				if task := sched.TaskName(ref, i); k.later(task, run.Turn) {
+				if task := scheduler.TaskName(ref, i); k.later(task, run.Turn) {
 					k.done[task] = true
 					delete(k.on, task)
 				}
@@ -105,10 +105,10 @@
 
 // splitSlot splits the key of a record of placements.
 func splitSlot(key string) (part, n int, ok bool) {
-	if !strings.HasPrefix(key, record.SlotPrefix) {
+	if !strings.HasPrefix(key, record.PlacementsPrefix) {
 		return 0, 0, false
 	}
-	got, err := fmt.Sscanf(key, record.SlotPrefix+"%d/%d", &part, &n)
+	got, err := fmt.Sscanf(key, record.PlacementsPrefix+"%d/%d", &part, &n)
 	return part, n, err == nil && got == 2
 }
 
@@ -116,7 +116,7 @@
 type placed struct {
 	ref   string
 	index int
-	place record.Place
+	place record.TaskPlacement
 }
 
 // placements records what workers have beyond the records, each task in a range of its own
@@ -128,18 +128,18 @@
 	for _, id := range slices.Sorted(maps.Keys(p.Reports)) {
 		report := p.Reports[id]
 		for _, t := range report.Tasks {
-			ref, i, ok := sched.SplitTask(t.Task)
+			ref, i, ok := scheduler.SplitTask(t.Task)
 			o, open := p.jobs[ref]
-			place := record.Place{Machine: id, Attempt: t.Attempt}
+			place := record.TaskPlacement{Machine: id, Attempt: t.Attempt}
 			if !ok || !open || t.State == wire.Exited || i >= o.Spec.Tasks || k.done[t.Task] || k.on[t.Task] == place {
 				continue
 			}
-			byPart[o.Part] = append(byPart[o.Part], placed{ref, i, place})
+			byPart[o.Shard] = append(byPart[o.Shard], placed{ref, i, place})
 		}
 	}
 	jobs := map[int][]string{}
 	for _, ref := range slices.Sorted(maps.Keys(p.jobs)) {
-		part := p.jobs[ref].Part
+		part := p.jobs[ref].Shard
 		jobs[part] = append(jobs[part], ref)
 	}
 	for _, part := range slices.Sorted(maps.Keys(jobs)) {
@@ -152,13 +152,13 @@
 	w := slotWriter{p: p, part: part, next: k.next[part]}
 	turn := int(p.Mode.Floor) + 1
 	for _, t := range tasks {
-		w.add(record.RunName(t.ref, t.index), record.Run{Attempt: p.Mode.Floor, On: map[int]record.Place{t.index: t.place}, Tasks: 1, Turn: turn + 1})
+		w.add(record.RangeName(t.ref, t.index), record.TaskRange{Attempt: p.Mode.Floor, On: map[int]record.TaskPlacement{t.index: t.place}, Tasks: 1, Turn: turn + 1})
 	}
 	if !k.certain[part] {
 		w.flush() // a range of all tasks may have the name of one of a single task
 		for _, ref := range jobs {
 			if !k.jobs[ref] {
-				w.add(record.RunName(ref, 0), record.Run{Attempt: p.Mode.Floor, Tasks: p.jobs[ref].Spec.Tasks, Turn: turn})
+				w.add(record.RangeName(ref, 0), record.TaskRange{Attempt: p.Mode.Floor, Tasks: p.jobs[ref].Spec.Tasks, Turn: turn})
 			}
 		}
 	}
@@ -169,19 +169,19 @@
 type slotWriter struct {
 	p          *planner
 	part, next int
-	runs       map[string]record.Run
+	runs       map[string]record.TaskRange
 	size       int
 }
 
 // runBytes is what a range of at most one placement takes in a record besides its name.
 const runBytes = 160
 
-func (w *slotWriter) add(name string, run record.Run) {
+func (w *slotWriter) add(name string, run record.TaskRange) {
 	if w.runs != nil && w.size+runBytes+len(name) > w.p.limits.ValueBytes {
 		w.flush()
 	}
 	if w.runs == nil {
-		w.runs, w.size = map[string]record.Run{}, 0
+		w.runs, w.size = map[string]record.TaskRange{}, 0
 	}
 	w.runs[name] = run
 	w.size += runBytes + len(name)
@@ -192,7 +192,7 @@
 	if w.runs == nil {
 		return
 	}
-	i := w.p.item(record.SlotKey(w.part, w.next), Recovered, FromReport, fmt.Sprintf("%d ranges that no record had", len(w.runs)))
-	i.Put = record.Encode(record.Slot{Format: record.Stated, Runs: w.runs})
+	i := w.p.item(record.PlacementsKey(w.part, w.next), Recovered, FromReport, fmt.Sprintf("%d ranges that no record had", len(w.runs)))
+	i.Put = record.Encode(record.Placements{Format: record.SizedRanges, Ranges: w.runs})
 	w.next, w.runs = w.next+1, nil
 }
--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -89,8 +89,8 @@
 	Evidence
 	limits Limits
 	items  map[string]*Item
-	jobs   map[string]record.Open // unfinished, by name, as they will be
-	doubt  map[string]bool        // jobs that are undecided
+	jobs   map[string]record.ActiveJob // unfinished, by name, as they will be
+	doubt  map[string]bool             // jobs that are undecided
 }
 
 // Limits are the bounds of the records that a plan writes.
@@ -102,14 +102,14 @@
 
 // Make gives each record its verdict, by the table in docs/design-recovery.md.
 func Make(e Evidence, limits Limits) *Plan {
-	p := &planner{Evidence: e, limits: limits, items: map[string]*Item{}, jobs: map[string]record.Open{}, doubt: map[string]bool{}}
+	p := &planner{Evidence: e, limits: limits, items: map[string]*Item{}, jobs: map[string]record.ActiveJob{}, doubt: map[string]bool{}}
 	keys := slices.Sorted(maps.Keys(e.keys()))
-	p.each(keys, record.JobPrefix, p.final)
-	p.each(keys, record.OpenPrefix, p.open)
-	p.each(keys, record.PipePrefix, p.plain)
+	p.each(keys, record.FinishedJobPrefix, p.final)
+	p.each(keys, record.ActiveJobPrefix, p.open)
+	p.each(keys, record.PipelinePrefix, p.plain)
 	p.each(keys, record.FleetPrefix, p.machine)
 	p.each(keys, record.ClusterPrefix, p.cluster)
-	p.each(keys, record.SlotPrefix, p.plain)
+	p.each(keys, record.PlacementsPrefix, p.plain)
 	p.lostJobs()
 	p.unknownMachines()
 	p.placements()
@@ -159,7 +159,7 @@
 
 // unrestored are records that controllers write anew by themselves: they go with a lease, or
 // are claimed under a new token.
-var unrestored = []string{record.MemberPrefix, record.PartPrefix, record.Leader, Prefix, record.ClusterPrefix + "restart/"}
+var unrestored = []string{record.MemberPrefix, record.ShardPrefix, record.LeaderKey, Prefix, record.ClusterPrefix + "restart/"}
 
 // cluster restores what controllers do not write anew.
 func (p *planner) cluster(key string) {
--- a/internal/recovery/plan_test.go
+++ b/internal/recovery/plan_test.go
@@ -21,23 +21,23 @@
 	return out
 }
 
-func openJob(cancelled bool) record.Open {
-	return record.Open{Spec: wire.Spec{Ref: testJob, Tasks: 3}, Cancelled: cancelled}
+func openJob(cancelled bool) record.ActiveJob {
+	return record.ActiveJob{Spec: wire.Spec{Ref: testJob, Tasks: 3}, Cancelled: cancelled}
 }
 
-func report(machine string, tasks ...wire.ReportTask) map[string]wire.Report {
-	return map[string]wire.Report{machine: {Machine: machine, Addr: "a", Type: "big", Zone: "a", Session: 1, Seq: 1, Token: 7, Tasks: tasks}}
+func report(machine string, tasks ...wire.HeartbeatTask) map[string]wire.Heartbeat {
+	return map[string]wire.Heartbeat{machine: {Machine: machine, Addr: "a", Type: "big", Zone: "a", Session: 1, Seq: 1, Token: 7, Tasks: tasks}}
 }
 
-func running(i string, attempt uint64) wire.ReportTask {
-	return wire.ReportTask{Task: testJob + "/" + i, Attempt: attempt, State: wire.Running}
+func running(i string, attempt uint64) wire.HeartbeatTask {
+	return wire.HeartbeatTask{Task: testJob + "/" + i, Attempt: attempt, State: wire.Running}
 }
 
 // Each row is one of the table in docs/design-recovery.md.
 func TestVerdicts(t *testing.T) {
-	open, final := record.OpenKey(testJob), record.JobKey(testJob)
+	open, final := record.ActiveJobKey(testJob), record.FinishedJobKey(testJob)
 	is := func(v any) map[string]any { return map[string]any{open: v} }
-	over := func(state string) map[string]any { return map[string]any{final: record.Job{State: state}} }
+	over := func(state string) map[string]any { return map[string]any{final: record.FinishedJob{State: state}} }
 	view := func(jobs ...string) View {
 		v := View{Revision: 50, Open: map[string]OpenJob{}}
 		for _, ref := range jobs {
@@ -54,8 +54,8 @@
 		put     any // nil: nothing is written
 	}{
 		"final: stored":                       {Evidence{Store: entries(9, over("done"))}, final, Intact, FromStore, nil},
-		"final: held":                         {Evidence{Held: entries(0, over("done"))}, final, Recovered, FromController, record.Job{State: "done"}},
-		"final: in the snapshot":              {Evidence{Snapshot: entries(9, over("done"))}, final, Recovered, FromSnapshot, record.Job{State: "done"}},
+		"final: held":                         {Evidence{Held: entries(0, over("done"))}, final, Recovered, FromController, record.FinishedJob{State: "done"}},
+		"final: in the snapshot":              {Evidence{Snapshot: entries(9, over("done"))}, final, Recovered, FromSnapshot, record.FinishedJob{State: "done"}},
 		"final: sources differ":               {Evidence{Store: entries(9, over("done")), Held: entries(0, over("aborted"))}, final, Undecided, "", nil},
 		"final: makes no sense":               {Evidence{Store: entries(9, map[string]any{final: "x"})}, final, Lost, "", nil},
 		"open: stored, nobody knows better":   {Evidence{Store: entries(9, is(openJob(false)))}, open, Intact, FromStore, nil},
@@ -69,7 +69,7 @@
 		"open: only tasks are left":           {Evidence{Reports: report("m", running("0", 1))}, open, Undecided, "", nil},
 		"open: makes no sense":                {Evidence{Store: entries(9, is("x"))}, open, Undecided, "", nil},
 		"decided: again":                      {Evidence{Snapshot: entries(9, is(openJob(false))), Decisions: choose(ChooseAgain)}, open, Recovered, FromOperator, openJob(false)},
-		"decided: done":                       {Evidence{Snapshot: entries(9, is(openJob(false))), Decisions: choose(ChooseDone)}, final, Recovered, FromOperator, record.Job{State: "done"}},
+		"decided: done":                       {Evidence{Snapshot: entries(9, is(openJob(false))), Decisions: choose(ChooseDone)}, final, Recovered, FromOperator, record.FinishedJob{State: "done"}},
 		"decided: cancelled, and it is there": {Evidence{Store: entries(9, is(openJob(false))), View: view(), Decisions: choose(ChooseCancelled)}, open, Finished, FromOperator, nil},
 		"decided: forget":                     {Evidence{Reports: report("m", running("0", 1)), Decisions: choose(ChooseForget)}, LostKey(testJob), Recovered, FromOperator, true},
 		"pipeline: the newest counts": {Evidence{Store: entries(4, map[string]any{"pipes/p": 1}), Snapshot: entries(9, map[string]any{"pipes/p": 2})},
@@ -78,12 +78,12 @@
 			"pipes/p", Intact, FromStore, nil},
 		"open: the snapshot is older than what is held": {Evidence{Held: entries(12, is(openJob(true))), Snapshot: entries(9, is(openJob(false)))},
 			open, Recovered, FromController, openJob(true)},
-		"rental: held": {Evidence{Held: entries(4, map[string]any{"fleet/rent/r": record.Rental{Type: "big"}})}, "fleet/rent/r", Recovered, FromController, record.Rental{Type: "big"}},
-		"rental: in the snapshot, listed": {Evidence{Snapshot: entries(4, map[string]any{"fleet/rent/r": record.Rental{IDs: []string{"m"}}}), Listed: map[string]wire.Listed{"m": {ID: "m"}}},
-			"fleet/rent/r", Recovered, FromSnapshot, record.Rental{IDs: []string{"m"}}},
-		"rental: in the snapshot, not listed": {Evidence{Snapshot: entries(4, map[string]any{"fleet/rent/r": record.Rental{IDs: []string{"m"}}})}, "fleet/rent/r", Finished, FromSnapshot, nil},
+		"rental: held": {Evidence{Held: entries(4, map[string]any{"fleet/rent/r": record.Provision{Type: "big"}})}, "fleet/rent/r", Recovered, FromController, record.Provision{Type: "big"}},
+		"rental: in the snapshot, listed": {Evidence{Snapshot: entries(4, map[string]any{"fleet/rent/r": record.Provision{IDs: []string{"m"}}}), Listed: map[string]wire.Listed{"m": {ID: "m"}}},
+			"fleet/rent/r", Recovered, FromSnapshot, record.Provision{IDs: []string{"m"}}},
+		"rental: in the snapshot, not listed": {Evidence{Snapshot: entries(4, map[string]any{"fleet/rent/r": record.Provision{IDs: []string{"m"}}})}, "fleet/rent/r", Finished, FromSnapshot, nil},
 		"machine: without a record": {Evidence{Reports: report("m"), Listed: map[string]wire.Listed{"m": {ID: "m"}}}, "fleet/rent/recovered-m", Recovered, FromReport,
-			record.Rental{Type: "big", Zone: "a", Parts: []int{0}, IDs: []string{"m"}, Addrs: []string{"a"}}},
+			record.Provision{Type: "big", Zone: "a", Shards: []int{0}, IDs: []string{"m"}, Addrs: []string{"a"}}},
 		"budget: in the snapshot": {Evidence{Snapshot: entries(4, map[string]any{"ctl/drain/ledger": 3})}, "ctl/drain/ledger", Recovered, FromSnapshot, 3},
 	} {
 		x.e.Mode = SafeMode{Active: true, Epoch: 1, Floor: 60}
@@ -110,7 +110,7 @@
 
 // Members, the leader and the owners of parts are written anew, never restored.
 func TestNotRestored(t *testing.T) {
-	for _, key := range []string{record.Leader, record.MemberPrefix + "c-0", record.PartKey(1), SafeModeKey} {
+	for _, key := range []string{record.LeaderKey, record.MemberPrefix + "c-0", record.ShardKey(1), SafeModeKey} {
 		if p := Make(Evidence{Snapshot: entries(4, map[string]any{key: 1})}, testLimits); len(p.Items) > 0 {
 			t.Errorf("%s: %+v", key, p.Items)
 		}
@@ -118,9 +118,9 @@
 }
 
 // slots decodes the placements that a plan writes or leaves.
-func slots(t *testing.T, p *Plan, store map[string]wire.Entry) (on map[string]record.Place, least uint64) {
+func slots(t *testing.T, p *Plan, store map[string]wire.Entry) (on map[string]record.TaskPlacement, least uint64) {
 	t.Helper()
-	on, least = map[string]record.Place{}, ^uint64(0)
+	on, least = map[string]record.TaskPlacement{}, ^uint64(0)
 	turns := map[string]int{}
 	for _, i := range p.Items {
 		if _, _, ok := splitSlot(i.Key); !ok {
@@ -130,13 +130,13 @@
 		if value == nil {
 			value = store[i.Key].Value
 		}
-		var s record.Slot
+		var s record.Placements
 		if err := json.Unmarshal(value, &s); err != nil {
 			t.Fatal(err)
 		}
-		for name, run := range s.Runs {
+		for name, run := range s.Ranges {
 			least = min(least, run.Attempt)
-			ref, _, _ := record.SplitRunName(name)
+			ref, _, _ := record.SplitRangeName(name)
 			for n, place := range run.On {
 				if task := ref + "/" + string(rune('0'+n)); run.Turn >= turns[task] {
 					on[task], turns[task] = place, run.Turn
@@ -150,12 +150,12 @@
 // What a worker runs counts before an older record of placements, and no attempt that may have
 // been used is used again.
 func TestReportsCountBeforeOlderPlacements(t *testing.T) {
-	old := record.Slot{Format: record.Stated, Runs: map[string]record.Run{
-		record.RunName(testJob, 0): {Attempt: 2, Tasks: 3, Turn: 1, On: map[int]record.Place{0: {Machine: "m1", Attempt: 1}, 1: {Machine: "m2", Attempt: 2}}}}}
-	e := Evidence{Mode: SafeMode{Active: true, Floor: 60}, Store: entries(9, map[string]any{record.OpenKey(testJob): openJob(false)}),
-		Snapshot: entries(5, map[string]any{record.SlotKey(0, 0): old}), Reports: report("m3", running("0", 4), running("2", 3))}
+	old := record.Placements{Format: record.SizedRanges, Ranges: map[string]record.TaskRange{
+		record.RangeName(testJob, 0): {Attempt: 2, Tasks: 3, Turn: 1, On: map[int]record.TaskPlacement{0: {Machine: "m1", Attempt: 1}, 1: {Machine: "m2", Attempt: 2}}}}}
+	e := Evidence{Mode: SafeMode{Active: true, Floor: 60}, Store: entries(9, map[string]any{record.ActiveJobKey(testJob): openJob(false)}),
+		Snapshot: entries(5, map[string]any{record.PlacementsKey(0, 0): old}), Reports: report("m3", running("0", 4), running("2", 3))}
 	on, least := slots(t, Make(e, testLimits), nil)
-	want := map[string]record.Place{testJob + "/0": {Machine: "m3", Attempt: 4}, testJob + "/1": {Machine: "m2", Attempt: 2}, testJob + "/2": {Machine: "m3", Attempt: 3}}
+	want := map[string]record.TaskPlacement{testJob + "/0": {Machine: "m3", Attempt: 4}, testJob + "/1": {Machine: "m2", Attempt: 2}, testJob + "/2": {Machine: "m3", Attempt: 3}}
 	for task, place := range want {
 		if on[task] != place {
 			t.Errorf("%s is at %v, want %v", task, on[task], place)
@@ -168,10 +168,10 @@
 
 // An owner's own records of placements stay as they are.
 func TestOwnersPlacementsStay(t *testing.T) {
-	held := record.Slot{Format: record.Stated, Runs: map[string]record.Run{
-		record.RunName(testJob, 0): {Attempt: 2, Tasks: 3, Turn: 1, On: map[int]record.Place{0: {Machine: "m3", Attempt: 2}}}}}
-	e := Evidence{Mode: SafeMode{Active: true, Floor: 60}, Store: entries(9, map[string]any{record.OpenKey(testJob): openJob(false)}),
-		Held: entries(12, map[string]any{record.SlotKey(0, 0): held}), Reports: report("m3", running("0", 2))}
+	held := record.Placements{Format: record.SizedRanges, Ranges: map[string]record.TaskRange{
+		record.RangeName(testJob, 0): {Attempt: 2, Tasks: 3, Turn: 1, On: map[int]record.TaskPlacement{0: {Machine: "m3", Attempt: 2}}}}}
+	e := Evidence{Mode: SafeMode{Active: true, Floor: 60}, Store: entries(9, map[string]any{record.ActiveJobKey(testJob): openJob(false)}),
+		Held: entries(12, map[string]any{record.PlacementsKey(0, 0): held}), Reports: report("m3", running("0", 2))}
 	on, least := slots(t, Make(e, testLimits), nil)
 	if len(on) != 1 || least != 2 {
 		t.Errorf("placements %v, least attempt %d", on, least)
@@ -182,7 +182,7 @@
 func TestBatches(t *testing.T) {
 	p := &Plan{}
 	for n := range 11 {
-		p.Items = append(p.Items, Item{Key: record.JobKey(string(rune('a' + n))), Put: json.RawMessage(`"x"`), Version: uint64(n)})
+		p.Items = append(p.Items, Item{Key: record.FinishedJobKey(string(rune('a' + n))), Put: json.RawMessage(`"x"`), Version: uint64(n)})
 	}
 	p.Items = append(p.Items, Item{Key: "open/z", Delete: true, Version: 99}, Item{Key: "open/y", Verdict: Intact})
 	changes := 0
--- a/internal/sched/attain.go
+++ b/internal/scheduler/attain.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"time"
@@ -14,14 +14,14 @@
 // attainable reports whether n tasks of a gang could run in a zone (empty: anywhere)
 // once everything there has ended that ends by itself or gives way to it. Machines
 // kept for a gang for which there will never be enough would serve nobody.
-func (p *Part) attainable(j *Job, n int, zone string) bool {
-	within := p.guaranteed(j, n)
-	for _, m := range p.machines {
-		p.looked++
+func (s *Shard) attainable(j *Job, n int, zone string) bool {
+	within := s.guaranteed(j, n)
+	for _, m := range s.machines {
+		s.looked++
 		if (zone != "" && m.Zone != zone) || !m.stays() || !allows(j.spec, m) {
 			continue
 		}
-		r := p.lasting(m, j, within)
+		r := s.lasting(m, j, within)
 		for ; n > 0 && roomFor(j.spec, r.cpus, r.gpus, r.mem); n-- {
 			r = r.less(j.spec, 1)
 		}
@@ -40,11 +40,11 @@
 // lasting returns the room that a machine has but for what does not give way to j and
 // has no end in sight: services, and arrays that have waited too long, which place
 // the next task as soon as one ends.
-func (p *Part) lasting(m *Machine, j *Job, within bool) room {
+func (s *Shard) lasting(m *Machine, j *Job, within bool) room {
 	r := room{m.Type.CPUs, m.Type.GPUs, m.Type.MemoryGB}
 	for k, t := range m.on {
 		goesOn := k.job.spec.Kind == wire.Service || (k.job.kept && k.job.idleTasks > 0)
-		if goesOn && !t.stop && !p.givesWay(k.job, j, within) {
+		if goesOn && !t.stop && !s.givesWay(k.job, j, within) {
 			r = r.less(k.job.spec, 1)
 		}
 	}
@@ -53,9 +53,9 @@
 
 // givesWay reports whether tasks of a job may be stopped for j, which keeps to its
 // team's guarantee or not.
-func (p *Part) givesWay(job, j *Job, within bool) bool {
+func (s *Shard) givesWay(job, j *Job, within bool) bool {
 	if job.kept {
 		return false
 	}
-	return job.rank < j.rank || (within && job.spec.Team != j.spec.Team && p.borrowed(job.spec.Team))
+	return job.rank < j.rank || (within && job.spec.Team != j.spec.Team && s.borrowed(job.spec.Team))
 }
--- a/internal/sched/attain_test.go
+++ b/internal/scheduler/attain_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"testing"
@@ -103,16 +103,16 @@
 	w.End("run-000001/0", wire.Done)
 	r.part.Order(fleet.Order{Machine: "m1", To: 1, Emptied: true}, r.clock.Now())
 	r.beats(3)
-	if s := r.part.Summary(r.clock.Now()); len(s.Machines) != 1 || !s.Machines[0].Moving || s.Machines[0].To != 1 {
-		t.Fatalf("summary %+v, want it to tell where the machine goes", s.Machines)
+	if summary := r.part.Summary(r.clock.Now()); len(summary.Machines) != 1 || !summary.Machines[0].Moving || summary.Machines[0].To != 1 {
+		t.Fatalf("summary %+v, want it to tell where the machine goes", summary.Machines)
 	}
 	if r.on("run-000001/1") != "m1" || r.on("run-000001/2") != "" {
 		t.Fatalf("tasks on %q and %q, want the one that ran, and no new one", r.on("run-000001/1"), r.on("run-000001/2"))
 	}
 	w.End("run-000001/1", wire.Done)
 	r.beats(3)
-	if s := r.part.Summary(r.clock.Now()); len(s.Machines) != 0 {
-		t.Fatalf("%+v has not gone", s.Machines)
+	if summary := r.part.Summary(r.clock.Now()); len(summary.Machines) != 0 {
+		t.Fatalf("%+v has not gone", summary.Machines)
 	}
 }
 
--- a/internal/sched/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"math"
@@ -10,19 +10,19 @@
 
 // find chooses a machine for each of n tasks of j, nil if there is no room for
 // all of them.
-func (p *Part) find(j *Job, n int, now time.Time) []*Machine {
-	s := j.spec
-	if n == 1 && p.found.job == j {
-		return p.next(j)
+func (s *Shard) find(j *Job, n int, now time.Time) []*Machine {
+	spec := j.spec
+	if n == 1 && s.found.job == j {
+		return s.next(j)
 	}
-	p.found.job = nil
+	s.found.job = nil
 	var cands []*Machine
-	p.roomy(s, now, func(m *Machine) {
+	s.roomy(spec, now, func(m *Machine) {
 		if j.failedOn[m.ID] && !j.atFault() {
 			return
 		}
 		if m.keptFromOthers(j, now) {
-			if o := p.jobs[m.reserved]; o != nil && o.idleTasks > 0 && p.yields(j, o, now) {
+			if o := s.jobs[m.reserved]; o != nil && o.idleTasks > 0 && s.yields(j, o, now) {
 				return
 			}
 		}
@@ -33,21 +33,21 @@
 	}
 	limit := j.zoneLimit()
 	only := ""
-	if s.OneZone {
+	if spec.OneZone {
 		for z := range j.zones {
 			only = z
 		}
 	}
-	if n == 1 && (s.Spread || s.OneZone || j.idleTasks == 1) {
-		return p.best(j, cands, limit, only)
+	if n == 1 && (spec.Spread || spec.OneZone || j.idleTasks == 1) {
+		return s.best(j, cands, limit, only)
 	}
-	scores := p.sortByScore(j, cands)
+	scores := s.sortByScore(j, cands)
 	if n == 1 {
-		p.found = found{j, cands}
-		return p.next(j)
+		s.found = found{j, cands}
+		return s.next(j)
 	}
-	if !s.OneZone || only != "" {
-		return pick(s, cands, n, j.zones, limit, only)
+	if !spec.OneZone || only != "" {
+		return pick(spec, cands, n, j.zones, limit, only)
 	}
 	// The zone that serves the whole gang best: it starts when the last of its
 	// tasks has the image.
@@ -59,7 +59,7 @@
 			continue
 		}
 		tried[m.Zone] = true
-		got := pick(s, cands, n, j.zones, limit, m.Zone)
+		got := pick(spec, cands, n, j.zones, limit, m.Zone)
 		if got == nil {
 			continue
 		}
@@ -101,22 +101,22 @@
 // next returns the machine for the next task of a job that places one after the
 // other: a wide array would else look at all free machines for each of them. A
 // machine that took one is fuller, and so stays the best until it is full.
-func (p *Part) next(j *Job) []*Machine {
-	for len(p.found.list) > 0 {
-		m := p.found.list[0]
+func (s *Shard) next(j *Job) []*Machine {
+	for len(s.found.list) > 0 {
+		m := s.found.list[0]
 		if r := free(m); roomFor(j.spec, r.cpus, r.gpus, r.mem) {
-			return p.found.list[:1]
+			return s.found.list[:1]
 		}
-		p.found.list = p.found.list[1:]
+		s.found.list = s.found.list[1:]
 	}
 	return nil
 }
 
 // sortByScore puts the best machines first.
-func (p *Part) sortByScore(j *Job, ms []*Machine) map[*Machine]float64 {
+func (s *Shard) sortByScore(j *Job, ms []*Machine) map[*Machine]float64 {
 	scores := make(map[*Machine]float64, len(ms))
 	for _, m := range ms {
-		scores[m] = p.score(j, m)
+		scores[m] = s.score(j, m)
 	}
 	sort.Slice(ms, func(a, b int) bool {
 		if x, y := scores[ms[a]], scores[ms[b]]; x != y {
@@ -131,22 +131,22 @@
 // waited too long takes it from those that have not, but not from those that go
 // before it: small gangs, which find room soon, would keep the largest from ever
 // having gathered enough.
-func (p *Part) yields(j, other *Job, now time.Time) bool {
-	if p.aged(j, now) {
-		return p.aged(other, now) && beforeAged(other, j)
+func (s *Shard) yields(j, other *Job, now time.Time) bool {
+	if s.aged(j, now) {
+		return s.aged(other, now) && beforeAged(other, j)
 	}
 	return other.rank >= j.rank
 }
 
 // best returns the best of the candidates for one task.
-func (p *Part) best(j *Job, cands []*Machine, limit int, only string) []*Machine {
+func (s *Shard) best(j *Job, cands []*Machine, limit int, only string) []*Machine {
 	var best *Machine
 	top := 0.0
 	for _, m := range cands {
 		if (only != "" && m.Zone != only) || j.zones[m.Zone] >= limit {
 			continue
 		}
-		if v := p.score(j, m); best == nil || v > top || (v == top && m.ID < best.ID) {
+		if v := s.score(j, m); best == nil || v > top || (v == top && m.ID < best.ID) {
 			best, top = m, v
 		}
 	}
@@ -157,7 +157,7 @@
 }
 
 // pick takes machines in order, several tasks to one where they fit.
-func pick(s *wire.Spec, cands []*Machine, n int, placed map[string]int, limit int, only string) []*Machine {
+func pick(spec *wire.Spec, cands []*Machine, n int, placed map[string]int, limit int, only string) []*Machine {
 	zones := make(map[string]int, len(placed))
 	for z, c := range placed {
 		zones[z] = c
@@ -168,10 +168,10 @@
 			continue
 		}
 		r := free(m)
-		for len(got) < n && roomFor(s, r.cpus, r.gpus, r.mem) && zones[m.Zone] < limit {
+		for len(got) < n && roomFor(spec, r.cpus, r.gpus, r.mem) && zones[m.Zone] < limit {
 			got = append(got, m)
 			zones[m.Zone]++
-			r = r.less(s, 1)
+			r = r.less(spec, 1)
 		}
 		if len(got) == n {
 			return got
--- a/internal/sched/commit.go
+++ b/internal/scheduler/commit.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"slices"
@@ -30,105 +30,105 @@
 )
 
 // flush makes the transactions that bring the records up to the ledger.
-func (p *Part) flush(now time.Time) {
-	for ref, j := range p.ending {
+func (s *Shard) flush(now time.Time) {
+	for ref, j := range s.ending {
 		if j.ending != nil || j.versionUnknown || now.Before(j.retry) {
 			continue
 		}
 		if !j.over() {
-			delete(p.ending, ref) // a task counted as gone came back into the ledger
+			delete(s.ending, ref) // a task counted as gone came back into the ledger
 			continue
 		}
-		p.endTxn(j, now)
+		s.endTxn(j, now)
 	}
-	if p.stated {
-		p.retire()
+	if s.stated {
+		s.retire()
 	}
-	for _, s := range p.slots {
-		if !s.dirty || len(s.left) > 0 || s.txn != nil || s.versionUnknown || now.Before(s.retry) {
+	for _, rec := range s.slots {
+		if !rec.dirty || len(rec.left) > 0 || rec.txn != nil || rec.versionUnknown || now.Before(rec.retry) {
 			continue
 		}
 		// Completions alone wait for others to share the write: a user may be
 		// told of the end a little later. Starts that come one shortly after
 		// the other share one, too.
-		due := s.since.Add(p.cfg.GatherEnds + endsPatience*p.backlog)
-		if s.urgent {
-			due = s.written.Add(p.cfg.GatherStarts + p.backlog)
+		due := rec.since.Add(s.cfg.GatherEnds + endsPatience*s.backlog)
+		if rec.urgent {
+			due = rec.written.Add(s.cfg.GatherStarts + s.backlog)
 		}
 		if now.Before(due) {
-			p.alarm(due)
+			s.alarm(due)
 			continue
 		}
-		p.slotTxn(s, now)
+		s.slotTxn(rec, now)
 	}
-	p.dropPlain(now)
-	p.flushBack(now)
+	s.dropPlain(now)
+	s.flushBack(now)
 }
 
 // dropPlain deletes plain slots that tell nothing any more.
-func (p *Part) dropPlain(now time.Time) {
-	for _, s := range p.plain {
-		if now.Before(s.retry) {
-			p.alarm(s.retry)
+func (s *Shard) dropPlain(now time.Time) {
+	for _, rec := range s.plain {
+		if now.Before(rec.retry) {
+			s.alarm(rec.retry)
 			continue
 		}
-		at := record.SlotKey(p.id, s.n)
-		t := &Txn{slot: s, gone: true, Purpose: forSplit, Routine: true}
-		t.Body.If = []wire.Cond{p.cond(), {Key: at, Version: s.version}}
+		at := record.PlacementsKey(s.id, rec.n)
+		t := &Txn{slot: rec, gone: true, Purpose: forSplit, Routine: true}
+		t.Body.If = []wire.Cond{s.cond(), {Key: at, Version: rec.version}}
 		t.Body.Then = []wire.Op{{Delete: at}}
-		s.txn = t
-		p.out.Txns = append(p.out.Txns, t)
+		rec.txn = t
+		s.out.Txns = append(s.out.Txns, t)
 	}
-	p.plain = nil
+	s.plain = nil
 }
 
 // endTxn records a job's end: its state for ever, and no open record any more.
 // Its placements stay in their slot until that is next written; without an open
 // job a Load passes over them.
-func (p *Part) endTxn(j *Job, now time.Time) {
-	open := record.OpenKey(j.ref)
-	rec := record.Job{State: wire.Done, Tasks: len(j.tasks), At: now.UnixMilli()}
+func (s *Shard) endTxn(j *Job, now time.Time) {
+	open := record.ActiveJobKey(j.ref)
+	rec := record.FinishedJob{State: wire.Done, Tasks: len(j.tasks), At: now.UnixMilli()}
 	if j.cancelled {
 		rec.State, rec.Tasks = wire.Cancelled, 0
 	}
 	t := &Txn{job: j, Purpose: forJobEnd, Routine: !j.cancelled && !j.needed} // a user waits for a cancellation
-	t.Body.If = []wire.Cond{p.cond(), {Key: open, Version: j.version}}
-	t.Body.Then = []wire.Op{{Put: record.JobKey(j.ref), Value: record.Encode(rec)}, {Delete: open}}
-	if !p.advance(t, j, now) {
+	t.Body.If = []wire.Cond{s.cond(), {Key: open, Version: j.version}}
+	t.Body.Then = []wire.Op{{Put: record.FinishedJobKey(j.ref), Value: record.Encode(rec)}, {Delete: open}}
+	if !s.advance(t, j, now) {
 		return // when its pipeline's record is there
 	}
 	j.ending = t
-	p.out.Txns = append(p.out.Txns, t)
+	s.out.Txns = append(s.out.Txns, t)
 }
 
 // slotTxn records the placements and completions of a slot, with as many new
 // starts as there is room for conditions on their jobs and machines. Ends that
 // freed a place need no write of their own: the next start rewrites the slot.
-func (p *Part) slotTxn(s *slot, now time.Time) {
-	t := &Txn{slot: s, Purpose: forEnds}
+func (s *Shard) slotTxn(placements *placementRecord, now time.Time) {
+	t := &Txn{slot: placements, Purpose: forEnds}
 	conds := map[string]uint64{}
-	moved := s.moved
-	rec, left := p.slotRecord(s, t, conds)
-	if s.stated {
-		rec.Format = record.Stated
+	moved := placements.moved
+	rec, left := s.slotRecord(placements, t, conds)
+	if placements.stated {
+		rec.Format = record.SizedRanges
 	}
-	s.dirty, s.urgent, s.moved = left, left, false
+	placements.dirty, placements.urgent, placements.moved = left, left, false
 	if len(t.starts) == 0 && len(t.dones) == 0 && !moved {
 		return
 	}
 	value := record.Encode(rec)
-	if !p.fit(s, len(value)) {
-		s.dirty, s.urgent = true, true
-		p.alarm(now) // the slots that take what has no room here come first
+	if !s.fit(placements, len(value)) {
+		placements.dirty, placements.urgent = true, true
+		s.alarm(now) // the slots that take what has no room here come first
 		return
 	}
-	s.written = now
+	placements.written = now
 	t.Routine = true
 	if len(t.starts) > 0 {
 		t.Purpose, t.Routine = forStart, false
 	}
-	at := record.SlotKey(p.id, s.n)
-	t.Body.If = []wire.Cond{p.cond(), {Key: at, Version: s.version}}
+	at := record.PlacementsKey(s.id, placements.n)
+	t.Body.If = []wire.Cond{s.cond(), {Key: at, Version: placements.version}}
 	keys := make([]string, 0, len(conds))
 	for k := range conds {
 		keys = append(keys, k)
@@ -141,20 +141,20 @@
 	for _, k := range t.starts {
 		k.job.tasks[k.i].inTxn = true
 	}
-	s.txn = t
-	p.out.Txns = append(p.out.Txns, t)
+	placements.txn = t
+	s.out.Txns = append(s.out.Txns, t)
 }
 
 // slotRecord makes the record of a slot, notes in a transaction which starts and
 // completions it brings, and adds the conditions that these rely on. It reports whether
 // starts were left out for want of room for their conditions.
-func (p *Part) slotRecord(s *slot, t *Txn, conds map[string]uint64) (rec record.Slot, left bool) {
-	rec = record.Slot{Runs: map[string]record.Run{}}
-	room := 4*p.txnOps - 2
-	for name, c := range s.chunks {
+func (s *Shard) slotRecord(placements *placementRecord, t *Txn, conds map[string]uint64) (rec record.Placements, left bool) {
+	rec = record.Placements{Ranges: map[string]record.TaskRange{}}
+	room := 4*s.txnOps - 2
+	for name, c := range placements.chunks {
 		j := c.job
-		run := record.Run{Attempt: c.attempt}
-		if s.stated {
+		run := record.TaskRange{Attempt: c.attempt}
+		if placements.stated {
 			run.Tasks, run.Turn = c.end-c.first, c.turn
 		}
 		for i := c.first; i < c.end; i++ {
@@ -163,7 +163,7 @@
 			switch task.state {
 			case placed:
 				if !task.recorded && !condition(conds, room, map[string]uint64{
-					record.OpenKey(j.ref): j.version, record.OwnKey(task.machine.ID): task.machine.version,
+					record.ActiveJobKey(j.ref): j.version, record.OverrideKey(task.machine.ID): task.machine.version,
 				}) {
 					left = true
 					continue
@@ -172,9 +172,9 @@
 					t.starts = append(t.starts, k)
 				}
 				if run.On == nil {
-					run.On = map[int]record.Place{}
+					run.On = map[int]record.TaskPlacement{}
 				}
-				run.On[i] = record.Place{Machine: task.machine.ID, Attempt: task.attempt}
+				run.On[i] = record.TaskPlacement{Machine: task.machine.ID, Attempt: task.attempt}
 			case done:
 				if !task.durable {
 					t.dones = append(t.dones, k)
@@ -183,7 +183,7 @@
 			}
 		}
 		t.chunks = append(t.chunks, c)
-		rec.Runs[name] = run
+		rec.Ranges[name] = run
 	}
 	return rec, left
 }
@@ -217,39 +217,39 @@
 // moveTxn records that a machine belongs to another part from now on. Once
 // asked for, it is asked for again until it is known to be recorded, so that no
 // start can come before a late copy of it.
-func (p *Part) moveTxn(m *Machine) {
-	at := record.OwnKey(m.ID)
+func (s *Shard) moveTxn(m *Machine) {
+	at := record.OverrideKey(m.ID)
 	t := &Txn{machine: m, Purpose: forMove, Routine: true}
-	t.Body.If = []wire.Cond{p.cond(), {Key: at, Version: m.version}}
-	t.Body.Then = []wire.Op{{Put: at, Value: record.Encode(p.own(m, m.moveTo))}}
+	t.Body.If = []wire.Cond{s.cond(), {Key: at, Version: m.version}}
+	t.Body.Then = []wire.Op{{Put: at, Value: record.Encode(s.own(m, m.moveTo))}}
 	m.txn = t
-	p.out.Txns = append(p.out.Txns, t)
+	s.out.Txns = append(s.out.Txns, t)
 }
 
 // own is a machine's own record, with as many of its latest images as it holds.
-func (p *Part) own(m *Machine, part int) record.Machine {
-	rec := record.Machine{Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot, Part: part, Born: m.born.UnixMilli()}
+func (s *Shard) own(m *Machine, part int) record.Machine {
+	rec := record.Machine{Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot, Shard: part, Born: m.born.UnixMilli()}
 	last := func(n int) any {
 		r := rec
 		r.Images = m.images[len(m.images)-n:]
 		return r
 	}
-	return last(record.Within(p.valueBytes, 0, len(m.images), last)).(record.Machine)
+	return last(record.Within(s.valueBytes, 0, len(m.images), last)).(record.Machine)
 }
 
 // returnMachine makes a machine leave for good. Only the answered return, as its
 // batch's record tells, proves gone what may run on it.
-func (p *Part) returnMachine(m *Machine, why string, now time.Time) {
-	p.out.Returned = append(p.out.Returned, MachineReturn{Machine: m.ID, Why: why, Tasks: len(m.on), Silent: now.Sub(m.heard)})
+func (s *Shard) returnMachine(m *Machine, why string, now time.Time) {
+	s.out.Returned = append(s.out.Returned, MachineReturn{Machine: m.ID, Why: why, Tasks: len(m.on), Silent: now.Sub(m.heard)})
 	m.Phase = record.Returning
-	p.index.update(m)
-	if len(p.leaving) == 0 {
-		p.leaveAt = now.Add(p.cfg.GatherBacks)
+	s.index.update(m)
+	if len(s.leaving) == 0 {
+		s.leaveAt = now.Add(s.cfg.GatherBacks)
 	}
 	if len(m.on) > 0 {
-		p.leaveAt = now // its tasks wait for the proof
+		s.leaveAt = now // its tasks wait for the proof
 	}
-	p.leaving = append(p.leaving, m.ID)
+	s.leaving = append(s.leaving, m.ID)
 }
 
 // maxBack is the cloud's bound of machines in one return.
@@ -257,28 +257,28 @@
 
 // flushBack records which machines are to be given back. The leader asks the
 // cloud; the batch's name is never used again.
-func (p *Part) flushBack(now time.Time) {
-	if p.back == nil && len(p.leaving) > 0 && !now.Before(p.leaveAt) {
-		n := record.Within(p.valueBytes, 1, min(len(p.leaving), maxBack), func(n int) any {
-			return record.Back{IDs: p.leaving[:n], Done: true}
+func (s *Shard) flushBack(now time.Time) {
+	if s.back == nil && len(s.leaving) > 0 && !now.Before(s.leaveAt) {
+		n := record.Within(s.valueBytes, 1, min(len(s.leaving), maxBack), func(n int) any {
+			return record.Release{IDs: s.leaving[:n], Done: true}
 		})
-		p.backs++
-		p.back = &batch{key: record.BackKey(p.id, p.token, p.backs), ids: slices.Clone(p.leaving[:n])}
-		p.leaving = p.leaving[n:]
+		s.backs++
+		s.back = &batch{key: record.ReleaseKey(s.id, s.token, s.backs), ids: slices.Clone(s.leaving[:n])}
+		s.leaving = s.leaving[n:]
 	}
-	b := p.back
+	b := s.back
 	if b == nil || b.txn != nil || now.Before(b.retry) {
 		return
 	}
 	t := &Txn{back: b, Purpose: forBack, Routine: true}
-	t.Body.If = []wire.Cond{p.cond(), {Key: b.key}}
-	t.Body.Then = []wire.Op{{Put: b.key, Value: record.Encode(record.Back{IDs: b.ids})}}
+	t.Body.If = []wire.Cond{s.cond(), {Key: b.key}}
+	t.Body.Then = []wire.Op{{Put: b.key, Value: record.Encode(record.Release{IDs: b.ids})}}
 	b.txn = t
-	p.out.Txns = append(p.out.Txns, t)
+	s.out.Txns = append(s.out.Txns, t)
 }
 
 // ended tells how long a job took.
-func (p *Part) ended(j *Job, now time.Time) {
+func (s *Shard) ended(j *Job, now time.Time) {
 	e := End{Ref: j.ref, Class: j.spec.Class, State: wire.Done, Took: now.Sub(j.accepted), Tasks: len(j.tasks),
 		Estimate: wire.Seconds(j.spec.EstimateS)}
 	if j.cancelled {
@@ -287,28 +287,28 @@
 	for _, c := range j.chunks {
 		e.Attempts = max(e.Attempts, int(c.attempt))
 	}
-	p.out.Ended = append(p.out.Ended, e)
+	s.out.Ended = append(s.out.Ended, e)
 }
 
 // end takes a job out whose end is recorded.
-func (p *Part) end(j *Job, now time.Time) {
+func (s *Shard) end(j *Job, now time.Time) {
 	for i := range j.tasks {
 		if j.tasks[i].state == placed {
-			p.take(key{j, i}, now)
+			s.take(key{j, i}, now)
 		}
 	}
 	for _, c := range slices.Clone(j.chunks) {
-		p.leave(c)
-		p.settle(c)
+		s.leave(c)
+		s.settle(c)
 	}
 	for _, r := range j.spec.DependsOn {
-		if delete(p.dependents[r], j); len(p.dependents[r]) == 0 {
-			delete(p.dependents, r)
+		if delete(s.dependents[r], j); len(s.dependents[r]) == 0 {
+			delete(s.dependents, r)
 		}
 	}
-	delete(p.jobs, j.ref)
-	delete(p.index.waiting, j.ref)
-	delete(p.kept, j)
-	delete(p.ending, j.ref)
-	p.changed = true
+	delete(s.jobs, j.ref)
+	delete(s.index.waiting, j.ref)
+	delete(s.kept, j)
+	delete(s.ending, j.ref)
+	s.changed = true
 }
--- a/internal/sched/delay.go
+++ b/internal/scheduler/delay.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"time"
@@ -21,7 +21,7 @@
 )
 
 // startAfter returns when a recorded task may be started at the earliest.
-func (p *Part) startAfter(k key, t *task) time.Time {
+func (s *Shard) startAfter(k key, t *task) time.Time {
 	if k.job.spec.Kind != wire.Gang || t.steps == nil || !t.steps.cached {
 		return time.Time{}
 	}
@@ -31,7 +31,7 @@
 		if !peer.fetching() {
 			continue
 		}
-		at := peer.steps.recorded.Add(p.cachedDelay(k.job.spec, peer.machine))
+		at := peer.steps.recorded.Add(s.cachedDelay(k.job.spec, peer.machine))
 		if at.After(latest) {
 			latest = at
 		}
@@ -46,21 +46,21 @@
 
 // cachedDelay is how much later than a task that must fetch its image on a machine
 // its peers on machines that cache it are started.
-func (p *Part) cachedDelay(s *wire.Spec, fetches *Machine) time.Duration {
+func (s *Shard) cachedDelay(spec *wire.Spec, fetches *Machine) time.Duration {
 	if fetches.Type.FetchGBps <= 0 {
 		return 0
 	}
-	fetch := slowFetch * s.ImageGB / fetches.Type.FetchGBps * float64(time.Second)
-	return max(0, time.Duration(fetch-plannedWait*float64(p.cfg.GangWait)))
+	fetch := slowFetch * spec.ImageGB / fetches.Type.FetchGBps * float64(time.Second)
+	return max(0, time.Duration(fetch-plannedWait*float64(s.cfg.GangWait)))
 }
 
 // wakeDelayed wakes the machines whose delayed starts are due.
-func (p *Part) wakeDelayed(now time.Time) {
-	for m, due := range p.delayed {
+func (s *Shard) wakeDelayed(now time.Time) {
+	for m, due := range s.delayed {
 		if now.Before(due) {
 			continue
 		}
-		delete(p.delayed, m)
-		p.out.Wake = append(p.out.Wake, m.ID)
+		delete(s.delayed, m)
+		s.out.Wake = append(s.out.Wake, m.ID)
 	}
 }
--- a/internal/sched/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"fmt"
@@ -19,15 +19,15 @@
 func (r *rig) after(ref string, roots ...string) wire.Spec {
 	s := spec(ref, "b", wire.Array, "normal", 1, 0)
 	s.CPUs, s.MemoryGB, s.DependsOn = 1, 1, roots
-	r.open(record.Open{Spec: s, At: r.clock.Now().UnixMilli(), Held: len(roots) > 0})()
+	r.open(record.ActiveJob{Spec: s, At: r.clock.Now().UnixMilli(), AwaitsDependencies: len(roots) > 0})()
 	return s
 }
 
 // tellEnds tells the part which of the jobs that it waits for are over.
 func (r *rig) tellEnds() {
 	for _, ref := range r.part.Dependencies() {
-		if e := r.get(record.JobKey(ref)); e != nil {
-			j, err := decode[record.Job](*e)
+		if e := r.get(record.FinishedJobKey(ref)); e != nil {
+			j, err := decode[record.FinishedJob](*e)
 			if err != nil {
 				r.t.Fatal(err)
 			}
@@ -44,7 +44,7 @@
 	r.after(jobC, jobA, jobB)
 	r.beats(3)
 	before := r.part.arrived
-	if s := r.part.Summary(r.clock.Now()); slices.ContainsFunc(s.Needs, func(n fleet.Need) bool { return n.Job == jobC }) {
+	if summary := r.part.Summary(r.clock.Now()); slices.ContainsFunc(summary.Needs, func(n fleet.Need) bool { return n.Job == jobC }) {
 		t.Error("a job that waits for others asks for machines")
 	}
 	w.End(jobA+"/0", wire.Done)
@@ -69,7 +69,7 @@
 	if j := r.part.jobs[jobC]; j.accepted.Sub(over).Abs() > time.Second {
 		t.Errorf("it counts as waiting since %v, want since its last root was done at %v", j.accepted, over)
 	}
-	if o, err := decode[record.Open](*r.get(record.OpenKey(jobC))); err != nil || !o.Held {
+	if o, err := decode[record.ActiveJob](*r.get(record.ActiveJobKey(jobC))); err != nil || !o.AwaitsDependencies {
 		t.Error("its record says that it is not held any more")
 	}
 }
@@ -87,7 +87,7 @@
 		r.tellEnds()
 	}
 	for _, ref := range []string{jobA, jobB, jobC} {
-		if r.get(record.OpenKey(ref)) != nil || r.jobState(ref) != wire.Cancelled {
+		if r.get(record.ActiveJobKey(ref)) != nil || r.jobState(ref) != wire.Cancelled {
 			t.Errorf("%s is %q", ref, r.jobState(ref))
 		}
 	}
@@ -109,15 +109,15 @@
 	r := newRig(t)
 	r.after(jobA)
 	r.after(jobB, jobA)
-	e := r.get(record.OpenKey(jobB))
+	e := r.get(record.ActiveJobKey(jobB))
 	_, err := r.state.Txn(t.Context(), statestore.Urgent("test"), wire.Txn{
 		If:   []wire.Cond{{Key: e.Key, Version: e.Version}},
-		Then: []wire.Op{{Put: record.JobKey(jobB), Value: record.Encode(record.Job{State: wire.Cancelled})}, {Delete: e.Key}},
+		Then: []wire.Op{{Put: record.FinishedJobKey(jobB), Value: record.Encode(record.FinishedJob{State: wire.Cancelled})}, {Delete: e.Key}},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.part.DependencyEnded(jobA, record.Job{State: wire.Cancelled}, r.clock.Now())
+	r.part.DependencyEnded(jobA, record.FinishedJob{State: wire.Cancelled}, r.clock.Now())
 	r.beats(2) // its own write conflicts
 	if r.part.HasJob(jobB) {
 		t.Error("still held after its record was found gone")
@@ -209,7 +209,7 @@
 		roots := map[string][]string{}
 		cancelled := map[string]bool{}
 		final := func(ref string) string {
-			if e := rigs[0].get(record.JobKey(ref)); e != nil {
+			if e := rigs[0].get(record.FinishedJobKey(ref)); e != nil {
 				return rigs[0].jobState(ref)
 			}
 			return ""
@@ -250,8 +250,8 @@
 			if round < 80 && len(refs) > 0 {
 				switch ref := refs[rnd.IntN(len(refs))]; rnd.IntN(8) {
 				case 0:
-					if e := rigs[0].get(record.OpenKey(ref)); e != nil {
-						o, err := decode[record.Open](*e)
+					if e := rigs[0].get(record.ActiveJobKey(ref)); e != nil {
+						o, err := decode[record.ActiveJob](*e)
 						if err != nil {
 							t.Fatal(err)
 						}
--- a/internal/sched/deposed_test.go
+++ b/internal/scheduler/deposed_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"context"
@@ -21,7 +21,7 @@
 // deposed is a part whose owner does not know yet that another one has followed.
 type deposed struct {
 	*rig
-	old *Part
+	old *Shard
 }
 
 // depose makes a new owner and keeps the old one.
@@ -54,7 +54,7 @@
 	var conflict *statestore.ConflictError
 	if errors.As(err, &conflict) {
 		d.old.Conflict(t, conflict.Keys, now)
-		return slices.Contains(conflict.Keys, record.PartKey(d.id))
+		return slices.Contains(conflict.Keys, record.ShardKey(d.id))
 	}
 	if err != nil {
 		d.t.Fatal(err)
@@ -105,14 +105,14 @@
 	if r.on("run-000001/0") == "" {
 		t.Fatal("not started by the successor")
 	}
-	e := r.state.Put(record.OpenKey(s.Ref), record.Open{Spec: s, Part: r.id, Cancelled: true})
-	d.old.SetJob(s.Ref, record.Open{Spec: s, Part: r.id, Cancelled: true}, e.Version, r.clock.Now())
+	e := r.state.Put(record.ActiveJobKey(s.Ref), record.ActiveJob{Spec: s, Shard: r.id, Cancelled: true})
+	d.old.SetJob(s.Ref, record.ActiveJob{Spec: s, Shard: r.id, Cancelled: true}, e.Version, r.clock.Now())
 	eff := d.old.Step(r.clock.Now())
 	if len(eff.Txns) != 1 {
 		t.Fatalf("%d transactions of the old owner, want the job's end", len(eff.Txns))
 	}
 	refused := d.late(eff.Txns[0])
-	if at := r.on("run-000001/0"); at != "" && r.get(record.JobKey(s.Ref)) != nil {
+	if at := r.on("run-000001/0"); at != "" && r.get(record.FinishedJobKey(s.Ref)) != nil {
 		t.Errorf("the end is recorded while the task runs on %s", at)
 	}
 	if !refused {
@@ -135,7 +135,7 @@
 		t.Fatal("not started by the successor")
 	}
 	refused := d.late(move)
-	if e := r.get(record.OwnKey("m1")); e != nil {
+	if e := r.get(record.OverrideKey("m1")); e != nil {
 		r.sync(*e)
 	}
 	// The next start on the machine is conditioned on its record, which tells its owner
@@ -219,7 +219,7 @@
 		t.Fatal("not started by the part that the machine has moved to")
 	}
 	for _, id := range rereads { // the state service serves it again
-		if err := r.part.MachineRead(id, r.get(record.OwnKey(id)), r.clock.Now()); err != nil {
+		if err := r.part.MachineRead(id, r.get(record.OverrideKey(id)), r.clock.Now()); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/sched/drain.go
+++ b/internal/scheduler/drain.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"time"
@@ -34,23 +34,23 @@
 }
 
 // WatchInterruptions sets whether interruptions of running work are told.
-func (p *Part) WatchInterruptions(watch bool) { p.drained.watch = watch }
+func (s *Shard) WatchInterruptions(watch bool) { s.drained.watch = watch }
 
 // CordonsAsOf returns the changes of the drains' view as of which the cordons were set.
-func (p *Part) CordonsAsOf() uint64 { return p.drained.changes }
+func (s *Shard) CordonsAsOf() uint64 { return s.drained.changes }
 
 // SetCordons sets which machines are cordoned and which are to be later, as of a number
 // of changes of the drains' view.
-func (p *Part) SetCordons(changes uint64, of func(m *Machine) (c Cordon, later bool)) {
-	p.drained.changes = changes
-	for _, m := range p.machines {
+func (s *Shard) SetCordons(changes uint64, of func(m *Machine) (c Cordon, later bool)) {
+	s.drained.changes = changes
+	for _, m := range s.machines {
 		c, later := of(m)
 		if m.cordon == c && m.avoided == later {
 			continue
 		}
 		m.cordon, m.avoided = c, later
-		p.index.update(m)
-		p.changed = true
+		s.index.update(m)
+		s.changed = true
 	}
 }
 
@@ -59,19 +59,19 @@
 
 // DrainMachines returns the part's machines that are cordoned, and with later also those
 // that are to be, with their work, as the planner of drains needs to know them.
-func (p *Part) DrainMachines(later bool, now time.Time) []*drain.Machine {
+func (s *Shard) DrainMachines(later bool, now time.Time) []*drain.Machine {
 	units := map[drain.UnitID]*drain.Unit{}
 	var out []*drain.Machine
-	for _, m := range p.machines {
+	for _, m := range s.machines {
 		if m.Phase != record.InUse || (m.cordon == NotCordoned && !(later && m.avoided)) {
 			continue
 		}
-		dm := &drain.Machine{ID: m.ID, Type: m.Type.Name, Zone: m.Zone, Rented: m.born, Answers: p.answers(m, now)}
+		dm := &drain.Machine{ID: m.ID, Type: m.Type.Name, Zone: m.Zone, Rented: m.born, Answers: s.answers(m, now)}
 		had := map[drain.UnitID]bool{}
 		for k := range m.on {
 			id := unitOf(k)
 			if units[id] == nil {
-				units[id] = p.unit(k, now)
+				units[id] = s.unit(k, now)
 			}
 			if !had[id] {
 				had[id] = true
@@ -84,8 +84,8 @@
 }
 
 // answers reports whether a machine is heard and reached, so that it can carry out a stop.
-func (p *Part) answers(m *Machine, now time.Time) bool {
-	return m.up && m.fenced && m.unreachableSince.IsZero() && now.Sub(m.reported) < p.suspectAfter()
+func (s *Shard) answers(m *Machine, now time.Time) bool {
+	return m.up && m.fenced && m.unreachableSince.IsZero() && now.Sub(m.reported) < s.suspectAfter()
 }
 
 // unitOf returns the unit that a task is interrupted with.
@@ -112,12 +112,12 @@
 }
 
 // unit describes the unit of a placed task.
-func (p *Part) unit(k key, now time.Time) *drain.Unit {
-	j, s := k.job, k.job.spec
+func (s *Shard) unit(k key, now time.Time) *drain.Unit {
+	j, spec := k.job, k.job.spec
 	t := &j.tasks[k.i]
 	u := &drain.Unit{
-		UnitID: unitOf(k), Team: s.Team, Class: s.Class, Attempt: t.attempt, Service: s.Kind == wire.Service, Tasks: 1,
-		Estimate: wire.Seconds(s.EstimateS), Checkpoint: wire.Seconds(s.CheckpointS), Save: wire.Seconds(s.SaveS),
+		UnitID: unitOf(k), Team: spec.Team, Class: spec.Class, Attempt: t.attempt, Service: spec.Kind == wire.Service, Tasks: 1,
+		Estimate: wire.Seconds(spec.EstimateS), Checkpoint: wire.Seconds(spec.CheckpointS), Save: wire.Seconds(spec.SaveS),
 		Running: t.phase == wire.Running, Stopping: t.stop || j.cancelled, OthersUp: j.runningTasks >= len(j.tasks)-1,
 	}
 	if u.Running {
@@ -127,19 +127,19 @@
 		u.Tasks = len(j.tasks)
 		u.Running = j.runningTasks == len(j.tasks)
 	}
-	u.Loss = lost(s, u)
+	u.Loss = lost(spec, u)
 	for _, o := range j.tasksOf(u.UnitID) {
 		if m := j.tasks[o.i].machine; j.tasks[o.i].state == placed && m.cordon != NotCordoned {
 			u.OnDrained++
 		}
 	}
-	u.HasRoom = u.OnDrained == 0 || p.hasRoom(j, u.OnDrained, false, now)
-	u.HasSelectedRoom = u.HasRoom || p.hasRoom(j, u.OnDrained, true, now)
+	u.HasRoom = u.OnDrained == 0 || s.hasRoom(j, u.OnDrained, false, now)
+	u.HasSelectedRoom = u.HasRoom || s.hasRoom(j, u.OnDrained, true, now)
 	return u
 }
 
 // lost is the work that is lost if a unit is stopped now with time to save, for all tasks.
-func lost(s *wire.Spec, u *drain.Unit) time.Duration {
+func lost(spec *wire.Spec, u *drain.Unit) time.Duration {
 	if !u.Running || u.Service {
 		return 0
 	}
@@ -152,14 +152,14 @@
 
 // hasRoom reports whether n tasks of a job fit on machines that take new work now: also on
 // those that are to be drained later, or on others only.
-func (p *Part) hasRoom(j *Job, n int, avoided bool, now time.Time) bool {
+func (s *Shard) hasRoom(j *Job, n int, avoided bool, now time.Time) bool {
 	zone := ""
 	if j.spec.OneZone {
 		for z := range j.zones {
 			zone = z // the others of the gang stay there
 		}
 	}
-	p.roomy(j.spec, now, func(m *Machine) {
+	s.roomy(j.spec, now, func(m *Machine) {
 		if n <= 0 || (m.avoided && !avoided) || m.keptFromOthers(j, now) || (zone != "" && m.Zone != zone) {
 			return
 		}
@@ -171,24 +171,24 @@
 }
 
 // SetReplacements tells for which units room is to be found before they are evicted.
-func (p *Part) SetReplacements(units []*drain.Unit) {
-	p.drained.replace = nil
+func (s *Shard) SetReplacements(units []*drain.Unit) {
+	s.drained.replace = nil
 	for _, u := range units {
-		if j := p.jobs[u.Job]; j != nil && u.OnDrained > 0 {
-			if p.drained.replace == nil {
-				p.drained.replace = map[*Job]int{}
+		if j := s.jobs[u.Job]; j != nil && u.OnDrained > 0 {
+			if s.drained.replace == nil {
+				s.drained.replace = map[*Job]int{}
 			}
-			p.drained.replace[j] += u.OnDrained
+			s.drained.replace[j] += u.OnDrained
 		}
 	}
 }
 
 // replacementNeeds are the needs for machines ahead of evictions. They come after what
 // waits already, and take nothing from other work.
-func (p *Part) replacementNeeds() []fleet.Need {
+func (s *Shard) replacementNeeds() []fleet.Need {
 	var out []fleet.Need
-	for j, n := range p.drained.replace {
-		if p.jobs[j.ref] != j {
+	for j, n := range s.drained.replace {
+		if s.jobs[j.ref] != j {
 			continue
 		}
 		need := j.need(n)
@@ -214,8 +214,8 @@
 
 // Evict stops a unit as a grant says, with time to save where that loses less. It does
 // nothing if the unit is not there any more under that attempt, or stops already.
-func (p *Part) Evict(d drain.Disruption, now time.Time) {
-	j := p.jobs[d.Job]
+func (s *Shard) Evict(d drain.Disruption, now time.Time) {
+	j := s.jobs[d.Job]
 	if j == nil {
 		return
 	}
@@ -225,39 +225,39 @@
 			continue
 		}
 		if d.Task != drain.WholeGang {
-			p.reserveElsewhere(j, now)
+			s.reserveElsewhere(j, now)
 		}
-		p.giveWay(k, now)
-		p.changed = true
+		s.giveWay(k, now)
+		s.changed = true
 	}
 }
 
 // reserveElsewhere keeps room for an evicted task, so that others don't take it first.
-func (p *Part) reserveElsewhere(j *Job, now time.Time) {
+func (s *Shard) reserveElsewhere(j *Job, now time.Time) {
 	var best *Machine
 	top := 0.0
-	p.roomy(j.spec, now, func(m *Machine) {
+	s.roomy(j.spec, now, func(m *Machine) {
 		if m.reserved != "" || !j.mayGoTo(m.Zone) {
 			return
 		}
-		if v := p.score(j, m); best == nil || v > top || (v == top && m.ID < best.ID) {
+		if v := s.score(j, m); best == nil || v > top || (v == top && m.ID < best.ID) {
 			best, top = m, v
 		}
 	})
 	if best != nil {
-		p.reserve(best, j, 1, now.Add(reserveFor))
+		s.reserve(best, j, 1, now.Add(reserveFor))
 	}
 }
 
 // FateOf tells what became of a unit whose disruption is open.
-func (p *Part) FateOf(d drain.Disruption) drain.Fate {
-	j := p.jobs[d.Job]
+func (s *Shard) FateOf(d drain.Disruption) drain.Fate {
+	j := s.jobs[d.Job]
 	if j == nil {
 		return drain.Recovered // its end is recorded
 	}
 	fate := drain.Untouched
 	for _, k := range j.tasksOf(d.UnitID) {
-		switch p.taskFate(k, d.Attempt) {
+		switch s.taskFate(k, d.Attempt) {
 		case drain.Interrupted:
 			return drain.Interrupted
 		case drain.Recovered:
@@ -267,7 +267,7 @@
 	return fate
 }
 
-func (p *Part) taskFate(k key, attempt uint64) drain.Fate {
+func (s *Shard) taskFate(k key, attempt uint64) drain.Fate {
 	t := &k.job.tasks[k.i]
 	switch {
 	case t.state == done:
@@ -283,14 +283,14 @@
 }
 
 // noteInterruption tells that a running task is proven gone without having ended.
-func (p *Part) noteInterruption(k key) {
+func (s *Shard) noteInterruption(k key) {
 	t := &k.job.tasks[k.i]
-	if !p.drained.watch || k.job.cancelled || (t.phase != wire.Running && t.phase != wire.Saving) {
+	if !s.drained.watch || k.job.cancelled || (t.phase != wire.Running && t.phase != wire.Saving) {
 		return
 	}
-	s := k.job.spec
-	p.out.Interrupted = append(p.out.Interrupted, Interruption{
-		Disruption: drain.Disruption{UnitID: unitOf(k), Attempt: t.attempt, Part: p.id, Class: s.Class, Machine: t.machine.ID},
-		Team:       s.Team,
+	spec := k.job.spec
+	s.out.Interrupted = append(s.out.Interrupted, Interruption{
+		Disruption: drain.Disruption{UnitID: unitOf(k), Attempt: t.attempt, Part: s.id, Class: spec.Class, Machine: t.machine.ID},
+		Team:       spec.Team,
 	})
 }
--- a/internal/sched/effects.go
+++ b/internal/scheduler/effects.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"bramblespur/internal/record"
@@ -9,13 +9,13 @@
 // exactly one of Applied, Conflict, Refused and Unknown.
 type Txn struct {
 	Body    wire.Txn
-	Purpose string               // for the log
-	Routine bool                 // may wait for what users wait for
-	job     *Job                 // its end
-	next    *line                // its pipeline after that
-	free    map[*Job]record.Open // jobs released by it
-	slot    *slot                // placements and completions of the chunks
-	gone    bool                 // the slot's record is deleted
+	Purpose string                    // for the log
+	Routine bool                      // may wait for what users wait for
+	job     *Job                      // its end
+	next    *line                     // its pipeline after that
+	free    map[*Job]record.ActiveJob // jobs released by it
+	slot    *placementRecord          // placements and completions of the chunks
+	gone    bool                      // the slot's record is deleted
 	chunks  []*chunk
 	starts  []key
 	dones   []key
--- /dev/null
+++ b/internal/scheduler/evidence.go
@@ -0,0 +1,60 @@
+package scheduler
+
+import (
+	"encoding/json"
+
+	"bramblespur/internal/record"
+	"bramblespur/internal/wire"
+)
+
+// Records returns the records of the part's jobs and placements as they are known to have been
+// written, with their versions. What was under way is not among them.
+func (s *Shard) Records() []wire.Entry {
+	var out []wire.Entry
+	add := func(key string, version uint64, v any) {
+		out = append(out, wire.Entry{Key: key, Version: version, Value: json.RawMessage(record.Encode(v))})
+	}
+	for ref, j := range s.jobs {
+		o := record.ActiveJob{Spec: *j.spec, Shard: s.id, At: j.accepted.UnixMilli(), Cancelled: j.cancelled, AwaitsDependencies: j.held}
+		if j.line != alone {
+			o.Pipeline = j.line.ref
+		}
+		add(record.ActiveJobKey(ref), j.version, o)
+	}
+	for n, placements := range s.slots {
+		if placements.version == 0 || placements.unreadable || len(placements.left) > 0 {
+			continue
+		}
+		rec := record.Placements{Ranges: map[string]record.TaskRange{}}
+		if placements.stated {
+			rec.Format = record.SizedRanges
+		}
+		for name, c := range placements.chunks {
+			if c.from == nil {
+				rec.Ranges[name] = c.recorded()
+			}
+		}
+		add(record.PlacementsKey(s.id, n), placements.version, rec)
+	}
+	return out
+}
+
+// recorded is a range as its record tells it.
+func (c *chunk) recorded() record.TaskRange {
+	run := record.TaskRange{Attempt: c.attempt}
+	if c.slot.stated {
+		run.Tasks, run.Turn = c.end-c.first, c.turn
+	}
+	for i := c.first; i < c.end; i++ {
+		switch t := &c.job.tasks[i]; {
+		case t.state == placed && t.recorded:
+			if run.On == nil {
+				run.On = map[int]record.TaskPlacement{}
+			}
+			run.On[i] = record.TaskPlacement{Machine: t.machine.ID, Attempt: t.attempt}
+		case t.state == done:
+			run.Done = withDone(run.Done, i)
+		}
+	}
+	return run
+}
--- a/internal/sched/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"fmt"
@@ -75,12 +75,12 @@
 // A gang is done when one of its tasks is: they complete together.
 func TestGangDoneTogether(t *testing.T) {
 	r := newRig(t)
-	s := r.gangOfTwo()
+	spec := r.gangOfTwo()
 	r.beats(4)
 	w := r.workers[r.on("run-000001/0")]
 	w.End("run-000001/0", wire.Done)
 	r.beats(1, w)
-	if r.jobState(s.Ref) != wire.Done {
+	if r.jobState(spec.Ref) != wire.Done {
 		t.Fatal("gang not done")
 	}
 }
--- a/internal/sched/health.go
+++ b/internal/scheduler/health.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"time"
@@ -9,59 +9,59 @@
 
 // Step does what is due and returns what the shell has to carry out. It is
 // cheap when nothing has changed.
-func (p *Part) Step(now time.Time) Effects {
-	if !p.lost {
-		p.checkHealth(now)
-		p.releaseWithheld(now)
-		if p.changed || (!p.wake.IsZero() && !now.Before(p.wake)) {
-			p.changed, p.wake = false, time.Time{}
-			p.place(now)
+func (s *Shard) Step(now time.Time) Effects {
+	if !s.lost {
+		s.checkHealth(now)
+		s.releaseWithheld(now)
+		if s.changed || (!s.wake.IsZero() && !now.Before(s.wake)) {
+			s.changed, s.wake = false, time.Time{}
+			s.place(now)
 		}
-		p.flush(now)
-		p.wakeDelayed(now)
-		p.pushStops(now)
+		s.flush(now)
+		s.wakeDelayed(now)
+		s.pushStops(now)
 	}
-	out := p.out
-	p.out = Effects{}
+	out := s.out
+	s.out = Effects{}
 	return out
 }
 
 // alarm makes a later Step look again at t.
-func (p *Part) alarm(t time.Time) {
-	if p.wake.IsZero() || t.Before(p.wake) {
-		p.wake = t
+func (s *Shard) alarm(t time.Time) {
+	if s.wake.IsZero() || t.Before(s.wake) {
+		s.wake = t
 	}
 }
 
 // healthEvery is how often machines are looked over.
 const healthEvery = 250 * time.Millisecond
 
-func (p *Part) checkHealth(now time.Time) {
-	if now.Sub(p.healthAt) < healthEvery {
+func (s *Shard) checkHealth(now time.Time) {
+	if now.Sub(s.healthAt) < healthEvery {
 		return
 	}
-	p.healthAt = now
-	p.zones = map[zoneLimit]zoneCount{}
-	p.probe(now)
-	for _, m := range p.machines {
+	s.healthAt = now
+	s.zones = map[zoneLimit]zoneCount{}
+	s.probe(now)
+	for _, m := range s.machines {
 		if m.txn != nil || m.versionUnknown || m.Phase != record.InUse || now.Before(m.retry) {
 			continue
 		}
 		// Only the answered return proves gone what may run there.
-		switch why := p.lostWhy(m, now); {
+		switch why := s.lostWhy(m, now); {
 		case why != "":
-			p.returnMachine(m, why, now)
+			s.returnMachine(m, why, now)
 		case m.drain:
-			p.clear(m, now)
+			s.clear(m, now)
 			if len(m.on) == 0 {
-				p.returnMachine(m, "drained", now)
+				s.returnMachine(m, "drained", now)
 			}
 		case m.cordon == CordonedForReturn && len(m.on) == 0:
-			p.returnMachine(m, "drained", now)
+			s.returnMachine(m, "drained", now)
 		case m.moveTo >= 0 && len(m.on) == 0 && m.fenced && m.settled():
-			p.moveTxn(m)
+			s.moveTxn(m)
 		default:
-			p.fence(m, now)
+			s.fence(m, now)
 		}
 	}
 }
@@ -69,17 +69,17 @@
 // lostWhy returns why a machine is lost, or nothing. While this controller falls
 // behind, reports and answers wait unread and silence proves little: only a machine
 // that says nothing for several leases is lost then.
-func (p *Part) lostWhy(m *Machine, now time.Time) string {
+func (s *Shard) lostWhy(m *Machine, now time.Time) string {
 	switch {
-	case p.behind && now.Sub(m.heard) < behindLeases*p.cfg.Lease:
+	case s.behind && now.Sub(m.heard) < behindLeases*s.cfg.Lease:
 		return ""
-	case p.unanswering(m, now):
+	case s.unanswering(m, now):
 		return "no answer"
-	case p.silent(m, now):
+	case s.silent(m, now):
 		return "silent"
-	case p.overdue(m, now):
+	case s.overdue(m, now):
 		return "never came up"
-	case p.staysUnreachable(m, now):
+	case s.staysUnreachable(m, now):
 		return "no answer reaches it"
 	}
 	return ""
@@ -90,10 +90,10 @@
 const behindLeases = 4
 
 // SetBehind tells whether this controller falls behind with what it is sent.
-func (p *Part) SetBehind(behind bool) { p.behind = behind }
+func (s *Shard) SetBehind(behind bool) { s.behind = behind }
 
 // SetCut tells the zones of which no controller can be reached from here.
-func (p *Part) SetCut(zones map[string]bool) { p.cut = zones }
+func (s *Shard) SetCut(zones map[string]bool) { s.cut = zones }
 
 // silent reports whether a machine is lost: its worker says nothing while
 // others in its zone do. When all of the part's machines in a zone are silent there
@@ -103,25 +103,25 @@
 // this controller may have stood still or a cut just have ended. When none of the zone's
 // controllers answers either, the fault is rather the network's between us, and it gets
 // several times that.
-func (p *Part) silent(m *Machine, now time.Time) bool {
-	limit := p.cfg.SilentAfter
+func (s *Shard) silent(m *Machine, now time.Time) bool {
+	limit := s.cfg.SilentAfter
 	if !m.up {
 		if len(m.on) == 0 {
 			return false // perhaps still booting: see overdue
 		}
-		limit += p.cfg.Lease / 2 // its worker has yet to find its new owner
+		limit += s.cfg.Lease / 2 // its worker has yet to find its new owner
 	}
 	if now.Sub(m.heard) < limit {
 		return false
 	}
-	others := p.count(zoneLimit{m.Zone, limit}, now)
+	others := s.count(zoneLimit{m.Zone, limit}, now)
 	heard, quiet := others.heard, others.quiet-1 // it is one of the quiet ones itself
 	if heard > 0 && heard >= quiet {
 		return true
 	}
-	patience := p.cfg.Lease + limit
+	patience := s.cfg.Lease + limit
 	switch {
-	case p.cut[m.Zone]:
+	case s.cut[m.Zone]:
 		patience *= 3
 	case m.Addr != "":
 		return m.probes.vain >= probesLost
@@ -131,8 +131,8 @@
 
 // leaseOver reports whether a machine has been silent for so long that its lease is
 // over, unless somebody else answers it, though its zone is not cut off from here.
-func (p *Part) leaseOver(m *Machine, now time.Time) bool {
-	return !p.cut[m.Zone] && now.Sub(m.heard) > p.cfg.Lease+p.reportDue()
+func (s *Shard) leaseOver(m *Machine, now time.Time) bool {
+	return !s.cut[m.Zone] && now.Sub(m.heard) > s.cfg.Lease+s.reportDue()
 }
 
 // zoneLimit is a zone, and how long a machine there may be silent.
@@ -146,12 +146,12 @@
 
 // count counts a zone's machines once for all that are looked at together: when
 // a zone falls silent, that is all of its machines.
-func (p *Part) count(at zoneLimit, now time.Time) zoneCount {
-	if n, ok := p.zones[at]; ok {
+func (s *Shard) count(at zoneLimit, now time.Time) zoneCount {
+	if n, ok := s.zones[at]; ok {
 		return n
 	}
 	var n zoneCount
-	for _, o := range p.machines {
+	for _, o := range s.machines {
 		if o.Zone != at.zone || (!o.up && len(o.on) == 0) {
 			continue
 		}
@@ -165,37 +165,37 @@
 			n.quiet++
 		}
 	}
-	p.zones[at] = n
+	s.zones[at] = n
 	return n
 }
 
 // overdue reports whether a machine never came up.
-func (p *Part) overdue(m *Machine, now time.Time) bool {
-	limit := time.Duration(p.cfg.BootFactor * m.Type.BootS * float64(time.Second))
-	return !m.up && len(m.on) == 0 && !p.cut[m.Zone] && now.Sub(m.born) > limit && now.Sub(m.heard) > p.cfg.Lease
+func (s *Shard) overdue(m *Machine, now time.Time) bool {
+	limit := time.Duration(s.cfg.BootFactor * m.Type.BootS * float64(time.Second))
+	return !m.up && len(m.on) == 0 && !s.cut[m.Zone] && now.Sub(m.born) > limit && now.Sub(m.heard) > s.cfg.Lease
 }
 
 // clear stops in an orderly way what runs on a machine that is to be empty.
-func (p *Part) clear(m *Machine, now time.Time) {
+func (s *Shard) clear(m *Machine, now time.Time) {
 	for k, t := range m.on {
 		if !t.stop {
-			p.halt(k, now)
+			s.halt(k, now)
 		}
 	}
 }
 
 // halt stops a task, a gang's with all its mates, with time to save.
-func (p *Part) halt(k key, now time.Time) {
+func (s *Shard) halt(k key, now time.Time) {
 	j := k.job
-	grace := p.grace(j)
+	grace := s.grace(j)
 	if j.spec.Kind == wire.Gang {
-		p.stopJob(j, grace, now)
+		s.stopJob(j, grace, now)
 		return
 	}
-	p.stop(k, grace, now)
+	s.stop(k, grace, now)
 }
 
-func (p *Part) grace(j *Job) time.Duration {
+func (s *Shard) grace(j *Job) time.Duration {
 	if j.spec.CheckpointS <= 0 {
 		return 0
 	}
@@ -204,26 +204,26 @@
 
 // pushStops sends stops straight to the workers: a report may be seconds away,
 // and a gang's tasks must be told within a short time of each other.
-func (p *Part) pushStops(now time.Time) {
-	for m := range p.index.toPush {
-		delete(p.index.toPush, m)
+func (s *Shard) pushStops(now time.Time) {
+	for m := range s.index.toPush {
+		delete(s.index.toPush, m)
 		if m.Addr == "" || m.session == 0 {
 			continue
 		}
-		o := wire.DirectOrders{Token: m.token(p), Session: m.session, Commands: p.stops(m, now)}
+		o := wire.DirectOrders{Token: m.token(s), Session: m.session, Commands: s.stops(m, now)}
 		if len(o.Commands) > 0 || m.announceToken {
 			m.announceToken = false
-			p.out.Pushes = append(p.out.Pushes, Push{Machine: m.ID, Addr: m.Addr, Orders: o})
+			s.out.Pushes = append(s.out.Pushes, Push{Machine: m.ID, Addr: m.Addr, Orders: o})
 		}
 	}
 }
 
 // stops returns the stops for a machine. What has to wait for the pace goes with a later
 // report's answer.
-func (p *Part) stops(m *Machine, now time.Time) []wire.Command {
+func (s *Shard) stops(m *Machine, now time.Time) []wire.Command {
 	var out []wire.Command
 	for k, t := range m.on {
-		if t.stop && t.recorded && p.cfg.Pace.Allow(p.paceClass(k), now) {
+		if t.stop && t.recorded && s.cfg.Pace.Allow(s.paceClass(k), now) {
 			out = append(out, halt(k.name(), t.attempt, t.grace))
 		}
 	}
--- a/internal/sched/history_test.go
+++ b/internal/scheduler/history_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"encoding/json"
@@ -23,8 +23,8 @@
 	ended   map[string]bool       // tasks that completed, by the workers
 	asked   map[string]bool       // jobs whose users asked for their end
 	finals  map[string]string     // final records as they first were
-	copies  []wire.Report         // reports to come once more
-	deposed []*Part               // earlier owners that don't know it yet
+	copies  []wire.Heartbeat      // reports to come once more
+	deposed []*Shard              // earlier owners that don't know it yet
 	late    map[string]lateAnswer // by machine
 	rented  int
 	intact  map[string]json.RawMessage // records of placements that are damaged now
@@ -111,8 +111,8 @@
 		return
 	}
 	rep := h.copies[h.r.IntN(len(h.copies))]
-	for _, p := range append(h.deposed, h.part) {
-		p.Report(&rep, false, h.clock.Now())
+	for _, shard := range append(h.deposed, h.part) {
+		shard.Report(&rep, false, h.clock.Now())
 	}
 	h.settle()
 }
@@ -162,7 +162,7 @@
 	for _, w := range h.workers {
 		for name, t := range w.Tasks {
 			ref, _, _ := strings.Cut(name, "/")
-			if s := h.jobs[ref]; s.Kind == wire.Gang && t.State == wire.Running && h.running(ref, t.Attempt) < s.Tasks {
+			if spec := h.jobs[ref]; spec.Kind == wire.Gang && t.State == wire.Running && h.running(ref, t.Attempt) < spec.Tasks {
 				w.End(name, wire.WhyPeers)
 			}
 		}
@@ -182,7 +182,7 @@
 		return
 	}
 	ref := refs[h.r.IntN(len(refs))]
-	if h.get(record.OpenKey(ref)) == nil || h.asked[ref] {
+	if h.get(record.ActiveJobKey(ref)) == nil || h.asked[ref] {
 		return
 	}
 	h.asked[ref] = true
@@ -205,7 +205,7 @@
 
 // damage makes a record of placements unreadable and ends the owner.
 func (h *history) damage() {
-	slots := h.list(record.SlotsOf(h.id))
+	slots := h.list(record.ShardPlacementsPrefix(h.id))
 	if len(slots) == 0 {
 		return
 	}
@@ -231,8 +231,8 @@
 
 // check compares the records with the ground truth.
 func (h *history) check() error {
-	for ref, s := range h.jobs {
-		for i := range s.Tasks {
+	for ref, spec := range h.jobs {
+		for i := range spec.Tasks {
 			name := fmt.Sprintf("%s/%d", ref, i)
 			places := 0
 			for _, w := range h.workers {
@@ -244,7 +244,7 @@
 				return fmt.Errorf("%s runs in %d places", name, places)
 			}
 		}
-		open, final := h.get(record.OpenKey(ref)), h.get(record.JobKey(ref))
+		open, final := h.get(record.ActiveJobKey(ref)), h.get(record.FinishedJobKey(ref))
 		if (open == nil) == (final == nil) {
 			return fmt.Errorf("%s is in both records or in none", ref)
 		}
@@ -255,14 +255,14 @@
 			return fmt.Errorf("%s ended as %s and then as %s", ref, had, final.Value)
 		}
 		h.finals[ref] = string(final.Value)
-		if err := h.checkEnd(ref, s); err != nil {
+		if err := h.checkEnd(ref, spec); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (h *history) checkEnd(ref string, s wire.Spec) error {
+func (h *history) checkEnd(ref string, spec wire.Spec) error {
 	if h.jobState(ref) == wire.Cancelled {
 		if !h.asked[ref] {
 			return fmt.Errorf("%s is cancelled though nobody asked", ref)
@@ -276,7 +276,7 @@
 		}
 		return nil
 	}
-	for i := range s.Tasks {
+	for i := range spec.Tasks {
 		if name := fmt.Sprintf("%s/%d", ref, i); !h.ended[name] {
 			return fmt.Errorf("%s is done without %s", ref, name)
 		}
@@ -303,7 +303,7 @@
 		}
 		left := false
 		for ref := range h.jobs {
-			left = left || h.get(record.OpenKey(ref)) != nil
+			left = left || h.get(record.ActiveJobKey(ref)) != nil
 		}
 		if !left {
 			return nil
@@ -322,7 +322,7 @@
 func (h *history) openJobs() string {
 	var out []string
 	for ref := range h.jobs {
-		if h.get(record.OpenKey(ref)) != nil {
+		if h.get(record.ActiveJobKey(ref)) != nil {
 			out = append(out, ref)
 		}
 	}
--- a/internal/sched/index.go
+++ b/internal/scheduler/index.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"math"
@@ -129,15 +129,15 @@
 
 // roomy calls f for the machines that may have room for a task of s now. Machines
 // that only look as if they had are few: rooms are rounded down.
-func (p *Part) roomy(s *wire.Spec, now time.Time, f func(*Machine)) {
-	for c, ms := range p.index.byRoom {
-		if !c.open || (c.spot && !s.Spot) || (s.Zone != nil && *s.Zone != c.zone) ||
-			s.CPUs >= float64(c.cpus+1) || s.GPUs >= float64(c.gpus+1) {
+func (s *Shard) roomy(spec *wire.Spec, now time.Time, f func(*Machine)) {
+	for c, ms := range s.index.byRoom {
+		if !c.open || (c.spot && !spec.Spot) || (spec.Zone != nil && *spec.Zone != c.zone) ||
+			spec.CPUs >= float64(c.cpus+1) || spec.GPUs >= float64(c.gpus+1) {
 			continue
 		}
 		for m := range ms {
-			p.looked++
-			if r := free(m); roomFor(s, r.cpus, r.gpus, r.mem) && allows(s, m) && p.usable(m, now) {
+			s.looked++
+			if r := free(m); roomFor(spec, r.cpus, r.gpus, r.mem) && allows(spec, m) && s.usable(m, now) {
 				f(m)
 			}
 		}
--- a/internal/sched/lean_test.go
+++ b/internal/scheduler/lean_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"fmt"
@@ -28,13 +28,13 @@
 	r.cfg.SlotTasks, r.cfg.ValueBytes, r.cfg.TxnOps = SlotTasks(16), 16<<10, 24
 	r.claim()
 	for at := 0; at < machines; at += 50 {
-		rental := record.Rental{Type: "big", Zone: "z1", Born: r.clock.Now().UnixMilli()}
+		rental := record.Provision{Type: "big", Zone: "z1", Born: r.clock.Now().UnixMilli()}
 		for i := at; i < min(at+50, machines); i++ {
 			id := fmt.Sprintf("i-%06d", i)
-			rental.IDs, rental.Parts = append(rental.IDs, id), append(rental.Parts, 0)
+			rental.IDs, rental.Shards = append(rental.IDs, id), append(rental.Shards, 0)
 			r.workers[id] = testkit.NewWorker(id, "big", "z1", false)
 		}
-		r.sync(r.state.Put(record.RentalKey(fmt.Sprint("r", at)), rental))
+		r.sync(r.state.Put(record.ProvisionKey(fmt.Sprint("r", at)), rental))
 	}
 	r.beat()
 	for i := range machines / 40 {
@@ -153,7 +153,7 @@
 		got := testing.AllocsPerRun(10, func() {
 			n++
 			s := spec(fmt.Sprintf("run-8%05d", n), "b", wire.Array, "normal", 1, 1)
-			r.part.SetJob(s.Ref, record.Open{Spec: s}, uint64(1000+n), r.clock.Now().Add(time.Duration(n)*200*time.Millisecond))
+			r.part.SetJob(s.Ref, record.ActiveJob{Spec: s}, uint64(1000+n), r.clock.Now().Add(time.Duration(n)*200*time.Millisecond))
 			now := r.clock.Now().Add(time.Duration(n) * 200 * time.Millisecond)
 			eff := r.part.Step(now)
 			for _, txn := range eff.Txns {
--- a/internal/sched/ledger.go
+++ b/internal/scheduler/ledger.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"fmt"
@@ -10,92 +10,92 @@
 )
 
 // put sets task k on machine m in the ledger.
-func (p *Part) put(k key, m *Machine, attempt uint64, now time.Time) *task {
+func (s *Shard) put(k key, m *Machine, attempt uint64, now time.Time) *task {
 	j := k.job
 	t := &j.tasks[k.i]
 	*t = task{state: placed, attempt: attempt, machine: m}
 	j.idleTasks--
 	j.placedTasks++
 	j.zones[m.Zone]++
-	p.index.queue(j)
-	s := j.spec
+	s.index.queue(j)
+	span := j.spec
 	m.on[k] = t
-	p.index.holds(m, j.rank, 1)
-	m.cpus += s.CPUs
-	m.gpus += s.GPUs
-	m.mem += s.MemoryGB
-	u := p.usage(s.Team)
-	u.cpus += s.CPUs
-	u.gpus += s.GPUs
+	s.index.holds(m, j.rank, 1)
+	m.cpus += span.CPUs
+	m.gpus += span.GPUs
+	m.mem += span.MemoryGB
+	u := s.usage(span.Team)
+	u.cpus += span.CPUs
+	u.gpus += span.GPUs
 	m.idleSince = time.Time{}
-	p.index.update(m)
-	c := p.touch(k, now)
+	s.index.update(m)
+	c := s.touch(k, now)
 	c.attempt = max(c.attempt, attempt)
 	c.slot.urgent = true
-	t.steps = &steps{placed: now, cached: m.hasImage(s.Image)}
+	t.steps = &steps{placed: now, cached: m.hasImage(span.Image)}
 	return t
 }
 
 // take removes task k from its machine: it was proven gone, or never recorded.
-func (p *Part) take(k key, now time.Time) {
+func (s *Shard) take(k key, now time.Time) {
 	j := k.job
 	t := &j.tasks[k.i]
 	m := t.machine
-	s := j.spec
+	spec := j.spec
 	delete(m.on, k)
-	p.index.holds(m, j.rank, -1)
-	m.cpus -= s.CPUs
-	m.gpus -= s.GPUs
-	m.mem -= s.MemoryGB
+	s.index.holds(m, j.rank, -1)
+	m.cpus -= spec.CPUs
+	m.gpus -= spec.GPUs
+	m.mem -= spec.MemoryGB
 	if len(m.on) == 0 {
 		m.cpus, m.gpus, m.mem = 0, 0, 0
 		m.idleSince = now
 	}
-	p.index.update(m)
+	s.index.update(m)
 	if t.stop && !m.clearing() {
-		delete(p.index.clearing, m)
+		delete(s.index.clearing, m)
 	}
 	t.reported(j, "")
-	u := p.usage(s.Team)
-	u.cpus -= s.CPUs
-	u.gpus -= s.GPUs
+	u := s.usage(spec.Team)
+	u.cpus -= spec.CPUs
+	u.gpus -= spec.GPUs
 	*t = task{state: idle}
 	j.placedTasks--
 	j.idleTasks++
 	if j.zones[m.Zone]--; j.zones[m.Zone] == 0 {
 		delete(j.zones, m.Zone)
 	}
-	p.index.queue(j)
+	s.index.queue(j)
 	j.firstIdle = min(j.firstIdle, k.i)
-	p.touch(k, now)
-	p.ends(j)
-	p.changed = true
+	s.touch(k, now)
+	s.ends(j)
+	s.changed = true
 }
 
-func (p *Part) finish(k key, now time.Time) {
+func (s *Shard) finish(k key, now time.Time) {
 	j := k.job
 	t := &j.tasks[k.i]
 	if t.state == done {
 		return
 	}
 	if t.state == placed {
-		p.judge(t, reconcile.Finished)
-		p.take(k, now)
+		s.judge(t, reconcile.Finished)
+		s.take(k, now)
 	}
 	*t = task{state: done}
 	j.idleTasks--
 	j.doneTasks++
-	p.index.queue(j)
+	s.index.queue(j)
 	j.fails = 0
-	p.touch(k, now)
-	p.ends(j)
-	p.changed = true
+	s.touch(k, now)
+	s.ends(j)
+	s.changed = true
 }
 
 // ends notes that a job may be over: its end is recorded with the next Step.
-func (p *Part) ends(j *Job) {
+func (s *Shard) ends(j *Job) {
 	if j.over() {
-		p.ending[j.ref] = j
+		s.ending[j.ref] = j
 	}
 }
 
@@ -105,17 +105,17 @@
 }
 
 // touch marks the range of a task as changed.
-func (p *Part) touch(k key, now time.Time) *chunk {
-	c := p.chunk(k.job, k.i)
+func (s *Shard) touch(k key, now time.Time) *chunk {
+	c := s.chunk(k.job, k.i)
 	if !c.slot.dirty {
 		c.slot.dirty, c.slot.since = true, now
 	}
 	return c
 }
 
-func (p *Part) nextAttempt(j *Job, i int) uint64 {
+func (s *Shard) nextAttempt(j *Job, i int) uint64 {
 	if j.spec.Kind != wire.Gang {
-		return p.chunk(j, i).attempt + 1
+		return s.chunk(j, i).attempt + 1
 	}
 	var a uint64
 	for _, c := range j.chunks {
@@ -125,24 +125,24 @@
 }
 
 // SetJob takes in an unfinished job's record, new or changed.
-func (p *Part) SetJob(ref string, o record.Open, version uint64, now time.Time) {
-	if o.Part != p.id {
+func (s *Shard) SetJob(ref string, o record.ActiveJob, version uint64, now time.Time) {
+	if o.Shard != s.id {
 		return
 	}
-	j := p.jobs[ref]
+	j := s.jobs[ref]
 	if j == nil {
 		spec := o.Spec
 		j = &Job{
 			ref: ref, spec: &spec, accepted: time.UnixMilli(o.At), tasks: make([]task, spec.Tasks), idleTasks: spec.Tasks,
 			zones: map[string]int{}, rank: Rank(spec.Priority), held: true,
 		}
-		p.jobs[ref] = j
-		p.index.queue(j)
+		s.jobs[ref] = j
+		s.index.queue(j)
 		switch {
-		case o.Pipe != "":
-			j.line = p.lineOf(o.Pipe)
+		case o.Pipeline != "":
+			j.line = s.lineOf(o.Pipeline)
 		case len(spec.DependsOn) > 0:
-			p.await(j)
+			s.await(j)
 		default:
 			j.line = alone
 		}
@@ -151,29 +151,29 @@
 		return
 	}
 	j.version = version
-	if !o.Held {
-		p.free(j, time.UnixMilli(o.At), now)
+	if !o.AwaitsDependencies {
+		s.free(j, time.UnixMilli(o.At), now)
 	}
 	if o.Cancelled {
-		p.cancel(j, now)
+		s.cancel(j, now)
 	}
-	p.changed = true
+	s.changed = true
 }
 
 // free lets a held job start. What waits for it counts from then on.
-func (p *Part) free(j *Job, at, now time.Time) {
+func (s *Shard) free(j *Job, at, now time.Time) {
 	if !j.held {
 		return
 	}
 	j.held = false
 	if j.accepted = at; now.Sub(at) < arrivalFade {
-		p.arrive(j, now)
+		s.arrive(j, now)
 	}
-	p.changed = true
+	s.changed = true
 }
 
 // cancel ends a job: its end is recorded once nothing of it runs.
-func (p *Part) cancel(j *Job, now time.Time) {
+func (s *Shard) cancel(j *Job, now time.Time) {
 	if j.cancelled {
 		return
 	}
@@ -181,20 +181,20 @@
 	for i := range j.tasks {
 		k := key{j, i}
 		if t := &j.tasks[i]; t.state == placed && !t.recorded && !t.inTxn {
-			p.take(k, now) // never recorded, so never sent
+			s.take(k, now) // never recorded, so never sent
 		} else {
-			p.stop(k, 0, now)
+			s.stop(k, 0, now)
 		}
 	}
-	p.ends(j)
+	s.ends(j)
 }
 
 // SetMachine takes in what the records say of a machine, new or changed.
-func (p *Part) SetMachine(id string, v record.View, now time.Time) error {
-	m := p.machines[id]
-	if v.Part != p.id {
+func (s *Shard) SetMachine(id string, v record.View, now time.Time) error {
+	m := s.machines[id]
+	if v.Shard != s.id {
 		if m != nil && v.Version > m.version && len(m.on) == 0 {
-			p.forgetMachine(m, now)
+			s.forgetMachine(m, now)
 		}
 		return nil
 	}
@@ -202,7 +202,7 @@
 		if v.Phase == record.Gone {
 			return nil
 		}
-		typ, ok := p.cfg.Types[v.Type]
+		typ, ok := s.cfg.Types[v.Type]
 		if !ok {
 			return fmt.Errorf("machine %s: unknown type %q", id, v.Type)
 		}
@@ -210,8 +210,8 @@
 			ID: id, Type: typ, Zone: v.Zone, Spot: v.Spot, born: time.UnixMilli(v.Born), on: map[key]*task{},
 			images: v.Images, moveTo: -1, idleSince: now, heard: now,
 		}
-		p.machines[id] = m
-		p.longestID = max(p.longestID, len(id))
+		s.machines[id] = m
+		s.longestID = max(s.longestID, len(id))
 	}
 	if v.Version > m.version {
 		m.version = v.Version
@@ -224,86 +224,86 @@
 		}
 	}
 	m.Phase = max(m.Phase, v.Phase)
-	p.index.update(m)
+	s.index.update(m)
 	if m.Phase == record.Gone {
-		p.forgetMachine(m, now)
+		s.forgetMachine(m, now)
 	}
-	p.changed = true
+	s.changed = true
 	return nil
 }
 
 // DropMachine takes in that no record names a machine any more: it is gone.
-func (p *Part) DropMachine(id string, now time.Time) {
-	if m := p.machines[id]; m != nil {
-		p.forgetMachine(m, now)
+func (s *Shard) DropMachine(id string, now time.Time) {
+	if m := s.machines[id]; m != nil {
+		s.forgetMachine(m, now)
 	}
 }
 
 // forgetMachine takes a machine out that is gone or another part's.
-func (p *Part) forgetMachine(m *Machine, now time.Time) {
+func (s *Shard) forgetMachine(m *Machine, now time.Time) {
 	for k := range m.on {
-		p.lose(k, now)
+		s.lose(k, now)
 	}
-	delete(p.machines, m.ID)
-	delete(p.delayed, m)
-	p.index.drop(m)
-	p.changed = true
+	delete(s.machines, m.ID)
+	delete(s.delayed, m)
+	s.index.drop(m)
+	s.changed = true
 }
 
 // SetBacklog tells how long changes wait for the state service's budget: the
 // longer, the more of them share a write.
-func (p *Part) SetBacklog(d time.Duration) { p.backlog = min(d, maxBacklog) }
+func (s *Shard) SetBacklog(d time.Duration) { s.backlog = min(d, maxBacklog) }
 
 // maxBacklog bounds what a start waits for others on top of the usual.
 const maxBacklog = time.Second
 
 // SetBlind tells whether cancellations told to users by other controllers may
 // be unknown here: nothing is started then, not even what was recorded before.
-func (p *Part) SetBlind(blind bool) { p.blind = blind }
+func (s *Shard) SetBlind(blind bool) { s.blind = blind }
 
 // HasMachine reports whether the part holds a machine.
-func (p *Part) HasMachine(id string) bool { return p.machines[id] != nil }
+func (s *Shard) HasMachine(id string) bool { return s.machines[id] != nil }
 
 // HasJob reports whether the part holds an unfinished job.
-func (p *Part) HasJob(ref string) bool { return p.jobs[ref] != nil }
+func (s *Shard) HasJob(ref string) bool { return s.jobs[ref] != nil }
 
 // KnowsJob reports whether the part holds an unfinished job as its record of a version
 // tells, or a later one.
-func (p *Part) KnowsJob(ref string, version uint64) bool {
-	j := p.jobs[ref]
+func (s *Shard) KnowsJob(ref string, version uint64) bool {
+	j := s.jobs[ref]
 	return j != nil && j.version >= version
 }
 
 // Status returns a job's state for display.
-func (p *Part) Status(ref string) (wire.Status, bool) {
-	j := p.jobs[ref]
+func (s *Shard) Status(ref string) (wire.Status, bool) {
+	j := s.jobs[ref]
 	if j == nil {
 		return wire.Status{}, false
 	}
-	s := wire.Status{Ref: ref, State: wire.Pending, Done: j.doneTasks, Running: j.runningTasks}
-	if s.Running > 0 {
-		s.State = wire.Running
+	status := wire.Status{Ref: ref, State: wire.Pending, Done: j.doneTasks, Running: j.runningTasks}
+	if status.Running > 0 {
+		status.State = wire.Running
 	}
-	return s, true
+	return status, true
 }
 
 // stop asks for a task's end; it is never taken back for that attempt.
-func (p *Part) stop(k key, grace time.Duration, now time.Time) {
+func (s *Shard) stop(k key, grace time.Duration, now time.Time) {
 	t := &k.job.tasks[k.i]
 	if t.state != placed {
 		return
 	}
 	if !t.stop || grace < t.grace {
 		t.stop, t.grace = true, grace
-		p.index.clearing[t.machine] = struct{}{}
-		p.index.toPush[t.machine] = struct{}{}
+		s.index.clearing[t.machine] = struct{}{}
+		s.index.toPush[t.machine] = struct{}{}
 	}
 }
 
 // stopJob stops every placed task of a job.
-func (p *Part) stopJob(j *Job, grace time.Duration, now time.Time) {
+func (s *Shard) stopJob(j *Job, grace time.Duration, now time.Time) {
 	for i := range j.tasks {
-		p.stop(key{j, i}, grace, now)
+		s.stop(key{j, i}, grace, now)
 	}
 }
 
@@ -311,20 +311,20 @@
 // that has not started keeps waiting, and a replacement under the same attempt
 // completes it; of one that runs, what was not saved is lost already, so the
 // rest only holds places and is ended.
-func (p *Part) lose(k key, now time.Time) {
-	p.judge(&k.job.tasks[k.i], reconcile.Missing)
-	p.noteInterruption(k)
-	p.take(k, now)
+func (s *Shard) lose(k key, now time.Time) {
+	s.judge(&k.job.tasks[k.i], reconcile.Missing)
+	s.noteInterruption(k)
+	s.take(k, now)
 	if k.job.spec.Kind == wire.Gang && !k.job.gathering() {
-		p.endAttempt(k.job, now)
+		s.endAttempt(k.job, now)
 	}
 }
 
-func (p *Part) endAttempt(j *Job, now time.Time) {
+func (s *Shard) endAttempt(j *Job, now time.Time) {
 	for i := range j.tasks {
 		t := &j.tasks[i]
 		if t.state == placed && !t.stop {
-			p.stop(key{j, i}, 0, now)
+			s.stop(key{j, i}, 0, now)
 		}
 	}
 }
--- a/internal/sched/limits.go
+++ b/internal/scheduler/limits.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"slices"
@@ -6,15 +6,15 @@
 	"bramblespur/internal/wire"
 )
 
-func allows(s *wire.Spec, m *Machine) bool {
-	return (!m.Spot || s.Spot) && (s.Zone == nil || *s.Zone == m.Zone) &&
-		(s.Types == nil || slices.Contains(s.Types, m.Type.Name))
+func allows(spec *wire.Spec, m *Machine) bool {
+	return (!m.Spot || spec.Spot) && (spec.Zone == nil || *spec.Zone == m.Zone) &&
+		(spec.Types == nil || slices.Contains(spec.Types, m.Type.Name))
 }
 
 const slack = 1e-6 // amounts are decimal numbers
 
-func roomFor(s *wire.Spec, cpus, gpus, mem float64) bool {
-	return s.CPUs <= cpus+slack && s.GPUs <= gpus+slack && s.MemoryGB <= mem+slack
+func roomFor(spec *wire.Spec, cpus, gpus, mem float64) bool {
+	return spec.CPUs <= cpus+slack && spec.GPUs <= gpus+slack && spec.MemoryGB <= mem+slack
 }
 
 // room is what is free on m, less what a plan has put there already.
@@ -25,45 +25,45 @@
 }
 
 // less is what is left of r after n tasks.
-func (r room) less(s *wire.Spec, n int) room {
+func (r room) less(spec *wire.Spec, n int) room {
 	f := float64(n)
-	return room{r.cpus - f*s.CPUs, r.gpus - f*s.GPUs, r.mem - f*s.MemoryGB}
+	return room{r.cpus - f*spec.CPUs, r.gpus - f*spec.GPUs, r.mem - f*spec.MemoryGB}
 }
 
-func (p *Part) withinLimit(j *Job, n int) bool {
-	t, ok := p.cfg.Teams[j.spec.Team]
+func (s *Shard) withinLimit(j *Job, n int) bool {
+	t, ok := s.cfg.Teams[j.spec.Team]
 	if !ok {
 		return true
 	}
-	u := p.usage(j.spec.Team)
+	u := s.usage(j.spec.Team)
 	f := float64(n)
 	return (t.MaxCPUs <= 0 || u.cpus+f*j.spec.CPUs <= t.MaxCPUs+slack) &&
 		(t.MaxGPUs <= 0 || u.gpus+f*j.spec.GPUs <= t.MaxGPUs+slack)
 }
 
 // guaranteed reports whether n more tasks of j keep to its team's guarantee.
-func (p *Part) guaranteed(j *Job, n int) bool {
-	t := p.cfg.Teams[j.spec.Team]
+func (s *Shard) guaranteed(j *Job, n int) bool {
+	t := s.cfg.Teams[j.spec.Team]
 	if t.CPUs <= 0 && t.GPUs <= 0 {
 		return false
 	}
-	u := p.usage(j.spec.Team)
+	u := s.usage(j.spec.Team)
 	f := float64(n)
 	return (t.CPUs <= 0 || u.cpus+f*j.spec.CPUs <= t.CPUs+slack) && (t.GPUs <= 0 || u.gpus+f*j.spec.GPUs <= t.GPUs+slack)
 }
 
 // borrowed reports whether a team runs beyond its guarantee.
-func (p *Part) borrowed(team string) bool {
-	t := p.cfg.Teams[team]
-	u := p.usage(team)
+func (s *Shard) borrowed(team string) bool {
+	t := s.cfg.Teams[team]
+	u := s.usage(team)
 	return (t.CPUs > 0 && u.cpus > t.CPUs+slack) || (t.GPUs > 0 && u.gpus > t.GPUs+slack) || (t.CPUs <= 0 && t.GPUs <= 0)
 }
 
-func (p *Part) load(team string) float64 {
-	share := p.cfg.Teams[team].Share
+func (s *Shard) load(team string) float64 {
+	share := s.cfg.Teams[team].Share
 	if share <= 0 {
 		share = 1
 	}
-	u := p.usage(team)
+	u := s.usage(team)
 	return (u.gpus*4 + u.cpus) / share // both kinds count; cards are the scarcer
 }
--- a/internal/sched/load.go
+++ b/internal/scheduler/load.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"encoding/json"
@@ -13,53 +13,53 @@
 // Load fills a newly claimed part from its records. Placements of earlier
 // owners count as there until their machines answer under our token. A job's record that
 // can't be decoded is passed over; what one of placements may tell of is withheld.
-func (p *Part) Load(fleet *record.Fleet, open, slots []wire.Entry, now time.Time) error {
+func (s *Shard) Load(fleet *record.Fleet, open, slots []wire.Entry, now time.Time) error {
 	var err error
 	fleet.Each(func(id string, v record.View) {
-		if e := p.SetMachine(id, v, now); e != nil {
+		if e := s.SetMachine(id, v, now); e != nil {
 			err = e
 		}
 	})
 	if err != nil {
 		return err
 	}
-	for _, m := range p.machines {
+	for _, m := range s.machines {
 		m.inherited = true
 	}
 	for _, e := range open {
-		o, err := decode[record.Open](e)
+		o, err := decode[record.ActiveJob](e)
 		if err != nil {
-			p.settling.malformed = append(p.settling.malformed, err)
+			s.settling.malformed = append(s.settling.malformed, err)
 			continue // that job waits for who mends its record; the others go on
 		}
-		p.SetJob(record.Last(e.Key), o, e.Version, now)
+		s.SetJob(record.Last(e.Key), o, e.Version, now)
 	}
-	runs, err := p.loadSlots(slots)
+	runs, err := s.loadSlots(slots)
 	if err != nil {
 		return err
 	}
 	for _, l := range runs {
-		p.loadRun(l, now)
+		s.loadRun(l, now)
 	}
-	p.withhold()
-	p.awaitReports(slots, now)
-	p.beginSettling(now)
+	s.withhold()
+	s.awaitReports(slots, now)
+	s.beginSettling(now)
 	return nil
 }
 
 // loadRun takes in a range, or what is left of it by those that count before it.
-func (p *Part) loadRun(l loaded, now time.Time) {
+func (s *Shard) loadRun(l loaded, now time.Time) {
 	j, r := l.job, l.run
 	fresh := j.uncovered(l.first, l.end, l.end-l.first)
 	if len(fresh) == 1 && fresh[0] == [2]int{l.first, l.end} {
 		c := &chunk{job: j, first: l.first, end: l.end, turn: r.Turn}
-		p.enter(c, l.slot)
+		s.enter(c, l.slot)
 		c.turn = r.Turn
 	} else {
 		for _, span := range fresh {
 			c := &chunk{job: j, first: span[0], end: span[1], turn: r.Turn, from: l.slot}
 			// A slot that waits for what leaves it must not be where that goes.
-			p.enter(c, p.roomySlot(p.cost(c, p.stated), l.slot))
+			s.enter(c, s.roomySlot(s.cost(c, s.stated), l.slot))
 			l.slot.left[c] = struct{}{}
 			if l.slot.stated { // which can't be written before this is
 				c.slot.dirty, c.slot.urgent, c.slot.moved = true, true, true
@@ -72,12 +72,12 @@
 		}
 	}
 	mine := func(i int) bool {
-		return slices.ContainsFunc(fresh, func(s [2]int) bool { return s[0] <= i && i < s[1] })
+		return slices.ContainsFunc(fresh, func(within [2]int) bool { return within[0] <= i && i < within[1] })
 	}
 	for _, span := range r.Done {
 		for i := max(0, span[0]); i <= span[1] && i < len(j.tasks); i++ {
 			if mine(i) {
-				p.finish(key{j, i}, now)
+				s.finish(key{j, i}, now)
 				j.tasks[i].durable = true
 			}
 		}
@@ -86,22 +86,22 @@
 		if !mine(i) || j.tasks[i].state != idle {
 			continue
 		}
-		m := p.machines[pl.Machine]
+		m := s.machines[pl.Machine]
 		if m == nil {
 			// Given back or empty when it moved: proven gone before. If its record was lost
 			// instead, its worker reports before this is over.
-			if p.strict {
-				j.hold = now.Add(reportsToBelieve * p.cfg.Report)
+			if s.strict {
+				j.hold = now.Add(reportsToBelieve * s.cfg.Report)
 			}
 			continue
 		}
-		t := p.put(key{j, i}, m, pl.Attempt, now)
+		t := s.put(key{j, i}, m, pl.Attempt, now)
 		t.recorded, t.inherited = true, true
 		t.steps = nil
 		if j.cancelled {
 			// The cancellation came while nobody owned the part: its record
 			// was read before these placements were.
-			p.stop(key{j, i}, 0, now)
+			s.stop(key{j, i}, 0, now)
 		}
 	}
 }
--- a/internal/sched/orders.go
+++ b/internal/scheduler/orders.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"cmp"
@@ -20,19 +20,19 @@
 )
 
 // starts returns the starts of recorded tasks that the machine has not shown.
-func (p *Part) starts(m *Machine, now time.Time) []wire.Command {
-	out := p.appendOrders(nil, m, startsOnly, now)
+func (s *Shard) starts(m *Machine, now time.Time) []wire.Command {
+	out := s.appendOrders(nil, m, startsOnly, now)
 	return out[:min(len(out), maxCommands)]
 }
 
 // appendOrders adds what an answer to a machine carries for the tasks in the ledger. While
 // orders are paced the urgent ones come first, and a worker gets a few starts at a time.
-func (p *Part) appendOrders(out []wire.Command, m *Machine, w which, now time.Time) []wire.Command {
-	if p.cfg.Pace.On() {
-		return p.appendPaced(out, m, w, now)
+func (s *Shard) appendOrders(out []wire.Command, m *Machine, w which, now time.Time) []wire.Command {
+	if s.cfg.Pace.On() {
+		return s.appendPaced(out, m, w, now)
 	}
 	for k, t := range m.on {
-		if p.hasOrder(k, t, m, w, now) {
+		if s.hasOrder(k, t, m, w, now) {
 			out = append(out, t.order(k, m, now))
 		}
 	}
@@ -40,27 +40,27 @@
 }
 
 // appendPaced does the same within the pace.
-func (p *Part) appendPaced(out []wire.Command, m *Machine, w which, now time.Time) []wire.Command {
+func (s *Shard) appendPaced(out []wire.Command, m *Machine, w which, now time.Time) []wire.Command {
 	var due []key
 	for k := range m.on {
 		due = append(due, k)
 	}
 	slices.SortFunc(due, func(a, b key) int {
-		return cmp.Or(cmp.Compare(p.paceClass(a), p.paceClass(b)), cmp.Compare(a.job.ref, b.job.ref), cmp.Compare(a.i, b.i))
+		return cmp.Or(cmp.Compare(s.paceClass(a), s.paceClass(b)), cmp.Compare(a.job.ref, b.job.ref), cmp.Compare(a.i, b.i))
 	})
-	left := p.cfg.Pace.Settings().PerWorker
+	left := s.cfg.Pace.Settings().PerWorker
 	for _, k := range due {
 		t := m.on[k]
 		isStart := !t.stop
 		if isStart && left <= 0 {
-			p.delay(m, now.Add(p.cfg.Report))
+			s.delay(m, now.Add(s.cfg.Report))
 			continue
 		}
-		if !p.hasOrder(k, t, m, w, now) {
+		if !s.hasOrder(k, t, m, w, now) {
 			continue
 		}
-		if !p.cfg.Pace.Allow(p.paceClass(k), now) {
-			p.delay(m, p.cfg.Pace.NextAt(now))
+		if !s.cfg.Pace.Allow(s.paceClass(k), now) {
+			s.delay(m, s.cfg.Pace.NextAt(now))
 			continue
 		}
 		out = append(out, t.order(k, m, now))
@@ -73,12 +73,12 @@
 
 // paceClass tells how urgent the order for a task is. Those of a gang of which one was
 // started follow it, as they wait for each other only for so long.
-func (p *Part) paceClass(k key) pace.Class {
+func (s *Shard) paceClass(k key) pace.Class {
 	t := &k.job.tasks[k.i]
 	switch {
 	case t.stop && k.job.cancelled:
 		return pace.Limited
-	case k.job.spec.Kind == wire.Service, p.guaranteed(k.job, 0), k.job.spec.Kind == wire.Gang && k.job.started():
+	case k.job.spec.Kind == wire.Service, s.guaranteed(k.job, 0), k.job.spec.Kind == wire.Gang && k.job.started():
 		return pace.Urgent
 	}
 	return pace.Routine
@@ -90,24 +90,24 @@
 }
 
 // delay makes a machine be looked at again for starts that wait.
-func (p *Part) delay(m *Machine, until time.Time) {
-	if due, ok := p.delayed[m]; !ok || until.Before(due) {
-		p.delayed[m] = until
+func (s *Shard) delay(m *Machine, until time.Time) {
+	if due, ok := s.delayed[m]; !ok || until.Before(due) {
+		s.delayed[m] = until
 	}
 }
 
 // hasOrder reports whether there is an order for a task.
-func (p *Part) hasOrder(k key, t *task, m *Machine, w which, now time.Time) bool {
+func (s *Shard) hasOrder(k key, t *task, m *Machine, w which, now time.Time) bool {
 	switch {
 	case !t.recorded:
 		return false
 	case t.stop:
 		return w == stopsToo && !(t.phase == wire.Saving && t.grace > 0)
-	case t.seen || t.inherited || p.lost || p.blind || m.Phase != record.InUse || k.job.cancelled || !k.job.wholeRecorded():
+	case t.seen || t.inherited || s.lost || s.blind || m.Phase != record.InUse || k.job.cancelled || !k.job.wholeRecorded():
 		return false
 	}
-	if due := p.startAfter(k, t); !t.sent && now.Before(due) {
-		p.delayed[m] = due
+	if due := s.startAfter(k, t); !t.sent && now.Before(due) {
+		s.delayed[m] = due
 		return false
 	}
 	return true
--- a/internal/sched/pipeline.go
+++ b/internal/scheduler/pipeline.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"fmt"
@@ -17,12 +17,12 @@
 // records of the jobs that this releases are one transaction.
 type line struct {
 	ref            string // empty for a job that is in no pipeline with others
-	rec            record.Pipe
+	rec            record.Pipeline
 	version        uint64 // 0: not read yet
 	run            *fragment.Pipeline
-	others         []record.PipeEnd // ends that its record has no room for
-	busy           bool             // an end is being recorded
-	versionUnknown bool             // a reread is under way
+	others         []record.PipelineJobEnd // ends that its record has no room for
+	busy           bool                    // an end is being recorded
+	versionUnknown bool                    // a reread is under way
 }
 
 // alone is the pipeline of each job that was submitted by itself. Its only fragment is
@@ -32,28 +32,28 @@
 // await makes a job wait for those that it names. That it was held stays in its
 // record: what it waits for has final records, which never change, and so every
 // owner comes to the same.
-func (p *Part) await(j *Job) {
+func (s *Shard) await(j *Job) {
 	j.line = &line{run: fragment.After(j.ref, j.spec.DependsOn)}
 	for _, r := range j.spec.DependsOn {
-		if p.dependents[r] == nil {
-			p.dependents[r] = map[*Job]struct{}{}
+		if s.dependents[r] == nil {
+			s.dependents[r] = map[*Job]struct{}{}
 		}
-		p.dependents[r][j] = struct{}{}
+		s.dependents[r][j] = struct{}{}
 	}
 }
 
 // Dependencies returns the jobs, of this part or others, that jobs here wait for.
-func (p *Part) Dependencies() []string { return slices.Collect(maps.Keys(p.dependents)) }
+func (s *Shard) Dependencies() []string { return slices.Collect(maps.Keys(s.dependents)) }
 
 // DependencyEnded takes in the final record of a job that others wait for.
-func (p *Part) DependencyEnded(ref string, end record.Job, now time.Time) {
-	for j := range p.dependents[ref] {
+func (s *Shard) DependencyEnded(ref string, end record.FinishedJob, now time.Time) {
+	for j := range s.dependents[ref] {
 		if end.State != wire.Done {
 			// All that needs a cancelled job is cancelled with it. Nothing of it has
 			// run, so its end can be recorded at once.
 			j.line.run.Abort(ref)
 			j.dead = true
-			p.cancel(j, now)
+			s.cancel(j, now)
 			continue
 		}
 		j.line.run.Finish(ref, "")
@@ -62,15 +62,15 @@
 			at = time.UnixMilli(end.At)
 		}
 		if j.freeAt = later(j.freeAt, at); slices.Contains(j.line.run.Ready(), j.ref) {
-			p.free(j, j.freeAt, now)
+			s.free(j, j.freeAt, now)
 		}
 	}
-	delete(p.dependents, ref)
+	delete(s.dependents, ref)
 }
 
 // Inherit gives a job what those that need it ask for.
-func (p *Part) Inherit(ref string, c fragment.Claim) {
-	j := p.jobs[ref]
+func (s *Shard) Inherit(ref string, c fragment.Claim) {
+	j := s.jobs[ref]
 	if j == nil {
 		return
 	}
@@ -79,12 +79,12 @@
 	}
 	for i := range j.tasks {
 		if m := j.tasks[i].machine; m != nil && j.rank != c.Rank {
-			p.index.holds(m, j.rank, -1)
-			p.index.holds(m, c.Rank, 1)
+			s.index.holds(m, j.rank, -1)
+			s.index.holds(m, c.Rank, 1)
 		}
 	}
 	j.rank, j.due = c.Rank, c.Due
-	p.changed = true
+	s.changed = true
 }
 
 // deadline is when a job is to be done, in seconds since it began to wait.
@@ -105,41 +105,41 @@
 
 // JobGone takes in that a job that is held here has no open record any more: some
 // controller found a job that it needs cancelled, and recorded its end.
-func (p *Part) JobGone(ref string, now time.Time) {
-	if j := p.jobs[ref]; j != nil && j.held && j.placedTasks == 0 && j.ending == nil && !j.versionUnknown {
-		p.end(j, now)
+func (s *Shard) JobGone(ref string, now time.Time) {
+	if j := s.jobs[ref]; j != nil && j.held && j.placedTasks == 0 && j.ending == nil && !j.versionUnknown {
+		s.end(j, now)
 	}
 }
 
 // lineOf returns the pipeline of a job; its record is read when it is new.
-func (p *Part) lineOf(ref string) *line {
-	l := p.lines[ref]
+func (s *Shard) lineOf(ref string) *line {
+	l := s.lines[ref]
 	if l == nil {
 		l = &line{ref: ref}
-		p.lines[ref] = l
-		p.rereadPipe(l)
+		s.lines[ref] = l
+		s.rereadPipe(l)
 	}
 	return l
 }
 
-func (p *Part) rereadPipe(l *line) {
+func (s *Shard) rereadPipe(l *line) {
 	if !l.versionUnknown {
 		l.versionUnknown = true
-		p.out.RereadPipes = append(p.out.RereadPipes, l.ref)
+		s.out.RereadPipes = append(s.out.RereadPipes, l.ref)
 	}
 }
 
 // PipeRead takes in a pipeline's record as read back, and the ends of those of its
 // jobs that it does not tell.
-func (p *Part) PipeRead(ref string, e *wire.Entry, others []record.PipeEnd, now time.Time) error {
-	l := p.lines[ref]
+func (s *Shard) PipeRead(ref string, e *wire.Entry, others []record.PipelineJobEnd, now time.Time) error {
+	l := s.lines[ref]
 	if l == nil {
 		return nil
 	}
 	if e == nil {
 		return fmt.Errorf("pipeline %s has no record", ref)
 	}
-	rec, err := decode[record.Pipe](*e)
+	rec, err := decode[record.Pipeline](*e)
 	if err != nil {
 		return err
 	}
@@ -157,15 +157,15 @@
 	for _, ref := range run.Ready() {
 		// Released by a step that could not be recorded in one piece, if at all:
 		// else the record of the job itself says so.
-		if j := p.jobs[ref]; j != nil && len(others) > 0 {
-			p.free(j, now, now)
+		if j := s.jobs[ref]; j != nil && len(others) > 0 {
+			s.free(j, now, now)
 		}
 	}
-	p.bury(l, now)
-	p.changed = true
+	s.bury(l, now)
+	s.changed = true
 	for _, ref := range rec.Jobs {
-		if j := p.jobs[ref]; j != nil {
-			p.ends(j)
+		if j := s.jobs[ref]; j != nil {
+			s.ends(j)
 		}
 	}
 	return nil
@@ -174,22 +174,22 @@
 // bury ends the jobs that a pipeline has no use for any more: they follow a
 // cancelled one, or a branch that was not picked. Of one that was withdrawn these
 // are all: a withdrawal may have come no further than the pipeline's own record.
-func (p *Part) bury(l *line, now time.Time) {
+func (s *Shard) bury(l *line, now time.Time) {
 	left := l.run.Left()
 	for _, ref := range l.rec.Jobs {
-		j := p.jobs[ref]
+		j := s.jobs[ref]
 		if j == nil || (l.rec.State != wire.Cancelled && (!j.held || (left[ref] && l.rec.State == ""))) {
 			continue
 		}
 		j.dead = true
-		p.cancel(j, now)
+		s.cancel(j, now)
 	}
 }
 
 // after returns the pipeline as it is once a job has ended, and the jobs that
 // this releases. The paper's algorithm decides.
-func (l *line) after(j *Job, p *Part) (*line, []*Job) {
-	end := record.PipeEnd{Ref: j.ref, State: wire.Done}
+func (l *line) after(j *Job, shard *Shard) (*line, []*Job) {
+	end := record.PipelineJobEnd{Ref: j.ref, State: wire.Done}
 	if j.cancelled {
 		end.State = wire.Cancelled
 	}
@@ -206,8 +206,8 @@
 	}
 	var free []*Job
 	for _, ref := range next.run.Ready() {
-		if s := p.jobs[ref]; s != nil && s.held {
-			free = append(free, s)
+		if released := shard.jobs[ref]; released != nil && released.held {
+			free = append(free, released)
 		}
 	}
 	return next, free
@@ -215,7 +215,7 @@
 
 // advance adds to a job's end what it means for its pipeline. It reports false
 // if that can't be said yet.
-func (p *Part) advance(t *Txn, j *Job, now time.Time) bool {
+func (s *Shard) advance(t *Txn, j *Job, now time.Time) bool {
 	l := j.line
 	if l.ref == "" || j.dead || l.rec.State != "" {
 		return true // alone, or its pipeline is over without it
@@ -223,35 +223,35 @@
 	if l.version == 0 || l.versionUnknown || l.busy {
 		return false
 	}
-	next, free := l.after(j, p)
-	at := record.PipeKey(l.ref)
+	next, free := l.after(j, s)
+	at := record.PipelineKey(l.ref)
 	t.Body.If = append(t.Body.If, wire.Cond{Key: at, Version: l.version})
-	t.next, t.free = next, map[*Job]record.Open{}
+	t.next, t.free = next, map[*Job]record.ActiveJob{}
 	l.busy = true
-	if over := next.rec.Over(p.valueBytes); over.State != "" {
+	if over := next.rec.Over(s.valueBytes); over.State != "" {
 		next.rec = over
 	}
 	ops := []wire.Op{{Put: at, Value: record.Encode(next.rec)}}
-	opens := make([]record.Open, len(free))
-	for i, s := range free {
-		opens[i] = record.Open{Spec: *s.spec, Part: p.id, At: now.UnixMilli(), Pipe: l.ref}
-		ops = append(ops, wire.Op{Put: record.OpenKey(s.ref), Value: record.Encode(opens[i])})
+	opens := make([]record.ActiveJob, len(free))
+	for i, released := range free {
+		opens[i] = record.ActiveJob{Spec: *released.spec, Shard: s.id, At: now.UnixMilli(), Pipeline: l.ref}
+		ops = append(ops, wire.Op{Put: record.ActiveJobKey(released.ref), Value: record.Encode(opens[i])})
 	}
-	large := func(op wire.Op) bool { return len(op.Value) > p.valueBytes }
-	if slices.ContainsFunc(ops, large) || len(t.Body.Then)+len(ops) > p.txnOps {
+	large := func(op wire.Op) bool { return len(op.Value) > s.valueBytes }
+	if slices.ContainsFunc(ops, large) || len(t.Body.Then)+len(ops) > s.txnOps {
 		// Too much for one piece, as the first version may have accepted it. What
 		// is released follows from the jobs' final records, so the job's end is
 		// enough; its condition keeps it from passing a withdrawal.
-		next.rec, next.others = l.rec, append(slices.Clone(l.others), record.PipeEnd{Ref: j.ref, State: t.state()})
-		for _, s := range free {
-			t.free[s] = record.Open{}
+		next.rec, next.others = l.rec, append(slices.Clone(l.others), record.PipelineJobEnd{Ref: j.ref, State: t.state()})
+		for _, released := range free {
+			t.free[released] = record.ActiveJob{}
 		}
 		return true
 	}
 	t.Body.Then = append(t.Body.Then, ops...)
-	for i, s := range free {
-		t.Body.If = append(t.Body.If, wire.Cond{Key: record.OpenKey(s.ref), Version: s.version})
-		t.free[s] = opens[i]
+	for i, released := range free {
+		t.Body.If = append(t.Body.If, wire.Cond{Key: record.ActiveJobKey(released.ref), Version: released.version})
+		t.free[released] = opens[i]
 	}
 	return true
 }
@@ -265,7 +265,7 @@
 }
 
 // advanced takes in that a job's end was recorded with its pipeline's step.
-func (p *Part) advanced(t *Txn, revision uint64, now time.Time) {
+func (s *Shard) advanced(t *Txn, revision uint64, now time.Time) {
 	l := t.job.line
 	if t.next == nil {
 		return
@@ -275,23 +275,23 @@
 	if len(t.Body.Then) > leastOps {
 		l.version = revision
 	}
-	for s, open := range t.free {
+	for released, open := range t.free {
 		if open.Spec.Ref == "" {
-			p.free(s, now, now)
+			s.free(released, now, now)
 			continue
 		}
-		p.SetJob(s.ref, open, revision, now)
+		s.SetJob(released.ref, open, revision, now)
 	}
-	p.bury(l, now)
-	if l.rec.State != "" && len(p.unfinished(l)) == 0 {
-		delete(p.lines, l.ref)
+	s.bury(l, now)
+	if l.rec.State != "" && len(s.unfinished(l)) == 0 {
+		delete(s.lines, l.ref)
 	}
 }
 
-func (p *Part) unfinished(l *line) []*Job {
+func (s *Shard) unfinished(l *line) []*Job {
 	var out []*Job
 	for _, ref := range l.rec.Jobs {
-		if j := p.jobs[ref]; j != nil {
+		if j := s.jobs[ref]; j != nil {
 			out = append(out, j)
 		}
 	}
@@ -300,12 +300,12 @@
 
 // stalled takes in that a job's end was not recorded, or perhaps was: its
 // pipeline's record decides.
-func (p *Part) stalled(j *Job, known bool) {
+func (s *Shard) stalled(j *Job, known bool) {
 	if l := j.line; l.ref != "" {
 		if known {
 			l.busy = false
 		} else {
-			p.rereadPipe(l)
+			s.rereadPipe(l)
 		}
 	}
 }
--- a/internal/sched/pipeline_test.go
+++ b/internal/scheduler/pipeline_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"fmt"
@@ -23,22 +23,22 @@
 func link(from, to string) wire.Link { return wire.Link{From: []string{from}, To: []string{to}} }
 
 // diamond is a split after the first job and its join.
-func diamond() record.Pipe {
-	return record.Pipe{Jobs: []string{jobA, jobB, jobC, jobD}, Links: []wire.Link{link(jobA, jobB), link(jobA, jobC), link(jobB, jobD), link(jobC, jobD)}}
+func diamond() record.Pipeline {
+	return record.Pipeline{Jobs: []string{jobA, jobB, jobC, jobD}, Links: []wire.Link{link(jobA, jobB), link(jobA, jobC), link(jobB, jobD), link(jobC, jobD)}}
 }
 
 // fork is a choice after the first job: done goes on with B, cancelled with C.
-func fork() record.Pipe {
-	return record.Pipe{Jobs: []string{jobA, jobB, jobC, jobD},
+func fork() record.Pipeline {
+	return record.Pipeline{Jobs: []string{jobA, jobB, jobC, jobD},
 		Links:   []wire.Link{{From: []string{jobA}, To: []string{jobB, jobC}}, {From: []string{jobB, jobC}, To: []string{jobD}}},
 		Choices: []wire.Choice{{At: jobA, Done: jobB, Cancelled: jobC}}}
 }
 
 // pipeline submits a pipeline as a controller records it.
-func (r *rig) pipeline(p record.Pipe) {
-	r.state.Put(record.PipeKey("pipe-000001"), p)
+func (r *rig) pipeline(p record.Pipeline) {
+	r.state.Put(record.PipelineKey("pipe-000001"), p)
 	for i, ref := range p.Jobs {
-		r.open(record.Open{Spec: spec(ref, "b", wire.Array, "normal", 1, 1), At: r.clock.Now().UnixMilli(), Pipe: "pipe-000001", Held: i > 0})()
+		r.open(record.ActiveJob{Spec: spec(ref, "b", wire.Array, "normal", 1, 1), At: r.clock.Now().UnixMilli(), Pipeline: "pipe-000001", AwaitsDependencies: i > 0})()
 	}
 }
 
@@ -63,7 +63,7 @@
 }
 
 func (r *rig) pipeState() string {
-	rec, err := decode[record.Pipe](*r.get(record.PipeKey("pipe-000001")))
+	rec, err := decode[record.Pipeline](*r.get(record.PipelineKey("pipe-000001")))
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -107,7 +107,7 @@
 	r.beats(2)
 	r.endAll()
 	r.beats(3)
-	r.open(record.Open{Spec: spec(jobB, "b", wire.Array, "normal", 1, 1), Pipe: "pipe-000001", Cancelled: true})()
+	r.open(record.ActiveJob{Spec: spec(jobB, "b", wire.Array, "normal", 1, 1), Pipeline: "pipe-000001", Cancelled: true})()
 	r.beats(3)
 	r.endAll()
 	r.beats(5)
@@ -132,7 +132,7 @@
 		r.pipeline(fork())
 		r.beats(2)
 		if x.cancel {
-			r.open(record.Open{Spec: spec(jobA, "b", wire.Array, "normal", 1, 1), Pipe: "pipe-000001", Cancelled: true})()
+			r.open(record.ActiveJob{Spec: spec(jobA, "b", wire.Array, "normal", 1, 1), Pipeline: "pipe-000001", Cancelled: true})()
 		}
 		for range 16 {
 			r.endAll()
@@ -157,7 +157,7 @@
 	r.beats(2)
 	rec := diamond()
 	rec.State = wire.Cancelled
-	r.state.Put(record.PipeKey("pipe-000001"), rec) // not told to the owner
+	r.state.Put(record.PipelineKey("pipe-000001"), rec) // not told to the owner
 	r.endAll()
 	r.beats(6)
 	if got := started(w); !slices.Equal(got, []string{jobA}) {
@@ -174,8 +174,8 @@
 			r.beat()
 			r.endAll()
 			for _, ref := range diamond().Jobs { // as the watch tells
-				if e := r.get(record.OpenKey(ref)); e != nil {
-					o, err := decode[record.Open](*e)
+				if e := r.get(record.ActiveJobKey(ref)); e != nil {
+					o, err := decode[record.ActiveJob](*e)
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -192,8 +192,8 @@
 }
 
 // wide is a pipeline with a split into so many jobs, and its join.
-func wide(n int) record.Pipe {
-	p := record.Pipe{Jobs: []string{"run-000000"}}
+func wide(n int) record.Pipeline {
+	p := record.Pipeline{Jobs: []string{"run-000000"}}
 	last := fmt.Sprintf("run-%06d", n+1)
 	for i := range n {
 		ref := fmt.Sprintf("run-%06d", i+1)
@@ -275,9 +275,9 @@
 		if withdrawn {
 			over := p
 			over.State = wire.Cancelled
-			r.state.Put(record.PipeKey("pipe-000001"), over.Over(1024))
+			r.state.Put(record.PipelineKey("pipe-000001"), over.Over(1024))
 		} else {
-			r.open(record.Open{Spec: spec(p.Jobs[3], "b", wire.Array, "normal", 1, 1), Pipe: "pipe-000001", Held: true, Cancelled: true})()
+			r.open(record.ActiveJob{Spec: spec(p.Jobs[3], "b", wire.Array, "normal", 1, 1), Pipeline: "pipe-000001", AwaitsDependencies: true, Cancelled: true})()
 		}
 		r.beats(2)
 		r.claim()
@@ -293,7 +293,7 @@
 			if i == 3 || i == len(p.Jobs)-1 || (withdrawn && i > 0) {
 				want = wire.Cancelled
 			}
-			if got := r.jobState(ref); got != want || r.get(record.OpenKey(ref)) != nil {
+			if got := r.jobState(ref); got != want || r.get(record.ActiveJobKey(ref)) != nil {
 				t.Errorf("withdrawn %t: %s is %q, want %q", withdrawn, ref, got, want)
 			}
 		}
--- a/internal/sched/place.go
+++ b/internal/scheduler/place.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"sort"
@@ -9,13 +9,13 @@
 )
 
 // usable reports whether new work may be placed on a machine.
-func (p *Part) usable(m *Machine, now time.Time) bool {
+func (s *Shard) usable(m *Machine, now time.Time) bool {
 	return m.up && m.Phase == record.InUse && !m.drain && m.cordon == NotCordoned && m.moveTo < 0 && m.txn == nil && !m.versionUnknown &&
-		m.unreachableSince.IsZero() && (m.fenced || !m.inherited) && m.taken.IsZero() && now.Sub(m.reported) < p.suspectAfter()
+		m.unreachableSince.IsZero() && (m.fenced || !m.inherited) && m.taken.IsZero() && now.Sub(m.reported) < s.suspectAfter()
 }
 
 // suspectAfter is when a silent machine gets no new work.
-func (p *Part) suspectAfter() time.Duration { return p.cfg.Report*2 + time.Second }
+func (s *Shard) suspectAfter() time.Duration { return s.cfg.Report*2 + time.Second }
 
 func (j *Job) unit() int {
 	if j.spec.Kind == wire.Gang {
@@ -24,7 +24,7 @@
 	return 1
 }
 
-func (p *Part) waiting(j *Job, now time.Time) bool {
+func (s *Shard) waiting(j *Job, now time.Time) bool {
 	if j.held || j.withheld || j.cancelled || j.idleTasks == 0 || j.versionUnknown {
 		return false
 	}
@@ -35,21 +35,21 @@
 }
 
 // place starts what can be started: team by team, in turn by shares.
-func (p *Part) place(now time.Time) {
-	if p.unreadable.unheard || p.awaitsReports(now) {
+func (s *Shard) place(now time.Time) {
+	if s.unreadable.unheard || s.awaitsReports(now) {
 		return // what runs unrecorded uses room and quota
 	}
-	p.gathers, p.found = map[string]*Job{}, found{}
-	p.weighKept()
+	s.gathers, s.found = map[string]*Job{}, found{}
+	s.weighKept()
 	queues := map[string][]*Job{}
-	for _, j := range p.index.waiting {
-		p.looked++
-		if !p.waiting(j, now) {
+	for _, j := range s.index.waiting {
+		s.looked++
+		if !s.waiting(j, now) {
 			j.stuck = time.Time{}
 			continue
 		}
 		if now.Before(j.hold) {
-			p.alarm(j.hold)
+			s.alarm(j.hold)
 			continue
 		}
 		queues[j.spec.Team] = append(queues[j.spec.Team], j)
@@ -57,11 +57,11 @@
 	for _, q := range queues {
 		urgency := make(map[*Job]float64, len(q))
 		for _, j := range q {
-			urgency[j] = p.cfg.Urgency(j.spec, now.Sub(j.accepted), j.deadline())
+			urgency[j] = s.cfg.Urgency(j.spec, now.Sub(j.accepted), j.deadline())
 		}
 		sort.Slice(q, func(a, b int) bool {
 			x, y := q[a], q[b]
-			if old := p.aged(x, now); old != p.aged(y, now) {
+			if old := s.aged(x, now); old != s.aged(y, now) {
 				return old
 			} else if old {
 				return beforeAged(x, y)
@@ -89,14 +89,14 @@
 			if len(q) == 0 {
 				continue
 			}
-			if bestJob == nil || p.before(q[0], team, bestJob, best, now) {
+			if bestJob == nil || s.before(q[0], team, bestJob, best, now) {
 				best, bestJob = team, q[0]
 			}
 		}
 		if bestJob == nil {
 			return
 		}
-		if p.start(bestJob, now) && bestJob.idleTasks > 0 {
+		if s.start(bestJob, now) && bestJob.idleTasks > 0 {
 			continue
 		}
 		queues[best] = queues[best][1:]
@@ -112,8 +112,8 @@
 	agedShare = 0.2
 )
 
-func (p *Part) aged(j *Job, now time.Time) bool {
-	return (j.kept || j.starved(now)) && now.Sub(j.accepted) > agedAfter && p.keptLoad[j.rank] < agedShare
+func (s *Shard) aged(j *Job, now time.Time) bool {
+	return (j.kept || j.starved(now)) && now.Sub(j.accepted) > agedAfter && s.keptLoad[j.rank] < agedShare
 }
 
 // starved reports whether nothing of a job has run for too long.
@@ -135,11 +135,11 @@
 }
 
 // weighKept computes the share of the part's machines that kept jobs hold.
-func (p *Part) weighKept() {
-	p.keptLoad = [highestRank + 1]float64{}
-	for j := range p.kept {
-		if p.index.cpus > 0 {
-			p.keptLoad[j.rank] += float64(j.placedTasks) * j.spec.CPUs / p.index.cpus
+func (s *Shard) weighKept() {
+	s.keptLoad = [highestRank + 1]float64{}
+	for j := range s.kept {
+		if s.index.cpus > 0 {
+			s.keptLoad[j.rank] += float64(j.placedTasks) * j.spec.CPUs / s.index.cpus
 		}
 	}
 }
@@ -147,62 +147,62 @@
 // before orders the heads of two teams' queues: what has waited too long goes
 // first, then work within a guarantee, then priority, then the team with less of
 // its share.
-func (p *Part) before(a *Job, teamA string, b *Job, teamB string, now time.Time) bool {
-	if old := p.aged(a, now); old != p.aged(b, now) {
+func (s *Shard) before(a *Job, teamA string, b *Job, teamB string, now time.Time) bool {
+	if old := s.aged(a, now); old != s.aged(b, now) {
 		return old
 	} else if old {
 		return beforeAged(a, b)
 	}
-	if x, y := p.guaranteed(a, a.unit()), p.guaranteed(b, b.unit()); x != y {
+	if x, y := s.guaranteed(a, a.unit()), s.guaranteed(b, b.unit()); x != y {
 		return x
 	}
 	if a.rank != b.rank {
 		return a.rank > b.rank
 	}
-	if x, y := p.load(teamA), p.load(teamB); x != y {
+	if x, y := s.load(teamA), s.load(teamB); x != y {
 		return x < y
 	}
 	return teamA < teamB
 }
 
 // start places one unit of a job: a task, or all of a gang.
-func (p *Part) start(j *Job, now time.Time) bool {
+func (s *Shard) start(j *Job, now time.Time) bool {
 	n := j.unit()
-	if !p.withinLimit(j, n) {
+	if !s.withinLimit(j, n) {
 		j.stuck = time.Time{} // waits for its own team, not for machines
 		return false
 	}
-	where := p.find(j, n, now)
+	where := s.find(j, n, now)
 	if where == nil {
 		if j.stuck.IsZero() {
 			j.stuck = now
 		}
-		if j.spec.Kind == wire.Gang && (len(p.gathers) == 0 || j.late(now)) {
-			p.gather(j, n, now)
+		if j.spec.Kind == wire.Gang && (len(s.gathers) == 0 || j.late(now)) {
+			s.gather(j, n, now)
 		}
-		p.makeRoom(j, n, now)
+		s.makeRoom(j, n, now)
 		return false
 	}
-	if wait, more := p.seek(j, where[0], now); wait {
+	if wait, more := s.seek(j, where[0], now); wait {
 		return more
 	}
-	if p.aged(j, now) {
+	if s.aged(j, now) {
 		j.kept = true
-		p.kept[j] = true
-		defer p.weighKept()
+		s.kept[j] = true
+		defer s.weighKept()
 	}
 	gang := j.attempt()
 	for _, m := range where {
 		i := j.nextIdle()
-		a := p.nextAttempt(j, i)
+		a := s.nextAttempt(j, i)
 		if j.spec.Kind == wire.Gang {
 			if gang == 0 {
 				gang = a
 			}
 			a = gang
 		}
-		p.put(key{j, i}, m, a, now)
-		p.use(m, j)
+		s.put(key{j, i}, m, a, now)
+		s.use(m, j)
 	}
 	if j.idleTasks == 0 {
 		j.stuck = time.Time{}
@@ -221,14 +221,14 @@
 // zone that has most for it, so that smaller work can't take them one by one.
 // Those that have waited for long gather too, each in a zone of its own: two in
 // one zone could hold up each other.
-func (p *Part) gather(j *Job, n int, now time.Time) {
-	if _, anywhere := p.gathers[""]; anywhere || (!j.spec.OneZone && len(p.gathers) > 0) {
+func (s *Shard) gather(j *Job, n int, now time.Time) {
+	if _, anywhere := s.gathers[""]; anywhere || (!j.spec.OneZone && len(s.gathers) > 0) {
 		return
 	}
 	byZone := map[string][]*Machine{}
 	units := map[string]int{}
-	p.roomy(j.spec, now, func(m *Machine) {
-		if m.keptFromOthers(j, now) || p.gathers[m.Zone] != nil || !j.mayGoTo(m.Zone) {
+	s.roomy(j.spec, now, func(m *Machine) {
+		if m.keptFromOthers(j, now) || s.gathers[m.Zone] != nil || !j.mayGoTo(m.Zone) {
 			return
 		}
 		fits := 0
@@ -245,28 +245,28 @@
 	missing := now.Sub(j.stuck) > missingAfter
 	best, most := "", 0
 	for z, u := range units {
-		if missing && !p.attainable(j, n, z) {
+		if missing && !s.attainable(j, n, z) {
 			continue
 		}
 		if u > most || (u == most && z < best) {
 			best, most = z, u
 		}
 	}
-	for m := range p.index.kept[j.ref] {
+	for m := range s.index.kept[j.ref] {
 		if !m.clearing() {
-			p.release(m)
+			s.release(m)
 		}
 	}
 	if most == 0 {
 		return
 	}
-	p.gathers[best] = j
+	s.gathers[best] = j
 	for _, m := range byZone[best] {
 		if m.reserved == "" || !now.Before(m.reservedT) {
-			p.reserve(m, j, 1, now.Add(gatherFor))
+			s.reserve(m, j, 1, now.Add(gatherFor))
 		}
 	}
-	p.alarm(now.Add(gatherFor / 2))
+	s.alarm(now.Add(gatherFor / 2))
 }
 
 // late reports whether a gang has waited so long that more seems to be asked than
--- a/internal/sched/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"maps"
@@ -11,17 +11,17 @@
 
 // makeRoom stops lower work for a job that has waited long enough for a free
 // machine: what the protocol's preemption rules allow, least loss first.
-func (p *Part) makeRoom(j *Job, n int, now time.Time) {
-	due := j.stuck.Add(p.cfg.PreemptAfter)
+func (s *Shard) makeRoom(j *Job, n int, now time.Time) {
+	due := j.stuck.Add(s.cfg.PreemptAfter)
 	if now.Before(due) {
-		p.alarm(due)
+		s.alarm(due)
 		return
 	}
 	if now.Before(j.madeRoom) {
 		return
 	}
 	if again := j.roomTried.Add(roomAgain); now.Before(again) {
-		p.alarm(again)
+		s.alarm(again)
 		return
 	}
 	type option struct {
@@ -31,9 +31,9 @@
 		units   int
 	}
 	byZone := map[string][]option{}
-	within := p.guaranteed(j, n)
-	p.mayYield(j, within, now, func(m *Machine) {
-		if !allows(j.spec, m) || !j.mayGoTo(m.Zone) || !p.usable(m, now) || m.keptFromOthers(j, now) || p.awaited(m, j, now) {
+	within := s.guaranteed(j, n)
+	s.mayYield(j, within, now, func(m *Machine) {
+		if !allows(j.spec, m) || !j.mayGoTo(m.Zone) || !s.usable(m, now) || m.keptFromOthers(j, now) || s.awaited(m, j, now) {
 			return
 		}
 		r := free(m)
@@ -53,9 +53,9 @@
 				r = room{r.cpus + k.job.spec.CPUs, r.gpus + k.job.spec.GPUs, r.mem + k.job.spec.MemoryGB}
 				continue
 			}
-			if p.givesWay(k.job, j, within) {
+			if s.givesWay(k.job, j, within) {
 				ks = append(ks, k)
-				cost[k], _ = p.stopping(k, now)
+				cost[k], _ = s.stopping(k, now)
 			}
 		}
 		sort.Slice(ks, func(a, b int) bool {
@@ -70,8 +70,8 @@
 			}
 			o.victims = append(o.victims, k)
 			o.loss += cost[k]
-			s := k.job.spec
-			r = room{r.cpus + s.CPUs, r.gpus + s.GPUs, r.mem + s.MemoryGB}
+			spec := k.job.spec
+			r = room{r.cpus + spec.CPUs, r.gpus + spec.GPUs, r.mem + spec.MemoryGB}
 		}
 		if o.units = fits(); o.units == 0 {
 			return
@@ -106,23 +106,23 @@
 	if best == nil && j.late(now) {
 		// Too much for one moment: what the gang gathers grows step by step.
 		for zone, os := range byZone {
-			if p.gathers[zone] == j {
+			if s.gathers[zone] == j {
 				best = os
 			}
 		}
 	}
 	for _, o := range best {
 		for _, k := range o.victims {
-			p.giveWay(k, now)
+			s.giveWay(k, now)
 		}
-		p.reserve(o.m, j, o.units, now.Add(reserveFor))
+		s.reserve(o.m, j, o.units, now.Add(reserveFor))
 	}
 	if best != nil {
 		j.madeRoom = now.Add(reserveFor / 2)
-		p.alarm(j.madeRoom)
+		s.alarm(j.madeRoom)
 	} else {
 		j.roomTried = now
-		p.alarm(now.Add(roomAgain))
+		s.alarm(now.Add(roomAgain))
 	}
 }
 
@@ -131,34 +131,34 @@
 
 // awaited reports whether a gang that has waited for long gathers machines where m
 // is: one that is no more urgent makes no room for itself there meanwhile.
-func (p *Part) awaited(m *Machine, j *Job, now time.Time) bool {
-	g := p.gathers[m.Zone]
+func (s *Shard) awaited(m *Machine, j *Job, now time.Time) bool {
+	g := s.gathers[m.Zone]
 	if g == nil {
-		g = p.gathers[""]
+		g = s.gathers[""]
 	}
 	return g != nil && g != j && g.late(now) && g.rank >= j.rank
 }
 
 // mayYield calls f for the machines that have room for a task of j or may have it
 // once others have stopped.
-func (p *Part) mayYield(j *Job, within bool, now time.Time, f func(*Machine)) {
+func (s *Shard) mayYield(j *Job, within bool, now time.Time, f func(*Machine)) {
 	seen := machines{}
 	look := func(m *Machine) {
 		if _, ok := seen[m]; !ok {
-			p.looked++
+			s.looked++
 			seen[m] = struct{}{}
 			f(m)
 		}
 	}
-	p.roomy(j.spec, now, look)
-	for m := range p.index.clearing {
+	s.roomy(j.spec, now, look)
+	for m := range s.index.clearing {
 		look(m)
 	}
 	top := j.rank
-	if within && p.othersBorrow(j.spec.Team) {
+	if within && s.othersBorrow(j.spec.Team) {
 		top = highestRank + 1 // whatever its priority
 	}
-	for _, ms := range p.index.byRank[:top] {
+	for _, ms := range s.index.byRank[:top] {
 		for m := range ms {
 			look(m)
 		}
@@ -166,9 +166,9 @@
 }
 
 // othersBorrow reports whether another team runs beyond its guarantee here.
-func (p *Part) othersBorrow(team string) bool {
-	for t, u := range p.teams {
-		if t != team && u.gpus+u.cpus > 0 && p.borrowed(t) {
+func (s *Shard) othersBorrow(team string) bool {
+	for t, u := range s.teams {
+		if t != team && u.gpus+u.cpus > 0 && s.borrowed(t) {
 			return true
 		}
 	}
@@ -182,24 +182,24 @@
 // costs in seconds: either it saves, which holds the place meanwhile, or what it
 // did since its last checkpoint is lost. Checkpoints come at intervals of its
 // progress, so the time since the last one is known well enough to choose.
-func (p *Part) stopping(k key, now time.Time) (loss float64, grace time.Duration) {
+func (s *Shard) stopping(k key, now time.Time) (loss float64, grace time.Duration) {
 	t := &k.job.tasks[k.i]
-	s := k.job.spec
+	spec := k.job.spec
 	if t.phase == wire.Running {
 		ran := now.Sub(t.runSince).Seconds()
 		loss = ran
-		if s.CheckpointS > 0 {
-			loss = math.Mod(ran, s.CheckpointS)
-			if loss > s.SaveS {
-				loss, grace = s.SaveS, p.grace(k.job)
+		if spec.CheckpointS > 0 {
+			loss = math.Mod(ran, spec.CheckpointS)
+			if loss > spec.SaveS {
+				loss, grace = spec.SaveS, s.grace(k.job)
 			}
 		}
 		if ran < countedAfter.Seconds() {
-			loss += s.ImageGB // its start would not count
+			loss += spec.ImageGB // its start would not count
 		}
 	}
-	loss += 1 + s.ImageGB/2
-	if s.Kind == wire.Gang {
+	loss += 1 + spec.ImageGB/2
+	if spec.Kind == wire.Gang {
 		loss *= float64(len(k.job.tasks))
 	}
 	return loss, grace
@@ -209,13 +209,13 @@
 const countedAfter = 30 * time.Second
 
 // giveWay stops a task, a gang's with all its mates, for one that waits.
-func (p *Part) giveWay(k key, now time.Time) {
-	_, grace := p.stopping(k, now)
+func (s *Shard) giveWay(k key, now time.Time) {
+	_, grace := s.stopping(k, now)
 	if k.job.spec.Kind == wire.Gang {
-		p.stopJob(k.job, grace, now)
+		s.stopJob(k.job, grace, now)
 		return
 	}
-	p.stop(k, grace, now)
+	s.stop(k, grace, now)
 }
 
 // seek looks for a machine that caches a service's image where lower work can
@@ -224,22 +224,22 @@
 // and whether more may be sought for the job's others.
 // This is the design's leaning to machines that have the image, carried on to
 // those that are taken.
-func (p *Part) seek(j *Job, found *Machine, now time.Time) (wait, more bool) {
-	s := j.spec
-	if s.Kind != wire.Service || found.hasImage(s.Image) || found.Type.FetchGBps <= 0 {
+func (s *Shard) seek(j *Job, found *Machine, now time.Time) (wait, more bool) {
+	spec := j.spec
+	if spec.Kind != wire.Service || found.hasImage(spec.Image) || found.Type.FetchGBps <= 0 {
 		return false, false
 	}
-	fetch := wire.Seconds(s.ImageGB / found.Type.FetchGBps)
+	fetch := wire.Seconds(spec.ImageGB / found.Type.FetchGBps)
 	if fetch < seekWorth || now.Sub(j.accepted) > seekFor {
 		return false, false
 	}
 	zones := maps.Clone(j.zones)
 	coming := 0
 	limit := j.zoneLimit()
-	for m := range p.index.kept[j.ref] {
+	for m := range s.index.kept[j.ref] {
 		// Room that is free by now, or made where the image is not, is not what
 		// is waited for.
-		if n := m.heldFor(j, now); n > 0 && m.hasImage(s.Image) && m.clearing() && zones[m.Zone]+n <= limit {
+		if n := m.heldFor(j, now); n > 0 && m.hasImage(spec.Image) && m.clearing() && zones[m.Zone]+n <= limit {
 			coming += n
 			zones[m.Zone] += n
 		}
@@ -250,8 +250,8 @@
 	var best *Machine
 	var victim key
 	bestLoss := math.Inf(1)
-	for m := range p.index.byImage[s.Image] {
-		if !allows(s, m) || !j.mayGoTo(m.Zone) || !p.usable(m, now) || zones[m.Zone] >= limit || m.keptFromOthers(j, now) {
+	for m := range s.index.byImage[spec.Image] {
+		if !allows(spec, m) || !j.mayGoTo(m.Zone) || !s.usable(m, now) || zones[m.Zone] >= limit || m.keptFromOthers(j, now) {
 			continue
 		}
 		f := free(m)
@@ -260,13 +260,13 @@
 				f = f.less(k.job.spec, -1)
 			}
 		}
-		f = f.less(s, m.heldFor(j, now))
+		f = f.less(spec, m.heldFor(j, now))
 		for k, t := range m.on {
 			v := k.job.spec
-			if t.stop || k.job.kept || k.job.rank >= j.rank || v.Kind != wire.Array || !roomFor(s, f.cpus+v.CPUs, f.gpus+v.GPUs, f.mem+v.MemoryGB) {
+			if t.stop || k.job.kept || k.job.rank >= j.rank || v.Kind != wire.Array || !roomFor(spec, f.cpus+v.CPUs, f.gpus+v.GPUs, f.mem+v.MemoryGB) {
 				continue
 			}
-			if l, _ := p.stopping(k, now); l < bestLoss || (l == bestLoss && m.ID < best.ID) {
+			if l, _ := s.stopping(k, now); l < bestLoss || (l == bestLoss && m.ID < best.ID) {
 				best, victim, bestLoss = m, k, l
 			}
 		}
@@ -274,9 +274,9 @@
 	if best == nil {
 		return false, false
 	}
-	p.giveWay(victim, now)
-	p.reserve(best, j, 1, now.Add(seekFor))
-	p.alarm(best.reservedT)
+	s.giveWay(victim, now)
+	s.reserve(best, j, 1, now.Add(seekFor))
+	s.alarm(best.reservedT)
 	return true, true
 }
 
--- a/internal/sched/probe.go
+++ b/internal/scheduler/probe.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"time"
@@ -39,7 +39,7 @@
 )
 
 // reportDue is how long after one report the next must have come.
-func (p *Part) reportDue() time.Duration { return p.cfg.Report*5/4 + overdueSlack }
+func (s *Shard) reportDue() time.Duration { return s.cfg.Report*5/4 + overdueSlack }
 
 // greets is how often a machine is asked after a take-over before its own report
 // is awaited.
@@ -49,60 +49,60 @@
 // The token can only be brought to it with the session that it is in, so it is
 // asked first. It then reports at once, and need not wait until its next report is
 // due, or until it finds its new owner.
-func (p *Part) unmet(m *Machine) bool {
+func (s *Shard) unmet(m *Machine) bool {
 	return m.inherited && !m.fenced && m.Phase == record.InUse && m.Addr != ""
 }
 
 // probe asks the machines that are overdue or were taken over, and for each zone
 // in which one did not answer another one that was heard lately. While this controller
 // falls behind, overdue reports are its own doing, and more questions make it worse.
-func (p *Part) probe(now time.Time) {
+func (s *Shard) probe(now time.Time) {
 	doubted := map[string]bool{}
-	for _, m := range p.machines {
-		if p.unmet(m) && m.probes.failed < greets && now.Sub(m.probes.at) >= probePause {
-			p.ask(m, now)
+	for _, m := range s.machines {
+		if s.unmet(m) && m.probes.failed < greets && now.Sub(m.probes.at) >= probePause {
+			s.ask(m, now)
 		}
-		if p.behind || !(m.up || m.inherited) || m.Phase != record.InUse || m.Addr == "" || now.Sub(m.heard) < p.reportDue() {
+		if s.behind || !(m.up || m.inherited) || m.Phase != record.InUse || m.Addr == "" || now.Sub(m.heard) < s.reportDue() {
 			continue
 		}
-		late := p.leaseOver(m, now)
+		late := s.leaseOver(m, now)
 		if !late {
 			m.probes.vain = 0
 		}
-		seen := p.zoneSeen[m.Zone].After(m.probes.at)
+		seen := s.zoneSeen[m.Zone].After(m.probes.at)
 		if m.probes.failed > 0 && !seen {
 			doubted[m.Zone] = true
 		}
-		if (m.probes.failed < probesLost || seen || late && m.probes.vain < probesLost) && now.Sub(m.probes.at) >= probePause && !p.unanswering(m, now) {
-			p.ask(m, now)
+		if (m.probes.failed < probesLost || seen || late && m.probes.vain < probesLost) && now.Sub(m.probes.at) >= probePause && !s.unanswering(m, now) {
+			s.ask(m, now)
 		}
 	}
 	for zone := range doubted {
 		var witness *Machine
-		for _, m := range p.machines {
-			if m.Zone == zone && m.up && m.Addr != "" && m.probes.failed == 0 && now.Sub(m.heard) < p.reportDue() && (witness == nil || m.heard.After(witness.heard)) {
+		for _, m := range s.machines {
+			if m.Zone == zone && m.up && m.Addr != "" && m.probes.failed == 0 && now.Sub(m.heard) < s.reportDue() && (witness == nil || m.heard.After(witness.heard)) {
 				witness = m
 			}
 		}
 		if witness != nil && now.Sub(witness.probes.at) >= probePause {
-			p.ask(witness, now)
+			s.ask(witness, now)
 		}
 	}
 }
 
-func (p *Part) ask(m *Machine, now time.Time) {
-	if m.probes.asked || p.asked >= p.cfg.Probes || !p.cfg.Pace.AllowCall(now) {
+func (s *Shard) ask(m *Machine, now time.Time) {
+	if m.probes.asked || s.asked >= s.cfg.Probes || !s.cfg.Pace.AllowCall(now) {
 		return
 	}
-	m.probes.asked, m.probes.fair, m.probes.late = true, p.zoneSeen[m.Zone].After(m.probes.at), p.leaseOver(m, now)
-	p.asked++
-	p.out.Probes = append(p.out.Probes, Probe{m.ID, m.Addr})
+	m.probes.asked, m.probes.fair, m.probes.late = true, s.zoneSeen[m.Zone].After(m.probes.at), s.leaseOver(m, now)
+	s.asked++
+	s.out.Probes = append(s.out.Probes, Probe{m.ID, m.Addr})
 }
 
 // Probed takes in the answer to a probe, nil if none came.
-func (p *Part) Probed(id string, r *wire.Report, now time.Time) {
-	p.asked--
-	m := p.machines[id]
+func (s *Shard) Probed(id string, r *wire.Heartbeat, now time.Time) {
+	s.asked--
+	m := s.machines[id]
 	if m == nil {
 		return
 	}
@@ -115,17 +115,17 @@
 		}
 		return
 	}
-	p.zoneSeen[m.Zone] = now
-	p.Report(r, true, now)
+	s.zoneSeen[m.Zone] = now
+	s.Report(r, true, now)
 	m.probes.failed, m.probes.at = 0, now
-	if m.inherited && !m.fenced && r.Token < m.token(p) {
+	if m.inherited && !m.fenced && r.Token < m.token(s) {
 		m.announceToken = true
-		p.index.toPush[m] = struct{}{}
+		s.index.toPush[m] = struct{}{}
 	}
 }
 
 // unanswering reports whether a machine did not answer while its zone did.
-func (p *Part) unanswering(m *Machine, now time.Time) bool {
-	return (m.up || m.inherited) && now.Sub(m.heard) >= p.reportDue() && m.probes.failed >= probesLost && !m.probes.asked &&
-		m.probes.fair && p.zoneSeen[m.Zone].After(m.probes.at)
+func (s *Shard) unanswering(m *Machine, now time.Time) bool {
+	return (m.up || m.inherited) && now.Sub(m.heard) >= s.reportDue() && m.probes.failed >= probesLost && !m.probes.asked &&
+		m.probes.fair && s.zoneSeen[m.Zone].After(m.probes.at)
 }
--- a/internal/sched/probe_test.go
+++ b/internal/scheduler/probe_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"slices"
@@ -88,7 +88,7 @@
 		ids := []string{"m1", "m2", "m3", "m4"}
 		for _, id := range ids {
 			r.machine(id, "z1", false)
-			r.sync(r.state.Put(record.RentalKey(id), record.Rental{Type: "big", Zone: "z1", Parts: []int{0}, IDs: []string{id},
+			r.sync(r.state.Put(record.ProvisionKey(id), record.Provision{Type: "big", Zone: "z1", Shards: []int{0}, IDs: []string{id},
 				Addrs: []string{"10.1.0.1:9000"}, Born: r.clock.Now().UnixMilli()}))
 		}
 		r.submit(spec("run-000001", "b", wire.Service, "prod", 8, 1))
@@ -165,7 +165,7 @@
 	w1 := r.machine("m1", "z1", false)
 	r.machine("m2", "z1", false)
 	for _, id := range []string{"m1", "m2"} {
-		r.sync(r.state.Put(record.RentalKey(id), record.Rental{Type: "big", Zone: "z1", Parts: []int{0}, IDs: []string{id},
+		r.sync(r.state.Put(record.ProvisionKey(id), record.Provision{Type: "big", Zone: "z1", Shards: []int{0}, IDs: []string{id},
 			Addrs: []string{"10.1.0.1:9000"}, Born: r.clock.Now().UnixMilli()}))
 	}
 	r.submit(spec("run-000001", "b", wire.Service, "prod", 3, 1))
--- a/internal/sched/push.go
+++ b/internal/scheduler/push.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"time"
@@ -47,12 +47,12 @@
 
 // Start makes the command that brings what is recorded for a machine to it at
 // once, if its next report is far.
-func (p *Part) Start(id string, now time.Time) (Push, bool) {
-	m := p.machines[id]
-	if m == nil || m.Addr == "" || m.session == 0 || !p.usable(m, now) || p.cfg.Report < 2*pushWorth {
+func (s *Shard) Start(id string, now time.Time) (Push, bool) {
+	m := s.machines[id]
+	if m == nil || m.Addr == "" || m.session == 0 || !s.usable(m, now) || s.cfg.Report < 2*pushWorth {
 		return Push{}, false
 	}
-	d := Push{Machine: m.ID, Addr: m.Addr, Orders: wire.DirectOrders{Token: m.token(p), Session: m.session, Commands: p.starts(m, now)}}
+	d := Push{Machine: m.ID, Addr: m.Addr, Orders: wire.DirectOrders{Token: m.token(s), Session: m.session, Commands: s.starts(m, now)}}
 	if len(d.Orders.Commands) == 0 {
 		return Push{}, false
 	}
@@ -66,8 +66,8 @@
 }
 
 // PushDone takes in how a direct command ended.
-func (p *Part) PushDone(d Push, o Outcome, now time.Time) {
-	m := p.machines[d.Machine]
+func (s *Shard) PushDone(d Push, o Outcome, now time.Time) {
+	m := s.machines[d.Machine]
 	if m == nil {
 		return
 	}
@@ -89,7 +89,7 @@
 
 // outlived drops the direct starts that can't be carried out any more, as a
 // report shows: its session is newer or it has seen a higher token.
-func (m *Machine) outlived(r *wire.Report) {
+func (m *Machine) outlived(r *wire.Heartbeat) {
 	if r.Session > m.session {
 		m.runs = nil
 	}
@@ -109,7 +109,7 @@
 // mayForget reports whether the worker may forget an exited attempt: a late
 // start would begin it anew. A result is kept, so a completed task of a job
 // that is known not to be cancelled would only exit once more.
-func (p *Part) mayForget(m *Machine, rt *wire.ReportTask, j *Job) bool {
+func (s *Shard) mayForget(m *Machine, rt *wire.HeartbeatTask, j *Job) bool {
 	if !m.mayCome(rt.Task, rt.Attempt) {
 		return true
 	}
@@ -123,7 +123,7 @@
 // fence gives a machine a higher token where a direct start without an answer,
 // or too many attempts that must not be forgotten, call for one. A silent
 // machine is not worth it: its session ends or it goes back.
-func (p *Part) fence(m *Machine, now time.Time) {
+func (s *Shard) fence(m *Machine, now time.Time) {
 	due := m.kept >= fenceRuns
 	for _, run := range m.runs {
 		if !run.answered && now.Sub(run.at) > fenceAfter && m.heard.After(run.at) {
@@ -133,12 +133,12 @@
 	if !due || !m.fenced || m.txn != nil || m.versionUnknown {
 		return
 	}
-	at := record.OwnKey(m.ID)
+	at := record.OverrideKey(m.ID)
 	t := &Txn{machine: m, fence: true, Purpose: forFence, Routine: true}
-	t.Body.If = []wire.Cond{p.cond(), {Key: at, Version: m.version}}
-	t.Body.Then = []wire.Op{{Put: at, Value: record.Encode(p.own(m, p.id))}}
+	t.Body.If = []wire.Cond{s.cond(), {Key: at, Version: m.version}}
+	t.Body.Then = []wire.Op{{Put: at, Value: record.Encode(s.own(m, s.id))}}
 	m.txn = t
-	p.out.Txns = append(p.out.Txns, t)
+	s.out.Txns = append(s.out.Txns, t)
 }
 
 // settled reports whether no unanswered direct start is left for a machine.
