--- a/internal/sched/ranges.go
+++ b/internal/scheduler/ranges.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"fmt"
@@ -52,15 +52,15 @@
 type chunk struct {
 	job        *Job
 	first, end int
-	slot       *slot
-	cost       int    // what it may take there, in bytes
-	turn       int    // how often it was entered in a stated slot
-	attempt    uint64 // highest ever used
-	from       *slot  // whose record tells it until its slot is written
+	slot       *placementRecord
+	cost       int              // what it may take there, in bytes
+	turn       int              // how often it was entered in a stated slot
+	attempt    uint64           // highest ever used
+	from       *placementRecord // whose record tells it until its slot is written
 }
 
-// slot is one record of placements, shared by ranges of several jobs.
-type slot struct {
+// placementRecord is one record of placements, shared by ranges of several jobs.
+type placementRecord struct {
 	n              int
 	version        uint64 // 0: no record
 	stated         bool
@@ -80,28 +80,28 @@
 
 // SetUpgraded tells that no controller of the first version is left, so that ranges may state
 // their size where that is needed.
-func (p *Part) SetUpgraded() { p.upgraded = true }
+func (s *Shard) SetUpgraded() { s.upgraded = true }
 
 // SetStated makes ranges state their size from now on: no controller of the first version is
 // left.
-func (p *Part) SetStated() {
-	if !p.stated {
-		p.stated, p.changed = true, true
+func (s *Shard) SetStated() {
+	if !s.stated {
+		s.stated, s.changed = true, true
 	}
 }
 
 // placeBytes is what a placement may take in a stated slot.
-func (p *Part) placeBytes() int { return statedPlace + max(p.longestID, 8) }
+func (s *Shard) placeBytes() int { return statedPlace + max(s.longestID, 8) }
 
 // statedTasks is the most tasks in a stated range.
-func (p *Part) statedTasks() int {
-	return max(1, min((p.valueBytes-slotEnvelope-statedRun-longestRef)/p.placeBytes(), p.cfg.chunkTasks()))
+func (s *Shard) statedTasks() int {
+	return max(1, min((s.valueBytes-slotEnvelope-statedRun-longestRef)/s.placeBytes(), s.cfg.chunkTasks()))
 }
 
 // cost is what a range may take in a slot.
-func (p *Part) cost(c *chunk, stated bool) int {
+func (s *Shard) cost(c *chunk, stated bool) int {
 	if stated {
-		return statedRun + len(c.job.ref) + (c.end-c.first)*p.placeBytes()
+		return statedRun + len(c.job.ref) + (c.end-c.first)*s.placeBytes()
 	}
 	return (c.end - c.first + runOverhead) * plainPlace
 }
@@ -143,37 +143,37 @@
 }
 
 // chunk returns the range of a task, a new one in the first slot that has room.
-func (p *Part) chunk(j *Job, i int) *chunk {
+func (s *Shard) chunk(j *Job, i int) *chunk {
 	if c := j.chunkAt(i); c != nil {
 		return c
 	}
 	if j.withheld {
-		return p.enter(p.withheldRange(j, i), nil)
+		return s.enter(s.withheldRange(j, i), nil)
 	}
-	size := p.cfg.chunkTasks()
-	if p.stated {
-		size = p.statedTasks()
+	size := s.cfg.chunkTasks()
+	if s.stated {
+		size = s.statedTasks()
 	}
 	first := i / size * size
 	for _, span := range j.uncovered(first, min(first+size, len(j.tasks)), size) {
 		if span[0] <= i && i < span[1] {
-			return p.enter(&chunk{job: j, first: span[0], end: span[1]}, nil)
+			return s.enter(&chunk{job: j, first: span[0], end: span[1]}, nil)
 		}
 	}
 	panic(fmt.Sprintf("sched: %s/%d is in no range and in one", j.ref, i))
 }
 
 // enter puts a range into a slot, the first with room if none is named.
-func (p *Part) enter(c *chunk, s *slot) *chunk {
-	if s == nil {
-		s = p.roomySlot(p.cost(c, p.stated), nil)
+func (s *Shard) enter(c *chunk, rec *placementRecord) *chunk {
+	if rec == nil {
+		rec = s.roomySlot(s.cost(c, s.stated), nil)
 	}
-	c.slot, c.cost = s, p.cost(c, s.stated)
-	if s.stated {
+	c.slot, c.cost = rec, s.cost(c, rec.stated)
+	if rec.stated {
 		c.turn++
 	}
-	s.chunks[p.runName(c)] = c
-	s.used += c.cost
+	rec.chunks[s.runName(c)] = c
+	rec.used += c.cost
 	if c.job.chunkAt(c.first) != c {
 		c.job.keep(c)
 	}
@@ -184,46 +184,46 @@
 // to the tighter of the limits where it can: only a range that is larger by
 // itself gets a slot of its own. What leaves a slot does not come back to it, which
 // would wait for itself to be written.
-func (p *Part) roomySlot(cost int, leaves *slot) *slot {
-	most := p.valueBytes
-	if p.stated {
+func (s *Shard) roomySlot(cost int, leaves *placementRecord) *placementRecord {
+	most := s.valueBytes
+	if s.stated {
 		most -= slotEnvelope
 	}
 	for n := 0; ; n++ {
-		s := p.slot(n)
-		if s != leaves && !s.unreadable && s.stated == p.stated && len(s.left) == 0 && (len(s.chunks) == 0 || s.used+cost <= most) {
-			return s
+		rec := s.slot(n)
+		if rec != leaves && !rec.unreadable && rec.stated == s.stated && len(rec.left) == 0 && (len(rec.chunks) == 0 || rec.used+cost <= most) {
+			return rec
 		}
 	}
 }
 
-func (p *Part) slot(n int) *slot {
-	s := p.slots[n]
-	if s == nil {
-		s = &slot{n: n, stated: p.stated, chunks: map[string]*chunk{}, left: map[*chunk]struct{}{}}
-		p.slots[n] = s
+func (s *Shard) slot(n int) *placementRecord {
+	rec := s.slots[n]
+	if rec == nil {
+		rec = &placementRecord{n: n, stated: s.stated, chunks: map[string]*chunk{}, left: map[*chunk]struct{}{}}
+		s.slots[n] = rec
 	}
-	return s
+	return rec
 }
 
 // runName is a range's name in its slot.
-func (p *Part) runName(c *chunk) string {
+func (s *Shard) runName(c *chunk) string {
 	if c.slot.stated {
-		return record.RunName(c.job.ref, c.first)
+		return record.RangeName(c.job.ref, c.first)
 	}
-	return record.RunName(c.job.ref, c.first/p.cfg.chunkTasks())
+	return record.RangeName(c.job.ref, c.first/s.cfg.chunkTasks())
 }
 
 // leave takes a range out of its slot and its job.
-func (p *Part) leave(c *chunk) {
+func (s *Shard) leave(c *chunk) {
 	c.slot.used -= c.cost
-	delete(c.slot.chunks, p.runName(c))
+	delete(c.slot.chunks, s.runName(c))
 	c.job.chunks = slices.DeleteFunc(c.job.chunks, func(o *chunk) bool { return o == c })
 }
 
 // settle notes that a range is written to its slot: the one before tells it no
 // longer, or tells it in vain.
-func (p *Part) settle(c *chunk) {
+func (s *Shard) settle(c *chunk) {
 	if c.from != nil {
 		delete(c.from.left, c)
 		c.from = nil
@@ -232,17 +232,17 @@
 
 // move cuts a range into pieces and enters them in other slots. The slot that it
 // leaves is not written before they are there.
-func (p *Part) move(c *chunk, most int) {
+func (s *Shard) move(c *chunk, most int) {
 	old := c.slot
-	p.leave(c)
+	s.leave(c)
 	from := c.from
-	p.settle(c)
+	s.settle(c)
 	if from == nil {
 		from = old
 	}
 	for first := c.first; first < c.end; first += most {
 		n := &chunk{job: c.job, first: first, end: min(first+most, c.end), turn: c.turn, attempt: c.attempt, from: from}
-		p.enter(n, p.roomySlot(p.cost(n, p.stated), old))
+		s.enter(n, s.roomySlot(s.cost(n, s.stated), old))
 		if from.version > 0 {
 			from.left[n] = struct{}{}
 		} else {
@@ -262,20 +262,20 @@
 
 // retire makes the ranges of plain slots stated ones, and deletes the plain slots
 // that tell nothing any more.
-func (p *Part) retire() {
-	for n, s := range p.slots {
-		if s.stated || s.unreadable || s.txn != nil || s.versionUnknown {
+func (s *Shard) retire() {
+	for n, rec := range s.slots {
+		if rec.stated || rec.unreadable || rec.txn != nil || rec.versionUnknown {
 			continue
 		}
-		for _, c := range s.chunks {
-			p.move(c, p.statedTasks())
+		for _, c := range rec.chunks {
+			s.move(c, s.statedTasks())
 		}
-		if len(s.left) == 0 {
-			if s.version == 0 {
-				delete(p.slots, n)
+		if len(rec.left) == 0 {
+			if rec.version == 0 {
+				delete(s.slots, n)
 				continue
 			}
-			p.plain = append(p.plain, s)
+			s.plain = append(s.plain, rec)
 		}
 	}
 }
@@ -284,24 +284,24 @@
 // room for go elsewhere. It reports false if the slot must wait for that. What a
 // range takes is estimated well above what it does take, so this is for what
 // nobody expects, as machines' names that have grown.
-func (p *Part) fit(s *slot, size int) bool {
-	if !s.stated || size <= p.valueBytes {
+func (s *Shard) fit(rec *placementRecord, size int) bool {
+	if !rec.stated || size <= s.valueBytes {
 		return true
 	}
 	var all []*chunk
-	for _, c := range s.chunks {
+	for _, c := range rec.chunks {
 		all = append(all, c)
 	}
-	sort.Slice(all, func(a, b int) bool { return p.runName(all[a]) < p.runName(all[b]) })
+	sort.Slice(all, func(a, b int) bool { return s.runName(all[a]) < s.runName(all[b]) })
 	if len(all) == 1 {
 		if c := all[0]; c.end-c.first > 1 {
-			p.move(c, (c.end-c.first+1)/2)
+			s.move(c, (c.end-c.first+1)/2)
 			return false
 		}
 		return true
 	}
 	for _, c := range all[len(all)/2:] {
-		p.move(c, c.end-c.first)
+		s.move(c, c.end-c.first)
 	}
 	return false
 }
@@ -309,18 +309,18 @@
 // loaded is a range as a record tells it.
 type loaded struct {
 	job        *Job
-	slot       *slot
+	slot       *placementRecord
 	first, end int
-	run        record.Run
+	run        record.TaskRange
 }
 
 // loadSlots reads the records of placements.
-func (p *Part) loadSlots(slots []wire.Entry) ([]loaded, error) {
+func (s *Shard) loadSlots(slots []wire.Entry) ([]loaded, error) {
 	var out []loaded
 	for _, e := range slots {
-		r, err := decode[record.Slot](e)
+		r, err := decode[record.Placements](e)
 		if err != nil {
-			if err := p.passOver(e, err); err != nil {
+			if err := s.passOver(e, err); err != nil {
 				return nil, err
 			}
 			continue
@@ -329,23 +329,23 @@
 		if err != nil {
 			return nil, fmt.Errorf("record %s: %w", e.Key, err)
 		}
-		if r.Format > record.Stated {
+		if r.Format > record.SizedRanges {
 			return nil, fmt.Errorf("record %s: format %d is unknown", e.Key, r.Format)
 		}
-		s := p.slot(n)
-		s.version, s.stated = e.Version, r.Format == record.Stated
-		if s.stated {
-			p.SetStated() // who wrote it knew that the first version is gone
+		rec := s.slot(n)
+		rec.version, rec.stated = e.Version, r.Format == record.SizedRanges
+		if rec.stated {
+			s.SetStated() // who wrote it knew that the first version is gone
 		}
-		for name, run := range r.Runs {
-			ref, n, ok := record.SplitRunName(name)
-			j := p.jobs[ref]
+		for name, run := range r.Ranges {
+			ref, n, ok := record.SplitRangeName(name)
+			j := s.jobs[ref]
 			if !ok || j == nil {
 				continue // left over from a finished job
 			}
-			l := loaded{job: j, slot: s, first: n, end: n + run.Tasks, run: run}
-			if !s.stated {
-				per := p.cfg.chunkTasks()
+			l := loaded{job: j, slot: rec, first: n, end: n + run.Tasks, run: run}
+			if !rec.stated {
+				per := s.cfg.chunkTasks()
 				l.first, l.end = n*per, (n+1)*per
 			}
 			if l.end = min(l.end, len(j.tasks)); l.first < l.end {
--- a/internal/sched/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"time"
@@ -18,17 +18,17 @@
 // placed on the machine under the same attempt it puts into placedHere; the map is the
 // caller's, so that a small one needs no allocation. Of the others it returns the commands
 // that end or forget them, and how many must be kept.
-func (p *Part) reconcileReported(m *Machine, r *wire.Report, placedHere map[key]*wire.ReportTask, now time.Time) (commands []wire.Command, kept int) {
+func (s *Shard) reconcileReported(m *Machine, r *wire.Heartbeat, placedHere map[key]*wire.HeartbeatTask, now time.Time) (commands []wire.Command, kept int) {
 	for i := range r.Tasks {
 		rt := &r.Tasks[i]
 		ref, n, ok := SplitTask(rt.Task)
-		j := p.jobs[ref]
+		j := s.jobs[ref]
 		known := ok && j != nil && n < len(j.tasks)
-		if known && (j.tasks[n].on(m, rt.Attempt) || p.adoptWithheld(key{j, n}, m, rt, now)) {
+		if known && (j.tasks[n].on(m, rt.Attempt) || s.adoptWithheld(key{j, n}, m, rt, now)) {
 			placedHere[key{j, n}] = rt
 			continue
 		}
-		if p.doubtful(m, rt, j, n, now) {
+		if s.doubtful(m, rt, j, n, now) {
 			kept++
 			continue
 		}
@@ -41,17 +41,17 @@
 			j = nil
 		}
 		if claim.State == wire.Exited && !(claim.Why == wire.Done && known && !claim.Durable) {
-			claim.MayForget = p.mayForget(m, rt, j)
+			claim.MayForget = s.mayForget(m, rt, j)
 		}
 		f := reconcile.Claimed(claim)
-		p.judgeStray(m, rt, f.Verdict)
+		s.judgeStray(m, rt, f.Verdict)
 		switch f.Action {
 		case reconcile.Complete:
 			if j.tasks[n].state == idle {
-				p.complete(key{j, n}, now) // of whatever attempt: the result is kept
+				s.complete(key{j, n}, now) // of whatever attempt: the result is kept
 			}
 		case reconcile.Stop:
-			p.cfg.Pace.Allow(pace.Limited, now) // its job may have been cancelled
+			s.cfg.Pace.Allow(pace.Limited, now) // its job may have been cancelled
 			commands = append(commands, halt(rt.Task, rt.Attempt, 0))
 		case reconcile.Forget:
 			commands = append(commands, wire.Command{Op: wire.Forget, Task: rt.Task, Attempt: rt.Attempt})
@@ -70,19 +70,19 @@
 // reconcilePlaced compares the tasks that are placed on the machine with a current report.
 // It returns commands that forget those that ended in vain, whether the report lacks a start
 // that was sent before, and how many ended ones must be kept.
-func (p *Part) reconcilePlaced(m *Machine, reported map[key]*wire.ReportTask, direct bool, now time.Time) (commands []wire.Command, missed bool, kept int) {
+func (s *Shard) reconcilePlaced(m *Machine, reported map[key]*wire.HeartbeatTask, direct bool, now time.Time) (commands []wire.Command, missed bool, kept int) {
 	for k, t := range m.on {
 		rt := reported[k]
 		if rt == nil {
-			missed = p.absent(k, t, m, direct, now) || missed
+			missed = s.absent(k, t, m, direct, now) || missed
 			continue
 		}
-		p.present(k, t, rt, m, now)
+		s.present(k, t, rt, m, now)
 		if rt.State != wire.Exited || rt.Why == wire.Done {
 			continue
 		}
 		// Its place is free already and its attempt is never started again.
-		if !p.mayForget(m, rt, k.job) {
+		if !s.mayForget(m, rt, k.job) {
 			kept++
 			continue
 		}
@@ -93,64 +93,64 @@
 
 // absent takes in that a report lacks a placed task. It reports whether the task's start was
 // sent and did not arrive.
-func (p *Part) absent(k key, t *task, m *Machine, direct bool, now time.Time) bool {
+func (s *Shard) absent(k key, t *task, m *Machine, direct bool, now time.Time) bool {
 	f := reconcile.Absent(reconcile.Absence{
 		Told: t.recorded && !t.inTxn, Inherited: t.inherited, Seen: t.seen, Sent: t.sent,
 		EarlierSession: t.sentSess != m.session, Direct: direct, Stopping: t.stop,
 		MayCome: t.sent && !direct && m.mayCome(k.name(), t.attempt),
 	})
 	if f.Action == reconcile.Free {
-		p.lose(k, now)
+		s.lose(k, now)
 	}
 	return f.Action == reconcile.Repeat
 }
 
 // present takes in what a report says of a task that is where the records say.
-func (p *Part) present(k key, t *task, rt *wire.ReportTask, m *Machine, now time.Time) {
+func (s *Shard) present(k key, t *task, rt *wire.HeartbeatTask, m *Machine, now time.Time) {
 	j := k.job
 	if !t.seen && t.sent {
-		p.markReached(m) // a start of ours has arrived
-		p.cfg.Pace.Answered()
+		s.markReached(m) // a start of ours has arrived
+		s.cfg.Pace.Answered()
 	}
 	if !t.seen {
-		t.step(func(s *steps) { s.seen = now })
+		t.step(func(stages *steps) { stages.seen = now })
 	}
 	t.seen = true
 	if rt.State == wire.Running && t.phase != wire.Running {
 		t.runSince = now
-		p.started(k, t, now)
+		s.started(k, t, now)
 	}
 	if (rt.State == wire.Running || rt.State == wire.Gathering) && t.phase != rt.State {
-		p.keepsImage(m, j.spec.Image, j.spec.ImageGB)
+		s.keepsImage(m, j.spec.Image, j.spec.ImageGB)
 	}
 	t.reported(j, rt.State)
 	f := reconcile.Claimed(reconcile.Claim{State: rt.State, Why: rt.Why, KnownJob: true, Placed: true})
-	p.judge(t, f.Verdict)
+	s.judge(t, f.Verdict)
 	switch f.Action {
 	case reconcile.Complete:
 		m.failed = nil
-		p.complete(k, now)
+		s.complete(k, now)
 		if t.state == placed { // a service's task that ended all the same
-			p.lose(k, now)
+			s.lose(k, now)
 		}
 	case reconcile.Free:
-		p.exitedInVain(k, rt, m, now)
+		s.exitedInVain(k, rt, m, now)
 	}
 }
 
 // exitedInVain takes in that a placed task has exited without having completed.
-func (p *Part) exitedInVain(k key, rt *wire.ReportTask, m *Machine, now time.Time) {
+func (s *Shard) exitedInVain(k key, rt *wire.HeartbeatTask, m *Machine, now time.Time) {
 	j := k.job
 	switch rt.Why {
 	case wire.WhyError:
-		p.failed(j, m, now)
+		s.failed(j, m, now)
 	case wire.WhyUnknown:
-		j.hold = now.Add(p.backoff(j))
+		j.hold = now.Add(s.backoff(j))
 	case wire.WhyNoRoom, wire.WhyBusy:
-		j.hold = now.Add(p.cfg.Report)
+		j.hold = now.Add(s.cfg.Report)
 	}
-	p.lose(k, now)
+	s.lose(k, now)
 	if j.spec.Kind == wire.Gang && (rt.Why == wire.WhyStopped || rt.Why == wire.WhyPeers || rt.Why == wire.WhyIncomplete) {
-		p.endAttempt(j, now) // the attempt is over for all of them
+		s.endAttempt(j, now) // the attempt is over for all of them
 	}
 }
--- a/internal/sched/report.go
+++ b/internal/scheduler/report.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"time"
@@ -19,12 +19,12 @@
 
 // Report takes in a worker's report and returns the answer. A direct report is
 // the answer to a command; it gets no orders.
-func (p *Part) Report(r *wire.Report, direct bool, now time.Time) (wire.Orders, Disposition) {
-	m := p.machines[r.Machine]
+func (s *Shard) Report(r *wire.Heartbeat, direct bool, now time.Time) (wire.Orders, Disposition) {
+	m := s.machines[r.Machine]
 	if m == nil {
 		return wire.Orders{}, NotMine
 	}
-	token := m.token(p)
+	token := m.token(s)
 	freshness := reconcile.Fresh(reconcile.OrderOf(r),
 		reconcile.Order{Session: m.session, Seq: m.seq}, r.Token, token)
 	if freshness == reconcile.Deposed {
@@ -34,47 +34,47 @@
 	if freshness == reconcile.Late {
 		return orders, Answered // it settles, starts and renews nothing
 	}
-	defer p.index.update(m)
+	defer s.index.update(m)
 	m.outlived(r)
-	p.session(m, r, now)
+	s.session(m, r, now)
 	m.seq = r.Seq
 	m.Addr = r.Addr
 	// After a take-over nobody remembers the last report, so the first ones may
 	// be late copies: only one under our own token proves the machine alive.
 	live := freshness == reconcile.Current || !m.inherited
 	if live {
-		p.markAlive(m, direct, now)
+		s.markAlive(m, direct, now)
 	}
 	if !direct {
 		m.answered = now
 	}
-	p.notice(m, r, now)
+	s.notice(m, r, now)
 	if freshness == reconcile.Unfenced {
 		// What earlier owners recorded here is settled only by a report under
 		// our token. Our own starts need not wait for it on a machine that was
 		// rented or moved to us: an earlier owner can have sent nothing that is
 		// not among the records we read.
 		if !direct && live {
-			orders.Commands = append(orders.Commands, p.starts(m, now)...)
+			orders.Commands = append(orders.Commands, s.starts(m, now)...)
 		}
 		return orders, Answered
 	}
 	if !m.fenced {
 		m.fenced = true
-		p.markReached(m)
-		p.changed = true
+		s.markReached(m)
+		s.changed = true
 	}
-	placedHere := make(map[key]*wire.ReportTask, len(r.Tasks))
-	commands, keptOthers := p.reconcileReported(m, r, placedHere, now)
+	placedHere := make(map[key]*wire.HeartbeatTask, len(r.Tasks))
+	commands, keptOthers := s.reconcileReported(m, r, placedHere, now)
 	orders.Commands = append(orders.Commands, commands...)
-	commands, missed, keptHere := p.reconcilePlaced(m, placedHere, direct, now)
+	commands, missed, keptHere := s.reconcilePlaced(m, placedHere, direct, now)
 	orders.Commands = append(orders.Commands, commands...)
 	m.kept = keptOthers + keptHere
 	if direct {
 		return orders, Answered
 	}
-	p.countMissed(m, missed, now)
-	orders.Commands = p.appendOrders(orders.Commands, m, stopsToo, now)
+	s.countMissed(m, missed, now)
+	orders.Commands = s.appendOrders(orders.Commands, m, stopsToo, now)
 	if len(orders.Commands) > maxCommands {
 		orders.Commands = orders.Commands[:maxCommands]
 	}
@@ -82,8 +82,8 @@
 }
 
 // markAlive takes in that a machine sent a report that is no late copy.
-func (p *Part) markAlive(m *Machine, direct bool, now time.Time) {
-	if !m.up || now.Sub(m.heard) > p.cfg.SilentAfter {
+func (s *Shard) markAlive(m *Machine, direct bool, now time.Time) {
+	if !m.up || now.Sub(m.heard) > s.cfg.SilentAfter {
 		m.steady = now
 	}
 	m.heard = now
@@ -93,19 +93,19 @@
 	}
 	if !m.up {
 		m.up = true
-		p.changed = true
+		s.changed = true
 	}
 }
 
 // countMissed counts the reports in a row that lack a start sent before: after some the
 // machine counts as unreachable.
-func (p *Part) countMissed(m *Machine, missed bool, now time.Time) {
+func (s *Shard) countMissed(m *Machine, missed bool, now time.Time) {
 	if !missed {
 		m.missed = 0
 		return
 	}
 	if m.missed++; m.missed >= unreachableAfter {
-		p.markUnreachable(m, now)
+		s.markUnreachable(m, now)
 	}
 }
 
@@ -118,18 +118,18 @@
 	return wire.Command{Op: wire.Stop, Task: name, Attempt: attempt, GraceS: &g}
 }
 
-func (p *Part) complete(k key, now time.Time) {
+func (s *Shard) complete(k key, now time.Time) {
 	if k.job.spec.Kind == wire.Service {
 		return // a service has no end of its own
 	}
 	if k.job.spec.Kind != wire.Gang {
-		p.finish(k, now)
+		s.finish(k, now)
 		return
 	}
 	// A gang's tasks complete together: where one is done, all are. Their
 	// machines keep their places until they report so themselves.
 	for i := range k.job.tasks {
-		p.finish(key{k.job, i}, now)
+		s.finish(key{k.job, i}, now)
 	}
 }
 
@@ -151,30 +151,30 @@
 }
 
 // started tells how a task came to run.
-func (p *Part) started(k key, t *task, now time.Time) {
-	s := t.steps
-	if s == nil {
+func (s *Shard) started(k key, t *task, now time.Time) {
+	stages := t.steps
+	if stages == nil {
 		return
 	}
 	t.steps = nil
-	p.out.Started = append(p.out.Started, Start{
-		Task: k.name(), Class: k.job.spec.Class, Machine: t.machine.ID, Image: k.job.spec.Image, ImageGB: k.job.spec.ImageGB, Cached: s.cached,
-		Queued: s.placed.Sub(k.job.accepted), Recording: s.recorded.Sub(s.placed), Sending: s.sent.Sub(s.recorded),
-		Seen: s.seen.Sub(s.sent), Runs: now.Sub(s.seen),
+	s.out.Started = append(s.out.Started, Start{
+		Task: k.name(), Class: k.job.spec.Class, Machine: t.machine.ID, Image: k.job.spec.Image, ImageGB: k.job.spec.ImageGB, Cached: stages.cached,
+		Queued: stages.placed.Sub(k.job.accepted), Recording: stages.recorded.Sub(stages.placed), Sending: stages.sent.Sub(stages.recorded),
+		Seen: stages.seen.Sub(stages.sent), Runs: now.Sub(stages.seen),
 	})
 }
 
 // failed takes in an error. Errors of several jobs on one machine put the blame
 // on it; a job failing on several machines is at fault itself, backs off and
 // burns no more machines. Until that is settled a job avoids where it failed.
-func (p *Part) failed(j *Job, m *Machine, now time.Time) {
+func (s *Shard) failed(j *Job, m *Machine, now time.Time) {
 	if j.failedOn == nil {
 		j.failedOn = map[string]bool{}
 	}
 	j.failedOn[m.ID] = true
 	if j.atFault() {
 		j.fails++
-		j.hold = now.Add(p.backoff(j))
+		j.hold = now.Add(s.backoff(j))
 		return
 	}
 	if m.failed == nil {
@@ -196,8 +196,8 @@
 	maxBackoff     = 60 * time.Second
 )
 
-func (p *Part) backoff(j *Job) time.Duration {
-	d := p.cfg.Report << min(j.fails, 6)
+func (s *Shard) backoff(j *Job) time.Duration {
+	d := s.cfg.Report << min(j.fails, 6)
 	return min(d, maxBackoff)
 }
 
@@ -216,12 +216,12 @@
 }
 
 // notice takes in that the cloud will take a machine back.
-func (p *Part) notice(m *Machine, r *wire.Report, now time.Time) {
+func (s *Shard) notice(m *Machine, r *wire.Heartbeat, now time.Time) {
 	if r.NoticeS == nil || !m.taken.IsZero() {
 		return
 	}
 	left := wire.Seconds(max(0, *r.NoticeS))
 	m.taken = now.Add(left)
 	m.drain = true
-	p.changed = true
+	s.changed = true
 }
--- a/internal/sched/reread.go
+++ b/internal/scheduler/reread.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"time"
@@ -7,127 +7,127 @@
 	"bramblespur/internal/wire"
 )
 
-func (p *Part) rereadJob(j *Job) {
+func (s *Shard) rereadJob(j *Job) {
 	if !j.versionUnknown {
 		j.versionUnknown = true
-		p.out.RereadJobs = append(p.out.RereadJobs, j.ref)
+		s.out.RereadJobs = append(s.out.RereadJobs, j.ref)
 	}
 }
 
-func (p *Part) rereadSlot(s *slot) {
-	if !s.versionUnknown {
-		s.versionUnknown = true
-		p.out.RereadSlots = append(p.out.RereadSlots, s.n)
+func (s *Shard) rereadSlot(rec *placementRecord) {
+	if !rec.versionUnknown {
+		rec.versionUnknown = true
+		s.out.RereadSlots = append(s.out.RereadSlots, rec.n)
 	}
 }
 
-func (p *Part) rereadMachine(m *Machine) {
+func (s *Shard) rereadMachine(m *Machine) {
 	if !m.versionUnknown {
 		m.versionUnknown = true
-		p.out.RereadMachines = append(p.out.RereadMachines, m.ID)
+		s.out.RereadMachines = append(s.out.RereadMachines, m.ID)
 	}
 }
 
 // JobRead takes in a job's open record as read back, nil when there is none.
-func (p *Part) JobRead(ref string, open *wire.Entry, now time.Time) error {
-	j := p.jobs[ref]
+func (s *Shard) JobRead(ref string, open *wire.Entry, now time.Time) error {
+	j := s.jobs[ref]
 	if j == nil || !j.versionUnknown {
 		return nil
 	}
 	if open == nil {
 		// Our final transaction was applied, or that of a controller which found a
 		// job that this one needs cancelled.
-		p.end(j, now)
+		s.end(j, now)
 		if j.line.ref != "" {
-			p.rereadPipe(j.line)
+			s.rereadPipe(j.line)
 		}
 		return nil
 	}
-	o, err := decode[record.Open](*open)
+	o, err := decode[record.ActiveJob](*open)
 	if err != nil {
 		return err
 	}
 	j.versionUnknown = false
 	j.ending = nil
 	j.retry = now.Add(retryAfter)
-	p.alarm(j.retry)
-	p.SetJob(ref, o, open.Version, now)
-	p.changed = true
+	s.alarm(j.retry)
+	s.SetJob(ref, o, open.Version, now)
+	s.changed = true
 	return nil
 }
 
 // SlotRead takes in a slot's record as read back, nil when there is none.
-func (p *Part) SlotRead(n int, e *wire.Entry, now time.Time) error {
-	s := p.slots[n]
-	if s != nil && s.unreadable {
-		p.unreadableRead(s, e)
+func (s *Shard) SlotRead(n int, e *wire.Entry, now time.Time) error {
+	placements := s.slots[n]
+	if placements != nil && placements.unreadable {
+		s.unreadableRead(placements, e)
 		return nil
 	}
-	if s == nil || !s.versionUnknown {
+	if placements == nil || !placements.versionUnknown {
 		return nil
 	}
-	var rec record.Slot
+	var rec record.Placements
 	var version uint64
 	if e != nil {
 		var err error
-		if rec, err = decode[record.Slot](*e); err != nil {
+		if rec, err = decode[record.Placements](*e); err != nil {
 			return err
 		}
 		version = e.Version
 	}
-	s.versionUnknown = false
-	t := s.txn
-	s.txn = nil
-	changed := version != s.version
-	s.version = version
+	placements.versionUnknown = false
+	t := placements.txn
+	placements.txn = nil
+	changed := version != placements.version
+	placements.version = version
 	if t == nil {
 		// A write given up came late: what it recorded was never sent, and the
 		// next write clears it.
 		if changed {
-			s.dirty, s.urgent, s.since = true, true, now
+			placements.dirty, placements.urgent, placements.since = true, true, now
 		}
 		return nil
 	}
 	for _, c := range t.chunks {
-		if run, ok := rec.Runs[p.runName(c)]; ok && run.Turn == c.turn {
-			p.settle(c)
+		if run, ok := rec.Ranges[s.runName(c)]; ok && run.Turn == c.turn {
+			s.settle(c)
 		}
 	}
 	there := func(k key) bool {
 		c := k.job.chunkAt(k.i)
-		if c == nil || c.slot != s {
+		if c == nil || c.slot != placements {
 			return false
 		}
-		pl, ok := rec.Runs[p.runName(c)].On[k.i]
+		pl, ok := rec.Ranges[s.runName(c)].On[k.i]
 		task := &k.job.tasks[k.i]
 		return changed && ok && task.machine != nil && pl.Attempt == task.attempt && pl.Machine == task.machine.ID
 	}
 	for _, k := range t.starts {
 		if task := &k.job.tasks[k.i]; task.state == placed && task.inTxn && there(k) {
 			task.recorded, task.inTxn = true, false
-			p.out.Wake = append(p.out.Wake, task.machine.ID)
+			s.out.Wake = append(s.out.Wake, task.machine.ID)
 		}
 	}
-	p.revert(t, now, func(key) bool { return true })
-	s.retry = now.Add(retryAfter)
-	p.alarm(s.retry)
-	p.changed = true
+	s.revert(t, now, func(key) bool { return true })
+	placements.retry = now.Add(retryAfter)
+	s.alarm(placements.retry)
+	s.changed = true
 	return nil
 }
 
 // MachineRead takes in a machine's own record as read back, nil when there is
 // none.
-func (p *Part) MachineRead(id string, e *wire.Entry, now time.Time) error {
-	m := p.machines[id]
+func (s *Shard) MachineRead(id string, e *wire.Entry, now time.Time) error {
+	m := s.machines[id]
 	if m == nil {
 		return nil
 	}
 	m.versionUnknown, m.txn = false, nil
 	m.retry = now.Add(retryAfter)
-	p.changed = true
+	s.changed = true
 	if e == nil {
 		if m.version > 0 {
-			p.forgetMachine(m, now) // records go only when the machine is gone
+			s.forgetMachine(m, now) // records go only when the machine is gone
 		}
 		return nil
 	}
@@ -135,8 +135,8 @@
 	if err != nil {
 		return err
 	}
-	if r.Part != p.id {
-		p.forgetMachine(m, now)
+	if r.Shard != s.id {
+		s.forgetMachine(m, now)
 		return nil
 	}
 	if e.Version != m.version {
--- a/internal/sched/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import "time"
 
@@ -11,28 +11,28 @@
 }
 
 // reserve keeps room on a machine for some tasks of a job.
-func (p *Part) reserve(m *Machine, j *Job, n int, until time.Time) {
+func (s *Shard) reserve(m *Machine, j *Job, n int, until time.Time) {
 	if m.reserved != j.ref {
-		p.release(m)
+		s.release(m)
 		m.reserved = j.ref
-		insert(p.index.kept, j.ref, m)
+		insert(s.index.kept, j.ref, m)
 	}
 	m.reservedN += n
 	m.reservedT = until
 }
 
 // use takes in that a task of a job came to where room was kept for it.
-func (p *Part) use(m *Machine, j *Job) {
+func (s *Shard) use(m *Machine, j *Job) {
 	if m.reserved == j.ref {
 		if m.reservedN--; m.reservedN <= 0 {
-			p.release(m)
+			s.release(m)
 		}
 	}
 }
 
 // release keeps a machine's room for nobody any more.
-func (p *Part) release(m *Machine) {
-	remove(p.index.kept, m.reserved, m)
+func (s *Shard) release(m *Machine) {
+	remove(s.index.kept, m.reserved, m)
 	m.reserved, m.reservedN = "", 0
 }
 
--- a/internal/sched/safety_test.go
+++ b/internal/scheduler/safety_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"context"
@@ -220,7 +220,7 @@
 	}
 	r.part.Conflict(eff.Txns[0], conflict.Keys, r.clock.Now())
 	for _, ref := range r.part.out.RereadJobs {
-		if err := r.part.JobRead(ref, r.get(record.OpenKey(ref)), r.clock.Now()); err != nil {
+		if err := r.part.JobRead(ref, r.get(record.ActiveJobKey(ref)), r.clock.Now()); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/sched/sched_test.go
+++ b/internal/scheduler/sched_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"context"
@@ -20,7 +20,7 @@
 	state   *testkit.State
 	cloud   *testkit.Cloud
 	cfg     *Config
-	part    *Part
+	part    *Shard
 	fleet   *record.Fleet
 	workers map[string]*testkit.Worker
 	// invalid counts transactions that the state service did not take for their size.
@@ -63,7 +63,7 @@
 // claim makes a new owner: a new token and only what the records hold.
 func (r *rig) claim() {
 	r.t.Helper()
-	e := r.state.Put(record.PartKey(r.id), record.Part{Owner: "x"})
+	e := r.state.Put(record.ShardKey(r.id), record.Shard{Owner: "x"})
 	r.part = New(r.cfg, r.id, e.Version)
 	if r.upgraded {
 		r.part.SetUpgraded()
@@ -72,7 +72,7 @@
 	for _, e := range r.list(record.FleetPrefix) {
 		r.fleetChange(e)
 	}
-	if err := r.part.Load(r.fleet, r.list(record.OpenPrefix), r.list(record.SlotsOf(r.id)), r.clock.Now()); err != nil {
+	if err := r.part.Load(r.fleet, r.list(record.ActiveJobPrefix), r.list(record.ShardPlacementsPrefix(r.id)), r.clock.Now()); err != nil {
 		r.t.Fatal(err)
 	}
 }
@@ -113,20 +113,20 @@
 	if r.state.Down {
 		return
 	}
-	for _, e := range r.list(record.BackPrefix) {
+	for _, e := range r.list(record.ReleasePrefix) {
 		r.fleetChange(e)
 	}
 	for key, b := range r.fleet.Pending() {
 		if err := r.cloud.Return(context.Background(), b.Rec.IDs); err != nil {
 			r.t.Fatal(err)
 		}
-		r.sync(r.state.Put(key, record.Back{IDs: b.Rec.IDs, Done: true}))
+		r.sync(r.state.Put(key, record.Release{IDs: b.Rec.IDs, Done: true}))
 	}
 }
 
 func (r *rig) machine(id, zone string, spot bool) *testkit.Worker {
 	r.t.Helper()
-	r.sync(r.state.Put(record.RentalKey(id), record.Rental{Type: "big", Zone: zone, Spot: spot, Parts: []int{r.id}, IDs: []string{id}, Born: r.clock.Now().UnixMilli()}))
+	r.sync(r.state.Put(record.ProvisionKey(id), record.Provision{Type: "big", Zone: zone, Spot: spot, Shards: []int{r.id}, IDs: []string{id}, Born: r.clock.Now().UnixMilli()}))
 	w := testkit.NewWorker(id, "big", zone, spot)
 	r.workers[id] = w
 	return w
@@ -137,19 +137,19 @@
 		CPUs: 4, GPUs: gpus, MemoryGB: 10, Image: "img", ImageGB: 4, EstimateS: 60, CheckpointS: 10, SaveS: 2}
 }
 
-func (r *rig) submit(s wire.Spec) {
-	r.open(record.Open{Spec: s, At: r.clock.Now().UnixMilli()})()
+func (r *rig) submit(spec wire.Spec) {
+	r.open(record.ActiveJob{Spec: spec, At: r.clock.Now().UnixMilli()})()
 }
 
-func (r *rig) open(o record.Open) (tell func()) {
-	o.Part = r.id
-	e := r.state.Put(record.OpenKey(o.Spec.Ref), o)
+func (r *rig) open(o record.ActiveJob) (tell func()) {
+	o.Shard = r.id
+	e := r.state.Put(record.ActiveJobKey(o.Spec.Ref), o)
 	return func() { r.part.SetJob(o.Spec.Ref, o, e.Version, r.clock.Now()) }
 }
 
 // cancel writes a cancellation as any controller does; tell brings it to the owner.
-func (r *rig) cancel(s wire.Spec) (tell func()) {
-	return r.open(record.Open{Spec: s, Cancelled: true})
+func (r *rig) cancel(spec wire.Spec) (tell func()) {
+	return r.open(record.ActiveJob{Spec: spec, Cancelled: true})
 }
 
 // settle carries out all effects until there are none.
@@ -190,23 +190,23 @@
 			}
 		}
 		for _, ref := range eff.RereadJobs {
-			if err := r.part.JobRead(ref, r.get(record.OpenKey(ref)), now); err != nil {
+			if err := r.part.JobRead(ref, r.get(record.ActiveJobKey(ref)), now); err != nil {
 				r.t.Fatal(err)
 			}
 		}
 		for _, ref := range eff.RereadPipes {
-			e := r.get(record.PipeKey(ref))
+			e := r.get(record.PipelineKey(ref))
 			if err := r.part.PipeRead(ref, e, r.endsOf(e), now); err != nil {
 				r.t.Fatal(err)
 			}
 		}
 		for _, n := range eff.RereadSlots {
-			if err := r.part.SlotRead(n, r.get(record.SlotKey(r.id, n)), now); err != nil {
+			if err := r.part.SlotRead(n, r.get(record.PlacementsKey(r.id, n)), now); err != nil {
 				r.t.Fatal(err)
 			}
 		}
 		for _, id := range eff.RereadMachines {
-			if err := r.part.MachineRead(id, r.get(record.OwnKey(id)), now); err != nil {
+			if err := r.part.MachineRead(id, r.get(record.OverrideKey(id)), now); err != nil {
 				r.t.Fatal(err)
 			}
 		}
@@ -225,19 +225,19 @@
 }
 
 // endsOf returns the ends of a pipeline's jobs that its record does not tell.
-func (r *rig) endsOf(e *wire.Entry) []record.PipeEnd {
-	rec, err := decode[record.Pipe](*e)
+func (r *rig) endsOf(e *wire.Entry) []record.PipelineJobEnd {
+	rec, err := decode[record.Pipeline](*e)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	var out []record.PipeEnd
+	var out []record.PipelineJobEnd
 	for _, ref := range rec.Untold() {
-		if f := r.get(record.JobKey(ref)); f != nil {
-			j, err := decode[record.Job](*f)
+		if f := r.get(record.FinishedJobKey(ref)); f != nil {
+			j, err := decode[record.FinishedJob](*f)
 			if err != nil {
 				r.t.Fatal(err)
 			}
-			out = append(out, record.PipeEnd{Ref: ref, State: j.State})
+			out = append(out, record.PipelineJobEnd{Ref: ref, State: j.State})
 		}
 	}
 	return out
@@ -309,19 +309,19 @@
 
 func (r *rig) jobState(ref string) string {
 	r.t.Helper()
-	if e := r.get(record.JobKey(ref)); e != nil {
-		j, err := decode[record.Job](*e)
+	if e := r.get(record.FinishedJobKey(ref)); e != nil {
+		j, err := decode[record.FinishedJob](*e)
 		if err != nil {
 			r.t.Fatal(err)
 		}
 		return j.State
 	}
-	e := r.get(record.OpenKey(ref))
+	e := r.get(record.ActiveJobKey(ref))
 	if e == nil {
 		r.t.Fatalf("%s is in no record", ref)
 		return ""
 	}
-	if o, err := decode[record.Open](*e); err != nil || o.Cancelled {
+	if o, err := decode[record.ActiveJob](*e); err != nil || o.Cancelled {
 		return wire.Cancelled
 	}
 	return wire.Pending
@@ -363,7 +363,7 @@
 	for range 40 {
 		r.beatAndEnd(w)
 	}
-	runs, _, err := r.state.List(context.Background(), statestore.Urgent("test"), record.SlotPrefix)
+	runs, _, err := r.state.List(context.Background(), statestore.Urgent("test"), record.PlacementsPrefix)
 	if err != nil || len(runs) == 0 {
 		t.Fatalf("%d records, %v", len(runs), err)
 	}
--- a/internal/sched/score.go
+++ b/internal/scheduler/score.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"math"
@@ -23,7 +23,7 @@
 // Work without cards goes beside work with cards, even where its image, which is
 // small, must be fetched first: a machine of which it takes a few cores is lost to
 // a gang that needs all of it.
-func (p *Part) score(j *Job, m *Machine) float64 {
+func (s *Shard) score(j *Job, m *Machine) float64 {
 	v := 0.0
 	if m.hasImage(j.spec.Image) {
 		v += 100
--- a/internal/sched/settling.go
+++ b/internal/scheduler/settling.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"slices"
@@ -35,25 +35,25 @@
 }
 
 // beginSettling counts what is to be found out about.
-func (p *Part) beginSettling(now time.Time) {
-	p.settling.since, p.settling.strays = now, map[string]bool{}
-	for _, m := range p.machines {
+func (s *Shard) beginSettling(now time.Time) {
+	s.settling.since, s.settling.strays = now, map[string]bool{}
+	for _, m := range s.machines {
 		for _, t := range m.on {
 			if t.inherited {
-				p.settling.awaited++
+				s.settling.awaited++
 			}
 		}
 	}
 }
 
 // Progress tells how far the part has settled; there is nothing to tell once it has.
-func (p *Part) Progress() (Progress, bool) {
-	s := &p.settling
-	if s.since.IsZero() {
+func (s *Shard) Progress() (Progress, bool) {
+	progress := &s.settling
+	if progress.since.IsZero() {
 		return Progress{}, false
 	}
-	out := Progress{Since: s.since, Awaited: s.awaited, Tally: s.tally}
-	for _, m := range p.machines {
+	out := Progress{Since: progress.since, Awaited: progress.awaited, Tally: progress.tally}
+	for _, m := range s.machines {
 		if !m.inherited || m.fenced || m.Phase != record.InUse || (!m.up && len(m.on) == 0) {
 			continue
 		}
@@ -67,42 +67,42 @@
 }
 
 // HasMachines reports whether the part has any machine.
-func (p *Part) HasMachines() bool { return len(p.machines) > 0 }
+func (s *Shard) HasMachines() bool { return len(s.machines) > 0 }
 
 // Malformed returns what is wrong with records that were passed over when the part was loaded.
-func (p *Part) Malformed() []error { return p.settling.malformed }
+func (s *Shard) Malformed() []error { return s.settling.malformed }
 
 // EndSettling forgets what was found out.
-func (p *Part) EndSettling() { p.settling = settling{} }
+func (s *Shard) EndSettling() { s.settling = settling{} }
 
 // judge counts the verdict on a placement of an earlier owner, once.
-func (p *Part) judge(t *task, v reconcile.Verdict) {
-	if p.settling.since.IsZero() || !t.inherited || t.judged {
+func (s *Shard) judge(t *task, v reconcile.Verdict) {
+	if s.settling.since.IsZero() || !t.inherited || t.judged {
 		return
 	}
 	t.judged = true
-	p.settling.awaited--
-	p.settling.tally.Add(v)
+	s.settling.awaited--
+	s.settling.tally.Add(v)
 }
 
 // judgeStray counts the verdict on a task in a report that is not on record there, once, and
 // tells of a contradiction.
-func (p *Part) judgeStray(m *Machine, rt *wire.ReportTask, v reconcile.Verdict) {
-	if p.settling.since.IsZero() || p.settling.strays[rt.Task] || len(p.settling.strays) >= maxStrays {
+func (s *Shard) judgeStray(m *Machine, rt *wire.HeartbeatTask, v reconcile.Verdict) {
+	if s.settling.since.IsZero() || s.settling.strays[rt.Task] || len(s.settling.strays) >= maxStrays {
 		return
 	}
-	p.settling.strays[rt.Task] = true
-	p.settling.tally.Add(v)
+	s.settling.strays[rt.Task] = true
+	s.settling.tally.Add(v)
 	if v == reconcile.Contradictory {
-		p.out.Contradictions = append(p.out.Contradictions, Contradiction{
-			Task: rt.Task, Machine: m.ID, Claimed: rt.State + " " + rt.Why, Known: p.knownOf(rt.Task)})
+		s.out.Contradictions = append(s.out.Contradictions, Contradiction{
+			Task: rt.Task, Machine: m.ID, Claimed: rt.State + " " + rt.Why, Known: s.knownOf(rt.Task)})
 	}
 }
 
 // knownOf tells what the ledger has of a task.
-func (p *Part) knownOf(name string) string {
+func (s *Shard) knownOf(name string) string {
 	ref, n, ok := SplitTask(name)
-	j := p.jobs[ref]
+	j := s.jobs[ref]
 	if !ok || j == nil || n >= len(j.tasks) {
 		return "no such task"
 	}
--- a/internal/sched/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"fmt"
@@ -24,13 +24,13 @@
 	delete(r.cfg.Teams, "a")
 	for at := 0; at < machines; at += 50 {
 		zone := []string{"z1", "z2"}[at/50%2]
-		rental := record.Rental{Type: "big", Zone: zone, Born: r.clock.Now().UnixMilli()}
+		rental := record.Provision{Type: "big", Zone: zone, Born: r.clock.Now().UnixMilli()}
 		for i := at; i < min(at+50, machines); i++ {
 			id := fmt.Sprintf("i-%06d", i)
-			rental.IDs, rental.Parts = append(rental.IDs, id), append(rental.Parts, 0)
+			rental.IDs, rental.Shards = append(rental.IDs, id), append(rental.Shards, 0)
 			r.workers[id] = testkit.NewWorker(id, "big", zone, false)
 		}
-		r.sync(r.state.Put(record.RentalKey(fmt.Sprint("r", at)), rental))
+		r.sync(r.state.Put(record.ProvisionKey(fmt.Sprint("r", at)), rental))
 	}
 	r.beat()
 	for i := range machines / 40 {
--- a/internal/sched/summary.go
+++ b/internal/scheduler/summary.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"maps"
@@ -11,15 +11,15 @@
 )
 
 // Summary tells the leader what waits and what the part's machines do.
-func (p *Part) Summary(now time.Time) fleet.Summary {
-	p.fade(now)
-	s := fleet.Summary{Part: p.id, Arriving: p.arrived / arrivalFade.Seconds(), ArrivingSpot: p.arrivedSpot / arrivalFade.Seconds()}
-	for _, j := range p.index.waiting {
-		if !p.waiting(j, now) || now.Before(j.hold) {
+func (s *Shard) Summary(now time.Time) fleet.Summary {
+	s.fade(now)
+	summary := fleet.Summary{Part: s.id, Arriving: s.arrived / arrivalFade.Seconds(), ArrivingSpot: s.arrivedSpot / arrivalFade.Seconds()}
+	for _, j := range s.index.waiting {
+		if !s.waiting(j, now) || now.Before(j.hold) {
 			continue
 		}
 		n := j.idleTasks
-		for n > 0 && !p.withinLimit(j, n) {
+		for n > 0 && !s.withinLimit(j, n) {
 			if j.spec.Kind == wire.Gang {
 				n = 0
 				break
@@ -27,7 +27,7 @@
 			n--
 		}
 		if j.spec.Kind != wire.Gang {
-			for m := range p.index.kept[j.ref] {
+			for m := range s.index.kept[j.ref] {
 				n = max(0, n-m.heldFor(j, now))
 			}
 		} else if now.Before(j.madeRoom) {
@@ -38,23 +38,23 @@
 		}
 		need := j.need(n)
 		need.Waited, need.Starved = now.Sub(j.accepted), j.starved(now)
-		s.Needs = append(s.Needs, need)
+		summary.Needs = append(summary.Needs, need)
 	}
-	s.Needs = append(s.Needs, p.replacementNeeds()...)
-	sort.Slice(s.Needs, func(a, b int) bool {
-		if s.Needs[a].Rank != s.Needs[b].Rank {
-			return s.Needs[a].Rank > s.Needs[b].Rank
+	summary.Needs = append(summary.Needs, s.replacementNeeds()...)
+	sort.Slice(summary.Needs, func(a, b int) bool {
+		if summary.Needs[a].Rank != summary.Needs[b].Rank {
+			return summary.Needs[a].Rank > summary.Needs[b].Rank
 		}
-		return s.Needs[a].Waited > s.Needs[b].Waited
+		return summary.Needs[a].Waited > summary.Needs[b].Waited
 	})
-	if len(s.Needs) > maxNeeds {
-		s.Needs = s.Needs[:maxNeeds]
+	if len(summary.Needs) > maxNeeds {
+		summary.Needs = summary.Needs[:maxNeeds]
 	}
-	s.Machines = make([]fleet.Machine, 0, len(p.machines))
-	for _, m := range p.machines {
+	summary.Machines = make([]fleet.Machine, 0, len(s.machines))
+	for _, m := range s.machines {
 		f := free(m)
 		fm := fleet.Machine{
-			ID: m.ID, Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot, Up: m.up, Usable: p.usable(m, now),
+			ID: m.ID, Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot, Up: m.up, Usable: s.usable(m, now),
 			Leaving: m.moveTo >= 0 || m.drain || m.cordon != NotCordoned || m.Phase != record.InUse || !m.taken.IsZero(),
 			CPUs:    f.cpus, GPUs: f.gpus, MemoryGB: f.mem, Tasks: len(m.on),
 			Avoided: m.avoided,
@@ -81,28 +81,28 @@
 				fm.TopRank = max(fm.TopRank, highestRank-1) // only services take its place
 			}
 		}
-		s.Machines = append(s.Machines, fm)
+		summary.Machines = append(summary.Machines, fm)
 	}
-	sort.Slice(s.Machines, func(a, b int) bool { return s.Machines[a].ID < s.Machines[b].ID })
-	return s
+	sort.Slice(summary.Machines, func(a, b int) bool { return summary.Machines[a].ID < summary.Machines[b].ID })
+	return summary
 }
 
 // need describes machines for n of a job's tasks.
 func (j *Job) need(n int) fleet.Need {
-	s := j.spec
+	spec := j.spec
 	need := fleet.Need{
-		Job: j.ref, Image: s.Image, CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types, Spot: s.Spot,
-		OneZone: s.OneZone, Gang: s.Kind == wire.Gang, Count: n, Rank: j.rank,
+		Job: j.ref, Image: spec.Image, CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB, Types: spec.Types, Spot: spec.Spot,
+		OneZone: spec.OneZone, Gang: spec.Kind == wire.Gang, Count: n, Rank: j.rank,
 	}
-	if s.Zone != nil {
-		need.Zone = *s.Zone
+	if spec.Zone != nil {
+		need.Zone = *spec.Zone
 	}
-	if s.OneZone {
+	if spec.OneZone {
 		for z := range j.zones {
 			need.Zone = z // the others have to follow
 		}
 	}
-	if s.Spread {
+	if spec.Spread {
 		need.ZoneLimit, need.InZone = j.zoneLimit(), maps.Clone(j.zones)
 	}
 	return need
@@ -112,9 +112,9 @@
 const maxNeeds = 64
 
 // Order carries out the leader's wish for a machine, as far as it still fits.
-func (p *Part) Order(o fleet.Order, now time.Time) {
-	m := p.machines[o.Machine]
-	if p.unreadable.unheard || m == nil || m.moveTo >= 0 || m.drain || m.cordon != NotCordoned || m.Phase != record.InUse || m.txn != nil {
+func (s *Shard) Order(o fleet.Order, now time.Time) {
+	m := s.machines[o.Machine]
+	if s.unreadable.unheard || m == nil || m.moveTo >= 0 || m.drain || m.cordon != NotCordoned || m.Phase != record.InUse || m.txn != nil {
 		return
 	}
 	for k, t := range m.on {
@@ -122,7 +122,7 @@
 			return // in use by now
 		}
 	}
-	defer p.index.update(m)
+	defer s.index.update(m)
 	if o.To == fleet.Back {
 		m.drain = true
 		return
@@ -132,6 +132,6 @@
 	}
 	m.moveTo = o.To
 	if !o.Emptied {
-		p.clear(m, now)
+		s.clear(m, now)
 	}
 }
--- a/internal/sched/takeover_test.go
+++ b/internal/scheduler/takeover_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"slices"
@@ -174,13 +174,13 @@
 func TestMalformedJobIsIsolated(t *testing.T) {
 	r, _ := newRigWithMachine(t)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
-	r.state.Put(record.OpenKey("run-000002"), "nonsense")
+	r.state.Put(record.ActiveJobKey("run-000002"), "nonsense")
 	r.claim()
 	if got := r.part.Malformed(); len(got) != 1 {
 		t.Errorf("told of %v", got)
 	}
 	r.beats(3)
-	if r.on("run-000001/0") == "" || r.get(record.OpenKey("run-000002")) == nil {
+	if r.on("run-000001/0") == "" || r.get(record.ActiveJobKey("run-000002")) == nil {
 		t.Error("the other job does not run, or the record is gone")
 	}
 }
--- a/internal/sched/types.go
+++ b/internal/scheduler/types.go
@@ -1,4 +1,4 @@
-// Package sched is the pure core of one part of the work: the ledger of its
+// Package scheduler is the pure core of one part of the work: the ledger of its
 // tasks and machines, its queues, placement, preemption and demand. Events and
 // the time go in, transactions, commands and requests come out. It starts no
 // goroutines and does no input or output.
@@ -7,7 +7,7 @@
 // and only when that has succeeded does a report's answer carry the start. A
 // placed task keeps its place, its resources and its quota until its machine
 // proved it gone.
-package sched
+package scheduler
 
 import (
 	"slices"
@@ -233,21 +233,21 @@
 
 type usage struct{ cpus, gpus float64 }
 
-// Part is the core of one part.
-type Part struct {
+// Shard is the core of one part.
+type Shard struct {
 	cfg      *Config
 	id       int
 	token    uint64
 	lost     bool
 	machines map[string]*Machine
 	jobs     map[string]*Job
-	slots    map[int]*slot
+	slots    map[int]*placementRecord
 	// txnOps and valueBytes are the limits to write by: those of the settings,
 	// or less where the state service turned out to have others.
 	txnOps, valueBytes int
 	upgraded           bool                         // no controller of the first version is left
 	stated             bool                         // ranges state their size
-	plain              []*slot                      // to be deleted
+	plain              []*placementRecord           // to be deleted
 	lines              map[string]*line             // pipelines of several jobs
 	dependents         map[string]map[*Job]struct{} // by dependency, the jobs here that wait for it
 	longestID          int                          // of the machines' names
@@ -288,33 +288,33 @@
 }
 
 // New makes the core of a part claimed under a token.
-func New(cfg *Config, id int, token uint64) *Part {
-	return &Part{
+func New(cfg *Config, id int, token uint64) *Shard {
+	return &Shard{
 		cfg: cfg, id: id, token: token, txnOps: cfg.TxnOps, valueBytes: cfg.ValueBytes, machines: map[string]*Machine{}, jobs: map[string]*Job{},
-		slots: map[int]*slot{}, lines: map[string]*line{}, dependents: map[string]map[*Job]struct{}{}, teams: map[string]*usage{}, ending: map[string]*Job{}, changed: true,
+		slots: map[int]*placementRecord{}, lines: map[string]*line{}, dependents: map[string]map[*Job]struct{}{}, teams: map[string]*usage{}, ending: map[string]*Job{}, changed: true,
 		index: newIndex(), kept: map[*Job]bool{}, delayed: map[*Machine]time.Time{}, zoneSeen: map[string]time.Time{},
 	}
 }
 
 // ID returns the part's number, Token its token, Lost whether it was found to
 // belong to somebody else.
-func (p *Part) ID() int       { return p.id }
-func (p *Part) Token() uint64 { return p.token }
-func (p *Part) Lost() bool    { return p.lost }
+func (s *Shard) ID() int       { return s.id }
+func (s *Shard) Token() uint64 { return s.token }
+func (s *Shard) Lost() bool    { return s.lost }
 
-func (m *Machine) token(p *Part) uint64 { return max(p.token, m.version) }
+func (m *Machine) token(shard *Shard) uint64 { return max(shard.token, m.version) }
 
 // keepsImage takes in that an image was used on a machine, and which older ones
 // its cache can no longer hold.
-func (p *Part) keepsImage(m *Machine, name string, gb float64) {
+func (s *Shard) keepsImage(m *Machine, name string, gb float64) {
 	m.images = slices.DeleteFunc(m.images, func(i record.Image) bool { return i.Name == name })
 	m.images = append(m.images, record.Image{Name: name, GB: gb})
-	insert(p.index.byImage, name, m)
+	insert(s.index.byImage, name, m)
 	sum := 0.0
 	for i := len(m.images) - 1; i >= 0; i-- {
 		if sum += m.images[i].GB; sum > m.Type.CacheGB && i < len(m.images)-1 {
 			for _, old := range m.images[:i+1] {
-				remove(p.index.byImage, old.Name, m)
+				remove(s.index.byImage, old.Name, m)
 			}
 			m.images = slices.Clone(m.images[i+1:])
 			break
@@ -326,7 +326,7 @@
 	return slices.ContainsFunc(m.images, func(i record.Image) bool { return i.Name == name })
 }
 
-func (p *Part) cond() wire.Cond { return wire.Cond{Key: record.PartKey(p.id), Version: p.token} }
+func (s *Shard) cond() wire.Cond { return wire.Cond{Key: record.ShardKey(s.id), Version: s.token} }
 
 // highestRank is that of the highest priority: nothing goes before it.
 const highestRank = 3
@@ -344,11 +344,11 @@
 	return 0
 }
 
-func (p *Part) usage(team string) *usage {
-	u := p.teams[team]
+func (s *Shard) usage(team string) *usage {
+	u := s.teams[team]
 	if u == nil {
 		u = &usage{}
-		p.teams[team] = u
+		s.teams[team] = u
 	}
 	return u
 }
--- a/internal/sched/unreachable.go
+++ b/internal/scheduler/unreachable.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"time"
@@ -13,16 +13,16 @@
 
 // session takes in the session of a report. A lease that ran out although its
 // worker's reports were answered tells that no answer reaches the machine.
-func (p *Part) session(m *Machine, r *wire.Report, now time.Time) {
+func (s *Shard) session(m *Machine, r *wire.Heartbeat, now time.Time) {
 	if r.Session == m.session {
 		// A session that outlives the lease was renewed: answers arrive.
-		if !m.unreachableSince.IsZero() && now.Sub(m.unreachableSince) > p.cfg.Lease+p.cfg.Report {
-			p.markReached(m)
+		if !m.unreachableSince.IsZero() && now.Sub(m.unreachableSince) > s.cfg.Lease+s.cfg.Report {
+			s.markReached(m)
 		}
 		return
 	}
-	if m.session != 0 && !m.answered.IsZero() && now.Sub(m.answered) < p.cfg.Lease*3/4 {
-		p.markUnreachable(m, now)
+	if m.session != 0 && !m.answered.IsZero() && now.Sub(m.answered) < s.cfg.Lease*3/4 {
+		s.markUnreachable(m, now)
 	}
 	m.session = r.Session
 	m.answered = time.Time{}
@@ -32,30 +32,30 @@
 // markUnreachable notes that no answer or command seems to reach a machine whose reports
 // arrive: it gets no more work, and what is there is freed as ever only by what
 // proves it gone.
-func (p *Part) markUnreachable(m *Machine, now time.Time) {
+func (s *Shard) markUnreachable(m *Machine, now time.Time) {
 	if !m.unreachableSince.IsZero() {
 		return
 	}
 	m.unreachableSince = now
-	p.changed = true
+	s.changed = true
 	for k, t := range m.on {
 		if t.sent && !t.seen {
-			p.stop(k, 0, now) // not repeated: the next report proves it absent
+			s.stop(k, 0, now) // not repeated: the next report proves it absent
 		}
 	}
 }
 
 // markReached notes that an answer was seen to arrive at a machine.
-func (p *Part) markReached(m *Machine) {
+func (s *Shard) markReached(m *Machine) {
 	m.missed = 0
 	if !m.unreachableSince.IsZero() {
 		m.unreachableSince = time.Time{}
-		p.changed = true
+		s.changed = true
 	}
 }
 
 // staysUnreachable reports whether a machine is to be given back because no answer was
 // seen to reach it for longer than a lease, by which one would have shown.
-func (p *Part) staysUnreachable(m *Machine, now time.Time) bool {
-	return !m.unreachableSince.IsZero() && now.Sub(m.unreachableSince) > p.cfg.Lease+2*p.cfg.Report
+func (s *Shard) staysUnreachable(m *Machine, now time.Time) bool {
+	return !m.unreachableSince.IsZero() && now.Sub(m.unreachableSince) > s.cfg.Lease+2*s.cfg.Report
 }
--- a/internal/sched/unreadable.go
+++ b/internal/scheduler/unreadable.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"strconv"
@@ -30,7 +30,7 @@
 
 // unreadable is what a part knows of its records of placements that can't be decoded.
 type unreadable struct {
-	slots    []*slot
+	slots    []*placementRecord
 	newest   uint64 // the highest of their versions
 	unheard  bool   // machines have not reported yet since the part was taken over
 	rereadAt time.Time
@@ -39,84 +39,84 @@
 // passOver takes in that a record of placements can't be decoded. Plain ranges have no turns,
 // so that what is adopted could not be told from what a restored record tells: the part turns to
 // stated ones, and as long as a controller of the first version may be there, the error stands.
-func (p *Part) passOver(e wire.Entry, err error) error {
-	if !p.upgraded {
+func (s *Shard) passOver(e wire.Entry, err error) error {
+	if !s.upgraded {
 		return err
 	}
-	p.SetStated()
-	p.settling.malformed = append(p.settling.malformed, err)
+	s.SetStated()
+	s.settling.malformed = append(s.settling.malformed, err)
 	n, keyErr := strconv.Atoi(record.Last(e.Key))
 	if keyErr != nil {
 		return keyErr
 	}
-	s := p.slot(n)
-	s.version, s.unreadable = e.Version, true
-	p.unreadable.slots = append(p.unreadable.slots, s)
-	p.unreadable.newest = max(p.unreadable.newest, e.Version)
+	rec := s.slot(n)
+	rec.version, rec.unreadable = e.Version, true
+	s.unreadable.slots = append(s.unreadable.slots, rec)
+	s.unreadable.newest = max(s.unreadable.newest, e.Version)
 	return nil
 }
 
 // withhold keeps the jobs from being started that a record which can't be decoded may tell of.
-func (p *Part) withhold() {
-	if len(p.unreadable.slots) == 0 {
+func (s *Shard) withhold() {
+	if len(s.unreadable.slots) == 0 {
 		return
 	}
-	p.unreadable.unheard = true
-	for _, j := range p.jobs {
+	s.unreadable.unheard = true
+	for _, j := range s.jobs {
 		// The record of a job that was cancelled or released may be newer than the job.
 		rewritten := j.cancelled || j.line != alone
-		j.withheld = rewritten || j.version <= p.unreadable.newest
+		j.withheld = rewritten || j.version <= s.unreadable.newest
 	}
 }
 
 // laterTurn is a turn above that of any range on record.
-func (p *Part) laterTurn() int { return int(p.token) }
+func (s *Shard) laterTurn() int { return int(s.token) }
 
 // releaseWithheld lets jobs go on of which nothing can be unknown any more.
-func (p *Part) releaseWithheld(now time.Time) {
-	u := &p.unreadable
+func (s *Shard) releaseWithheld(now time.Time) {
+	u := &s.unreadable
 	if len(u.slots) == 0 {
 		return
 	}
 	if !now.Before(u.rereadAt) {
 		u.rereadAt = now.Add(rereadUnreadableEvery)
-		for _, s := range u.slots {
-			p.out.RereadSlots = append(p.out.RereadSlots, s.n)
+		for _, rec := range u.slots {
+			s.out.RereadSlots = append(s.out.RereadSlots, rec.n)
 		}
 	}
-	p.alarm(u.rereadAt)
-	if u.unheard && p.awaitsInherited() {
+	s.alarm(u.rereadAt)
+	if u.unheard && s.awaitsInherited() {
 		return
 	}
-	p.changed = p.changed || u.unheard
+	s.changed = s.changed || u.unheard
 	u.unheard = false
-	for _, j := range p.jobs {
+	for _, j := range s.jobs {
 		if j.withheld && (j.cancelled || j.idleTasks == 0) {
 			j.withheld = false
-			p.supersede(j)
-			p.ends(j)
+			s.supersede(j)
+			s.ends(j)
 		}
 	}
 }
 
 // supersede makes what is known of all of a job's tasks count before what the record tells.
-func (p *Part) supersede(j *Job) {
+func (s *Shard) supersede(j *Job) {
 	for _, c := range j.chunks {
-		c.turn = max(c.turn, p.laterTurn())
+		c.turn = max(c.turn, s.laterTurn())
 		c.slot.dirty, c.slot.moved = true, true
 	}
 }
 
 // withheldRange is a range for a task of a withheld job: of that one alone, since nothing is
 // known of its neighbours.
-func (p *Part) withheldRange(j *Job, i int) *chunk {
-	return &chunk{job: j, first: i, end: i + 1, turn: p.laterTurn()}
+func (s *Shard) withheldRange(j *Job, i int) *chunk {
+	return &chunk{job: j, first: i, end: i + 1, turn: s.laterTurn()}
 }
 
 // awaitsInherited reports whether a machine that the part had when it was taken over has
 // neither reported under the part's token nor is proven gone.
-func (p *Part) awaitsInherited() bool {
-	for _, m := range p.machines {
+func (s *Shard) awaitsInherited() bool {
+	for _, m := range s.machines {
 		if m.inherited && !m.fenced {
 			return true
 		}
@@ -127,7 +127,7 @@
 // adoptWithheld takes in that a worker has a task of a withheld job that has no place on
 // record, or an outdated one: a higher attempt was only made once the one on record was proven
 // gone. It reports whether the task is placed there from now on.
-func (p *Part) adoptWithheld(k key, m *Machine, rt *wire.ReportTask, now time.Time) bool {
+func (s *Shard) adoptWithheld(k key, m *Machine, rt *wire.HeartbeatTask, now time.Time) bool {
 	j := k.job
 	if !j.withheld || rt.State == wire.Exited {
 		return false
@@ -135,24 +135,24 @@
 	switch t := &j.tasks[k.i]; {
 	case t.state == idle:
 	case t.state == placed && t.inherited && !t.seen && rt.Attempt > t.attempt:
-		p.judge(t, reconcile.Missing)
-		p.take(k, now)
+		s.judge(t, reconcile.Missing)
+		s.take(k, now)
 	default:
 		return false
 	}
-	t := p.put(k, m, rt.Attempt, now)
+	t := s.put(k, m, rt.Attempt, now)
 	t.recorded, t.inherited, t.steps = true, true, nil
 	j.chunkAt(k.i).slot.moved = true // to be written, though nothing is to be started
 	if j.cancelled {
-		p.stop(k, 0, now)
+		s.stop(k, 0, now)
 	}
 	return true
 }
 
 // unreadableRead takes in a record that could not be decoded as it is now. If it was restored
 // or deleted, the part is given up: whoever takes it over reads all records again.
-func (p *Part) unreadableRead(s *slot, e *wire.Entry) {
-	if e == nil || e.Version != s.version {
-		p.lost = true
+func (s *Shard) unreadableRead(rec *placementRecord, e *wire.Entry) {
+	if e == nil || e.Version != rec.version {
+		s.lost = true
 	}
 }
--- a/internal/sched/unreadable_test.go
+++ b/internal/scheduler/unreadable_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"context"
@@ -30,7 +30,7 @@
 	w := r.machine("m1", "z1", false)
 	r.beats(2)
 	u := &unreadableRig{
-		rig: r, worker: w, key: record.SlotKey(r.id, 0),
+		rig: r, worker: w, key: record.PlacementsKey(r.id, 0),
 		runs: spec("run-000001", "b", wire.Array, "normal", 1, 1),
 		half: spec("run-000002", "b", wire.Array, "normal", 2, 1),
 	}
@@ -98,15 +98,15 @@
 	u.cancel(u.runs)()
 	u.cancel(u.half)()
 	u.beats(4, other)
-	for _, s := range []wire.Spec{u.runs, u.half} {
-		if u.get(record.JobKey(s.Ref)) != nil {
-			t.Fatalf("%s has ended while its machine is silent", s.Ref)
+	for _, spec := range []wire.Spec{u.runs, u.half} {
+		if u.get(record.FinishedJobKey(spec.Ref)) != nil {
+			t.Fatalf("%s has ended while its machine is silent", spec.Ref)
 		}
 	}
 	u.beats(6)
-	for _, s := range []wire.Spec{u.runs, u.half} {
-		if u.get(record.JobKey(s.Ref)) == nil {
-			t.Errorf("the end of %s is not recorded", s.Ref)
+	for _, spec := range []wire.Spec{u.runs, u.half} {
+		if u.get(record.FinishedJobKey(spec.Ref)) == nil {
+			t.Errorf("the end of %s is not recorded", spec.Ref)
 		}
 	}
 	if len(u.worker.Report().Tasks) > 0 {
--- a/internal/sched/unrecorded.go
+++ b/internal/scheduler/unrecorded.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"strconv"
@@ -39,29 +39,29 @@
 )
 
 // SetStrict makes the part ask for what the records do not know.
-func (p *Part) SetStrict() {
-	p.strict, p.doubts, p.explained = true, map[string]*doubt{}, map[string]struct{}{}
+func (s *Shard) SetStrict() {
+	s.strict, s.doubts, s.explained = true, map[string]*doubt{}, map[string]struct{}{}
 }
 
 // Explain takes in that records were found that explain a reported task: its job is over, or
 // another part's.
-func (p *Part) Explain(task string) {
-	if len(p.explained) >= maxDoubts {
-		clear(p.explained) // what is reported again is looked for again
+func (s *Shard) Explain(task string) {
+	if len(s.explained) >= maxDoubts {
+		clear(s.explained) // what is reported again is looked for again
 	}
-	p.explained[task] = struct{}{}
-	delete(p.doubts, task)
-	p.changed = true
+	s.explained[task] = struct{}{}
+	delete(s.doubts, task)
+	s.changed = true
 }
 
 // ConfirmUnrecorded takes in that no record explains a reported task, and reports whether so
 // many machines have such tasks that the records must be lost.
-func (p *Part) ConfirmUnrecorded(task string) bool {
-	if d := p.doubts[task]; d != nil {
+func (s *Shard) ConfirmUnrecorded(task string) bool {
+	if d := s.doubts[task]; d != nil {
 		d.confirmed = true
 	}
 	machines := map[string]bool{}
-	for _, d := range p.doubts {
+	for _, d := range s.doubts {
 		if d.confirmed && d.runs {
 			machines[d.machine] = true
 		}
@@ -71,8 +71,8 @@
 
 // doubtful reports whether a reported task is one that the records should know and do not, so
 // that nothing may be done about it yet. The job is nil if the part does not hold it.
-func (p *Part) doubtful(m *Machine, rt *wire.ReportTask, j *Job, i int, now time.Time) bool {
-	if !p.strict || (j != nil && (j.withheld || i >= len(j.tasks))) {
+func (s *Shard) doubtful(m *Machine, rt *wire.HeartbeatTask, j *Job, i int, now time.Time) bool {
+	if !s.strict || (j != nil && (j.withheld || i >= len(j.tasks))) {
 		return false
 	}
 	recorded := uint64(0)
@@ -84,17 +84,17 @@
 			return false
 		}
 	}
-	if _, explained := p.explained[rt.Task]; explained {
+	if _, explained := s.explained[rt.Task]; explained {
 		return false
 	}
-	if d := p.doubts[rt.Task]; d != nil {
-		return d.open(now, p.cfg.Report)
+	if d := s.doubts[rt.Task]; d != nil {
+		return d.open(now, s.cfg.Report)
 	}
-	if len(p.doubts) >= maxDoubts {
+	if len(s.doubts) >= maxDoubts {
 		return true
 	}
-	p.doubts[rt.Task] = &doubt{machine: m.ID, since: now, runs: rt.State != wire.Exited}
-	p.out.Unrecorded = append(p.out.Unrecorded, Unrecorded{Task: rt.Task, Machine: m.ID, Attempt: rt.Attempt, Recorded: recorded, KnownJob: j != nil})
+	s.doubts[rt.Task] = &doubt{machine: m.ID, since: now, runs: rt.State != wire.Exited}
+	s.out.Unrecorded = append(s.out.Unrecorded, Unrecorded{Task: rt.Task, Machine: m.ID, Attempt: rt.Attempt, Recorded: recorded, KnownJob: j != nil})
 	return true
 }
 
@@ -106,8 +106,8 @@
 // awaitReports puts starts off after a take-over if records of placements seem to be missing:
 // there are none though the part has machines, or their numbers, which are given out in order,
 // have gaps. What runs by them is in the workers' first reports.
-func (p *Part) awaitReports(slots []wire.Entry, now time.Time) {
-	if !p.strict || len(p.machines) == 0 {
+func (s *Shard) awaitReports(slots []wire.Entry, now time.Time) {
+	if !s.strict || len(s.machines) == 0 {
 		return
 	}
 	highest := -1
@@ -117,19 +117,19 @@
 		}
 	}
 	if len(slots) == 0 || highest >= len(slots) {
-		p.reportsDue = now.Add(reportsToBelieve * p.cfg.Report)
+		s.reportsDue = now.Add(reportsToBelieve * s.cfg.Report)
 	}
 }
 
 // awaitsReports reports whether starts are put off: records seem to be missing, or it is not
 // known yet why a worker has what they do not.
-func (p *Part) awaitsReports(now time.Time) bool {
-	waits := now.Before(p.reportsDue) && p.awaitsInherited()
-	for _, d := range p.doubts {
-		waits = waits || d.open(now, p.cfg.Report)
+func (s *Shard) awaitsReports(now time.Time) bool {
+	waits := now.Before(s.reportsDue) && s.awaitsInherited()
+	for _, d := range s.doubts {
+		waits = waits || d.open(now, s.cfg.Report)
 	}
 	if waits {
-		p.alarm(now.Add(p.cfg.Report / 4))
+		s.alarm(now.Add(s.cfg.Report / 4))
 	}
 	return waits
 }
--- a/internal/sched/upgrade_test.go
+++ b/internal/scheduler/upgrade_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"encoding/json"
@@ -47,7 +47,7 @@
 
 // facts are what the records tell of a part's tasks.
 type facts struct {
-	on   map[string]record.Place
+	on   map[string]record.TaskPlacement
 	done map[string]bool
 }
 
@@ -55,20 +55,20 @@
 // ranges of so many tasks, later fields are unknown, and every range counts.
 func plainFacts(t testing.TB, slots []wire.Entry, per int) facts {
 	t.Helper()
-	f := facts{on: map[string]record.Place{}, done: map[string]bool{}}
+	f := facts{on: map[string]record.TaskPlacement{}, done: map[string]bool{}}
 	for _, e := range slots {
 		var s struct {
 			Runs map[string]struct {
-				Attempt uint64               `json:"a"`
-				On      map[int]record.Place `json:"on"`
-				Done    [][2]int             `json:"done"`
+				Attempt uint64                       `json:"a"`
+				On      map[int]record.TaskPlacement `json:"on"`
+				Done    [][2]int                     `json:"done"`
 			} `json:"r"`
 		}
 		if err := json.Unmarshal(e.Value, &s); err != nil {
 			t.Fatal(err)
 		}
 		for name, run := range s.Runs {
-			ref, n, ok := record.SplitRunName(name)
+			ref, n, ok := record.SplitRangeName(name)
 			if !ok {
 				t.Fatalf("%s: range %q", e.Key, name)
 			}
@@ -89,13 +89,13 @@
 }
 
 // partFacts is what the part holds as recorded.
-func partFacts(p *Part) facts {
-	f := facts{on: map[string]record.Place{}, done: map[string]bool{}}
-	for _, j := range p.jobs {
+func partFacts(shard *Shard) facts {
+	f := facts{on: map[string]record.TaskPlacement{}, done: map[string]bool{}}
+	for _, j := range shard.jobs {
 		for i := range j.tasks {
 			switch t := &j.tasks[i]; {
 			case t.state == placed && t.recorded:
-				f.on[key{j, i}.name()] = record.Place{Machine: t.machine.ID, Attempt: t.attempt}
+				f.on[key{j, i}.name()] = record.TaskPlacement{Machine: t.machine.ID, Attempt: t.attempt}
 			case t.state == done && t.durable:
 				f.done[key{j, i}.name()] = true
 			}
@@ -106,7 +106,7 @@
 
 func (f facts) equal(g facts) bool { return maps.Equal(f.on, g.on) && maps.Equal(f.done, g.done) }
 
-func (r *rig) slots() []wire.Entry { return r.list(record.SlotsOf(0)) }
+func (r *rig) slots() []wire.Entry { return r.list(record.ShardPlacementsPrefix(0)) }
 
 // runAs lets workers run what is recorded, as they did under the first version.
 func (r *rig) runAs(f facts) {
@@ -134,7 +134,7 @@
 		r.endSome(round)
 		r.beats(2)
 		for _, e := range r.slots() {
-			var s record.Slot
+			var s record.Placements
 			if err := json.Unmarshal(e.Value, &s); err != nil || s.Format != 0 {
 				t.Fatalf("%s: format %d, %v", e.Key, s.Format, err)
 			}
@@ -150,9 +150,9 @@
 
 // onLive leaves the placements that count: of tasks that are proven gone the
 // record is rewritten with the next start only.
-func onLive(r *rig, on map[string]record.Place) map[string]record.Place {
+func onLive(r *rig, on map[string]record.TaskPlacement) map[string]record.TaskPlacement {
 	live := partFacts(r.part).on
-	out := map[string]record.Place{}
+	out := map[string]record.TaskPlacement{}
 	for task, pl := range on {
 		if live[task] == pl {
 			out[task] = pl
@@ -241,8 +241,8 @@
 			t.Errorf("seed %d: the array is %q in the end", seed, got)
 		}
 		for _, e := range r.slots() {
-			var s record.Slot
-			if err := json.Unmarshal(e.Value, &s); err != nil || s.Format != record.Stated || len(e.Value) > tightBytes {
+			var s record.Placements
+			if err := json.Unmarshal(e.Value, &s); err != nil || s.Format != record.SizedRanges || len(e.Value) > tightBytes {
 				t.Errorf("seed %d: %s has format %d and %d bytes, %v", seed, e.Key, s.Format, len(e.Value), err)
 			}
 		}
@@ -259,13 +259,13 @@
 	if r.part.stated {
 		next.SetStated() // as the controller knows from the words of all
 	}
-	if err := next.Load(r.fleet, r.list(record.OpenPrefix), r.slots(), r.clock.Now()); err != nil {
+	if err := next.Load(r.fleet, r.list(record.ActiveJobPrefix), r.slots(), r.clock.Now()); err != nil {
 		r.t.Fatal(err)
 	}
 	got := partFacts(next)
 	for id, w := range r.workers {
 		for task, wt := range w.Tasks {
-			if want := (record.Place{Machine: id, Attempt: wt.Attempt}); wt.State != wire.Exited && got.on[task] != want {
+			if want := (record.TaskPlacement{Machine: id, Attempt: wt.Attempt}); wt.State != wire.Exited && got.on[task] != want {
 				r.t.Fatalf("%s runs on %v, and a new owner would find it on %v", task, want, got.on[task])
 			}
 		}
--- /dev/null
+++ b/internal/scheduler/versions.go
@@ -0,0 +1,40 @@
+package scheduler
+
+import (
+	"strconv"
+	"strings"
+	"time"
+
+	"bramblespur/internal/record"
+)
+
+// Version returns the version of a record as the part knows it: of a job, a machine or a slot
+// of its own; 0 if it knows none.
+func (s *Shard) Version(key string) uint64 {
+	last := record.Last(key)
+	switch {
+	case strings.HasPrefix(key, record.ActiveJobPrefix):
+		if j := s.jobs[last]; j != nil {
+			return j.version
+		}
+	case strings.HasPrefix(key, record.OverridePrefix):
+		if m := s.machines[last]; m != nil {
+			return m.version
+		}
+	case strings.HasPrefix(key, record.ShardPlacementsPrefix(s.id)):
+		n, err := strconv.Atoi(last)
+		if rec := s.slots[n]; err == nil && rec != nil && !rec.unreadable {
+			return rec.version
+		}
+	}
+	return 0
+}
+
+// HeardWithin reports whether a machine was heard in some time.
+func (s *Shard) HeardWithin(id string, d time.Duration, now time.Time) bool {
+	m := s.machines[id]
+	return m != nil && m.up && now.Sub(m.heard) < d
+}
+
+// Lease is how long a worker's tasks outlive its last answered report.
+func (s *Shard) Lease() time.Duration { return s.cfg.Lease }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -139,9 +139,9 @@
 func TestSnapshotIsOfOneRevision(t *testing.T) {
 	r := newRig(t)
 	r.src.before = func(n int) error {
-		r.src.Put(fmt.Sprintf("%s%02d", record.JobPrefix, n%9), n)
-		r.src.Put(fmt.Sprintf("%snew%02d", record.OpenPrefix, n), n)
-		if _, err := r.src.Txn(t.Context(), use, wire.Txn{Then: []wire.Op{{Delete: fmt.Sprintf("%s%02d", record.OpenPrefix, n)}}}); err != nil {
+		r.src.Put(fmt.Sprintf("%s%02d", record.FinishedJobPrefix, n%9), n)
+		r.src.Put(fmt.Sprintf("%snew%02d", record.ActiveJobPrefix, n), n)
+		if _, err := r.src.Txn(t.Context(), use, wire.Txn{Then: []wire.Op{{Delete: fmt.Sprintf("%s%02d", record.ActiveJobPrefix, n)}}}); err != nil {
 			return err
 		}
 		return nil
@@ -209,8 +209,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			stale := wire.EntryPage{Items: []wire.Entry{{Key: record.JobPrefix + "stale", Value: json.RawMessage("1"), Version: 1}}, Revision: 1}
-			if err := s.add(record.JobPrefix, stale); err != nil {
+			stale := wire.EntryPage{Items: []wire.Entry{{Key: record.FinishedJobPrefix + "stale", Value: json.RawMessage("1"), Version: 1}}, Revision: 1}
+			if err := s.add(record.FinishedJobPrefix, stale); err != nil {
 				t.Fatal(err)
 			}
 			r.src.Put(record.ClusterKey, Cluster{"this"})
@@ -229,7 +229,7 @@
 	writes := 20
 	r.src.before = func(int) error {
 		if writes--; writes >= 0 {
-			r.src.Put(record.OpenPrefix+"00", writes)
+			r.src.Put(record.ActiveJobPrefix+"00", writes)
 		}
 		return nil
 	}
@@ -239,7 +239,7 @@
 	}
 	r.src.before = func(int) error {
 		for n := range 6 {
-			r.src.Put(record.OpenPrefix+"00", n)
+			r.src.Put(record.ActiveJobPrefix+"00", n)
 		}
 		return nil
 	}
--- a/internal/testkit/agent.go
+++ b/internal/testkit/agent.go
@@ -43,7 +43,7 @@
 	lastSent  time.Time
 	queue     []func() // commands that wait for a hanging machine
 	wake      chan struct{}
-	last      []wire.Report
+	last      []wire.Heartbeat
 }
 
 func newAgent(w *World, id string, typ wire.MachineType, zone string, spot bool) *Agent {
@@ -55,14 +55,14 @@
 }
 
 // report makes the next report. The lock is held.
-func (a *Agent) report() wire.Report {
+func (a *Agent) report() wire.Heartbeat {
 	a.seq++
-	r := wire.Report{
+	r := wire.Heartbeat{
 		Machine: a.ID, Addr: a.addr, Type: a.Type, Zone: a.Zone, Spot: a.Spot,
 		Session: a.session, Seq: a.seq, Token: a.token, NoticeS: a.notice,
 	}
 	for name, t := range a.tasks {
-		r.Tasks = append(r.Tasks, wire.ReportTask{Task: name, Attempt: t.attempt, State: t.state, Why: t.why, Saved: t.saved})
+		r.Tasks = append(r.Tasks, wire.HeartbeatTask{Task: name, Attempt: t.attempt, State: t.state, Why: t.why, Saved: t.saved})
 	}
 	sort.Slice(r.Tasks, func(x, y int) bool { return r.Tasks[x].Task < r.Tasks[y].Task })
 	return r
@@ -168,7 +168,7 @@
 }
 
 // command carries out direct orders, or holds them while the machine hangs.
-func (a *Agent) command(o wire.DirectOrders) (r wire.Report, ok bool, err error) {
+func (a *Agent) command(o wire.DirectOrders) (r wire.Heartbeat, ok bool, err error) {
 	a.mu.Lock()
 	if a.gone {
 		a.mu.Unlock()
@@ -195,7 +195,7 @@
 }
 
 // execute carries out direct orders. The lock is held.
-func (a *Agent) execute(o wire.DirectOrders) (wire.Report, bool) {
+func (a *Agent) execute(o wire.DirectOrders) (wire.Heartbeat, bool) {
 	ok := o.Token >= a.token && o.Session == a.session
 	if ok {
 		a.see(o.Token)
@@ -205,12 +205,12 @@
 }
 
 // show returns the worker's report.
-func (a *Agent) show() (wire.Report, error) {
+func (a *Agent) show() (wire.Heartbeat, error) {
 	a.mu.Lock()
 	if a.gone || a.hung {
 		a.mu.Unlock()
 		a.w.Sleep(showTimeout)
-		return wire.Report{}, ErrLost
+		return wire.Heartbeat{}, ErrLost
 	}
 	defer a.mu.Unlock()
 	return a.report(), nil
@@ -264,7 +264,7 @@
 }
 
 // Reports returns copies of the latest reports, the newest last.
-func (a *Agent) Reports() []wire.Report {
+func (a *Agent) Reports() []wire.Heartbeat {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.last)
--- a/internal/testkit/checker.go
+++ b/internal/testkit/checker.go
@@ -86,11 +86,11 @@
 }
 
 // Submit takes in that a user is about to submit a job.
-func (c *Checker) Submit(s wire.Spec) {
+func (c *Checker) Submit(spec wire.Spec) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.jobs[s.Ref] == nil {
-		c.jobs[s.Ref] = &watched{spec: s, done: map[int]bool{}}
+	if c.jobs[spec.Ref] == nil {
+		c.jobs[spec.Ref] = &watched{spec: spec, done: map[int]bool{}}
 	}
 }
 
@@ -196,19 +196,19 @@
 		c.fail(Invented, "%s starts, its job was never submitted", task)
 		return
 	}
-	s := j.spec
+	spec := j.spec
 	for p := range c.on[task] {
 		if p != at {
 			c.fail(RanTwice, "%s starts on %s while on %s", task, at.ID, p.ID)
 		}
 	}
-	if (s.Types != nil && !slices.Contains(s.Types, at.Type)) || (s.Zone != nil && *s.Zone != at.Zone) || (at.Spot && !s.Spot) {
+	if (spec.Types != nil && !slices.Contains(spec.Types, at.Type)) || (spec.Zone != nil && *spec.Zone != at.Zone) || (at.Spot && !spec.Spot) {
 		c.fail(WrongPlace, "%s starts on %v", task, at)
 	}
 	if !j.cancelled.IsZero() {
 		c.fail(StartedLate, "%s starts on %s", task, at.ID)
 	}
-	for _, root := range s.DependsOn {
+	for _, root := range spec.DependsOn {
 		if r := c.jobs[root]; r == nil || len(r.done) < r.spec.Tasks {
 			c.fail(TooEarly, "%s starts before %s is done", task, root)
 		}
@@ -226,20 +226,20 @@
 			if r == ref && name != task {
 				zones[p.Zone]++
 			}
-			if other.spec.Team == s.Team {
+			if other.spec.Team == spec.Team {
 				used += other.spec.GPUs
 			}
 		}
 	}
-	if limit := c.teams[s.Team]; limit > 0 && used > limit+1e-6 {
-		c.fail(OverQuota, "%s uses %v of %v at %s", s.Team, used, limit, task)
+	if limit := c.teams[spec.Team]; limit > 0 && used > limit+1e-6 {
+		c.fail(OverQuota, "%s uses %v of %v at %s", spec.Team, used, limit, task)
 	}
 	for zone, n := range zones {
-		if s.OneZone && zone != at.Zone {
+		if spec.OneZone && zone != at.Zone {
 			c.fail(WrongPlace, "%s starts in %s while others are in %s", task, at.Zone, zone)
 		}
-		if s.Spread && zone == at.Zone && n+1 > (s.Tasks+1)/2 {
-			c.fail(WrongPlace, "%s starts in %s as number %d of %d there", task, zone, n+1, s.Tasks)
+		if spec.Spread && zone == at.Zone && n+1 > (spec.Tasks+1)/2 {
+			c.fail(WrongPlace, "%s starts in %s as number %d of %d there", task, zone, n+1, spec.Tasks)
 		}
 	}
 }
@@ -330,11 +330,11 @@
 // waitsBesideRoom reports whether a job has a task that is nowhere, though it may
 // start and a machine has room for it.
 func (c *Checker) waitsBesideRoom(j *watched, used map[string]float64, room Room) bool {
-	s := &j.spec
+	spec := &j.spec
 	missing := 0
 	zones := map[string]int{}
-	for i := range s.Tasks {
-		places := c.on[fmt.Sprintf("%s/%d", s.Ref, i)]
+	for i := range spec.Tasks {
+		places := c.on[fmt.Sprintf("%s/%d", spec.Ref, i)]
 		if !j.done[i] && len(places) == 0 {
 			missing++
 		}
@@ -343,19 +343,19 @@
 		}
 	}
 	may := func(zone string) bool {
-		return !(s.OneZone && len(zones) > 0 && zones[zone] == 0) && !(s.Spread && zones[zone] >= (s.Tasks+1)/2)
+		return !(spec.OneZone && len(zones) > 0 && zones[zone] == 0) && !(spec.Spread && zones[zone] >= (spec.Tasks+1)/2)
 	}
-	for _, root := range s.DependsOn {
+	for _, root := range spec.DependsOn {
 		if r := c.jobs[root]; r == nil || len(r.done) < r.spec.Tasks {
 			return false
 		}
 	}
 	need := 1
-	if s.Kind == wire.Gang {
+	if spec.Kind == wire.Gang {
 		need = missing
 	}
-	limit := c.teams[s.Team]
-	return missing > 0 && (limit <= 0 || used[s.Team]+float64(need)*s.GPUs <= limit+1e-6) && room(s, may)
+	limit := c.teams[spec.Team]
+	return missing > 0 && (limit <= 0 || used[spec.Team]+float64(need)*spec.GPUs <= limit+1e-6) && room(spec, may)
 }
 
 // BadInput checks the answer to a request that is to be refused.
--- a/internal/testkit/checker_test.go
+++ b/internal/testkit/checker_test.go
@@ -21,11 +21,11 @@
 		time.Sleep(2 * time.Millisecond)
 	}
 	job := func(c *Checker, ref string, change func(*wire.Spec)) {
-		s := wire.Spec{Ref: ref, Team: "tight", Kind: wire.Array, Tasks: 2, GPUs: 1}
+		spec := wire.Spec{Ref: ref, Team: "tight", Kind: wire.Array, Tasks: 2, GPUs: 1}
 		if change != nil {
-			change(&s)
+			change(&spec)
 		}
-		c.Submit(s)
+		c.Submit(spec)
 		told(c, Submission, ref, 201, wire.Pending)
 	}
 	room := func(_ *wire.Spec, may func(string) bool) bool { return may("a") }
@@ -38,11 +38,11 @@
 		"on two machines": {RanTwice, func(c *Checker) { job(c, "r1", nil); c.On("r1/0", zoneA) }, func(c *Checker) { c.On("r1/0", zoneB) }},
 		"above the limit": {OverQuota, func(c *Checker) { job(c, "r1", nil); c.On("r1/0", zoneA); job(c, "r2", nil); c.On("r2/0", zoneA) },
 			func(c *Checker) { c.On("r1/1", zoneB) }},
-		"wrong type": {WrongPlace, func(c *Checker) { job(c, "r1", func(s *wire.Spec) { s.Types = []string{"small"} }) }, func(c *Checker) { c.On("r1/0", zoneA) }},
-		"wrong zone": {WrongPlace, func(c *Checker) { job(c, "r1", func(s *wire.Spec) { s.Zone = &zoneB.Zone }) }, func(c *Checker) { c.On("r1/0", zoneA) }},
+		"wrong type": {WrongPlace, func(c *Checker) { job(c, "r1", func(spec *wire.Spec) { spec.Types = []string{"small"} }) }, func(c *Checker) { c.On("r1/0", zoneA) }},
+		"wrong zone": {WrongPlace, func(c *Checker) { job(c, "r1", func(spec *wire.Spec) { spec.Zone = &zoneB.Zone }) }, func(c *Checker) { c.On("r1/0", zoneA) }},
 		"wrong kind": {WrongPlace, func(c *Checker) { job(c, "r1", nil) }, func(c *Checker) { c.On("r1/0", Place{ID: "s", Type: "big", Zone: "a", Spot: true}) }},
-		"two zones":  {WrongPlace, func(c *Checker) { job(c, "r1", func(s *wire.Spec) { s.OneZone = true }); c.On("r1/0", zoneA) }, func(c *Checker) { c.On("r1/1", zoneB) }},
-		"not spread": {WrongPlace, func(c *Checker) { job(c, "r1", func(s *wire.Spec) { s.Spread = true }); c.On("r1/0", zoneA) }, func(c *Checker) { c.On("r1/1", other) }},
+		"two zones":  {WrongPlace, func(c *Checker) { job(c, "r1", func(spec *wire.Spec) { spec.OneZone = true }); c.On("r1/0", zoneA) }, func(c *Checker) { c.On("r1/1", zoneB) }},
+		"not spread": {WrongPlace, func(c *Checker) { job(c, "r1", func(spec *wire.Spec) { spec.Spread = true }); c.On("r1/0", zoneA) }, func(c *Checker) { c.On("r1/1", other) }},
 		"start after a cancellation": {StartedLate, func(c *Checker) { job(c, "r1", nil); c.Cancel("r1"); told(c, Cancellation, "r1", 200, wire.Cancelled) },
 			func(c *Checker) { c.On("r1/0", zoneA) }},
 		"lives on after a cancellation": {RanCancelled, func(c *Checker) {
@@ -78,12 +78,12 @@
 		"cancellation answered pending": {WentBack, func(c *Checker) { job(c, "r1", nil); c.Cancel("r1") }, func(c *Checker) { told(c, Cancellation, "r1", 200, wire.Pending) }},
 		"before its dependency is done": {TooEarly, func(c *Checker) {
 			job(c, "r1", nil)
-			job(c, "r2", func(s *wire.Spec) { s.DependsOn = []string{"r1"} })
+			job(c, "r2", func(spec *wire.Spec) { spec.DependsOn = []string{"r1"} })
 			c.Done("r1", 0)
 		}, func(c *Checker) { c.On("r2/0", zoneA) }},
 		"after its dependency's end": {Orphaned, func(c *Checker) {
 			job(c, "r1", nil)
-			job(c, "r2", func(s *wire.Spec) { s.DependsOn = []string{"r1"} })
+			job(c, "r2", func(spec *wire.Spec) { spec.DependsOn = []string{"r1"} })
 			c.Cancel("r1")
 			told(c, Cancellation, "r1", 200, wire.Cancelled)
 			time.Sleep(cancelAfter - time.Second)
@@ -134,7 +134,7 @@
 			for _, ref := range []string{"r1", "r2", "r3", "r4", "r5"} {
 				c.Answer(Poll, ref, time.Now(), time.Now(), 200, wire.Pending)
 			}
-			c.Look(func(s *wire.Spec, may func(string) bool) bool { return s.Kind != wire.Gang && may("a") })
+			c.Look(func(spec *wire.Spec, may func(string) bool) bool { return spec.Kind != wire.Gang && may("a") })
 			time.Sleep(5 * time.Second)
 		}
 		if b := c.Broken(); len(b) > 0 {
--- a/internal/testkit/cloud.go
+++ b/internal/testkit/cloud.go
@@ -31,7 +31,7 @@
 }
 
 // Rent implements cloud.API: a repeated name gives the same machines.
-func (c *Rentals) Rent(_ context.Context, r wire.Rental) ([]string, error) {
+func (c *Rentals) Rent(_ context.Context, r wire.ProvisionRequest) ([]string, error) {
 	return Call(c.w.Net, c.from, CloudEnd, cloudTimeout, func() ([]string, error) {
 		if err := c.life.Err(); err != nil {
 			return nil, err
@@ -40,7 +40,7 @@
 	})
 }
 
-func (w *World) rent(r wire.Rental) ([]string, error) {
+func (w *World) rent(r wire.ProvisionRequest) ([]string, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if ids, ok := w.rentals[r.Request]; ok {
--- a/internal/testkit/direct.go
+++ b/internal/testkit/direct.go
@@ -28,13 +28,13 @@
 }
 
 // Command implements agent.API.
-func (d *Direct) Command(_ context.Context, addr string, o wire.DirectOrders) (wire.Report, bool, error) {
+func (d *Direct) Command(_ context.Context, addr string, o wire.DirectOrders) (wire.Heartbeat, bool, error) {
 	a := d.w.at(addr)
 	if a == nil || d.life.Err() != nil {
-		return wire.Report{}, false, ErrLost
+		return wire.Heartbeat{}, false, ErrLost
 	}
 	type answer struct {
-		r  wire.Report
+		r  wire.Heartbeat
 		ok bool
 	}
 	got, err := Call(d.w.Net, d.from, a.ID, directTimeout, func() (answer, error) {
@@ -42,20 +42,20 @@
 		return answer{r, ok}, err
 	})
 	if d.life.Err() != nil {
-		return wire.Report{}, false, ErrLost
+		return wire.Heartbeat{}, false, ErrLost
 	}
 	return got.r, got.ok, err
 }
 
 // Show implements agent.API.
-func (d *Direct) Show(_ context.Context, addr string) (wire.Report, error) {
+func (d *Direct) Show(_ context.Context, addr string) (wire.Heartbeat, error) {
 	a := d.w.at(addr)
 	if a == nil || d.life.Err() != nil {
-		return wire.Report{}, ErrLost
+		return wire.Heartbeat{}, ErrLost
 	}
 	r, err := Call(d.w.Net, d.from, a.ID, showTimeout, a.show)
 	if d.life.Err() != nil {
-		return wire.Report{}, ErrLost
+		return wire.Heartbeat{}, ErrLost
 	}
 	return r, err
 }
--- a/internal/testkit/gangs.go
+++ b/internal/testkit/gangs.go
@@ -21,7 +21,7 @@
 	for _, a := range all {
 		a.mu.Lock()
 		for _, t := range a.tasks {
-			if s, ok := w.spec(t.ref); ok && s.Kind == wire.Gang && t.on() && !a.hung {
+			if spec, ok := w.spec(t.ref); ok && spec.Kind == wire.Gang && t.on() && !a.hung {
 				key := fmt.Sprintf("%s#%d", t.ref, t.attempt)
 				if gangs[key] == nil {
 					names = append(names, key)
@@ -34,7 +34,7 @@
 	slices.Sort(names)
 	for _, name := range names {
 		ms := gangs[name]
-		s, _ := w.spec(ms[0].t.ref)
+		spec, _ := w.spec(ms[0].t.ref)
 		count := map[string]int{}
 		var since time.Time
 		for _, m := range ms {
@@ -45,11 +45,11 @@
 		}
 		active := count[wire.Running] + count[wire.Saving]
 		switch {
-		case count[wire.Gathering] == s.Tasks:
+		case count[wire.Gathering] == spec.Tasks:
 			w.each(ms, func(m member) { m.t.state, m.t.since = wire.Running, now; m.a.note() })
-		case count[wire.Running] == s.Tasks && now.Sub(since) >= w.length(s.Ref).Run:
+		case count[wire.Running] == spec.Tasks && now.Sub(since) >= w.length(spec.Ref).Run:
 			w.each(ms, func(m member) { m.a.exit(m.t, wire.Done, false) })
-		case active > 0 && active < s.Tasks:
+		case active > 0 && active < spec.Tasks:
 			w.each(ms, func(m member) {
 				if m.t.state != wire.Running {
 					return
@@ -76,10 +76,10 @@
 }
 
 // room reports whether what a job still needs fits on the machines that are up.
-func (w *World) room(s *wire.Spec, may func(zone string) bool) bool {
+func (w *World) room(spec *wire.Spec, may func(zone string) bool) bool {
 	fits := map[string]int{} // by zone where all have to be in one
 	for _, a := range w.Machines() {
-		if (s.Types != nil && !slices.Contains(s.Types, a.Type)) || (s.Zone != nil && *s.Zone != a.Zone) || (a.Spot && !s.Spot) || !may(a.Zone) {
+		if (spec.Types != nil && !slices.Contains(spec.Types, a.Type)) || (spec.Zone != nil && *spec.Zone != a.Zone) || (a.Spot && !spec.Spot) || !may(a.Zone) {
 			continue
 		}
 		cpus, gpus, mem := a.typ.CPUs, a.typ.GPUs, a.typ.MemoryGB
@@ -91,18 +91,18 @@
 			}
 		}
 		a.mu.Unlock()
-		for usable && cpus >= s.CPUs && gpus >= s.GPUs && mem >= s.MemoryGB && (s.CPUs > 0 || s.GPUs > 0 || s.MemoryGB > 0) {
+		for usable && cpus >= spec.CPUs && gpus >= spec.GPUs && mem >= spec.MemoryGB && (spec.CPUs > 0 || spec.GPUs > 0 || spec.MemoryGB > 0) {
 			zone := ""
-			if s.OneZone {
+			if spec.OneZone {
 				zone = a.Zone
 			}
 			fits[zone]++
-			cpus, gpus, mem = cpus-s.CPUs, gpus-s.GPUs, mem-s.MemoryGB
+			cpus, gpus, mem = cpus-spec.CPUs, gpus-spec.GPUs, mem-spec.MemoryGB
 		}
 	}
 	need := 1
-	if s.Kind == wire.Gang {
-		need = s.Tasks
+	if spec.Kind == wire.Gang {
+		need = spec.Tasks
 	}
 	for _, n := range fits {
 		if n >= need {
--- a/internal/testkit/interruptions.go
+++ b/internal/testkit/interruptions.go
@@ -77,40 +77,40 @@
 	running := n.w.runningTasks()
 	n.w.mu.Lock()
 	specs := make([]wire.Spec, 0, len(n.w.specs))
-	for _, s := range n.w.specs {
-		specs = append(specs, s)
+	for _, spec := range n.w.specs {
+		specs = append(specs, spec)
 	}
 	n.w.mu.Unlock()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, s := range specs {
-		if s.Kind == wire.Gang {
-			n.lookAt(s, s.Ref, 0, s.Tasks, running, now)
+	for _, spec := range specs {
+		if spec.Kind == wire.Gang {
+			n.lookAt(spec, spec.Ref, 0, spec.Tasks, running, now)
 			continue
 		}
-		for i := range s.Tasks {
-			n.lookAt(s, s.Ref+"/"+strconv.Itoa(i), i, i+1, running, now)
+		for i := range spec.Tasks {
+			n.lookAt(spec, spec.Ref+"/"+strconv.Itoa(i), i, i+1, running, now)
 		}
 	}
 	n.verify(now)
 }
 
 // lookAt takes in how a unit of some of a job's tasks stands.
-func (n *Interruptions) lookAt(s wire.Spec, name string, first, end int, running map[string]runningTask, now time.Time) {
+func (n *Interruptions) lookAt(spec wire.Spec, name string, first, end int, running map[string]runningTask, now time.Time) {
 	u := n.units[name]
 	if u == nil {
-		u = &watchedUnit{team: s.Team}
+		u = &watchedUnit{team: spec.Team}
 		n.units[name] = u
 	}
 	on := map[*Agent]uint64{}
-	up, over := true, n.w.check.askedToEnd(s.Ref)
+	up, over := true, n.w.check.askedToEnd(spec.Ref)
 	for i := first; i < end; i++ {
-		at, ok := running[s.Ref+"/"+strconv.Itoa(i)]
+		at, ok := running[spec.Ref+"/"+strconv.Itoa(i)]
 		up = up && ok
 		if ok {
 			on[at.machine] = at.session
 		}
-		over = over || n.w.completed(s.Ref, i)
+		over = over || n.w.completed(spec.Ref, i)
 	}
 	switch {
 	case over:
--- a/internal/testkit/loopback.go
+++ b/internal/testkit/loopback.go
@@ -99,7 +99,7 @@
 		answer(rw, wire.MachineTypes{Types: types}, err)
 	})
 	mux.HandleFunc("POST /rentals", func(rw http.ResponseWriter, r *http.Request) {
-		var q wire.Rental
+		var q wire.ProvisionRequest
 		if decodeBody(rw, r, &q) {
 			ids, err := api.Rent(r.Context(), q)
 			answer(rw, wire.Names{Machines: ids}, err)
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -266,7 +266,7 @@
 func (c *Cloud) Types(context.Context) ([]wire.MachineType, error) { return c.Offer, nil }
 
 // Rent implements cloud.API: a repeated name gives the same machines.
-func (c *Cloud) Rent(_ context.Context, r wire.Rental) ([]string, error) {
+func (c *Cloud) Rent(_ context.Context, r wire.ProvisionRequest) ([]string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if ids, ok := c.Rentals[r.Request]; ok {
@@ -327,14 +327,14 @@
 }
 
 // Report makes the next report.
-func (w *Worker) Report() wire.Report {
+func (w *Worker) Report() wire.Heartbeat {
 	w.Seq++
-	r := wire.Report{
+	r := wire.Heartbeat{
 		Machine: w.ID, Addr: "10.1.0.1:9000", Type: w.Type, Zone: w.Zone, Spot: w.Spot,
 		Session: w.Session, Seq: w.Seq, Token: w.Token, NoticeS: w.Notice,
 	}
 	for name, t := range w.Tasks {
-		r.Tasks = append(r.Tasks, wire.ReportTask{Task: name, Attempt: t.Attempt, State: t.State, Why: t.Why, Saved: t.Saved})
+		r.Tasks = append(r.Tasks, wire.HeartbeatTask{Task: name, Attempt: t.Attempt, State: t.State, Why: t.Why, Saved: t.Saved})
 	}
 	sort.Slice(r.Tasks, func(a, b int) bool { return r.Tasks[a].Task < r.Tasks[b].Task })
 	return r
--- a/internal/testkit/users.go
+++ b/internal/testkit/users.go
@@ -42,19 +42,19 @@
 }
 
 // Register uploads a job's description, as users do before they submit it.
-func (w *World) Register(s wire.Spec, l Length) {
+func (w *World) Register(spec wire.Spec, l Length) {
 	w.mu.Lock()
-	w.specs[s.Ref] = s
-	w.lengths[s.Ref] = l
+	w.specs[spec.Ref] = spec
+	w.lengths[spec.Ref] = l
 	w.mu.Unlock()
-	w.check.Submit(s)
+	w.check.Submit(spec)
 }
 
 // Submit submits a job once.
-func (w *World) Submit(label string, s wire.Spec, l Length) (status int, state string) {
-	w.Register(s, l)
-	body, _ := json.Marshal(s)
-	return w.Ask(Submission, label, s.Ref, body)
+func (w *World) Submit(label string, spec wire.Spec, l Length) (status int, state string) {
+	w.Register(spec, l)
+	body, _ := json.Marshal(spec)
+	return w.Ask(Submission, label, spec.Ref, body)
 }
 
 // Until repeats a request, at one node after the other as a load balancer would,
@@ -96,8 +96,8 @@
 
 // IsService reports whether a job is a service.
 func (w *World) IsService(ref string) bool {
-	s, _ := w.spec(ref)
-	return s.Kind == wire.Service
+	spec, _ := w.spec(ref)
+	return spec.Kind == wire.Service
 }
 
 // Told returns the state of a job that its user was told last.
--- a/internal/testkit/world.go
+++ b/internal/testkit/world.go
@@ -144,8 +144,8 @@
 func (w *World) spec(ref string) (wire.Spec, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	s, ok := w.specs[ref]
-	return s, ok
+	spec, ok := w.specs[ref]
+	return spec, ok
 }
 
 func (w *World) length(ref string) Length {
@@ -228,7 +228,7 @@
 }
 
 // deliver brings a worker's report to a controller.
-func (w *World) deliver(from, to string, r wire.Report) (status int, redirect string, o wire.Orders, err error) {
+func (w *World) deliver(from, to string, r wire.Heartbeat) (status int, redirect string, o wire.Orders, err error) {
 	body, _ := json.Marshal(r)
 	type answer struct {
 		status int
@@ -243,7 +243,7 @@
 		if n == nil {
 			return answer{}, ErrRefused
 		}
-		status, body, err := n.Handle("POST", wire.ReportPath, body)
+		status, body, err := n.Handle("POST", wire.HeartbeatPath, body)
 		return answer{status, body}, err
 	})
 	if err != nil {
@@ -307,7 +307,7 @@
 
 // Replay brings copies of reports to a controller, as a network does late. What is
 // answered goes to nobody. It reports how many were answered.
-func (w *World) Replay(to string, reports ...wire.Report) int {
+func (w *World) Replay(to string, reports ...wire.Heartbeat) int {
 	n := 0
 	for _, r := range reports {
 		if _, _, _, err := w.deliver("late", to, r); err == nil {
--- a/internal/wire/check.go
+++ b/internal/wire/check.go
@@ -19,7 +19,7 @@
 var ErrSenseless = errors.New("message makes no sense")
 
 // Check refuses a report that no worker sends.
-func (r *Report) Check() error {
+func (r *Heartbeat) Check() error {
 	for _, name := range []string{r.Machine, r.Addr, r.Type, r.Zone} {
 		if len(name) > maxName {
 			return fmt.Errorf("%w: a name of %d bytes", ErrSenseless, len(name))
@@ -51,7 +51,7 @@
 
 // attemptTwice returns a task of which the report has one attempt twice. Two attempts of a
 // task may well be there: a start is refused where another attempt runs.
-func (r *Report) attemptTwice() (name string, twice bool) {
+func (r *Heartbeat) attemptTwice() (name string, twice bool) {
 	type attempt struct {
 		task string
 		n    uint64
@@ -80,7 +80,7 @@
 // taskStates are the states of tasks in reports.
 var taskStates = []string{Fetching, Gathering, Running, Saving, Exited}
 
-func (t *ReportTask) check() error {
+func (t *HeartbeatTask) check() error {
 	if t.Task == "" || len(t.Task) > maxName {
 		return fmt.Errorf("%w: a task's name of %d bytes", ErrSenseless, len(t.Task))
 	}
--- a/internal/wire/check_test.go
+++ b/internal/wire/check_test.go
@@ -9,32 +9,32 @@
 )
 
 func TestSenselessReportsAreRefused(t *testing.T) {
-	good := func() *Report {
-		return &Report{Machine: "i-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Session: 1, Seq: 88, Token: 41,
-			Tasks: []ReportTask{{Task: "run-000412/3", Attempt: 2, State: Running}, {Task: "run-000398/0", Attempt: 1, State: Exited, Why: Done}}}
+	good := func() *Heartbeat {
+		return &Heartbeat{Machine: "i-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Session: 1, Seq: 88, Token: 41,
+			Tasks: []HeartbeatTask{{Task: "run-000412/3", Attempt: 2, State: Running}, {Task: "run-000398/0", Attempt: 1, State: Exited, Why: Done}}}
 	}
 	if err := good().Check(); err != nil {
 		t.Fatal(err)
 	}
-	notice := func(s float64) func(*Report) { return func(r *Report) { r.NoticeS = &s } }
-	for name, change := range map[string]func(*Report){
-		"no machine":        func(r *Report) { r.Machine = "" },
-		"a long name":       func(r *Report) { r.Machine = strings.Repeat("x", maxName+1) },
-		"a long address":    func(r *Report) { r.Addr = strings.Repeat("x", maxName+1) },
-		"no session":        func(r *Report) { r.Session = 0 },
+	notice := func(s float64) func(*Heartbeat) { return func(r *Heartbeat) { r.NoticeS = &s } }
+	for name, change := range map[string]func(*Heartbeat){
+		"no machine":        func(r *Heartbeat) { r.Machine = "" },
+		"a long name":       func(r *Heartbeat) { r.Machine = strings.Repeat("x", maxName+1) },
+		"a long address":    func(r *Heartbeat) { r.Addr = strings.Repeat("x", maxName+1) },
+		"no session":        func(r *Heartbeat) { r.Session = 0 },
 		"an endless notice": notice(1e300),
 		"a notice of NaN":   notice(math.NaN()),
-		"too many tasks":    func(r *Report) { r.Tasks = make([]ReportTask, maxOnOne+1) },
-		"an unknown state":  func(r *Report) { r.Tasks[0].State = "dreaming" },
-		"an attempt twice":  func(r *Report) { r.Tasks[1] = r.Tasks[0] },
-		"one twice of many": func(r *Report) {
+		"too many tasks":    func(r *Heartbeat) { r.Tasks = make([]HeartbeatTask, maxOnOne+1) },
+		"an unknown state":  func(r *Heartbeat) { r.Tasks[0].State = "dreaming" },
+		"an attempt twice":  func(r *Heartbeat) { r.Tasks[1] = r.Tasks[0] },
+		"one twice of many": func(r *Heartbeat) {
 			r.Tasks = nil
 			for i := range 2 * fewTasks {
-				r.Tasks = append(r.Tasks, ReportTask{Task: "run-000412/3", Attempt: uint64(i%(2*fewTasks-1) + 1), State: Exited, Why: WhyBusy})
+				r.Tasks = append(r.Tasks, HeartbeatTask{Task: "run-000412/3", Attempt: uint64(i%(2*fewTasks-1) + 1), State: Exited, Why: WhyBusy})
 			}
 		},
-		"a task by no name":  func(r *Report) { r.Tasks[0].Task = "" },
-		"a task's long name": func(r *Report) { r.Tasks[0].Task = strings.Repeat("x", maxName+1) },
+		"a task by no name":  func(r *Heartbeat) { r.Tasks[0].Task = "" },
+		"a task's long name": func(r *Heartbeat) { r.Tasks[0].Task = strings.Repeat("x", maxName+1) },
 	} {
 		r := good()
 		change(r)
@@ -42,10 +42,10 @@
 			t.Errorf("%s: err %v", name, err)
 		}
 	}
-	for name, change := range map[string]func(*Report){
+	for name, change := range map[string]func(*Heartbeat){
 		"a notice that is over": notice(-0.5),
-		"two attempts":          func(r *Report) { r.Tasks[1].Task = r.Tasks[0].Task },
-		"the first number":      func(r *Report) { r.Seq = 0 }, // PROTOCOL says only that it increases
+		"two attempts":          func(r *Heartbeat) { r.Tasks[1].Task = r.Tasks[0].Task },
+		"the first number":      func(r *Heartbeat) { r.Seq = 0 }, // PROTOCOL says only that it increases
 	} {
 		r := good()
 		change(r)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -48,12 +48,12 @@
 
 // Paths of the protocols.
 const (
-	JobsPath    = "/work"
-	CancelWord  = "withdraw"
-	ReadyPath   = "/ready"
-	ReportPath  = "/agent/beat"
-	CommandPath = "/commands"
-	ShowPath    = "/show"
+	JobsPath      = "/work"
+	CancelWord    = "withdraw"
+	ReadyPath     = "/ready"
+	HeartbeatPath = "/agent/beat"
+	CommandPath   = "/commands"
+	ShowPath      = "/show"
 	// PipelinesPath is an extension of ours, see docs/api.md.
 	PipelinesPath = "/pipelines"
 )
@@ -127,22 +127,22 @@
 	Jobs  []Brief `json:"jobs"`
 }
 
-// Report is what a worker tells about its machine.
-type Report struct {
-	Machine string       `json:"bush"`
-	Addr    string       `json:"address"`
-	Type    string       `json:"stock"`
-	Zone    string       `json:"patch"`
-	Spot    bool         `json:"windfall"`
-	Session uint64       `json:"season"`
-	Seq     uint64       `json:"tally"`
-	Token   uint64       `json:"crook"`
-	NoticeS *float64     `json:"frost_s"`
-	Tasks   []ReportTask `json:"berries"`
+// Heartbeat is what a worker tells about its machine.
+type Heartbeat struct {
+	Machine string          `json:"bush"`
+	Addr    string          `json:"address"`
+	Type    string          `json:"stock"`
+	Zone    string          `json:"patch"`
+	Spot    bool            `json:"windfall"`
+	Session uint64          `json:"season"`
+	Seq     uint64          `json:"tally"`
+	Token   uint64          `json:"crook"`
+	NoticeS *float64        `json:"frost_s"`
+	Tasks   []HeartbeatTask `json:"berries"`
 }
 
-// ReportTask is one task of a report.
-type ReportTask struct {
+// HeartbeatTask is one task of a report.
+type HeartbeatTask struct {
 	Task    string `json:"berry"`
 	Attempt uint64 `json:"sprout"`
 	State   string `json:"bloom"`
@@ -195,8 +195,8 @@
 	Types []MachineType `json:"stocks"`
 }
 
-// Rental asks the cloud for machines.
-type Rental struct {
+// ProvisionRequest asks the cloud for machines.
+type ProvisionRequest struct {
 	Request string `json:"plea"`
 	Type    string `json:"stock"`
 	Zone    string `json:"patch"`
