--- a/internal/controller/account_connections_test.go
+++ b/internal/controller/account_connections_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"github.com/panjf2000/gnet/v2"
-
+	"bramblespur/internal/controller/rejectlog"
+	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/wire"
 )
@@ -43,9 +43,11 @@
 	c, _, workers := fleetController(b, conns, 0)
 	met(b, c, workers)
 	port := freePort(b)
-	srv := &server{handle: c.handle, log: slog.New(slog.DiscardHandler), conns: map[gnet.Conn]*connState{}, maxConn: 2 * conns, workerConn: 2 * conns,
-		maxBuffered: 1 << 20, refusals: &refusals{}}
-	go gnet.Run(srv, "tcp4://127.0.0.1:"+strconv.Itoa(port), gnet.WithNumEventLoop(1), gnet.WithReadBufferCap(16<<10))
+	srv := transport.New(transport.Config{
+		Handler: c.handle, Log: slog.New(slog.DiscardHandler), Rejections: rejectlog.New(slog.New(slog.DiscardHandler)),
+		MaxConnections: 2 * conns, KeepAliveLimit: 2 * conns, MaxBuffered: 1 << 20,
+	})
+	go srv.Run("127.0.0.1:" + strconv.Itoa(port))
 	addr := &syscall.SockaddrInet4{Port: port, Addr: [4]byte{127, 0, 0, 1}}
 	request := httpwire.AppendRequest(nil, "GET", wire.ReadyPath, "x", nil)
 	answer := make([]byte, 4096)
--- a/internal/controller/account_test.go
+++ b/internal/controller/account_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/fleet"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/record"
@@ -116,7 +117,7 @@
 
 // reported brings a worker's report to its controller and returns the answer, also one
 // that is held.
-func reported(t testing.TB, c *Controller, w *testkit.Worker) reply {
+func reported(t testing.TB, c *Controller, w *testkit.Worker) transport.Response {
 	t.Helper()
 	b, err := json.Marshal(w.Report())
 	if err != nil {
@@ -125,9 +126,9 @@
 	return sent(c, b, w.ID)
 }
 
-func sent(c *Controller, report []byte, machine string) reply {
-	later := make(chan reply, 1)
-	r, now := c.handle(httpwire.Request{Method: "POST", Path: wire.HeartbeatPath, Body: report}, func(r reply) { later <- r })
+func sent(c *Controller, report []byte, machine string) transport.Response {
+	later := make(chan transport.Response, 1)
+	r, now := c.handle(httpwire.Request{Method: "POST", Path: wire.HeartbeatPath, Body: report}, func(r transport.Response) { later <- r })
 	if !now {
 		c.mu.Lock()
 		c.release(machine, time.Now())
@@ -142,7 +143,7 @@
 	t.Helper()
 	for range 2 {
 		for _, w := range workers {
-			o, ok := reported(t, c, w).body.(wire.Orders)
+			o, ok := reported(t, c, w).Body.(wire.Orders)
 			if !ok || !w.Obey(o) {
 				t.Fatalf("%s was not answered", w.ID)
 			}
@@ -239,10 +240,10 @@
 			bodies = append(bodies, body)
 		}
 	}
-	srv := &server{log: c.log}
+	srv := transport.New(transport.Config{Log: c.log})
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		srv.encode(sent(c, bodies[i%len(bodies)], machineName(i%accountMachines)), false)
+		srv.Encode(sent(c, bodies[i%len(bodies)], machineName(i%accountMachines)), false)
 	}
 }
 
@@ -294,7 +295,7 @@
 		spec := body(b, func(m map[string]any) { m["ref"], m["berries"], m["cards"], m["cores"] = ref(n), 1, 0.0, 0.01 })
 		n++
 		b.StartTimer()
-		if r := c.submit(spec); r.status != 201 {
+		if r := c.submit(spec); r.Status != 201 {
 			b.Fatalf("answered %+v", r)
 		}
 	}
@@ -309,7 +310,7 @@
 	c.mu.Lock()
 	version := c.activeJobs[ref(7)].version
 	c.mu.Unlock()
-	srv := &server{log: c.log}
+	srv := transport.New(transport.Config{Log: c.log})
 	b.ReportAllocs()
 	for b.Loop() {
 		var all []*confirmation
@@ -321,7 +322,7 @@
 		for _, q := range all {
 			<-q.done
 			own, _ := c.ownerStatus(ref(7))
-			srv.encode(reply{status: 200, body: own}, false)
+			srv.Encode(transport.Response{Status: 200, Body: own}, false)
 		}
 	}
 }
--- a/internal/controller/bounds_test.go
+++ b/internal/controller/bounds_test.go
@@ -12,6 +12,7 @@
 	"testing/synctest"
 	"time"
 
+	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/record"
@@ -75,12 +76,12 @@
 
 // asked brings a user's request to a controller whose lease stands, and waits for the
 // answer.
-func asked(c *Controller, method, path string, body []byte) reply {
+func asked(c *Controller, method, path string, body []byte) transport.Response {
 	c.mu.Lock()
 	c.lease.setRenewed(time.Now())
 	c.mu.Unlock()
-	later := make(chan reply, 1)
-	if r, now := c.handle(httpwire.Request{Method: method, Path: path, Body: body}, func(r reply) { later <- r }); now {
+	later := make(chan transport.Response, 1)
+	if r, now := c.handle(httpwire.Request{Method: method, Path: path, Body: body}, func(r transport.Response) { later <- r }); now {
 		return r
 	}
 	return <-later
@@ -97,10 +98,10 @@
 			state.reset()
 			const polls = 20
 			got := testing.AllocsPerRun(polls-1, func() { // one more to warm up
-				if r := asked(c, "GET", wire.JobsPath+"/"+ref(7), nil); r.status != 200 {
+				if r := asked(c, "GET", wire.JobsPath+"/"+ref(7), nil); r.Status != 200 {
 					t.Fatalf("answered %+v", r)
 				}
-				if r := asked(c, "GET", wire.JobsPath+"/run-900000", nil); r.status != 200 {
+				if r := asked(c, "GET", wire.JobsPath+"/run-900000", nil); r.Status != 200 {
 					t.Fatalf("answered %+v", r)
 				}
 			})
@@ -130,7 +131,7 @@
 			got := testing.AllocsPerRun(jobs-1, func() { // one more to warm up
 				b := bodies[0]
 				bodies = bodies[1:]
-				if r := asked(c, "POST", wire.JobsPath, b); r.status != 201 {
+				if r := asked(c, "POST", wire.JobsPath, b); r.Status != 201 {
 					t.Fatalf("answered %+v", r)
 				}
 				time.Sleep(gatherStarts)
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -6,6 +6,7 @@
 	"errors"
 	"time"
 
+	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/record"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
@@ -24,12 +25,12 @@
 // stands still or comes late, no task can outlive what was told, and so leases may
 // be renewed by who can't hear of cancellations. Until then the user is asked to
 // come again.
-func (c *Controller) cancel(ref string) reply {
+func (c *Controller) cancel(ref string) transport.Response {
 	if !validRef(ref) {
-		return reply{status: 404}
+		return transport.Response{Status: 404}
 	}
 	if j, ok := c.finals.get(ref); ok {
-		return reply{status: 200, body: wire.Brief{Ref: ref, State: j.State}}
+		return transport.Response{Status: 200, Body: wire.Brief{Ref: ref, State: j.State}}
 	}
 	if c.leaseLost() {
 		return later()
@@ -50,13 +51,13 @@
 			state, err := c.state(ctx, use, ref)
 			switch {
 			case errors.Is(err, statestore.ErrNotFound):
-				return reply{status: 404}
+				return transport.Response{Status: 404}
 			case err != nil:
 				return later()
 			case state == wire.Pending:
 				continue // accepted in this moment
 			}
-			return reply{status: 200, body: wire.Brief{Ref: ref, State: state}}
+			return transport.Response{Status: 200, Body: wire.Brief{Ref: ref, State: state}}
 		}
 		var o record.ActiveJob
 		if err != nil || json.Unmarshal(e.Value, &o) != nil {
@@ -91,7 +92,9 @@
 
 // ending answers a cancellation whose tasks are not all proven gone yet, which
 // every controller would answer alike.
-func ending() reply { return reply{status: 503, retryAfter: retryLater, settled: true} }
+func ending() transport.Response {
+	return transport.Response{Status: 503, RetryAfter: transport.RetryAfter, Authoritative: true}
+}
 
 // awaitEnd waits until jobs are not open any more, as far as is known here, and reports
 // whether they all were so within endWait.
--- a/internal/controller/cluster_process_test.go
+++ b/internal/controller/cluster_process_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"bramblespur/internal/config"
+	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/operations"
 	"bramblespur/internal/peer"
@@ -28,8 +29,8 @@
 
 // Handle implements testkit.Node.
 func (p *process) Handle(method, path string, body []byte) (int, []byte, error) {
-	got := make(chan reply, 1)
-	if r, now := p.c.handle(httpwire.Request{Method: method, Path: path, Body: body}, func(r reply) { got <- r }); now {
+	got := make(chan transport.Response, 1)
+	if r, now := p.c.handle(httpwire.Request{Method: method, Path: path, Body: body}, func(r transport.Response) { got <- r }); now {
 		got <- r
 	}
 	select {
@@ -39,10 +40,10 @@
 		if p.life.Err() != nil {
 			return 0, nil, testkit.ErrLost
 		}
-		if r.body == nil {
-			return r.status, nil, nil
+		if r.Body == nil {
+			return r.Status, nil, nil
 		}
-		return r.status, record.Encode(r.body), nil
+		return r.Status, record.Encode(r.Body), nil
 	}
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -16,11 +16,11 @@
 	"sync"
 	"time"
 
-	"github.com/panjf2000/gnet/v2"
-
 	"bramblespur/internal/agent"
 	"bramblespur/internal/cloud"
 	"bramblespur/internal/config"
+	"bramblespur/internal/controller/rejectlog"
+	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/fragment"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/operations"
@@ -109,7 +109,7 @@
 	pressure         pressure
 	users            int // their requests being served
 	polls            int // those of them that only ask
-	refusals         refusals
+	rejections       *rejectlog.Log
 }
 
 // activeJob is what polls need to know of an unfinished job.
@@ -150,16 +150,12 @@
 	}
 	errs := make(chan error, 2)
 	go func() { errs <- peer.Serve(ln, c, len(cfg.Peers)) }()
-	srv := &server{handle: c.handle, log: log, refusals: &c.refusals, conns: map[gnet.Conn]*connState{},
-		maxConn: p.Resources.MaxSockets * 3 / 4, workerConn: p.Resources.MaxSockets * 5 / 8,
-		maxBuffered: maxBuffered(p.Resources)}
-	go func() {
-		errs <- gnet.Run(srv, "tcp4://"+cfg.Listen, gnet.WithNumEventLoop(1), gnet.WithReadBufferCap(16<<10),
-			gnet.WithTCPNoDelay(gnet.TCPNoDelay),
-			// A restarted controller takes its address over at once, though
-			// connections of the one before still linger on it.
-			gnet.WithReuseAddr(true), gnet.WithLogger(gnetLog{log}))
-	}()
+	maxConnections, keepAliveLimit := transport.SocketLimits(p.Resources)
+	srv := transport.New(transport.Config{
+		Handler: c.handle, Log: log, Rejections: c.rejections,
+		MaxConnections: maxConnections, KeepAliveLimit: keepAliveLimit, MaxBuffered: transport.MaxBufferedBytes(p.Resources),
+	})
+	go func() { errs <- srv.Run(cfg.Listen) }()
 	c.start()
 	log.Info("controller started", "label", cfg.Label, "zone", cfg.Zone)
 	return fmt.Errorf("server: %w", <-errs)
@@ -215,6 +211,7 @@
 	c.renewals = renewals{}
 	c.held = map[string]*held{}
 	c.peerHealth = newPeerHealth()
+	c.rejections = rejectlog.New(c.log)
 	c.peerLoads = map[string]peerLoad{}
 	c.drains = newDrains()
 }
@@ -332,14 +329,14 @@
 	return cut
 }
 
-func (c *Controller) handle(req httpwire.Request, answer func(reply)) (reply, bool) {
+func (c *Controller) handle(req httpwire.Request, answer func(transport.Response)) (transport.Response, bool) {
 	switch {
 	case req.Path == wire.HeartbeatPath && req.Method == "POST":
 		return c.handleHeartbeat(req, answer)
 	case req.Path == wire.ReadyPath && req.Method == "GET":
 		return c.ready(), true
 	case req.Path == wire.HeartbeatPath, req.Path == wire.ReadyPath:
-		return reply{status: 405}, true
+		return transport.Response{Status: 405}, true
 	}
 	if !c.admits(req) {
 		return later(), true
@@ -349,5 +346,5 @@
 		c.letGo(req)
 		answer(r)
 	}()
-	return reply{}, false
+	return transport.Response{}, false
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -11,6 +11,7 @@
 
 	"bramblespur/internal/agent"
 	"bramblespur/internal/config"
+	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/fleet"
 	"bramblespur/internal/policy"
 	"bramblespur/internal/record"
@@ -63,8 +64,8 @@
 
 // owned plays the owner while a user's request is served: of jobs that are
 // cancelled it proves all tasks gone and records the end.
-func owned(state *testkit.State, c *Controller, serve func() reply) reply {
-	got := make(chan reply, 1)
+func owned(state *testkit.State, c *Controller, serve func() transport.Response) transport.Response {
+	got := make(chan transport.Response, 1)
 	go func() { got <- serve() }()
 	for {
 		select {
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -6,6 +6,7 @@
 	"errors"
 	"time"
 
+	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/fragment"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/record"
@@ -30,7 +31,7 @@
 
 // checkDependencies refuses a submission that names what was never accepted, or a
 // service. What this controller does not know is asked of the state service.
-func (c *Controller) checkDependencies(ctx context.Context, spec *wire.Spec) reply {
+func (c *Controller) checkDependencies(ctx context.Context, spec *wire.Spec) transport.Response {
 	use := statestore.Urgent("dependencies")
 	for _, root := range spec.DependsOn {
 		c.mu.Lock()
@@ -62,7 +63,7 @@
 			return later()
 		}
 	}
-	return reply{}
+	return transport.Response{}
 }
 
 // readFinal reads a job's final record.
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -34,10 +34,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		state := testkit.NewState()
 		other := newTest(t, state) // accepted what c has not heard of
-		if got := other.submit(body(t, set("ref", "run-000001"))); got.status != 201 {
+		if got := other.submit(body(t, set("ref", "run-000001"))); got.Status != 201 {
 			t.Fatal(got)
 		}
-		if got := other.submit(body(t, func(m map[string]any) { m["ref"], m["habit"] = "run-000002", "standing" })); got.status != 201 {
+		if got := other.submit(body(t, func(m map[string]any) { m["ref"], m["habit"] = "run-000002", "standing" })); got.Status != 201 {
 			t.Fatal(got)
 		}
 		state.Put(record.FinishedJobKey("run-000003"), record.FinishedJob{State: wire.Done, Tasks: 2})
@@ -72,8 +72,8 @@
 		} {
 			c := newTest(t, state)
 			c.cfg.Params.State.Next.ValueKB = new(2.0)
-			if got := c.submit(dependent(t, "run-000500", x.roots)); got.status != x.want {
-				t.Errorf("%s: status %d, want %d", name, got.status, x.want)
+			if got := c.submit(dependent(t, "run-000500", x.roots)); got.Status != x.want {
+				t.Errorf("%s: status %d, want %d", name, got.Status, x.want)
 			}
 			e, err := state.Get(context.Background(), statestore.Urgent("test"), record.ActiveJobKey("run-000500"))
 			if (err == nil) != (x.want == 201) {
@@ -89,11 +89,11 @@
 			// A known job is never refused, whatever it names now, and whatever the
 			// limits have become.
 			c.cfg.Params.State.Next.ValueKB = new(0.1)
-			if got := newTest(t, state).submit(dependent(t, "run-000500", []string{"run-000009"})); got.status != 200 {
-				t.Errorf("%s: repeat: status %d, want 200", name, got.status)
+			if got := newTest(t, state).submit(dependent(t, "run-000500", []string{"run-000009"})); got.Status != 200 {
+				t.Errorf("%s: repeat: status %d, want 200", name, got.Status)
 			}
-			if got := c.submit(dependent(t, "run-000500", x.roots)); got.status != 200 {
-				t.Errorf("%s: repeat under tighter limits: status %d, want 200", name, got.status)
+			if got := c.submit(dependent(t, "run-000500", x.roots)); got.Status != 200 {
+				t.Errorf("%s: repeat under tighter limits: status %d, want 200", name, got.Status)
 			}
 			if _, err := state.Txn(context.Background(), statestore.Urgent("test"), wire.Txn{Then: []wire.Op{{Delete: e.Key}}}); err != nil {
 				t.Fatal(err)
@@ -101,8 +101,8 @@
 		}
 		c := newTest(t, state)
 		state.Down = true
-		if got := c.submit(dependent(t, "run-000501", []string{"run-000009"})); got.status != 503 {
-			t.Errorf("unknown while the state service can't be asked: status %d, want 503", got.status)
+		if got := c.submit(dependent(t, "run-000501", []string{"run-000009"})); got.Status != 503 {
+			t.Errorf("unknown while the state service can't be asked: status %d, want 503", got.Status)
 		}
 	})
 }
@@ -221,7 +221,7 @@
 			if finalState(t, state, ref) != wire.Cancelled {
 				t.Errorf("%s is not ended", ref)
 			}
-			if got := c.statusQuery(ref); got.status != 200 || got.body.(wire.Status).State != wire.Cancelled {
+			if got := c.statusQuery(ref); got.Status != 200 || got.Body.(wire.Status).State != wire.Cancelled {
 				t.Errorf("%s: poll %+v", ref, got)
 			}
 		}
@@ -316,8 +316,8 @@
 	fits("a rental", rental)
 	// A submission as long as it may be is refused, not recorded.
 	long := body(t, func(m map[string]any) { m["ref"], m["seedling"] = "run-000777", strings.Repeat("i", 3000) })
-	if got := c.submit(long); got.status != 422 {
-		t.Errorf("a specification of 3,000 bytes: status %d, want 422", got.status)
+	if got := c.submit(long); got.Status != 422 {
+		t.Errorf("a specification of 3,000 bytes: status %d, want 422", got.Status)
 	}
 	// One accepted under the wider limits can still be cancelled.
 	o := record.ActiveJob{Spec: wire.Spec{Ref: "run-000778", Team: "a", Tasks: 2, Image: strings.Repeat("i", 3000), Types: []string{"big"}}}
--- a/internal/controller/lean_test.go
+++ b/internal/controller/lean_test.go
@@ -11,6 +11,7 @@
 	"testing/synctest"
 	"time"
 
+	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/record"
 	"bramblespur/internal/statestore"
@@ -54,7 +55,7 @@
 	inner := testkit.NewState()
 	c := newTest(t, inner)
 	for i := range polls {
-		if got := c.submit(body(t, set("ref", "run-00000"+strconv.Itoa(i)))); got.status != 201 {
+		if got := c.submit(body(t, set("ref", "run-00000"+strconv.Itoa(i)))); got.Status != 201 {
 			t.Fatalf("submission %d: %+v", i, got)
 		}
 	}
@@ -111,13 +112,13 @@
 	for _, machines := range []int{40, 400} {
 		c, state, workers := fleetController(t, machines, 0)
 		w := workers[0]
-		report := func() reply {
+		report := func() transport.Response {
 			b, err := json.Marshal(w.Report())
 			if err != nil {
 				t.Fatal(err)
 			}
-			later := make(chan reply, 1)
-			r, now := c.handle(httpwire.Request{Method: "POST", Path: wire.HeartbeatPath, Body: b}, func(r reply) { later <- r })
+			later := make(chan transport.Response, 1)
+			r, now := c.handle(httpwire.Request{Method: "POST", Path: wire.HeartbeatPath, Body: b}, func(r transport.Response) { later <- r })
 			if !now {
 				c.mu.Lock()
 				c.release(w.ID, time.Now())
@@ -127,14 +128,14 @@
 			return r
 		}
 		for range 3 { // it is met, and then idle
-			o, ok := report().body.(wire.Orders)
+			o, ok := report().Body.(wire.Orders)
 			if !ok || !w.Obey(o) {
 				t.Fatalf("answered %+v", o)
 			}
 		}
 		before := state.txns.Load()
 		got := testing.AllocsPerRun(100, func() {
-			if r := report(); r.status != 200 {
+			if r := report(); r.Status != 200 {
 				t.Fatalf("answered %+v", r)
 			}
 		})
@@ -228,12 +229,12 @@
 		state := &countingState{State: inner}
 		c.store = state
 		c.jobsAt = time.Now()
-		if got := c.cancel("run-000412"); got.status != 503 || state.gets.Load() != 1 || state.txns.Load() != 1 {
+		if got := c.cancel("run-000412"); got.Status != 503 || state.gets.Load() != 1 || state.txns.Load() != 1 {
 			t.Fatalf("first: %+v with %d readings and %d changes", got, state.gets.Load(), state.txns.Load())
 		}
 		state.reset()
 		for range 5 {
-			if got := c.cancel("run-000412"); got.status != 503 {
+			if got := c.cancel("run-000412"); got.Status != 503 {
 				t.Fatalf("repeated: %+v", got)
 			}
 		}
@@ -246,7 +247,7 @@
 		}
 		time.Sleep(time.Minute) // without a word of the watch
 		c.lease.setRenewed(time.Now())
-		if got := c.cancel("run-000412"); got.status != 200 || got.body.(wire.Brief).State != wire.Cancelled {
+		if got := c.cancel("run-000412"); got.Status != 200 || got.Body.(wire.Brief).State != wire.Cancelled {
 			t.Errorf("after the end, which the view missed: %+v", got)
 		}
 	})
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/record"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/testkit"
@@ -179,16 +180,16 @@
 	c.mu.Unlock()
 	// held is an answer kept back that is due after the lease's last renewal.
 	held := func(renewed time.Time) (starts int) {
-		got := make(chan reply, 1)
+		got := make(chan transport.Response, 1)
 		c.mu.Lock()
 		c.lease.setRenewed(renewed)
-		c.hold(c.shards[0], "m", time.Hour, func(r reply) { got <- r })
+		c.hold(c.shards[0], "m", time.Hour, func(r transport.Response) { got <- r })
 		c.release("m", time.Now())
 		c.mu.Unlock()
-		o, _ := (<-got).body.(wire.Orders)
+		o, _ := (<-got).Body.(wire.Orders)
 		return len(o.Commands)
 	}
-	if got := c.submit(body(t, func(m map[string]any) { m["berries"] = 1 })); got.status != 201 {
+	if got := c.submit(body(t, func(m map[string]any) { m["berries"] = 1 })); got.Status != 201 {
 		t.Fatalf("submission: %+v", got)
 	}
 	for held(time.Now()) == 0 { // until the start is recorded
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -42,14 +42,14 @@
 		kind, from, err = "request passed on", "a controller", checkUser(&a)
 	}
 	if err != nil {
-		c.refusals.tell(c.log, kind, from, err)
+		c.rejections.Reject(kind, from, err)
 	}
 	return err
 }
 
 // Malformed implements peer.Handler.
 func (c *Controller) Malformed(from string, err error) {
-	c.refusals.tell(c.log, "call of a controller", from, err)
+	c.rejections.Reject("call of a controller", from, err)
 }
 
 // isShard reports whether there is such a part.
@@ -187,7 +187,7 @@
 		return err
 	}
 	if err = check(); errors.Is(err, wire.ErrSenseless) {
-		c.refusals.tell(c.log, kind, from, err)
+		c.rejections.Reject(kind, from, err)
 	}
 	return err
 }
--- a/internal/controller/messages_test.go
+++ b/internal/controller/messages_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"bramblespur/internal/config"
+	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/fleet"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/peer"
@@ -169,9 +170,9 @@
 		`{"bush":"m","season":1,"tally":1,"frost_s":1e300}`,
 	} {
 		for range 2 {
-			r, answered := c.handleHeartbeat(httpwire.Request{Method: "POST", Path: wire.HeartbeatPath, Body: []byte(body)}, func(reply) { t.Error("answered later") })
-			if !answered || r.status != http.StatusBadRequest {
-				t.Errorf("%s: answered %t, %d", body, answered, r.status)
+			r, answered := c.handleHeartbeat(httpwire.Request{Method: "POST", Path: wire.HeartbeatPath, Body: []byte(body)}, func(transport.Response) { t.Error("answered later") })
+			if !answered || r.Status != http.StatusBadRequest {
+				t.Errorf("%s: answered %t, %d", body, answered, r.Status)
 			}
 		}
 	}
@@ -215,11 +216,11 @@
 		c.mu.Unlock()
 		for _, path := range []string{wire.JobsPath, wire.PipelinesPath} {
 			work, _ := c.route(httpwire.Request{Method: "POST", Path: path, Body: body})
-			if r := work(); !slices.Contains(known, r.status) {
-				t.Errorf("%s answered with %d", path, r.status)
+			if r := work(); !slices.Contains(known, r.Status) {
+				t.Errorf("%s answered with %d", path, r.Status)
 			}
 		}
-		c.handleHeartbeat(httpwire.Request{Body: body}, func(reply) {})
+		c.handleHeartbeat(httpwire.Request{Body: body}, func(transport.Response) {})
 		for _, key := range []string{record.ActiveJobKey("run-000001"), record.FinishedJobKey("run-000001")} {
 			a := peer.NudgeArgs{Key: key, Value: body, Version: 1}
 			if c.Check(a) == nil {
--- a/internal/controller/pipelines.go
+++ b/internal/controller/pipelines.go
@@ -8,6 +8,7 @@
 	"strings"
 	"time"
 
+	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/record"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
@@ -37,10 +38,10 @@
 }
 
 // submitPipeline accepts a pipeline whole, or refuses it.
-func (c *Controller) submitPipeline(body []byte) reply {
+func (c *Controller) submitPipeline(body []byte) transport.Response {
 	ref, rec, specs, ok := parsePipeline(body)
 	if !ok {
-		return reply{status: 400}
+		return transport.Response{Status: 400}
 	}
 	types, ok := c.decides()
 	if !ok {
@@ -50,27 +51,27 @@
 	defer cancel()
 	use := statestore.Urgent("accept")
 	// What is known is never refused, whatever the settings say by now.
-	if r := c.knownPipeline(ctx, use, ref); r.status != 404 {
+	if r := c.knownPipeline(ctx, use, ref); r.Status != 404 {
 		return r
 	}
 	if slices.ContainsFunc(specs, func(spec *wire.Spec) bool { return !c.canRun(spec, types) }) {
-		return reply{status: 422}
+		return transport.Response{Status: 422}
 	}
 	rec.Shard = record.ShardOf(c.teams, specs[0].Team, ref, c.cfg.Params.Count)
 	t, ok := c.pipelineTxn(ref, rec, specs)
 	if !ok {
-		return reply{status: 422}
+		return transport.Response{Status: 422}
 	}
 	rev, err := c.store.Txn(ctx, use, t)
 	var conflict *statestore.ConflictError
 	switch {
 	case err == nil:
 		c.notifyOwner(rec.Shard, t, rev)
-		return reply{status: 201, body: wire.Brief{Ref: ref, State: wire.Pending}}
+		return transport.Response{Status: 201, Body: wire.Brief{Ref: ref, State: wire.Pending}}
 	case errors.As(err, &conflict):
 		r := c.knownPipeline(ctx, use, ref)
-		if r.status == 404 {
-			return reply{status: 400} // one of its jobs' references is in use
+		if r.Status == 404 {
+			return transport.Response{Status: 400} // one of its jobs' references is in use
 		}
 		return r
 	}
@@ -135,10 +136,10 @@
 
 // knownPipeline answers with the state of an accepted pipeline, 404 if there is
 // none.
-func (c *Controller) knownPipeline(ctx context.Context, u statestore.Use, ref string) reply {
+func (c *Controller) knownPipeline(ctx context.Context, u statestore.Use, ref string) transport.Response {
 	rec, _, err := c.pipelineRecord(ctx, u, ref)
 	if errors.Is(err, statestore.ErrNotFound) {
-		return reply{status: 404}
+		return transport.Response{Status: 404}
 	}
 	over := false
 	if err == nil {
@@ -147,7 +148,7 @@
 	if err != nil {
 		return later()
 	}
-	return reply{status: 200, body: wire.Brief{Ref: ref, State: c.pipeState(&rec, over)}}
+	return transport.Response{Status: 200, Body: wire.Brief{Ref: ref, State: c.pipeState(&rec, over)}}
 }
 
 // pipeOver reports whether a pipeline has its final state: as with a single job,
@@ -192,8 +193,8 @@
 }
 
 // pollPipeline answers with a pipeline's state and those of its jobs.
-func (c *Controller) pollPipeline(ref string) reply {
-	if no := c.refuses(ref, "pipe-"); !no.zero() {
+func (c *Controller) pollPipeline(ref string) transport.Response {
+	if no := c.refuses(ref, "pipe-"); !no.IsZero() {
 		return no
 	}
 	ctx, cancel := context.WithTimeout(c.life, userTimeout)
@@ -201,7 +202,7 @@
 	rec, _, err := c.pipelineRecord(ctx, statestore.Routine("poll"), ref)
 	switch {
 	case errors.Is(err, statestore.ErrNotFound):
-		return reply{status: 404}
+		return transport.Response{Status: 404}
 	case err != nil:
 		return later()
 	}
@@ -232,14 +233,14 @@
 		}
 		out.Jobs = append(out.Jobs, b)
 	}
-	return reply{status: 200, body: out}
+	return transport.Response{Status: 200, Body: out}
 }
 
 // cancelPipeline cancels what is left of a pipeline: first the pipeline, so that
 // nothing more is released, then its jobs. The user is told once all are over; until
 // then any controller that is asked again carries on.
-func (c *Controller) cancelPipeline(ref string) reply {
-	if no := c.refuses(ref, "pipe-"); !no.zero() {
+func (c *Controller) cancelPipeline(ref string) transport.Response {
+	if no := c.refuses(ref, "pipe-"); !no.IsZero() {
 		return no
 	}
 	ctx, cancel := context.WithTimeout(c.life, userTimeout)
@@ -248,7 +249,7 @@
 	for range cancelTries {
 		rec, version, err := c.pipelineRecord(ctx, use, ref)
 		if errors.Is(err, statestore.ErrNotFound) {
-			return reply{status: 404}
+			return transport.Response{Status: 404}
 		}
 		if err != nil {
 			return later()
@@ -346,7 +347,7 @@
 
 // pipelineOver answers with the final state of a pipeline once all its jobs are
 // over.
-func (c *Controller) pipelineOver(ctx context.Context, ref string, rec *record.Pipeline) reply {
+func (c *Controller) pipelineOver(ctx context.Context, ref string, rec *record.Pipeline) transport.Response {
 	if rec.State == wire.Cancelled && !c.awaitEnd(ctx, rec.Jobs...) {
 		return ending()
 	}
@@ -356,19 +357,19 @@
 	case !over:
 		return ending()
 	}
-	return reply{status: 200, body: wire.Brief{Ref: ref, State: rec.State}}
+	return transport.Response{Status: 200, Body: wire.Brief{Ref: ref, State: rec.State}}
 }
 
 // refuses answers at once what asks for a malformed reference, or comes while
 // the state service can't be asked.
-func (c *Controller) refuses(ref, prefix string) reply {
+func (c *Controller) refuses(ref, prefix string) transport.Response {
 	switch {
 	case !validName(ref, prefix):
-		return reply{status: 404}
+		return transport.Response{Status: 404}
 	case c.leaseLost():
 		return later()
 	}
-	return reply{}
+	return transport.Response{}
 }
 
 // validName checks the form of a reference.
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -74,25 +74,25 @@
 		"more than a transaction holds": {pipeline(t, "pipe-000001", 16, chain(16), nil), 422},
 	} {
 		c := newTest(t, testkit.NewState())
-		if got := c.submitPipeline(x.body); got.status != x.want {
-			t.Errorf("%s: status %d, want %d", name, got.status, x.want)
+		if got := c.submitPipeline(x.body); got.Status != x.want {
+			t.Errorf("%s: status %d, want %d", name, got.Status, x.want)
 		}
 		if x.want != 201 && len(c.activeJobs) != 0 {
 			t.Errorf("%s: refused, but %d jobs are known", name, len(c.activeJobs))
 		}
 	}
 	c := newTest(t, testkit.NewState())
-	if got := c.submit(body(t, set("ref", "run-000002"))); got.status != 201 {
+	if got := c.submit(body(t, set("ref", "run-000002"))); got.Status != 201 {
 		t.Fatal(got)
 	}
-	if got := c.submitPipeline(pipeline(t, "pipe-000001", 3, chain(3), nil)); got.status != 400 {
-		t.Errorf("with a job that is known: status %d, want 400", got.status)
+	if got := c.submitPipeline(pipeline(t, "pipe-000001", 3, chain(3), nil)); got.Status != 400 {
+		t.Errorf("with a job that is known: status %d, want 400", got.Status)
 	}
-	if got := c.submitPipeline(pipeline(t, "pipe-000002", 1, nil, nil)); got.status != 201 {
-		t.Errorf("its first job is not taken: status %d", got.status)
+	if got := c.submitPipeline(pipeline(t, "pipe-000002", 1, nil, nil)); got.Status != 201 {
+		t.Errorf("its first job is not taken: status %d", got.Status)
 	}
-	if got := c.submitPipeline(pipeline(t, "pipe-000002", 1, nil, nil)); got.status != 200 {
-		t.Errorf("repeat: status %d, want 200", got.status)
+	if got := c.submitPipeline(pipeline(t, "pipe-000002", 1, nil, nil)); got.Status != 200 {
+		t.Errorf("repeat: status %d, want 200", got.Status)
 	}
 }
 
@@ -101,37 +101,37 @@
 func TestPipelineIsKnownAndWithdrawn(t *testing.T) {
 	state := testkit.NewState()
 	c, other := newTest(t, state), newTest(t, state)
-	if got := c.pollPipeline("pipe-000001"); got.status != 404 {
+	if got := c.pollPipeline("pipe-000001"); got.Status != 404 {
 		t.Fatalf("unknown pipeline: %+v", got)
 	}
 	c.submitPipeline(pipeline(t, "pipe-000001", 3, [][2]int{{1, 2}, {2, 3}}, nil))
 	for i := 1; i <= 3; i++ {
-		if got := other.statusQuery(fmt.Sprintf("run-%06d", i)); got.status != 200 || got.body.(wire.Status).State != wire.Pending {
+		if got := other.statusQuery(fmt.Sprintf("run-%06d", i)); got.Status != 200 || got.Body.(wire.Status).State != wire.Pending {
 			t.Errorf("job %d: %+v", i, got)
 		}
 	}
 	got := other.pollPipeline("pipe-000001")
-	if st, ok := got.body.(wire.PipelineStatus); got.status != 200 || !ok || st.State != wire.Pending || len(st.Jobs) != 3 {
+	if st, ok := got.Body.(wire.PipelineStatus); got.Status != 200 || !ok || st.State != wire.Pending || len(st.Jobs) != 3 {
 		t.Fatalf("poll: %+v", got)
 	}
 	work, no := other.route(httpwire.Request{Method: "POST", Path: "/pipelines/pipe-000001/withdraw"})
 	if work == nil {
 		t.Fatal(no)
 	}
-	if got := owned(state, other, work); got.status != 200 || got.body.(wire.Brief).State != wire.Cancelled {
+	if got := owned(state, other, work); got.Status != 200 || got.Body.(wire.Brief).State != wire.Cancelled {
 		t.Fatalf("withdraw: %+v", got)
 	}
 	c.resetOpen(nil, math.MaxUint64, time.Now())
 	for i := 1; i <= 3; i++ {
-		if got := c.statusQuery(fmt.Sprintf("run-%06d", i)); got.body.(wire.Status).State != wire.Cancelled {
+		if got := c.statusQuery(fmt.Sprintf("run-%06d", i)); got.Body.(wire.Status).State != wire.Cancelled {
 			t.Errorf("job %d after the withdrawal: %+v", i, got)
 		}
 	}
-	if got := c.submitPipeline(pipeline(t, "pipe-000001", 3, [][2]int{{1, 2}, {2, 3}}, nil)); got.status != 200 || got.body.(wire.Brief).State != wire.Cancelled {
+	if got := c.submitPipeline(pipeline(t, "pipe-000001", 3, [][2]int{{1, 2}, {2, 3}}, nil)); got.Status != 200 || got.Body.(wire.Brief).State != wire.Cancelled {
 		t.Errorf("repeat after the withdrawal: %+v", got)
 	}
 	state.Put(record.PipelineKey("pipe-000002"), record.Pipeline{Jobs: []string{"run-000009"}, State: wire.Done})
-	if got := c.cancelPipeline("pipe-000002"); got.body.(wire.Brief).State != wire.Done {
+	if got := c.cancelPipeline("pipe-000002"); got.Body.(wire.Brief).State != wire.Done {
 		t.Errorf("withdrawal of a pipeline that is done: %+v", got)
 	}
 }
--- a/internal/controller/polls.go
+++ b/internal/controller/polls.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 
+	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/record"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
@@ -49,12 +50,12 @@
 
 // statusQuery answers a user's question for a job's state, which is never older than what any
 // controller has told a user before the question came.
-func (c *Controller) statusQuery(ref string) reply {
+func (c *Controller) statusQuery(ref string) transport.Response {
 	if !validRef(ref) {
-		return reply{status: 404}
+		return transport.Response{Status: 404}
 	}
 	if j, ok := c.finals.get(ref); ok {
-		return reply{status: 200, body: finalStatus(ref, j)}
+		return transport.Response{Status: 200, Body: finalStatus(ref, j)}
 	}
 	if c.leaseLost() {
 		return later()
@@ -65,22 +66,22 @@
 		state, err := c.state(ctx, statestore.Routine("poll"), ref)
 		switch {
 		case errors.Is(err, statestore.ErrNotFound):
-			return reply{status: 404}
+			return transport.Response{Status: 404}
 		case err != nil:
 			return later()
 		}
 		if j, ok := c.finals.get(ref); ok {
-			return reply{status: 200, body: finalStatus(ref, j)}
+			return transport.Response{Status: 200, Body: finalStatus(ref, j)}
 		}
 		if state != wire.Pending {
-			return reply{status: 200, body: wire.Status{Ref: ref, State: state}}
+			return transport.Response{Status: 200, Body: wire.Status{Ref: ref, State: state}}
 		}
 	}
 	// The counts are for display: the owner's memory has them.
 	if own, ok := c.ownerStatus(ref); ok {
-		return reply{status: 200, body: own}
+		return transport.Response{Status: 200, Body: own}
 	}
-	return reply{status: 200, body: wire.Status{Ref: ref, State: wire.Pending}}
+	return transport.Response{Status: 200, Body: wire.Status{Ref: ref, State: wire.Pending}}
 }
 
 // ownerStatus returns an open job's status with its counts from the memory of the owner of
--- a/internal/controller/pressure_test.go
+++ b/internal/controller/pressure_test.go
@@ -4,17 +4,14 @@
 	"bytes"
 	"context"
 	"log/slog"
-	"runtime"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
 
-	"github.com/panjf2000/gnet/v2"
-
 	"bramblespur/internal/config"
+	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/testkit"
@@ -110,9 +107,9 @@
 	if got := strings.Count(out.String(), "\n"); got != 1 || !strings.Contains(out.String(), "cpu_share") {
 		t.Errorf("%d lines: %s", got, out.String())
 	}
-	ask := func(method, path string, body []byte) reply {
-		later := make(chan reply, 1)
-		r, now := c.handle(httpwire.Request{Method: method, Path: path, Body: body}, func(r reply) { later <- r })
+	ask := func(method, path string, body []byte) transport.Response {
+		later := make(chan transport.Response, 1)
+		r, now := c.handle(httpwire.Request{Method: method, Path: path, Body: body}, func(r transport.Response) { later <- r })
 		if !now {
 			r = <-later
 		}
@@ -120,27 +117,27 @@
 	}
 	poll := httpwire.Request{Method: "GET", Path: wire.JobsPath + "/run-000001"}
 	for i := range pollsBehind {
-		if r := ask(poll.Method, poll.Path, nil); r.status != 404 {
+		if r := ask(poll.Method, poll.Path, nil); r.Status != 404 {
 			t.Errorf("poll with %d under way: %+v", i, r)
 		}
 		if !c.admits(poll) {
 			t.Errorf("poll %d is not served", i)
 		}
 	}
-	if r := ask(poll.Method, poll.Path, nil); r.status != 503 || r.retryAfter == 0 {
+	if r := ask(poll.Method, poll.Path, nil); r.Status != 503 || r.RetryAfter == 0 {
 		t.Errorf("one poll too many: %+v", r)
 	}
-	if r := ask("POST", wire.JobsPath, body(t, nil)); r.status != 201 {
+	if r := ask("POST", wire.JobsPath, body(t, nil)); r.Status != 201 {
 		t.Errorf("submission: %+v", r)
 	}
-	if r := ask("POST", wire.HeartbeatPath, []byte(`{"bush":""}`)); r.status != 400 {
+	if r := ask("POST", wire.HeartbeatPath, []byte(`{"bush":""}`)); r.Status != 400 {
 		t.Errorf("report: %+v", r)
 	}
 	for range 2 * int(inTimeFor/tickEvery) {
 		now = now.Add(tickEvery)
 		c.turn(0, now)
 	}
-	if r := ask("GET", wire.JobsPath+"/run-000412", nil); r.status != 200 { // whatever else is under way
+	if r := ask("GET", wire.JobsPath+"/run-000412", nil); r.Status != 200 { // whatever else is under way
 		t.Errorf("poll once it keeps up: %+v", r)
 	}
 }
@@ -158,7 +155,7 @@
 	if n != 70 {
 		t.Errorf("%d at a time at 49 MB, want 70", n)
 	}
-	if r, now := c.handle(httpwire.Request{Method: "POST", Path: wire.JobsPath}, nil); !now || r.status != 503 || r.retryAfter == 0 {
+	if r, now := c.handle(httpwire.Request{Method: "POST", Path: wire.JobsPath}, nil); !now || r.Status != 503 || r.RetryAfter == 0 {
 		t.Errorf("one too many: %+v", r)
 	}
 	c.letGo(httpwire.Request{Method: "POST", Path: wire.JobsPath})
@@ -181,32 +178,6 @@
 	}
 }
 
-// What is ready to run, such as the renewal of the lease, comes before the next
-// request however many wait.
-func TestRequestsLetOthersRun(t *testing.T) {
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	var ready atomic.Bool
-	ran := 0
-	s := &server{log: slog.New(slog.DiscardHandler), conns: map[gnet.Conn]*connState{}, maxConn: 4, workerConn: 4}
-	s.handle = func(httpwire.Request, func(reply)) (reply, bool) {
-		if ready.Load() {
-			ran++
-		}
-		return reply{status: 200}, true
-	}
-	c := &conn{}
-	s.OnOpen(c)
-	for range 10 {
-		ready.Store(false)
-		go ready.Store(true)
-		c.in.Write(httpwire.AppendRequest(nil, "POST", wire.HeartbeatPath, "x", nil))
-		s.OnTraffic(c)
-	}
-	if ran < 8 { // each 61st time the runtime takes another order
-		t.Errorf("before %d of 10 requests did what was ready run", ran)
-	}
-}
-
 // lateAnswers is a state service whose answers are read late, as by a process that
 // falls behind. Its leases end when they are not renewed in time.
 type lateAnswers struct {
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -1,6 +1,10 @@
 package controller
 
-import "time"
+import (
+	"time"
+
+	"bramblespur/internal/controller/transport"
+)
 
 // A load balancer keeps a controller out for longer each time it turns
 // unready, so readiness changes only when its cause has lasted a while.
@@ -35,14 +39,14 @@
 }
 
 // ready tells the load balancer whether to send users here.
-func (c *Controller) ready() reply {
+func (c *Controller) ready() transport.Response {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	if c.readiness.update(c.serves(now), now) {
-		return reply{status: 200}
+		return transport.Response{Status: 200}
 	}
-	return reply{status: 503}
+	return transport.Response{Status: 503}
 }
 
 // serves reports whether users are served here, or no worse than elsewhere: in
--- a/internal/controller/renewals.go
+++ b/internal/controller/renewals.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"bramblespur/internal/config"
+	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/scheduler"
 	"bramblespur/internal/wire"
 )
@@ -53,31 +54,31 @@
 // same token is accepted from any controller, so the worker's lease is renewed
 // and its tasks live. No commands are given. While a report shows tasks of a job
 // that is cancelled or over, that ends after a while, so that they end too.
-func (c *Controller) renewForOwner(r *wire.Heartbeat, token uint64) reply {
+func (c *Controller) renewForOwner(r *wire.Heartbeat, token uint64) transport.Response {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	blind := c.blind(now)
 	if to, look := c.betterController(r.Machine, now); look {
-		return reply{status: 421, body: wire.Redirect{Label: to}}
+		return transport.Response{Status: 421, Body: wire.Redirect{Label: to}}
 	}
 	if r.Token > token {
 		if !blind {
-			return reply{status: 503, retryAfter: 1}
+			return transport.Response{Status: 503, RetryAfter: 1}
 		}
 		token = r.Token // given by an owner that this controller can't know of yet
 	}
 	if token == 0 {
-		return reply{status: 503, retryAfter: 1}
+		return transport.Response{Status: 503, RetryAfter: 1}
 	}
 	if c.renewals.full(r.Machine) {
-		return reply{status: 503, retryAfter: retryLater}
+		return transport.Response{Status: 503, RetryAfter: transport.RetryAfter}
 	}
 	lease := config.Seconds(c.cfg.Params.Workers.LeaseS)
 	if c.renewals.note(r.Machine, !blind && c.mustEnd(r), lease, now) > c.mustEndFor() {
-		return reply{status: 503, retryAfter: 1}
+		return transport.Response{Status: 503, RetryAfter: 1}
 	}
-	return reply{status: 200, body: wire.Orders{Token: token, Commands: []wire.Command{}}}
+	return transport.Response{Status: 200, Body: wire.Orders{Token: token, Commands: []wire.Command{}}}
 }
 
 // mustEndFor is how long leases are renewed while tasks of a job that is over
@@ -90,9 +91,9 @@
 // renewed for now, the answer is held as long as it would still be taken: what
 // cut this controller off may end meanwhile, and a worker sent away would lose
 // its lease asking controllers that are cut off from it.
-func (c *Controller) answerForOwner(r *wire.Heartbeat, token uint64, answer func(reply)) {
+func (c *Controller) answerForOwner(r *wire.Heartbeat, token uint64, answer func(transport.Response)) {
 	rep := c.renewForOwner(r, token)
-	if rep.status != 503 {
+	if rep.Status != 503 {
 		answer(rep)
 		return
 	}
@@ -104,7 +105,7 @@
 			token = max(c.shardRecords[m.Shard].version, m.Version)
 		}
 		c.mu.Unlock()
-		if rep = c.renewForOwner(r, token); rep.status != 503 {
+		if rep = c.renewForOwner(r, token); rep.Status != 503 {
 			break
 		}
 	}
--- a/internal/controller/requests_test.go
+++ b/internal/controller/requests_test.go
@@ -63,8 +63,8 @@
 				}
 				begun := time.Now()
 				got := c.serveUser(httpwire.Request{Method: x.method, Path: x.path, Body: []byte(x.body)})
-				if got.status != want || (want == 503) != (got.retryAfter > 0) {
-					t.Errorf("%s %.40s %.40s, outage %t: status %d, retry after %d, want %d", x.method, x.path, x.body, down, got.status, got.retryAfter, want)
+				if got.Status != want || (want == 503) != (got.RetryAfter > 0) {
+					t.Errorf("%s %.40s %.40s, outage %t: status %d, retry after %d, want %d", x.method, x.path, x.body, down, got.Status, got.RetryAfter, want)
 				}
 				if took := time.Since(begun); took > 0 {
 					t.Errorf("%s %.40s %.40s, outage %t: answered after %v", x.method, x.path, x.body, down, took)
--- a/internal/controller/safe_mode.go
+++ b/internal/controller/safe_mode.go
@@ -6,6 +6,7 @@
 	"errors"
 	"time"
 
+	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/operations"
 	"bramblespur/internal/record"
 	"bramblespur/internal/recovery"
@@ -194,14 +195,14 @@
 
 // renewInSafeMode answers a worker's report: its lease is renewed, under the token that it
 // knows, by whichever controller it asks, and it is told to do nothing. The lock is held.
-func (c *Controller) renewInSafeMode(r *wire.Heartbeat) reply {
+func (c *Controller) renewInSafeMode(r *wire.Heartbeat) transport.Response {
 	m := &c.safeMode
 	m.holder.Raise(r.Token)
 	m.reports.Take(r)
 	if r.Token == 0 {
-		return reply{status: 503, retryAfter: retryLater} // it was never told to do anything
+		return transport.Response{Status: 503, RetryAfter: transport.RetryAfter} // it was never told to do anything
 	}
-	return reply{status: 200, body: wire.Orders{Token: r.Token, Commands: []wire.Command{}}}
+	return transport.Response{Status: 200, Body: wire.Orders{Token: r.Token, Commands: []wire.Command{}}}
 }
 
 // suspectToken looks into a worker's token that is ahead of all revisions seen: tokens are
--- a/internal/controller/saturated_test.go
+++ b/internal/controller/saturated_test.go
@@ -45,7 +45,7 @@
 		c.store = &saturatedState{state, 450 * time.Millisecond} // as long as who waits can
 		begun := time.Now()
 		got := c.statusQuery("run-000412")
-		if status, _ := got.body.(wire.Status); got.status != 200 || status.State != wire.Done {
+		if status, _ := got.Body.(wire.Status); got.Status != 200 || status.State != wire.Done {
 			t.Errorf("got %+v, want 200 and done", got)
 		}
 		if took := time.Since(begun); took > userTimeout {
@@ -88,7 +88,7 @@
 				other := &passedOn{}
 				c.peers = map[string]peer.Caller{"c-1": other}
 				c.peerHealth.called("c-1", nil, true)
-				if r := c.serveUser(httpwire.Request{Method: x.method, Path: x.path}); r.status == 200 {
+				if r := c.serveUser(httpwire.Request{Method: x.method, Path: x.path}); r.Status == 200 {
 					t.Errorf("got %+v", r)
 				}
 				if got := other.n.Load(); got != x.want {
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -8,6 +8,7 @@
 	"slices"
 	"time"
 
+	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/record"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
@@ -94,13 +95,13 @@
 
 // submit answers a submission. 201 and 200 are durable: the job's record is in the state
 // service by then.
-func (c *Controller) submit(body []byte) reply {
+func (c *Controller) submit(body []byte) transport.Response {
 	spec, ok := parseSpec(body)
 	if !ok {
-		return reply{status: 400}
+		return transport.Response{Status: 400}
 	}
 	if j, ok := c.finals.get(spec.Ref); ok {
-		return reply{status: 200, body: wire.Brief{Ref: spec.Ref, State: j.State}}
+		return transport.Response{Status: 200, Body: wire.Brief{Ref: spec.Ref, State: j.State}}
 	}
 	types, ok := c.decides()
 	if !ok {
@@ -111,7 +112,7 @@
 	if c.isOpen(spec.Ref) {
 		// Accepted before: reading tells so without a change, of which the state
 		// service also counts those that fail.
-		if r := c.acceptedReply(ctx, spec.Ref); r.status != 404 {
+		if r := c.acceptedReply(ctx, spec.Ref); r.Status != 404 {
 			return r
 		}
 	}
@@ -123,7 +124,7 @@
 	if len(open) > c.limits().Bytes() {
 		return c.refuseUnlessAccepted(ctx, spec.Ref, 422)
 	}
-	if no := c.checkDependencies(ctx, spec); !no.zero() {
+	if no := c.checkDependencies(ctx, spec); !no.IsZero() {
 		return no
 	}
 	t := wire.Txn{
@@ -135,9 +136,9 @@
 	switch {
 	case err == nil:
 		c.notifyOwner(part, t, rev)
-		return reply{status: 201, body: wire.Brief{Ref: spec.Ref, State: wire.Pending}}
+		return transport.Response{Status: 201, Body: wire.Brief{Ref: spec.Ref, State: wire.Pending}}
 	case errors.As(err, &conflict):
-		if r := c.acceptedReply(ctx, spec.Ref); r.status == 200 {
+		if r := c.acceptedReply(ctx, spec.Ref); r.Status == 200 {
 			return r
 		}
 	default:
@@ -157,21 +158,21 @@
 // refuseUnlessAccepted refuses a job with a status, unless it was accepted before:
 // whatever the settings or the state service's limits say by now, an accepted job stays
 // accepted.
-func (c *Controller) refuseUnlessAccepted(ctx context.Context, ref string, status int) reply {
-	if r := c.acceptedReply(ctx, ref); r.status != 404 {
+func (c *Controller) refuseUnlessAccepted(ctx context.Context, ref string, status int) transport.Response {
+	if r := c.acceptedReply(ctx, ref); r.Status != 404 {
 		return r // accepted before, or can't tell
 	}
-	return reply{status: status}
+	return transport.Response{Status: status}
 }
 
 // acceptedReply answers with the state of an accepted job, with 404 if there is none.
-func (c *Controller) acceptedReply(ctx context.Context, ref string) reply {
+func (c *Controller) acceptedReply(ctx context.Context, ref string) transport.Response {
 	state, err := c.state(ctx, statestore.Urgent("accept"), ref)
 	switch {
 	case errors.Is(err, statestore.ErrNotFound):
-		return reply{status: 404}
+		return transport.Response{Status: 404}
 	case err != nil:
 		return later()
 	}
-	return reply{status: 200, body: wire.Brief{Ref: ref, State: state}}
+	return transport.Response{Status: 200, Body: wire.Brief{Ref: ref, State: state}}
 }
--- a/internal/controller/connections_test.go
+++ b/internal/controller/transport/connections_test.go
@@ -1,8 +1,7 @@
-package controller
+package transport
 
 import (
 	"bytes"
-	"fmt"
 	"log/slog"
 	"strings"
 	"testing"
@@ -12,33 +11,36 @@
 	"github.com/panjf2000/gnet/v2"
 
 	"bramblespur/internal/config"
+	"bramblespur/internal/controller/rejectlog"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/wire"
 )
 
-// newServer returns a server on scripted connections, that has room for so many, and
-// what it logs.
-func newServer(conns int, handle handler) (*server, *bytes.Buffer) {
+// newServer returns a server that has room for so many scripted connections, and what it logs.
+func newServer(connections int, handler Handler) (*Server, *bytes.Buffer) {
 	var out bytes.Buffer
-	return &server{log: slog.New(slog.NewTextHandler(&out, nil)), handle: handle, refusals: &refusals{},
-		conns: map[gnet.Conn]*connState{}, maxConn: conns, workerConn: conns, maxBuffered: leastBuffered}, &out
+	log := slog.New(slog.NewTextHandler(&out, nil))
+	return New(Config{
+		Log: log, Handler: handler, Rejections: rejectlog.New(log),
+		MaxConnections: connections, KeepAliveLimit: connections, MaxBuffered: minBufferedBytes,
+	}), &out
 }
 
 // atOnce answers every request with 200.
-func atOnce(httpwire.Request, func(reply)) (reply, bool) { return reply{status: 200}, true }
+func atOnce(httpwire.Request, func(Response)) (Response, bool) { return Response{Status: 200}, true }
 
 // never answers no request.
-func never(httpwire.Request, func(reply)) (reply, bool) { return reply{}, false }
+func never(httpwire.Request, func(Response)) (Response, bool) { return Response{}, false }
 
 // open makes a connection.
-func (s *server) open() *conn {
+func (s *Server) open() *conn {
 	c := &conn{}
 	s.OnOpen(c)
 	return c
 }
 
 // send brings bytes of a connection and reports whether it goes on.
-func (s *server) send(c *conn, b []byte) bool {
+func (s *Server) send(c *conn, b []byte) bool {
 	c.in.Write(b)
 	if s.OnTraffic(c) == gnet.Close || c.shut {
 		s.OnClose(c, nil)
@@ -65,14 +67,14 @@
 				break
 			}
 		}
-		if took := time.Since(begun); !c.shut || took > slowConn+sweepEach {
+		if took := time.Since(begun); !c.shut || took > requestTimeout+sweepInterval {
 			t.Errorf("closed %t after %v", c.shut, took)
 		}
 		if !strings.HasPrefix(c.out.String(), "HTTP/1.1 503") || !strings.Contains(c.out.String(), "Retry-After") {
 			t.Errorf("answered %q", c.out.String())
 		}
-		if s.buffered != 0 || len(s.conns) != 0 {
-			t.Errorf("%d bytes and %d connections are left", s.buffered, len(s.conns))
+		if s.buffered != 0 || len(s.connections) != 0 {
+			t.Errorf("%d bytes and %d connections are left", s.buffered, len(s.connections))
 		}
 		if got := strings.Count(out.String(), "\n"); got != 1 {
 			t.Errorf("%d lines: %s", got, out.String())
@@ -92,7 +94,7 @@
 				break
 			}
 		}
-		if pieces != maxPieces+1 {
+		if pieces != maxRequestFragments+1 {
 			t.Errorf("closed after %d pieces", pieces)
 		}
 		// The largest request in packets of the smallest usual size goes through.
@@ -118,7 +120,7 @@
 		get := httpwire.AppendRequest(nil, "GET", wire.ReadyPath, "x", nil)
 		silent, kept := s.open(), s.open()
 		s.send(kept, get)
-		time.Sleep(slowConn + time.Second)
+		time.Sleep(requestTimeout + time.Second)
 		s.send(s.open(), get)
 		if !silent.shut || kept.shut {
 			t.Errorf("silent closed %t, kept closed %t", silent.shut, kept.shut)
@@ -131,15 +133,15 @@
 func TestHalfSentRequestsAreBoundedInAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, out := newServer(900*3/4, atOnce)
-		s.maxBuffered = maxBuffered(config.Resources{MemoryMB: 49, MaxSockets: 900})
+		s.cfg.MaxBuffered = MaxBufferedBytes(config.Resources{MemoryMB: 49, MaxSockets: 900})
 		half := submission()
 		half = half[:len(half)-1]
 		var all []*conn
-		for range s.maxConn - 1 {
+		for range s.cfg.MaxConnections - 1 {
 			c := s.open()
 			all = append(all, c)
 			s.send(c, half)
-			if s.buffered > s.maxBuffered {
+			if s.buffered > s.cfg.MaxBuffered {
 				t.Fatalf("%d bytes are kept", s.buffered)
 			}
 			for _, old := range all { // what was closed by another's traffic
@@ -173,15 +175,15 @@
 	s, _ := newServer(4, never)
 	c := s.open()
 	sent := 0
-	for sent < 4*maxAhead && s.send(c, get) {
+	for sent < 4*maxPipelinedBytes && s.send(c, get) {
 		sent += len(get)
 	}
-	if sent > maxAhead+len(get) || s.buffered != 0 {
+	if sent > maxPipelinedBytes+len(get) || s.buffered != 0 {
 		t.Errorf("closed %t after %d bytes, %d are kept", c.shut, sent, s.buffered)
 	}
 	s, _ = newServer(4, atOnce)
 	c = s.open()
-	c.unread = maxUnread
+	c.unread = maxUnreadBytes
 	if !s.send(c, get) {
 		t.Error("closed for answers on their way")
 	}
@@ -207,11 +209,4 @@
 	if got := strings.Count(out.String(), "\n"); got != 1 {
 		t.Errorf("%d lines: %s", got, out.String())
 	}
-	var r refusals
-	for i := range 10 * maxTold {
-		r.tell(s.log, "report", fmt.Sprint(strings.Repeat("x", i%3), i), errSlow)
-	}
-	if lines := strings.Count(out.String(), "\n"); lines > maxTold+1 || len(r.told) > maxTold {
-		t.Errorf("%d lines, %d senders kept", lines, len(r.told))
-	}
 }
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -5,6 +5,7 @@
 	"strings"
 	"time"
 
+	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/record"
@@ -18,20 +19,19 @@
 	pollWait      = 2 * time.Second // a user's for the answer to a poll
 	requestWait   = 5 * time.Second // and to a submission or a cancellation
 	statusTimeout = 400 * time.Millisecond
-	retryLater    = 1 // seconds, in Retry-After
 )
 
 // serveUser answers a user's request. One that can't be served for want of the
 // state service, or of this controller's part of its limits, is passed on to a
 // controller that reaches it, if its answer can still come in time: else it would
 // cost that controller's part as well, for nobody.
-func (c *Controller) serveUser(req httpwire.Request) reply {
+func (c *Controller) serveUser(req httpwire.Request) transport.Response {
 	begun, wait := time.Now(), requestWait
 	if req.Method == "GET" {
 		wait = pollWait
 	}
 	work, no := c.route(req)
-	if !no.zero() {
+	if !no.IsZero() {
 		return no
 	}
 	if c.inSafeMode() {
@@ -44,7 +44,7 @@
 		return work()
 	}
 	r := work()
-	if r.status == 503 && !r.settled && time.Since(begun)+userTimeout <= wait {
+	if r.Status == 503 && !r.Authoritative && time.Since(begun)+userTimeout <= wait {
 		if other, ok := c.passOn(req); ok {
 			return other
 		}
@@ -52,26 +52,24 @@
 	return r
 }
 
-func (r reply) zero() bool { return r.status == 0 }
-
 // resource is what users submit, poll and cancel under a path.
 type resource struct {
-	submit       func(body []byte) reply
-	poll, cancel func(ref string) reply
+	submit       func(body []byte) transport.Response
+	poll, cancel func(ref string) transport.Response
 }
 
 // route finds the work that a request asks for, or the answer to one that asks
 // for none.
-func (c *Controller) route(req httpwire.Request) (work func() reply, no reply) {
+func (c *Controller) route(req httpwire.Request) (work func() transport.Response, no transport.Response) {
 	for path, r := range map[string]resource{
 		wire.JobsPath:      {c.submit, c.statusQuery, c.cancel},
 		wire.PipelinesPath: {c.submitPipeline, c.pollPipeline, c.cancelPipeline},
 	} {
 		if req.Path == path {
 			if req.Method != "POST" {
-				return nil, reply{status: 405}
+				return nil, transport.Response{Status: 405}
 			}
-			return func() reply { return r.submit(req.Body) }, reply{}
+			return func() transport.Response { return r.submit(req.Body) }, transport.Response{}
 		}
 		rest, ok := strings.CutPrefix(req.Path, path+"/")
 		if !ok {
@@ -80,16 +78,16 @@
 		ref, action, sub := strings.Cut(rest, "/")
 		switch {
 		case sub && action != wire.CancelWord:
-			return nil, reply{status: 404}
+			return nil, transport.Response{Status: 404}
 		case sub && req.Method == "POST":
-			return func() reply { return r.cancel(ref) }, reply{}
+			return func() transport.Response { return r.cancel(ref) }, transport.Response{}
 		case !sub && req.Method == "GET":
-			return func() reply { return r.poll(ref) }, reply{}
+			return func() transport.Response { return r.poll(ref) }, transport.Response{}
 		default:
-			return nil, reply{status: 405}
+			return nil, transport.Response{Status: 405}
 		}
 	}
-	return nil, reply{status: 404}
+	return nil, transport.Response{Status: 404}
 }
 
 // leaseOverdue reports whether the lease's last renewal is so old that the state
@@ -100,7 +98,7 @@
 
 // passOn lets another controller that lately reached the state service serve a
 // request. It reports false when there is none or it can't either.
-func (c *Controller) passOn(req httpwire.Request) (reply, bool) {
+func (c *Controller) passOn(req httpwire.Request) (transport.Response, bool) {
 	c.mu.Lock()
 	now := time.Now()
 	var best peer.Caller
@@ -112,38 +110,40 @@
 	}
 	c.mu.Unlock()
 	if best == nil {
-		return reply{}, false
+		return transport.Response{}, false
 	}
 	var r peer.UserReply
 	err := best.Call("User", peer.UserArgs{Method: req.Method, Path: req.Path, Body: req.Body}, &r, userTimeout)
 	if err = c.sensible("answer to a request passed on", "a controller", err, func() error { return checkUserReply(&r) }); err != nil {
 		c.log.Debug("request passed on", "path", req.Path, "err", err)
-		return reply{}, false
+		return transport.Response{}, false
 	}
-	out := reply{status: r.Status, retryAfter: r.RetryAfter}
+	out := transport.Response{Status: r.Status, RetryAfter: r.RetryAfter}
 	if len(r.Body) > 0 {
-		out.body = json.RawMessage(r.Body)
+		out.Body = json.RawMessage(r.Body)
 	}
 	return out, r.Status != 0 && r.Status != 503
 }
 
 // User implements peer.Handler: a request passed on is served here or not at all.
 func (c *Controller) User(a peer.UserArgs) peer.UserReply {
-	r := reply{status: 503, retryAfter: retryLater}
+	r := transport.Response{Status: 503, RetryAfter: transport.RetryAfter}
 	if !c.leaseOverdue() {
 		work, no := c.route(httpwire.Request{Method: a.Method, Path: a.Path, Body: a.Body})
-		if r = no; no.zero() {
+		if r = no; no.IsZero() {
 			r = work()
 		}
 	}
-	out := peer.UserReply{Status: r.status, RetryAfter: r.retryAfter}
-	if r.body != nil {
-		out.Body = record.Encode(r.body)
+	out := peer.UserReply{Status: r.Status, RetryAfter: r.RetryAfter}
+	if r.Body != nil {
+		out.Body = record.Encode(r.Body)
 	}
 	return out
 }
 
-func later() reply { return reply{status: 503, retryAfter: retryLater} }
+func later() transport.Response {
+	return transport.Response{Status: 503, RetryAfter: transport.RetryAfter}
+}
 
 // leaseLost reports whether the state service could not be reached for a while, or has lost
 // data: what needs it is refused at once then.
--- a/internal/controller/users_test.go
+++ b/internal/controller/users_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/record"
@@ -42,20 +43,20 @@
 			m["ref"] = "run-000001"
 		}), 201},
 	} {
-		if got := c.submit(x.body); got.status != x.want {
-			t.Errorf("%s: status %d, want %d", name, got.status, x.want)
+		if got := c.submit(x.body); got.Status != x.want {
+			t.Errorf("%s: status %d, want %d", name, got.Status, x.want)
 		}
 	}
-	if got := c.submit(body(t, nil)); got.status != 201 {
-		t.Errorf("new: status %d, want 201", got.status)
+	if got := c.submit(body(t, nil)); got.Status != 201 {
+		t.Errorf("new: status %d, want 201", got.Status)
 	}
-	if got := c.submit(body(t, nil)); got.status != 200 {
-		t.Errorf("repeat: status %d, want 200", got.status)
+	if got := c.submit(body(t, nil)); got.Status != 200 {
+		t.Errorf("repeat: status %d, want 200", got.Status)
 	}
 	// A known job's repeat is never refused, whatever the settings say by now.
 	c.cfg.Params.Teams[0].GPUsMax = 0.5
-	if got := c.submit(body(t, nil)); got.status != 200 {
-		t.Errorf("repeat under new limits: status %d, want 200", got.status)
+	if got := c.submit(body(t, nil)); got.Status != 200 {
+		t.Errorf("repeat under new limits: status %d, want 200", got.Status)
 	}
 }
 
@@ -63,19 +64,19 @@
 	state := testkit.NewState()
 	c := newTest(t, state)
 	state.Down = true
-	if got := c.submit(body(t, nil)); got.status != 503 || got.retryAfter == 0 {
+	if got := c.submit(body(t, nil)); got.Status != 503 || got.RetryAfter == 0 {
 		t.Fatalf("in an outage: %+v, want 503 with a time to come back", got)
 	}
 	state.Down = false
 	state.LoseAnswers = 1
-	if got := c.submit(body(t, nil)); got.status != 503 {
+	if got := c.submit(body(t, nil)); got.Status != 503 {
 		t.Fatalf("without the state service's answer: %+v, want 503", got)
 	}
-	if got := c.submit(body(t, nil)); got.status != 200 {
+	if got := c.submit(body(t, nil)); got.Status != 200 {
 		t.Fatalf("repeat: %+v, want 200", got)
 	}
 	c.lease.setRenewed(time.Now().Add(-time.Minute))
-	if got := c.submit(body(t, set("ref", "run-000777"))); got.status != 503 {
+	if got := c.submit(body(t, set("ref", "run-000777"))); got.Status != 503 {
 		t.Fatalf("long without the state service: %+v, want 503 at once", got)
 	}
 }
@@ -85,7 +86,7 @@
 func TestRepeatedSubmissionWritesNothing(t *testing.T) {
 	state := testkit.NewState()
 	c, other := newTest(t, state), newTest(t, state)
-	if got := c.submit(body(t, nil)); got.status != 201 {
+	if got := c.submit(body(t, nil)); got.Status != 201 {
 		t.Fatalf("new: %+v, want 201", got)
 	}
 	e, err := state.Get(context.Background(), statestore.Urgent("test"), record.ActiveJobKey("run-000412"))
@@ -95,7 +96,7 @@
 	other.changeOpen(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
 	state.HoldTxns = 2 // none may be asked for
 	for name, at := range map[string]*Controller{"where it was accepted": c, "elsewhere": other} {
-		if got := at.submit(body(t, nil)); got.status != 200 || got.body.(wire.Brief).State != wire.Pending {
+		if got := at.submit(body(t, nil)); got.Status != 200 || got.Body.(wire.Brief).State != wire.Pending {
 			t.Errorf("repeat %s: %+v, want 200 and pending", name, got)
 		}
 	}
@@ -110,7 +111,7 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if got := other.submit(body(t, nil)); got.status != 200 || got.body.(wire.Brief).State != wire.Done {
+	if got := other.submit(body(t, nil)); got.Status != 200 || got.Body.(wire.Brief).State != wire.Done {
 		t.Errorf("repeat after the end: %+v, want 200 and done", got)
 	}
 }
@@ -118,28 +119,28 @@
 func TestPollAndCancel(t *testing.T) {
 	state := testkit.NewState()
 	c, other := newTest(t, state), newTest(t, state)
-	if got := c.statusQuery("run-000412"); got.status != 404 {
+	if got := c.statusQuery("run-000412"); got.Status != 404 {
 		t.Fatalf("unknown job: %+v", got)
 	}
-	if got := c.cancel("run-000412"); got.status != 404 {
+	if got := c.cancel("run-000412"); got.Status != 404 {
 		t.Fatalf("cancel of an unknown job: %+v", got)
 	}
 	c.submit(body(t, nil))
-	if got := other.statusQuery("run-000412"); got.status != 200 || got.body.(wire.Status).State != wire.Pending {
+	if got := other.statusQuery("run-000412"); got.Status != 200 || got.Body.(wire.Status).State != wire.Pending {
 		t.Fatalf("accepted job elsewhere: %+v", got)
 	}
-	if got := owned(state, c, func() reply { return c.cancel("run-000412") }); got.status != 200 || got.body.(wire.Brief).State != wire.Cancelled {
+	if got := owned(state, c, func() transport.Response { return c.cancel("run-000412") }); got.Status != 200 || got.Body.(wire.Brief).State != wire.Cancelled {
 		t.Fatalf("cancel: %+v", got)
 	}
 	// No controller says anything older from now on.
-	if got := other.statusQuery("run-000412"); got.body.(wire.Status).State != wire.Cancelled {
+	if got := other.statusQuery("run-000412"); got.Body.(wire.Status).State != wire.Cancelled {
 		t.Fatalf("poll elsewhere after the cancellation: %+v", got)
 	}
-	if got := other.submit(body(t, nil)); got.status != 200 || got.body.(wire.Brief).State != wire.Cancelled {
+	if got := other.submit(body(t, nil)); got.Status != 200 || got.Body.(wire.Brief).State != wire.Cancelled {
 		t.Fatalf("repeat after the cancellation: %+v", got)
 	}
 	state.Down = true
-	if got := other.statusQuery("run-000412"); got.status != 200 {
+	if got := other.statusQuery("run-000412"); got.Status != 200 {
 		t.Fatalf("final states are kept: %+v", got)
 	}
 }
@@ -162,10 +163,10 @@
 	e = state.Put(e.Key, o) // asked for by a user; the tasks still run
 	c.changeOpen(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
 	for name, x := range map[string]*Controller{"owner": c, "other": other} {
-		if got := x.statusQuery("run-000412"); got.status != 200 || got.body.(wire.Status).State != wire.Pending {
+		if got := x.statusQuery("run-000412"); got.Status != 200 || got.Body.(wire.Status).State != wire.Pending {
 			t.Errorf("%s: poll answers %+v", name, got)
 		}
-		if got := x.submit(body(t, nil)); got.status != 200 || got.body.(wire.Brief).State != wire.Pending {
+		if got := x.submit(body(t, nil)); got.Status != 200 || got.Body.(wire.Brief).State != wire.Pending {
 			t.Errorf("%s: a repeated submission answers %+v", name, got)
 		}
 	}
@@ -174,7 +175,7 @@
 	if c.awaitEnd(ctx, "run-000412") {
 		t.Error("over though tasks still run")
 	}
-	if got := owned(state, c, func() reply { return c.cancel("run-000412") }); got.status != 200 || got.body.(wire.Brief).State != wire.Cancelled {
+	if got := owned(state, c, func() transport.Response { return c.cancel("run-000412") }); got.Status != 200 || got.Body.(wire.Brief).State != wire.Cancelled {
 		t.Errorf("cancel: %+v", got)
 	}
 }
@@ -184,7 +185,7 @@
 	state := testkit.NewState()
 	c := newTest(t, state)
 	state.Put(record.FinishedJobKey("run-000009"), record.FinishedJob{State: wire.Done, Tasks: 2})
-	if got := c.cancel("run-000009"); got.body.(wire.Brief).State != wire.Done {
+	if got := c.cancel("run-000009"); got.Body.(wire.Brief).State != wire.Done {
 		t.Fatalf("got %+v", got)
 	}
 }
@@ -205,20 +206,20 @@
 	c := newTest(t, down)
 	c.peers["c-1"] = peer.NewClient(ln.Addr().String())
 	req := httpwire.Request{Method: "POST", Path: wire.JobsPath, Body: body(t, nil)}
-	if got := c.serveUser(req); got.status != 503 {
+	if got := c.serveUser(req); got.Status != 503 {
 		t.Fatalf("with nobody known to reach the state service: %+v", got)
 	}
 	c.peerHealth.called("c-1", nil, true)
-	if got := c.serveUser(req); got.status != 201 {
+	if got := c.serveUser(req); got.Status != 201 {
 		t.Fatalf("passed on: %+v", got)
 	}
 	far.resetOpen(nil, math.MaxUint64, time.Now()) // no watched copy: the record is read
 	poll := httpwire.Request{Method: "GET", Path: wire.JobsPath + "/run-000412"}
-	if got := c.serveUser(poll); got.status != 200 {
+	if got := c.serveUser(poll); got.Status != 200 {
 		t.Fatalf("poll passed on: %+v", got)
 	}
 	poll.Path = wire.JobsPath + "/run-999999"
-	if got := c.serveUser(poll); got.status != 404 {
+	if got := c.serveUser(poll); got.Status != 404 {
 		t.Fatalf("poll of an unknown job passed on: %+v", got)
 	}
 	far.lease.setRenewed(time.Now().Add(-time.Minute))
@@ -236,7 +237,7 @@
 		"outage": func(s *testkit.State, c *Controller) *Controller {
 			s.Outage(true)
 			c.resetOpen(nil, math.MaxUint64, time.Now())
-			if got := c.statusQuery("run-000001"); got.status == 404 {
+			if got := c.statusQuery("run-000001"); got.Status == 404 {
 				t.Error("forgotten in an outage")
 			}
 			s.Outage(false)
@@ -267,18 +268,18 @@
 			state := testkit.NewState()
 			c := newTest(t, state)
 			for i, ref := range []string{"run-000001", "run-000002", "run-000003"} {
-				if got := c.submit(body(t, set("ref", ref))); got.status != 201 {
+				if got := c.submit(body(t, set("ref", ref))); got.Status != 201 {
 					t.Fatalf("%s: %+v", ref, got)
 				}
 				if i == 1 {
-					owned(state, c, func() reply { return c.cancel(ref) })
+					owned(state, c, func() transport.Response { return c.cancel(ref) })
 				}
 			}
 			c = second(state, first(state, c))
 			c.resetOpen(nil, math.MaxUint64, time.Now()) // without watched copies the records are read
 			for ref, want := range map[string]string{"run-000001": wire.Pending, "run-000002": wire.Cancelled, "run-000003": wire.Pending} {
 				got := c.statusQuery(ref)
-				if st, ok := got.body.(wire.Status); got.status != 200 || !ok || st.State != want {
+				if st, ok := got.Body.(wire.Status); got.Status != 200 || !ok || st.State != want {
 					t.Errorf("%s then %s: %s answers %+v, want %s", a, b, ref, got, want)
 				}
 			}
@@ -297,7 +298,7 @@
 		c.submit(body(t, set("ref", ref)))
 		batch = append(batch, newConfirmation(wire.Cond{Key: record.ActiveJobKey(ref), Version: c.activeJobs[ref].version}))
 	}
-	owned(state, other, func() reply { return other.cancel("run-000002") })
+	owned(state, other, func() transport.Response { return other.cancel("run-000002") })
 	c.confirm(ctx, batch)
 	for i, want := range []bool{true, false, true} {
 		if got := <-batch[i].done; got != want {
--- a/internal/controller/wave_test.go
+++ b/internal/controller/wave_test.go
@@ -1,19 +1,13 @@
 package controller
 
 import (
-	"bytes"
 	"context"
-	"log/slog"
-	"net"
 	"runtime"
 	"strings"
 	"testing"
 	"time"
 
-	"github.com/panjf2000/gnet/v2"
-
 	"bramblespur/internal/fleet"
-	"bramblespur/internal/httpwire"
 	"bramblespur/internal/record"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/testkit"
@@ -142,102 +136,3 @@
 		t.Fatalf("record %s, %v", e.Value, err)
 	}
 }
-
-// conn is a scripted connection.
-type conn struct {
-	gnet.Conn
-	in, out bytes.Buffer
-	ctx     any
-	unread  int  // bytes of answers that the other end has not read
-	shut    bool // Close was called
-}
-
-func (c *conn) Peek(int) ([]byte, error)       { return c.in.Bytes(), nil }
-func (c *conn) InboundBuffered() int           { return c.in.Len() }
-func (c *conn) OutboundBuffered() int          { return c.unread }
-func (c *conn) RemoteAddr() net.Addr           { return &net.TCPAddr{IP: net.IPv4(10, 0, 0, 1), Port: 1} }
-func (c *conn) Close() error                   { c.shut = true; return nil }
-func (c *conn) Discard(n int) (int, error)     { c.in.Next(n); return n, nil }
-func (c *conn) Write(b []byte) (int, error)    { return c.out.Write(b) }
-func (c *conn) Context() any                   { return c.ctx }
-func (c *conn) SetContext(v any)               { c.ctx = v }
-func (c *conn) closed(action gnet.Action) bool { return action == gnet.Close }
-
-// When a neighbour's workers all come over, each keeps its connection only as long
-// as there are sockets to spare: what is left is for users and other controllers.
-func TestWorkersLeaveSockets(t *testing.T) {
-	s := &server{log: slog.New(slog.DiscardHandler), conns: map[gnet.Conn]*connState{}, maxConn: 4, workerConn: 2, refusals: &refusals{}, maxBuffered: leastBuffered,
-		handle: func(httpwire.Request, func(reply)) (reply, bool) { return reply{status: 200}, true }}
-	ask := func(method, path string) (kept bool) {
-		t.Helper()
-		c := &conn{}
-		if _, action := s.OnOpen(c); action == gnet.Close {
-			return false
-		}
-		c.in.Write(httpwire.AppendRequest(nil, method, path, "x", nil))
-		if c.closed(s.OnTraffic(c)) {
-			s.OnClose(c, nil)
-			return false
-		}
-		if !strings.HasPrefix(c.out.String(), "HTTP/1.1 200") {
-			t.Fatalf("answered %q", c.out.String())
-		}
-		return true
-	}
-	for i, x := range []struct {
-		method, path string
-		kept         bool
-	}{
-		{"POST", wire.HeartbeatPath, true}, {"POST", wire.HeartbeatPath, true}, {"POST", wire.HeartbeatPath, false},
-		{"GET", wire.JobsPath + "/run-000001", true}, {"POST", wire.HeartbeatPath, false},
-		{"GET", wire.ReadyPath, true}, {"GET", wire.ReadyPath, false},
-	} {
-		if kept := ask(x.method, x.path); kept != x.kept {
-			t.Errorf("request %d, %s: kept %t", i, x.path, kept)
-		}
-	}
-}
-
-// Idle and slow connections are closed by the event loop, as others open or ask. The
-// engine's ticker runs on another goroutine: were it to look through the connections
-// while one opens, the process would end.
-func TestIdleConnectionsAreClosedByTheEventLoop(t *testing.T) {
-	for name, event := range map[string]func(s *server, other *conn){
-		"another opens": func(s *server, _ *conn) { s.OnOpen(&conn{}) },
-		"another asks": func(s *server, other *conn) {
-			other.in.Write(httpwire.AppendRequest(nil, "GET", wire.ReadyPath, "x", nil))
-			s.OnTraffic(other)
-		},
-	} {
-		s := &server{log: slog.New(slog.DiscardHandler), conns: map[gnet.Conn]*connState{}, maxConn: 16, workerConn: 16, refusals: &refusals{}, maxBuffered: leastBuffered,
-			handle: func(httpwire.Request, func(reply)) (reply, bool) { return reply{status: 200}, true }}
-		open := func(quiet time.Duration, set func(*connState)) *conn {
-			c := &conn{}
-			s.OnOpen(c)
-			st := c.ctx.(*connState)
-			st.last = st.last.Add(-quiet)
-			set(st)
-			return c
-		}
-		idle := open(2*idleConn, func(*connState) {})
-		slow := open(2*slowConn, func(st *connState) { st.partial = true })
-		busy := open(2*idleConn, func(st *connState) { st.busy = true })
-		fresh := open(0, func(*connState) {})
-		s.OnTick()
-		if idle.shut || slow.shut {
-			t.Errorf("%s: the ticker's goroutine has closed a connection", name)
-		}
-		event(s, fresh)
-		if idle.shut || slow.shut {
-			t.Errorf("%s: connections looked through again at once", name)
-		}
-		s.swept = s.swept.Add(-sweepEach)
-		event(s, fresh)
-		if !idle.shut || !slow.shut {
-			t.Errorf("%s: idle closed %t, slow closed %t, want both", name, idle.shut, slow.shut)
-		}
-		if busy.shut || fresh.shut {
-			t.Errorf("%s: busy closed %t, fresh closed %t, want neither", name, busy.shut, fresh.shut)
-		}
-	}
-}
--- a/internal/controller/withheld_test.go
+++ b/internal/controller/withheld_test.go
@@ -58,7 +58,7 @@
 		r.Addr = ""
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		orders, _ := c.ownReport(c.shards[0], &r, time.Now()).body.(wire.Orders)
+		orders, _ := c.ownReport(c.shards[0], &r, time.Now()).Body.(wire.Orders)
 		return len(orders.Commands) // not obeyed: the next report asks for them again
 	}
 	starts()
@@ -68,7 +68,7 @@
 // submitOne submits a job of one task.
 func submitOne(t *testing.T, c *Controller) {
 	t.Helper()
-	if got := c.submit(body(t, func(m map[string]any) { m["berries"] = 1 })); got.status != 201 {
+	if got := c.submit(body(t, func(m map[string]any) { m["berries"] = 1 })); got.Status != 201 {
 		t.Fatalf("submission: %+v", got)
 	}
 }
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -6,6 +6,7 @@
 	"syscall"
 	"time"
 
+	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/record"
@@ -13,15 +14,15 @@
 	"bramblespur/internal/wire"
 )
 
-func (c *Controller) handleHeartbeat(req httpwire.Request, answer func(reply)) (reply, bool) {
+func (c *Controller) handleHeartbeat(req httpwire.Request, answer func(transport.Response)) (transport.Response, bool) {
 	var r wire.Heartbeat
 	err := json.Unmarshal(req.Body, &r)
 	if err == nil {
 		err = r.Check()
 	}
 	if err != nil {
-		c.refusals.tell(c.log, "report", r.Machine, err)
-		return reply{status: 400}, true
+		c.rejections.Reject("report", r.Machine, err)
+		return transport.Response{Status: 400}, true
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,17 +41,17 @@
 			token = r.Token // its record may be lost: its tasks live until that is known
 		}
 		go c.answerForOwner(&r, token, answer)
-		return reply{}, false
+		return transport.Response{}, false
 	}
 	if shard := c.shards[m.Shard]; shard != nil {
 		if to := c.redirectTo(m.Zone, r.Machine, c.cfg.Label, now); to != "" {
-			return reply{status: 421, body: wire.Redirect{Label: to}}, true
+			return transport.Response{Status: 421, Body: wire.Redirect{Label: to}}, true
 		}
 		rep := c.ownReport(shard, &r, now)
-		if o, ok := rep.body.(wire.Orders); ok && len(o.Commands) == 0 {
+		if o, ok := rep.Body.(wire.Orders); ok && len(o.Commands) == 0 {
 			if d := c.mayHold(shard, r.Machine, now); d > 0 {
 				c.hold(shard, r.Machine, d, answer)
-				return reply{}, false
+				return transport.Response{}, false
 			}
 		}
 		return rep, true
@@ -62,27 +63,27 @@
 	_, lives := c.members[owner]
 	if peerc != nil && lives && c.mayLeave(&r, owner, now) {
 		if to := c.redirectTo(m.Zone, r.Machine, owner, now); to != "" {
-			return reply{status: 421, body: wire.Redirect{Label: to}}, true
+			return transport.Response{Status: 421, Body: wire.Redirect{Label: to}}, true
 		}
 	}
 	if peerc == nil || !lives || !c.peerHealth.contact(owner).reachable(now) {
 		c.log.Debug("report kept", "machine", r.Machine, "owner", owner, "lives", lives)
 		go c.answerForOwner(&r, token, answer)
-		return reply{}, false
+		return transport.Response{}, false
 	}
 	go c.relay(&r, m, owner, token, answer) // its place is here, or it was sent on and has come back
-	return reply{}, false
+	return transport.Response{}, false
 }
 
 // relay answers a report with what its machine's owner says.
-func (c *Controller) relay(r *wire.Heartbeat, m record.View, owner string, token uint64, answer func(reply)) {
+func (c *Controller) relay(r *wire.Heartbeat, m record.View, owner string, token uint64, answer func(transport.Response)) {
 	var rr peer.ReportReply
 	err := c.peers[owner].Call("Report", *r, &rr, relayTimeout)
 	err = c.sensible("answer to a relayed report", owner, err, func() error { return checkReportReply(&rr) })
 	if err == nil {
-		rep := reply{status: rr.Status, retryAfter: 1}
+		rep := transport.Response{Status: rr.Status, RetryAfter: 1}
 		if rr.Status == 200 {
-			rep = reply{status: 200, body: rr.Orders}
+			rep = transport.Response{Status: 200, Body: rr.Orders}
 		}
 		answer(rep)
 		return
@@ -94,7 +95,7 @@
 		to := c.redirectTo(m.Zone, r.Machine, owner, time.Now())
 		c.mu.Unlock()
 		if to != "" {
-			answer(reply{status: 421, body: wire.Redirect{Label: to}})
+			answer(transport.Response{Status: 421, Body: wire.Redirect{Label: to}})
 			return
 		}
 	}
@@ -104,7 +105,7 @@
 // held is a report's answer kept back in case a start comes for its machine.
 type held struct {
 	part   *scheduler.Shard
-	answer func(reply)
+	answer func(transport.Response)
 	timer  *time.Timer
 }
 
@@ -130,7 +131,7 @@
 }
 
 // hold keeps an answer back for at most d. The lock is held.
-func (c *Controller) hold(shard *scheduler.Shard, machine string, d time.Duration, answer func(reply)) {
+func (c *Controller) hold(shard *scheduler.Shard, machine string, d time.Duration, answer func(transport.Response)) {
 	c.release(machine, time.Now()) // an older one: its worker has gone on
 	h := &held{part: shard, answer: answer}
 	h.timer = time.AfterFunc(together(time.Since(c.begun), d), func() {
@@ -151,33 +152,33 @@
 	}
 	delete(c.held, machine)
 	h.timer.Stop()
-	rep := reply{status: 503, retryAfter: 1}
+	rep := transport.Response{Status: 503, RetryAfter: 1}
 	if c.shards[h.part.ID()] == h.part {
 		c.refreshAuthority(h.part, now)
 		if o, ok := h.part.Held(machine, now); ok {
-			rep = reply{status: 200, body: o}
+			rep = transport.Response{Status: 200, Body: o}
 		}
 	}
 	go h.answer(rep)
 }
 
 // ownReport answers a report of one of our machines. The lock is held.
-func (c *Controller) ownReport(shard *scheduler.Shard, r *wire.Heartbeat, now time.Time) reply {
+func (c *Controller) ownReport(shard *scheduler.Shard, r *wire.Heartbeat, now time.Time) transport.Response {
 	if to, look := c.betterController(r.Machine, now); look {
-		return reply{status: 421, body: wire.Redirect{Label: to}}
+		return transport.Response{Status: 421, Body: wire.Redirect{Label: to}}
 	}
 	c.refreshAuthority(shard, now)
 	orders, verdict := shard.Report(r, false, now)
 	c.step(shard, now)
 	switch verdict {
 	case scheduler.Answered:
-		return reply{status: 200, body: orders}
+		return transport.Response{Status: 200, Body: orders}
 	case scheduler.Deposed:
 		// A 200 would be dropped by the worker while its lease runs out.
 		go c.rereadPart(shard.ID())
-		return reply{status: 421, body: wire.Redirect{}}
+		return transport.Response{Status: 421, Body: wire.Redirect{}}
 	}
-	return reply{status: 503, retryAfter: 1}
+	return transport.Response{Status: 503, RetryAfter: 1}
 }
 
 // Report implements peer.Handler: a report relayed by another controller.
@@ -191,10 +192,10 @@
 		return peer.ReportReply{Status: 503}
 	}
 	rep := c.ownReport(shard, &r, now)
-	if o, ok := rep.body.(wire.Orders); ok && len(o.Commands) == 0 {
+	if o, ok := rep.Body.(wire.Orders); ok && len(o.Commands) == 0 {
 		if d := min(c.mayHold(shard, r.Machine, now), relayHold); d > 0 {
-			done := make(chan reply, 1)
-			c.hold(shard, r.Machine, d, func(r reply) { done <- r })
+			done := make(chan transport.Response, 1)
+			c.hold(shard, r.Machine, d, func(r transport.Response) { done <- r })
 			c.mu.Unlock()
 			return relayed(<-done)
 		}
@@ -203,9 +204,9 @@
 	return relayed(rep)
 }
 
-func relayed(rep reply) peer.ReportReply {
-	out := peer.ReportReply{Status: rep.status}
-	if o, ok := rep.body.(wire.Orders); ok {
+func relayed(rep transport.Response) peer.ReportReply {
+	out := peer.ReportReply{Status: rep.Status}
+	if o, ok := rep.Body.(wire.Orders); ok {
 		out.Orders = o
 	}
 	return out
--- a/internal/controller/workers_test.go
+++ b/internal/controller/workers_test.go
@@ -143,8 +143,8 @@
 	answered := func(r *wire.Heartbeat, known, want uint64, what string) {
 		t.Helper()
 		got := c.renewForOwner(r, known)
-		o, ok := got.body.(wire.Orders)
-		if (got.status == 200) != (want > 0) || (want > 0 && (!ok || o.Token != want || len(o.Commands) > 0)) {
+		o, ok := got.Body.(wire.Orders)
+		if (got.Status == 200) != (want > 0) || (want > 0 && (!ok || o.Token != want || len(o.Commands) > 0)) {
 			t.Errorf("%s: %+v", what, got)
 		}
 	}
