--- a/internal/controller/bounds_test.go
+++ b/internal/controller/bounds_test.go
@@ -135,7 +135,7 @@
 					t.Fatalf("answered %+v", r)
 				}
 				time.Sleep(gatherStarts)
-				c.locked(c.shards[0], func(time.Time) {})
+				c.updateShard(c.shards[0], func(time.Time) {})
 				synctest.Wait()
 			})
 			if got > startAllocs {
--- a/internal/controller/claim.go
+++ b/internal/controller/claim.go
@@ -35,7 +35,7 @@
 // considerAcquisitions claims what is this controller's to claim: its own parts after
 // a restart, parts offered to it, and those of owners that are gone.
 func (c *Controller) considerAcquisitions(ctx context.Context, now time.Time) {
-	if c.schedCfg == nil || !c.sure(now) || c.viewAt.IsZero() {
+	if c.schedulerConfig == nil || !c.sure(now) || c.viewAt.IsZero() {
 		return
 	}
 	owners := map[int]string{}
@@ -56,11 +56,11 @@
 			mine = true // a restart, or records read back after an outage
 		case !known && c.preferredOwner(id) == c.cfg.Label:
 			mine = true
-		case now.Sub(c.begun) < acquirePatience:
+		case now.Sub(c.startedAt) < acquirePatience:
 			// Its owner may have restarted together with this controller.
 		case !ownerLives && now.Sub(c.viewAt) < 2*c.watchWait() && len(c.members) > 0:
 			home := c.preferredOwner(id)
-			if !known && now.Sub(c.lease.current().renewedAt) < leaseTTL && c.firstSeen(home, now) {
+			if !known && now.Sub(c.lease.current().renewedAt) < leaseTTL && c.mayBeFirstStart(home, now) {
 				continue // it is probably about to start
 			}
 			mine = fleet.Claimant(c.liveMembers(), owners, home) == c.cfg.Label
@@ -71,13 +71,13 @@
 	}
 }
 
-// firstSeen reports whether a controller may still be on its first start: no
+// mayBeFirstStart reports whether a controller may still be on its first start: no
 // part record of its own exists and this one has run only for a short time.
-func (c *Controller) firstSeen(label string, now time.Time) bool {
-	if c.started.IsZero() {
-		c.started = now
+func (c *Controller) mayBeFirstStart(label string, now time.Time) bool {
+	if c.consideringSince.IsZero() {
+		c.consideringSince = now
 	}
-	return now.Sub(c.started) < 2*leaseTTL
+	return now.Sub(c.consideringSince) < 2*leaseTTL
 }
 
 // acquire takes a part over: the claim's revision becomes its token, then the
@@ -105,12 +105,12 @@
 		return fmt.Errorf("claim: %w", err)
 	}
 	c.mu.Lock()
-	cfg := c.schedCfg
+	cfg := c.schedulerConfig
 	c.mu.Unlock()
 	for ctx.Err() == nil {
-		shard, err := c.load(ctx, cfg, id, token)
+		shard, err := c.loadShard(ctx, cfg, id, token)
 		if err == nil {
-			return c.install(ctx, shard)
+			return c.installShard(ctx, shard)
 		}
 		c.log.Info("shard not loaded yet", "shard", id, "err", err)
 		if !sleep(ctx, jitter(300*time.Millisecond)) {
@@ -151,9 +151,9 @@
 	return 0, err
 }
 
-// install begins to serve a part that was loaded under its token, unless somebody else
+// installShard begins to serve a part that was loaded under its token, unless somebody else
 // has claimed it meanwhile.
-func (c *Controller) install(ctx context.Context, shard *scheduler.Shard) error {
+func (c *Controller) installShard(ctx context.Context, shard *scheduler.Shard) error {
 	id := shard.ID()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,7 +182,7 @@
 	c.log.Info("shard acquired", "shard", id, "token", shard.Token())
 	c.beginEpisode(shard, now)
 	c.step(shard, now)
-	go c.rereadOpen(ctx, shard)
+	go c.rereadActiveJobs(ctx, shard)
 	return nil
 }
 
@@ -201,8 +201,8 @@
 	return fl, nil
 }
 
-// load reads the records of a part and makes its core, under the token of a claim.
-func (c *Controller) load(ctx context.Context, cfg *scheduler.Config, id int, token uint64) (*scheduler.Shard, error) {
+// loadShard reads the records of a part and makes its core, under the token of a claim.
+func (c *Controller) loadShard(ctx context.Context, cfg *scheduler.Config, id int, token uint64) (*scheduler.Shard, error) {
 	use := statestore.Urgent("take over")
 	fl, err := c.readFleet(ctx, use)
 	if err != nil {
@@ -221,7 +221,7 @@
 		shard.SetStrict()
 	}
 	c.mu.Lock()
-	open = slices.DeleteFunc(open, func(e wire.Entry) bool { return c.knownElsewhere(e, id) })
+	open = slices.DeleteFunc(open, func(e wire.Entry) bool { return c.belongsToOtherShard(e, id) })
 	if c.upgraded() {
 		shard.SetUpgraded()
 	}
@@ -232,16 +232,16 @@
 	return shard, shard.Load(fl, open, slots, time.Now())
 }
 
-// knownElsewhere reports whether an open job's record is one that the view holds, and
+// belongsToOtherShard reports whether an open job's record is one that the view holds, and
 // another part's: it need not be decoded to tell. The lock is held.
-func (c *Controller) knownElsewhere(e wire.Entry, part int) bool {
+func (c *Controller) belongsToOtherShard(e wire.Entry, part int) bool {
 	j, open := c.activeJobs[record.Last(e.Key)]
 	return open && j.version == e.Version && j.part != part
 }
 
-// rereadOpen reads the open jobs once more after a claim: one accepted between
+// rereadActiveJobs reads the open jobs once more after a claim: one accepted between
 // the first reading and the part's being there was told to nobody.
-func (c *Controller) rereadOpen(ctx context.Context, shard *scheduler.Shard) {
+func (c *Controller) rereadActiveJobs(ctx context.Context, shard *scheduler.Shard) {
 	for ctx.Err() == nil {
 		open, _, err := c.store.List(ctx, statestore.Urgent("take over"), record.ActiveJobPrefix)
 		if err != nil {
@@ -255,7 +255,7 @@
 			return
 		}
 		for _, e := range open {
-			if shard.KnowsJob(record.Last(e.Key), e.Version) || c.knownElsewhere(e, shard.ID()) {
+			if shard.KnowsJob(record.Last(e.Key), e.Version) || c.belongsToOtherShard(e, shard.ID()) {
 				continue
 			}
 			var o record.ActiveJob
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -66,50 +66,50 @@
 	peerHealth    *peerHealth
 
 	// mu guards all that follows. It is never held across input or output.
-	mu               sync.Mutex
-	schedCfg         *scheduler.Config // nil until the machine types are known
-	types            []wire.MachineType
-	shards           map[int]*scheduler.Shard
-	acquiring        map[int]bool
-	shardRecords     map[int]versioned[record.Shard]
-	fleet            *record.Fleet
-	activeJobs       map[string]activeJob     // unfinished jobs as the watch tells them
-	needs            *fragment.Needs          // how unfinished jobs need each other
-	dependencyReads  map[string]time.Time     // when final records are read again, or for the first time
-	endWaiters       map[string]chan struct{} // by job; closed when it is not open any more
-	members          map[string]record.Member
-	leader           versioned[record.Leader]
-	typesSeen        bool
-	viewAt           time.Time                // the cluster view was true at this time or later
-	formats          map[string]record.Format // by controller, what it writes and reads
-	jobsAt           time.Time                // so was the view of open jobs
-	fleetAt          time.Time                // and that of the machines
-	viewRevisions    map[string]uint64        // of the views, by prefix
-	redirects        workerRedirects
-	peerLoads        map[string]peerLoad // what peers last told the leader
-	lastHeartbeatAt  time.Time           // of any worker, to this controller itself
-	leadership       *leadership
-	selfPlan         *selfPlanning // nil while the leader reaches this controller
-	rentalsRequested int           // numbers the rentals that it requests, never used again under one token
-	syncedAt         time.Time     // when the leader last asked
-	quietUntil       time.Time     // not to lead before
-	started          time.Time
-	begun            time.Time               // when this process began
-	searches         map[string]workerSearch // by machine, while this controller has lost the state service
-	status           memberStatus            // as the member record says
-	memberPut        time.Time               // when that was last written
-	renewals         renewals
-	drains           drains
-	restarts         restarts
-	safeMode         safeMode
-	held             map[string]*held
-	budgetAt         time.Time // when the leader last gave a budget
-	readiness        readiness
-	commands         chan struct{} // direct commands under way, each on a socket of its own
-	pressure         pressure
-	users            int // their requests being served
-	polls            int // those of them that only ask
-	rejections       *rejectlog.Log
+	mu                sync.Mutex
+	schedulerConfig   *scheduler.Config // nil until the machine types are known
+	machineTypes      []wire.MachineType
+	shards            map[int]*scheduler.Shard
+	acquiring         map[int]bool
+	shardRecords      map[int]versioned[record.Shard]
+	fleet             *record.Fleet
+	activeJobs        map[string]activeJob     // unfinished jobs as the watch tells them
+	needs             *fragment.Needs          // how unfinished jobs need each other
+	dependencyReads   map[string]time.Time     // when final records are read again, or for the first time
+	endWaiters        map[string]chan struct{} // by job; closed when it is not open any more
+	members           map[string]record.Member
+	leader            versioned[record.Leader]
+	machineTypesKnown bool
+	viewAt            time.Time                // the cluster view was true at this time or later
+	formats           map[string]record.Format // by controller, what it writes and reads
+	jobsAt            time.Time                // so was the view of open jobs
+	fleetAt           time.Time                // and that of the machines
+	viewRevisions     map[string]uint64        // of the views, by prefix
+	redirects         workerRedirects
+	peerLoads         map[string]peerLoad // what peers last told the leader
+	lastHeartbeatAt   time.Time           // of any worker, to this controller itself
+	leadership        *leadership
+	selfPlan          *selfPlanning // nil while the leader reaches this controller
+	rentalsRequested  int           // numbers the rentals that it requests, never used again under one token
+	syncedAt          time.Time     // when the leader last asked
+	quietUntil        time.Time     // not to lead before
+	consideringSince  time.Time
+	startedAt         time.Time               // when this process began
+	searches          map[string]workerSearch // by machine, while this controller has lost the state service
+	status            memberStatus            // as the member record says
+	memberPut         time.Time               // when that was last written
+	renewals          renewals
+	drains            drains
+	restarts          restarts
+	safeMode          safeMode
+	held              map[string]*held
+	budgetAt          time.Time // when the leader last gave a budget
+	readiness         readiness
+	commands          chan struct{} // direct commands under way, each on a socket of its own
+	pressure          pressure
+	users             int // their requests being served
+	polls             int // those of them that only ask
+	rejections        *rejectlog.Log
 }
 
 // activeJob is what polls need to know of an unfinished job.
@@ -169,7 +169,7 @@
 	go c.watchLoop(ctx, record.ClusterPrefix, c.resetCluster, c.changeCluster)
 	go c.watchLoop(ctx, record.FleetPrefix, c.resetFleet, c.changeFleet)
 	go c.watchLoop(ctx, record.ActiveJobPrefix, c.resetOpen, c.changeOpen)
-	go c.typesLoop(ctx)
+	go c.machineTypesLoop(ctx)
 	go c.tickLoop(ctx)
 	go c.leaderLoop(ctx)
 	go c.countLoop(ctx)
@@ -201,7 +201,7 @@
 	c.needs = fragment.NewNeeds()
 	c.dependencyReads = map[string]time.Time{}
 	c.commands = make(chan struct{}, max(1, c.cfg.Params.Resources.MaxSockets/commandSockets))
-	c.begun = c.syncedAt
+	c.startedAt = c.syncedAt
 	c.searches = map[string]workerSearch{}
 	c.members = map[string]record.Member{}
 	c.formats = map[string]record.Format{}
@@ -232,16 +232,16 @@
 	return d/2 + time.Duration(rand.Int64N(int64(d)))
 }
 
-// typesLoop learns the machine types: from the state service, where the first
+// machineTypesLoop learns the machine types: from the state service, where the first
 // controller to hear from the cloud put them, or from the cloud. Prices move,
 // so they are asked again now and then by the leader.
-func (c *Controller) typesLoop(ctx context.Context) {
+func (c *Controller) machineTypesLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		if e, err := c.store.Get(ctx, statestore.Urgent("types"), record.MachineTypesKey); err == nil {
 			var t []wire.MachineType
 			if json.Unmarshal(e.Value, &t) == nil && len(t) > 0 {
 				c.mu.Lock()
-				c.setTypes(t)
+				c.setMachineTypes(t)
 				c.mu.Unlock()
 				return
 			}
@@ -253,7 +253,7 @@
 			continue
 		}
 		c.mu.Lock()
-		c.setTypes(t)
+		c.setMachineTypes(t)
 		c.mu.Unlock()
 		if len(record.Encode(t)) > c.limits().Bytes() {
 			return // each controller asks the cloud itself
@@ -273,13 +273,13 @@
 	}
 }
 
-func (c *Controller) setTypes(t []wire.MachineType) {
-	if c.typesSeen || len(t) == 0 {
+func (c *Controller) setMachineTypes(t []wire.MachineType) {
+	if c.machineTypesKnown || len(t) == 0 {
 		return
 	}
-	c.typesSeen = true
-	c.types = t
-	c.schedCfg = c.newSchedConfig(t)
+	c.machineTypesKnown = true
+	c.machineTypes = t
+	c.schedulerConfig = c.newSchedulerConfig(t)
 }
 
 // tickLoop drives the timers of the cores and the claims.
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -34,7 +34,7 @@
 	}
 	c := &Controller{cfg: cfg, policy: pol, log: slog.New(slog.DiscardHandler), life: context.Background(), store: state, agents: agent.Client{}}
 	c.init()
-	c.setTypes([]wire.MachineType{{Name: "big", CPUs: 16, GPUs: 2, MemoryGB: 64, Zones: []string{"z"}}})
+	c.setMachineTypes([]wire.MachineType{{Name: "big", CPUs: 16, GPUs: 2, MemoryGB: 64, Zones: []string{"z"}}})
 	c.lease.granted(leaseState{id: 1, renewedAt: time.Now()})
 	return c
 }
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -242,5 +242,5 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.applied(t, rev, time.Now())
+	c.applyOwnWrites(t, rev, time.Now())
 }
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -145,7 +145,7 @@
 func TestOwnerLearnsOfRoots(t *testing.T) {
 	state := testkit.NewState()
 	c, other := newTest(t, state), newTest(t, state)
-	shard := scheduler.New(c.schedCfg, 0, 1)
+	shard := scheduler.New(c.schedulerConfig, 0, 1)
 	c.shards[0] = shard
 	for _, ref := range []string{"run-000001", "run-000002"} {
 		other.submit(body(t, set("ref", ref)))
--- a/internal/controller/doubts.go
+++ b/internal/controller/doubts.go
@@ -62,7 +62,7 @@
 	case known.version > 0:
 		c.noticeOlder(record.ActiveJobKey(ref), known.version, 0, now)
 		return errDoubtful
-	case now.Sub(c.begun) < reportsToBelieve*config.Seconds(c.cfg.Params.Workers.ReportS):
+	case now.Sub(c.startedAt) < reportsToBelieve*config.Seconds(c.cfg.Params.Workers.ReportS):
 		return errDoubtful
 	}
 	return statestore.ErrNotFound
@@ -82,9 +82,9 @@
 		keys = append(keys, record.ActiveJobKey(ref), record.FinishedJobKey(ref)) // it may end in between
 	}
 	explained := false
-	ok := c.again(shard, func(ctx context.Context) error {
+	ok := c.retryWhileOwned(shard, func(ctx context.Context) error {
 		for _, key := range keys {
-			e, err := c.getIfThere(ctx, key)
+			e, err := c.getIfPresent(ctx, key)
 			if explained = e != nil; err != nil || explained {
 				return err
 			}
@@ -94,7 +94,7 @@
 	if !ok {
 		return
 	}
-	c.locked(shard, func(now time.Time) {
+	c.updateShard(shard, func(now time.Time) {
 		if explained {
 			shard.Explain(u.Task)
 			return
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -76,7 +76,7 @@
 			Then: []wire.Op{{Put: record.ShardKey(id), Value: record.Encode(record.Shard{TransferTo: home})}},
 		})
 		c.log.Info("shard transferred back", "shard", id, "to", home, "err", err)
-		c.rereadPart(id)
+		c.rereadShardRecord(id)
 	}()
 }
 
--- a/internal/controller/lead.go
+++ b/internal/controller/lead.go
@@ -69,7 +69,7 @@
 		now := time.Now()
 		c.mu.Lock()
 		safe := c.safeMode.holder.Active()
-		leads, sure, types := c.isLeader(now) && !safe, c.sure(now) && !safe, c.types
+		leads, sure, types := c.isLeader(now) && !safe, c.sure(now) && !safe, c.machineTypes
 		cur := c.leader
 		stand := !leads && sure && types != nil && now.After(c.quietUntil) && !c.viewAt.IsZero() &&
 			(cur.version == 0 || cur.rec.Label == c.cfg.Label)
@@ -146,7 +146,7 @@
 		}
 	}
 	for _, id := range a.Claim {
-		if c.shards[id] == nil && !c.acquiring[id] && c.schedCfg != nil && c.sure(now) {
+		if c.shards[id] == nil && !c.acquiring[id] && c.schedulerConfig != nil && c.sure(now) {
 			c.acquire(ctx, id)
 		}
 	}
@@ -180,7 +180,7 @@
 // fleetConfig is what the choices of rentals, moves and returns depend on.
 func (c *Controller) fleetConfig() fleet.Config {
 	return fleet.Config{
-		Types: c.types, Zones: c.cfg.Params.Zones, Interval: balanceEvery, MoveAfter: moveAfter, TakeAfter: takeAfter,
+		Types: c.machineTypes, Zones: c.cfg.Params.Zones, Interval: balanceEvery, MoveAfter: moveAfter, TakeAfter: takeAfter,
 		Idle: func(t wire.MachineType, spot bool) time.Duration {
 			m := policy.Machine{Type: t.Name, Spot: spot, Price: t.Price, BootS: t.BootS}
 			if spot {
--- a/internal/controller/lean_test.go
+++ b/internal/controller/lean_test.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.resetOpen(entries, rev, c.begun)
+	c.resetOpen(entries, rev, c.startedAt)
 	state := &countingState{State: inner}
 	c.store = state
 	all := make([]*confirmation, polls) // as those that come within confirmGather
@@ -189,9 +189,9 @@
 		ref := fmt.Sprintf("run-%06d", i)
 		value := body(t, set("ref", ref))
 		rec := record.Encode(record.ActiveJob{Spec: *mustSpec(t, value), Shard: 0})
-		c.changeOpen(wire.Change{Put: record.ActiveJobKey(ref), Value: rec, Version: uint64(2*i + 1)}, c.begun)
+		c.changeOpen(wire.Change{Put: record.ActiveJobKey(ref), Value: rec, Version: uint64(2*i + 1)}, c.startedAt)
 		c.finals.put(ref, record.FinishedJob{State: wire.Done, Tasks: 2, At: int64(i)})
-		c.changeOpen(wire.Change{Delete: record.ActiveJobKey(ref), Version: uint64(2*i + 2)}, c.begun)
+		c.changeOpen(wire.Change{Delete: record.ActiveJobKey(ref), Version: uint64(2*i + 2)}, c.startedAt)
 	}
 	got := (heap() - before) / jobs
 	if n := len(c.activeJobs); n != 0 {
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -61,7 +61,7 @@
 	} {
 		c := newTest(t, testkit.NewState())
 		now := time.Now()
-		c.lease.state.incarnation, c.viewAt, c.begun = 2, now, now.Add(-x.up)
+		c.lease.state.incarnation, c.viewAt, c.startedAt = 2, now, now.Add(-x.up)
 		c.shardRecords[0] = versioned[record.Shard]{x.rec, 5}
 		for _, m := range x.members {
 			c.members[m] = record.Member{Incarnation: 1}
--- a/internal/controller/messages_test.go
+++ b/internal/controller/messages_test.go
@@ -185,7 +185,7 @@
 // remembered of them is bounded.
 func TestUnknownMachinesAreBounded(t *testing.T) {
 	c := newTest(t, testkit.NewState())
-	c.begun, c.jobsAt = time.Now().Add(-time.Hour), time.Time{} // blind
+	c.startedAt, c.jobsAt = time.Now().Add(-time.Hour), time.Time{} // blind
 	c.lease.setRenewed(time.Time{})
 	c.cfg.Peers = []config.Peer{{Label: "c-1", Zone: "z"}}
 	for i := range maxRemembered + 100 {
--- a/internal/controller/nudges.go
+++ b/internal/controller/nudges.go
@@ -14,7 +14,7 @@
 func (c *Controller) notifyOwner(part int, t wire.Txn, rev uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.applied(t, rev, time.Now())
+	c.applyOwnWrites(t, rev, time.Now())
 	owner := c.peers[c.shardRecords[part].rec.Owner]
 	if c.shards[part] != nil || owner == nil {
 		return
--- a/internal/controller/parts.go
+++ b/internal/controller/parts.go
@@ -35,7 +35,7 @@
 	gatherBacks  = 2 * time.Second // unused machines cost little in that time
 )
 
-func (c *Controller) newSchedConfig(types []wire.MachineType) *scheduler.Config {
+func (c *Controller) newSchedulerConfig(types []wire.MachineType) *scheduler.Config {
 	p := c.cfg.Params
 	kinds := map[string]string{wire.Array: "array", wire.Gang: "gang", wire.Service: "service"}
 	s := &scheduler.Config{
@@ -84,7 +84,7 @@
 	c.noteContradictions(eff.Contradictions)
 	if shard.Lost() {
 		delete(c.shards, shard.ID())
-		go c.rereadPart(shard.ID())
+		go c.rereadShardRecord(shard.ID())
 	}
 	for _, t := range eff.Txns {
 		go c.commit(shard, t)
@@ -93,19 +93,19 @@
 		go c.rereadJob(shard, ref)
 	}
 	for _, n := range eff.RereadSlots {
-		go c.rereadSlot(shard, n)
+		go c.rereadPlacements(shard, n)
 	}
 	for _, id := range eff.RereadMachines {
 		go c.rereadMachine(shard, id)
 	}
 	for _, ref := range eff.RereadPipes {
-		go c.rereadPipe(shard, ref)
+		go c.rereadPipeline(shard, ref)
 	}
 	for _, d := range eff.Pushes {
-		go c.push(shard, d)
+		go c.sendCommands(shard, d)
 	}
 	for _, q := range eff.Probes {
-		go c.probe(shard, q)
+		go c.probeMachine(shard, q)
 	}
 	for _, u := range eff.Unrecorded {
 		go c.lookUpMissingRecords(shard, u)
@@ -114,7 +114,7 @@
 		if c.held[id] != nil {
 			c.release(id, now)
 		} else if d, ok := shard.Start(id, now); ok {
-			go c.push(shard, d)
+			go c.sendCommands(shard, d)
 		}
 	}
 	for _, g := range eff.Returned {
@@ -137,8 +137,8 @@
 	shard.SetBlind(c.blind(now) || !c.sure(now))
 }
 
-// locked runs f on a part under the lock, then pumps it.
-func (c *Controller) locked(shard *scheduler.Shard, f func(now time.Time)) {
+// updateShard runs f on a part under the lock, then pumps it.
+func (c *Controller) updateShard(shard *scheduler.Shard, f func(now time.Time)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -149,11 +149,11 @@
 func (c *Controller) commit(shard *scheduler.Shard, t *scheduler.Txn) {
 	rev, err := c.store.Txn(c.life, statestore.Use{For: t.Purpose, Routine: t.Routine}, t.Body)
 	var conflict *statestore.ConflictError
-	c.locked(shard, func(now time.Time) {
+	c.updateShard(shard, func(now time.Time) {
 		switch {
 		case err == nil:
 			shard.Applied(t, rev, now)
-			c.applied(t.Body, rev, now)
+			c.applyOwnWrites(t.Body, rev, now)
 		case errors.As(err, &conflict):
 			c.log.Debug("conflict", "shard", shard.ID(), "keys", conflict.Keys)
 			shard.Conflict(t, conflict.Keys, now)
@@ -169,9 +169,9 @@
 	})
 }
 
-// applied brings what a transaction of ours changed to this controller's own
+// applyOwnWrites brings what a transaction of ours changed to this controller's own
 // views, ahead of the watch. The lock is held.
-func (c *Controller) applied(t wire.Txn, rev uint64, now time.Time) {
+func (c *Controller) applyOwnWrites(t wire.Txn, rev uint64, now time.Time) {
 	for _, op := range t.Then {
 		e := wire.Change{Put: op.Put, Value: op.Value, Delete: op.Delete, Version: rev}
 		switch key := op.Put + op.Delete; {
@@ -191,8 +191,8 @@
 	}
 }
 
-// again repeats a read until it succeeds or the part is not ours any more.
-func (c *Controller) again(shard *scheduler.Shard, read func(context.Context) error) bool {
+// retryWhileOwned repeats a read until it succeeds or the part is not ours any more.
+func (c *Controller) retryWhileOwned(shard *scheduler.Shard, read func(context.Context) error) bool {
 	ctx := c.life
 	for {
 		if err := read(ctx); err == nil {
@@ -210,7 +210,7 @@
 	}
 }
 
-func (c *Controller) getIfThere(ctx context.Context, key string) (*wire.Entry, error) {
+func (c *Controller) getIfPresent(ctx context.Context, key string) (*wire.Entry, error) {
 	e, err := c.store.Get(ctx, statestore.Urgent("read back"), key)
 	if errors.Is(err, statestore.ErrNotFound) {
 		return nil, nil
@@ -221,12 +221,12 @@
 	return &e, nil
 }
 
-// reread reads one key again, until it succeeds, and tells the part.
-func (c *Controller) reread(shard *scheduler.Shard, key string, tell func(e *wire.Entry, now time.Time) error) {
+// rereadRecord reads one key again, until it succeeds, and tells the part.
+func (c *Controller) rereadRecord(shard *scheduler.Shard, key string, tell func(e *wire.Entry, now time.Time) error) {
 	var e *wire.Entry
 	intact := true
-	ok := c.again(shard, func(ctx context.Context) (err error) {
-		if e, err = c.getIfThere(ctx, key); err != nil {
+	ok := c.retryWhileOwned(shard, func(ctx context.Context) (err error) {
+		if e, err = c.getIfPresent(ctx, key); err != nil {
 			return err
 		}
 		intact, err = c.readBack(ctx, shard, key, e)
@@ -235,7 +235,7 @@
 	if !ok || !intact {
 		return
 	}
-	c.locked(shard, func(now time.Time) {
+	c.updateShard(shard, func(now time.Time) {
 		if err := tell(e, now); err != nil {
 			c.log.Error("read back", "key", key, "err", err)
 		}
@@ -243,22 +243,22 @@
 }
 
 func (c *Controller) rereadJob(shard *scheduler.Shard, ref string) {
-	c.reread(shard, record.ActiveJobKey(ref), func(e *wire.Entry, now time.Time) error { return shard.JobRead(ref, e, now) })
+	c.rereadRecord(shard, record.ActiveJobKey(ref), func(e *wire.Entry, now time.Time) error { return shard.JobRead(ref, e, now) })
 }
 
-func (c *Controller) rereadSlot(shard *scheduler.Shard, n int) {
-	c.reread(shard, record.PlacementsKey(shard.ID(), n), func(e *wire.Entry, now time.Time) error { return shard.SlotRead(n, e, now) })
+func (c *Controller) rereadPlacements(shard *scheduler.Shard, n int) {
+	c.rereadRecord(shard, record.PlacementsKey(shard.ID(), n), func(e *wire.Entry, now time.Time) error { return shard.SlotRead(n, e, now) })
 }
 
 func (c *Controller) rereadMachine(shard *scheduler.Shard, id string) {
-	c.reread(shard, record.OverrideKey(id), func(e *wire.Entry, now time.Time) error { return shard.MachineRead(id, e, now) })
+	c.rereadRecord(shard, record.OverrideKey(id), func(e *wire.Entry, now time.Time) error { return shard.MachineRead(id, e, now) })
 }
 
-func (c *Controller) rereadPipe(shard *scheduler.Shard, ref string) {
+func (c *Controller) rereadPipeline(shard *scheduler.Shard, ref string) {
 	var ends []record.PipelineJobEnd
 	var e *wire.Entry
-	ok := c.again(shard, func(ctx context.Context) (err error) {
-		if e, err = c.getIfThere(ctx, record.PipelineKey(ref)); err != nil || e == nil {
+	ok := c.retryWhileOwned(shard, func(ctx context.Context) (err error) {
+		if e, err = c.getIfPresent(ctx, record.PipelineKey(ref)); err != nil || e == nil {
 			return err
 		}
 		var rec record.Pipeline
@@ -268,23 +268,23 @@
 		c.mu.Lock()
 		held := slices.DeleteFunc(slices.Clone(rec.Jobs), func(ref string) bool { return !shard.HasJob(ref) })
 		c.mu.Unlock()
-		ends, err = c.untold(ctx, statestore.Urgent("read back"), &rec, held)
+		ends, err = c.missingPipelineEnds(ctx, statestore.Urgent("read back"), &rec, held)
 		return err
 	})
 	if !ok {
 		return
 	}
-	c.locked(shard, func(now time.Time) {
+	c.updateShard(shard, func(now time.Time) {
 		if err := shard.PipeRead(ref, e, ends, now); err != nil {
 			c.log.Error("read back", "pipeline", ref, "err", err)
 		}
 	})
 }
 
-// untold reads the final records of a pipeline's jobs whose ends its own record
+// missingPipelineEnds reads the final records of a pipeline's jobs whose ends its own record
 // does not tell: it may have been too large to be written again.
 // Those named are known to be open.
-func (c *Controller) untold(ctx context.Context, u statestore.Use, rec *record.Pipeline, open []string) ([]record.PipelineJobEnd, error) {
+func (c *Controller) missingPipelineEnds(ctx context.Context, u statestore.Use, rec *record.Pipeline, open []string) ([]record.PipelineJobEnd, error) {
 	var ends []record.PipelineJobEnd
 	for _, ref := range rec.Untold() {
 		if slices.Contains(open, ref) {
@@ -306,7 +306,7 @@
 	return ends, nil
 }
 
-func (c *Controller) rereadPart(id int) {
+func (c *Controller) rereadShardRecord(id int) {
 	ctx := c.life
 	for range 10 {
 		e, err := c.store.Get(ctx, statestore.Urgent("read back"), record.ShardKey(id))
@@ -331,8 +331,8 @@
 	}
 }
 
-// probe asks a worker for its report and tells the part.
-func (c *Controller) probe(shard *scheduler.Shard, q scheduler.Probe) {
+// probeMachine asks a worker for its report and tells the part.
+func (c *Controller) probeMachine(shard *scheduler.Shard, q scheduler.Probe) {
 	r, err := c.agents.Show(c.life, q.Addr)
 	err = c.sensible("worker's answer", q.Machine, err, r.Check)
 	if err == nil && r.Machine != q.Machine {
@@ -341,7 +341,7 @@
 	if err != nil {
 		c.log.Debug("probe", "machine", q.Machine, "err", err)
 	}
-	c.locked(shard, func(now time.Time) {
+	c.updateShard(shard, func(now time.Time) {
 		if err != nil {
 			shard.Probed(q.Machine, nil, now)
 			return
@@ -350,8 +350,8 @@
 	})
 }
 
-// push sends commands straight to a worker and tells the part what came of it.
-func (c *Controller) push(shard *scheduler.Shard, d scheduler.Push) {
+// sendCommands sends commands straight to a worker and tells the part what came of it.
+func (c *Controller) sendCommands(shard *scheduler.Shard, d scheduler.Push) {
 	c.commands <- struct{}{}
 	r, ok, err := c.agents.Command(c.life, d.Addr, d.Orders)
 	<-c.commands
@@ -372,7 +372,7 @@
 	if err != nil {
 		c.log.Debug("direct command", "machine", d.Machine, "err", err)
 	}
-	c.locked(shard, func(now time.Time) {
+	c.updateShard(shard, func(now time.Time) {
 		shard.PushDone(d, outcome, now)
 		if err == nil {
 			shard.Report(&r, true, now)
--- a/internal/controller/pipelines.go
+++ b/internal/controller/pipelines.go
@@ -212,7 +212,7 @@
 	}
 	ends := rec.Ended
 	if limits := c.limits(); rec.InPieces(limits.Bytes(), limits.TxnOps) {
-		more, err := c.untold(ctx, statestore.Routine("poll"), &rec, nil)
+		more, err := c.missingPipelineEnds(ctx, statestore.Routine("poll"), &rec, nil)
 		if err != nil {
 			return later()
 		}
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -54,7 +54,7 @@
 // One that reaches neither the state service nor any other controller is rather
 // cut off itself. The lock is held.
 func (c *Controller) serves(now time.Time) bool {
-	if c.schedCfg == nil || c.lease.current().id == 0 || c.jobsAt.IsZero() {
+	if c.schedulerConfig == nil || c.lease.current().id == 0 || c.jobsAt.IsZero() {
 		return false
 	}
 	if c.sure(now) {
--- a/internal/controller/rentals.go
+++ b/internal/controller/rentals.go
@@ -32,7 +32,7 @@
 		if !ok {
 			return
 		}
-		for _, t := range c.types {
+		for _, t := range c.machineTypes {
 			if t.Name == typ {
 				sums[i].Machines = append(sums[i].Machines, fleet.Machine{
 					ID: id, Type: typ, Zone: zone, Spot: spot, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB,
@@ -119,7 +119,7 @@
 				c.log.Debug("addresses", "rental", name, "err", err)
 				return // told and tried again
 			}
-			c.applied(t, rev, time.Now())
+			c.applyOwnWrites(t, rev, time.Now())
 		}()
 	}
 }
@@ -223,7 +223,7 @@
 			rev, err := c.store.Txn(ctx, statestore.Urgent("rental"), t)
 			if err == nil {
 				c.mu.Lock()
-				c.applied(t, rev, now)
+				c.applyOwnWrites(t, rev, now)
 				c.mu.Unlock()
 				return
 			}
--- a/internal/controller/returns.go
+++ b/internal/controller/returns.go
@@ -68,7 +68,7 @@
 		rev, err := c.store.Txn(ctx, statestore.Urgent("back"), t)
 		if err == nil {
 			c.mu.Lock()
-			c.applied(t, rev, time.Now())
+			c.applyOwnWrites(t, rev, time.Now())
 			c.mu.Unlock()
 			return
 		}
@@ -109,6 +109,6 @@
 			c.log.Debug("clear records", "err", err)
 			return
 		}
-		c.applied(t, rev, time.Now())
+		c.applyOwnWrites(t, rev, time.Now())
 	}()
 }
--- a/internal/controller/safe_mode.go
+++ b/internal/controller/safe_mode.go
@@ -141,7 +141,7 @@
 	}
 	c.viewRevisions = map[string]uint64{}
 	c.viewAt, c.jobsAt, c.fleetAt = time.Time{}, time.Time{}, time.Time{}
-	c.begun = time.Now()
+	c.startedAt = time.Now()
 }
 
 // safeModeLoop compares what is held with the record, and brings each up to the other, until
--- a/internal/controller/self_planning.go
+++ b/internal/controller/self_planning.go
@@ -32,7 +32,7 @@
 func (c *Controller) planWithoutLeader(ctx context.Context, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.shards) == 0 || c.schedCfg == nil || !c.sure(now) || c.isLeader(now) || now.Sub(c.syncedAt) < selfPlanAfter {
+	if len(c.shards) == 0 || c.schedulerConfig == nil || !c.sure(now) || c.isLeader(now) || now.Sub(c.syncedAt) < selfPlanAfter {
 		c.selfPlan = nil
 		return
 	}
@@ -95,7 +95,7 @@
 			delete(sp.requested, name) // if it was written all the same, the view tells
 			return
 		}
-		c.applied(t, rev, time.Now())
+		c.applyOwnWrites(t, rev, time.Now())
 	}()
 }
 
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -88,7 +88,7 @@
 // known, and the state service can be asked.
 func (c *Controller) decides() ([]wire.MachineType, bool) {
 	c.mu.Lock()
-	types := c.types
+	types := c.machineTypes
 	c.mu.Unlock()
 	return types, types != nil && !c.leaseLost()
 }
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -106,10 +106,10 @@
 			err = json.Unmarshal(e.Value, &c.leader.rec)
 		}
 	case key == record.MachineTypesKey:
-		if !gone && !c.typesSeen {
+		if !gone && !c.machineTypesKnown {
 			var t []wire.MachineType
 			if err = json.Unmarshal(e.Value, &t); err == nil {
-				c.setTypes(t)
+				c.setMachineTypes(t)
 			}
 		}
 	case strings.HasPrefix(key, record.MemberPrefix):
@@ -362,7 +362,7 @@
 // unknown here for some turns of the watch. The lock is held.
 func (c *Controller) blind(now time.Time) bool {
 	if c.jobsAt.IsZero() {
-		return now.Sub(c.begun) > firstView
+		return now.Sub(c.startedAt) > firstView
 	}
 	return now.Sub(c.jobsAt) > 2*c.watchWait()+callSlack
 }
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -134,7 +134,7 @@
 func (c *Controller) hold(shard *scheduler.Shard, machine string, d time.Duration, answer func(transport.Response)) {
 	c.release(machine, time.Now()) // an older one: its worker has gone on
 	h := &held{part: shard, answer: answer}
-	h.timer = time.AfterFunc(together(time.Since(c.begun), d), func() {
+	h.timer = time.AfterFunc(together(time.Since(c.startedAt), d), func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if c.held[machine] == h {
@@ -175,7 +175,7 @@
 		return transport.Response{Status: 200, Body: orders}
 	case scheduler.Deposed:
 		// A 200 would be dropped by the worker while its lease runs out.
-		go c.rereadPart(shard.ID())
+		go c.rereadShardRecord(shard.ID())
 		return transport.Response{Status: 421, Body: wire.Redirect{}}
 	}
 	return transport.Response{Status: 503, RetryAfter: 1}
