--- /dev/null
+++ b/internal/contract/gob_test.go
@@ -0,0 +1,128 @@
+package contract
+
+import (
+	"bytes"
+	"encoding/base64"
+	"encoding/gob"
+	"fmt"
+	"io"
+	"net"
+	"net/rpc"
+	"reflect"
+	"strings"
+	"testing"
+
+	"bramblespur/internal/peer"
+	"bramblespur/internal/wire"
+)
+
+// gobLayouts are what controllers send each other. The bytes name fields, so that one of
+// another name would arrive empty and nobody would notice.
+var gobLayouts = []struct {
+	name  string
+	value any
+}{
+	{"Sync arguments", peer.SyncArgs{}},
+	{"Sync reply", peer.SyncReply{}},
+	{"Nudge arguments", peer.NudgeArgs{}},
+	{"Report arguments", wire.Heartbeat{}},
+	{"Report reply", peer.ReportReply{}},
+	{"User arguments", peer.UserArgs{}},
+	{"User reply", peer.UserReply{}},
+	{"Lend arguments", peer.LendArgs{}},
+	{"Evidence arguments", peer.EvidenceArgs{}},
+	{"Evidence reply", peer.EvidenceReply{}},
+	{"Status reply", wire.Status{}},
+}
+
+func fieldName(f reflect.StructField) string { return f.Name }
+
+// The fields of every message keep their names, kinds and order, and so their bytes but for
+// the names of Go types, which gob does not match.
+func TestPeerMessagesKeepTheirFields(t *testing.T) {
+	var got []string
+	for _, x := range gobLayouts {
+		for _, field := range shape(reflect.TypeOf(x.value), "", fieldName) {
+			got = append(got, x.name+": "+field)
+		}
+	}
+	golden(t, "peer-fields.golden", got)
+}
+
+// What the earlier version sends arrives whole, and what was cut off is an error.
+func TestPeerMessagesAreReadAsSent(t *testing.T) {
+	if *update {
+		var written []string
+		for _, x := range gobLayouts {
+			var b bytes.Buffer
+			if err := gob.NewEncoder(&b).EncodeValue(filled(x.value, fieldName)); err != nil {
+				t.Fatal(err)
+			}
+			written = append(written, x.name+"\t"+base64.StdEncoding.EncodeToString(b.Bytes()))
+		}
+		golden(t, "peer.golden", written)
+	}
+	layouts := readLayouts(t, "testdata/peer.golden")
+	for _, x := range gobLayouts {
+		sent, err := base64.StdEncoding.DecodeString(layouts[x.name])
+		if err != nil {
+			t.Fatal(err)
+		}
+		read := reflect.New(reflect.TypeOf(x.value))
+		if err := gob.NewDecoder(bytes.NewReader(sent)).DecodeValue(read); err != nil {
+			t.Errorf("%s: %v", x.name, err)
+		}
+		if want := filled(x.value, fieldName).Interface(); !reflect.DeepEqual(read.Elem().Interface(), want) {
+			t.Errorf("%s: read\n%+v, want\n%+v", x.name, read.Elem(), want)
+		}
+		for at := 0; at < len(sent); at += 1 + len(sent)/9 {
+			if err := gob.NewDecoder(bytes.NewReader(sent[:at])).DecodeValue(reflect.New(reflect.TypeOf(x.value))); err == nil {
+				t.Errorf("%s: its first %d bytes are taken for all", x.name, at)
+			}
+		}
+	}
+}
+
+// refusing is a listener that hands out one connection.
+type refusing struct{ conns chan net.Conn }
+
+func (l refusing) Accept() (net.Conn, error) {
+	c, ok := <-l.conns
+	if !ok {
+		return nil, net.ErrClosed
+	}
+	return c, nil
+}
+func (l refusing) Close() error   { return nil }
+func (l refusing) Addr() net.Addr { return &net.TCPAddr{} }
+
+// unreached is a handler of which nothing but what can't be read is ever told.
+type unreached struct{ peer.Handler }
+
+func (unreached) Malformed(string, error) {}
+
+// Every method is called by its name. Arguments of a wrong type show that it is there without
+// any of them being carried out.
+func TestPeerMethodsKeepTheirNames(t *testing.T) {
+	l := refusing{make(chan net.Conn, 1)}
+	defer close(l.conns)
+	near, far := net.Pipe()
+	l.conns <- far
+	go peer.Serve(l, unreached{}, 1)
+	c := rpc.NewClient(near)
+	defer c.Close()
+	if err := c.Call("Controller.Nothing", "", new(int)); err == nil || !strings.Contains(err.Error(), "can't find method") {
+		t.Fatalf("a method that there is not: %v", err)
+	}
+	for _, method := range []string{"Sync", "Nudge", "Report", "User", "Ping", "Format", "Lend", "Evidence", "Status"} {
+		if err := c.Call("Controller."+method, []complex128{1}, new(int)); err == nil || err == io.EOF || strings.Contains(err.Error(), "can't find") || !strings.Contains(err.Error(), "type") {
+			t.Errorf("%s: %v", method, err)
+		}
+	}
+	var got []string
+	for service, i := reflect.TypeFor[*peer.Service](), 0; i < service.NumMethod(); i++ {
+		m := service.Method(i)
+		got = append(got, fmt.Sprintf("%s %d", m.Name, m.Type.NumIn()))
+	}
+	golden(t, "peer-methods.golden", got)
+}
