--- a/internal/controller/account_test.go
+++ b/internal/controller/account_test.go
@@ -179,7 +179,7 @@
 		held("scheduler", accountMachines, func() { c.shards = nil })
 		held("fleet-view", accountMachines, func() { c.fleet = nil })
 		held("open-jobs", accountJobs, func() { c.activeJobs = nil })
-		held("dependencies", accountJobs, func() { c.needs = nil })
+		held("dependencies", accountJobs, func() { c.dependencies = nil })
 		runtime.KeepAlive(c)
 	}
 }
@@ -313,14 +313,14 @@
 	srv := transport.New(transport.Config{Log: c.log})
 	b.ReportAllocs()
 	for b.Loop() {
-		var all []*confirmation
+		var all []*Check
 		for range together {
-			all = append(all, newConfirmation(wire.Cond{Key: record.ActiveJobKey(ref(7)), Version: version}))
+			all = append(all, NewCheck(wire.Cond{Key: record.ActiveJobKey(ref(7)), Version: version}))
 		}
-		c.confirmations.waiting = all
-		c.confirmAll()
+		c.linearizableReads.waiting = all
+		c.flushLinearizableReads()
 		for _, q := range all {
-			<-q.done
+			<-q.Confirmed
 			own, _ := c.ownerStatus(ref(7))
 			srv.Encode(transport.Response{Status: 200, Body: own}, false)
 		}
--- a/internal/controller/audit.go
+++ b/internal/controller/audit.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"math/rand/v2"
 	"strings"
 	"time"
 
@@ -213,7 +212,7 @@
 
 // auditFinals reads some final records again that were read, or written, before.
 func (c *Controller) auditFinals(ctx context.Context) error {
-	for _, ref := range c.finals.sample(sampledFinals) {
+	for _, ref := range c.terminalStates.Sample(sampledFinals) {
 		over, err := c.isOver(ctx, ref)
 		if err != nil {
 			return err
@@ -226,18 +225,3 @@
 	}
 	return nil
 }
-
-// sample returns some jobs whose final records are cached.
-func (f *finalStates) sample(n int) []string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	var out []string
-	for ref := range f.jobs { // a reservoir
-		if len(out) < n {
-			out = append(out, ref)
-		} else if i := rand.IntN(len(f.jobs)); i < n {
-			out[i] = ref
-		}
-	}
-	return out
-}
--- a/internal/controller/bounds_test.go
+++ b/internal/controller/bounds_test.go
@@ -93,7 +93,7 @@
 	for _, jobs := range []int{40, 400} {
 		bubble(t, func(t *testing.T) {
 			c, state, _ := fleetController(t, 40, jobs)
-			c.finals.put("run-900000", record.FinishedJob{State: wire.Done, Tasks: 2})
+			c.terminalStates.Put("run-900000", record.FinishedJob{State: wire.Done, Tasks: 2})
 			synctest.Wait()
 			state.reset()
 			const polls = 20
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -26,14 +26,14 @@
 // be renewed by who can't hear of cancellations. Until then the user is asked to
 // come again.
 func (c *Controller) cancel(ref string) transport.Response {
-	if !validRef(ref) {
+	if !validJobReference(ref) {
 		return transport.Response{Status: 404}
 	}
-	if j, ok := c.finals.get(ref); ok {
+	if j, ok := c.terminalStates.Get(ref); ok {
 		return transport.Response{Status: 200, Body: wire.Brief{Ref: ref, State: j.State}}
 	}
 	if c.leaseLost() {
-		return later()
+		return retryReply()
 	}
 	ctx, cancel := context.WithTimeout(c.life, userTimeout)
 	defer cancel()
@@ -41,19 +41,19 @@
 	for range cancelTries {
 		// Users come again each second until the job's end is recorded: what the view
 		// tells as cancelled is, and needs no reading.
-		if c.cancelling(ref) && !c.awaitEnd(ctx, ref) {
-			return ending()
+		if c.cancellationPending(ref) && !c.awaitTerminal(ctx, ref) {
+			return notYetTerminal()
 		}
 		key := record.ActiveJobKey(ref)
 		e, err := c.store.Get(ctx, use, key)
 		if errors.Is(err, statestore.ErrNotFound) {
 			// Never accepted, or over by now.
-			state, err := c.state(ctx, use, ref)
+			state, err := c.jobState(ctx, use, ref)
 			switch {
 			case errors.Is(err, statestore.ErrNotFound):
 				return transport.Response{Status: 404}
 			case err != nil:
-				return later()
+				return retryReply()
 			case state == wire.Pending:
 				continue // accepted in this moment
 			}
@@ -61,44 +61,44 @@
 		}
 		var o record.ActiveJob
 		if err != nil || json.Unmarshal(e.Value, &o) != nil {
-			return later()
+			return retryReply()
 		}
 		if !o.Cancelled {
-			t := wire.Txn{If: []wire.Cond{{Key: key, Version: e.Version}}, Then: []wire.Op{{Put: key, Value: c.cancelled(o)}}}
+			t := wire.Txn{If: []wire.Cond{{Key: key, Version: e.Version}}, Then: []wire.Op{{Put: key, Value: c.cancelledRecord(o)}}}
 			rev, err := c.store.Txn(ctx, use, t)
 			var conflict *statestore.ConflictError
 			if errors.As(err, &conflict) {
 				continue
 			}
 			if err != nil {
-				return later() // perhaps applied: the user's next try finds out
+				return retryReply() // perhaps applied: the user's next try finds out
 			}
 			c.notifyOwner(o.Shard, t, rev)
 		}
-		if !c.awaitEnd(ctx, ref) {
-			return ending()
+		if !c.awaitTerminal(ctx, ref) {
+			return notYetTerminal()
 		}
 	}
-	return later()
+	return retryReply()
 }
 
-// cancelling reports whether a fresh view tells of a job that its cancellation is
+// cancellationPending reports whether a fresh view tells of a job that its cancellation is
 // recorded and its end is not.
-func (c *Controller) cancelling(ref string) bool {
+func (c *Controller) cancellationPending(ref string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.activeJobs[ref].cancelled && !c.blind(time.Now())
 }
 
-// ending answers a cancellation whose tasks are not all proven gone yet, which
+// notYetTerminal answers a cancellation whose tasks are not all proven gone yet, which
 // every controller would answer alike.
-func ending() transport.Response {
+func notYetTerminal() transport.Response {
 	return transport.Response{Status: 503, RetryAfter: transport.RetryAfter, Authoritative: true}
 }
 
-// awaitEnd waits until jobs are not open any more, as far as is known here, and reports
+// awaitTerminal waits until jobs are not open any more, as far as is known here, and reports
 // whether they all were so within endWait.
-func (c *Controller) awaitEnd(ctx context.Context, refs ...string) bool {
+func (c *Controller) awaitTerminal(ctx context.Context, refs ...string) bool {
 	ctx, cancel := context.WithTimeout(ctx, endWait)
 	defer cancel()
 	for _, ref := range refs {
@@ -122,11 +122,11 @@
 	return true
 }
 
-// closeOpen takes in that a job is not open any more. The lock is held.
-func (c *Controller) closeOpen(ref string) {
-	changed := c.needs.Remove(ref)
+// removeActiveJob takes in that a job is not open any more. The lock is held.
+func (c *Controller) removeActiveJob(ref string) {
+	changed := c.dependencies.Remove(ref)
 	delete(c.activeJobs, ref)
-	c.inherit(changed)
+	c.passDemandOn(changed)
 	if over := c.endWaiters[ref]; over != nil {
 		close(over)
 		delete(c.endWaiters, ref)
--- a/internal/controller/claim.go
+++ b/internal/controller/claim.go
@@ -176,7 +176,7 @@
 	})
 	for ref, j := range c.activeJobs {
 		if j.part == id {
-			shard.Inherit(ref, c.needs.Claim(ref))
+			shard.Inherit(ref, c.dependencies.Claim(ref))
 		}
 	}
 	c.log.Info("shard acquired", "shard", id, "token", shard.Token())
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -20,6 +20,7 @@
 	"bramblespur/internal/cloud"
 	"bramblespur/internal/config"
 	"bramblespur/internal/controller/rejectlog"
+	"bramblespur/internal/controller/terminal"
 	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/fragment"
 	"bramblespur/internal/httpwire"
@@ -60,10 +61,10 @@
 
 	// Each of these has a lock of its own, which may be taken under mu, never the other
 	// way round.
-	lease         memberLease
-	finals        *finalStates
-	confirmations *pollConfirmations
-	peerHealth    *peerHealth
+	lease             memberLease
+	terminalStates    *terminal.Cache
+	linearizableReads *Batcher
+	peerHealth        *peerHealth
 
 	// mu guards all that follows. It is never held across input or output.
 	mu                sync.Mutex
@@ -74,7 +75,7 @@
 	shardRecords      map[int]versioned[record.Shard]
 	fleet             *record.Fleet
 	activeJobs        map[string]activeJob     // unfinished jobs as the watch tells them
-	needs             *fragment.Needs          // how unfinished jobs need each other
+	dependencies      *fragment.Needs          // how unfinished jobs need each other
 	dependencyReads   map[string]time.Time     // when final records are read again, or for the first time
 	endWaiters        map[string]chan struct{} // by job; closed when it is not open any more
 	members           map[string]record.Member
@@ -198,15 +199,15 @@
 	c.activeJobs = map[string]activeJob{}
 	c.viewRevisions = map[string]uint64{}
 	c.endWaiters = map[string]chan struct{}{}
-	c.needs = fragment.NewNeeds()
+	c.dependencies = fragment.NewNeeds()
 	c.dependencyReads = map[string]time.Time{}
 	c.commands = make(chan struct{}, max(1, c.cfg.Params.Resources.MaxSockets/commandSockets))
 	c.startedAt = c.syncedAt
 	c.searches = map[string]workerSearch{}
 	c.members = map[string]record.Member{}
 	c.formats = map[string]record.Format{}
-	c.finals = newFinalStates()
-	c.confirmations = &pollConfirmations{flush: c.confirmAll}
+	c.terminalStates = terminal.NewCache()
+	c.linearizableReads = &Batcher{flush: c.flushLinearizableReads}
 	c.redirects = workerRedirects{}
 	c.renewals = renewals{}
 	c.held = map[string]*held{}
@@ -339,10 +340,10 @@
 		return transport.Response{Status: 405}, true
 	}
 	if !c.admits(req) {
-		return later(), true
+		return retryReply(), true
 	}
 	go func() {
-		r := c.serveUser(req)
+		r := c.serveUserRequest(req)
 		c.letGo(req)
 		answer(r)
 	}()
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -155,7 +155,7 @@
 	if got := shard.Dependencies(); len(got) != 2 {
 		t.Fatalf("waits for %v, want both", got)
 	}
-	if got, err := c.state(context.Background(), statestore.Urgent("test"), "run-000003"); err != nil || got != wire.Pending {
+	if got, err := c.jobState(context.Background(), statestore.Urgent("test"), "run-000003"); err != nil || got != wire.Pending {
 		t.Fatalf("state %q, %v", got, err)
 	}
 	// One end is told by its owner, the other only by the state service.
@@ -203,7 +203,7 @@
 		view(t, state, c)
 		var roots []string
 		after := map[string][]string{}
-		c.needs.Each(func(r string, needed map[string]struct{}) {
+		c.dependencies.Each(func(r string, needed map[string]struct{}) {
 			if _, open := c.activeJobs[r]; open {
 				return
 			}
@@ -322,10 +322,10 @@
 	// One accepted under the wider limits can still be cancelled.
 	o := record.ActiveJob{Spec: wire.Spec{Ref: "run-000778", Team: "a", Tasks: 2, Image: strings.Repeat("i", 3000), Types: []string{"big"}}}
 	var short record.ActiveJob
-	if err := json.Unmarshal(c.cancelled(o), &short); err != nil || !short.Cancelled || short.Spec.Team != "a" || short.Spec.Tasks != 2 {
+	if err := json.Unmarshal(c.cancelledRecord(o), &short); err != nil || !short.Cancelled || short.Spec.Team != "a" || short.Spec.Tasks != 2 {
 		t.Errorf("cancelled: %+v, %v", short, err)
 	}
-	if n := len(c.cancelled(o)); n > most {
+	if n := len(c.cancelledRecord(o)); n > most {
 		t.Errorf("its record takes %d bytes", n)
 	}
 }
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependency_tracking.go
@@ -24,9 +24,9 @@
 	// readDependencyAgain is the pause after a root had neither an open record in the
 	// view nor a final one: the view is behind.
 	readDependencyAgain = time.Second
-	// cascadeAfter is how long the owner has to end what needs a cancelled job,
+	// cancelDependentsAfter is how long the owner has to end what needs a cancelled job,
 	// before any controller does.
-	cascadeAfter = 4 * time.Second
+	cancelDependentsAfter = 4 * time.Second
 )
 
 // checkDependencies refuses a submission that names what was never accepted, or a
@@ -36,7 +36,7 @@
 	for _, root := range spec.DependsOn {
 		c.mu.Lock()
 		j, open := c.activeJobs[root]
-		_, over := c.finals.get(root)
+		_, over := c.terminalStates.Get(root)
 		c.mu.Unlock()
 		switch {
 		case over || (open && !j.service):
@@ -54,20 +54,20 @@
 			}
 			continue
 		case !errors.Is(err, statestore.ErrNotFound):
-			return later()
+			return retryReply()
 		}
-		switch _, err := c.readFinal(ctx, use, root); {
+		switch _, err := c.readTerminal(ctx, use, root); {
 		case errors.Is(err, statestore.ErrNotFound):
 			return c.refuseUnlessAccepted(ctx, spec.Ref, 422)
 		case err != nil:
-			return later()
+			return retryReply()
 		}
 	}
 	return transport.Response{}
 }
 
-// readFinal reads a job's final record.
-func (c *Controller) readFinal(ctx context.Context, u statestore.Use, ref string) (record.FinishedJob, error) {
+// readTerminal reads a job's final record.
+func (c *Controller) readTerminal(ctx context.Context, u statestore.Use, ref string) (record.FinishedJob, error) {
 	var j record.FinishedJob
 	e, err := c.store.Get(ctx, u, record.FinishedJobKey(ref))
 	if err != nil {
@@ -76,14 +76,14 @@
 	if err := json.Unmarshal(e.Value, &j); err != nil {
 		return j, err
 	}
-	c.finals.put(ref, j)
+	c.terminalStates.Put(ref, j)
 	return j, nil
 }
 
 // dependencyEnded takes in a job's final record and tells the parts. The lock is held.
 func (c *Controller) dependencyEnded(ref string, j record.FinishedJob, now time.Time) {
-	c.finals.put(ref, j)
-	if len(c.needs.After(ref)) == 0 {
+	c.terminalStates.Put(ref, j)
+	if len(c.dependencies.After(ref)) == 0 {
 		return
 	}
 	for _, shard := range c.shards {
@@ -92,11 +92,11 @@
 	}
 }
 
-// tellEnd brings a job's final record to the owners of jobs that need it, without
+// notifyDependents brings a job's final record to the owners of jobs that need it, without
 // waiting for their views. The lock is held.
-func (c *Controller) tellEnd(ref string, op wire.Op) {
+func (c *Controller) notifyDependents(ref string, op wire.Op) {
 	owners := map[peer.Caller]bool{}
-	for d := range c.needs.After(ref) {
+	for d := range c.dependencies.After(ref) {
 		part := c.activeJobs[d].part
 		if owner := c.peers[c.shardRecords[part].rec.Owner]; c.shards[part] == nil && owner != nil {
 			owners[owner] = true
@@ -122,7 +122,7 @@
 	mine := map[string]bool{}
 	for _, shard := range c.shards {
 		for _, r := range shard.Dependencies() {
-			if j, ok := c.finals.get(r); ok {
+			if j, ok := c.terminalStates.Get(r); ok {
 				shard.DependencyEnded(r, j, now)
 				c.step(shard, now)
 				continue
@@ -130,7 +130,7 @@
 			mine[r] = true
 		}
 	}
-	c.needs.Each(func(r string, needed map[string]struct{}) {
+	c.dependencies.Each(func(r string, needed map[string]struct{}) {
 		if _, open := c.activeJobs[r]; open {
 			return
 		}
@@ -138,7 +138,7 @@
 		if !noted {
 			at = now
 			if !mine[r] {
-				at = now.Add(jitter(cascadeAfter))
+				at = now.Add(jitter(cancelDependentsAfter))
 			}
 			c.dependencyReads[r] = at
 		}
@@ -148,8 +148,8 @@
 		if now.Before(at) {
 			return
 		}
-		c.dependencyReads[r] = now.Add(jitter(cascadeAfter))
-		j, known := c.finals.get(r)
+		c.dependencyReads[r] = now.Add(jitter(cancelDependentsAfter))
+		j, known := c.terminalStates.Get(r)
 		if known && j.State == wire.Done {
 			return
 		}
@@ -162,14 +162,14 @@
 		go c.lookUpDependency(ctx, r, others)
 	})
 	for r := range c.dependencyReads {
-		if len(c.needs.After(r)) == 0 {
+		if len(c.dependencies.After(r)) == 0 {
 			delete(c.dependencyReads, r)
 		}
 	}
 }
 
-// step is an open job as those that it needs see it.
-func step(o *record.ActiveJob) fragment.Step {
+// dependencyStep is an open job as those that it needs see it.
+func dependencyStep(o *record.ActiveJob) fragment.Step {
 	s := fragment.Step{Claim: fragment.Claim{Rank: scheduler.Rank(o.Spec.Priority)}, DependsOn: o.Spec.DependsOn, Length: wire.Seconds(o.Spec.EstimateS)}
 	if o.Spec.DeadlineS != nil {
 		s.Due = time.UnixMilli(o.At).Add(wire.Seconds(*o.Spec.DeadlineS))
@@ -180,11 +180,11 @@
 	return s
 }
 
-// inherit tells the parts what jobs are to be given. The lock is held.
-func (c *Controller) inherit(refs []string) {
+// passDemandOn tells the parts what jobs are to be given. The lock is held.
+func (c *Controller) passDemandOn(refs []string) {
 	for _, ref := range refs {
 		if shard := c.shards[c.activeJobs[ref].part]; shard != nil {
-			shard.Inherit(ref, c.needs.Claim(ref))
+			shard.Inherit(ref, c.dependencies.Claim(ref))
 		}
 	}
 }
@@ -194,10 +194,10 @@
 func (c *Controller) lookUpDependency(ctx context.Context, root string, others []string) {
 	ctx, cancel := context.WithTimeout(ctx, userTimeout)
 	defer cancel()
-	j, ok := c.finals.get(root)
+	j, ok := c.terminalStates.Get(root)
 	if !ok {
 		var err error
-		if j, err = c.readFinal(ctx, statestore.Urgent("dependencies"), root); err != nil {
+		if j, err = c.readTerminal(ctx, statestore.Urgent("dependencies"), root); err != nil {
 			c.mu.Lock()
 			c.dependencyReads[root] = time.Now().Add(readDependencyAgain)
 			c.mu.Unlock()
--- a/internal/controller/evidence.go
+++ b/internal/controller/evidence.go
@@ -52,16 +52,9 @@
 	for _, shard := range c.safeMode.frozen {
 		out = append(out, shard.Records()...)
 	}
-	for ref, j := range c.finals.all() {
+	for ref, j := range c.terminalStates.All() {
 		out = append(out, wire.Entry{Key: record.FinishedJobKey(ref), Value: record.Encode(j)})
 	}
 	slices.SortFunc(out, func(a, b wire.Entry) int { return cmp.Compare(a.Key, b.Key) })
 	return out
 }
-
-// all returns a copy of the cached final states.
-func (f *finalStates) all() map[string]record.FinishedJob {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return maps.Clone(f.jobs)
-}
--- a/internal/controller/lean_test.go
+++ b/internal/controller/lean_test.go
@@ -66,19 +66,19 @@
 	c.resetOpen(entries, rev, c.startedAt)
 	state := &countingState{State: inner}
 	c.store = state
-	all := make([]*confirmation, polls) // as those that come within confirmGather
+	all := make([]*Check, polls) // as those that come within confirmGather
 	for i := range all {
 		ref := "run-00000" + strconv.Itoa(i)
-		all[i] = newConfirmation(wire.Cond{Key: record.ActiveJobKey(ref), Version: c.activeJobs[ref].version})
+		all[i] = NewCheck(wire.Cond{Key: record.ActiveJobKey(ref), Version: c.activeJobs[ref].version})
 	}
-	c.confirmations.waiting = all
-	c.confirmAll()
+	c.linearizableReads.waiting = all
+	c.flushLinearizableReads()
 	for _, q := range all {
-		if !<-q.done {
-			t.Errorf("%s was not confirmed", q.cond.Key)
+		if !<-q.Confirmed {
+			t.Errorf("%s was not confirmed", q.Cond.Key)
 		}
 	}
-	c.confirmAll() // nobody waits any more
+	c.flushLinearizableReads() // nobody waits any more
 	if n := state.txns.Load(); n != 1 {
 		t.Errorf("%d polls took %d requests, want 1", polls, n)
 	}
@@ -190,7 +190,7 @@
 		value := body(t, set("ref", ref))
 		rec := record.Encode(record.ActiveJob{Spec: *mustSpec(t, value), Shard: 0})
 		c.changeOpen(wire.Change{Put: record.ActiveJobKey(ref), Value: rec, Version: uint64(2*i + 1)}, c.startedAt)
-		c.finals.put(ref, record.FinishedJob{State: wire.Done, Tasks: 2, At: int64(i)})
+		c.terminalStates.Put(ref, record.FinishedJob{State: wire.Done, Tasks: 2, At: int64(i)})
 		c.changeOpen(wire.Change{Delete: record.ActiveJobKey(ref), Version: uint64(2*i + 2)}, c.startedAt)
 	}
 	got := (heap() - before) / jobs
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -81,7 +81,7 @@
 		return errSenseless("a record of %d bytes", len(a.Value))
 	}
 	ref := record.Last(a.Key)
-	if !validRef(ref) {
+	if !validJobReference(ref) {
 		return errSenseless("a record of %.64q", a.Key)
 	}
 	switch a.Key {
--- a/internal/controller/parts.go
+++ b/internal/controller/parts.go
@@ -185,7 +185,7 @@
 				c.log.Error("final record", "key", key, "err", err)
 				continue
 			}
-			c.tellEnd(record.Last(key), op)
+			c.notifyDependents(record.Last(key), op)
 			c.dependencyEnded(record.Last(key), j, now)
 		}
 	}
@@ -290,10 +290,10 @@
 		if slices.Contains(open, ref) {
 			continue
 		}
-		j, known := c.finals.get(ref)
+		j, known := c.terminalStates.Get(ref)
 		if !known {
 			var err error
-			j, err = c.readFinal(ctx, u, ref)
+			j, err = c.readTerminal(ctx, u, ref)
 			if errors.Is(err, statestore.ErrNotFound) {
 				continue
 			}
--- a/internal/controller/pipelines.go
+++ b/internal/controller/pipelines.go
@@ -21,7 +21,7 @@
 // parsePipeline checks a submission's form, as parseSpec does a job's.
 func parsePipeline(body []byte) (ref string, rec record.Pipeline, specs []*wire.Spec, ok bool) {
 	var w wire.Pipeline
-	if json.Unmarshal(body, &w) != nil || !validName(w.Ref, "pipe-") || len(w.Jobs) == 0 {
+	if json.Unmarshal(body, &w) != nil || !validReference(w.Ref, "pipe-") || len(w.Jobs) == 0 {
 		return "", rec, nil, false
 	}
 	for _, raw := range w.Jobs {
@@ -43,9 +43,9 @@
 	if !ok {
 		return transport.Response{Status: 400}
 	}
-	types, ok := c.decides()
+	types, ok := c.submissionTypes()
 	if !ok {
-		return later()
+		return retryReply()
 	}
 	ctx, cancel := context.WithTimeout(c.life, userTimeout)
 	defer cancel()
@@ -75,7 +75,7 @@
 		}
 		return r
 	}
-	return later()
+	return retryReply()
 }
 
 // wellFormed checks references, structure, and that each choice is stated.
@@ -143,18 +143,18 @@
 	}
 	over := false
 	if err == nil {
-		over, err = c.pipeOver(ctx, u, &rec)
+		over, err = c.pipelineTerminal(ctx, u, &rec)
 	}
 	if err != nil {
-		return later()
+		return retryReply()
 	}
-	return transport.Response{Status: 200, Body: wire.Brief{Ref: ref, State: c.pipeState(&rec, over)}}
+	return transport.Response{Status: 200, Body: wire.Brief{Ref: ref, State: c.pipelineState(&rec, over)}}
 }
 
-// pipeOver reports whether a pipeline has its final state: as with a single job,
+// pipelineTerminal reports whether a pipeline has its final state: as with a single job,
 // it is called cancelled only once none of its jobs is open any more, and so all
 // tasks are proven gone.
-func (c *Controller) pipeOver(ctx context.Context, u statestore.Use, rec *record.Pipeline) (bool, error) {
+func (c *Controller) pipelineTerminal(ctx context.Context, u statestore.Use, rec *record.Pipeline) (bool, error) {
 	if rec.State != wire.Cancelled {
 		return rec.State != "", nil
 	}
@@ -176,8 +176,8 @@
 	return true, nil
 }
 
-// pipeState is the state of a pipeline as a whole.
-func (c *Controller) pipeState(rec *record.Pipeline, over bool) string {
+// pipelineState is the state of a pipeline as a whole.
+func (c *Controller) pipelineState(rec *record.Pipeline, over bool) string {
 	if over {
 		return rec.State
 	}
@@ -192,9 +192,9 @@
 	return wire.Pending
 }
 
-// pollPipeline answers with a pipeline's state and those of its jobs.
-func (c *Controller) pollPipeline(ref string) transport.Response {
-	if no := c.refuses(ref, "pipe-"); !no.IsZero() {
+// pipelineStatusQuery answers with a pipeline's state and those of its jobs.
+func (c *Controller) pipelineStatusQuery(ref string) transport.Response {
+	if no := c.refuseEarly(ref, "pipe-"); !no.IsZero() {
 		return no
 	}
 	ctx, cancel := context.WithTimeout(c.life, userTimeout)
@@ -204,21 +204,21 @@
 	case errors.Is(err, statestore.ErrNotFound):
 		return transport.Response{Status: 404}
 	case err != nil:
-		return later()
+		return retryReply()
 	}
-	over, err := c.pipeOver(ctx, statestore.Routine("poll"), &rec)
+	over, err := c.pipelineTerminal(ctx, statestore.Routine("poll"), &rec)
 	if err != nil {
-		return later()
+		return retryReply()
 	}
 	ends := rec.Ended
 	if limits := c.limits(); rec.InPieces(limits.Bytes(), limits.TxnOps) {
 		more, err := c.missingPipelineEnds(ctx, statestore.Routine("poll"), &rec, nil)
 		if err != nil {
-			return later()
+			return retryReply()
 		}
 		ends = slices.Concat(ends, more)
 	}
-	out := wire.PipelineStatus{Ref: ref, State: c.pipeState(&rec, over)}
+	out := wire.PipelineStatus{Ref: ref, State: c.pipelineState(&rec, over)}
 	for _, j := range rec.Jobs {
 		b := wire.Brief{Ref: j, State: wire.Pending}
 		if over {
@@ -240,7 +240,7 @@
 // nothing more is released, then its jobs. The user is told once all are over; until
 // then any controller that is asked again carries on.
 func (c *Controller) cancelPipeline(ref string) transport.Response {
-	if no := c.refuses(ref, "pipe-"); !no.IsZero() {
+	if no := c.refuseEarly(ref, "pipe-"); !no.IsZero() {
 		return no
 	}
 	ctx, cancel := context.WithTimeout(c.life, userTimeout)
@@ -252,10 +252,10 @@
 			return transport.Response{Status: 404}
 		}
 		if err != nil {
-			return later()
+			return retryReply()
 		}
 		if rec.State == wire.Done {
-			return c.pipelineOver(ctx, ref, &rec)
+			return c.pipelineTerminalReply(ctx, ref, &rec)
 		}
 		if rec.State == "" {
 			rec.State = wire.Cancelled
@@ -270,21 +270,21 @@
 				continue
 			}
 			if err != nil {
-				return later() // perhaps applied: the user's next try finds out
+				return retryReply() // perhaps applied: the user's next try finds out
 			}
 		}
-		if !c.cancelAll(ctx, &rec) {
-			return later()
+		if !c.cancelPipelineJobs(ctx, &rec) {
+			return retryReply()
 		}
-		return c.pipelineOver(ctx, ref, &rec)
+		return c.pipelineTerminalReply(ctx, ref, &rec)
 	}
-	return later()
+	return retryReply()
 }
 
-// cancelAll cancels the open jobs of a withdrawn pipeline, as many at once as a
+// cancelPipelineJobs cancels the open jobs of a withdrawn pipeline, as many at once as a
 // transaction holds. Its own record was written before, so nothing more of it is
 // released.
-func (c *Controller) cancelAll(ctx context.Context, rec *record.Pipeline) bool {
+func (c *Controller) cancelPipelineJobs(ctx context.Context, rec *record.Pipeline) bool {
 	use := statestore.Urgent("cancel")
 	for refs := range slices.Chunk(rec.Jobs, c.limits().TxnOps) {
 		for try := 0; ; try++ {
@@ -329,14 +329,14 @@
 			continue
 		}
 		t.If = append(t.If, wire.Cond{Key: key, Version: e.Version})
-		t.Then = append(t.Then, wire.Op{Put: key, Value: c.cancelled(o)})
+		t.Then = append(t.Then, wire.Op{Put: key, Value: c.cancelledRecord(o)})
 	}
 	return t, nil
 }
 
-// cancelled is an open job's record once it is cancelled. One that the state
+// cancelledRecord is an open job's record once it is cancelled. One that the state
 // service took when its limits were wider goes without what only a start needs.
-func (c *Controller) cancelled(o record.ActiveJob) json.RawMessage {
+func (c *Controller) cancelledRecord(o record.ActiveJob) json.RawMessage {
 	o.Cancelled = true
 	if v := record.Encode(o); len(v) <= c.limits().Bytes() {
 		return v
@@ -345,35 +345,35 @@
 	return record.Encode(o)
 }
 
-// pipelineOver answers with the final state of a pipeline once all its jobs are
+// pipelineTerminalReply answers with the final state of a pipeline once all its jobs are
 // over.
-func (c *Controller) pipelineOver(ctx context.Context, ref string, rec *record.Pipeline) transport.Response {
-	if rec.State == wire.Cancelled && !c.awaitEnd(ctx, rec.Jobs...) {
-		return ending()
+func (c *Controller) pipelineTerminalReply(ctx context.Context, ref string, rec *record.Pipeline) transport.Response {
+	if rec.State == wire.Cancelled && !c.awaitTerminal(ctx, rec.Jobs...) {
+		return notYetTerminal()
 	}
-	switch over, err := c.pipeOver(ctx, statestore.Urgent("cancel"), rec); {
+	switch over, err := c.pipelineTerminal(ctx, statestore.Urgent("cancel"), rec); {
 	case err != nil:
-		return later()
+		return retryReply()
 	case !over:
-		return ending()
+		return notYetTerminal()
 	}
 	return transport.Response{Status: 200, Body: wire.Brief{Ref: ref, State: rec.State}}
 }
 
-// refuses answers at once what asks for a malformed reference, or comes while
+// refuseEarly answers at once what asks for a malformed reference, or comes while
 // the state service can't be asked.
-func (c *Controller) refuses(ref, prefix string) transport.Response {
+func (c *Controller) refuseEarly(ref, prefix string) transport.Response {
 	switch {
-	case !validName(ref, prefix):
+	case !validReference(ref, prefix):
 		return transport.Response{Status: 404}
 	case c.leaseLost():
-		return later()
+		return retryReply()
 	}
 	return transport.Response{}
 }
 
-// validName checks the form of a reference.
-func validName(ref, prefix string) bool {
+// validReference checks the form of a reference.
+func validReference(ref, prefix string) bool {
 	digits, ok := strings.CutPrefix(ref, prefix)
 	if !ok || len(digits) < 6 || len(digits) > 18 {
 		return false
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -101,7 +101,7 @@
 func TestPipelineIsKnownAndWithdrawn(t *testing.T) {
 	state := testkit.NewState()
 	c, other := newTest(t, state), newTest(t, state)
-	if got := c.pollPipeline("pipe-000001"); got.Status != 404 {
+	if got := c.pipelineStatusQuery("pipe-000001"); got.Status != 404 {
 		t.Fatalf("unknown pipeline: %+v", got)
 	}
 	c.submitPipeline(pipeline(t, "pipe-000001", 3, [][2]int{{1, 2}, {2, 3}}, nil))
@@ -110,7 +110,7 @@
 			t.Errorf("job %d: %+v", i, got)
 		}
 	}
-	got := other.pollPipeline("pipe-000001")
+	got := other.pipelineStatusQuery("pipe-000001")
 	if st, ok := got.Body.(wire.PipelineStatus); got.Status != 200 || !ok || st.State != wire.Pending || len(st.Jobs) != 3 {
 		t.Fatalf("poll: %+v", got)
 	}
--- a/internal/controller/safe_mode.go
+++ b/internal/controller/safe_mode.go
@@ -137,7 +137,7 @@
 	c.shardRecords = map[int]versioned[record.Shard]{}
 	c.fleet = record.NewFleet()
 	for ref := range c.activeJobs {
-		c.closeOpen(ref)
+		c.removeActiveJob(ref)
 	}
 	c.viewRevisions = map[string]uint64{}
 	c.viewAt, c.jobsAt, c.fleetAt = time.Time{}, time.Time{}, time.Time{}
--- a/internal/controller/saturated_test.go
+++ b/internal/controller/saturated_test.go
@@ -88,7 +88,7 @@
 				other := &passedOn{}
 				c.peers = map[string]peer.Caller{"c-1": other}
 				c.peerHealth.called("c-1", nil, true)
-				if r := c.serveUser(httpwire.Request{Method: x.method, Path: x.path}); r.Status == 200 {
+				if r := c.serveUserRequest(httpwire.Request{Method: x.method, Path: x.path}); r.Status == 200 {
 					t.Errorf("got %+v", r)
 				}
 				if got := other.n.Load(); got != x.want {
--- a/internal/controller/polls.go
+++ b/internal/controller/status_queries.go
@@ -10,15 +10,15 @@
 	"bramblespur/internal/wire"
 )
 
-// state reads a job's state. Of one that is not open here it reads the final record
+// jobState reads a job's state. Of one that is not open here it reads the final record
 // first: most that are asked for are over, and one request must do for them. Two
 // would take longer than a user waits while the budget is used up, and then every
 // poll that is refused would come again. Else the open record comes first, since a
 // job that has none any more is in the other by then.
-func (c *Controller) state(ctx context.Context, u statestore.Use, ref string) (string, error) {
+func (c *Controller) jobState(ctx context.Context, u statestore.Use, ref string) (string, error) {
 	known := c.knownOpen(ref)
 	if known.version == 0 {
-		if state, err := c.finalState(ctx, u, ref); !errors.Is(err, statestore.ErrNotFound) {
+		if state, err := c.terminalState(ctx, u, ref); !errors.Is(err, statestore.ErrNotFound) {
 			return state, err
 		}
 		u = statestore.Urgent(u.For) // a reading that has begun goes on
@@ -31,47 +31,47 @@
 	if !errors.Is(err, statestore.ErrNotFound) {
 		return "", err
 	}
-	state, err := c.finalState(ctx, statestore.Urgent(u.For), ref)
+	state, err := c.terminalState(ctx, statestore.Urgent(u.For), ref)
 	if errors.Is(err, statestore.ErrNotFound) {
 		err = c.believeUnknown(ref, known)
 	}
 	return state, err
 }
 
-// finalState reads the state of a job that is over.
-func (c *Controller) finalState(ctx context.Context, u statestore.Use, ref string) (string, error) {
-	j, err := c.readFinal(ctx, u, ref)
+// terminalState reads the state of a job that is over.
+func (c *Controller) terminalState(ctx context.Context, u statestore.Use, ref string) (string, error) {
+	j, err := c.readTerminal(ctx, u, ref)
 	return j.State, err
 }
 
-func finalStatus(ref string, j record.FinishedJob) wire.Status {
+func terminalStatus(ref string, j record.FinishedJob) wire.Status {
 	return wire.Status{Ref: ref, State: j.State, Done: j.Tasks}
 }
 
 // statusQuery answers a user's question for a job's state, which is never older than what any
 // controller has told a user before the question came.
 func (c *Controller) statusQuery(ref string) transport.Response {
-	if !validRef(ref) {
+	if !validJobReference(ref) {
 		return transport.Response{Status: 404}
 	}
-	if j, ok := c.finals.get(ref); ok {
-		return transport.Response{Status: 200, Body: finalStatus(ref, j)}
+	if j, ok := c.terminalStates.Get(ref); ok {
+		return transport.Response{Status: 200, Body: terminalStatus(ref, j)}
 	}
 	if c.leaseLost() {
-		return later()
+		return retryReply()
 	}
 	ctx, cancel := context.WithTimeout(c.life, userTimeout)
 	defer cancel()
-	if !c.confirmed(ctx, ref) {
-		state, err := c.state(ctx, statestore.Routine("poll"), ref)
+	if !c.confirmActive(ctx, ref) {
+		state, err := c.jobState(ctx, statestore.Routine("poll"), ref)
 		switch {
 		case errors.Is(err, statestore.ErrNotFound):
 			return transport.Response{Status: 404}
 		case err != nil:
-			return later()
+			return retryReply()
 		}
-		if j, ok := c.finals.get(ref); ok {
-			return transport.Response{Status: 200, Body: finalStatus(ref, j)}
+		if j, ok := c.terminalStates.Get(ref); ok {
+			return transport.Response{Status: 200, Body: terminalStatus(ref, j)}
 		}
 		if state != wire.Pending {
 			return transport.Response{Status: 200, Body: wire.Status{Ref: ref, State: state}}
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -14,8 +14,8 @@
 	"bramblespur/internal/wire"
 )
 
-// validRef checks the form of a job id.
-func validRef(ref string) bool { return validName(ref, "run-") }
+// validJobReference checks the form of a job id.
+func validJobReference(ref string) bool { return validReference(ref, "run-") }
 
 // maxTasks is the protocol's bound of a job's tasks.
 const maxTasks = 100000
@@ -47,13 +47,13 @@
 
 // validSpec checks the values of a specification's fields.
 func validSpec(spec *wire.Spec) bool {
-	return validRef(spec.Ref) && spec.Class != "" && spec.Team != "" && spec.Image != "" &&
+	return validJobReference(spec.Ref) && spec.Class != "" && spec.Team != "" && spec.Image != "" &&
 		slices.Contains([]string{wire.Array, wire.Gang, wire.Service}, spec.Kind) &&
 		slices.Contains([]string{"prod", "urgent", "normal", "low"}, spec.Priority) &&
 		spec.Tasks >= 1 && spec.Tasks <= maxTasks &&
 		isAmount(spec.CPUs) && isAmount(spec.GPUs) && isAmount(spec.MemoryGB) && isAmount(spec.ImageGB) &&
 		isAmount(spec.EstimateS) && isAmount(spec.CheckpointS) && isAmount(spec.SaveS) && (spec.DeadlineS == nil || isAmount(*spec.DeadlineS)) &&
-		!slices.ContainsFunc(spec.DependsOn, func(r string) bool { return !validRef(r) })
+		!slices.ContainsFunc(spec.DependsOn, func(r string) bool { return !validJobReference(r) })
 }
 
 // canRun reports whether a job could ever run here.
@@ -84,9 +84,9 @@
 	return false
 }
 
-// decides returns the machine types if a submission can be decided on: they are
+// submissionTypes returns the machine types if a submission can be decided on: they are
 // known, and the state service can be asked.
-func (c *Controller) decides() ([]wire.MachineType, bool) {
+func (c *Controller) submissionTypes() ([]wire.MachineType, bool) {
 	c.mu.Lock()
 	types := c.machineTypes
 	c.mu.Unlock()
@@ -100,16 +100,16 @@
 	if !ok {
 		return transport.Response{Status: 400}
 	}
-	if j, ok := c.finals.get(spec.Ref); ok {
+	if j, ok := c.terminalStates.Get(spec.Ref); ok {
 		return transport.Response{Status: 200, Body: wire.Brief{Ref: spec.Ref, State: j.State}}
 	}
-	types, ok := c.decides()
+	types, ok := c.submissionTypes()
 	if !ok {
-		return later()
+		return retryReply()
 	}
 	ctx, cancel := context.WithTimeout(c.life, userTimeout)
 	defer cancel()
-	if c.isOpen(spec.Ref) {
+	if c.isActive(spec.Ref) {
 		// Accepted before: reading tells so without a change, of which the state
 		// service also counts those that fail.
 		if r := c.acceptedReply(ctx, spec.Ref); r.Status != 404 {
@@ -144,11 +144,11 @@
 	default:
 		c.log.Debug("submission", "ref", spec.Ref, "err", err)
 	}
-	return later()
+	return retryReply()
 }
 
-// isOpen reports whether the watch has told of an unfinished job.
-func (c *Controller) isOpen(ref string) bool {
+// isActive reports whether the watch has told of an unfinished job.
+func (c *Controller) isActive(ref string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, open := c.activeJobs[ref]
@@ -167,12 +167,12 @@
 
 // acceptedReply answers with the state of an accepted job, with 404 if there is none.
 func (c *Controller) acceptedReply(ctx context.Context, ref string) transport.Response {
-	state, err := c.state(ctx, statestore.Urgent("accept"), ref)
+	state, err := c.jobState(ctx, statestore.Urgent("accept"), ref)
 	switch {
 	case errors.Is(err, statestore.ErrNotFound):
 		return transport.Response{Status: 404}
 	case err != nil:
-		return later()
+		return retryReply()
 	}
 	return transport.Response{Status: 200, Body: wire.Brief{Ref: ref, State: state}}
 }
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -15,20 +15,20 @@
 const (
 	// userTimeout bounds the work on one user request: a user waits 2 s for a
 	// poll, and what can't be taken is to be said soon.
-	userTimeout   = 1500 * time.Millisecond
-	pollWait      = 2 * time.Second // a user's for the answer to a poll
-	requestWait   = 5 * time.Second // and to a submission or a cancellation
-	statusTimeout = 400 * time.Millisecond
+	userTimeout     = 1500 * time.Millisecond
+	statusQueryWait = 2 * time.Second // a user's for the answer to a poll
+	requestWait     = 5 * time.Second // and to a submission or a cancellation
+	statusTimeout   = 400 * time.Millisecond
 )
 
-// serveUser answers a user's request. One that can't be served for want of the
+// serveUserRequest answers a user's request. One that can't be served for want of the
 // state service, or of this controller's part of its limits, is passed on to a
 // controller that reaches it, if its answer can still come in time: else it would
 // cost that controller's part as well, for nobody.
-func (c *Controller) serveUser(req httpwire.Request) transport.Response {
+func (c *Controller) serveUserRequest(req httpwire.Request) transport.Response {
 	begun, wait := time.Now(), requestWait
 	if req.Method == "GET" {
-		wait = pollWait
+		wait = statusQueryWait
 	}
 	work, no := c.route(req)
 	if !no.IsZero() {
@@ -38,14 +38,14 @@
 		return work()
 	}
 	if c.leaseOverdue() {
-		if r, ok := c.passOn(req); ok {
+		if r, ok := c.forward(req); ok {
 			return r
 		}
 		return work()
 	}
 	r := work()
 	if r.Status == 503 && !r.Authoritative && time.Since(begun)+userTimeout <= wait {
-		if other, ok := c.passOn(req); ok {
+		if other, ok := c.forward(req); ok {
 			return other
 		}
 	}
@@ -54,8 +54,8 @@
 
 // resource is what users submit, poll and cancel under a path.
 type resource struct {
-	submit       func(body []byte) transport.Response
-	poll, cancel func(ref string) transport.Response
+	submit         func(body []byte) transport.Response
+	status, cancel func(ref string) transport.Response
 }
 
 // route finds the work that a request asks for, or the answer to one that asks
@@ -63,7 +63,7 @@
 func (c *Controller) route(req httpwire.Request) (work func() transport.Response, no transport.Response) {
 	for path, r := range map[string]resource{
 		wire.JobsPath:      {c.submit, c.statusQuery, c.cancel},
-		wire.PipelinesPath: {c.submitPipeline, c.pollPipeline, c.cancelPipeline},
+		wire.PipelinesPath: {c.submitPipeline, c.pipelineStatusQuery, c.cancelPipeline},
 	} {
 		if req.Path == path {
 			if req.Method != "POST" {
@@ -82,7 +82,7 @@
 		case sub && req.Method == "POST":
 			return func() transport.Response { return r.cancel(ref) }, transport.Response{}
 		case !sub && req.Method == "GET":
-			return func() transport.Response { return r.poll(ref) }, transport.Response{}
+			return func() transport.Response { return r.status(ref) }, transport.Response{}
 		default:
 			return nil, transport.Response{Status: 405}
 		}
@@ -96,9 +96,9 @@
 	return c.lease.current().overdue(time.Now())
 }
 
-// passOn lets another controller that lately reached the state service serve a
+// forward lets another controller that lately reached the state service serve a
 // request. It reports false when there is none or it can't either.
-func (c *Controller) passOn(req httpwire.Request) (transport.Response, bool) {
+func (c *Controller) forward(req httpwire.Request) (transport.Response, bool) {
 	c.mu.Lock()
 	now := time.Now()
 	var best peer.Caller
@@ -141,7 +141,7 @@
 	return out
 }
 
-func later() transport.Response {
+func retryReply() transport.Response {
 	return transport.Response{Status: 503, RetryAfter: transport.RetryAfter}
 }
 
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -296,7 +296,7 @@
 	for ref, j := range c.activeJobs {
 		if !keep[ref] && j.version <= rev {
 			missing[record.ActiveJobKey(ref)] = j.version
-			c.closeOpen(ref)
+			c.removeActiveJob(ref)
 		}
 	}
 	c.mu.Unlock()
@@ -319,14 +319,14 @@
 		return // older, or known: what was written here comes once more with the watch
 	}
 	if e.Put == "" {
-		c.closeOpen(ref) // the owner ends jobs itself, but those that only waited
+		c.removeActiveJob(ref) // the owner ends jobs itself, but those that only waited
 		for _, shard := range c.shards {
 			if shard.HasJob(ref) {
 				shard.JobGone(ref, now)
 				c.step(shard, now)
 			}
 		}
-		if len(c.needs.After(ref)) > 0 {
+		if len(c.dependencies.After(ref)) > 0 {
 			c.lookUpDependencies(c.life, now)
 		}
 		return
@@ -337,12 +337,12 @@
 		return
 	}
 	c.activeJobs[ref] = activeJob{version: e.Version, part: o.Shard, cancelled: o.Cancelled, service: o.Spec.Kind == wire.Service}
-	changed := c.needs.Set(ref, step(&o))
+	changed := c.dependencies.Set(ref, dependencyStep(&o))
 	shard := c.shards[o.Shard]
 	if shard != nil {
 		shard.SetJob(ref, o, e.Version, now)
 	}
-	c.inherit(changed)
+	c.passDemandOn(changed)
 	if shard != nil {
 		if len(o.Spec.DependsOn) > 0 {
 			c.lookUpDependencies(c.life, now)
