--- a/internal/controller/claim.go
+++ b/internal/controller/claim.go
@@ -63,7 +63,7 @@
 			if !known && now.Sub(c.lease.current().renewedAt) < leaseTTL && c.mayBeFirstStart(home, now) {
 				continue // it is probably about to start
 			}
-			mine = fleet.Claimant(c.liveMembers(), owners, home) == c.cfg.Label
+			mine = fleet.ChooseOwner(c.liveMembers(), owners, home) == c.cfg.Label
 		}
 		if mine {
 			c.acquire(ctx, id)
--- a/internal/controller/cloud_list.go
+++ b/internal/controller/cloud_reconciliation.go
@@ -13,14 +13,14 @@
 	"bramblespur/internal/wire"
 )
 
-// remember notes which machines are ours, so that the cloud's list, which lags,
+// trackKnownMachines notes which machines are ours, so that the cloud's list, which lags,
 // does not make strangers of those that are gone. The lock is held.
-func (c *Controller) remember(l *leadership, now time.Time) {
-	c.fleet.Each(func(id string, _ record.View) { l.known[id] = now })
-	for id, at := range l.known {
+func (c *Controller) trackKnownMachines(l *leadership, now time.Time) {
+	c.fleet.Each(func(id string, _ record.View) { l.recentMachines[id] = now })
+	for id, at := range l.recentMachines {
 		if now.Sub(at) > time.Duration(knownLags)*config.Seconds(c.cfg.Params.Cloud.ListLagS) {
-			delete(l.known, id)
-			delete(l.addrs, id)
+			delete(l.recentMachines, id)
+			delete(l.addresses, id)
 		}
 	}
 }
@@ -79,15 +79,15 @@
 	unknown := map[string]int{}
 	for _, m := range list {
 		_, ours := c.fleet.Machine(m.ID)
-		_, lately := l.known[m.ID]
+		_, lately := l.recentMachines[m.ID]
 		if ours || lately {
-			delete(l.strange, m.ID)
+			delete(l.unrecognized, m.ID)
 		} else {
-			l.strange[m.ID]++
+			l.unrecognized[m.ID]++
 		}
-		f := reconcile.Machine(reconcile.MachineEvidence{Recorded: ours, Lately: lately, Listed: l.strange[m.ID], Renting: len(l.rentals) > 0})
-		if f.Action == reconcile.GiveBack && len(unknown) < maxReturn {
-			unknown[m.ID] = l.strange[m.ID]
+		f := reconcile.Machine(reconcile.MachineEvidence{Recorded: ours, Lately: lately, Listed: l.unrecognized[m.ID], Renting: len(l.provisions) > 0})
+		if f.Action == reconcile.GiveBack && len(unknown) < protocolMaxRelease {
+			unknown[m.ID] = l.unrecognized[m.ID]
 		}
 	}
 	return unknown
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -67,50 +67,50 @@
 	peerHealth        *peerHealth
 
 	// mu guards all that follows. It is never held across input or output.
-	mu                sync.Mutex
-	schedulerConfig   *scheduler.Config // nil until the machine types are known
-	machineTypes      []wire.MachineType
-	shards            map[int]*scheduler.Shard
-	acquiring         map[int]bool
-	shardRecords      map[int]versioned[record.Shard]
-	fleet             *record.Fleet
-	activeJobs        map[string]activeJob     // unfinished jobs as the watch tells them
-	dependencies      *fragment.Needs          // how unfinished jobs need each other
-	dependencyReads   map[string]time.Time     // when final records are read again, or for the first time
-	endWaiters        map[string]chan struct{} // by job; closed when it is not open any more
-	members           map[string]record.Member
-	leader            versioned[record.Leader]
-	machineTypesKnown bool
-	viewAt            time.Time                // the cluster view was true at this time or later
-	formats           map[string]record.Format // by controller, what it writes and reads
-	jobsAt            time.Time                // so was the view of open jobs
-	fleetAt           time.Time                // and that of the machines
-	viewRevisions     map[string]uint64        // of the views, by prefix
-	redirects         workerRedirects
-	peerLoads         map[string]peerLoad // what peers last told the leader
-	lastHeartbeatAt   time.Time           // of any worker, to this controller itself
-	leadership        *leadership
-	selfPlan          *selfPlanning // nil while the leader reaches this controller
-	rentalsRequested  int           // numbers the rentals that it requests, never used again under one token
-	syncedAt          time.Time     // when the leader last asked
-	quietUntil        time.Time     // not to lead before
-	consideringSince  time.Time
-	startedAt         time.Time               // when this process began
-	searches          map[string]workerSearch // by machine, while this controller has lost the state service
-	status            memberStatus            // as the member record says
-	memberPut         time.Time               // when that was last written
-	renewals          renewals
-	drains            drains
-	restarts          restarts
-	safeMode          safeMode
-	held              map[string]*held
-	budgetAt          time.Time // when the leader last gave a budget
-	readiness         readiness
-	commands          chan struct{} // direct commands under way, each on a socket of its own
-	pressure          pressure
-	users             int // their requests being served
-	polls             int // those of them that only ask
-	rejections        *rejectlog.Log
+	mu                  sync.Mutex
+	schedulerConfig     *scheduler.Config // nil until the machine types are known
+	machineTypes        []wire.MachineType
+	shards              map[int]*scheduler.Shard
+	acquiring           map[int]bool
+	shardRecords        map[int]versioned[record.Shard]
+	fleet               *record.Fleet
+	activeJobs          map[string]activeJob     // unfinished jobs as the watch tells them
+	dependencies        *fragment.Needs          // how unfinished jobs need each other
+	dependencyReads     map[string]time.Time     // when final records are read again, or for the first time
+	endWaiters          map[string]chan struct{} // by job; closed when it is not open any more
+	members             map[string]record.Member
+	leader              versioned[record.Leader]
+	machineTypesKnown   bool
+	viewAt              time.Time                // the cluster view was true at this time or later
+	formats             map[string]record.Format // by controller, what it writes and reads
+	jobsAt              time.Time                // so was the view of open jobs
+	fleetAt             time.Time                // and that of the machines
+	viewRevisions       map[string]uint64        // of the views, by prefix
+	redirects           workerRedirects
+	peerLoads           map[string]peerLoad // what peers last told the leader
+	lastHeartbeatAt     time.Time           // of any worker, to this controller itself
+	leadership          *leadership
+	standalone          *standalonePlanner // nil while the leader reaches this controller
+	provisionsRequested int                // numbers the rentals that it requests, never used again under one token
+	leaderAskedAt       time.Time          // when the leader last asked
+	quietUntil          time.Time          // not to lead before
+	consideringSince    time.Time
+	startedAt           time.Time               // when this process began
+	searches            map[string]workerSearch // by machine, while this controller has lost the state service
+	status              memberStatus            // as the member record says
+	memberPut           time.Time               // when that was last written
+	renewals            renewals
+	drains              drains
+	restarts            restarts
+	safeMode            safeMode
+	held                map[string]*held
+	grantedAt           time.Time // when the leader last gave a budget
+	readiness           readiness
+	commands            chan struct{} // direct commands under way, each on a socket of its own
+	pressure            pressure
+	users               int // their requests being served
+	polls               int // those of them that only ask
+	rejections          *rejectlog.Log
 }
 
 // activeJob is what polls need to know of an unfinished job.
@@ -172,8 +172,8 @@
 	go c.watchLoop(ctx, record.ActiveJobPrefix, c.resetOpen, c.changeOpen)
 	go c.machineTypesLoop(ctx)
 	go c.tickLoop(ctx)
-	go c.leaderLoop(ctx)
-	go c.countLoop(ctx)
+	go c.runLeaderDuties(ctx)
+	go c.logUsageLoop(ctx)
 	if c.drains.settings != nil {
 		go c.drainLoop(ctx)
 	}
@@ -190,7 +190,7 @@
 		c.teams = append(c.teams, t.Name)
 	}
 	sort.Strings(c.teams)
-	c.syncedAt = time.Now()
+	c.leaderAskedAt = time.Now()
 	c.peers = map[string]peer.Caller{}
 	c.shards = map[int]*scheduler.Shard{}
 	c.acquiring = map[int]bool{}
@@ -202,7 +202,7 @@
 	c.dependencies = fragment.NewNeeds()
 	c.dependencyReads = map[string]time.Time{}
 	c.commands = make(chan struct{}, max(1, c.cfg.Params.Resources.MaxSockets/commandSockets))
-	c.startedAt = c.syncedAt
+	c.startedAt = c.leaderAskedAt
 	c.searches = map[string]workerSearch{}
 	c.members = map[string]record.Member{}
 	c.formats = map[string]record.Format{}
@@ -304,7 +304,7 @@
 			c.lookUpDependencies(ctx, now)
 			c.considerAcquisitions(ctx, now)
 		}
-		c.checkBudget(now)
+		c.expireGrant(now)
 		c.redirects.expire(now)
 		if !c.blind(now) {
 			clear(c.searches)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -110,10 +110,10 @@
 	}
 	now := time.Now()
 	c.planWithoutLeader(ctx, now)
-	if c.selfPlan != nil {
+	if c.standalone != nil {
 		t.Fatal("plans for itself though the leader asked a moment ago")
 	}
-	c.syncedAt = now.Add(-time.Minute)
+	c.leaderAskedAt = now.Add(-time.Minute)
 	c.planWithoutLeader(ctx, now)
 	c.planWithoutLeader(ctx, now)
 	var name string
@@ -132,9 +132,9 @@
 	if name == "" {
 		t.Fatal("no rental recorded")
 	}
-	l := &leadership{plan: fleet.NewLeader(leader.fleetConfig()), rentals: map[string]record.Provision{}}
+	l := &leadership{plan: fleet.NewPlanner(leader.fleetConfig()), provisions: map[string]record.Provision{}}
 	r := leader.fleet.Unfinished()[name]
-	leader.finishRental(ctx, l, name, r.Rec, r.Version)
+	leader.finishProvision(ctx, l, name, r.Rec, r.Version)
 	if len(cl.Rentals[name]) == 0 {
 		t.Fatalf("rentals %v, want %s", cl.Rentals, name)
 	}
@@ -142,7 +142,7 @@
 		t.Fatalf("machine %+v, want it in the owner's part", v)
 	}
 	leader.mu.Lock()
-	leader.adoptRentals(ctx, l)
+	leader.adoptProvisions(ctx, l)
 	leader.mu.Unlock()
 	if len(cl.Rentals) != 1 {
 		t.Fatalf("rentals %v, want one only", cl.Rentals)
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -303,7 +303,7 @@
 			t.Errorf("%s takes %d bytes", name, n)
 		}
 	}
-	n := c.maxRental()
+	n := c.maxProvision()
 	if n < 30 {
 		t.Errorf("only %d machines a rental", n)
 	}
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -80,13 +80,13 @@
 	}()
 }
 
-// owners looks at who owns what: parts of deaf owners are to be claimed by
+// reassignShards looks at who owns what: parts of deaf owners are to be claimed by
 // somebody who hears, those of overloaded ones by somebody who keeps up, and parts
 // away from a stable home go back. An owner that only
 // the leader can't reach keeps its parts: between two zones cut off from each
 // other there is nothing to gain. It also tells whether this leader is the one
 // that is cut off.
-func (c *Controller) owners(ctx context.Context, now time.Time) (claims, hand map[string][]int, alone bool) {
+func (c *Controller) reassignShards(ctx context.Context, now time.Time) (claims, hand map[string][]int, alone bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	claims, hand = map[string][]int{}, map[string][]int{}
@@ -111,7 +111,7 @@
 		to := ""
 		switch {
 		case lives && m.Isolated && owner != c.cfg.Label:
-			to = fleet.Claimant(reach, owners, "")
+			to = fleet.ChooseOwner(reach, owners, "")
 		case relief.to != "" && relief.part == id:
 			to = relief.to
 		}
--- a/internal/controller/lead.go
+++ b/internal/controller/leader.go
@@ -18,52 +18,52 @@
 
 // Defaults of the leader's choices.
 const (
-	balanceEvery = 30 * time.Second // DESIGN's starting value
-	moveAfter    = 0 * time.Second  // work that fits nowhere gets a free machine at once
-	takeAfter    = 3 * time.Second  // or one with lower work after this
-	refusedPause = 8 * time.Second
+	balanceInterval       = 30 * time.Second // DESIGN's starting value
+	moveAfter             = 0 * time.Second  // work that fits nowhere gets a free machine at once
+	preemptForDemandAfter = 3 * time.Second  // or one with lower work after this
+	refusalPause          = 8 * time.Second
 	// reluctantTurns is how many turns without a leader a controller that does not
 	// keep up leaves to others.
 	reluctantTurns = 4
 	// The leader rents and gives back; the others only ask for the machine
 	// types when they start: their parts of the cloud's calls.
-	leaderShare   = 0.95
-	followerShare = 0.05
-	rentalsAtOnce = 3
-	listCalls     = 0.1 // of the cloud's calls may read its list
-	returnCalls   = 3.0 // while machines are rented, every third call returns some
-	returnTimeout = 15 * time.Second
-	clearEvery    = 5 * time.Second // records of machines long gone are cleared;
-	clearOps      = 16              // more often where a transaction holds less
+	leaderShare          = 0.95
+	followerShare        = 0.05
+	concurrentProvisions = 3
+	listCallShare        = 0.1 // of the cloud's calls may read its list
+	releasePauseCalls    = 3.0 // while machines are rented, every third call returns some
+	releaseTimeout       = 15 * time.Second
+	clearInterval        = 5 * time.Second // records of machines long gone are cleared;
+	clearOpsPerInterval  = 16              // more often where a transaction holds less
 )
 
 // leadership is what a leader holds.
 type leadership struct {
-	plan     *fleet.Leader
-	rentals  map[string]record.Provision // under way
-	strange  map[string]int              // listed, but unknown to us, so many times
-	known    map[string]time.Time        // machines known at this time
-	started  time.Time
-	seq      int
-	nextList time.Time
-	clearing time.Time
-	clears   bool // records are being cleared
-	// addressing are the rentals whose addresses are being recorded.
-	addressing map[string]bool
-	backs      map[string]bool // batches being given back
-	grants     budgets
-	orders     *pace.Shares     // of the orders to workers; nil until they are shared out
-	pool       *statestore.Pool // changes that it lends
-	synced     time.Time
-	planned    time.Time
-	addrs      map[string]string // of machines, as their owners tell
-	returned   time.Time         // when machines were last given back
-	relief     rebalance
+	plan           *fleet.Planner
+	provisions     map[string]record.Provision // under way
+	unrecognized   map[string]int              // listed, but unknown to us, so many times
+	recentMachines map[string]time.Time        // machines known at this time
+	started        time.Time
+	seq            int
+	nextListAt     time.Time
+	nextClearAt    time.Time
+	clearRunning   bool // records are being cleared
+	// recordingAddresses are the rentals whose addresses are being recorded.
+	recordingAddresses map[string]bool
+	releasing          map[string]bool // batches being given back
+	grants             quotaGrants
+	orderLimits        *pace.Shares     // of the orders to workers; nil until they are shared out
+	lender             *statestore.Pool // changes that it lends
+	lastSyncAt         time.Time
+	lastPlanAt         time.Time
+	addresses          map[string]string // of machines, as their owners tell
+	lastReleaseAt      time.Time         // when machines were last given back
+	lastRebalance      shardRebalance
 }
 
-// leaderLoop leads when this controller is the leader, and otherwise stands for
+// runLeaderDuties leads when this controller is the leader, and otherwise stands for
 // it when there is none.
-func (c *Controller) leaderLoop(ctx context.Context) {
+func (c *Controller) runLeaderDuties(ctx context.Context) {
 	leaderless := 0 // turns
 	for sleep(ctx, syncEvery) {
 		now := time.Now()
@@ -103,11 +103,11 @@
 
 // syncPeers asks every other controller for its parts and for what it needs of
 // the state service, handing over claims, hand-overs and budgets by label.
-func (c *Controller) syncPeers(claims, hand map[string][]int, grants budgets) ([]fleet.Summary, map[string]need) {
+func (c *Controller) syncPeers(claims, hand map[string][]int, grants quotaGrants) ([]fleet.Summary, map[string]quotaDemand) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var sums []fleet.Summary
-	needs := map[string]need{}
+	needs := map[string]quotaDemand{}
 	for label, p := range c.peers {
 		wg.Go(func() {
 			var r peer.SyncReply
@@ -118,7 +118,7 @@
 			c.peerHealth.called(label, err, r.StateOK)
 			if err == nil {
 				c.mu.Lock()
-				c.tellLoad(label, &r)
+				c.recordPeerLoad(label, &r)
 				c.mu.Unlock()
 			}
 			if err != nil {
@@ -127,7 +127,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			sums = append(sums, r.Summaries...)
-			needs[label] = need{fleet.Use{Requests: r.Requests, Changes: r.Changes}, r.OrdersWaiting}
+			needs[label] = quotaDemand{fleet.Usage{Requests: r.Requests, Changes: r.Changes}, r.OrdersWaiting}
 		})
 	}
 	wg.Wait()
@@ -153,8 +153,8 @@
 	for _, id := range a.HandHome {
 		c.transferBack(ctx, id)
 	}
-	c.syncedAt = now
-	c.setBudget(a.Requests, a.Changes, now)
+	c.leaderAskedAt = now
+	c.applyGrant(a.Requests, a.Changes, now)
 	c.setOrderShare(a.OrderRate, now)
 	load := c.ownLoad(now)
 	r := peer.SyncReply{Summaries: c.summaries(now), StateOK: c.sure(now),
@@ -180,8 +180,8 @@
 // fleetConfig is what the choices of rentals, moves and returns depend on.
 func (c *Controller) fleetConfig() fleet.Config {
 	return fleet.Config{
-		Types: c.machineTypes, Zones: c.cfg.Params.Zones, Interval: balanceEvery, MoveAfter: moveAfter, TakeAfter: takeAfter,
-		Idle: func(t wire.MachineType, spot bool) time.Duration {
+		Types: c.machineTypes, Zones: c.cfg.Params.Zones, BalanceInterval: balanceInterval, MoveAfter: moveAfter, PreemptAfter: preemptForDemandAfter,
+		IdleTimeout: func(t wire.MachineType, spot bool) time.Duration {
 			m := policy.Machine{Type: t.Name, Spot: spot, Price: t.Price, BootS: t.BootS}
 			if spot {
 				m.Price = t.SpotPrice
@@ -191,8 +191,8 @@
 		Headroom: func(arriving float64, boot time.Duration, spot bool) float64 {
 			return c.policy.Headroom(policy.Arrivals{Arriving: arriving, BootS: boot.Seconds(), Spot: spot})
 		},
-		Refused:   refusedPause,
-		MaxRental: c.maxRental(),
+		RefusalPause: refusalPause,
+		MaxProvision: c.maxProvision(),
 	}
 }
 
@@ -201,7 +201,7 @@
 func (c *Controller) leaderTurn(ctx context.Context) {
 	now := time.Now()
 	l := c.ensureLeadership(now)
-	claims, hand, alone := c.owners(ctx, now)
+	claims, hand, alone := c.reassignShards(ctx, now)
 	if alone {
 		c.stepDown(ctx)
 		return
@@ -210,25 +210,25 @@
 
 	c.mu.Lock()
 	now = time.Now()
-	c.shareBudget(l, needs, now)
-	if c.pressure.behind && now.Sub(l.planned) < planBehind {
+	c.grantQuotas(l, needs, now)
+	if c.pressure.behind && now.Sub(l.lastPlanAt) < planBehind {
 		c.mu.Unlock()
 		return
 	}
-	l.planned = now
+	l.lastPlanAt = now
 	orders := c.planFleet(ctx, l, append(sums, c.summaries(now)...), now)
-	busy := len(l.rentals) > 0
+	busy := len(l.provisions) > 0
 	c.mu.Unlock()
 
 	c.sendOrders(orders)
 	// While machines are to be rented, returns leave most of the cloud's calls to
 	// that: each takes more machines the longer it waits.
-	if pause := config.Seconds(returnCalls / c.cfg.Params.Cloud.RPS); !busy || now.Sub(l.returned) >= pause {
-		c.returns(ctx, l, now)
+	if pause := config.Seconds(releasePauseCalls / c.cfg.Params.Cloud.RPS); !busy || now.Sub(l.lastReleaseAt) >= pause {
+		c.releaseMachines(ctx, l, now)
 	}
-	c.clear(ctx, l, now)
-	if now.After(l.nextList) {
-		l.nextList = now.Add(c.listInterval())
+	c.clearOldRecords(ctx, l, now)
+	if now.After(l.nextListAt) {
+		l.nextListAt = now.Add(c.listInterval())
 		go c.compareCloudList(ctx, l)
 	}
 }
@@ -240,7 +240,7 @@
 	pages := 1 + c.fleet.Len()/cloud.ListPage
 	c.mu.Unlock()
 	byLag := listFactor * c.cfg.Params.Cloud.ListLagS
-	byCalls := float64(pages) / (listCalls * c.cfg.Params.Cloud.RPS)
+	byCalls := float64(pages) / (listCallShare * c.cfg.Params.Cloud.RPS)
 	return config.Seconds(max(byLag, byCalls))
 }
 
@@ -251,40 +251,40 @@
 	defer c.mu.Unlock()
 	if c.leadership == nil {
 		c.leadership = &leadership{
-			plan:    fleet.NewLeader(c.fleetConfig()),
-			rentals: map[string]record.Provision{}, strange: map[string]int{}, known: map[string]time.Time{}, started: now,
-			backs: map[string]bool{}, addrs: map[string]string{}, addressing: map[string]bool{},
-			pool: statestore.NewPool(),
+			plan:       fleet.NewPlanner(c.fleetConfig()),
+			provisions: map[string]record.Provision{}, unrecognized: map[string]int{}, recentMachines: map[string]time.Time{}, started: now,
+			releasing: map[string]bool{}, addresses: map[string]string{}, recordingAddresses: map[string]bool{},
+			lender: statestore.NewPool(),
 		}
 	}
 	return c.leadership
 }
 
-// shareBudget shares out what all controllers may use of the state service, by what each
+// grantQuotas shares out what all controllers may use of the state service, by what each
 // needed since the last turn. The lock is held.
-func (c *Controller) shareBudget(l *leadership, needs map[string]need, now time.Time) {
+func (c *Controller) grantQuotas(l *leadership, needs map[string]quotaDemand, now time.Time) {
 	turn := syncEvery
-	if !l.synced.IsZero() {
-		turn = max(turn, now.Sub(l.synced))
+	if !l.lastSyncAt.IsZero() {
+		turn = max(turn, now.Sub(l.lastSyncAt))
 	}
-	l.synced = now
-	own := need{ordersWaiting: c.ordersWaiting()}
+	l.lastSyncAt = now
+	own := quotaDemand{ordersWaiting: c.ordersWaiting()}
 	own.Requests, own.Changes = c.store.Needed()
 	needs[c.cfg.Label] = own
 	c.setOrderShare(l.grants.orders[c.cfg.Label], now) // as the others were told in this turn
-	l.grants = c.share(needs, turn)
-	c.setBudget(l.grants.requests[c.cfg.Label], l.grants.changes[c.cfg.Label], now)
+	l.grants = c.computeGrants(needs, turn)
+	c.applyGrant(l.grants.requests[c.cfg.Label], l.grants.changes[c.cfg.Label], now)
 }
 
 // planFleet plans with the summaries of all parts, carries out what concerns the parts
 // held here, begins rentals, and returns the orders for others, by owner. The lock is held.
 func (c *Controller) planFleet(ctx context.Context, l *leadership, sums []fleet.Summary, now time.Time) map[string][]fleet.Order {
-	c.adoptRentals(ctx, l)
-	c.remember(l, now)
-	c.address(ctx, l, sums)
-	c.complete(sums, l.rentals)
+	c.adoptProvisions(ctx, l)
+	c.trackKnownMachines(l, now)
+	c.recordAddresses(ctx, l, sums)
+	c.addPendingMachines(sums, l.provisions)
 	orders, rents := l.plan.Plan(sums, now)
-	c.logPlan(sums, orders, rents, len(l.rentals))
+	c.logPlan(sums, orders, rents, len(l.provisions))
 	byOwner := map[string][]fleet.Order{}
 	for _, o := range orders {
 		if shard := c.shards[o.Part]; shard != nil {
@@ -297,16 +297,16 @@
 	}
 	// A queue of requests would go stale before the cloud's few calls got to
 	// it: what is not asked for now is planned anew, with what came since.
-	for _, r := range chosen(rents, rentalsAtOnce-len(l.rentals)) {
+	for _, r := range selectRequests(rents, concurrentProvisions-len(l.provisions)) {
 		if c.allowCloudCall(now) {
-			c.rent(ctx, l, r)
+			c.startProvision(ctx, l, r)
 		}
 	}
 	return byOwner
 }
 
 // logPlan logs what was planned, and from what.
-func (c *Controller) logPlan(sums []fleet.Summary, orders []fleet.Order, rents []fleet.Rent, rentals int) {
+func (c *Controller) logPlan(sums []fleet.Summary, orders []fleet.Order, rents []fleet.ProvisionRequest, rentals int) {
 	for _, summary := range sums {
 		c.log.Debug("plan", "shard", summary.Part, "state", summary, "rentals", rentals)
 	}
@@ -314,7 +314,7 @@
 		c.log.Debug("orders", "orders", orders)
 	}
 	for _, r := range rents {
-		c.log.Debug("wanted", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "machines", len(r.Parts))
+		c.log.Debug("wanted", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "machines", len(r.Shards))
 	}
 }
 
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -63,7 +63,7 @@
 		}
 	}
 	for _, o := range a.Orders {
-		if !c.isShard(o.Part) || (o.To != fleet.Back && !c.isShard(o.To)) {
+		if !c.isShard(o.Part) || (o.To != fleet.ReleaseToCloud && !c.isShard(o.To)) {
 			return errSenseless("an order from part %d to %d", o.Part, o.To)
 		}
 	}
--- a/internal/controller/messages_test.go
+++ b/internal/controller/messages_test.go
@@ -111,7 +111,7 @@
 	c := newOwner(t)
 	for _, args := range []any{
 		peer.SyncArgs{}, peer.SyncArgs{From: "c-1", Claim: []int{0}, HandHome: []int{0}, Requests: 1, Changes: 2},
-		peer.SyncArgs{Orders: []fleet.Order{{Machine: "m", To: fleet.Back}}},
+		peer.SyncArgs{Orders: []fleet.Order{{Machine: "m", To: fleet.ReleaseToCloud}}},
 		peer.NudgeArgs{Key: record.ActiveJobKey("run-000001"), Version: 9, Value: openOf(func(*record.ActiveJob) {})},
 		peer.NudgeArgs{Key: record.FinishedJobKey("run-000001"), Value: record.Encode(record.FinishedJob{State: wire.Done, Tasks: 3})},
 		peer.LendArgs{From: "c-1", Changes: 2}, wire.Heartbeat{Machine: "m", Session: 1, Seq: 1}, peer.UserArgs{Method: "GET", Path: wire.JobsPath + "/run-000001"},
--- a/internal/controller/rentals.go
+++ b/internal/controller/provisioning.go
@@ -16,9 +16,9 @@
 	"bramblespur/internal/wire"
 )
 
-// complete adds to the summaries what is rented but not yet told by owners. The
+// addPendingMachines adds to the summaries what is rented but not yet told by owners. The
 // lock is held.
-func (c *Controller) complete(sums []fleet.Summary, rentals map[string]record.Provision) {
+func (c *Controller) addPendingMachines(sums []fleet.Summary, rentals map[string]record.Provision) {
 	at := map[int]int{}
 	told := map[string]bool{}
 	for i, summary := range sums {
@@ -61,25 +61,25 @@
 	}
 }
 
-// address records the addresses of a rental's machines once all that will come up
+// recordAddresses records the addresses of a rental's machines once all that will come up
 // have reported, a few rentals at a time. The lock is held.
-func (c *Controller) address(ctx context.Context, l *leadership, sums []fleet.Summary) {
+func (c *Controller) recordAddresses(ctx context.Context, l *leadership, sums []fleet.Summary) {
 	for _, summary := range sums {
 		for _, m := range summary.Machines {
 			if m.Addr != "" {
-				l.addrs[m.ID] = m.Addr
+				l.addresses[m.ID] = m.Addr
 			}
 		}
 	}
-	left := addressesAtOnce
+	left := concurrentAddressRecords
 	for name, r := range c.fleet.Unaddressed() {
-		if l.addressing[name] {
+		if l.recordingAddresses[name] {
 			continue // a second write would only find that the first came
 		}
 		addrs, found := make([]string, len(r.Rec.IDs)), false
 		for i, id := range r.Rec.IDs {
 			v, _ := c.fleet.Machine(id)
-			if addrs[i] = l.addrs[id]; addrs[i] == "" && v.Phase == record.InUse {
+			if addrs[i] = l.addresses[id]; addrs[i] == "" && v.Phase == record.InUse {
 				found = false
 				break
 			}
@@ -92,7 +92,7 @@
 			return
 		}
 		for _, id := range r.Rec.IDs {
-			delete(l.addrs, id)
+			delete(l.addresses, id)
 		}
 		// Whose address finds no room is asked for when it reports.
 		rec := r.Rec
@@ -109,12 +109,12 @@
 			If:   []wire.Cond{{Key: record.ProvisionKey(name), Version: r.Version}},
 			Then: []wire.Op{{Put: record.ProvisionKey(name), Value: record.Encode(rec)}},
 		}
-		l.addressing[name] = true
+		l.recordingAddresses[name] = true
 		go func() {
 			rev, err := c.store.Txn(ctx, statestore.Routine("addresses"), t)
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			delete(l.addressing, name)
+			delete(l.recordingAddresses, name)
 			if err != nil {
 				c.log.Debug("addresses", "rental", name, "err", err)
 				return // told and tried again
@@ -124,44 +124,44 @@
 	}
 }
 
-// maxRental is how many machines a rental may ask for, so that its record has room
+// maxProvision is how many machines a rental may ask for, so that its record has room
 // for their names and addresses, of the size they usually have.
-func (c *Controller) maxRental() int {
+func (c *Controller) maxProvision() int {
 	id, addr := "i-"+strings.Repeat("0", 8), "255.255.255.255:65535"
-	return record.Within(c.limits().Bytes(), 1, protocolRental, func(n int) any {
+	return record.Within(c.limits().Bytes(), 1, protocolMaxProvision, func(n int) any {
 		return record.Provision{Type: strings.Repeat("t", 32), Zone: strings.Repeat("z", 32), Spot: true, Born: math.MaxInt64,
 			Shards: make([]int, n), IDs: slices.Repeat([]string{id}, n), Addrs: slices.Repeat([]string{addr}, n)}
 	})
 }
 
-// protocolRental is the protocol's bound of one rental request.
-const protocolRental = 50
+// protocolMaxProvision is the protocol's bound of one rental request.
+const protocolMaxProvision = 50
 
-// addressesAtOnce bounds the rentals whose addresses are recorded in one turn.
-const addressesAtOnce = 3
+// concurrentAddressRecords bounds the rentals whose addresses are recorded in one turn.
+const concurrentAddressRecords = 3
 
-// chosen returns the requests to make when there is room for n: the most urgent
+// selectRequests returns the requests to make when there is room for n: the most urgent
 // first, and in the last place the largest, which brings most for a call. Small
 // urgent ones would else take every place for ever when much is missing.
-func chosen(rents []fleet.Rent, n int) []fleet.Rent {
+func selectRequests(rents []fleet.ProvisionRequest, n int) []fleet.ProvisionRequest {
 	if n <= 0 || len(rents) <= n {
 		return rents[:min(len(rents), max(n, 0))]
 	}
 	last := rents[n-1]
 	for _, r := range rents[n-1:] {
-		if len(r.Parts) > len(last.Parts) {
+		if len(r.Shards) > len(last.Shards) {
 			last = r
 		}
 	}
 	return append(slices.Clone(rents[:n-1]), last)
 }
 
-// rent begins a rental. The lock is held.
-func (c *Controller) rent(ctx context.Context, l *leadership, r fleet.Rent) {
+// startProvision begins a rental. The lock is held.
+func (c *Controller) startProvision(ctx context.Context, l *leadership, r fleet.ProvisionRequest) {
 	l.seq++
 	name := fmt.Sprintf("%s-%d-%d", c.cfg.Label, c.leader.version, l.seq)
-	rec := record.Provision{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Shards: r.Parts}
-	l.rentals[name] = rec
+	rec := record.Provision{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Shards: r.Shards}
+	l.provisions[name] = rec
 	leader := c.leader.version
 	go func() {
 		// The record comes first, under the lead it was decided under: a name
@@ -172,21 +172,21 @@
 		})
 		if err != nil {
 			// Perhaps written all the same: then the next leader finishes it.
-			c.dropRental(l, name)
+			c.forgetProvision(l, name)
 			return
 		}
-		c.finishRental(ctx, l, name, rec, rev)
+		c.finishProvision(ctx, l, name, rec, rev)
 	}()
 }
 
-func (c *Controller) dropRental(l *leadership, name string) {
+func (c *Controller) forgetProvision(l *leadership, name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(l.rentals, name)
+	delete(l.provisions, name)
 }
 
-func (c *Controller) finishRental(ctx context.Context, l *leadership, name string, rec record.Provision, version uint64) {
-	defer c.dropRental(l, name)
+func (c *Controller) finishProvision(ctx context.Context, l *leadership, name string, rec record.Provision, version uint64) {
+	defer c.forgetProvision(l, name)
 	key := record.ProvisionPrefix + name
 	cond := []wire.Cond{{Key: key, Version: version}}
 	for ctx.Err() == nil {
@@ -203,13 +203,13 @@
 			continue
 		}
 		now := time.Now()
-		pool := fleet.Rent{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}
+		pool := fleet.ProvisionRequest{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}
 		ids = ids[:min(len(ids), len(rec.Shards))]
 		c.mu.Lock()
 		if len(ids) < len(rec.Shards) {
-			l.plan.Refused(pool, now)
+			l.plan.CapacityRefused(pool, now)
 		} else {
-			l.plan.Granted(pool)
+			l.plan.CapacityGranted(pool)
 		}
 		c.mu.Unlock()
 		c.log.Info("rented", "name", name, "type", rec.Type, "zone", rec.Zone, "spot", rec.Spot, "asked", len(rec.Shards), "got", len(ids))
--- a/internal/controller/budget.go
+++ b/internal/controller/quota.go
@@ -14,33 +14,33 @@
 // use an equal share; the leader, which asks each what it needs, gives it what the
 // others leave, and lends changes to those that need several at once.
 
-// budgetLife is how long a budget given by the leader counts.
-const budgetLife = 4 * time.Second
+// grantLifetime is how long a budget given by the leader counts.
+const grantLifetime = 4 * time.Second
 
-// budgetUse is the part of the limits that is shared out: what is in flight
+// grantedShare is the part of the limits that is shared out: what is in flight
 // when budgets change must not exceed them.
-const budgetUse = 0.95
+const grantedShare = 0.95
 
-// lendTimeout bounds a question for changes. They wait for it, and without an answer
+// loanTimeout bounds a question for changes. They wait for it, and without an answer
 // for their own part of the limit.
-const lendTimeout = 400 * time.Millisecond
+const loanTimeout = 400 * time.Millisecond
 
-// budgets is what the leader last gave, by controller.
-type budgets struct{ requests, changes, orders map[string]float64 }
+// quotaGrants is what the leader last gave, by controller.
+type quotaGrants struct{ requests, changes, orders map[string]float64 }
 
-// need is what a controller needed since the leader last asked.
-type need struct {
-	fleet.Use
+// quotaDemand is what a controller needed since the leader last asked.
+type quotaDemand struct {
+	fleet.Usage
 	ordersWaiting int
 }
 
-// share computes the budgets from what each controller needed in the last
+// computeGrants computes the budgets from what each controller needed in the last
 // turn. One that lives but did not answer may be using its equal share, so that
 // is left to it. The lock is held.
-func (c *Controller) share(needs map[string]need, turn time.Duration) budgets {
+func (c *Controller) computeGrants(needs map[string]quotaDemand, turn time.Duration) quotaGrants {
 	s := c.rates()
-	c.leadership.pool.Limit(c.cfg.Params.Count, s.WriteRPS, time.Now())
-	rps, writes := s.RPS*budgetUse, s.WriteRPS*(budgetUse-statestore.LentRate)
+	c.leadership.lender.Limit(c.cfg.Params.Count, s.WriteRPS, time.Now())
+	rps, writes := s.RPS*grantedShare, s.WriteRPS*(grantedShare-statestore.LentRate)
 	requests, changes := map[string]float64{}, map[string]float64{}
 	for _, l := range c.cfg.Labels() {
 		u, answered := needs[l]
@@ -52,7 +52,7 @@
 			writes -= s.WriteRPS / float64(c.cfg.Params.Count)
 		}
 	}
-	return budgets{fleet.Share(rps, requests), fleet.Share(writes, changes), c.shareOrders(c.leadership, needs)}
+	return quotaGrants{fleet.FairShare(rps, requests), fleet.FairShare(writes, changes), c.shareOrders(c.leadership, needs)}
 }
 
 // Lend implements peer.Handler: whether another controller may make changes beyond
@@ -61,7 +61,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	return c.isLeader(now) && c.leadership != nil && c.leadership.pool.Lend(a.Changes, a.Modest, now)
+	return c.isLeader(now) && c.leadership != nil && c.leadership.lender.Lend(a.Changes, a.Modest, now)
 }
 
 // borrow asks the leader for changes beyond this controller's budget.
@@ -78,31 +78,31 @@
 		return false
 	}
 	var lent bool
-	if err := p.Call("Lend", a, &lent, lendTimeout); err != nil {
+	if err := p.Call("Lend", a, &lent, loanTimeout); err != nil {
 		c.log.Debug("changes to be lent", "by", leader, "err", err)
 		return false
 	}
 	return lent
 }
 
-// setBudget takes a budget in; 0 means the plain share. The lock is held.
-func (c *Controller) setBudget(requests, changes float64, now time.Time) {
+// applyGrant takes a budget in; 0 means the plain share. The lock is held.
+func (c *Controller) applyGrant(requests, changes float64, now time.Time) {
 	if requests > 0 && changes > 0 {
-		c.budgetAt = now
+		c.grantedAt = now
 		c.store.Budget(requests, changes)
 	}
 }
 
-// checkBudget falls back to the plain share when no leader gives a budget.
-func (c *Controller) checkBudget(now time.Time) {
-	if now.Sub(c.budgetAt) > budgetLife {
+// expireGrant falls back to the plain share when no leader gives a budget.
+func (c *Controller) expireGrant(now time.Time) {
+	if now.Sub(c.grantedAt) > grantLifetime {
 		n := float64(c.cfg.Params.Count)
 		c.store.Budget(c.rates().RPS/n, c.rates().WriteRPS/n)
 	}
 }
 
-// countLoop logs what was used of the state service, by purpose, and of the memory.
-func (c *Controller) countLoop(ctx context.Context) {
+// logUsageLoop logs what was used of the state service, by purpose, and of the memory.
+func (c *Controller) logUsageLoop(ctx context.Context) {
 	short := false
 	for sleep(ctx, countsEvery) {
 		args := []any{}
--- a/internal/controller/budget_test.go
+++ b/internal/controller/quota_test.go
@@ -18,7 +18,7 @@
 	c.cfg.Params.State.RPS, c.cfg.Params.State.WriteRPS = 200, 25
 	c.lease.granted(leaseState{id: 1, incarnation: 5, renewedAt: time.Now()})
 	c.leader = versioned[record.Leader]{rec: record.Leader{Label: c.cfg.Label, Incarnation: 5}, version: 1}
-	c.leadership = &leadership{pool: statestore.NewPool()}
+	c.leadership = &leadership{lender: statestore.NewPool()}
 }
 
 // What the leader shares out and what it lends keep within the limit together, and
@@ -30,7 +30,7 @@
 		shared := 0.0
 		for range 2 { // each turn sets the limits anew
 			shared = 0
-			for _, changes := range c.share(map[string]need{"c-0": {Use: fleet.Use{Requests: 50, Changes: 50}}}, time.Second).changes {
+			for _, changes := range c.computeGrants(map[string]quotaDemand{"c-0": {Usage: fleet.Usage{Requests: 50, Changes: 50}}}, time.Second).changes {
 				shared += changes
 			}
 		}
@@ -43,7 +43,7 @@
 			}
 			return lent
 		}
-		if lent := count(10 * time.Second); float64(lent)/10+shared > 25*budgetUse+0.01 || lent < 50 {
+		if lent := count(10 * time.Second); float64(lent)/10+shared > 25*grantedShare+0.01 || lent < 50 {
 			t.Errorf("lent %d in 10 s, shared out %.1f a second", lent, shared)
 		}
 		time.Sleep(time.Minute)
--- a/internal/controller/relief.go
+++ b/internal/controller/rebalance.go
@@ -15,9 +15,9 @@
 	// rebalancePause is how long the leader waits after one part for what that changes
 	// before it picks the next.
 	rebalancePause = 10 * time.Second
-	// mostTaken is how many parts a controller may own with one taken for relief:
+	// maxShardsAfterRebalance is how many parts a controller may own with one taken for relief:
 	// else one after the other would be overloaded.
-	mostTaken = 2
+	maxShardsAfterRebalance = 2
 )
 
 // peerLoad is what a peer told the leader of its pressure.
@@ -40,8 +40,8 @@
 	return c.peerLoads[label]
 }
 
-// tellLoad takes in what a peer's answer tells of its load. The lock is held.
-func (c *Controller) tellLoad(label string, r *peer.SyncReply) {
+// recordPeerLoad takes in what a peer's answer tells of its load. The lock is held.
+func (c *Controller) recordPeerLoad(label string, r *peer.SyncReply) {
 	c.peerLoads[label] = peerLoad{time.Now(), r.Recovering, r.HasRoom}
 }
 
@@ -58,8 +58,8 @@
 	return c.members[label].Overloaded
 }
 
-// rebalance is a part that the leader has another controller take from its owner.
-type rebalance struct {
+// shardRebalance is a part that the leader has another controller take from its owner.
+type shardRebalance struct {
 	part     int
 	from, to string
 	at       time.Time
@@ -68,13 +68,13 @@
 // rebalance picks a part of an overloaded owner and who claims it, or goes on with what
 // it picked last until that shows. It returns no taker if there is nothing to do or
 // nobody has room. The lock is held.
-func (c *Controller) rebalance(reach []string, owners map[int]string, now time.Time) rebalance {
+func (c *Controller) rebalance(reach []string, owners map[int]string, now time.Time) shardRebalance {
 	l := c.leadership
-	if now.Sub(l.relief.at) < rebalancePause {
-		if owners[l.relief.part] != l.relief.from {
-			return rebalance{} // done
+	if now.Sub(l.lastRebalance.at) < rebalancePause {
+		if owners[l.lastRebalance.part] != l.lastRebalance.from {
+			return shardRebalance{} // done
 		}
-		return l.relief
+		return l.lastRebalance
 	}
 	parts := map[string]int{}
 	for _, owner := range owners {
@@ -83,22 +83,22 @@
 	var takers []string
 	for _, label := range reach {
 		load := c.loadOf(label, now)
-		if now.Sub(load.at) < peerFresh && load.hasRoom && parts[label] < mostTaken {
+		if now.Sub(load.at) < peerFresh && load.hasRoom && parts[label] < maxShardsAfterRebalance {
 			takers = append(takers, label)
 		}
 	}
 	if len(takers) == 0 {
-		return rebalance{}
+		return shardRebalance{}
 	}
 	for part, owner := range owners {
 		// Of several parts those that it took from others go first.
 		guest := c.preferredOwner(part) != owner
 		if c.overloaded(owner) && (guest || parts[owner] == 1) {
-			l.relief = rebalance{part, owner, fleet.Claimant(takers, owners, ""), now}
-			return l.relief
+			l.lastRebalance = shardRebalance{part, owner, fleet.ChooseOwner(takers, owners, ""), now}
+			return l.lastRebalance
 		}
 	}
-	return rebalance{}
+	return shardRebalance{}
 }
 
 // someoneHasRoom reports whether a controller that can be reached could lead instead
--- a/internal/controller/returns.go
+++ b/internal/controller/release.go
@@ -10,10 +10,10 @@
 	"bramblespur/internal/wire"
 )
 
-// returns gives back what the parts' owners have recorded as to be given back,
+// releaseMachines gives back what the parts' owners have recorded as to be given back,
 // several batches with one call. The answer is recorded: it proves gone what
 // ran on the machines, to whoever owns their parts by then.
-func (c *Controller) returns(ctx context.Context, l *leadership, now time.Time) {
+func (c *Controller) releaseMachines(ctx context.Context, l *leadership, now time.Time) {
 	c.mu.Lock()
 	if c.safeMode.holder.Active() || len(c.fleet.Pending()) > 0 && !c.allowCloudCall(now) {
 		c.mu.Unlock()
@@ -22,10 +22,10 @@
 	var ids []string
 	batches := map[string]record.Versioned[record.Release]{}
 	for key, b := range c.fleet.Pending() {
-		if l.backs[key] || len(ids)+len(b.Rec.IDs) > maxReturn {
+		if l.releasing[key] || len(ids)+len(b.Rec.IDs) > protocolMaxRelease {
 			continue
 		}
-		l.backs[key] = true
+		l.releasing[key] = true
 		batches[key] = b
 		ids = append(ids, b.Rec.IDs...)
 	}
@@ -33,16 +33,16 @@
 	if len(ids) == 0 {
 		return
 	}
-	l.returned = now
+	l.lastReleaseAt = now
 	go func() {
 		defer func() {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			for key := range batches {
-				delete(l.backs, key)
+				delete(l.releasing, key)
 			}
 		}()
-		ctx, cancel := context.WithTimeout(ctx, returnTimeout)
+		ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 		defer cancel()
 		err := c.cloud.Return(ctx, ids)
 		c.log.Info("machines returned", "machines", ids, "err", err)
@@ -50,16 +50,16 @@
 			return // asked again with the next step
 		}
 		for key, b := range batches {
-			c.returned(ctx, key, b)
+			c.recordReleased(ctx, key, b)
 		}
 	}()
 }
 
-// maxReturn is the protocol's bound of one return.
-const maxReturn = 100
+// protocolMaxRelease is the protocol's bound of one return.
+const protocolMaxRelease = 100
 
-// returned records that a batch is gone.
-func (c *Controller) returned(ctx context.Context, key string, b record.Versioned[record.Release]) {
+// recordReleased records that a batch is gone.
+func (c *Controller) recordReleased(ctx context.Context, key string, b record.Versioned[record.Release]) {
 	t := wire.Txn{
 		If:   []wire.Cond{{Key: key, Version: b.Version}},
 		Then: []wire.Op{{Put: key, Value: record.Encode(record.Release{IDs: b.Rec.IDs, Done: true})}},
@@ -80,15 +80,15 @@
 	}
 }
 
-// clear removes records of machines that are long gone, a few at a time.
-func (c *Controller) clear(ctx context.Context, l *leadership, now time.Time) {
-	if now.Before(l.clearing) {
+// clearOldRecords removes records of machines that are long gone, a few at a time.
+func (c *Controller) clearOldRecords(ctx context.Context, l *leadership, now time.Time) {
+	if now.Before(l.nextClearAt) {
 		return
 	}
-	l.clearing = now.Add(clearEvery)
+	l.nextClearAt = now.Add(clearInterval)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.fleetAt.IsZero() || l.clears {
+	if c.fleetAt.IsZero() || l.clearRunning {
 		return // before there is a view it may lack rentals
 	}
 	ops := c.limits().TxnOps
@@ -96,15 +96,15 @@
 	if !ok {
 		return
 	}
-	if len(t.Then) == ops && ops < clearOps { // the smaller the steps, the more of them
-		l.clearing = now.Add(clearEvery * time.Duration(ops) / clearOps)
+	if len(t.Then) == ops && ops < clearOpsPerInterval { // the smaller the steps, the more of them
+		l.nextClearAt = now.Add(clearInterval * time.Duration(ops) / clearOpsPerInterval)
 	}
-	l.clears = true
+	l.clearRunning = true
 	go func() {
 		rev, err := c.store.Txn(ctx, statestore.Routine("clear"), t)
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		l.clears = false
+		l.clearRunning = false
 		if err != nil {
 			c.log.Debug("clear records", "err", err)
 			return
--- a/internal/controller/restarts.go
+++ b/internal/controller/restarts.go
@@ -110,7 +110,7 @@
 // lock is held.
 func (c *Controller) expireOrderShare(now time.Time) {
 	r := &c.restarts
-	life := budgetLife
+	life := grantLifetime
 	if r.large {
 		life = largeShareLife
 	}
@@ -129,29 +129,29 @@
 
 // shareOrders shares out the orders of all by what waited at each controller that answered.
 // The lock is held.
-func (c *Controller) shareOrders(l *leadership, needs map[string]need) map[string]float64 {
+func (c *Controller) shareOrders(l *leadership, needs map[string]quotaDemand) map[string]float64 {
 	if !c.restarts.on {
 		return nil
 	}
 	total := c.restarts.pace.Settings().Total(c.fleet.Len())
-	if l.orders == nil {
-		l.orders = pace.NewShares(total, c.cfg.Labels())
+	if l.orderLimits == nil {
+		l.orderLimits = pace.NewShares(total, c.cfg.Labels())
 	}
-	l.orders.SetTotal(total)
+	l.orderLimits.SetTotal(total)
 	waiting := map[string]float64{}
 	for _, label := range c.cfg.Labels() {
 		n, answered := needs[label]
 		if !answered {
-			l.orders.Silent(label)
+			l.orderLimits.Silent(label)
 			continue
 		}
 		waiting[label] = float64(n.ordersWaiting)
 		if share, given := l.grants.orders[label]; given {
-			l.orders.Confirm(label, share)
+			l.orderLimits.Confirm(label, share)
 		}
 	}
 	left := total * float64(len(waiting)) / float64(c.cfg.Params.Count)
-	return l.orders.Next(fleet.Share(left, waiting))
+	return l.orderLimits.Next(fleet.FairShare(left, waiting))
 }
 
 // restartLoop follows what has to settle, and records it.
--- a/internal/controller/wave_test.go
+++ b/internal/controller/wave_test.go
@@ -17,11 +17,13 @@
 // When much is missing at once, the most urgent requests come first, but the
 // largest is not put off for ever.
 func TestLargestRentalHasAPlace(t *testing.T) {
-	rent := func(zone string, n int) fleet.Rent { return fleet.Rent{Zone: zone, Parts: make([]int, n)} }
-	rents := []fleet.Rent{rent("a", 3), rent("b", 2), rent("c", 4), rent("d", 50), rent("e", 9)}
+	rent := func(zone string, n int) fleet.ProvisionRequest {
+		return fleet.ProvisionRequest{Zone: zone, Shards: make([]int, n)}
+	}
+	rents := []fleet.ProvisionRequest{rent("a", 3), rent("b", 2), rent("c", 4), rent("d", 50), rent("e", 9)}
 	for n, want := range map[int]string{-1: "", 0: "", 1: "d", 2: "ad", 3: "abd", 4: "abcd", 5: "abcde", 9: "abcde"} {
 		got := ""
-		for _, r := range chosen(rents, n) {
+		for _, r := range selectRequests(rents, n) {
 			got += r.Zone
 		}
 		if got != want {
@@ -64,12 +66,12 @@
 	slow := &slowState{state, make(chan struct{}, 99), make(chan struct{})}
 	c.store = slow
 	c.fleetAt = time.Now()
-	l := &leadership{addrs: map[string]string{}, addressing: map[string]bool{}}
+	l := &leadership{addresses: map[string]string{}, recordingAddresses: map[string]bool{}}
 	turn := func(i int) {
 		c.mu.Lock()
-		c.address(ctx, l, []fleet.Summary{{Machines: []fleet.Machine{{ID: "a", Addr: "a:1"}}}})
+		c.recordAddresses(ctx, l, []fleet.Summary{{Machines: []fleet.Machine{{ID: "a", Addr: "a:1"}}}})
 		c.mu.Unlock()
-		c.clear(ctx, l, time.Now().Add(time.Duration(i)*clearEvery*2))
+		c.clearOldRecords(ctx, l, time.Now().Add(time.Duration(i)*clearInterval*2))
 	}
 	for i := range 4 {
 		turn(i)
@@ -105,15 +107,15 @@
 	c := newTest(t, state)
 	put := fleetPut(state, c)
 	put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0, 0, 0}, IDs: []string{"a", "b", "c"}})
-	l := &leadership{addrs: map[string]string{}, addressing: map[string]bool{}}
+	l := &leadership{addresses: map[string]string{}, recordingAddresses: map[string]bool{}}
 	tell := func(id, addr string) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.address(ctx, l, []fleet.Summary{{Machines: []fleet.Machine{{ID: id, Addr: addr}}}})
+		c.recordAddresses(ctx, l, []fleet.Summary{{Machines: []fleet.Machine{{ID: id, Addr: addr}}}})
 	}
 	tell("a", "a:1")
 	tell("b", "b:1")
-	if len(c.fleet.Unaddressed()) != 1 || len(l.addrs) != 2 {
+	if len(c.fleet.Unaddressed()) != 1 || len(l.addresses) != 2 {
 		t.Fatal("recorded though a machine may yet come up")
 	}
 	put(record.ReleaseKey(0, 1, 1), record.Release{IDs: []string{"c"}}) // it never did
--- a/internal/fleet/share.go
+++ b/internal/fleet/fair_share.go
@@ -2,13 +2,13 @@
 
 import "sort"
 
-// Use is what one controller needed of the state service.
-type Use struct{ Requests, Changes int }
+// Usage is what one controller needed of the state service.
+type Usage struct{ Requests, Changes int }
 
-// Share divides a limit: everybody gets what it needs and a little more, up to
+// FairShare divides a limit: everybody gets what it needs and a little more, up to
 // an equal share; what is left over goes to those that need more, and at the
 // end to all alike, so that a sudden need finds some room.
-func Share(limit float64, needs map[string]float64) map[string]float64 {
+func FairShare(limit float64, needs map[string]float64) map[string]float64 {
 	const margin = 1.25 // needs grow between two turns
 	out := map[string]float64{}
 	labels := make([]string, 0, len(needs))
--- a/internal/fleet/share_test.go
+++ b/internal/fleet/fair_share_test.go
@@ -17,7 +17,7 @@
 		"all busy: alike":          {map[string]float64{"a": 100, "b": 50}, func(g map[string]float64) bool { return g["a"] == 10 && g["b"] == 10 }},
 		"enough for all: all more": {map[string]float64{"a": 8, "b": 2}, func(g map[string]float64) bool { return g["a"] >= 10 && g["b"] >= 5 }},
 	} {
-		g := Share(20, x.needs)
+		g := FairShare(20, x.needs)
 		sum := 0.0
 		for _, v := range g {
 			sum += v
--- a/internal/fleet/assign.go
+++ b/internal/fleet/placement.go
@@ -6,17 +6,17 @@
 	"sort"
 )
 
-// serve finds machines for a need: its part's own, others' free ones, others'
+// satisfy finds machines for a need: its part's own, others' free ones, others'
 // with lower work, and new ones, in that order.
-func (p *plan) serve(n *waiting, due bool) (orders []Order) {
-	if p.cover(n, p.roomy[n.part]) {
+func (p *planning) satisfy(n *demand, due bool) (orders []Order) {
+	if p.placeOn(n, p.withRoom[n.shard]) {
 		return nil
 	}
 	// Free machines of parts that have no use for them come first.
 	if due || n.Waited >= p.cfg.MoveAfter {
 		var spare []*bin
 		for _, b := range p.unused {
-			if p.movable(b, n) && p.hungry[hunger{b.part, b.pool()}] == 0 {
+			if p.movable(b, n) && p.unmet[shardPool{b.shard, b.pool()}] == 0 {
 				spare = append(spare, b)
 			}
 		}
@@ -24,44 +24,44 @@
 		sort.SliceStable(spare, func(a, b int) bool {
 			return slices.Contains(spare[a].Images, n.Image) && !slices.Contains(spare[b].Images, n.Image)
 		})
-		orders = append(orders, p.bring(n, spare, 0)...)
+		orders = append(orders, p.moveMachines(n, spare, 0)...)
 	}
 	if n.Count == 0 {
 		return orders
 	}
-	if n.Rank >= takingRank && n.Waited >= p.cfg.TakeAfter {
-		orders = append(orders, p.bring(n, p.lower(n), n.Rank)...)
+	if n.Rank >= minPreemptingRank && n.Waited >= p.cfg.PreemptAfter {
+		orders = append(orders, p.moveMachines(n, p.preemptible(n), n.Rank)...)
 	}
-	p.rent(n)
+	p.provision(n)
 	return orders
 }
 
 // movable reports whether a machine of another part may be moved for a need.
-func (p *plan) movable(b *bin, n *waiting) bool {
-	return b.part != n.part && b.Up && b.Usable && b.For == "" && !b.taken
+func (p *planning) movable(b *bin, n *demand) bool {
+	return b.shard != n.shard && b.Up && b.Usable && b.For == "" && !b.promised
 }
 
-// lower returns other parts' machines of which all tasks are of lower priority
+// preemptible returns other parts' machines of which all tasks are of lower priority
 // than a need, as they are once emptied.
-func (p *plan) lower(n *waiting) []*bin {
+func (p *planning) preemptible(n *demand) []*bin {
 	var out []*bin
-	for _, e := range p.empties() {
-		if e.TopRank < n.Rank && p.movable(e.whole, n) {
+	for _, e := range p.emptiedMachines() {
+		if e.TopRank < n.Rank && p.movable(e.original, n) {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-// empties returns all machines as they are without their tasks, those with the
+// emptiedMachines returns all machines as they are without their tasks, those with the
 // fewest first.
-func (p *plan) empties() []*bin {
+func (p *planning) emptiedMachines() []*bin {
 	if p.emptied == nil {
 		p.emptied = make([]*bin, 0, len(p.bins))
 		for _, b := range p.bins {
-			if t := p.typ(b.Type); t != nil {
+			if t := p.machineType(b.Type); t != nil {
 				e := *b
-				e.CPUs, e.GPUs, e.MemoryGB, e.whole = t.CPUs, t.GPUs, t.MemoryGB, b
+				e.CPUs, e.GPUs, e.MemoryGB, e.original = t.CPUs, t.GPUs, t.MemoryGB, b
 				p.emptied = append(p.emptied, &e)
 			}
 		}
@@ -71,13 +71,13 @@
 }
 
 const (
-	// takingRank is the priority from which work of other parts gives way.
-	takingRank = 2
+	// minPreemptingRank is the priority from which work of other parts gives way.
+	minPreemptingRank = 2
 )
 
-// cover promises room on bins to a need and lowers its Count by what found
+// placeOn promises room on bins to a need and lowers its Count by what found
 // some; for a gang it is all in one go. It reports whether nothing is left.
-func (p *plan) cover(n *waiting, bins []*bin) bool {
+func (p *planning) placeOn(n *demand, bins []*bin) bool {
 	if got := p.assign(n, bins); got != nil {
 		for _, b := range got {
 			b.use(&n.Need)
@@ -90,7 +90,7 @@
 
 // assign finds bins for as many of a need's tasks as possible, or for a gang
 // for all of them or none; one bin is named once for each task.
-func (p *plan) assign(n *waiting, bins []*bin) []*bin {
+func (p *planning) assign(n *demand, bins []*bin) []*bin {
 	zones := []string{""}
 	if n.OneZone {
 		zones = p.cfg.Zones
@@ -122,28 +122,28 @@
 	return best
 }
 
-// bring orders machines of other parts to a need's part. A gang may be served
+// moveMachines orders machines of other parts to a need's part. A gang may be served
 // by its own part's machines and others' together.
-func (p *plan) bring(n *waiting, others []*bin, below int) []Order {
+func (p *planning) moveMachines(n *demand, others []*bin, below int) []Order {
 	if len(others) == 0 {
 		return nil
 	}
-	got := p.assign(n, append(slices.Clone(p.roomy[n.part]), others...))
+	got := p.assign(n, append(slices.Clone(p.withRoom[n.shard]), others...))
 	var orders []Order
 	for _, b := range got {
-		if b.whole != nil {
-			m := b.whole
-			if m.part != n.part {
+		if b.original != nil {
+			m := b.original
+			if m.shard != n.shard {
 				m.CPUs, m.GPUs, m.MemoryGB = b.CPUs, b.GPUs, b.MemoryGB
 			}
 			b = m
 		}
 		b.use(&n.Need)
 		n.place(b.Zone)
-		if b.part != n.part {
-			orders = append(orders, Order{Part: b.part, Machine: b.ID, To: n.part, Below: below})
-			b.part = n.part // what is left of it serves the same part
-			p.roomy[n.part] = append(p.roomy[n.part], b)
+		if b.shard != n.shard {
+			orders = append(orders, Order{Part: b.shard, Machine: b.ID, To: n.shard, Below: below})
+			b.shard = n.shard // what is left of it serves the same part
+			p.withRoom[n.shard] = append(p.withRoom[n.shard], b)
 		}
 	}
 	n.Count -= len(got)
--- a/internal/fleet/leader_test.go
+++ b/internal/fleet/planner_test.go
@@ -9,10 +9,10 @@
 
 var testTypes = []wire.MachineType{{Name: "big", CPUs: 16, GPUs: 2, MemoryGB: 64, Price: 5, SpotPrice: 1, BootS: 20, Zones: []string{"z1", "z2"}}}
 
-func newLeader() *Leader {
-	return NewLeader(Config{Types: testTypes, Zones: []string{"z1", "z2"}, Interval: 30 * time.Second, TakeAfter: 3 * time.Second, MaxRental: 50,
-		Idle:     func(wire.MachineType, bool) time.Duration { return 30 * time.Second },
-		Headroom: func(arriving float64, boot time.Duration, _ bool) float64 { return arriving * boot.Seconds() / 2 }, Refused: 10 * time.Second})
+func newLeader() *Planner {
+	return NewPlanner(Config{Types: testTypes, Zones: []string{"z1", "z2"}, BalanceInterval: 30 * time.Second, PreemptAfter: 3 * time.Second, MaxProvision: 50,
+		IdleTimeout: func(wire.MachineType, bool) time.Duration { return 30 * time.Second },
+		Headroom:    func(arriving float64, boot time.Duration, _ bool) float64 { return arriving * boot.Seconds() / 2 }, RefusalPause: 10 * time.Second})
 }
 
 func idleMachine(id, zone string, spot bool) Machine {
@@ -33,7 +33,7 @@
 		if !r.Spot {
 			t.Errorf("rented %+v, though spot would do", r)
 		}
-		n += len(r.Parts)
+		n += len(r.Shards)
 	}
 	if n != 3 {
 		t.Fatalf("%d machines for 5 tasks of half a machine, want 3", n)
@@ -47,8 +47,8 @@
 
 func TestRefusedPoolIsLeftAlone(t *testing.T) {
 	l := newLeader()
-	l.Refused(Rent{Type: "big", Zone: "z1", Spot: true}, start)
-	l.Refused(Rent{Type: "big", Zone: "z2", Spot: true}, start)
+	l.CapacityRefused(ProvisionRequest{Type: "big", Zone: "z1", Spot: true}, start)
+	l.CapacityRefused(ProvisionRequest{Type: "big", Zone: "z2", Spot: true}, start)
 	_, rents := l.Plan([]Summary{{Part: 0, Needs: []Need{need(true, 1, 0)}}}, start.Add(time.Second))
 	if len(rents) != 1 || rents[0].Spot {
 		t.Fatalf("rents %v, want an ordinary machine", rents)
@@ -80,7 +80,7 @@
 	_, rents := l.Plan(sums, start)
 	zones := map[string]int{}
 	for _, r := range rents {
-		zones[r.Zone] += len(r.Parts)
+		zones[r.Zone] += len(r.Shards)
 	}
 	if len(zones) != 1 {
 		t.Fatalf("rents %v, want one zone", rents)
@@ -92,7 +92,7 @@
 	a, b, c := idleMachine("a", "z1", false), idleMachine("b", "z1", false), idleMachine("c", "z1", true)
 	a.Idle, b.Idle, c.Idle = time.Hour, time.Hour+1, time.Second
 	orders, _ := l.Plan([]Summary{{Part: 0, Machines: []Machine{a, b, c}, Arriving: 0.1}}, start)
-	if len(orders) != 1 || orders[0] != (Order{Part: 0, Machine: "b", To: Back}) {
+	if len(orders) != 1 || orders[0] != (Order{Part: 0, Machine: "b", To: ReleaseToCloud}) {
 		t.Fatalf("orders %v, want b back", orders)
 	}
 }
@@ -104,7 +104,7 @@
 	_, rents := l.Plan(sums, start)
 	n := 0
 	for _, r := range rents {
-		for _, p := range r.Parts {
+		for _, p := range r.Shards {
 			if p != 1 || r.Spot {
 				t.Errorf("rent %+v", r)
 			}
@@ -122,14 +122,14 @@
 
 func TestClaimant(t *testing.T) {
 	owners := map[int]string{0: "a", 1: "b", 2: "c"}
-	if got := Claimant([]string{"a", "b"}, owners, "c"); got != "a" {
+	if got := ChooseOwner([]string{"a", "b"}, owners, "c"); got != "a" {
 		t.Errorf("got %s", got)
 	}
-	if got := Claimant([]string{"a", "c"}, owners, "c"); got != "c" {
+	if got := ChooseOwner([]string{"a", "c"}, owners, "c"); got != "c" {
 		t.Errorf("home is live, got %s", got)
 	}
 	owners[2] = "a"
-	if got := Claimant([]string{"a", "b"}, owners, "c"); got != "b" {
+	if got := ChooseOwner([]string{"a", "b"}, owners, "c"); got != "b" {
 		t.Errorf("want the least loaded, got %s", got)
 	}
 }
@@ -149,7 +149,7 @@
 	other.For = "x"
 	sum.Machines = append(sum.Machines, other)
 	_, rents := l.Plan([]Summary{sum}, start)
-	if len(rents) != 1 || rents[0].Zone != "z2" || len(rents[0].Parts) != 1 {
+	if len(rents) != 1 || rents[0].Zone != "z2" || len(rents[0].Shards) != 1 {
 		t.Fatalf("rents %+v, want the one machine missing in z2", rents)
 	}
 }
@@ -177,7 +177,7 @@
 		"unused in another part": {{Part: 0, Needs: []Need{n}}, {Part: 1, Machines: []Machine{idleMachine("i", "z1", false)}}},
 	} {
 		orders, rents := newLeader().Plan(sums, start)
-		if len(orders) != 0 || len(rents) != 1 || rents[0].Zone != "z2" || len(rents[0].Parts) != 1 {
+		if len(orders) != 0 || len(rents) != 1 || rents[0].Zone != "z2" || len(rents[0].Shards) != 1 {
 			t.Errorf("%s: orders %v, rents %v, want one machine in z2", name, orders, rents)
 		}
 	}
@@ -185,7 +185,7 @@
 	_, rents := newLeader().Plan([]Summary{{Part: 0, Needs: []Need{n}}}, start)
 	byZone := map[string]int{}
 	for _, r := range rents {
-		byZone[r.Zone] += len(r.Parts)
+		byZone[r.Zone] += len(r.Shards)
 	}
 	if byZone["z1"] != 1 || byZone["z2"] != 1 {
 		t.Errorf("four tasks of half a machine, two a zone: rents %v", rents)
--- a/internal/fleet/shortage_test.go
+++ b/internal/fleet/rebalance_test.go
@@ -18,11 +18,11 @@
 }
 
 // withoutCloud is a leader whom the cloud has refused machines of all kinds.
-func withoutCloud() *Leader {
+func withoutCloud() *Planner {
 	l := newLeader()
 	for _, zone := range l.cfg.Zones {
 		for _, spot := range []bool{false, true} {
-			l.Refused(Rent{Type: "big", Zone: zone, Spot: spot}, start)
+			l.CapacityRefused(ProvisionRequest{Type: "big", Zone: zone, Spot: spot}, start)
 		}
 	}
 	return l
--- a/internal/fleet/returns.go
+++ b/internal/fleet/scale_in.go
@@ -5,14 +5,14 @@
 	"sort"
 )
 
-// returns gives back machines unused for long, keeping the headroom.
-func (p *plan) returns() []Order {
+// scaleIn gives back machines unused for long, keeping the headroom.
+func (p *planning) scaleIn() []Order {
 	_, ordinary := p.headroom(false)
 	_, spots := p.headroom(true)
 	headroom := map[bool]int{false: ordinary, true: spots}
 	var idle []*bin
 	for _, b := range p.unused {
-		if b.Up && b.For == "" && !b.taken {
+		if b.Up && b.For == "" && !b.promised {
 			idle = append(idle, b)
 		}
 	}
@@ -30,16 +30,16 @@
 			headroom[b.Spot]--
 			continue
 		}
-		if t := p.typ(b.Type); t != nil && b.Idle > p.cfg.Idle(*t, b.Spot) {
-			orders = append(orders, Order{Part: b.part, Machine: b.ID, To: Back})
+		if t := p.machineType(b.Type); t != nil && b.Idle > p.cfg.IdleTimeout(*t, b.Spot) {
+			orders = append(orders, Order{Part: b.shard, Machine: b.ID, To: ReleaseToCloud})
 		}
 	}
 	return orders
 }
 
-// Claimant says which live controller takes a part whose owner is gone: its
+// ChooseOwner says which live controller takes a part whose owner is gone: its
 // home if that lives, else the one with the fewest parts.
-func Claimant(live []string, owners map[int]string, home string) string {
+func ChooseOwner(live []string, owners map[int]string, home string) string {
 	if slices.Contains(live, home) {
 		return home
 	}
--- a/internal/fleet/rent.go
+++ b/internal/fleet/scale_out.go
@@ -8,7 +8,7 @@
 	"bramblespur/internal/wire"
 )
 
-func (l *Leader) typ(name string) *wire.MachineType {
+func (l *Planner) machineType(name string) *wire.MachineType {
 	for i := range l.cfg.Types {
 		if l.cfg.Types[i].Name == name {
 			return &l.cfg.Types[i]
@@ -20,28 +20,28 @@
 // offer is a pool that has room as far as is known.
 type offer struct {
 	pool
-	t     *wire.MachineType
-	price float64
-	have  int // machines of ours in its zone
+	machineType    *wire.MachineType
+	price          float64
+	machinesInZone int // machines of ours in its zone
 }
 
 // offers returns the pools whose machines fit a need, cheapest first, then
 // those in zones with fewer of our machines.
-func (p *plan) offers(n *Need) []offer {
+func (p *planning) offers(n *Need) []offer {
 	var offers []offer
 	for i := range p.cfg.Types {
 		t := &p.cfg.Types[i]
 		for _, z := range t.Zones {
 			for _, spot := range []bool{true, false} {
-				b := p.empty(t, z, spot)
-				if !b.fits(n) || p.now.Before(p.refused[b.pool()].until) {
+				b := p.newMachine(t, z, spot)
+				if !b.fits(n) || p.now.Before(p.refusals[b.pool()].until) {
 					continue
 				}
 				price := t.Price
 				if spot {
 					price = t.SpotPrice
 				}
-				offers = append(offers, offer{b.pool(), t, price, p.have[z]})
+				offers = append(offers, offer{b.pool(), t, price, p.machinesInZone[z]})
 			}
 		}
 	}
@@ -49,30 +49,30 @@
 		if offers[a].price != offers[b].price {
 			return offers[a].price < offers[b].price
 		}
-		return offers[a].have < offers[b].have
+		return offers[a].machinesInZone < offers[b].machinesInZone
 	})
 	return offers
 }
 
-// add notes a machine to be rented.
-func (p *plan) add(o offer, part int) *bin {
-	b := p.empty(o.t, o.zone, o.spot)
-	b.part = part
-	p.fresh = append(p.fresh, b)
-	p.coming[part] = append(p.coming[part], b)
-	p.have[o.zone]++
+// addMachine notes a machine to be rented.
+func (p *planning) addMachine(o offer, part int) *bin {
+	b := p.newMachine(o.machineType, o.zone, o.spot)
+	b.shard = part
+	p.toProvision = append(p.toProvision, b)
+	p.toProvisionFor[part] = append(p.toProvisionFor[part], b)
+	p.machinesInZone[o.zone]++
 	return b
 }
 
-// rent adds new machines for what is left of a need, cheapest kind first.
-func (p *plan) rent(n *waiting) {
-	mine := p.coming[n.part]
-	if p.cover(n, mine) {
+// provision adds new machines for what is left of a need, cheapest kind first.
+func (p *planning) provision(n *demand) {
+	mine := p.toProvisionFor[n.shard]
+	if p.placeOn(n, mine) {
 		return
 	}
 	offers := p.offers(&n.Need)
 	if n.Gang && n.OneZone {
-		offers = p.gangZone(n, offers, mine)
+		offers = p.chooseGangZone(n, offers, mine)
 	}
 	for i := 0; n.Count > 0; i++ {
 		offers = slices.DeleteFunc(offers, func(o offer) bool { return !n.open(o.zone) })
@@ -88,7 +88,7 @@
 			}
 			o = offers[i%same]
 		}
-		b := p.add(o, n.part)
+		b := p.addMachine(o, n.shard)
 		for n.Count > 0 && b.fits(&n.Need) && n.open(b.Zone) {
 			b.use(&n.Need)
 			n.place(b.Zone)
@@ -97,16 +97,16 @@
 	}
 }
 
-// gangZone chooses the zone in which the fewest machines are missing for a gang
+// chooseGangZone chooses the zone in which the fewest machines are missing for a gang
 // of one zone, promises it those that are there or coming, and returns the
 // offers of that zone for the rest.
-func (p *plan) gangZone(n *waiting, offers []offer, mine []*bin) []offer {
+func (p *planning) chooseGangZone(n *demand, offers []offer, mine []*bin) []offer {
 	var got []*bin
 	zone := ""
 	for _, o := range offers { // the cheapest first
-		there := &waiting{n.Need, n.part}
+		there := &demand{n.Need, n.shard}
 		there.Gang, there.Zone = false, o.zone
-		if all := p.assign(there, append(slices.Clone(p.roomy[n.part]), mine...)); zone == "" || len(all) > len(got) {
+		if all := p.assign(there, append(slices.Clone(p.withRoom[n.shard]), mine...)); zone == "" || len(all) > len(got) {
 			zone, got = o.zone, all
 		}
 	}
@@ -120,14 +120,14 @@
 
 // headroom says how many unused machines of a kind each part should have, from
 // what has lately arrived there and how long a new machine takes.
-func (p *plan) headroom(spot bool) (want map[int]float64, total int) {
+func (p *planning) headroom(spot bool) (want map[int]float64, total int) {
 	boot := time.Duration(0)
 	for _, t := range p.cfg.Types {
 		boot = max(boot, time.Duration(t.BootS*float64(time.Second)))
 	}
 	want = map[int]float64{}
 	sum := 0.0
-	for _, summary := range p.sums {
+	for _, summary := range p.summaries {
 		arriving := summary.Arriving
 		if spot {
 			arriving = summary.ArrivingSpot
@@ -138,22 +138,22 @@
 	return want, int(sum + 0.5)
 }
 
-// ahead rents the headroom of a kind: machines with nothing to do, since a boot
+// provisionHeadroom rents the headroom of a kind: machines with nothing to do, since a boot
 // and an image take longer than most work may wait.
-func (p *plan) ahead(spot bool) {
+func (p *planning) provisionHeadroom(spot bool) {
 	want, target := p.headroom(spot)
 	total := 0
-	for _, bins := range [][]*bin{p.unused, p.fresh} {
+	for _, bins := range [][]*bin{p.unused, p.toProvision} {
 		for _, b := range bins {
-			if b.Spot == spot && b.Tasks == 0 && !b.taken {
-				want[b.part]--
+			if b.Spot == spot && b.Tasks == 0 && !b.promised {
+				want[b.shard]--
 				total++
 			}
 		}
 	}
 	for ; total < target; total++ {
 		best := -1
-		for _, summary := range p.sums {
+		for _, summary := range p.summaries {
 			if best < 0 || want[summary.Part] > want[best] {
 				best = summary.Part
 			}
@@ -164,6 +164,6 @@
 		if i < 0 {
 			return
 		}
-		p.add(offers[i], best)
+		p.addMachine(offers[i], best)
 	}
 }
--- a/internal/fleet/view.go
+++ b/internal/fleet/summary.go
@@ -117,5 +117,5 @@
 	Emptied bool
 }
 
-// Back is the value of an Order's To that gives the machine back to the cloud.
-const Back = -1
+// ReleaseToCloud is the value of an Order's To that gives the machine back to the cloud.
+const ReleaseToCloud = -1
--- a/internal/scheduler/deposed_test.go
+++ b/internal/scheduler/deposed_test.go
@@ -157,7 +157,7 @@
 	r := newRig(t)
 	r.machine("m1", "z1", false)
 	r.beats(2)
-	r.part.Order(fleet.Order{Machine: "m1", To: fleet.Back}, r.clock.Now())
+	r.part.Order(fleet.Order{Machine: "m1", To: fleet.ReleaseToCloud}, r.clock.Now())
 	back := r.nextTxn()
 	d := depose(r)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
--- a/internal/scheduler/safety_test.go
+++ b/internal/scheduler/safety_test.go
@@ -242,7 +242,7 @@
 		func(s *testkit.State) { s.HoldTxns = 1 },
 	} {
 		r, w := newRigWithMachine(t)
-		r.part.Order(fleet.Order{Machine: "m1", To: fleet.Back}, r.clock.Now())
+		r.part.Order(fleet.Order{Machine: "m1", To: fleet.ReleaseToCloud}, r.clock.Now())
 		script(r.state)
 		r.beats(1)
 		r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -123,7 +123,7 @@
 		}
 	}
 	defer s.index.update(m)
-	if o.To == fleet.Back {
+	if o.To == fleet.ReleaseToCloud {
 		m.drain = true
 		return
 	}
