--- a/internal/controller/messages_test.go
+++ b/internal/controller/messages_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"bramblespur/internal/config"
+	"bramblespur/internal/controller/rejectlog"
 	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/fleet"
 	"bramblespur/internal/httpwire"
@@ -28,6 +29,7 @@
 func logged(c *Controller) *bytes.Buffer {
 	var out bytes.Buffer
 	c.log = slog.New(slog.NewTextHandler(&out, nil))
+	c.rejections = rejectlog.New(c.log)
 	return &out
 }
 
