--- a/internal/controller/claim.go
+++ b/internal/controller/claim.go
@@ -157,7 +157,7 @@
 	id := shard.ID()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.safeMode.holder.Active() {
+	if c.safeMode.state.Active() {
 		return errors.New("claim: safe mode began meanwhile")
 	}
 	if cur := c.shardRecords[id]; cur.version > shard.Token() {
@@ -217,7 +217,7 @@
 		return nil, err
 	}
 	shard := scheduler.New(cfg, id, token)
-	if c.safeMode.on {
+	if c.safeMode.enabled {
 		shard.SetStrict()
 	}
 	c.mu.Lock()
--- a/internal/controller/cloud_reconciliation.go
+++ b/internal/controller/cloud_reconciliation.go
@@ -64,7 +64,7 @@
 		}
 	}
 	maps.DeleteFunc(addrs, func(id, _ string) bool { return !slices.Contains(unrecorded, id) })
-	if len(unrecorded) > 0 && !c.askStrangers(ctx, addrs) {
+	if len(unrecorded) > 0 && !c.queryUnrecordedMachines(ctx, addrs) {
 		err := c.cloud.Return(ctx, unrecorded)
 		c.log.Info("unexpected machines returned", "machines", unrecorded, "err", err)
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -139,9 +139,9 @@
 	tight := p.State.Tight() // bursts are for good, the rates follow at once
 	c.store = statestore.New(cfg.Outside.State, p.Count, tight.RPS, tight.WriteRPS, c.borrow)
 	c.init()
-	c.drains.turnOn(ops.Drains, &p)
-	c.restarts.turnOn(ops.Restart)
-	c.turnSafeModeOn(ops.Recovery)
+	c.drains.enable(ops.Drains, &p)
+	c.restarts.enable(ops.Restart)
+	c.enableSafeMode(ops.Recovery)
 	for _, q := range cfg.Peers {
 		c.peers[q.Label] = peer.NewClient(q.Addr)
 	}
@@ -177,10 +177,10 @@
 	if c.drains.settings != nil {
 		go c.drainLoop(ctx)
 	}
-	if c.restarts.on {
+	if c.restarts.enabled {
 		go c.restartLoop(ctx)
 	}
-	if c.safeMode.on {
+	if c.safeMode.enabled {
 		go c.auditLoop(ctx)
 	}
 }
@@ -300,7 +300,7 @@
 			shard.SetBacklog(backlog)
 			c.step(shard, now)
 		}
-		if !c.safeMode.holder.Active() {
+		if !c.safeMode.state.Active() {
 			c.lookUpDependencies(ctx, now)
 			c.considerAcquisitions(ctx, now)
 		}
--- a/internal/controller/audit.go
+++ b/internal/controller/data_loss_audit.go
@@ -12,36 +12,36 @@
 	"bramblespur/internal/wire"
 )
 
-// auditUse is the purpose of audits: they leave room for what users wait for.
-var auditUse = statestore.Routine("audit")
+// auditPurpose is the purpose of audits: they leave room for what users wait for.
+var auditPurpose = statestore.Routine("audit")
 
 const (
-	// auditPatience is for how many turns of the watch an audit waits for the view.
-	auditPatience = 3
-	auditLook     = 100 * time.Millisecond
-	// sampledFinals is how many final records an audit reads again: there may be very many.
-	sampledFinals = 4
-	// sampledOpen is how many jobs' final records are looked for when their open ones are gone.
-	sampledOpen = 16
+	// auditWatchTurns is for how many turns of the watch an audit waits for the view.
+	auditWatchTurns  = 3
+	viewPollInterval = 100 * time.Millisecond
+	// finishedRecordsSampled is how many final records an audit reads again: there may be very many.
+	finishedRecordsSampled = 4
+	// missingJobsChecked is how many jobs' final records are looked for when their open ones are gone.
+	missingJobsChecked = 16
 )
 
-// audited are the prefixes whose records all controllers hold.
-var audited = []string{record.ClusterPrefix, record.FleetPrefix, record.ActiveJobPrefix}
+// auditedPrefixes are the prefixes whose records all controllers hold.
+var auditedPrefixes = []string{record.ClusterPrefix, record.FleetPrefix, record.ActiveJobPrefix}
 
-// relists is how often all views were to be read anew.
-func (c *Controller) relists() int {
+// viewResets is how often all views were to be read anew.
+func (c *Controller) viewResets() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.safeMode.relists
+	return c.safeMode.viewResets
 }
 
 // auditLoop compares what is known here with the records themselves: what the state service
 // loses silently, no watch tells. The views are the same everywhere, so that the leader alone
 // compares them; of final states each controller knows others.
 func (c *Controller) auditLoop(ctx context.Context) {
-	for sleep(ctx, jitter(c.safeMode.auditEvery)) {
+	for sleep(ctx, jitter(c.safeMode.auditInterval)) {
 		c.mu.Lock()
-		safe, leads := c.safeMode.holder.Active(), c.isLeader(time.Now())
+		safe, leads := c.safeMode.state.Active(), c.isLeader(time.Now())
 		c.mu.Unlock()
 		if safe {
 			continue
@@ -49,7 +49,7 @@
 		if leads {
 			c.auditViews(ctx)
 		}
-		if err := c.auditFinals(ctx); err != nil {
+		if err := c.auditFinishedJobs(ctx); err != nil {
 			c.log.Debug("audit of final records", "err", err)
 		}
 	}
@@ -57,20 +57,20 @@
 
 // auditViews compares all views with the records.
 func (c *Controller) auditViews(ctx context.Context) {
-	for _, prefix := range audited {
-		if err := c.audit(ctx, prefix); err != nil {
+	for _, prefix := range auditedPrefixes {
+		if err := c.auditPrefix(ctx, prefix); err != nil {
 			c.log.Debug("audit", "prefix", prefix, "err", err)
 		}
 	}
 }
 
-// audit compares a view with all records of a prefix.
-func (c *Controller) audit(ctx context.Context, prefix string) error {
-	entries, revision, err := c.store.List(ctx, auditUse, prefix)
+// auditPrefix compares a view with all records of a prefix.
+func (c *Controller) auditPrefix(ctx context.Context, prefix string) error {
+	entries, revision, err := c.store.List(ctx, auditPurpose, prefix)
 	if err != nil || !c.awaitView(ctx, prefix, revision) {
 		return err
 	}
-	listed := versionsOf(entries)
+	listed := entryVersions(entries)
 	now := time.Now()
 	missing := map[string]uint64{}
 	c.mu.Lock()
@@ -80,15 +80,15 @@
 		case found == 0:
 			missing[key] = held
 		default:
-			c.noticeOlder(key, held, found, now)
+			c.reportIfStale(key, held, found, now)
 		}
 	}
 	c.mu.Unlock()
 	return c.confirmMissing(ctx, prefix, missing)
 }
 
-// versionsOf returns the versions of listed records by their keys.
-func versionsOf(entries []wire.Entry) map[string]uint64 {
+// entryVersions returns the versions of listed records by their keys.
+func entryVersions(entries []wire.Entry) map[string]uint64 {
 	out := make(map[string]uint64, len(entries))
 	for _, e := range entries {
 		out[e.Key] = e.Version
@@ -98,14 +98,14 @@
 
 // awaitView waits until a view has come to a revision, and reports false if it does not.
 func (c *Controller) awaitView(ctx context.Context, prefix string, revision uint64) bool {
-	for end := time.Now().Add(auditPatience * c.watchWait()); time.Now().Before(end); {
+	for end := time.Now().Add(auditWatchTurns * c.watchWait()); time.Now().Before(end); {
 		c.mu.Lock()
 		reached := c.viewRevisions[prefix] >= revision
 		c.mu.Unlock()
 		if reached {
 			return true
 		}
-		if !sleep(ctx, auditLook) {
+		if !sleep(ctx, viewPollInterval) {
 			return false
 		}
 	}
@@ -145,7 +145,7 @@
 	}
 	changes, err := c.store.Watch(ctx, prefix, since, 0)
 	if errors.Is(err, statestore.ErrTooOld) {
-		return c.confirmOtherwise(ctx, prefix, missing)
+		return c.confirmMissingIndirectly(ctx, prefix, missing)
 	}
 	if err != nil {
 		return err
@@ -156,24 +156,24 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for key, held := range missing {
-		c.noticeOlder(key, held, 0, time.Now())
+		c.reportIfStale(key, held, 0, time.Now())
 	}
 	return nil
 }
 
-// confirmOtherwise looks for other proof of what became of records whose deletion the state
+// confirmMissingIndirectly looks for other proof of what became of records whose deletion the state
 // service no longer tells: a job that is over has a final record, the machines of a rental
 // that is over are silent, and parts are never deleted.
-func (c *Controller) confirmOtherwise(ctx context.Context, prefix string, missing map[string]uint64) error {
+func (c *Controller) confirmMissingIndirectly(ctx context.Context, prefix string, missing map[string]uint64) error {
 	looked := 0
 	for key, held := range missing {
 		lost := prefix == record.ClusterPrefix
 		switch {
 		case strings.HasPrefix(key, record.ProvisionPrefix):
-			lost = c.anyReports(key)
-		case prefix == record.ActiveJobPrefix && looked < sampledOpen:
+			lost = c.anyMachineAlive(key)
+		case prefix == record.ActiveJobPrefix && looked < missingJobsChecked:
 			looked++
-			over, err := c.isOver(ctx, record.Last(key))
+			over, err := c.hasFinishedRecord(ctx, record.Last(key))
 			if err != nil {
 				return err
 			}
@@ -181,24 +181,24 @@
 		}
 		if lost {
 			c.mu.Lock()
-			c.noticeOlder(key, held, 0, time.Now())
+			c.reportIfStale(key, held, 0, time.Now())
 			c.mu.Unlock()
 		}
 	}
 	return nil
 }
 
-// isOver reports whether a job has a final record.
-func (c *Controller) isOver(ctx context.Context, ref string) (bool, error) {
-	_, err := c.store.Get(ctx, auditUse, record.FinishedJobKey(ref))
+// hasFinishedRecord reports whether a job has a final record.
+func (c *Controller) hasFinishedRecord(ctx context.Context, ref string) (bool, error) {
+	_, err := c.store.Get(ctx, auditPurpose, record.FinishedJobKey(ref))
 	if errors.Is(err, statestore.ErrNotFound) {
 		return false, nil
 	}
 	return err == nil, err
 }
 
-// anyReports reports whether a machine of a rental was heard by its owner within its lease.
-func (c *Controller) anyReports(rental string) bool {
+// anyMachineAlive reports whether a machine of a rental was heard by its owner within its lease.
+func (c *Controller) anyMachineAlive(rental string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range c.fleet.IDs(rental) {
@@ -210,16 +210,16 @@
 	return false
 }
 
-// auditFinals reads some final records again that were read, or written, before.
-func (c *Controller) auditFinals(ctx context.Context) error {
-	for _, ref := range c.terminalStates.Sample(sampledFinals) {
-		over, err := c.isOver(ctx, ref)
+// auditFinishedJobs reads some final records again that were read, or written, before.
+func (c *Controller) auditFinishedJobs(ctx context.Context) error {
+	for _, ref := range c.terminalStates.Sample(finishedRecordsSampled) {
+		over, err := c.hasFinishedRecord(ctx, ref)
 		if err != nil {
 			return err
 		}
 		if !over {
 			c.mu.Lock()
-			c.noticeLoss(recovery.Sign{Kind: recovery.RecordGone, Key: record.FinishedJobKey(ref)}, time.Now())
+			c.reportDataLoss(recovery.Sign{Kind: recovery.RecordGone, Key: record.FinishedJobKey(ref)}, time.Now())
 			c.mu.Unlock()
 		}
 	}
--- a/internal/controller/evidence.go
+++ b/internal/controller/data_loss_evidence.go
@@ -11,8 +11,8 @@
 	"bramblespur/internal/wire"
 )
 
-// evidencePage is how many records are told at a time.
-const evidencePage = 500
+// evidencePageSize is how many records are told at a time.
+const evidencePageSize = 500
 
 // Evidence implements peer.Handler: it tells what this controller holds of the records since
 // its safe mode began, page by page, and with the first page the workers' newest reports.
@@ -20,36 +20,36 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m := &c.safeMode
-	mode := m.holder.Mode()
+	mode := m.state.Mode()
 	if !mode.Active {
 		return peer.EvidenceReply{}
 	}
-	if m.held == nil {
-		m.held = c.heldRecords()
+	if m.heldRecords == nil {
+		m.heldRecords = c.heldRecords()
 	}
 	r := peer.EvidenceReply{Mode: mode}
 	if a.After == "" {
-		r.View = recovery.View{Revision: m.openRevision, Open: map[string]recovery.OpenJob{}}
+		r.View = recovery.View{Revision: m.activeJobsRevision, Open: map[string]recovery.OpenJob{}}
 		for ref, j := range c.activeJobs {
 			r.View.Open[ref] = recovery.OpenJob{Version: j.version, Cancelled: j.cancelled}
 		}
-		for _, id := range slices.Sorted(maps.Keys(m.reports)) {
-			r.Reports = append(r.Reports, m.reports[id])
+		for _, id := range slices.Sorted(maps.Keys(m.heartbeats)) {
+			r.Reports = append(r.Reports, m.heartbeats[id])
 		}
 	}
-	from, _ := slices.BinarySearchFunc(m.held, a.After, func(e wire.Entry, key string) int { return cmp.Compare(e.Key, key) })
-	if from < len(m.held) && m.held[from].Key == a.After {
+	from, _ := slices.BinarySearchFunc(m.heldRecords, a.After, func(e wire.Entry, key string) int { return cmp.Compare(e.Key, key) })
+	if from < len(m.heldRecords) && m.heldRecords[from].Key == a.After {
 		from++
 	}
-	to := min(len(m.held), from+evidencePage)
-	r.Held, r.More = m.held[from:to], to < len(m.held)
+	to := min(len(m.heldRecords), from+evidencePageSize)
+	r.Held, r.More = m.heldRecords[from:to], to < len(m.heldRecords)
 	return r
 }
 
 // heldRecords returns all records that are known here, by key. The lock is held.
 func (c *Controller) heldRecords() []wire.Entry {
 	out := c.fleet.Entries()
-	for _, shard := range c.safeMode.frozen {
+	for _, shard := range c.safeMode.frozenShards {
 		out = append(out, shard.Records()...)
 	}
 	for ref, j := range c.terminalStates.All() {
--- a/internal/controller/drains_bench_test.go
+++ b/internal/controller/drains_bench_test.go
@@ -17,14 +17,14 @@
 			c, _, workers := fleetController(b, accountMachines, accountJobs)
 			met(b, c, workers)
 			now := time.Now()
-			c.drains.turnOn(drainSettings(drainBudget), &c.cfg.Params)
+			c.drains.enable(drainSettings(drainBudget), &c.cfg.Params)
 			version := uint64(1 << 40)
 			put := func(key string, v any) {
 				version++
 				c.changeCluster(wire.Change{Put: key, Value: record.Encode(v), Version: version}, now)
 			}
 			for _, label := range c.cfg.Labels() {
-				put(drain.AwareKey(label), drain.Aware{Budgets: c.drains.budgets})
+				put(drain.AwareKey(label), drain.Aware{Budgets: c.drains.budgetFingerprint})
 			}
 			if atOnce > 0 {
 				plan := drain.Plan{Name: "all", AtOnce: atOnce, State: drain.Active, Created: now.Add(time.Hour).UnixMilli()}
@@ -44,7 +44,7 @@
 				c.mu.Lock()
 				if c.drains.view.InUse() {
 					c.setCordons(shard)
-					c.drainWrites(shard, now)
+					c.planDrainWrites(shard, now)
 				}
 				c.mu.Unlock()
 			}
--- a/internal/controller/drains_harness_test.go
+++ b/internal/controller/drains_harness_test.go
@@ -51,7 +51,7 @@
 		}
 		k.prepare = func(label string, c *Controller) {
 			if !k.off[label] {
-				c.drains.turnOn(k.settings, &k.params)
+				c.drains.enable(k.settings, &k.params)
 			}
 		}
 		k.counted = k.world.CountInterruptions(l.limit.AtOnce, l.limit.InWindow, l.limit.Window)
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -8,9 +8,9 @@
 	"bramblespur/internal/cloud"
 	"bramblespur/internal/config"
 	"bramblespur/internal/fleet"
-	"bramblespur/internal/pace"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/policy"
+	"bramblespur/internal/ratelimit"
 	"bramblespur/internal/record"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
@@ -52,8 +52,8 @@
 	recordingAddresses map[string]bool
 	releasing          map[string]bool // batches being given back
 	grants             quotaGrants
-	orderLimits        *pace.Shares     // of the orders to workers; nil until they are shared out
-	lender             *statestore.Pool // changes that it lends
+	orderLimits        *ratelimit.ClusterShares // of the orders to workers; nil until they are shared out
+	lender             *statestore.Pool         // changes that it lends
 	lastSyncAt         time.Time
 	lastPlanAt         time.Time
 	addresses          map[string]string // of machines, as their owners tell
@@ -68,7 +68,7 @@
 	for sleep(ctx, syncEvery) {
 		now := time.Now()
 		c.mu.Lock()
-		safe := c.safeMode.holder.Active()
+		safe := c.safeMode.state.Active()
 		leads, sure, types := c.isLeader(now) && !safe, c.sure(now) && !safe, c.machineTypes
 		cur := c.leader
 		stand := !leads && sure && types != nil && now.After(c.quietUntil) && !c.viewAt.IsZero() &&
@@ -97,7 +97,7 @@
 		c.cloud.Budget(c.cfg.Params.Cloud.RPS * share)
 		c.publishStatus(ctx)
 		c.askFormats(ctx)
-		c.retractDrains(ctx)
+		c.retractDrainSupport(ctx)
 	}
 }
 
@@ -155,13 +155,13 @@
 	}
 	c.leaderAskedAt = now
 	c.applyGrant(a.Requests, a.Changes, now)
-	c.setOrderShare(a.OrderRate, now)
+	c.setCommandRate(a.OrderRate, now)
 	load := c.ownLoad(now)
 	r := peer.SyncReply{Summaries: c.summaries(now), StateOK: c.sure(now),
 		Recovering: load.recovering, HasRoom: load.hasRoom}
 	if len(a.Orders) == 0 { // orders alone come between the leader's turns
 		r.Requests, r.Changes = c.store.Needed()
-		r.OrdersWaiting = c.ordersWaiting()
+		r.OrdersWaiting = c.delayedCommands()
 	}
 	return r
 }
@@ -268,10 +268,10 @@
 		turn = max(turn, now.Sub(l.lastSyncAt))
 	}
 	l.lastSyncAt = now
-	own := quotaDemand{ordersWaiting: c.ordersWaiting()}
+	own := quotaDemand{ordersWaiting: c.delayedCommands()}
 	own.Requests, own.Changes = c.store.Needed()
 	needs[c.cfg.Label] = own
-	c.setOrderShare(l.grants.orders[c.cfg.Label], now) // as the others were told in this turn
+	c.setCommandRate(l.grants.orders[c.cfg.Label], now) // as the others were told in this turn
 	l.grants = c.computeGrants(needs, turn)
 	c.applyGrant(l.grants.requests[c.cfg.Label], l.grants.changes[c.cfg.Label], now)
 }
--- a/internal/controller/parts.go
+++ b/internal/controller/parts.go
@@ -52,7 +52,7 @@
 		GatherEnds:   gatherEnds,
 		GatherStarts: gatherStarts,
 		GatherBacks:  gatherBacks,
-		Pace:         c.restarts.pace,
+		Pace:         c.restarts.limiter,
 		Urgency: func(spec *wire.Spec, waited time.Duration, deadline *float64) float64 {
 			j := policy.Job{Class: spec.Class, Team: spec.Team, Kind: kinds[spec.Kind], Tasks: spec.Tasks, WaitedS: waited.Seconds(), EstimateS: spec.EstimateS}
 			if deadline != nil {
@@ -78,10 +78,10 @@
 		return
 	}
 	c.refreshAuthority(shard, now)
-	c.keepCordons(shard)
+	c.refreshCordons(shard)
 	eff := shard.Step(now)
-	c.noteLosses(eff.Interrupted, now)
-	c.noteContradictions(eff.Contradictions)
+	c.recordInterruptions(eff.Interrupted, now)
+	c.recordContradictions(eff.Contradictions)
 	if shard.Lost() {
 		delete(c.shards, shard.ID())
 		go c.rereadShardRecord(shard.ID())
@@ -229,7 +229,7 @@
 		if e, err = c.getIfPresent(ctx, key); err != nil {
 			return err
 		}
-		intact, err = c.readBack(ctx, shard, key, e)
+		intact, err = c.checkReread(ctx, shard, key, e)
 		return err
 	})
 	if !ok || !intact {
@@ -317,14 +317,14 @@
 				return
 			}
 			c.mu.Lock()
-			c.noticeOlder(record.ShardKey(id), c.shardRecords[id].version, e.Version, time.Now())
+			c.reportIfStale(record.ShardKey(id), c.shardRecords[id].version, e.Version, time.Now())
 			c.setShardRecord(id, r, e.Version)
 			c.mu.Unlock()
 			return
 		}
 		if errors.Is(err, statestore.ErrNotFound) {
 			c.mu.Lock()
-			c.noticeOlder(record.ShardKey(id), c.shardRecords[id].version, 0, time.Now())
+			c.reportIfStale(record.ShardKey(id), c.shardRecords[id].version, 0, time.Now())
 			c.mu.Unlock()
 		}
 		sleep(ctx, jitter(400*time.Millisecond))
--- a/internal/controller/quota.go
+++ b/internal/controller/quota.go
@@ -52,7 +52,7 @@
 			writes -= s.WriteRPS / float64(c.cfg.Params.Count)
 		}
 	}
-	return quotaGrants{fleet.FairShare(rps, requests), fleet.FairShare(writes, changes), c.shareOrders(c.leadership, needs)}
+	return quotaGrants{fleet.FairShare(rps, requests), fleet.FairShare(writes, changes), c.shareCommandRate(c.leadership, needs)}
 }
 
 // Lend implements peer.Handler: whether another controller may make changes beyond
--- a/internal/controller/release.go
+++ b/internal/controller/release.go
@@ -15,7 +15,7 @@
 // ran on the machines, to whoever owns their parts by then.
 func (c *Controller) releaseMachines(ctx context.Context, l *leadership, now time.Time) {
 	c.mu.Lock()
-	if c.safeMode.holder.Active() || len(c.fleet.Pending()) > 0 && !c.allowCloudCall(now) {
+	if c.safeMode.state.Active() || len(c.fleet.Pending()) > 0 && !c.allowCloudCall(now) {
 		c.mu.Unlock()
 		return
 	}
--- a/internal/controller/restarts.go
+++ b/internal/controller/restarts.go
@@ -9,7 +9,7 @@
 
 	"bramblespur/internal/fleet"
 	"bramblespur/internal/operations"
-	"bramblespur/internal/pace"
+	"bramblespur/internal/ratelimit"
 	"bramblespur/internal/reconcile"
 	"bramblespur/internal/restart"
 	"bramblespur/internal/scheduler"
@@ -18,47 +18,47 @@
 )
 
 const (
-	restartEvery = time.Second // how often an episode is looked at
-	// restartWriteEvery is how often an episode is recorded that has not settled.
-	restartWriteEvery = 5 * time.Second
-	restartTimeout    = 5 * time.Second
-	// paceCalm is how long no order must have waited until the pace ends.
-	paceCalm = 5 * time.Second
-	// largeShareLife is how long more than an equal share of the orders counts without
+	restartInterval = time.Second // how often an episode is looked at
+	// restartRecordInterval is how often an episode is recorded that has not settled.
+	restartRecordInterval = 5 * time.Second
+	restartRecordTimeout  = 5 * time.Second
+	// quietPeriod is how long no order must have waited until the pace ends.
+	quietPeriod = 5 * time.Second
+	// largeShareTTL is how long more than an equal share of the orders counts without
 	// the leader's word: shorter than any smaller share does, so that all shares together
 	// keep to the bound when the leader ends.
-	largeShareLife = 2 * time.Second
+	largeShareTTL = 2 * time.Second
 )
 
 // restarts is what this process does quietly after it has started or taken parts over. The
 // controller's lock guards it.
 type restarts struct {
-	on      bool
-	pace    *pace.Pace
-	shareAt time.Time // when the leader last gave a share of the orders
-	large   bool      // and whether that was more than an equal one
-	calmAt  time.Time // since when the pace might end
-	// waitedAt is when something last was awaited, or an order had to wait.
-	waitedAt time.Time
+	enabled         bool
+	limiter         *ratelimit.Limiter
+	shareReceivedAt time.Time // when the leader last gave a share of the orders
+	aboveEqualShare bool      // and whether that was more than an equal one
+	quietSince      time.Time // since when the pace might end
+	// lastPendingAt is when something last was awaited, or an order had to wait.
+	lastPendingAt time.Time
 
-	episode *restart.Episode // nil: everything has settled
-	begun   bool             // an episode has begun since the process has
-	parts   map[int]bool     // that are settling
-	tally   reconcile.Tally  // of parts that have settled
+	episode           *restart.Episode // nil: everything has settled
+	hadEpisode        bool             // an episode has begun since the process has
+	reconcilingShards map[int]bool     // that are settling
+	reconciledTally   reconcile.Tally  // of parts that have settled
 }
 
-// restartLog is the record of this controller's episodes. Only restartLoop uses it.
-type restartLog struct {
-	history  restart.History
-	read     bool   // the record as it stands was read
-	version  uint64 // of the record
-	recorded time.Time
+// restartRecord is the record of this controller's episodes. Only restartLoop uses it.
+type restartRecord struct {
+	history   restart.History
+	loaded    bool   // the record as it stands was read
+	version   uint64 // of the record
+	writtenAt time.Time
 }
 
-// turnOn sets the operators' settings; nil leaves it off.
-func (r *restarts) turnOn(s *operations.Restart) {
+// enable sets the operators' settings; nil leaves it off.
+func (r *restarts) enable(s *operations.Restart) {
 	if s != nil {
-		r.on, r.pace, r.parts = true, pace.New(s.Settings), map[int]bool{}
+		r.enabled, r.limiter, r.reconcilingShards = true, ratelimit.New(s.Settings), map[int]bool{}
 	}
 }
 
@@ -69,80 +69,80 @@
 	for _, err := range malformed {
 		c.log.Error("malformed record passed over", "shard", shard.ID(), "err", err)
 	}
-	if !r.on || !shard.HasMachines() {
+	if !r.enabled || !shard.HasMachines() {
 		shard.EndSettling() // where there are no workers there is nothing to find out
 		return
 	}
 	if r.episode == nil {
 		cause := restart.TookOver
-		if !r.begun {
+		if !r.hadEpisode {
 			cause = restart.Started
 		}
-		r.begun = true
+		r.hadEpisode = true
 		r.episode = &restart.Episode{Incarnation: c.lease.current().incarnation, Cause: cause, Began: now.UnixMilli()}
-		r.tally, r.calmAt, r.waitedAt = reconcile.Tally{}, now, now
+		r.reconciledTally, r.quietSince, r.lastPendingAt = reconcile.Tally{}, now, now
 		c.log.Info("restart: settling begins", "cause", cause)
 	}
 	r.episode.Malformed += len(malformed)
-	r.pace.Begin(c.equalOrders(), now)
-	r.parts[shard.ID()] = true
+	r.limiter.Start(c.equalCommandRate(), now)
+	r.reconcilingShards[shard.ID()] = true
 	if !slices.Contains(r.episode.Parts, shard.ID()) {
 		r.episode.Parts = append(r.episode.Parts, shard.ID())
 	}
 }
 
-// equalOrders is this controller's equal share of the orders of all. The lock is held.
-func (c *Controller) equalOrders() float64 {
-	return c.restarts.pace.Settings().Total(c.fleet.Len()) / float64(c.cfg.Params.Count)
+// equalCommandRate is this controller's equal share of the orders of all. The lock is held.
+func (c *Controller) equalCommandRate() float64 {
+	return c.restarts.limiter.Settings().ClusterRate(c.fleet.Len()) / float64(c.cfg.Params.Count)
 }
 
-// setOrderShare takes in the leader's word on this controller's share. The lock is held.
-func (c *Controller) setOrderShare(share float64, now time.Time) {
+// setCommandRate takes in the leader's word on this controller's share. The lock is held.
+func (c *Controller) setCommandRate(share float64, now time.Time) {
 	r := &c.restarts
-	if !r.on || share <= 0 {
+	if !r.enabled || share <= 0 {
 		return
 	}
-	r.shareAt, r.large = now, share > c.equalOrders()
-	r.pace.SetShare(share, now)
+	r.shareReceivedAt, r.aboveEqualShare = now, share > c.equalCommandRate()
+	r.limiter.SetShare(share, now)
 }
 
-// expireOrderShare falls back to an equal share once the leader has not been heard. The
+// expireCommandRate falls back to an equal share once the leader has not been heard. The
 // lock is held.
-func (c *Controller) expireOrderShare(now time.Time) {
+func (c *Controller) expireCommandRate(now time.Time) {
 	r := &c.restarts
 	life := grantLifetime
-	if r.large {
-		life = largeShareLife
+	if r.aboveEqualShare {
+		life = largeShareTTL
 	}
-	if now.Sub(r.shareAt) > life {
-		r.pace.SetShare(c.equalOrders(), now)
+	if now.Sub(r.shareReceivedAt) > life {
+		r.limiter.SetShare(c.equalCommandRate(), now)
 	}
 }
 
-// ordersWaiting is how many orders had to wait since it was last asked. The lock is held.
-func (c *Controller) ordersWaiting() int {
-	if !c.restarts.on {
+// delayedCommands is how many orders had to wait since it was last asked. The lock is held.
+func (c *Controller) delayedCommands() int {
+	if !c.restarts.enabled {
 		return 0
 	}
-	return c.restarts.pace.Waiting()
+	return c.restarts.limiter.TakeDelayed()
 }
 
-// shareOrders shares out the orders of all by what waited at each controller that answered.
+// shareCommandRate shares out the orders of all by what waited at each controller that answered.
 // The lock is held.
-func (c *Controller) shareOrders(l *leadership, needs map[string]quotaDemand) map[string]float64 {
-	if !c.restarts.on {
+func (c *Controller) shareCommandRate(l *leadership, needs map[string]quotaDemand) map[string]float64 {
+	if !c.restarts.enabled {
 		return nil
 	}
-	total := c.restarts.pace.Settings().Total(c.fleet.Len())
+	total := c.restarts.limiter.Settings().ClusterRate(c.fleet.Len())
 	if l.orderLimits == nil {
-		l.orderLimits = pace.NewShares(total, c.cfg.Labels())
+		l.orderLimits = ratelimit.NewClusterShares(total, c.cfg.Labels())
 	}
 	l.orderLimits.SetTotal(total)
 	waiting := map[string]float64{}
 	for _, label := range c.cfg.Labels() {
 		n, answered := needs[label]
 		if !answered {
-			l.orderLimits.Silent(label)
+			l.orderLimits.MarkSilent(label)
 			continue
 		}
 		waiting[label] = float64(n.ordersWaiting)
@@ -156,54 +156,54 @@
 
 // restartLoop follows what has to settle, and records it.
 func (c *Controller) restartLoop(ctx context.Context) {
-	var record restartLog
-	for sleep(ctx, restartEvery) {
+	var record restartRecord
+	for sleep(ctx, restartInterval) {
 		c.mu.Lock()
 		now := time.Now()
-		c.expireOrderShare(now)
-		c.endPace(now)
-		e, under := c.followEpisode(now)
+		c.expireCommandRate(now)
+		c.endCommandLimit(now)
+		e, under := c.updateEpisode(now)
 		c.mu.Unlock()
-		if under && (e.Settled != 0 || now.Sub(record.recorded) >= restartWriteEvery) {
+		if under && (e.Settled != 0 || now.Sub(record.writtenAt) >= restartRecordInterval) {
 			c.recordEpisode(ctx, &record, e, now)
 		}
 	}
 }
 
-// endPace ends the pace once all should have settled, here and elsewhere, and nothing has
+// endCommandLimit ends the pace once all should have settled, here and elsewhere, and nothing has
 // waited for it for a while. The lock is held.
-func (c *Controller) endPace(now time.Time) {
+func (c *Controller) endCommandLimit(now time.Time) {
 	r := &c.restarts
-	if !r.pace.On() {
+	if !r.limiter.Active() {
 		return
 	}
-	held := r.pace.Held()
+	held := r.limiter.TakeAnyDelayed()
 	if held {
-		r.waitedAt = now
+		r.lastPendingAt = now
 	}
-	if held || !r.pace.Late(now) {
-		r.calmAt = now // others may be settling yet
+	if held || !r.limiter.Overdue(now) {
+		r.quietSince = now // others may be settling yet
 	}
-	if now.Sub(r.calmAt) > paceCalm {
-		r.pace.End()
+	if now.Sub(r.quietSince) > quietPeriod {
+		r.limiter.Stop()
 		c.log.Info("restart: orders are released freely")
 	}
 }
 
-// followEpisode brings the episode up to date and returns it, if there is one. The lock is
+// updateEpisode brings the episode up to date and returns it, if there is one. The lock is
 // held.
-func (c *Controller) followEpisode(now time.Time) (restart.Episode, bool) {
+func (c *Controller) updateEpisode(now time.Time) (restart.Episode, bool) {
 	r := &c.restarts
 	e := r.episode
 	if e == nil {
 		return restart.Episode{}, false
 	}
-	tally := r.tally
+	tally := r.reconciledTally
 	e.Awaited, e.Unheard, e.Names = 0, 0, nil
-	for id := range r.parts {
+	for id := range r.reconcilingShards {
 		shard := c.shards[id]
 		if shard == nil {
-			delete(r.parts, id) // another's by now
+			delete(r.reconcilingShards, id) // another's by now
 			continue
 		}
 		progress, settling := shard.Progress()
@@ -212,18 +212,18 @@
 		e.Unheard += progress.Unheard
 		e.Names = append(e.Names, progress.Names...)
 		if !settling || progress.Awaited+progress.Unheard == 0 {
-			r.tally.Plus(progress.Tally)
+			r.reconciledTally.Plus(progress.Tally)
 			shard.EndSettling()
-			delete(r.parts, id)
+			delete(r.reconcilingShards, id)
 		}
 	}
 	e.Verdicts = tally.Named()
-	e.Orders, e.Bound = slices.Clone(r.pace.Seconds(time.UnixMilli(e.Began))), c.equalOrders()
-	if len(r.parts) > 0 {
-		r.waitedAt = now
+	e.Orders, e.Bound = slices.Clone(r.limiter.ReleasedPerSecond(time.UnixMilli(e.Began))), c.equalCommandRate()
+	if len(r.reconcilingShards) > 0 {
+		r.lastPendingAt = now
 	}
-	if now.Sub(r.waitedAt) > paceCalm {
-		e.Settled = r.waitedAt.UnixMilli()
+	if now.Sub(r.lastPendingAt) > quietPeriod {
+		e.Settled = r.lastPendingAt.UnixMilli()
 		r.episode = nil
 		c.log.Info("restart: settled", "took", e.Took(now).Round(time.Millisecond), "verdicts", e.Verdicts)
 	}
@@ -232,11 +232,11 @@
 
 // recordEpisode writes an episode to this controller's record. One that is not written is
 // written with the next.
-func (c *Controller) recordEpisode(ctx context.Context, log *restartLog, e restart.Episode, now time.Time) {
-	ctx, cancel := context.WithTimeout(ctx, restartTimeout)
+func (c *Controller) recordEpisode(ctx context.Context, log *restartRecord, e restart.Episode, now time.Time) {
+	ctx, cancel := context.WithTimeout(ctx, restartRecordTimeout)
 	defer cancel()
 	key, use := restart.Key(c.cfg.Label), statestore.Routine("restart")
-	if !log.read && !c.readRestarts(ctx, log, key) {
+	if !log.loaded && !c.loadEpisodes(ctx, log, key) {
 		return
 	}
 	log.history.Put(e)
@@ -245,16 +245,16 @@
 		Then: []wire.Op{{Put: key, Value: log.history.Encode(c.limits().Bytes())}},
 	})
 	if err != nil {
-		log.read = false // it may have been written all the same
+		log.loaded = false // it may have been written all the same
 		c.log.Debug("restart record", "err", err)
 		return
 	}
-	log.version, log.recorded = rev, now
+	log.version, log.writtenAt = rev, now
 }
 
-// readRestarts reads the record as it stands, which the label's last process may have
+// loadEpisodes reads the record as it stands, which the label's last process may have
 // written.
-func (c *Controller) readRestarts(ctx context.Context, log *restartLog, key string) bool {
+func (c *Controller) loadEpisodes(ctx context.Context, log *restartRecord, key string) bool {
 	entry, err := c.store.Get(ctx, statestore.Routine("restart"), key)
 	if err != nil && !errors.Is(err, statestore.ErrNotFound) {
 		return false
@@ -267,13 +267,13 @@
 	for _, e := range log.history.Episodes {
 		there.Put(e)
 	}
-	log.history, log.version, log.read = there, entry.Version, true
+	log.history, log.version, log.loaded = there, entry.Version, true
 	return true
 }
 
-// noteContradictions logs claims that disagree with what is known, and counts them. The
+// recordContradictions logs claims that disagree with what is known, and counts them. The
 // lock is held.
-func (c *Controller) noteContradictions(all []scheduler.Contradiction) {
+func (c *Controller) recordContradictions(all []scheduler.Contradiction) {
 	for _, x := range all {
 		c.log.Info("contradictory claim", "task", x.Task, "machine", x.Machine, "claimed", x.Claimed, "known", x.Known)
 		if c.restarts.episode != nil {
@@ -285,5 +285,5 @@
 // allowCloudCall reports whether the leader may rent or return machines now: such calls
 // count as orders. The lock is held.
 func (c *Controller) allowCloudCall(now time.Time) bool {
-	return c.restarts.pace.Allow(pace.Routine, now)
+	return c.restarts.limiter.Allow(ratelimit.Routine, now)
 }
--- a/internal/controller/restarts_test.go
+++ b/internal/controller/restarts_test.go
@@ -11,7 +11,7 @@
 
 	"bramblespur/internal/drain"
 	"bramblespur/internal/operations"
-	"bramblespur/internal/pace"
+	"bramblespur/internal/ratelimit"
 	"bramblespur/internal/record"
 	"bramblespur/internal/restart"
 	"bramblespur/internal/testkit"
@@ -62,7 +62,7 @@
 		k.restartMissing()
 		back := time.Now()
 		k.await(3*time.Minute, "all have settled", func() bool { return k.settled() })
-		paced := back.Add(pace.DefaultSettleWithin)
+		paced := back.Add(ratelimit.DefaultLimitFor)
 		if n := k.world.Orders().Most(time.Second, k.ended, paced, !k.cancels.Load()); n > restartOrders {
 			k.t.Errorf("%d orders in a second, of %d", n, restartOrders)
 		}
@@ -75,7 +75,7 @@
 }
 
 func quietly(_ string, c *Controller) {
-	c.restarts.turnOn(&operations.Restart{Settings: pace.Settings{OrdersPerS: restartOrders}})
+	c.restarts.enable(&operations.Restart{Settings: ratelimit.Settings{CommandsPerSecond: restartOrders}})
 }
 
 // episodes returns what a controller recorded.
--- a/internal/controller/safe_mode.go
+++ b/internal/controller/safe_mode.go
@@ -15,40 +15,40 @@
 	"bramblespur/internal/wire"
 )
 
-// safeModeEvery is how often a controller in safe mode compares what it holds with the record.
-const safeModeEvery = time.Second
+// safeModeInterval is how often a controller in safe mode compares what it holds with the record.
+const safeModeInterval = time.Second
 
 // safeMode is what a controller does about a state service that lost data. While it is active
 // nothing is started, stopped, returned or recorded; leases are renewed, and users are told to
 // come back. The controller's lock guards it, but for the guard, which guards itself.
 type safeMode struct {
-	on         bool
-	auditEvery time.Duration
-	guard      *statestore.Guard
-	holder     recovery.Holder
-	// frozen are the parts that were owned when it began: what they hold is evidence.
-	frozen map[int]*scheduler.Shard
-	// openRevision is up to which revision all unfinished jobs were known then, and held the
+	enabled       bool
+	auditInterval time.Duration
+	guard         *statestore.Guard
+	state         recovery.Holder
+	// frozenShards are the parts that were owned when it began: what they hold is evidence.
+	frozenShards map[int]*scheduler.Shard
+	// activeJobsRevision is up to which revision all unfinished jobs were known then, and held the
 	// records that were, once somebody has asked for them.
-	openRevision uint64
-	held         []wire.Entry
-	// reports are the newest ones of workers since it began.
-	reports    recovery.Reports
-	asking     bool // a machine without a record is being asked
-	confirming bool // a suspicion is being looked into
-	relists    int  // how often all views were to be read anew
+	activeJobsRevision uint64
+	heldRecords        []wire.Entry
+	// heartbeats are the newest ones of workers since it began.
+	heartbeats           recovery.Reports
+	investigatingMachine bool // a machine without a record is being asked
+	confirmingRevision   bool // a suspicion is being looked into
+	viewResets           int  // how often all views were to be read anew
 }
 
-// turnSafeModeOn sets the operators' settings; nil leaves it off. The way to the state service
+// enableSafeMode sets the operators' settings; nil leaves it off. The way to the state service
 // leads through a guard from then on.
-func (c *Controller) turnSafeModeOn(s *operations.Recovery) {
+func (c *Controller) enableSafeMode(s *operations.Recovery) {
 	if s == nil {
 		return
 	}
 	m := &c.safeMode
-	m.on, m.auditEvery = true, s.AuditEvery
+	m.enabled, m.auditInterval = true, s.AuditEvery
 	m.guard = statestore.NewGuard(c.store, []string{record.MemberPrefix, recovery.Prefix}, func(held, found uint64) {
-		go c.confirmLoss(recovery.Sign{Kind: recovery.RevisionFell, Held: held, Found: found})
+		go c.confirmRevisionLoss(recovery.Sign{Kind: recovery.RevisionFell, Held: held, Found: found})
 	})
 	c.store = m.guard
 }
@@ -57,16 +57,16 @@
 func (c *Controller) inSafeMode() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.safeMode.holder.Active()
+	return c.safeMode.state.Active()
 }
 
-// confirmLoss reads the state service's revision once more before a revision or a token that
+// confirmRevisionLoss reads the state service's revision once more before a revision or a token that
 // is ahead of it counts as a sign of loss.
-func (c *Controller) confirmLoss(s recovery.Sign) {
+func (c *Controller) confirmRevisionLoss(s recovery.Sign) {
 	c.mu.Lock()
 	m := &c.safeMode
-	begin := m.on && !m.confirming && !m.holder.Active()
-	m.confirming = m.confirming || begin
+	begin := m.enabled && !m.confirmingRevision && !m.state.Active()
+	m.confirmingRevision = m.confirmingRevision || begin
 	c.mu.Unlock()
 	if !begin {
 		return
@@ -79,47 +79,47 @@
 			continue
 		}
 		c.mu.Lock()
-		m.confirming = false
+		m.confirmingRevision = false
 		if revision < s.Held {
 			s.Found = revision
-			c.noticeLoss(s, time.Now())
+			c.reportDataLoss(s, time.Now())
 		}
 		c.mu.Unlock()
 		return
 	}
 }
 
-// noticeLoss begins the safe mode. Until every controller has given its word on its format,
+// reportDataLoss begins the safe mode. Until every controller has given its word on its format,
 // one of the first version may be there, which would go on by itself. The lock is held.
-func (c *Controller) noticeLoss(s recovery.Sign, now time.Time) {
+func (c *Controller) reportDataLoss(s recovery.Sign, now time.Time) {
 	m := &c.safeMode
-	if !m.on || !c.upgraded() {
+	if !m.enabled || !c.upgraded() {
 		return
 	}
-	if m.holder.Notice(c.cfg.Label, s, m.guard.Highest(), now.UnixMilli()) {
+	if m.state.Notice(c.cfg.Label, s, m.guard.Highest(), now.UnixMilli()) {
 		c.enterSafeMode(now)
 	}
 }
 
-// noticeOlder begins the safe mode if a record is older than what was held of it, or gone. The
+// reportIfStale begins the safe mode if a record is older than what was held of it, or gone. The
 // lock is held.
-func (c *Controller) noticeOlder(key string, held, found uint64, now time.Time) bool {
+func (c *Controller) reportIfStale(key string, held, found uint64, now time.Time) bool {
 	s, lost := recovery.Older(key, held, found)
 	if lost {
-		c.noticeLoss(s, now)
+		c.reportDataLoss(s, now)
 	}
-	return lost && c.safeMode.holder.Active()
+	return lost && c.safeMode.state.Active()
 }
 
 // enterSafeMode stops everything. The lock is held.
 func (c *Controller) enterSafeMode(now time.Time) {
 	m := &c.safeMode
-	mode := m.holder.Mode()
+	mode := m.state.Mode()
 	c.log.Error("the state service has lost data: safe mode", "sign", mode.Sign, "noticed_by", mode.By, "epoch", mode.Epoch)
 	m.guard.Close(true)
 	go c.safeModeLoop(c.life)
-	m.frozen, m.reports = c.shards, recovery.Reports{}
-	m.openRevision, m.held = c.viewRevisions[record.ActiveJobPrefix], nil
+	m.frozenShards, m.heartbeats = c.shards, recovery.Reports{}
+	m.activeJobsRevision, m.heldRecords = c.viewRevisions[record.ActiveJobPrefix], nil
 	c.shards = map[int]*scheduler.Shard{}
 	for machine := range c.held {
 		c.release(machine, now)
@@ -129,11 +129,11 @@
 // leaveSafeMode begins anew with what is on record. The lock is held.
 func (c *Controller) leaveSafeMode() {
 	m := &c.safeMode
-	c.log.Info("safe mode is over", "epoch", m.holder.Mode().Epoch)
-	m.frozen, m.reports, m.held = nil, nil, nil
+	c.log.Info("safe mode is over", "epoch", m.state.Mode().Epoch)
+	m.frozenShards, m.heartbeats, m.heldRecords = nil, nil, nil
 	m.guard.Reset()
 	m.guard.Close(false)
-	m.relists++
+	m.viewResets++
 	c.shardRecords = map[int]versioned[record.Shard]{}
 	c.fleet = record.NewFleet()
 	for ref := range c.activeJobs {
@@ -147,15 +147,15 @@
 // safeModeLoop compares what is held with the record, and brings each up to the other, until
 // the safe mode is over.
 func (c *Controller) safeModeLoop(ctx context.Context) {
-	for c.inSafeMode() && sleep(ctx, safeModeEvery) {
-		if err := c.keepSafeMode(ctx); err != nil {
+	for c.inSafeMode() && sleep(ctx, safeModeInterval) {
+		if err := c.syncSafeModeRecord(ctx); err != nil {
 			c.log.Debug("safe mode record", "err", err)
 		}
 	}
 }
 
-// keepSafeMode reads the record, without the guard: the store's revision may have fallen.
-func (c *Controller) keepSafeMode(ctx context.Context) error {
+// syncSafeModeRecord reads the record, without the guard: the store's revision may have fallen.
+func (c *Controller) syncSafeModeRecord(ctx context.Context) error {
 	store := c.safeMode.guard.Store
 	use := statestore.Urgent("recovery")
 	e, err := store.Get(ctx, use, recovery.SafeModeKey)
@@ -170,8 +170,8 @@
 		return err
 	}
 	c.mu.Lock()
-	c.readSafeMode(read, time.Now())
-	t, behind := c.safeMode.holder.Write(read, e.Version)
+	c.applySafeModeRecord(read, time.Now())
+	t, behind := c.safeMode.state.Write(read, e.Version)
 	c.mu.Unlock()
 	if !behind {
 		return nil
@@ -180,12 +180,12 @@
 	return err
 }
 
-// readSafeMode takes in the record. The lock is held.
-func (c *Controller) readSafeMode(r *recovery.SafeMode, now time.Time) {
-	if !c.safeMode.on {
+// applySafeModeRecord takes in the record. The lock is held.
+func (c *Controller) applySafeModeRecord(r *recovery.SafeMode, now time.Time) {
+	if !c.safeMode.enabled {
 		return
 	}
-	switch began, ended := c.safeMode.holder.Read(r); {
+	switch began, ended := c.safeMode.state.Read(r); {
 	case began:
 		c.enterSafeMode(now)
 	case ended:
@@ -197,18 +197,18 @@
 // knows, by whichever controller it asks, and it is told to do nothing. The lock is held.
 func (c *Controller) renewInSafeMode(r *wire.Heartbeat) transport.Response {
 	m := &c.safeMode
-	m.holder.Raise(r.Token)
-	m.reports.Take(r)
+	m.state.Raise(r.Token)
+	m.heartbeats.Take(r)
 	if r.Token == 0 {
 		return transport.Response{Status: 503, RetryAfter: transport.RetryAfter} // it was never told to do anything
 	}
 	return transport.Response{Status: 200, Body: wire.Orders{Token: r.Token, Commands: []wire.Command{}}}
 }
 
-// suspectToken looks into a worker's token that is ahead of all revisions seen: tokens are
+// checkHeartbeatToken looks into a worker's token that is ahead of all revisions seen: tokens are
 // revisions of the state service. The lock is held.
-func (c *Controller) suspectToken(r *wire.Heartbeat) {
-	if m := &c.safeMode; m.on && r.Token > m.guard.Highest() {
-		go c.confirmLoss(recovery.Sign{Kind: recovery.TokenAhead, Key: r.Machine, Held: r.Token})
+func (c *Controller) checkHeartbeatToken(r *wire.Heartbeat) {
+	if m := &c.safeMode; m.enabled && r.Token > m.guard.Highest() {
+		go c.confirmRevisionLoss(recovery.Sign{Kind: recovery.TokenAhead, Key: r.Machine, Held: r.Token})
 	}
 }
--- a/internal/controller/safe_mode_test.go
+++ b/internal/controller/safe_mode_test.go
@@ -21,7 +21,7 @@
 func (c *Controller) everLost() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.safeMode.holder.Mode().Epoch > 0
+	return c.safeMode.state.Mode().Epoch > 0
 }
 
 // allInSafeMode reports whether every controller does nothing.
@@ -63,7 +63,7 @@
 	for _, label := range k.labels {
 		p := k.process(label)
 		p.c.mu.Lock()
-		if m := p.c.safeMode.holder.Mode(); m.Epoch >= mode.Epoch {
+		if m := p.c.safeMode.state.Mode(); m.Epoch >= mode.Epoch {
 			mode = m
 		}
 		p.c.mu.Unlock()
--- a/internal/controller/doubts.go
+++ b/internal/controller/stale_reads.go
@@ -17,42 +17,42 @@
 // What the state service, workers and the cloud tell is compared here with what is known, before
 // it is believed.
 
-// errDoubtful says that what the state service tells of a job can't be believed for now.
-var errDoubtful = errors.New("the state service may have lost data")
+// errSuspectedDataLoss says that what the state service tells of a job can't be believed for now.
+var errSuspectedDataLoss = errors.New("the state service may have lost data")
 
-// knownOpen is what was known of a job before its records were read.
-type knownOpen struct {
-	version uint64 // of its open record, 0 if the view had none
-	as      uint64 // the revision that the view had come to
+// activeJobBaseline is what was known of a job before its records were read.
+type activeJobBaseline struct {
+	version      uint64 // of its open record, 0 if the view had none
+	viewRevision uint64 // the revision that the view had come to
 }
 
-func (c *Controller) knownOpen(ref string) knownOpen {
+func (c *Controller) activeJobBaseline(ref string) activeJobBaseline {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return knownOpen{c.activeJobs[ref].version, c.viewRevisions[record.ActiveJobPrefix]}
+	return activeJobBaseline{c.activeJobs[ref].version, c.viewRevisions[record.ActiveJobPrefix]}
 }
 
-// believeOpen compares a job's open record with what was known before it was read. It must not
+// checkActiveRecord compares a job's open record with what was known before it was read. It must not
 // be older, nor be there again after the view has told its end.
-func (c *Controller) believeOpen(ref string, known knownOpen, found uint64) error {
+func (c *Controller) checkActiveRecord(ref string, known activeJobBaseline, found uint64) error {
 	held := known.version
-	if held == 0 && found <= known.as {
-		held = known.as + 1 // its end came after it
+	if held == 0 && found <= known.viewRevision {
+		held = known.viewRevision + 1 // its end came after it
 	}
-	if !c.safeMode.on || found >= held {
+	if !c.safeMode.enabled || found >= held {
 		return nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.noticeOlder(record.ActiveJobKey(ref), held, found, time.Now())
-	return errDoubtful
+	c.reportIfStale(record.ActiveJobKey(ref), held, found, time.Now())
+	return errSuspectedDataLoss
 }
 
-// believeUnknown decides about a job without any record: one that was open before is lost. Who
+// checkMissingRecords decides about a job without any record: one that was open before is lost. Who
 // has just begun can't know that of any, and so leaves the answer to later: workers' tokens
 // tell a store that went back.
-func (c *Controller) believeUnknown(ref string, known knownOpen) error {
-	if !c.safeMode.on {
+func (c *Controller) checkMissingRecords(ref string, known activeJobBaseline) error {
+	if !c.safeMode.enabled {
 		return statestore.ErrNotFound
 	}
 	c.mu.Lock()
@@ -60,17 +60,17 @@
 	now := time.Now()
 	switch {
 	case known.version > 0:
-		c.noticeOlder(record.ActiveJobKey(ref), known.version, 0, now)
-		return errDoubtful
-	case now.Sub(c.startedAt) < reportsToBelieve*config.Seconds(c.cfg.Params.Workers.ReportS):
-		return errDoubtful
+		c.reportIfStale(record.ActiveJobKey(ref), known.version, 0, now)
+		return errSuspectedDataLoss
+	case now.Sub(c.startedAt) < startupHeartbeats*config.Seconds(c.cfg.Params.Workers.ReportS):
+		return errSuspectedDataLoss
 	}
 	return statestore.ErrNotFound
 }
 
-// reportsToBelieve is for how many intervals of reports a controller that has begun says of no
+// startupHeartbeats is for how many intervals of reports a controller that has begun says of no
 // job that it was never submitted.
-const reportsToBelieve = 2
+const startupHeartbeats = 2
 
 // lookUpMissingRecords looks for records that explain why a worker has a task which its part does not
 // know. A job may be over, or another part's; and one that is over may come back into the view
@@ -100,16 +100,16 @@
 			return
 		}
 		if shard.ConfirmUnrecorded(u.Task) {
-			c.noticeLoss(recovery.Sign{Kind: recovery.RecordGone, Key: u.Task, Held: u.Attempt, Found: u.Recorded}, now)
+			c.reportDataLoss(recovery.Sign{Kind: recovery.RecordGone, Key: u.Task, Held: u.Attempt, Found: u.Recorded}, now)
 		}
 	})
 }
 
-// readBack compares a record that was read again with what its part holds of it. It reports
+// checkReread compares a record that was read again with what its part holds of it. It reports
 // false if it is older than that, or gone though nothing ended it: then the part must not
 // hear of it.
-func (c *Controller) readBack(ctx context.Context, shard *scheduler.Shard, key string, e *wire.Entry) (bool, error) {
-	if !c.safeMode.on {
+func (c *Controller) checkReread(ctx context.Context, shard *scheduler.Shard, key string, e *wire.Entry) (bool, error) {
+	if !c.safeMode.enabled {
 		return true, nil
 	}
 	c.mu.Lock()
@@ -120,7 +120,7 @@
 		found = e.Version
 	}
 	if e == nil && strings.HasPrefix(key, record.ActiveJobPrefix) {
-		over, err := c.isOver(ctx, record.Last(key))
+		over, err := c.hasFinishedRecord(ctx, record.Last(key))
 		if err != nil || over {
 			return over, err
 		}
@@ -130,13 +130,13 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.noticeOlder(key, held, found, time.Now()), nil
+	return !c.reportIfStale(key, held, found, time.Now()), nil
 }
 
-// askStrangers asks machines of which there is no record whether they were ever told to do
+// queryUnrecordedMachines asks machines of which there is no record whether they were ever told to do
 // anything: then there was one.
-func (c *Controller) askStrangers(ctx context.Context, addrs map[string]string) (lost bool) {
-	if !c.safeMode.on {
+func (c *Controller) queryUnrecordedMachines(ctx context.Context, addrs map[string]string) (lost bool) {
+	if !c.safeMode.enabled {
 		return false
 	}
 	for id, addr := range addrs {
@@ -145,8 +145,8 @@
 			continue
 		}
 		c.mu.Lock()
-		c.noticeLoss(recovery.Sign{Kind: recovery.RecordGone, Key: id, Held: r.Token}, time.Now())
-		lost = c.safeMode.holder.Active()
+		c.reportDataLoss(recovery.Sign{Kind: recovery.RecordGone, Key: id, Held: r.Token}, time.Now())
+		lost = c.safeMode.state.Active()
 		c.mu.Unlock()
 		if lost {
 			return true
@@ -155,24 +155,24 @@
 	return false
 }
 
-// suspectMachine looks into a report of a machine of which there is no record, though it was
+// investigateUnrecordedMachine looks into a report of a machine of which there is no record, though it was
 // told to do something once. The lock is held.
-func (c *Controller) suspectMachine(r *wire.Heartbeat) {
+func (c *Controller) investigateUnrecordedMachine(r *wire.Heartbeat) {
 	m := &c.safeMode
-	if !m.on || r.Token == 0 || m.asking || m.holder.Active() {
+	if !m.enabled || r.Token == 0 || m.investigatingMachine || m.state.Active() {
 		return
 	}
-	m.asking = true
+	m.investigatingMachine = true
 	id, addr := r.Machine, r.Addr
 	go func() {
-		fl, err := c.readFleet(c.life, auditUse)
+		fl, err := c.readFleet(c.life, auditPurpose)
 		if err == nil {
 			if _, recorded := fl.Machine(id); !recorded {
-				c.askStrangers(c.life, map[string]string{id: addr})
+				c.queryUnrecordedMachines(c.life, map[string]string{id: addr})
 			}
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		m.asking = false
+		m.investigatingMachine = false
 	}()
 }
--- a/internal/controller/status_queries.go
+++ b/internal/controller/status_queries.go
@@ -16,7 +16,7 @@
 // poll that is refused would come again. Else the open record comes first, since a
 // job that has none any more is in the other by then.
 func (c *Controller) jobState(ctx context.Context, u statestore.Use, ref string) (string, error) {
-	known := c.knownOpen(ref)
+	known := c.activeJobBaseline(ref)
 	if known.version == 0 {
 		if state, err := c.terminalState(ctx, u, ref); !errors.Is(err, statestore.ErrNotFound) {
 			return state, err
@@ -26,14 +26,14 @@
 	e, err := c.store.Get(ctx, u, record.ActiveJobKey(ref))
 	if err == nil {
 		// Also of one that is being cancelled: see cancel.
-		return wire.Pending, c.believeOpen(ref, known, e.Version)
+		return wire.Pending, c.checkActiveRecord(ref, known, e.Version)
 	}
 	if !errors.Is(err, statestore.ErrNotFound) {
 		return "", err
 	}
 	state, err := c.terminalState(ctx, statestore.Urgent(u.For), ref)
 	if errors.Is(err, statestore.ErrNotFound) {
-		err = c.believeUnknown(ref, known)
+		err = c.checkMissingRecords(ref, known)
 	}
 	return state, err
 }
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -28,10 +28,10 @@
 			sleep(ctx, jitter(400*time.Millisecond))
 			continue
 		}
-		relists := c.relists()
+		relists := c.viewResets()
 		reset(entries, rev, at)
 		c.viewReached(prefix, rev, relists)
-		for ctx.Err() == nil && c.relists() == relists {
+		for ctx.Err() == nil && c.viewResets() == relists {
 			at := time.Now()
 			ch, err := c.store.Watch(ctx, prefix, rev, c.watchWait())
 			if errors.Is(err, statestore.ErrTooOld) || errors.Is(err, httpwire.ErrTooLarge) {
@@ -71,7 +71,7 @@
 func (c *Controller) viewReached(prefix string, revision uint64, relists int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.safeMode.relists == relists {
+	if c.safeMode.viewResets == relists {
 		c.viewRevisions[prefix] = revision
 	}
 }
@@ -133,7 +133,7 @@
 		var m recovery.SafeMode
 		if !gone {
 			if err = json.Unmarshal(e.Value, &m); err == nil {
-				c.readSafeMode(&m, at)
+				c.applySafeModeRecord(&m, at)
 			}
 		}
 	case strings.HasPrefix(key, drain.Prefix):
@@ -189,12 +189,12 @@
 			missing[key] = version
 		}
 	}
-	if !c.safeMode.on {
+	if !c.safeMode.enabled {
 		changes = append(changes, deletions(missing, rev)...)
 	}
 	c.takeFleet(changes, time.Now())
 	c.mu.Unlock()
-	if c.safeMode.on {
+	if c.safeMode.enabled {
 		c.dropMissing(missing, rev)
 	}
 	c.viewed(record.FleetPrefix, at)
@@ -221,7 +221,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(keys) > 0 && !c.safeMode.holder.Active() {
+	if len(keys) > 0 && !c.safeMode.state.Active() {
 		c.takeFleet(deletions(keys, rev), time.Now())
 	}
 }
@@ -229,13 +229,13 @@
 // checkShards compares the records of parts in a list with those held: they are never deleted.
 // The lock is held.
 func (c *Controller) checkShards(entries []wire.Entry, rev uint64, now time.Time) {
-	if !c.safeMode.on {
+	if !c.safeMode.enabled {
 		return
 	}
-	listed := versionsOf(entries)
+	listed := entryVersions(entries)
 	for key, held := range c.heldVersions(record.ClusterPrefix) {
 		if held <= rev {
-			c.noticeOlder(key, held, listed[key], now)
+			c.reportIfStale(key, held, listed[key], now)
 		}
 	}
 }
@@ -300,7 +300,7 @@
 		}
 	}
 	c.mu.Unlock()
-	if c.safeMode.on {
+	if c.safeMode.enabled {
 		go c.confirmMissing(c.life, record.ActiveJobPrefix, missing)
 	}
 	c.viewed(record.ActiveJobPrefix, at)
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -28,16 +28,16 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	c.lastHeartbeatAt = now
-	if c.safeMode.holder.Active() {
+	if c.safeMode.state.Active() {
 		return c.renewInSafeMode(&r), true
 	}
-	c.suspectToken(&r)
+	c.checkHeartbeatToken(&r)
 	m, known := c.fleet.Machine(r.Machine)
 	if !known {
 		c.log.Debug("report of an unknown machine", "machine", r.Machine)
-		c.suspectMachine(&r)
+		c.investigateUnrecordedMachine(&r)
 		token := uint64(0) // restarted while the state service is out of reach
-		if c.safeMode.on {
+		if c.safeMode.enabled {
 			token = r.Token // its record may be lost: its tasks live until that is known
 		}
 		go c.answerForOwner(&r, token, answer)
--- a/internal/operations/operations.go
+++ b/internal/operations/operations.go
@@ -21,7 +21,7 @@
 
 	"bramblespur/internal/config"
 	"bramblespur/internal/drain"
-	"bramblespur/internal/pace"
+	"bramblespur/internal/ratelimit"
 )
 
 // Settings are what the file turns on.
@@ -47,7 +47,7 @@
 )
 
 // Restart is how quietly controllers restart.
-type Restart struct{ pace.Settings }
+type Restart struct{ ratelimit.Settings }
 
 //go:embed schema.json
 var schemaText []byte
@@ -141,7 +141,7 @@
 		}
 	}
 	if r := f.Restart; r != nil {
-		s.Restart = &Restart{pace.Settings{OrdersPerS: r.OrdersPerS, PerWorker: r.PerWorker, SettleWithin: config.Seconds(r.SettleWithinS)}}
+		s.Restart = &Restart{ratelimit.Settings{CommandsPerSecond: r.OrdersPerS, CommandsPerWorker: r.PerWorker, LimitFor: config.Seconds(r.SettleWithinS)}}
 	}
 	return s, nil
 }
@@ -184,12 +184,12 @@
 
 // checkRestart refuses a time to settle in which orders can't be brought to workers.
 func (s *Settings) checkRestart(p *config.Params) error {
-	if s.Restart == nil || s.Restart.SettleWithin == 0 {
+	if s.Restart == nil || s.Restart.LimitFor == 0 {
 		return nil
 	}
-	if least := reportsToSettle * config.Seconds(p.Workers.ReportS); s.Restart.SettleWithin < least {
+	if least := reportsToSettle * config.Seconds(p.Workers.ReportS); s.Restart.LimitFor < least {
 		return fmt.Errorf("restart.settle_within_s: %v is less than %d reports of a worker take, %v",
-			s.Restart.SettleWithin, reportsToSettle, least)
+			s.Restart.LimitFor, reportsToSettle, least)
 	}
 	return nil
 }
--- a/internal/pace/pace_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -1,4 +1,4 @@
-package pace
+package ratelimit
 
 import (
 	"math/rand/v2"
@@ -8,9 +8,9 @@
 
 var start = time.Date(2026, 1, 5, 8, 0, 0, 0, time.UTC)
 
-func begun(share float64) *Pace {
+func begun(share float64) *Limiter {
 	p := New(Settings{})
-	p.Begin(share, start)
+	p.Start(share, start)
 	return p
 }
 
@@ -23,9 +23,9 @@
 		var released []time.Time
 		for now := start; now.Before(start.Add(20 * time.Second)); now = now.Add(time.Duration(r.IntN(30)) * time.Millisecond) {
 			for range r.IntN(12) {
-				if p.Allow([]Class{Urgent, Routine}[r.IntN(2)], now) {
+				if p.Allow([]Priority{Urgent, Routine}[r.IntN(2)], now) {
 					released = append(released, now)
-					p.Answered()
+					p.Acknowledge()
 				}
 			}
 		}
@@ -60,14 +60,14 @@
 		t.Errorf("after %d others only %d urgent orders are left", routine, urgent)
 	}
 	for range 100 {
-		if !p.Allow(Limited, now) {
+		if !p.Allow(Exempt, now) {
 			t.Fatal("a stop with a time limit is held back")
 		}
 	}
 	if p.Allow(Urgent, now.Add(time.Second)) {
 		t.Error("what the stops took is not taken from the others")
 	}
-	if !p.Held() || p.Held() || p.Waiting() == 0 || p.Waiting() != 0 {
+	if !p.TakeAnyDelayed() || p.TakeAnyDelayed() || p.TakeDelayed() == 0 || p.TakeDelayed() != 0 {
 		t.Error("what waits is not told, or told twice")
 	}
 }
@@ -77,7 +77,7 @@
 	p := begun(64)
 	calls := 0
 	for now := start.Add(time.Second); now.Before(start.Add(2 * time.Second)); now = now.Add(10 * time.Millisecond) {
-		for p.AllowCall(now) {
+		for p.AllowProbe(now) {
 			calls++
 		}
 	}
@@ -102,38 +102,38 @@
 		return n
 	}
 	slow := count(start)
-	for range 4 * answersToDouble {
-		p.Answered()
+	for range 4 * acksToDouble {
+		p.Acknowledge()
 	}
 	count(start.Add(time.Second))
 	fast := count(start.Add(2 * time.Second))
-	late := count(start.Add(DefaultSettleWithin + 4*time.Second))
+	late := count(start.Add(DefaultLimitFor + 4*time.Second))
 	if slow > 20 || fast < 2*slow || late < 4*fast {
 		t.Errorf("%d, then %d, then %d orders in a second", slow, fast, late)
 	}
-	if p.NextAt(start.Add(DefaultSettleWithin+6*time.Second)).Sub(start) > time.Minute {
+	if p.NextAllowedAt(start.Add(DefaultLimitFor+6*time.Second)).Sub(start) > time.Minute {
 		t.Error("the next order is far off")
 	}
-	p.End()
+	p.Stop()
 	for range 1000 {
 		if !p.Allow(Routine, start.Add(time.Minute)) {
 			t.Fatal("held back after the pace ended")
 		}
 	}
-	var none *Pace
-	if none.On() || !none.Allow(Routine, start) {
+	var none *Limiter
+	if none.Active() || !none.Allow(Routine, start) {
 		t.Error("no pace holds orders back")
 	}
 }
 
 // The bound follows the fleet unless the operators set it.
 func TestTotal(t *testing.T) {
-	for machines, want := range map[int]float64{0: leastOrders, 30: leastOrders, 4000: 2000} {
-		if got := (&Settings{}).Total(machines); got != want {
+	for machines, want := range map[int]float64{0: minCommandsPerSecond, 30: minCommandsPerSecond, 4000: 2000} {
+		if got := (&Settings{}).ClusterRate(machines); got != want {
 			t.Errorf("%d machines: %v, want %v", machines, got, want)
 		}
 	}
-	if got := (&Settings{OrdersPerS: 7}).Total(4000); got != 7 {
+	if got := (&Settings{CommandsPerSecond: 7}).ClusterRate(4000); got != 7 {
 		t.Errorf("%v, want what is set", got)
 	}
 }
@@ -144,7 +144,7 @@
 	labels := []string{"a", "b", "c"}
 	for seed := range uint64(100) {
 		r := rand.New(rand.NewPCG(seed, 2))
-		s := NewShares(30, labels)
+		s := NewClusterShares(30, labels)
 		inUse := map[string]float64{"a": 10, "b": 10, "c": 10}
 		for range 50 {
 			w := []float64{r.Float64(), r.Float64(), r.Float64()}
@@ -153,10 +153,10 @@
 			for _, l := range labels {
 				switch r.IntN(4) {
 				case 0: // the call was lost
-					s.Silent(l)
+					s.MarkSilent(l)
 				case 1: // its answer was
 					inUse[l] = given[l]
-					s.Silent(l)
+					s.MarkSilent(l)
 				default:
 					inUse[l] = given[l]
 					s.Confirm(l, given[l])
@@ -167,7 +167,7 @@
 			}
 		}
 	}
-	s := NewShares(30, labels)
+	s := NewClusterShares(30, labels)
 	for range 3 {
 		for l, share := range s.Next(map[string]float64{"a": 26, "b": 2, "c": 2}) {
 			s.Confirm(l, share)
--- a/internal/scheduler/orders.go
+++ b/internal/scheduler/orders.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"bramblespur/internal/pace"
+	"bramblespur/internal/ratelimit"
 	"bramblespur/internal/record"
 	"bramblespur/internal/wire"
 )
@@ -28,7 +28,7 @@
 // appendOrders adds what an answer to a machine carries for the tasks in the ledger. While
 // orders are paced the urgent ones come first, and a worker gets a few starts at a time.
 func (s *Shard) appendOrders(out []wire.Command, m *Machine, w which, now time.Time) []wire.Command {
-	if s.cfg.Pace.On() {
+	if s.cfg.Pace.Active() {
 		return s.appendPaced(out, m, w, now)
 	}
 	for k, t := range m.on {
@@ -48,7 +48,7 @@
 	slices.SortFunc(due, func(a, b key) int {
 		return cmp.Or(cmp.Compare(s.paceClass(a), s.paceClass(b)), cmp.Compare(a.job.ref, b.job.ref), cmp.Compare(a.i, b.i))
 	})
-	left := s.cfg.Pace.Settings().PerWorker
+	left := s.cfg.Pace.Settings().CommandsPerWorker
 	for _, k := range due {
 		t := m.on[k]
 		isStart := !t.stop
@@ -60,7 +60,7 @@
 			continue
 		}
 		if !s.cfg.Pace.Allow(s.paceClass(k), now) {
-			s.delay(m, s.cfg.Pace.NextAt(now))
+			s.delay(m, s.cfg.Pace.NextAllowedAt(now))
 			continue
 		}
 		out = append(out, t.order(k, m, now))
@@ -73,15 +73,15 @@
 
 // paceClass tells how urgent the order for a task is. Those of a gang of which one was
 // started follow it, as they wait for each other only for so long.
-func (s *Shard) paceClass(k key) pace.Class {
+func (s *Shard) paceClass(k key) ratelimit.Priority {
 	t := &k.job.tasks[k.i]
 	switch {
 	case t.stop && k.job.cancelled:
-		return pace.Limited
+		return ratelimit.Exempt
 	case k.job.spec.Kind == wire.Service, s.guaranteed(k.job, 0), k.job.spec.Kind == wire.Gang && k.job.started():
-		return pace.Urgent
+		return ratelimit.Urgent
 	}
-	return pace.Routine
+	return ratelimit.Routine
 }
 
 // started reports whether the start of one of a job's placed tasks was sent.
--- a/internal/scheduler/probe.go
+++ b/internal/scheduler/probe.go
@@ -91,7 +91,7 @@
 }
 
 func (s *Shard) ask(m *Machine, now time.Time) {
-	if m.probes.asked || s.asked >= s.cfg.Probes || !s.cfg.Pace.AllowCall(now) {
+	if m.probes.asked || s.asked >= s.cfg.Probes || !s.cfg.Pace.AllowProbe(now) {
 		return
 	}
 	m.probes.asked, m.probes.fair, m.probes.late = true, s.zoneSeen[m.Zone].After(m.probes.at), s.leaseOver(m, now)
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bramblespur/internal/pace"
+	"bramblespur/internal/ratelimit"
 	"bramblespur/internal/reconcile"
 	"bramblespur/internal/wire"
 )
@@ -51,7 +51,7 @@
 				s.complete(key{j, n}, now) // of whatever attempt: the result is kept
 			}
 		case reconcile.Stop:
-			s.cfg.Pace.Allow(pace.Limited, now) // its job may have been cancelled
+			s.cfg.Pace.Allow(ratelimit.Exempt, now) // its job may have been cancelled
 			commands = append(commands, halt(rt.Task, rt.Attempt, 0))
 		case reconcile.Forget:
 			commands = append(commands, wire.Command{Op: wire.Forget, Task: rt.Task, Attempt: rt.Attempt})
@@ -110,7 +110,7 @@
 	j := k.job
 	if !t.seen && t.sent {
 		s.markReached(m) // a start of ours has arrived
-		s.cfg.Pace.Answered()
+		s.cfg.Pace.Acknowledge()
 	}
 	if !t.seen {
 		t.step(func(stages *steps) { stages.seen = now })
--- a/internal/scheduler/restart_test.go
+++ b/internal/scheduler/restart_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"bramblespur/internal/pace"
+	"bramblespur/internal/ratelimit"
 	"bramblespur/internal/wire"
 )
 
@@ -19,7 +19,7 @@
 	seconds  map[int]int
 }
 
-func newBusyRestart(t testing.TB, machines int, p *pace.Pace) *busyRestart {
+func newBusyRestart(t testing.TB, machines int, p *ratelimit.Limiter) *busyRestart {
 	r := &busyRestart{rig: fleetRig(t, machines, 80), machines: machines, seconds: map[int]int{}}
 	n := 0
 	for _, w := range r.workers {
@@ -35,7 +35,7 @@
 	r.cfg.Pace = p
 	r.claim()
 	if p != nil {
-		p.Begin(p.Settings().Total(machines), r.clock.Now())
+		p.Start(p.Settings().ClusterRate(machines), r.clock.Now())
 	}
 	return r
 }
@@ -76,13 +76,13 @@
 // A full fleet that reports at once after a restart gets its orders within the bound, and
 // still has them all well within the time to settle.
 func TestLargestFleetRestartsWithinThePace(t *testing.T) {
-	p := pace.New(pace.Settings{})
+	p := ratelimit.New(ratelimit.Settings{})
 	r := newBusyRestart(t, manyMachines, p)
 	peak, took := r.run()
-	if most := int(p.Settings().Total(manyMachines)); peak > most {
+	if most := int(p.Settings().ClusterRate(manyMachines)); peak > most {
 		t.Errorf("%d orders in a second, of %d", peak, most)
 	}
-	if r.starting() || took > pace.DefaultSettleWithin {
+	if r.starting() || took > ratelimit.DefaultLimitFor {
 		t.Errorf("%d orders after %v", r.started, took)
 	}
 	progress, settling := r.part.Progress()
@@ -100,9 +100,9 @@
 				b.ReportAllocs()
 				for b.Loop() {
 					b.StopTimer()
-					var p *pace.Pace
+					var p *ratelimit.Limiter
 					if paced {
-						p = pace.New(pace.Settings{})
+						p = ratelimit.New(ratelimit.Settings{})
 					}
 					r := newBusyRestart(b, machines, p)
 					b.StartTimer()
--- a/internal/scheduler/types.go
+++ b/internal/scheduler/types.go
@@ -15,7 +15,7 @@
 	"strings"
 	"time"
 
-	"bramblespur/internal/pace"
+	"bramblespur/internal/ratelimit"
 	"bramblespur/internal/record"
 	"bramblespur/internal/wire"
 )
@@ -60,7 +60,7 @@
 	// those which need it leave.
 	Urgency func(spec *wire.Spec, waited time.Duration, deadline *float64) float64
 	// Pace holds orders back after a restart; nil: they are never held back.
-	Pace *pace.Pace
+	Pace *ratelimit.Limiter
 }
 
 type taskState uint8
