--- a/internal/controller/account_test.go
+++ b/internal/controller/account_test.go
@@ -290,7 +290,7 @@
 	for b.Loop() {
 		b.StopTimer()
 		c.mu.Lock()
-		c.lease.setRenewed(time.Now())
+		setLeaseRenewed(c, time.Now())
 		c.mu.Unlock()
 		spec := body(b, func(m map[string]any) { m["ref"], m["berries"], m["cards"], m["cores"] = ref(n), 1, 0.0, 0.01 })
 		n++
--- a/internal/controller/bounds_test.go
+++ b/internal/controller/bounds_test.go
@@ -12,6 +12,7 @@
 	"testing/synctest"
 	"time"
 
+	"bramblespur/internal/controller/membership"
 	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/peer"
@@ -78,7 +79,7 @@
 // answer.
 func asked(c *Controller, method, path string, body []byte) transport.Response {
 	c.mu.Lock()
-	c.lease.setRenewed(time.Now())
+	setLeaseRenewed(c, time.Now())
 	c.mu.Unlock()
 	later := make(chan transport.Response, 1)
 	if r, now := c.handle(httpwire.Request{Method: method, Path: path, Body: body}, func(r transport.Response) { later <- r }); now {
@@ -346,7 +347,7 @@
 		for _, label := range k.labels {
 			k.crash(label)
 		}
-		time.Sleep(2 * leaseTTL)
+		time.Sleep(2 * membership.LeaseTTL)
 		before := len(k.world.State.Writes())
 		for _, label := range k.labels {
 			k.start(label)
--- a/internal/controller/claim.go
+++ b/internal/controller/claim.go
@@ -9,6 +9,7 @@
 	"sort"
 	"time"
 
+	"bramblespur/internal/controller/membership"
 	"bramblespur/internal/fleet"
 	"bramblespur/internal/record"
 	"bramblespur/internal/scheduler"
@@ -60,7 +61,7 @@
 			// Its owner may have restarted together with this controller.
 		case !ownerLives && now.Sub(c.viewAt) < 2*c.watchWait() && len(c.members) > 0:
 			home := c.preferredOwner(id)
-			if !known && now.Sub(c.lease.current().renewedAt) < leaseTTL && c.mayBeFirstStart(home, now) {
+			if !known && now.Sub(c.lease.Current().RenewedAt) < membership.LeaseTTL && c.mayBeFirstStart(home, now) {
 				continue // it is probably about to start
 			}
 			mine = fleet.ChooseOwner(c.liveMembers(), owners, home) == c.cfg.Label
@@ -77,7 +78,7 @@
 	if c.consideringSince.IsZero() {
 		c.consideringSince = now
 	}
-	return now.Sub(c.consideringSince) < 2*leaseTTL
+	return now.Sub(c.consideringSince) < 2*membership.LeaseTTL
 }
 
 // acquire takes a part over: the claim's revision becomes its token, then the
@@ -85,7 +86,7 @@
 func (c *Controller) acquire(ctx context.Context, id int) {
 	c.acquiring[id] = true
 	r := c.shardRecords[id]
-	incarnation := c.lease.current().incarnation
+	incarnation := c.lease.Current().Incarnation
 	go func() {
 		err := c.failOver(ctx, id, r, incarnation)
 		c.mu.Lock()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -19,6 +19,7 @@
 	"bramblespur/internal/agent"
 	"bramblespur/internal/cloud"
 	"bramblespur/internal/config"
+	"bramblespur/internal/controller/membership"
 	"bramblespur/internal/controller/rejectlog"
 	"bramblespur/internal/controller/terminal"
 	"bramblespur/internal/controller/transport"
@@ -61,10 +62,10 @@
 
 	// Each of these has a lock of its own, which may be taken under mu, never the other
 	// way round.
-	lease             memberLease
+	lease             membership.Lease
 	terminalStates    *terminal.Cache
 	linearizableReads *Batcher
-	peerHealth        *peerHealth
+	peerHealth        *membership.PeerHealth
 
 	// mu guards all that follows. It is never held across input or output.
 	mu                  sync.Mutex
@@ -105,7 +106,7 @@
 	safeMode            safeMode
 	held                map[string]*held
 	grantedAt           time.Time // when the leader last gave a budget
-	readiness           readiness
+	readiness           membership.Readiness
 	commands            chan struct{} // direct commands under way, each on a socket of its own
 	pressure            pressure
 	users               int // their requests being served
@@ -211,7 +212,7 @@
 	c.redirects = workerRedirects{}
 	c.renewals = renewals{}
 	c.held = map[string]*held{}
-	c.peerHealth = newPeerHealth()
+	c.peerHealth = membership.NewPeerHealth()
 	c.rejections = rejectlog.New(c.log)
 	c.peerLoads = map[string]peerLoad{}
 	c.drains = newDrains()
@@ -323,7 +324,7 @@
 		if _, ok := cut[p.Zone]; !ok {
 			cut[p.Zone] = true
 		}
-		if c.peerHealth.contact(p.Label).reachable(now) {
+		if c.peerHealth.Contact(p.Label).Reachable(now) {
 			cut[p.Zone], cut[c.cfg.Zone] = false, false
 		}
 	}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -11,6 +11,7 @@
 
 	"bramblespur/internal/agent"
 	"bramblespur/internal/config"
+	"bramblespur/internal/controller/membership"
 	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/fleet"
 	"bramblespur/internal/policy"
@@ -35,10 +36,24 @@
 	c := &Controller{cfg: cfg, policy: pol, log: slog.New(slog.DiscardHandler), life: context.Background(), store: state, agents: agent.Client{}}
 	c.init()
 	c.setMachineTypes([]wire.MachineType{{Name: "big", CPUs: 16, GPUs: 2, MemoryGB: 64, Zones: []string{"z"}}})
-	c.lease.granted(leaseState{id: 1, renewedAt: time.Now()})
+	c.lease.Grant(membership.LeaseState{ID: 1, RenewedAt: time.Now()})
 	return c
 }
 
+// setLeaseRenewed makes the last renewal of a controller's lease as old as a test wants it.
+func setLeaseRenewed(c *Controller, at time.Time) {
+	lease := c.lease.Current()
+	lease.RenewedAt = at
+	c.lease.Grant(lease)
+}
+
+// setIncarnation makes a controller another incarnation of its label.
+func setIncarnation(c *Controller, incarnation uint64) {
+	lease := c.lease.Current()
+	lease.Incarnation = incarnation
+	c.lease.Grant(lease)
+}
+
 func body(t testing.TB, change func(map[string]any)) []byte {
 	t.Helper()
 	m := map[string]any{}
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -19,8 +19,8 @@
 )
 
 func (c *Controller) isLeader(now time.Time) bool {
-	lease := c.lease.current()
-	return c.leader.rec.Label == c.cfg.Label && c.leader.rec.Incarnation == lease.incarnation && lease.incarnation != 0 && lease.certain(now)
+	lease := c.lease.Current()
+	return c.leader.rec.Label == c.cfg.Label && c.leader.rec.Incarnation == lease.Incarnation && lease.Incarnation != 0 && lease.Certain(now)
 }
 
 // pingPeers learns which controllers answer, and whether they reach the state
@@ -31,7 +31,7 @@
 		wg.Go(func() {
 			var ok bool
 			err := p.Call("Ping", c.cfg.Label, &ok, pingTimeout)
-			c.peerHealth.called(label, err, ok)
+			c.peerHealth.RecordCall(label, err, ok, time.Now())
 		})
 	}
 	wg.Wait()
@@ -45,11 +45,11 @@
 }
 
 func (c *Controller) campaign(ctx context.Context, cur versioned[record.Leader]) {
-	lease := c.lease.current()
-	head := record.Leader{Label: c.cfg.Label, Incarnation: lease.incarnation}
+	lease := c.lease.Current()
+	head := record.Leader{Label: c.cfg.Label, Incarnation: lease.Incarnation}
 	rev, err := c.store.Txn(ctx, statestore.Urgent("lead"), wire.Txn{
 		If:   []wire.Cond{{Key: record.LeaderKey, Version: cur.version}},
-		Then: []wire.Op{{Put: record.LeaderKey, Value: record.Encode(head), Lease: lease.id}},
+		Then: []wire.Op{{Put: record.LeaderKey, Value: record.Encode(head), Lease: lease.ID}},
 	})
 	if err != nil {
 		return
@@ -92,7 +92,7 @@
 	claims, hand = map[string][]int{}, map[string][]int{}
 	reach := []string{c.cfg.Label}
 	for label, m := range c.members {
-		if label != c.cfg.Label && !m.Isolated && c.peerHealth.contact(label).reachable(now) {
+		if label != c.cfg.Label && !m.Isolated && c.peerHealth.Contact(label).Reachable(now) {
 			reach = append(reach, label)
 		}
 	}
@@ -128,12 +128,12 @@
 		if owner == home || !lives {
 			continue
 		}
-		switch atHome := c.peerHealth.contact(home); {
+		switch atHome := c.peerHealth.Contact(home); {
 		case home == c.cfg.Label:
 			if now.Sub(c.leadership.started) > preferredOwnerStable && c.keepsUp(home, now) {
 				hand[owner] = append(hand[owner], id)
 			}
-		case atHome.answeringFor(now) < preferredOwnerStable || !atHome.reachable(now) || !atHome.reachesState(now) || c.members[home].Isolated || c.members[home].Incarnation == 0,
+		case atHome.AnsweringFor(now) < preferredOwnerStable || !atHome.Reachable(now) || !atHome.ReachesStateService(now) || c.members[home].Isolated || c.members[home].Incarnation == 0,
 			!c.keepsUp(home, now):
 			// One that answers but is refused by the state service could not
 			// claim its part, and another would, for ever in turn. One that does not
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -115,7 +115,7 @@
 				Requests: grants.requests[label], Changes: grants.changes[label], OrderRate: grants.orders[label]}
 			err := p.Call("Sync", a, &r, syncTimeout)
 			err = c.sensible("controller's word on its parts", label, err, func() error { return c.checkSyncReply(&r) })
-			c.peerHealth.called(label, err, r.StateOK)
+			c.peerHealth.RecordCall(label, err, r.StateOK, time.Now())
 			if err == nil {
 				c.mu.Lock()
 				c.recordPeerLoad(label, &r)
--- a/internal/controller/lean_test.go
+++ b/internal/controller/lean_test.go
@@ -246,7 +246,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(time.Minute) // without a word of the watch
-		c.lease.setRenewed(time.Now())
+		setLeaseRenewed(c, time.Now())
 		if got := c.cancel("run-000412"); got.Status != 200 || got.Body.(wire.Brief).State != wire.Cancelled {
 			t.Errorf("after the end, which the view missed: %+v", got)
 		}
--- a/internal/controller/meetings_restarts_test.go
+++ b/internal/controller/meetings_restarts_test.go
@@ -224,7 +224,7 @@
 			}
 			p := k.process(label)
 			p.c.mu.Lock()
-			incarnation := p.c.lease.current().incarnation
+			incarnation := p.c.lease.Current().Incarnation
 			p.c.mu.Unlock()
 			if !ok || m.Incarnation != incarnation {
 				k.t.Errorf("%s: recorded %t as incarnation %d, is %d", label, ok, m.Incarnation, incarnation)
--- a/internal/controller/member_status.go
+++ b/internal/controller/member_status.go
@@ -32,7 +32,7 @@
 func (c *Controller) statusNow(now time.Time) memberStatus {
 	s := memberStatus{cutFromPeers: len(c.peers) > 0, overloaded: c.pressure.overloaded}
 	for label := range c.peers {
-		if c.peerHealth.contact(label).answeredWithin(isolatedAfter, now) {
+		if c.peerHealth.Contact(label).AnsweredWithin(isolatedAfter, now) {
 			s.cutFromPeers = false
 		}
 	}
@@ -49,15 +49,15 @@
 	c.mu.Lock()
 	now := time.Now()
 	status := c.statusNow(now)
-	lease := c.lease.current()
-	rec := status.member(lease.incarnation)
+	lease := c.lease.Current()
+	rec := status.member(lease.Incarnation)
 	lost := c.members[c.cfg.Label] != rec && c.viewAt.Sub(c.memberPut) > 0 && now.Sub(c.memberPut) > memberSeen
-	change := (status != c.status || lost) && lease.certain(now)
+	change := (status != c.status || lost) && lease.Certain(now)
 	c.mu.Unlock()
 	if !change {
 		return
 	}
-	if c.putMember(ctx, rec, lease.id) != nil {
+	if c.putMember(ctx, rec, lease.ID) != nil {
 		return
 	}
 	c.mu.Lock()
--- a/internal/controller/peer_health_test.go
+++ b/internal/controller/membership/peer_health_test.go
@@ -1,4 +1,4 @@
-package controller
+package membership
 
 import (
 	"errors"
@@ -13,32 +13,32 @@
 // refused connection counts as refused.
 func TestPeerHealth(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newPeerHealth()
+		h := NewPeerHealth()
 		check := func(when, want string) {
 			t.Helper()
 			now := time.Now()
-			p := h.contact("c-1")
+			p := h.Contact("c-1")
 			got := fmt.Sprintf("reachable %t, answers %t, state %t, refuses %t, for %v",
-				p.reachable(now), p.answers(now), p.reachesState(now), p.refuses(now), p.answeringFor(now))
+				p.Reachable(now), p.Answers(now), p.ReachesStateService(now), p.Refuses(now), p.AnsweringFor(now))
 			if got != want {
 				t.Errorf("%s: %s, want %s", when, got, want)
 			}
 		}
 		check("never called", "reachable false, answers false, state false, refuses false, for 0s")
-		h.called("c-1", nil, true)
+		h.RecordCall("c-1", nil, true, time.Now())
 		time.Sleep(time.Second)
-		h.called("c-1", nil, false)
+		h.RecordCall("c-1", nil, false, time.Now())
 		check("answered twice", "reachable true, answers true, state true, refuses false, for 1s")
 		time.Sleep(2 * time.Second)
-		h.called("c-1", errors.New("no answer"), false)
+		h.RecordCall("c-1", errors.New("no answer"), false, time.Now())
 		check("no answer", "reachable true, answers true, state false, refuses false, for 0s")
 		time.Sleep(time.Second)
-		h.called("c-1", fmt.Errorf("call: %w", syscall.ECONNREFUSED), false)
+		h.RecordCall("c-1", fmt.Errorf("call: %w", syscall.ECONNREFUSED), false, time.Now())
 		check("refused", "reachable true, answers false, state false, refuses true, for 0s")
 		time.Sleep(3 * time.Second)
 		check("silent", "reachable false, answers false, state false, refuses false, for 0s")
-		h.called("c-1", nil, true)
-		h.refused("c-1")
+		h.RecordCall("c-1", nil, true, time.Now())
+		h.RecordRefusal("c-1", time.Now())
 		check("answers calls, refuses a report", "reachable true, answers true, state true, refuses true, for 0s")
 	})
 }
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -13,35 +13,6 @@
 	"bramblespur/internal/wire"
 )
 
-// Readiness does not flap: the load balancer would keep the controller out for
-// up to a minute.
-func TestReadinessHasHysteresis(t *testing.T) {
-	var r readiness
-	clock := testkit.NewClock()
-	step := func(good bool, d time.Duration) bool {
-		clock.Advance(d)
-		return r.update(good, clock.Now())
-	}
-	step(true, 0)
-	if !step(true, time.Second) {
-		t.Fatal("not ready after a second of good times")
-	}
-	for range 10 { // short troubles
-		step(false, time.Second)
-		if !step(false, time.Second) || !step(true, time.Second) {
-			t.Fatal("unready for a trouble of a second")
-		}
-	}
-	step(false, 0)
-	if step(false, unreadyAfter) {
-		t.Fatal("ready in a lasting trouble")
-	}
-	step(true, 0)
-	if !step(true, time.Second) {
-		t.Fatal("not ready again after it")
-	}
-}
-
 // Who claims what: a restarted controller its own part at once, even while its
 // earlier lease stands; a dead owner's part the live one, unless it has only begun
 // and the owner may have restarted with it; nobody a live owner's.
@@ -61,7 +32,8 @@
 	} {
 		c := newTest(t, testkit.NewState())
 		now := time.Now()
-		c.lease.state.incarnation, c.viewAt, c.startedAt = 2, now, now.Add(-x.up)
+		setIncarnation(c, 2)
+		c.viewAt, c.startedAt = now, now.Add(-x.up)
 		c.shardRecords[0] = versioned[record.Shard]{x.rec, 5}
 		for _, m := range x.members {
 			c.members[m] = record.Member{Incarnation: 1}
@@ -77,7 +49,7 @@
 	// Without a lease that certainly stands, nothing is claimed.
 	c := newTest(t, testkit.NewState())
 	c.viewAt = time.Now()
-	c.lease.setRenewed(c.viewAt.Add(-time.Minute))
+	setLeaseRenewed(c, c.viewAt.Add(-time.Minute))
 	c.shardRecords[0] = versioned[record.Shard]{record.Shard{Owner: "c-0"}, 5}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,7 +104,8 @@
 	ctx := context.Background()
 	state := testkit.NewState()
 	before, after := newTest(t, state), newTest(t, state)
-	before.lease.state.incarnation, after.lease.state.incarnation = 1, 2
+	setIncarnation(before, 1)
+	setIncarnation(after, 2)
 	before.campaign(ctx, versioned[record.Leader]{})
 	now := time.Now()
 	if !before.isLeader(now) {
@@ -182,7 +155,7 @@
 	held := func(renewed time.Time) (starts int) {
 		got := make(chan transport.Response, 1)
 		c.mu.Lock()
-		c.lease.setRenewed(renewed)
+		setLeaseRenewed(c, renewed)
 		c.hold(c.shards[0], "m", time.Hour, func(r transport.Response) { got <- r })
 		c.release("m", time.Now())
 		c.mu.Unlock()
--- a/internal/controller/messages_test.go
+++ b/internal/controller/messages_test.go
@@ -188,7 +188,7 @@
 func TestUnknownMachinesAreBounded(t *testing.T) {
 	c := newTest(t, testkit.NewState())
 	c.startedAt, c.jobsAt = time.Now().Add(-time.Hour), time.Time{} // blind
-	c.lease.setRenewed(time.Time{})
+	setLeaseRenewed(c, time.Time{})
 	c.cfg.Peers = []config.Peer{{Label: "c-1", Zone: "z"}}
 	for i := range maxRemembered + 100 {
 		r := wire.Heartbeat{Machine: fmt.Sprint("i-", i), Session: 1, Seq: 1, Token: 5}
@@ -214,7 +214,7 @@
 	known := []int{200, 201, 400, 422, 503}
 	f.Fuzz(func(t *testing.T, body []byte) {
 		c.mu.Lock()
-		c.lease.setRenewed(time.Now()) // else all is refused after some seconds
+		setLeaseRenewed(c, time.Now()) // else all is refused after some seconds
 		c.mu.Unlock()
 		for _, path := range []string{wire.JobsPath, wire.PipelinesPath} {
 			work, _ := c.route(httpwire.Request{Method: "POST", Path: path, Body: body})
--- a/internal/controller/pressure.go
+++ b/internal/controller/pressure.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"bramblespur/internal/config"
+	"bramblespur/internal/controller/membership"
 	"bramblespur/internal/httpwire"
 )
 
@@ -39,11 +40,11 @@
 	holdAgainAfter = 5 * time.Second
 	// A strained process renews its lease each renewStrained, without awaiting answers, of
 	// which at most renewalsAtOnce are under way: its timers and the answers are late.
-	renewStrained  = leaseTTL / 8
+	renewStrained  = membership.LeaseTTL / 8
 	renewalsAtOnce = 8
 	// overloadedAfter is how long a process that left undone what can wait may still
 	// fall behind before it counts as overloaded: its lease ends about then.
-	overloadedAfter = leaseTTL
+	overloadedAfter = membership.LeaseTTL
 	// notOverloadedAfter is how long it must not be for that to end.
 	notOverloadedAfter = 5 * time.Second
 	// A controller that was overloaded must keep up for leastRecovery before its
--- a/internal/controller/pressure_test.go
+++ b/internal/controller/pressure_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"bramblespur/internal/config"
+	"bramblespur/internal/controller/membership"
 	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/statestore"
@@ -198,7 +199,7 @@
 
 func (s *lateAnswers) Renew(context.Context, uint64) error {
 	s.mu.Lock()
-	gone := time.Since(s.renewed) >= leaseTTL
+	gone := time.Since(s.renewed) >= membership.LeaseTTL
 	if !gone {
 		s.renewed = time.Now()
 	}
@@ -224,23 +225,23 @@
 		c := newTest(t, state.State)
 		ctx, cancel := context.WithCancel(t.Context())
 		c.store = state
-		c.lease.granted(leaseState{})
+		c.lease.Grant(membership.LeaseState{})
 		go c.leaseLoop(ctx)
-		time.Sleep(2 * leaseTTL)
+		time.Sleep(2 * membership.LeaseTTL)
 		c.mu.Lock()
 		for !c.pressure.strained {
 			c.turn(lateMost, time.Now())
 		}
-		lease := c.lease.current().id
+		lease := c.lease.Current().ID
 		c.mu.Unlock()
 		state.mu.Lock()
-		state.late = leaseTTL * 5 / 8
+		state.late = membership.LeaseTTL * 5 / 8
 		state.mu.Unlock()
 		for range 60 {
 			time.Sleep(time.Second)
 			c.mu.Lock()
-			if now := c.lease.current(); !now.certain(time.Now()) || now.id != lease {
-				t.Errorf("lease %d of %d, renewed %v ago", now.id, lease, time.Since(now.renewedAt))
+			if now := c.lease.Current(); !now.Certain(time.Now()) || now.ID != lease {
+				t.Errorf("lease %d of %d, renewed %v ago", now.ID, lease, time.Since(now.RenewedAt))
 			}
 			c.mu.Unlock()
 		}
@@ -250,6 +251,6 @@
 		}
 		state.mu.Unlock()
 		cancel()
-		time.Sleep(leaseTTL)
+		time.Sleep(membership.LeaseTTL)
 	})
 }
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -5,6 +5,7 @@
 	"testing/synctest"
 	"time"
 
+	"bramblespur/internal/controller/membership"
 	"bramblespur/internal/fleet"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/record"
@@ -16,7 +17,7 @@
 func leaderOf(c *Controller, n int) {
 	c.cfg.Params.Count = n
 	c.cfg.Params.State.RPS, c.cfg.Params.State.WriteRPS = 200, 25
-	c.lease.granted(leaseState{id: 1, incarnation: 5, renewedAt: time.Now()})
+	c.lease.Grant(membership.LeaseState{ID: 1, Incarnation: 5, RenewedAt: time.Now()})
 	c.leader = versioned[record.Leader]{rec: record.Leader{Label: c.cfg.Label, Incarnation: 5}, version: 1}
 	c.leadership = &leadership{lender: statestore.NewPool()}
 }
@@ -36,7 +37,7 @@
 		}
 		count := func(d time.Duration) (lent int) {
 			for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-				c.lease.setRenewed(time.Now())
+				setLeaseRenewed(c, time.Now())
 				for c.borrow(1, false) {
 					lent++
 				}
@@ -50,7 +51,7 @@
 		if c.Lend(peer.LendArgs{From: "c-1", Changes: 1}) {
 			t.Error("it lends though its lease is over")
 		}
-		c.lease.setRenewed(time.Now())
+		setLeaseRenewed(c, time.Now())
 		if !c.Lend(peer.LendArgs{From: "c-1", Changes: 12}) {
 			t.Error("after a calm minute it lends too few for a pipeline")
 		}
--- a/internal/controller/rebalance.go
+++ b/internal/controller/rebalance.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"bramblespur/internal/controller/membership"
 	"bramblespur/internal/fleet"
 	"bramblespur/internal/peer"
 )
@@ -49,7 +50,7 @@
 // has lately been told. The lock is held.
 func (c *Controller) keepsUp(label string, now time.Time) bool {
 	l := c.loadOf(label, now)
-	return now.Sub(l.at) < peerFresh && !l.recovering
+	return now.Sub(l.at) < membership.PeerFreshFor && !l.recovering
 }
 
 // overloaded reports whether a controller's parts are better off elsewhere, as its
@@ -83,7 +84,7 @@
 	var takers []string
 	for _, label := range reach {
 		load := c.loadOf(label, now)
-		if now.Sub(load.at) < peerFresh && load.hasRoom && parts[label] < maxShardsAfterRebalance {
+		if now.Sub(load.at) < membership.PeerFreshFor && load.hasRoom && parts[label] < maxShardsAfterRebalance {
 			takers = append(takers, label)
 		}
 	}
@@ -105,7 +106,7 @@
 // of this one. The lock is held.
 func (c *Controller) someoneHasRoom(reach []string, now time.Time) bool {
 	for _, label := range reach {
-		if load := c.loadOf(label, now); now.Sub(load.at) < peerFresh && load.hasRoom {
+		if load := c.loadOf(label, now); now.Sub(load.at) < membership.PeerFreshFor && load.hasRoom {
 			return true
 		}
 	}
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"bramblespur/internal/controller/membership"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/record"
 	"bramblespur/internal/recoverctl"
@@ -197,7 +198,7 @@
 	troubles := map[string]func(k *cluster) (heal func()){
 		"take-over": func(k *cluster) func() {
 			k.crash(k.ownerOf("wide"))
-			time.Sleep(leaseTTL)
+			time.Sleep(membership.LeaseTTL)
 			return k.restartMissing
 		},
 		"the leader ends": func(k *cluster) func() {
--- a/internal/controller/redirects.go
+++ b/internal/controller/redirects.go
@@ -57,8 +57,8 @@
 // where this controller itself falls behind: then the worker is better off anywhere else.
 // The lock is held.
 func (c *Controller) mayLeave(r *wire.Heartbeat, owner string, now time.Time) bool {
-	contact := c.peerHealth.contact(owner)
-	return len(r.Tasks) == 0 || c.pressure.behind || contact.answers(now) || contact.refuses(now)
+	contact := c.peerHealth.Contact(owner)
+	return len(r.Tasks) == 0 || c.pressure.behind || contact.Answers(now) || contact.Refuses(now)
 }
 
 // reportsTo chooses the controller that a machine reports to: one of its own
@@ -68,7 +68,7 @@
 // also where connections between controllers are refused, which says nothing of
 // those between it and the worker. The lock is held.
 func (c *Controller) reportsTo(zone, machine, owner string, now time.Time) string {
-	if !c.searchIsLong(zone) || c.peerHealth.contact(owner).refuses(now) {
+	if !c.searchIsLong(zone) || c.peerHealth.Contact(owner).Refuses(now) {
 		return owner
 	}
 	var near []string
@@ -79,8 +79,8 @@
 		if label == owner {
 			return owner
 		}
-		contact := c.peerHealth.contact(label)
-		if label == c.cfg.Label || (contact.reachable(now) && !contact.refuses(now)) {
+		contact := c.peerHealth.Contact(label)
+		if label == c.cfg.Label || (contact.Reachable(now) && !contact.Refuses(now)) {
 			near = append(near, label)
 		}
 	}
@@ -148,10 +148,10 @@
 	var near []string // in this zone
 	far, silent := 0, 0
 	for _, p := range c.cfg.Peers {
-		contact := c.peerHealth.contact(p.Label)
-		answers := contact.answers(now)
+		contact := c.peerHealth.Contact(p.Label)
+		answers := contact.Answers(now)
 		switch {
-		case answers && contact.reachesState(now):
+		case answers && contact.ReachesStateService(now):
 			return p.Label, true
 		case p.Zone != c.cfg.Zone:
 			far++
--- a/internal/controller/requests_test.go
+++ b/internal/controller/requests_test.go
@@ -58,7 +58,7 @@
 				want := x.up
 				if down {
 					c.store.(*testkit.State).Outage(true)
-					c.lease.setRenewed(time.Now().Add(-time.Minute))
+					setLeaseRenewed(c, time.Now().Add(-time.Minute))
 					want = x.down
 				}
 				begun := time.Now()
--- a/internal/controller/restarts.go
+++ b/internal/controller/restarts.go
@@ -79,7 +79,7 @@
 			cause = restart.Started
 		}
 		r.hadEpisode = true
-		r.episode = &restart.Episode{Incarnation: c.lease.current().incarnation, Cause: cause, Began: now.UnixMilli()}
+		r.episode = &restart.Episode{Incarnation: c.lease.Current().Incarnation, Cause: cause, Began: now.UnixMilli()}
 		r.reconciledTally, r.quietSince, r.lastPendingAt = reconcile.Tally{}, now, now
 		c.log.Info("restart: settling begins", "cause", cause)
 	}
--- a/internal/controller/saturated_test.go
+++ b/internal/controller/saturated_test.go
@@ -87,7 +87,7 @@
 				}
 				other := &passedOn{}
 				c.peers = map[string]peer.Caller{"c-1": other}
-				c.peerHealth.called("c-1", nil, true)
+				c.peerHealth.RecordCall("c-1", nil, true, time.Now())
 				if r := c.serveUserRequest(httpwire.Request{Method: x.method, Path: x.path}); r.Status == 200 {
 					t.Errorf("got %+v", r)
 				}
--- a/internal/controller/server_test.go
+++ b/internal/controller/server_test.go
@@ -17,7 +17,7 @@
 	if !c.serves(now) {
 		t.Fatal("not ready in good times")
 	}
-	c.lease.setRenewed(now.Add(-time.Minute))
+	setLeaseRenewed(c, now.Add(-time.Minute))
 	if !c.serves(now) {
 		t.Fatal("unready alone, with nobody better")
 	}
@@ -25,11 +25,11 @@
 	if c.serves(now) {
 		t.Fatal("ready without the state service and the other controllers")
 	}
-	c.peerHealth.called("c-1", nil, false)
+	c.peerHealth.RecordCall("c-1", nil, false, time.Now())
 	if !c.serves(now) {
 		t.Fatal("unready in an outage for all")
 	}
-	c.peerHealth.called("c-1", nil, true)
+	c.peerHealth.RecordCall("c-1", nil, true, time.Now())
 	if c.serves(now) {
 		t.Fatal("ready though refused alone")
 	}
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -93,7 +93,7 @@
 // leaseOverdue reports whether the lease's last renewal is so old that the state
 // service may be out of reach.
 func (c *Controller) leaseOverdue() bool {
-	return c.lease.current().overdue(time.Now())
+	return c.lease.Current().Overdue(time.Now())
 }
 
 // forward lets another controller that lately reached the state service serve a
@@ -103,7 +103,7 @@
 	now := time.Now()
 	var best peer.Caller
 	for label, p := range c.peers { // any order: they are all as good
-		if contact := c.peerHealth.contact(label); contact.reachesState(now) && contact.answers(now) {
+		if contact := c.peerHealth.Contact(label); contact.ReachesStateService(now) && contact.Answers(now) {
 			best = p
 			break
 		}
@@ -148,5 +148,5 @@
 // leaseLost reports whether the state service could not be reached for a while, or has lost
 // data: what needs it is refused at once then.
 func (c *Controller) leaseLost() bool {
-	return c.lease.current().lost(time.Now()) || c.inSafeMode()
+	return c.lease.Current().Lost(time.Now()) || c.inSafeMode()
 }
--- a/internal/controller/users_test.go
+++ b/internal/controller/users_test.go
@@ -75,7 +75,7 @@
 	if got := c.submit(body(t, nil)); got.Status != 200 {
 		t.Fatalf("repeat: %+v, want 200", got)
 	}
-	c.lease.setRenewed(time.Now().Add(-time.Minute))
+	setLeaseRenewed(c, time.Now().Add(-time.Minute))
 	if got := c.submit(body(t, set("ref", "run-000777"))); got.Status != 503 {
 		t.Fatalf("long without the state service: %+v, want 503 at once", got)
 	}
@@ -209,7 +209,7 @@
 	if got := c.serveUserRequest(req); got.Status != 503 {
 		t.Fatalf("with nobody known to reach the state service: %+v", got)
 	}
-	c.peerHealth.called("c-1", nil, true)
+	c.peerHealth.RecordCall("c-1", nil, true, time.Now())
 	if got := c.serveUserRequest(req); got.Status != 201 {
 		t.Fatalf("passed on: %+v", got)
 	}
@@ -222,7 +222,7 @@
 	if got := c.serveUserRequest(poll); got.Status != 404 {
 		t.Fatalf("poll of an unknown job passed on: %+v", got)
 	}
-	far.lease.setRenewed(time.Now().Add(-time.Minute))
+	setLeaseRenewed(far, time.Now().Add(-time.Minute))
 	if got := far.User(peer.UserArgs{Method: "GET", Path: poll.Path}); got.Status != 503 {
 		t.Fatalf("served by one that is cut off itself: %+v", got)
 	}
--- a/internal/controller/withheld_test.go
+++ b/internal/controller/withheld_test.go
@@ -107,7 +107,7 @@
 		seen := func(ago time.Duration) {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.lease.setRenewed(time.Now())
+			setLeaseRenewed(c, time.Now())
 			c.jobsAt = time.Now().Add(-ago)
 		}
 		seen(2*c.watchWait() + callSlack + time.Second)
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -66,7 +66,7 @@
 			return transport.Response{Status: 421, Body: wire.Redirect{Label: to}}, true
 		}
 	}
-	if peerc == nil || !lives || !c.peerHealth.contact(owner).reachable(now) {
+	if peerc == nil || !lives || !c.peerHealth.Contact(owner).Reachable(now) {
 		c.log.Debug("report kept", "machine", r.Machine, "owner", owner, "lives", lives)
 		go c.answerForOwner(&r, token, answer)
 		return transport.Response{}, false
@@ -90,7 +90,7 @@
 	}
 	c.log.Debug("report not relayed", "machine", r.Machine, "owner", owner, "err", err)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		c.peerHealth.refused(owner)
+		c.peerHealth.RecordRefusal(owner, time.Now())
 		c.mu.Lock()
 		to := c.redirectTo(m.Zone, r.Machine, owner, time.Now())
 		c.mu.Unlock()
--- a/internal/controller/workers_test.go
+++ b/internal/controller/workers_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"bramblespur/internal/config"
+	"bramblespur/internal/controller/membership"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/record"
 	"bramblespur/internal/testkit"
@@ -35,7 +36,7 @@
 		now := time.Now()
 		c.jobsAt = now.Add(-time.Hour)
 		if !x.sure {
-			c.lease.setRenewed(c.jobsAt)
+			setLeaseRenewed(c, c.jobsAt)
 		}
 		c.cfg.Zone = "z"
 		for label, heard := range x.peers {
@@ -45,14 +46,9 @@
 			}
 			c.cfg.Peers = append(c.cfg.Peers, config.Peer{Label: label, Zone: zone})
 			c.peers[label] = peer.NewClient("127.0.0.1:1")
-			contact := peerContact{}
 			if heard != "" {
-				contact.answeredAt = now
+				c.peerHealth.RecordCall(label, nil, heard == "well", now)
 			}
-			if heard == "well" {
-				contact.stateReachedAt = now
-			}
-			c.peerHealth.contacts[label] = contact
 		}
 		if to, look := c.betterController("m", now); look && to != "far" {
 			t.Errorf("%s: sent to %q though its lease may be nearly over", name, to)
@@ -78,10 +74,17 @@
 	}
 	c.cfg.Params.Count = 4
 	c.cfg.Peers = []config.Peer{{Label: "c-1", Zone: "y"}, {Label: "c-2", Zone: "y"}, {Label: "c-3", Zone: "x"}}
-	for _, l := range []string{"c-0", "c-1", "c-2", "c-3"} {
+	labels := []string{"c-0", "c-1", "c-2", "c-3"}
+	for _, l := range labels {
 		c.members[l] = record.Member{Incarnation: 1}
-		c.peerHealth.contacts[l] = peerContact{answeredAt: now}
 	}
+	allAnswer := func() {
+		c.peerHealth = membership.NewPeerHealth()
+		for _, l := range labels {
+			c.peerHealth.RecordCall(l, nil, false, now)
+		}
+	}
+	allAnswer()
 	if got := c.reportsTo("y", "m", "c-0", now); got != "c-0" {
 		t.Errorf("two controllers are tried in vain, within a lease: reports to %s, want the owner", got)
 	}
@@ -96,11 +99,11 @@
 			t.Errorf("zone %s, owner %s: reports to %s, want %s", x.zone, x.owner, got, x.want)
 		}
 	}
-	c.peerHealth.contacts["c-1"] = peerContact{answeredAt: now, refusedAt: now}
+	c.peerHealth.RecordRefusal("c-1", now)
 	if got := c.reportsTo("z", "m", "c-1", now); got != "c-1" {
 		t.Errorf("with the owner refusing connections from here the machine reports to %s, want the owner", got)
 	}
-	c.peerHealth.contacts["c-1"] = peerContact{answeredAt: now}
+	allAnswer()
 	delete(c.members, "c-3")
 	if got := c.reportsTo("x", "m", "c-0", now); got != "c-0" {
 		t.Errorf("without a live controller in its zone it reports to %s, want the owner", got)
@@ -158,7 +161,7 @@
 	answered(r, 7, 7, "a cancelled job, at first")
 	long()
 	answered(r, 7, 0, "a cancelled job, for long")
-	c.lease.setRenewed(time.Now().Add(-time.Minute)) // cut off from the state service
+	setLeaseRenewed(c, time.Now().Add(-time.Minute)) // cut off from the state service
 	seen(time.Hour)
 	answered(r, 7, 7, "cut off")
 	answered(&wire.Heartbeat{Machine: "n", Token: 9}, 7, 9, "cut off, with a newer owner")
