--- a/cmd/bramblespur/loopback_bench_test.go
+++ b/cmd/bramblespur/loopback_bench_test.go
@@ -59,16 +59,16 @@
 			continue
 		}
 		for _, episode := range h.Episodes {
-			if episode.Began < since.UnixMilli() {
+			if episode.BeganAt < since.UnixMilli() {
 				continue
 			}
-			if episode.Settled == 0 {
+			if episode.CompletedAt == 0 {
 				return 0, false
 			}
-			for _, part := range episode.Parts {
+			for _, part := range episode.Shards {
 				parts[part] = true
 			}
-			longest = max(longest, time.UnixMilli(episode.Settled).Sub(since))
+			longest = max(longest, time.UnixMilli(episode.CompletedAt).Sub(since))
 		}
 	}
 	return longest, len(parts) >= partsWithMachines
--- a/cmd/bramblespur/loopback_drain_test.go
+++ b/cmd/bramblespur/loopback_drain_test.go
@@ -36,7 +36,7 @@
 		l.submit(spec)
 	}
 	counted := l.world.CountInterruptions(1, 3, loopbackWindow)
-	plan := drain.Plan{Name: "all", Selector: drain.Selector{Types: []string{"big"}}, AtOnce: 3, Reason: "test",
+	plan := drain.Plan{Name: "all", Selector: drain.Selector{Types: []string{"big"}}, MaxConcurrent: 3, Reason: "test",
 		State: drain.Active, Created: time.Now().UnixMilli()}
 	if err := l.world.State.Put(drain.StartTxn(plan)); err != nil {
 		t.Fatal(err)
--- a/cmd/bramblespur/loopback_restart_test.go
+++ b/cmd/bramblespur/loopback_restart_test.go
@@ -84,7 +84,7 @@
 			continue // its parts had no machines
 		}
 		for _, episode := range h.Episodes {
-			n += episode.Verdicts[reconcile.Adopted.String()]
+			n += episode.Outcomes[reconcile.Adopted.String()]
 		}
 	}
 	return n
--- a/cmd/bramblespurctl/drain.go
+++ b/cmd/bramblespurctl/drain.go
@@ -53,7 +53,7 @@
 	flags.StringSliceVar(&s.Zones, "zone", nil, "all machines in these zones")
 	flags.DurationVar(&f.olderThan, "older-than", 0, "all machines whose image is older, as it is that of their rental: 72h")
 	flags.StringVar(&f.rentedBefore, "rented-before", "", "all machines rented before a time: 2026-11-01T00:00:00Z")
-	flags.IntVar(&f.plan.AtOnce, "at-once", 1, "how many machines at a time")
+	flags.IntVar(&f.plan.MaxConcurrent, "at-once", 1, "how many machines at a time")
 	flags.StringVar(&f.finishBy, "finish-by", "", "when it should be over: a time, or a duration from now")
 	flags.BoolVar(&f.plan.Force, "force", false, "past the finish-by, evict beyond the budgets; this is recorded")
 	flags.StringVar(&f.plan.Reason, "reason", "", "why")
--- a/cmd/bramblespurctl/main_test.go
+++ b/cmd/bramblespurctl/main_test.go
@@ -98,9 +98,9 @@
 	if err := json.Unmarshal([]byte(s.want(0, "machines_left", "drain", "show", "old", "-o", "json")), &status); err != nil || status.Left != 4 {
 		t.Errorf("%d machines left, %v", status.Left, err)
 	}
-	s.put(drain.CourseKey("old", 0), drain.Course{Cordoned: 2, Returned: 1, Teams: map[string]drain.TeamTotal{"vision": {Evicted: 1, LostS: 90}},
-		HeldS:  map[drain.HoldReason]float64{drain.HeldBudget: 60},
-		Points: []drain.Point{{At: 1000, Cordoned: 1}, {At: 61000, Cordoned: 2, Returned: 1, Teams: map[string]drain.Use{"vision": {Open: 1, InWindow: 1}}}}})
+	s.put(drain.ProgressKey("old", 0), drain.Progress{Cordoned: 2, Returned: 1, Teams: map[string]drain.TeamImpact{"vision": {Evicted: 1, LostS: 90}},
+		HoldSeconds: map[drain.HoldReason]float64{drain.HoldBudgetExhausted: 60},
+		Samples:     []drain.Sample{{At: 1000, Cordoned: 1}, {At: 61000, Cordoned: 2, Returned: 1, Teams: map[string]drain.BudgetUse{"vision": {Concurrent: 1, InWindow: 1}}}}})
 	html := filepath.Join(t.TempDir(), "report.html")
 	s.want(0, "", "drain", "report", "old", "--file", html)
 	page, err := os.ReadFile(html)
@@ -121,8 +121,8 @@
 func TestRestartCommands(t *testing.T) {
 	s := newSite(t)
 	s.put(restart.Key("c-0"), restart.History{Episodes: []restart.Episode{
-		{Incarnation: 4, Cause: restart.Started, Began: 1000, Settled: 9000, Parts: []int{0, 1}, Verdicts: map[string]int{"adopted": 12}, Orders: []int{3, 5}, Bound: 10, Malformed: 1},
-		{Incarnation: 7, Cause: restart.TookOver, Began: 20000, Parts: []int{2}, Awaited: 3, Unheard: 1, Names: []string{"i-000007"}},
+		{Incarnation: 4, Cause: restart.Started, BeganAt: 1000, CompletedAt: 9000, Shards: []int{0, 1}, Outcomes: map[string]int{"adopted": 12}, CommandsPerSecond: []int{3, 5}, CommandLimit: 10, Malformed: 1},
+		{Incarnation: 7, Cause: restart.FailedOver, BeganAt: 20000, Shards: []int{2}, PendingTasks: 3, SilentMachines: 1, PendingNames: []string{"i-000007"}},
 	}})
 	s.put(restart.Key("c-1"), "nonsense")
 	s.want(0, "invalid", "restart", "list")
--- a/cmd/bramblespurctl/recover.go
+++ b/cmd/bramblespurctl/recover.go
@@ -167,7 +167,7 @@
 			if err := sameCluster(s, g); err != nil {
 				return err
 			}
-			p := recovery.Make(g.Evidence, c.Limits)
+			p := recovery.NewPlan(g.Evidence, c.Limits)
 			if err := writePlan(path, p); err != nil {
 				return err
 			}
@@ -220,13 +220,13 @@
 		fmt.Fprintf(out, "controller %s did not answer: what it holds is missing\n", label)
 	}
 	count := p.Count()
-	for _, v := range []recovery.Verdict{recovery.Intact, recovery.Recovered, recovery.Finished, recovery.Lost, recovery.Undecided} {
+	for _, v := range []recovery.Outcome{recovery.Intact, recovery.Recovered, recovery.Finished, recovery.Lost, recovery.Undecided} {
 		fmt.Fprintf(out, "%-14s %d\n", v, count[v])
 	}
-	for _, v := range []recovery.Verdict{recovery.Lost, recovery.Undecided} {
+	for _, v := range []recovery.Outcome{recovery.Lost, recovery.Undecided} {
 		shown := 0
 		for _, i := range p.Items {
-			if i.Verdict != v {
+			if i.Outcome != v {
 				continue
 			}
 			if shown++; shown > shownItems {
@@ -260,11 +260,11 @@
 			return nil
 		},
 		RunE: func(cmd *cobra.Command, args []string) error {
-			key, choice := args[0], recovery.Choice(args[1])
+			key, choice := args[0], recovery.Decision(args[1])
 			if !strings.HasPrefix(key, record.ActiveJobPrefix) && !strings.HasPrefix(key, record.FinishedJobPrefix) {
 				return usageError{fmt.Errorf("%s is not the key of a job", key)}
 			}
-			all := []recovery.Choice{recovery.ChooseDone, recovery.ChooseCancelled, recovery.ChooseAgain, recovery.ChooseForget}
+			all := []recovery.Decision{recovery.DecideDone, recovery.DecideCancelled, recovery.DecideRerun, recovery.DecideForget}
 			if !slices.Contains(all, choice) {
 				return usageError{fmt.Errorf("%q is none of the choices", choice)}
 			}
--- a/cmd/bramblespurctl/recover_test.go
+++ b/cmd/bramblespurctl/recover_test.go
@@ -84,7 +84,7 @@
 	s.want(0, "no safe mode", "recover", "status")
 	s.wantWith(1, "there is no safe mode", "recover", "plan", "--file", plan)
 	s.want(0, "5 records", "snapshot", "take", "--dir", s.dir)
-	s.put(recovery.SafeModeKey, recovery.SafeMode{Active: true, Epoch: 1, By: "c-0", Floor: 40, Sign: recovery.Sign{Kind: recovery.RevisionFell, Held: 9, Found: 4}})
+	s.put(recovery.SafeModeKey, recovery.SafeMode{Active: true, Epoch: 1, By: "c-0", Floor: 40, Sign: recovery.Finding{Kind: recovery.RevisionRegressed, Held: 9, Found: 4}})
 	s.want(0, "noticed by c-0: revision fell: 4, was 9", "recover", "status")
 	s.service.Lose(func(key string) bool { return strings.HasPrefix(key, record.ActiveJobPrefix) })
 	s.wantWith(0, "controller c-0 did not answer", "recover", "plan", "--dir", s.dir, "--file", plan)
--- a/cmd/bramblespurctl/restart.go
+++ b/cmd/bramblespurctl/restart.go
@@ -68,7 +68,7 @@
 				if err := t.print(out, e, func() { writeRestart(out, e) }); err != nil {
 					return err
 				}
-				if !follow || e.Settled != 0 || !pause(cmd.Context(), followEvery) {
+				if !follow || e.CompletedAt != 0 || !pause(cmd.Context(), followEvery) {
 					return nil
 				}
 			}
@@ -128,36 +128,36 @@
 				fmt.Fprintf(w, "%s\t%s\t-\t-\t-\t%s\n", e.Name, e.State(), e.Invalid)
 				continue
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%.1fs\t%v\t%s\n", e.Name, e.State(), e.Cause, e.TookS, e.Parts, awaited(&e))
+			fmt.Fprintf(w, "%s\t%s\t%s\t%.1fs\t%v\t%s\n", e.Name, e.State(), e.Cause, e.TookS, e.Shards, awaited(&e))
 		}
 	})
 }
 
 // awaited tells what a restart still waits for.
 func awaited(e *restartctl.Episode) string {
-	if e.Awaited+e.Unheard == 0 {
+	if e.PendingTasks+e.SilentMachines == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%d tasks, %d machines", e.Awaited, e.Unheard)
+	return fmt.Sprintf("%d tasks, %d machines", e.PendingTasks, e.SilentMachines)
 }
 
 func writeRestart(out io.Writer, e *restartctl.Episode) {
 	table(out, func(w io.Writer) {
-		fmt.Fprintf(w, "name\t%s\nstate\t%s\ncause\t%s\ntook\t%.1fs\nparts\t%v\nawaited\t%s\n", e.Name, e.State(), e.Cause, e.TookS, e.Parts, awaited(e))
-		if e.Unheard > 0 {
+		fmt.Fprintf(w, "name\t%s\nstate\t%s\ncause\t%s\ntook\t%.1fs\nparts\t%v\nawaited\t%s\n", e.Name, e.State(), e.Cause, e.TookS, e.Shards, awaited(e))
+		if e.SilentMachines > 0 {
 			fmt.Fprintln(w, "why\ttheir work keeps its place until they report, begin a new session or are given back")
 		}
-		if len(e.Names) > 0 {
-			fmt.Fprintf(w, "not heard\t%s\n", strings.Join(e.Names, " "))
+		if len(e.PendingNames) > 0 {
+			fmt.Fprintf(w, "not heard\t%s\n", strings.Join(e.PendingNames, " "))
 		}
-		for _, verdict := range slices.Sorted(maps.Keys(e.Verdicts)) {
-			fmt.Fprintf(w, "%s\t%d\n", verdict, e.Verdicts[verdict])
+		for _, verdict := range slices.Sorted(maps.Keys(e.Outcomes)) {
+			fmt.Fprintf(w, "%s\t%d\n", verdict, e.Outcomes[verdict])
 		}
 		peak := 0
-		for _, n := range e.Orders {
+		for _, n := range e.CommandsPerSecond {
 			peak = max(peak, n)
 		}
-		fmt.Fprintf(w, "orders in a second\t%d at most, of %.1f\n", peak, e.Bound)
+		fmt.Fprintf(w, "orders in a second\t%d at most, of %.1f\n", peak, e.CommandLimit)
 		fmt.Fprintf(w, "contradictory claims\t%d\nmalformed records\t%d\n", e.Contradictions, e.Malformed)
 	})
 }
--- a/internal/contract/json_test.go
+++ b/internal/contract/json_test.go
@@ -40,8 +40,8 @@
 	{"record runs/N/N", record.Placements{}},
 	{"record ctl/drain/plan/NAME", drain.Plan{}},
 	{"record ctl/drain/ledger/TEAM", drain.Ledger{}},
-	{"record ctl/drain/aware/LABEL", drain.Aware{}},
-	{"record ctl/drain/course/NAME/N", drain.Course{}},
+	{"record ctl/drain/aware/LABEL", drain.Participant{}},
+	{"record ctl/drain/course/NAME/N", drain.Progress{}},
 	{"record ctl/drain/cordons", drain.Cordons{}},
 	{"record ctl/restart/LABEL", restart.History{}},
 	{"record ctl/recovery/safe-mode", recovery.SafeMode{}},
@@ -163,11 +163,11 @@
 		layout := layouts[name]
 		for at := 0; at < len(layout); at += 1 + len(layout)/7 {
 			v := drain.NewView()
-			err := v.Change(wire.Change{Put: key, Value: []byte(layout[:at]), Version: 1})
+			err := v.Apply(wire.Change{Put: key, Value: []byte(layout[:at]), Version: 1})
 			if err == nil || !strings.Contains(err.Error(), key) {
 				t.Errorf("%s: %q: error %v", key, layout[:at], err)
 			}
-			held := len(v.Plans()) + len(v.Ledger("a").Rec.Open) + len(v.Courses("p")) + len(v.Cordons().Rec.Machines)
+			held := len(v.Plans()) + len(v.Ledger("a").Rec.Open) + len(v.AllProgress("p")) + len(v.Cordons().Rec.Machines)
 			if held != 0 || v.InUse() {
 				t.Errorf("%s: %q: %d records are held", key, layout[:at], held)
 			}
--- a/internal/contract/names_test.go
+++ b/internal/contract/names_test.go
@@ -25,7 +25,7 @@
 		"fleet/own/": record.OverridePrefix, "fleet/back/": record.ReleasePrefix, "open/": record.ActiveJobPrefix,
 		"jobs/": record.FinishedJobPrefix, "pipes/": record.PipelinePrefix, "runs/": record.PlacementsPrefix,
 		"ctl/drain/": drain.Prefix, "ctl/drain/plan/": drain.PlanPrefix, "ctl/drain/ledger/": drain.LedgerPrefix,
-		"ctl/drain/aware/": drain.AwarePrefix, "ctl/drain/course/": drain.CoursePrefix, "ctl/drain/cordons": drain.CordonsKey,
+		"ctl/drain/aware/": drain.ParticipantPrefix, "ctl/drain/course/": drain.ProgressPrefix, "ctl/drain/cordons": drain.CordonsKey,
 		"ctl/restart/": restart.Prefix, "ctl/recovery/": recovery.Prefix, "ctl/recovery/safe-mode": recovery.SafeModeKey,
 		"ctl/recovery/apply": recovery.ApplyKey, "ctl/recovery/decisions": recovery.DecisionsKey,
 
@@ -35,9 +35,9 @@
 		"pipes/pipe-1": record.PipelineKey("pipe-1"), "runs/3/": record.ShardPlacementsPrefix(3),
 		"runs/3/7": record.PlacementsKey(3, 7), "run-1:7": record.RangeName("run-1", 7),
 		"ctl/drain/plan/p": drain.PlanKey("p"), "ctl/drain/ledger/a%20b%2Fc": drain.LedgerKey("a b/c"),
-		"ctl/drain/aware/c-0": drain.AwareKey("c-0"), "ctl/drain/course/p/3": drain.CourseKey("p", 3),
+		"ctl/drain/aware/c-0": drain.ParticipantKey("c-0"), "ctl/drain/course/p/3": drain.ProgressKey("p", 3),
 		"ctl/restart/c-0": restart.Key("c-0"), "ctl/recovery/lost/run-1": recovery.LostKey("run-1"),
-		"ctl/recovery/raise": recovery.Raise(1).Then[0].Put,
+		"ctl/recovery/raise": recovery.RaiseRevisionTxn(1).Then[0].Put,
 	} {
 		if got != want {
 			t.Errorf("%s, want %s", got, want)
--- a/internal/controller/data_loss_audit.go
+++ b/internal/controller/data_loss_audit.go
@@ -219,7 +219,7 @@
 		}
 		if !over {
 			c.mu.Lock()
-			c.reportDataLoss(recovery.Sign{Kind: recovery.RecordGone, Key: record.FinishedJobKey(ref)}, time.Now())
+			c.reportDataLoss(recovery.Finding{Kind: recovery.RecordMissing, Key: record.FinishedJobKey(ref)}, time.Now())
 			c.mu.Unlock()
 		}
 	}
--- a/internal/controller/data_loss_evidence.go
+++ b/internal/controller/data_loss_evidence.go
@@ -29,9 +29,9 @@
 	}
 	r := peer.EvidenceReply{Mode: mode}
 	if a.After == "" {
-		r.View = recovery.View{Revision: m.activeJobsRevision, Open: map[string]recovery.OpenJob{}}
+		r.View = recovery.View{Revision: m.activeJobsRevision, Open: map[string]recovery.ActiveJob{}}
 		for ref, j := range c.activeJobs {
-			r.View.Open[ref] = recovery.OpenJob{Version: j.version, Cancelled: j.cancelled}
+			r.View.Open[ref] = recovery.ActiveJob{Version: j.version, Cancelled: j.cancelled}
 		}
 		for _, id := range slices.Sorted(maps.Keys(m.heartbeats)) {
 			r.Reports = append(r.Reports, m.heartbeats[id])
--- a/internal/controller/drainer.go
+++ b/internal/controller/drainer.go
@@ -61,7 +61,7 @@
 
 // ready reports whether all controllers take part. The lock is held.
 func (c *Controller) drainsReady() bool {
-	return c.drains.settings != nil && c.drains.view.Ready(c.cfg.Labels(), c.drains.budgetFingerprint)
+	return c.drains.settings != nil && c.drains.view.AllParticipate(c.cfg.Labels(), c.drains.budgetFingerprint)
 }
 
 // resetDrains takes in all records of drains. The lock is held.
@@ -83,7 +83,7 @@
 	d := &c.drains
 	for _, i := range all {
 		ledger := d.view.Ledger(i.Team).Rec
-		if ledger.Find(i.UnitID) != nil || len(d.losses) >= maxUnrecordedLosses ||
+		if ledger.OpenDisruption(i.UnitID) != nil || len(d.losses) >= maxUnrecordedLosses ||
 			slices.ContainsFunc(d.losses, func(l drain.Loss) bool { return l.UnitID == i.UnitID }) {
 			continue
 		}
@@ -95,7 +95,7 @@
 // refreshCordons tells a part which machines are cordoned, if that may have changed. The lock
 // is held.
 func (c *Controller) refreshCordons(shard *scheduler.Shard) {
-	if c.drains.settings != nil && shard.CordonsAsOf() != c.drains.view.Changes() {
+	if c.drains.settings != nil && shard.CordonsAsOf() != c.drains.view.Generation() {
 		c.setCordons(shard)
 	}
 }
@@ -110,9 +110,9 @@
 		}
 	}
 	cordons := view.Cordons().Rec.Machines
-	shard.SetCordons(view.Changes(), func(m *scheduler.Machine) (scheduler.Cordon, bool) {
+	shard.SetCordons(view.Generation(), func(m *scheduler.Machine) (scheduler.Cordon, bool) {
 		cordon, ok := cordons[m.ID]
-		if plan, known := view.Plan(cordon.Drain); ok && known && !plan.Rec.State.Over() {
+		if plan, known := view.Plan(cordon.Drain); ok && known && !plan.Rec.State.Terminal() {
 			if ready && plan.Rec.State == drain.Active {
 				return scheduler.CordonedForReturn, false
 			}
@@ -148,12 +148,12 @@
 // announceDrainSupport says that this controller takes part in drains, and by which budgets.
 func (c *Controller) announceDrainSupport(ctx context.Context) {
 	c.mu.Lock()
-	said, _ := c.drains.view.Said(c.cfg.Label)
+	said, _ := c.drains.view.Participant(c.cfg.Label)
 	known := c.viewAt.IsZero() || said.Budgets == c.drains.budgetFingerprint
-	rec := drain.Aware{Budgets: c.drains.budgetFingerprint}
+	rec := drain.Participant{Budgets: c.drains.budgetFingerprint}
 	c.mu.Unlock()
 	if !known {
-		c.commitDrainTxn(ctx, wire.Txn{Then: []wire.Op{{Put: drain.AwareKey(c.cfg.Label), Value: record.Encode(rec)}}})
+		c.commitDrainTxn(ctx, wire.Txn{Then: []wire.Op{{Put: drain.ParticipantKey(c.cfg.Label), Value: record.Encode(rec)}}})
 	}
 }
 
@@ -161,11 +161,11 @@
 // they were turned off.
 func (c *Controller) retractDrainSupport(ctx context.Context) {
 	c.mu.Lock()
-	_, said := c.drains.view.Said(c.cfg.Label)
+	_, said := c.drains.view.Participant(c.cfg.Label)
 	on := c.drains.settings != nil
 	c.mu.Unlock()
 	if said && !on {
-		c.commitDrainTxn(ctx, wire.Txn{Then: []wire.Op{{Delete: drain.AwareKey(c.cfg.Label)}}})
+		c.commitDrainTxn(ctx, wire.Txn{Then: []wire.Op{{Delete: drain.ParticipantKey(c.cfg.Label)}}})
 	}
 }
 
@@ -188,7 +188,7 @@
 		return
 	}
 	c.setCordons(shard)
-	for _, d := range c.drains.view.Orders(shard.ID()) {
+	for _, d := range c.drains.view.PendingEvictions(shard.ID()) {
 		shard.Evict(d, now)
 	}
 	writes := c.planDrainWrites(shard, now)
@@ -206,24 +206,24 @@
 func (c *Controller) planDrainWrites(shard *scheduler.Shard, now time.Time) []drain.Write {
 	d := &c.drains
 	ledgers := drain.NewLedgers(d.view)
-	ledgers.Lose(slices.DeleteFunc(slices.Clone(d.losses), func(l drain.Loss) bool { return l.Part != shard.ID() }))
-	ledgers.Settle(shard.ID(), shard.FateOf, now)
-	a := &drain.Author{
-		Input: drain.Input{Now: now, Settings: d.settings, View: d.view, Part: shard.ID(), Bytes: c.limits().Bytes()},
+	ledgers.AddLosses(slices.DeleteFunc(slices.Clone(d.losses), func(l drain.Loss) bool { return l.Shard != shard.ID() }))
+	ledgers.CloseRecovered(shard.ID(), shard.FateOf, now)
+	a := &drain.TxnBuilder{
+		Input: drain.Input{Now: now, Settings: d.settings, View: d.view, Shard: shard.ID(), Bytes: c.limits().Bytes()},
 		Owner: wire.Cond{Key: record.ShardKey(shard.ID()), Version: shard.Token()},
-		Gone: func(id string) bool {
+		MachineGone: func(id string) bool {
 			v, ok := c.fleet.Machine(id)
 			return !ok || v.Phase == record.Gone
 		},
 	}
 	var steps drain.Steps
 	if c.drainsReady() {
-		a.Machines = shard.DrainMachines(d.view.WantsMore(), now)
+		a.Machines = shard.DrainMachines(d.view.MayCordonMore(), now)
 		a.Zones = c.machinesByZone()
-		steps = drain.Next(&a.Input, ledgers)
+		steps = drain.PlanSteps(&a.Input, ledgers)
 	}
-	shard.SetReplacements(steps.Replace)
-	a.Waited = d.addHoldTimes(shard.ID(), steps.Held, now)
+	shard.SetReplacements(steps.NeedCapacity)
+	a.HoldTimes = d.addHoldTimes(shard.ID(), steps.Held, now)
 	return a.Writes(steps, ledgers)
 }
 
@@ -239,7 +239,7 @@
 }
 
 // addHoldTimes adds how long machines were held up, and returns what a part has not recorded yet.
-func (d *drains) addHoldTimes(part int, held []drain.Held, now time.Time) map[string]map[drain.HoldReason]time.Duration {
+func (d *drains) addHoldTimes(part int, held []drain.HeldMachine, now time.Time) map[string]map[drain.HoldReason]time.Duration {
 	h := d.holdTimes[part]
 	if h == nil {
 		h = &shardHoldTimes{updatedAt: now, byDrain: map[string]map[drain.HoldReason]time.Duration{}}
@@ -260,11 +260,11 @@
 func (c *Controller) drainWriteApplied(part int, w drain.Write, turn time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if w.Course != "" {
-		delete(c.drains.holdTimes[part].byDrain, w.Course)
+	if w.Progress != "" {
+		delete(c.drains.holdTimes[part].byDrain, w.Progress)
 	}
 	c.drains.losses = slices.DeleteFunc(c.drains.losses, func(l drain.Loss) bool {
-		return w.Team != "" && l.Team == w.Team && l.Part == part && l.At <= turn.UnixMilli()
+		return w.Team != "" && l.Team == w.Team && l.Shard == part && l.At <= turn.UnixMilli()
 	})
 }
 
@@ -294,7 +294,7 @@
 	var t wire.Txn
 	due := false
 	if c.isLeader(now) && c.drainsReady() && !c.fleetAt.IsZero() {
-		t, due = drain.Conclude(c.drains.view, c.drainHasMachines, c.limits().TxnOps, now)
+		t, due = drain.FinishOrPurge(c.drains.view, c.drainHasMachines, c.limits().TxnOps, now)
 	}
 	c.mu.Unlock()
 	if due && c.drains.writeLimiter.AllowN(now, len(t.Then)) {
--- a/internal/controller/drains_bench_test.go
+++ b/internal/controller/drains_bench_test.go
@@ -24,10 +24,10 @@
 				c.changeCluster(wire.Change{Put: key, Value: record.Encode(v), Version: version}, now)
 			}
 			for _, label := range c.cfg.Labels() {
-				put(drain.AwareKey(label), drain.Aware{Budgets: c.drains.budgetFingerprint})
+				put(drain.ParticipantKey(label), drain.Participant{Budgets: c.drains.budgetFingerprint})
 			}
 			if atOnce > 0 {
-				plan := drain.Plan{Name: "all", AtOnce: atOnce, State: drain.Active, Created: now.Add(time.Hour).UnixMilli()}
+				plan := drain.Plan{Name: "all", MaxConcurrent: atOnce, State: drain.Active, Created: now.Add(time.Hour).UnixMilli()}
 				cordons := drain.Cordons{Machines: map[string]drain.Cordon{}}
 				for i := range accountMachines / 3 {
 					plan.Selector.Machines = append(plan.Selector.Machines, machineName(i))
--- a/internal/controller/drains_failures_test.go
+++ b/internal/controller/drains_failures_test.go
@@ -240,8 +240,8 @@
 	k.t.Helper()
 	k.loadEvenly()
 	k.submit(spec(ref(firstOwn), "wide", func(s *wire.Spec) { s.Tasks = 4 }), long)
-	k.ask("types", func(p *drain.Plan) { p.Selector.Types, p.AtOnce = []string{"big"}, 3 })
-	k.ask("zone", func(p *drain.Plan) { p.Selector.Zones, p.AtOnce = []string{"a"}, 3 })
+	k.ask("types", func(p *drain.Plan) { p.Selector.Types, p.MaxConcurrent = []string{"big"}, 3 })
+	k.ask("zone", func(p *drain.Plan) { p.Selector.Zones, p.MaxConcurrent = []string{"a"}, 3 })
 	for range 6 {
 		time.Sleep(time.Duration(2000+r.IntN(25000)) * time.Millisecond)
 		k.said = append(k.said, time.Now().Format("15:04:05"))
@@ -273,7 +273,7 @@
 						k.running(ref(firstOwn+i), 2)
 					}
 					k.world.State.Slow(600 * time.Millisecond)
-					k.ask("all", func(p *drain.Plan) { p.Selector.Types, p.AtOnce = []string{"big"}, 6 })
+					k.ask("all", func(p *drain.Plan) { p.Selector.Types, p.MaxConcurrent = []string{"big"}, 6 })
 					k.awaitGrant()
 					time.Sleep(6 * time.Minute)
 					k.world.State.Slow(0)
--- a/internal/controller/drains_harness_test.go
+++ b/internal/controller/drains_harness_test.go
@@ -16,10 +16,10 @@
 )
 
 // drainBudget is what every team of the drain tests has.
-var drainBudget = drain.Limit{AtOnce: 1, InWindow: 3, Window: 2 * time.Minute}
+var drainBudget = drain.Limit{MaxConcurrent: 1, MaxInWindow: 3, Window: 2 * time.Minute}
 
 func drainSettings(limit drain.Limit) *drain.Settings {
-	return &drain.Settings{StoreShare: 1, ZoneShare: 0.5, Wait: 30 * time.Second, Default: drain.Budget{Limit: limit}}
+	return &drain.Settings{StoreShare: 1, ZoneShare: 0.5, MaxWait: 30 * time.Second, Default: drain.Budget{Limit: limit}}
 }
 
 // drainCluster is a cluster whose interruptions are counted.
@@ -54,7 +54,7 @@
 				c.drains.enable(k.settings, &k.params)
 			}
 		}
-		k.counted = k.world.CountInterruptions(l.limit.AtOnce, l.limit.InWindow, l.limit.Window)
+		k.counted = k.world.CountInterruptions(l.limit.MaxConcurrent, l.limit.MaxInWindow, l.limit.Window)
 		for _, label := range k.labels {
 			k.start(label)
 		}
@@ -96,7 +96,7 @@
 // ask asks for a drain as an operator does.
 func (k *drainCluster) ask(name string, change func(*drain.Plan)) {
 	k.t.Helper()
-	p := drain.Plan{Name: name, AtOnce: 2, Reason: "test", State: drain.Active, Created: time.Now().UnixMilli()}
+	p := drain.Plan{Name: name, MaxConcurrent: 2, Reason: "test", State: drain.Active, Created: time.Now().UnixMilli()}
 	change(&p)
 	if err := p.Check(); err != nil {
 		k.t.Fatal(err)
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -59,8 +59,8 @@
 		for _, m := range k.world.Machines() {
 			before[m.Zone]++
 		}
-		k.ask("zone", func(p *drain.Plan) { p.Selector.Zones, p.AtOnce = []string{"a"}, 50 })
-		k.ask("types", func(p *drain.Plan) { p.Selector.Types, p.AtOnce = []string{"big"}, 50 })
+		k.ask("zone", func(p *drain.Plan) { p.Selector.Zones, p.MaxConcurrent = []string{"a"}, 50 })
+		k.ask("types", func(p *drain.Plan) { p.Selector.Types, p.MaxConcurrent = []string{"big"}, 50 })
 		for range 60 {
 			time.Sleep(time.Second)
 			left := map[string]int{}
@@ -91,7 +91,7 @@
 		time.Sleep(10 * time.Second)
 		k.ask("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
 		time.Sleep(4 * time.Minute)
-		if got := k.drainRecords(); !strings.Contains(got, string(drain.HeldNoRoom)) || k.granted() > 1 {
+		if got := k.drainRecords(); !strings.Contains(got, string(drain.HoldNoCapacity)) || k.granted() > 1 {
 			k.t.Errorf("%d evictions without a replacement: %s", k.granted(), got)
 		}
 		k.world.Boot(5*time.Second, false)
@@ -140,7 +140,7 @@
 		}
 		k.off["c-1"] = false
 		usual := k.settings
-		k.settings = drainSettings(drain.Limit{AtOnce: 2, InWindow: 3, Window: time.Minute})
+		k.settings = drainSettings(drain.Limit{MaxConcurrent: 2, MaxInWindow: 3, Window: time.Minute})
 		k.restart("c-1", time.Second)
 		time.Sleep(time.Minute)
 		if len(k.cordons()) > 0 || k.granted() > 0 {
@@ -152,7 +152,7 @@
 		k.off["c-1"] = true
 		k.restart("c-1", time.Second)
 		k.await(time.Minute, "c-1 takes its word back", func() bool {
-			_, said := k.world.State.Entry(drain.AwareKey("c-1"))
+			_, said := k.world.State.Entry(drain.ParticipantKey("c-1"))
 			return !said
 		})
 	})
@@ -164,7 +164,7 @@
 		k.loadEvenly()
 		k.ask("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
 		k.awaitGrant()
-		k.settings = drainSettings(drain.Limit{AtOnce: 0, InWindow: 0, Window: time.Minute})
+		k.settings = drainSettings(drain.Limit{MaxConcurrent: 0, MaxInWindow: 0, Window: time.Minute})
 		for _, label := range k.labels {
 			k.restart(label, 500*time.Millisecond)
 			time.Sleep(5 * time.Second)
@@ -174,7 +174,7 @@
 		if k.granted() != granted {
 			k.t.Errorf("%d grants became %d with a budget of none", granted, k.granted())
 		}
-		k.happened(strings.Contains(k.drainRecords(), string(drain.HeldBudget)), "the budget holds it up")
+		k.happened(strings.Contains(k.drainRecords(), string(drain.HoldBudgetExhausted)), "the budget holds it up")
 	})
 }
 
@@ -199,7 +199,7 @@
 		})
 	})
 	t.Run("forced", func(t *testing.T) {
-		drainOnWith(t, drainLayout{settings: none, limit: drain.Limit{AtOnce: 50, InWindow: 50, Window: time.Minute}}, func(k *drainCluster) {
+		drainOnWith(t, drainLayout{settings: none, limit: drain.Limit{MaxConcurrent: 50, MaxInWindow: 50, Window: time.Minute}}, func(k *drainCluster) {
 			k.loadEvenly()
 			k.ask("all", soon(true))
 			k.finished("all", 30*time.Minute)
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -40,16 +40,16 @@
 }
 
 // decision is what an operator decides who knows what became of a job.
-func decision(key string, truth testkit.Image) recovery.Choice {
+func decision(key string, truth testkit.Image) recovery.Decision {
 	var j record.FinishedJob
 	e, over := truth.Entries[record.FinishedJobKey(record.Last(key))]
 	switch {
 	case !over || json.Unmarshal(e.Value, &j) != nil:
-		return recovery.ChooseAgain
+		return recovery.DecideRerun
 	case j.State == wire.Done:
-		return recovery.ChooseDone
+		return recovery.DecideDone
 	}
-	return recovery.ChooseCancelled
+	return recovery.DecideCancelled
 }
 
 // plan makes a plan, and decides all that is undecided as it was.
@@ -60,7 +60,7 @@
 		if err != nil {
 			k.t.Fatal(err)
 		}
-		p := recovery.Make(g.Evidence, c.Limits)
+		p := recovery.NewPlan(g.Evidence, c.Limits)
 		undecided := p.Undecided()
 		if len(undecided) == 0 {
 			return p
@@ -91,17 +91,17 @@
 	for _, i := range p.Items {
 		e, was := truth.Entries[i.Key]
 		known := strings.HasPrefix(i.Key, record.ActiveJobPrefix) || strings.HasPrefix(i.Key, record.FinishedJobPrefix) ||
-			strings.HasPrefix(i.Key, record.FleetPrefix) && i.From != recovery.FromReport
+			strings.HasPrefix(i.Key, record.FleetPrefix) && i.From != recovery.FromHeartbeat
 		if !known || i.From == recovery.FromOperator {
 			continue
 		}
 		var got, want any
 		switch {
-		case i.Verdict == recovery.Recovered && !was:
+		case i.Outcome == recovery.Recovered && !was:
 			k.t.Errorf("%s is recovered from the %s, and was not there", i.Key, i.From)
-		case i.Verdict == recovery.Recovered && (json.Unmarshal(i.Put, &got) != nil || json.Unmarshal(e.Value, &want) != nil || !sameRecord(got, want)):
+		case i.Outcome == recovery.Recovered && (json.Unmarshal(i.Put, &got) != nil || json.Unmarshal(e.Value, &want) != nil || !sameRecord(got, want)):
 			k.t.Errorf("%s is recovered as %s, and was %s", i.Key, i.Put, e.Value)
-		case i.Verdict == recovery.Lost && was:
+		case i.Outcome == recovery.Lost && was:
 			k.t.Errorf("%s is called lost: %s", i.Key, i.Why)
 		}
 	}
--- a/internal/controller/restarts.go
+++ b/internal/controller/restarts.go
@@ -74,20 +74,20 @@
 		return
 	}
 	if r.episode == nil {
-		cause := restart.TookOver
+		cause := restart.FailedOver
 		if !r.hadEpisode {
 			cause = restart.Started
 		}
 		r.hadEpisode = true
-		r.episode = &restart.Episode{Incarnation: c.lease.Current().Incarnation, Cause: cause, Began: now.UnixMilli()}
+		r.episode = &restart.Episode{Incarnation: c.lease.Current().Incarnation, Cause: cause, BeganAt: now.UnixMilli()}
 		r.reconciledTally, r.quietSince, r.lastPendingAt = reconcile.Tally{}, now, now
 		c.log.Info("restart: settling begins", "cause", cause)
 	}
 	r.episode.Malformed += len(malformed)
 	r.limiter.Start(c.equalCommandRate(), now)
 	r.reconcilingShards[shard.ID()] = true
-	if !slices.Contains(r.episode.Parts, shard.ID()) {
-		r.episode.Parts = append(r.episode.Parts, shard.ID())
+	if !slices.Contains(r.episode.Shards, shard.ID()) {
+		r.episode.Shards = append(r.episode.Shards, shard.ID())
 	}
 }
 
@@ -164,7 +164,7 @@
 		c.endCommandLimit(now)
 		e, under := c.updateEpisode(now)
 		c.mu.Unlock()
-		if under && (e.Settled != 0 || now.Sub(record.writtenAt) >= restartRecordInterval) {
+		if under && (e.CompletedAt != 0 || now.Sub(record.writtenAt) >= restartRecordInterval) {
 			c.recordEpisode(ctx, &record, e, now)
 		}
 	}
@@ -199,7 +199,7 @@
 		return restart.Episode{}, false
 	}
 	tally := r.reconciledTally
-	e.Awaited, e.Unheard, e.Names = 0, 0, nil
+	e.PendingTasks, e.SilentMachines, e.PendingNames = 0, 0, nil
 	for id := range r.reconcilingShards {
 		shard := c.shards[id]
 		if shard == nil {
@@ -208,24 +208,24 @@
 		}
 		progress, settling := shard.Progress()
 		tally.Plus(progress.Tally)
-		e.Awaited += progress.Awaited
-		e.Unheard += progress.Unheard
-		e.Names = append(e.Names, progress.Names...)
+		e.PendingTasks += progress.Awaited
+		e.SilentMachines += progress.Unheard
+		e.PendingNames = append(e.PendingNames, progress.Names...)
 		if !settling || progress.Awaited+progress.Unheard == 0 {
 			r.reconciledTally.Plus(progress.Tally)
 			shard.EndSettling()
 			delete(r.reconcilingShards, id)
 		}
 	}
-	e.Verdicts = tally.Named()
-	e.Orders, e.Bound = slices.Clone(r.limiter.ReleasedPerSecond(time.UnixMilli(e.Began))), c.equalCommandRate()
+	e.Outcomes = tally.Named()
+	e.CommandsPerSecond, e.CommandLimit = slices.Clone(r.limiter.ReleasedPerSecond(time.UnixMilli(e.BeganAt))), c.equalCommandRate()
 	if len(r.reconcilingShards) > 0 {
 		r.lastPendingAt = now
 	}
 	if now.Sub(r.lastPendingAt) > quietPeriod {
-		e.Settled = r.lastPendingAt.UnixMilli()
+		e.CompletedAt = r.lastPendingAt.UnixMilli()
 		r.episode = nil
-		c.log.Info("restart: settled", "took", e.Took(now).Round(time.Millisecond), "verdicts", e.Verdicts)
+		c.log.Info("restart: settled", "took", e.Duration(now).Round(time.Millisecond), "verdicts", e.Outcomes)
 	}
 	return *e, true
 }
--- a/internal/controller/restarts_test.go
+++ b/internal/controller/restarts_test.go
@@ -202,7 +202,7 @@
 		verdicts := map[string]int{}
 		for _, label := range k.labels {
 			for _, e := range k.episodes(label) {
-				for v, n := range e.Verdicts {
+				for v, n := range e.Outcomes {
 					verdicts[v] += n
 				}
 			}
--- a/internal/controller/safe_mode.go
+++ b/internal/controller/safe_mode.go
@@ -25,7 +25,7 @@
 	enabled       bool
 	auditInterval time.Duration
 	guard         *statestore.Guard
-	state         recovery.Holder
+	state         recovery.SafeModeState
 	// frozenShards are the parts that were owned when it began: what they hold is evidence.
 	frozenShards map[int]*scheduler.Shard
 	// activeJobsRevision is up to which revision all unfinished jobs were known then, and held the
@@ -33,7 +33,7 @@
 	activeJobsRevision uint64
 	heldRecords        []wire.Entry
 	// heartbeats are the newest ones of workers since it began.
-	heartbeats           recovery.Reports
+	heartbeats           recovery.Heartbeats
 	investigatingMachine bool // a machine without a record is being asked
 	confirmingRevision   bool // a suspicion is being looked into
 	viewResets           int  // how often all views were to be read anew
@@ -48,7 +48,7 @@
 	m := &c.safeMode
 	m.enabled, m.auditInterval = true, s.AuditEvery
 	m.guard = statestore.NewGuard(c.store, []string{record.MemberPrefix, recovery.Prefix}, func(held, found uint64) {
-		go c.confirmRevisionLoss(recovery.Sign{Kind: recovery.RevisionFell, Held: held, Found: found})
+		go c.confirmRevisionLoss(recovery.Finding{Kind: recovery.RevisionRegressed, Held: held, Found: found})
 	})
 	c.store = m.guard
 }
@@ -62,7 +62,7 @@
 
 // confirmRevisionLoss reads the state service's revision once more before a revision or a token that
 // is ahead of it counts as a sign of loss.
-func (c *Controller) confirmRevisionLoss(s recovery.Sign) {
+func (c *Controller) confirmRevisionLoss(s recovery.Finding) {
 	c.mu.Lock()
 	m := &c.safeMode
 	begin := m.enabled && !m.confirmingRevision && !m.state.Active()
@@ -91,12 +91,12 @@
 
 // reportDataLoss begins the safe mode. Until every controller has given its word on its format,
 // one of the first version may be there, which would go on by itself. The lock is held.
-func (c *Controller) reportDataLoss(s recovery.Sign, now time.Time) {
+func (c *Controller) reportDataLoss(s recovery.Finding, now time.Time) {
 	m := &c.safeMode
 	if !m.enabled || !c.upgraded() {
 		return
 	}
-	if m.state.Notice(c.cfg.Label, s, m.guard.Highest(), now.UnixMilli()) {
+	if m.state.Begin(c.cfg.Label, s, m.guard.Highest(), now.UnixMilli()) {
 		c.enterSafeMode(now)
 	}
 }
@@ -104,7 +104,7 @@
 // reportIfStale begins the safe mode if a record is older than what was held of it, or gone. The
 // lock is held.
 func (c *Controller) reportIfStale(key string, held, found uint64, now time.Time) bool {
-	s, lost := recovery.Older(key, held, found)
+	s, lost := recovery.CompareVersions(key, held, found)
 	if lost {
 		c.reportDataLoss(s, now)
 	}
@@ -118,7 +118,7 @@
 	c.log.Error("the state service has lost data: safe mode", "sign", mode.Sign, "noticed_by", mode.By, "epoch", mode.Epoch)
 	m.guard.Close(true)
 	go c.safeModeLoop(c.life)
-	m.frozenShards, m.heartbeats = c.shards, recovery.Reports{}
+	m.frozenShards, m.heartbeats = c.shards, recovery.Heartbeats{}
 	m.activeJobsRevision, m.heldRecords = c.viewRevisions[record.ActiveJobPrefix], nil
 	c.shards = map[int]*scheduler.Shard{}
 	for machine := range c.held {
@@ -171,7 +171,7 @@
 	}
 	c.mu.Lock()
 	c.applySafeModeRecord(read, time.Now())
-	t, behind := c.safeMode.state.Write(read, e.Version)
+	t, behind := c.safeMode.state.RecordUpdate(read, e.Version)
 	c.mu.Unlock()
 	if !behind {
 		return nil
@@ -185,7 +185,7 @@
 	if !c.safeMode.enabled {
 		return
 	}
-	switch began, ended := c.safeMode.state.Read(r); {
+	switch began, ended := c.safeMode.state.ApplyRecord(r); {
 	case began:
 		c.enterSafeMode(now)
 	case ended:
@@ -197,8 +197,8 @@
 // knows, by whichever controller it asks, and it is told to do nothing. The lock is held.
 func (c *Controller) renewInSafeMode(r *wire.Heartbeat) transport.Response {
 	m := &c.safeMode
-	m.state.Raise(r.Token)
-	m.heartbeats.Take(r)
+	m.state.RaiseFloor(r.Token)
+	m.heartbeats.Add(r)
 	if r.Token == 0 {
 		return transport.Response{Status: 503, RetryAfter: transport.RetryAfter} // it was never told to do anything
 	}
@@ -209,6 +209,6 @@
 // revisions of the state service. The lock is held.
 func (c *Controller) checkHeartbeatToken(r *wire.Heartbeat) {
 	if m := &c.safeMode; m.enabled && r.Token > m.guard.Highest() {
-		go c.confirmRevisionLoss(recovery.Sign{Kind: recovery.TokenAhead, Key: r.Machine, Held: r.Token})
+		go c.confirmRevisionLoss(recovery.Finding{Kind: recovery.TokenAheadOfStore, Key: r.Machine, Held: r.Token})
 	}
 }
--- a/internal/controller/stale_reads.go
+++ b/internal/controller/stale_reads.go
@@ -100,7 +100,7 @@
 			return
 		}
 		if shard.ConfirmUnrecorded(u.Task) {
-			c.reportDataLoss(recovery.Sign{Kind: recovery.RecordGone, Key: u.Task, Held: u.Attempt, Found: u.Recorded}, now)
+			c.reportDataLoss(recovery.Finding{Kind: recovery.RecordMissing, Key: u.Task, Held: u.Attempt, Found: u.Recorded}, now)
 		}
 	})
 }
@@ -145,7 +145,7 @@
 			continue
 		}
 		c.mu.Lock()
-		c.reportDataLoss(recovery.Sign{Kind: recovery.RecordGone, Key: id, Held: r.Token}, time.Now())
+		c.reportDataLoss(recovery.Finding{Kind: recovery.RecordMissing, Key: id, Held: r.Token}, time.Now())
 		lost = c.safeMode.state.Active()
 		c.mu.Unlock()
 		if lost {
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -137,7 +137,7 @@
 			}
 		}
 	case strings.HasPrefix(key, drain.Prefix):
-		err = c.drains.view.Change(e)
+		err = c.drains.view.Apply(e)
 	case strings.HasPrefix(key, record.ShardPrefix):
 		id, ok := shardID(key)
 		if !ok || gone {
--- a/internal/drain/ledger.go
+++ b/internal/drain/ledger.go
@@ -20,7 +20,7 @@
 type Disruption struct {
 	UnitID
 	Attempt uint64 `json:"a"` // that was, or is to be, interrupted
-	Part    int    `json:"p"` // whose owner closes it
+	Shard   int    `json:"p"` // whose owner closes it
 	Class   string `json:"c,omitempty"`
 	Machine string `json:"m,omitempty"`
 	// Drain is the drain that it was granted to; empty: a loss that nobody chose.
@@ -46,9 +46,9 @@
 
 // Limit is how many disruptions are allowed at a time and within a sliding window.
 type Limit struct {
-	AtOnce   int           `json:"at_once"`
-	InWindow int           `json:"in_window"`
-	Window   time.Duration `json:"window"`
+	MaxConcurrent int           `json:"at_once"`
+	MaxInWindow   int           `json:"in_window"`
+	Window        time.Duration `json:"window"`
 }
 
 // Budget is a team's limit, and those of classes that have one of their own besides.
@@ -65,18 +65,18 @@
 	return Ledger{Team: l.Team, Open: slices.Clone(l.Open), Spent: slices.Clone(l.Spent)}
 }
 
-// Room returns how many more disruptions of a class a budget allows. A disruption counts
+// Available returns how many more disruptions of a class a budget allows. A disruption counts
 // in the window for as long as it is open and then for the window's length: whenever
 // between its grant and its end the work really stopped, no window holds more.
-func (l *Ledger) Room(b Budget, class string, now time.Time) int {
-	room := l.room(b.Limit, now, func(string) bool { return true })
+func (l *Ledger) Available(b Budget, class string, now time.Time) int {
+	room := l.available(b.Limit, now, func(string) bool { return true })
 	if c, ok := b.Classes[class]; ok {
-		room = min(room, l.room(c, now, func(of string) bool { return of == class }))
+		room = min(room, l.available(c, now, func(of string) bool { return of == class }))
 	}
 	return room
 }
 
-func (l *Ledger) room(limit Limit, now time.Time, counts func(class string) bool) int {
+func (l *Ledger) available(limit Limit, now time.Time, counts func(class string) bool) int {
 	open, inWindow := 0, 0
 	for _, d := range l.Open {
 		if counts(d.Class) {
@@ -88,15 +88,15 @@
 			inWindow += s.Count
 		}
 	}
-	return min(limit.AtOnce-open, limit.InWindow-open-inWindow)
+	return min(limit.MaxConcurrent-open, limit.MaxInWindow-open-inWindow)
 }
 
 func (s Spent) within(window time.Duration, now time.Time) bool {
 	return now.Sub(time.UnixMilli(s.At)) <= window
 }
 
-// Find returns the open disruption of a unit, nil if there is none.
-func (l *Ledger) Find(u UnitID) *Disruption {
+// OpenDisruption returns the open disruption of a unit, nil if there is none.
+func (l *Ledger) OpenDisruption(u UnitID) *Disruption {
 	i := slices.IndexFunc(l.Open, func(d Disruption) bool { return d.UnitID == u })
 	if i < 0 {
 		return nil
@@ -106,7 +106,7 @@
 
 // Add opens a disruption unless the unit has one already.
 func (l *Ledger) Add(d Disruption) bool {
-	if l.Find(d.UnitID) != nil {
+	if l.OpenDisruption(d.UnitID) != nil {
 		return false
 	}
 	l.Open = append(l.Open, d)
@@ -116,10 +116,10 @@
 // Close ends the disruption of a unit that runs again or is over; it counts in the window
 // from now on.
 func (l *Ledger) Close(u UnitID, now time.Time) {
-	if d := l.Find(u); d != nil {
+	if d := l.OpenDisruption(u); d != nil {
 		class := d.Class
 		l.Withdraw(u)
-		l.spend(class, 1, now)
+		l.addSpent(class, 1, now)
 	}
 }
 
@@ -128,9 +128,9 @@
 	l.Open = slices.DeleteFunc(l.Open, func(d Disruption) bool { return d.UnitID == u })
 }
 
-// spend counts disruptions that are over. Those of a class that end at about the same
+// addSpent counts disruptions that are over. Those of a class that end at about the same
 // time share an entry, which counts as of the last.
-func (l *Ledger) spend(class string, count int, now time.Time) {
+func (l *Ledger) addSpent(class string, count int, now time.Time) {
 	for i := range l.Spent {
 		s := &l.Spent[i]
 		if s.Class == class && now.Sub(time.UnixMilli(s.At)).Abs() < spentResolution {
@@ -141,33 +141,33 @@
 	l.Spent = append(l.Spent, Spent{Class: class, At: now.UnixMilli(), Count: count})
 }
 
-// Forget drops what no window of a budget reaches any more.
-func (l *Ledger) Forget(b Budget, now time.Time) {
-	l.Spent = slices.DeleteFunc(l.Spent, func(s Spent) bool { return !s.within(b.longest(), now) })
+// Expire drops what no window of a budget reaches any more.
+func (l *Ledger) Expire(b Budget, now time.Time) {
+	l.Spent = slices.DeleteFunc(l.Spent, func(s Spent) bool { return !s.within(b.longestWindow(), now) })
 }
 
-// Fit makes a ledger keep to a number of bytes, as size tells, and reports whether that
+// ShrinkTo makes a ledger keep to a number of bytes, as size tells, and reports whether that
 // was possible. Counts are merged, each as of the latest of them, so that what is left of
 // the budget only shrinks. Only if that is not enough are losses, which can't be refused,
 // counted in the window instead of listed as open.
-func (l *Ledger) Fit(size func(*Ledger) int, bytes int) bool {
+func (l *Ledger) ShrinkTo(size func(*Ledger) int, bytes int) bool {
 	for size(l) > bytes {
-		if !l.mergeSpent() && !l.countLoss() {
+		if !l.mergeSpent() && !l.closeOldestLoss() {
 			return false
 		}
 	}
 	return true
 }
 
-// countLoss counts the oldest open loss instead of listing it.
-func (l *Ledger) countLoss() bool {
+// closeOldestLoss counts the oldest open loss instead of listing it.
+func (l *Ledger) closeOldestLoss() bool {
 	i := slices.IndexFunc(l.Open, func(d Disruption) bool { return d.Drain == "" })
 	if i < 0 {
 		return false
 	}
 	lost := l.Open[i]
 	l.Open = slices.Delete(l.Open, i, i+1)
-	l.spend(lost.Class, 1, time.UnixMilli(lost.At))
+	l.addSpent(lost.Class, 1, time.UnixMilli(lost.At))
 	return true
 }
 
--- a/internal/drain/ledger_test.go
+++ b/internal/drain/ledger_test.go
@@ -25,8 +25,8 @@
 // and however counts are merged, no sliding window holds more stops than the budget, and
 // never are more open at once.
 func TestBudgetHoldsForAnyCourse(t *testing.T) {
-	budget := Budget{Limit: Limit{AtOnce: 3, InWindow: 5, Window: time.Minute},
-		Classes: map[string]Limit{"train": {AtOnce: 1, InWindow: 2, Window: 2 * time.Minute}}}
+	budget := Budget{Limit: Limit{MaxConcurrent: 3, MaxInWindow: 5, Window: time.Minute},
+		Classes: map[string]Limit{"train": {MaxConcurrent: 1, MaxInWindow: 2, Window: 2 * time.Minute}}}
 	for seed := range uint64(40) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		var l Ledger
@@ -35,7 +35,7 @@
 		granted := 0
 		for now := start; now.Before(start.Add(20 * time.Minute)); now = now.Add(time.Duration(r.IntN(2000)) * time.Millisecond) {
 			class := []string{"train", "live"}[r.IntN(2)]
-			if l.Room(budget, class, now) > 0 {
+			if l.Available(budget, class, now) > 0 {
 				u := UnitID{Job: "j", Task: granted}
 				granted++
 				l.Add(Disruption{UnitID: u, Class: class, Drain: "d", At: now.UnixMilli()})
@@ -53,9 +53,9 @@
 				}
 			}
 			if r.IntN(20) == 0 {
-				l.Fit(func(l *Ledger) int { return len(l.Spent) }, 2)
+				l.ShrinkTo(func(l *Ledger) int { return len(l.Spent) }, 2)
 			}
-			l.Forget(budget, now)
+			l.Expire(budget, now)
 			checkWithin(t, all, "", budget.Limit, now)
 			checkWithin(t, all, "train", budget.Classes["train"], now)
 		}
@@ -79,27 +79,27 @@
 			recent++
 		}
 	}
-	if open > limit.AtOnce || recent > limit.InWindow {
+	if open > limit.MaxConcurrent || recent > limit.MaxInWindow {
 		t.Fatalf("%q: %d open, %d in the window, of %+v", class, open, recent, limit)
 	}
 }
 
 // Losses take from the budget, are never refused, and a drain gets what they leave.
 func TestLossesLowerTheBudget(t *testing.T) {
-	budget := Budget{Limit: Limit{AtOnce: 2, InWindow: 3, Window: time.Minute}}
+	budget := Budget{Limit: Limit{MaxConcurrent: 2, MaxInWindow: 3, Window: time.Minute}}
 	view := NewView()
 	l := NewLedgers(view)
 	for i := range 4 {
-		l.Lose([]Loss{{Disruption{UnitID: UnitID{Job: "j", Task: i}, At: start.UnixMilli()}, "team"}})
+		l.AddLosses([]Loss{{Disruption{UnitID: UnitID{Job: "j", Task: i}, At: start.UnixMilli()}, "team"}})
 	}
-	if got := l.of("team").Room(budget, "", start); got != -2 {
+	if got := l.of("team").Available(budget, "", start); got != -2 {
 		t.Errorf("room for %d after four losses, want -2", got)
 	}
-	l.Settle(0, func(Disruption) Fate { return Recovered }, start)
-	if got := l.of("team").Room(budget, "", start.Add(time.Minute)); got != -1 {
+	l.CloseRecovered(0, func(Disruption) Outcome { return Recovered }, start)
+	if got := l.of("team").Available(budget, "", start.Add(time.Minute)); got != -1 {
 		t.Errorf("room for %d in the window of four losses, want -1", got)
 	}
-	if got := l.of("team").Room(budget, "", start.Add(time.Minute+time.Millisecond)); got != 2 {
+	if got := l.of("team").Available(budget, "", start.Add(time.Minute+time.Millisecond)); got != 2 {
 		t.Errorf("room for %d after the window, want 2", got)
 	}
 }
@@ -126,11 +126,11 @@
 		var grants []wire.Txn
 		for part := range 2 {
 			owner := state.Put([]string{"ctl/parts/0", "ctl/parts/1"}[part], part)
-			in := Input{Now: start, Settings: testSettings(1), View: view, Part: part, Bytes: 1 << 14,
+			in := Input{Now: start, Settings: testSettings(1), View: view, Shard: part, Bytes: 1 << 14,
 				Machines: []*Machine{testMachine("m", task(part))}}
-			a := Author{Input: in, Owner: wire.Cond{Key: owner.Key, Version: owner.Version}, Gone: func(string) bool { return false }}
+			a := TxnBuilder{Input: in, Owner: wire.Cond{Key: owner.Key, Version: owner.Version}, MachineGone: func(string) bool { return false }}
 			ledgers := NewLedgers(view)
-			writes := a.Writes(Next(&in, ledgers), ledgers)
+			writes := a.Writes(PlanSteps(&in, ledgers), ledgers)
 			if len(writes) == 0 || writes[0].Team != "team" {
 				t.Fatalf("%s: nothing is granted: %+v", name, writes)
 			}
--- a/internal/drain/ledgers.go
+++ b/internal/drain/ledgers.go
@@ -8,14 +8,14 @@
 	"bramblespur/internal/record"
 )
 
-// Fate is what became of a unit whose disruption is open.
-type Fate uint8
+// Outcome is what became of a unit whose disruption is open.
+type Outcome uint8
 
 // Fates of a unit.
 const (
-	Interrupted Fate = iota // it does not run, or may yet be stopped
-	Recovered               // it runs again, or its job is over
-	Untouched               // it runs on as it did, and nothing that was sent can stop it
+	StillInterrupted Outcome = iota // it does not run, or may yet be stopped
+	Recovered                       // it runs again, or its job is over
+	Unaffected                      // it runs on as it did, and nothing that was sent can stop it
 )
 
 // Loss is an interruption that no drain chose.
@@ -26,53 +26,53 @@
 
 // Ledgers are the ledgers of the teams that one turn changes, as they are to be written.
 type Ledgers struct {
-	view  *View
-	held  map[string]*Ledger // by team
-	dirty map[string]bool
+	view    *View
+	byTeam  map[string]*Ledger // by team
+	changed map[string]bool
 }
 
 // NewLedgers returns the ledgers as the records tell them.
 func NewLedgers(view *View) *Ledgers {
-	return &Ledgers{view: view, held: map[string]*Ledger{}, dirty: map[string]bool{}}
+	return &Ledgers{view: view, byTeam: map[string]*Ledger{}, changed: map[string]bool{}}
 }
 
 // of returns a team's ledger, to be changed.
 func (l *Ledgers) of(team string) *Ledger {
-	if l.held[team] == nil {
+	if l.byTeam[team] == nil {
 		copied := l.view.Ledger(team).Rec.Clone()
 		copied.Team = team
-		l.held[team] = &copied
+		l.byTeam[team] = &copied
 	}
-	return l.held[team]
+	return l.byTeam[team]
 }
 
-// touch notes that a team's ledger is to be written.
-func (l *Ledgers) touch(team string) { l.dirty[team] = true }
+// markChanged notes that a team's ledger is to be written.
+func (l *Ledgers) markChanged(team string) { l.changed[team] = true }
 
-// Lose adds losses.
-func (l *Ledgers) Lose(losses []Loss) {
+// AddLosses adds losses.
+func (l *Ledgers) AddLosses(losses []Loss) {
 	for _, x := range losses {
 		if l.of(x.Team).Add(x.Disruption) {
-			l.touch(x.Team)
+			l.markChanged(x.Team)
 		}
 	}
 }
 
-// Settle closes what has recovered of a part's disruptions, and takes back grants of drains
+// CloseRecovered closes what has recovered of a part's disruptions, and takes back grants of drains
 // that are over which have stopped nothing.
-func (l *Ledgers) Settle(part int, fate func(Disruption) Fate, now time.Time) {
+func (l *Ledgers) CloseRecovered(part int, fate func(Disruption) Outcome, now time.Time) {
 	for _, team := range l.teams() {
 		ledger := l.of(team)
 		for _, d := range ledger.Clone().Open {
-			if d.Part != part {
+			if d.Shard != part {
 				continue
 			}
 			switch fate(d) {
 			case Recovered:
 				ledger.Close(d.UnitID, now)
-				l.touch(team)
-			case Untouched:
-				l.untouched(team, d, now)
+				l.markChanged(team)
+			case Unaffected:
+				l.closeUnaffected(team, d, now)
 			}
 		}
 	}
@@ -81,7 +81,7 @@
 // teams returns the teams that have a ledger, in order.
 func (l *Ledgers) teams() []string {
 	names := map[string]bool{}
-	for team := range l.held {
+	for team := range l.byTeam {
 		names[team] = true
 	}
 	for _, held := range l.view.ledgers {
@@ -90,31 +90,31 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// untouched takes in that a unit runs on. A loss that turns out to be none is over; a grant
+// closeUnaffected takes in that a unit runs on. A loss that turns out to be none is over; a grant
 // is taken back only if nobody is to carry it out any more.
-func (l *Ledgers) untouched(team string, d Disruption, now time.Time) {
+func (l *Ledgers) closeUnaffected(team string, d Disruption, now time.Time) {
 	switch {
 	case d.Drain == "":
 		l.of(team).Close(d.UnitID, now)
-	case l.view.carriesOut(d):
+	case l.view.evictionPending(d):
 		return
 	default:
 		l.of(team).Withdraw(d.UnitID)
 	}
-	l.touch(team)
+	l.markChanged(team)
 }
 
-// carriesOut reports whether a grant is still to be carried out.
-func (v *View) carriesOut(d Disruption) bool {
+// evictionPending reports whether a grant is still to be carried out.
+func (v *View) evictionPending(d Disruption) bool {
 	p, ok := v.Plan(d.Drain)
-	return ok && !p.Rec.State.Over()
+	return ok && !p.Rec.State.Terminal()
 }
 
-// Orders returns the grants of a part that its owner has to carry out.
-func (v *View) Orders(part int) []Disruption {
+// PendingEvictions returns the grants of a part that its owner has to carry out.
+func (v *View) PendingEvictions(part int) []Disruption {
 	var out []Disruption
-	for _, d := range v.open(part) {
-		if d.Drain != "" && v.carriesOut(d) {
+	for _, d := range v.openDisruptions(part) {
+		if d.Drain != "" && v.evictionPending(d) {
 			out = append(out, d)
 		}
 	}
--- a/internal/drain/measure_test.go
+++ b/internal/drain/measure_test.go
@@ -44,7 +44,7 @@
 	s := &simulation{zones: map[string]int{}}
 	var all []*Machine
 	for i := range machines {
-		m := &Machine{ID: fmt.Sprintf("i-%05d", i), Type: "big", Zone: string(rune('a' + i%3)), Rented: start.Add(-time.Hour), Answers: true}
+		m := &Machine{ID: fmt.Sprintf("i-%05d", i), Type: "big", Zone: string(rune('a' + i%3)), Rented: start.Add(-time.Hour), Reachable: true}
 		s.zones[m.Zone]++
 		all = append(all, m)
 	}
@@ -72,7 +72,7 @@
 func (s *simulation) add(r *rand.Rand, task, tasks int, service bool, on ...*Machine) {
 	estimate := time.Duration(60+r.ExpFloat64()*1800) * time.Second
 	u := &Unit{UnitID: UnitID{fmt.Sprintf("run-%06d", len(s.units)), task}, Team: fmt.Sprint("team-", r.IntN(simTeams)), Attempt: 1,
-		Tasks: tasks, OnDrained: 1, Running: true, OthersUp: true, Service: service}
+		Tasks: tasks, TasksOnCordoned: 1, Running: true, OtherReplicasUp: true, Service: service}
 	x := &simUnit{Unit: u, length: time.Duration(float64(estimate) * (0.5 + r.Float64())), began: start}
 	x.began = start.Add(-time.Duration(r.Int64N(int64(x.length))))
 	if service {
@@ -81,7 +81,7 @@
 		u.Estimate = estimate
 	}
 	if r.IntN(10) < 7 {
-		u.Checkpoint, u.Save = time.Duration(60+r.IntN(240))*time.Second, 5*time.Second
+		u.Checkpoint, u.SaveTime = time.Duration(60+r.IntN(240))*time.Second, 5*time.Second
 	}
 	s.units = append(s.units, x)
 	for _, m := range on {
@@ -110,23 +110,23 @@
 // at brings what the planner is told up to a time.
 func (s *simulation) at(now time.Time, v *View) {
 	for _, u := range s.units {
-		u.Ran = now.Sub(u.began)
-		u.Loss = simLoss(u.Unit)
+		u.RunTime = now.Sub(u.began)
+		u.LostWork = simLoss(u.Unit)
 	}
 	for _, m := range s.machines {
 		c, ok := v.cordons.Rec.Machines[m.ID]
 		for _, u := range m.Units {
-			u.HasRoom = ok && now.Sub(time.UnixMilli(c.Since)) >= bootTime
+			u.FitsElsewhere = ok && now.Sub(time.UnixMilli(c.Since)) >= bootTime
 		}
 	}
 }
 
 func simLoss(u *Unit) time.Duration {
-	loss := u.Ran
+	loss := u.RunTime
 	if u.Service {
 		loss = 0
 	} else if u.Checkpoint > 0 {
-		loss = min(u.Ran%u.Checkpoint, u.Save)
+		loss = min(u.RunTime%u.Checkpoint, u.SaveTime)
 	}
 	return loss * time.Duration(u.Tasks)
 }
@@ -142,8 +142,8 @@
 // run drains the machines and returns what that came to.
 func (s *simulation) run(t testing.TB) outcome {
 	settings := testSettings(s.perTeam)
-	settings.ZoneShare, settings.Default.InWindow = DefaultZoneShare, 12*s.perTeam
-	v := viewOf(t, testPlan(func(p *Plan) { p.AtOnce = max(1, len(s.machines)/10) }))
+	settings.ZoneShare, settings.Default.MaxInWindow = DefaultZoneShare, 12*s.perTeam
+	v := viewOf(t, testPlan(func(p *Plan) { p.MaxConcurrent = max(1, len(s.machines)/10) }))
 	v.cordons.Rec = Cordons{Machines: map[string]Cordon{}}
 	var o outcome
 	byID := map[UnitID]*simUnit{}
@@ -155,21 +155,21 @@
 		s.at(now, v)
 		in := &Input{Now: now, Settings: settings, View: v, Machines: s.machines, Zones: s.zones, Bytes: 1 << 20}
 		ledgers := NewLedgers(v)
-		ledgers.Settle(0, func(d Disruption) Fate {
+		ledgers.CloseRecovered(0, func(d Disruption) Outcome {
 			if now.Before(byID[d.UnitID].back) {
-				return Interrupted
+				return StillInterrupted
 			}
 			return Recovered
 		}, now)
 		began := time.Now()
-		steps := Next(in, ledgers)
+		steps := PlanSteps(in, ledgers)
 		o.planning = max(o.planning, time.Since(began))
-		for team, l := range ledgers.held {
+		for team, l := range ledgers.byTeam {
 			v.ledgers[ledgerName(team)] = Versioned[Ledger]{Rec: *l}
 		}
-		for _, e := range steps.Evict {
+		for _, e := range steps.Evictions {
 			o.evictions++
-			o.lost += e.Lost
+			o.lost += e.LostWork
 			byID[e.UnitID].back = now.Add(restartTime)
 		}
 		for _, id := range steps.Cordon {
@@ -187,7 +187,7 @@
 	for _, m := range s.machines {
 		var units []*Unit
 		for _, u := range m.Units {
-			if x := byID[u.UnitID]; x.back.IsZero() && x.Ran < x.length {
+			if x := byID[u.UnitID]; x.back.IsZero() && x.RunTime < x.length {
 				units = append(units, u)
 			}
 		}
@@ -208,7 +208,7 @@
 	s.at(start, NewView())
 	for _, u := range s.units {
 		o.evictions++
-		o.lost += u.Loss
+		o.lost += u.LostWork
 	}
 	return o
 }
--- a/internal/drain/operator.go
+++ b/internal/drain/operator_txns.go
@@ -20,7 +20,7 @@
 
 // ChangeTxn is the transaction by which an operator pauses, resumes or cancels a drain.
 func ChangeTxn(p Versioned[Plan], to State, now time.Time) (wire.Txn, error) {
-	if p.Rec.State.Over() {
+	if p.Rec.State.Terminal() {
 		return wire.Txn{}, fmt.Errorf("drain %s is %s already", p.Rec.Name, p.Rec.State)
 	}
 	if p.Rec.State == to {
@@ -28,7 +28,7 @@
 	}
 	changed := p.Rec
 	changed.State = to
-	if to.Over() {
+	if to.Terminal() {
 		changed.Ended = now.UnixMilli()
 	}
 	key := PlanKey(p.Rec.Name)
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -22,8 +22,8 @@
 	Finished  State = "finished"  // no machine that it selects is left
 )
 
-// Over reports whether a drain in this state has come to its end.
-func (s State) Over() bool { return s == Cancelled || s == Finished }
+// Terminal reports whether a drain in this state has come to its end.
+func (s State) Terminal() bool { return s == Cancelled || s == Finished }
 
 // Selector names the machines that are to be drained: either by their names or by what
 // all of the other fields say.
@@ -39,8 +39,8 @@
 type Plan struct {
 	Name     string   `json:"name"`
 	Selector Selector `json:"selector"`
-	// AtOnce is how many machines may be cordoned at a time.
-	AtOnce int `json:"at_once"`
+	// MaxConcurrent is how many machines may be cordoned at a time.
+	MaxConcurrent int `json:"at_once"`
 	// FinishBy is when the drain should be over, in milliseconds; 0: whenever.
 	FinishBy int64  `json:"finish_by,omitempty"`
 	Reason   string `json:"reason"`
@@ -52,14 +52,14 @@
 	Created int64 `json:"created"`
 	Ended   int64 `json:"ended,omitempty"`
 
-	named map[string]bool // the selector's machines, if they were looked up before
+	selectedByName map[string]bool // the selector's machines, if they were looked up before
 }
 
-// index makes the machines that are selected by name quick to find.
-func (p *Plan) index() {
-	p.named = make(map[string]bool, len(p.Selector.Machines))
+// indexMachines makes the machines that are selected by name quick to find.
+func (p *Plan) indexMachines() {
+	p.selectedByName = make(map[string]bool, len(p.Selector.Machines))
 	for _, id := range p.Selector.Machines {
-		p.named[id] = true
+		p.selectedByName[id] = true
 	}
 }
 
@@ -82,8 +82,8 @@
 		return err
 	}
 	switch {
-	case p.AtOnce < 1:
-		return invalid("at-once is %d, want 1 or more", p.AtOnce)
+	case p.MaxConcurrent < 1:
+		return invalid("at-once is %d, want 1 or more", p.MaxConcurrent)
 	case len(p.Reason) > maxReason:
 		return invalid("the reason is longer than %d bytes", maxReason)
 	case p.Created <= 0:
@@ -130,8 +130,8 @@
 		return false
 	}
 	switch {
-	case len(s.Machines) > 0 && p.named != nil:
-		return p.named[id]
+	case len(s.Machines) > 0 && p.selectedByName != nil:
+		return p.selectedByName[id]
 	case len(s.Machines) > 0:
 		return slices.Contains(s.Machines, id)
 	}
@@ -140,5 +140,7 @@
 		(s.RentedBefore == 0 || rented.UnixMilli() < s.RentedBefore)
 }
 
-// late reports whether a drain should be over by now.
-func (p *Plan) late(now time.Time) bool { return p.FinishBy != 0 && now.UnixMilli() >= p.FinishBy }
+// pastDeadline reports whether a drain should be over by now.
+func (p *Plan) pastDeadline(now time.Time) bool {
+	return p.FinishBy != 0 && now.UnixMilli() >= p.FinishBy
+}
--- a/internal/drain/choose.go
+++ b/internal/drain/selection.go
@@ -15,7 +15,7 @@
 // of machines, is hard to solve exactly; docs/design-drains.md tells how far from the best
 // this is.
 func Choose(machines []*Machine, most int, room func(zone string) int) []string {
-	c := newChooser(machines, room)
+	c := newSelection(machines, room)
 	var chosen []int
 	for len(chosen) < most {
 		group := c.cheapest(most - len(chosen))
@@ -27,7 +27,7 @@
 			c.take(i)
 		}
 	}
-	c.improve(chosen)
+	c.improveByExchange(chosen)
 	var names []string
 	for _, i := range chosen {
 		names = append(names, c.machines[i].ID)
@@ -35,22 +35,22 @@
 	return names
 }
 
-// chooser holds what is left to choose from.
-type chooser struct {
-	machines []*Machine
-	room     func(zone string) int
-	left     map[string]int // machines that may go, by zone
-	taken    []bool
-	hit      map[UnitID]bool
-	gangs    [][]int // machines of each gang that is on several
+// selection holds what is left to choose from.
+type selection struct {
+	machines   []*Machine
+	room       func(zone string) int
+	roomByZone map[string]int // machines that may go, by zone
+	taken      []bool
+	unitsHit   map[UnitID]bool
+	gangs      [][]int // machines of each gang that is on several
 }
 
 // unitCost is what interrupting a unit counts besides the work that is lost: its tasks have
 // to be placed and their images fetched again.
 const unitCost = 10 * time.Second
 
-func newChooser(machines []*Machine, room func(zone string) int) *chooser {
-	c := &chooser{machines: slices.Clone(machines), room: room, left: map[string]int{}, hit: map[UnitID]bool{}}
+func newSelection(machines []*Machine, room func(zone string) int) *selection {
+	c := &selection{machines: slices.Clone(machines), room: room, roomByZone: map[string]int{}, unitsHit: map[UnitID]bool{}}
 	slices.SortFunc(c.machines, func(a, b *Machine) int { return cmp.Compare(a.ID, b.ID) })
 	c.taken = make([]bool, len(c.machines))
 	at := map[UnitID]int{}
@@ -71,25 +71,25 @@
 	return c
 }
 
-func (u *Unit) cost() time.Duration { return u.Loss + unitCost*time.Duration(max(1, u.Tasks)) }
+func (u *Unit) cost() time.Duration { return u.LostWork + unitCost*time.Duration(max(1, u.Tasks)) }
 
 // cheapest returns the machine, or the gang's machines, of at most so many, that add least
 // for each machine; nothing if none may go.
-func (c *chooser) cheapest(most int) []int {
+func (s *selection) cheapest(most int) []int {
 	var best []int
 	var least time.Duration
 	consider := func(group []int) {
-		if cost := c.adds(group) / time.Duration(len(group)); best == nil || cost < least {
+		if cost := s.addedCost(group) / time.Duration(len(group)); best == nil || cost < least {
 			best, least = group, cost
 		}
 	}
-	for i := range c.machines {
-		if c.mayGo(i) {
+	for i := range s.machines {
+		if s.eligible(i) {
 			consider([]int{i})
 		}
 	}
-	for _, gang := range c.gangs {
-		if group := c.group(gang, most); len(group) > 1 {
+	for _, gang := range s.gangs {
+		if group := s.group(gang, most); len(group) > 1 {
 			consider(group)
 		}
 	}
@@ -97,15 +97,15 @@
 }
 
 // group returns those of a gang's machines that are left, if all of them may go together.
-func (c *chooser) group(gang []int, most int) []int {
+func (s *selection) group(gang []int, most int) []int {
 	var group []int
 	zones := map[string]int{}
 	for _, i := range gang {
-		if c.taken[i] {
+		if s.taken[i] {
 			continue
 		}
-		zone := c.machines[i].Zone
-		if zones[zone]++; !c.mayGo(i) || zones[zone] > c.left[zone] {
+		zone := s.machines[i].Zone
+		if zones[zone]++; !s.eligible(i) || zones[zone] > s.roomByZone[zone] {
 			return nil
 		}
 		group = append(group, i)
@@ -116,32 +116,32 @@
 	return group
 }
 
-// mayGo reports whether a machine is left and its zone spares it.
-func (c *chooser) mayGo(i int) bool {
-	zone := c.machines[i].Zone
-	if _, known := c.left[zone]; !known {
-		c.left[zone] = c.room(zone)
+// eligible reports whether a machine is left and its zone spares it.
+func (s *selection) eligible(i int) bool {
+	zone := s.machines[i].Zone
+	if _, known := s.roomByZone[zone]; !known {
+		s.roomByZone[zone] = s.room(zone)
 	}
-	return !c.taken[i] && c.left[zone] > 0
+	return !s.taken[i] && s.roomByZone[zone] > 0
 }
 
-// adds is the cost of the units on some machines that are not hit already.
-func (c *chooser) adds(group []int) time.Duration {
+// addedCost is the cost of the units on some machines that are not hit already.
+func (s *selection) addedCost(group []int) time.Duration {
 	if len(group) == 1 {
-		return c.addsOne(c.machines[group[0]], nil)
+		return s.addedCostOf(s.machines[group[0]], nil)
 	}
 	cost := time.Duration(0)
 	counted := map[UnitID]bool{}
 	for _, i := range group {
-		cost += c.addsOne(c.machines[i], counted)
+		cost += s.addedCostOf(s.machines[i], counted)
 	}
 	return cost
 }
 
-func (c *chooser) addsOne(m *Machine, counted map[UnitID]bool) time.Duration {
+func (s *selection) addedCostOf(m *Machine, counted map[UnitID]bool) time.Duration {
 	cost := time.Duration(0)
 	for _, u := range m.Units {
-		if c.hit[u.UnitID] || counted[u.UnitID] {
+		if s.unitsHit[u.UnitID] || counted[u.UnitID] {
 			continue
 		}
 		if counted != nil {
@@ -153,11 +153,11 @@
 }
 
 // take takes a machine, with which all its units are hit.
-func (c *chooser) take(i int) {
-	c.taken[i] = true
-	c.left[c.machines[i].Zone]--
-	for _, u := range c.machines[i].Units {
-		c.hit[u.UnitID] = true
+func (s *selection) take(i int) {
+	s.taken[i] = true
+	s.roomByZone[s.machines[i].Zone]--
+	for _, u := range s.machines[i].Units {
+		s.unitsHit[u.UnitID] = true
 	}
 }
 
--- a/internal/drain/settings.go
+++ b/internal/drain/settings.go
@@ -17,8 +17,8 @@
 	// ZoneShare is the part of a zone's machines that may be cordoned at a time by all
 	// drains together; one machine always may.
 	ZoneShare float64
-	// Wait bounds how long a drain waits for one machine's work to end by itself.
-	Wait    time.Duration
+	// MaxWait bounds how long a drain waits for one machine's work to end by itself.
+	MaxWait time.Duration
 	Default Budget
 	Teams   map[string]Budget
 }
@@ -27,7 +27,7 @@
 const (
 	DefaultStoreShare = 0.05
 	DefaultZoneShare  = 0.34
-	DefaultWait       = 15 * time.Minute
+	DefaultMaxWait    = 15 * time.Minute
 )
 
 // Budget returns a team's budget.
@@ -53,20 +53,20 @@
 }
 
 func (b *Budget) check(field string) error {
-	if b.AtOnce > b.InWindow {
-		return fmt.Errorf("budgets.%s.at_once: %d at once, but only %d in a window", field, b.AtOnce, b.InWindow)
+	if b.MaxConcurrent > b.MaxInWindow {
+		return fmt.Errorf("budgets.%s.at_once: %d at once, but only %d in a window", field, b.MaxConcurrent, b.MaxInWindow)
 	}
 	for _, class := range slices.Sorted(maps.Keys(b.Classes)) {
 		c := b.Classes[class]
 		at := fmt.Sprintf("budgets.%s.class.%s", field, class)
-		if c.AtOnce > c.InWindow {
-			return fmt.Errorf("%s.at_once: %d at once, but only %d in a window", at, c.AtOnce, c.InWindow)
+		if c.MaxConcurrent > c.MaxInWindow {
+			return fmt.Errorf("%s.at_once: %d at once, but only %d in a window", at, c.MaxConcurrent, c.MaxInWindow)
 		}
-		if c.AtOnce > b.AtOnce {
-			return fmt.Errorf("%s.at_once: %d is more than the team's %d", at, c.AtOnce, b.AtOnce)
+		if c.MaxConcurrent > b.MaxConcurrent {
+			return fmt.Errorf("%s.at_once: %d is more than the team's %d", at, c.MaxConcurrent, b.MaxConcurrent)
 		}
-		if c.Window <= b.Window && c.InWindow > b.InWindow {
-			return fmt.Errorf("%s.in_window: %d is more than the team's %d", at, c.InWindow, b.InWindow)
+		if c.Window <= b.Window && c.MaxInWindow > b.MaxInWindow {
+			return fmt.Errorf("%s.in_window: %d is more than the team's %d", at, c.MaxInWindow, b.MaxInWindow)
 		}
 	}
 	return nil
@@ -89,15 +89,15 @@
 // by some error at most.
 func (s *Settings) WithClockError(most time.Duration) *Settings {
 	out := *s
-	out.Default = s.Default.widened(2 * most)
+	out.Default = s.Default.widenedBy(2 * most)
 	out.Teams = map[string]Budget{}
 	for team, b := range s.Teams {
-		out.Teams[team] = b.widened(2 * most)
+		out.Teams[team] = b.widenedBy(2 * most)
 	}
 	return &out
 }
 
-func (b Budget) widened(by time.Duration) Budget {
+func (b Budget) widenedBy(by time.Duration) Budget {
 	b.Window += by
 	classes := maps.Clone(b.Classes)
 	for name, c := range classes {
@@ -110,14 +110,14 @@
 
 // LongestWindow returns the longest window of any budget.
 func (s *Settings) LongestWindow() time.Duration {
-	longest := s.Default.longest()
+	longest := s.Default.longestWindow()
 	for _, b := range s.Teams {
-		longest = max(longest, b.longest())
+		longest = max(longest, b.longestWindow())
 	}
 	return longest
 }
 
-func (b Budget) longest() time.Duration {
+func (b Budget) longestWindow() time.Duration {
 	longest := b.Window
 	for _, c := range b.Classes {
 		longest = max(longest, c.Window)
--- a/internal/drain/view.go
+++ b/internal/drain/view.go
@@ -19,12 +19,12 @@
 // Keys and prefixes of the records. They share the prefix of the cluster's records, so
 // that the controllers' watch of these tells them, too.
 const (
-	Prefix       = "ctl/drain/"
-	PlanPrefix   = Prefix + "plan/"
-	LedgerPrefix = Prefix + "ledger/"
-	AwarePrefix  = Prefix + "aware/"
-	CoursePrefix = Prefix + "course/"
-	CordonsKey   = Prefix + "cordons"
+	Prefix            = "ctl/drain/"
+	PlanPrefix        = Prefix + "plan/"
+	LedgerPrefix      = Prefix + "ledger/"
+	ParticipantPrefix = Prefix + "aware/"
+	ProgressPrefix    = Prefix + "course/"
+	CordonsKey        = Prefix + "cordons"
 )
 
 // PlanKey names a drain's record.
@@ -47,17 +47,19 @@
 	return fmt.Sprintf("%s-%016x", name[:maxLedgerName/2], h.Sum64())
 }
 
-// AwareKey names the record by which a controller tells that it knows of drains.
-func AwareKey(label string) string { return AwarePrefix + label }
+// ParticipantKey names the record by which a controller tells that it knows of drains.
+func ParticipantKey(label string) string { return ParticipantPrefix + label }
 
-// CourseKey names the record of what a part did for a drain.
-func CourseKey(name string, part int) string { return CoursePrefix + name + "/" + strconv.Itoa(part) }
+// ProgressKey names the record of what a part did for a drain.
+func ProgressKey(name string, part int) string {
+	return ProgressPrefix + name + "/" + strconv.Itoa(part)
+}
 
 // Cordon is a machine that takes no new work, for a drain.
 type Cordon struct {
 	Drain string `json:"d"`
 	Since int64  `json:"at"` // milliseconds
-	Part  int    `json:"p"`  // whose owner lifts it once the machine is gone
+	Shard int    `json:"p"`  // whose owner lifts it once the machine is gone
 	Zone  string `json:"z"`
 }
 
@@ -76,8 +78,8 @@
 	return Cordons{m}
 }
 
-// Aware is a controller's word that it takes part in drains, and by which budgets.
-type Aware struct {
+// Participant is a controller's word that it takes part in drains, and by which budgets.
+type Participant struct {
 	Budgets string `json:"budgets"`
 }
 
@@ -87,41 +89,41 @@
 // View is what the records tell of drains. It takes changes in any order and is not safe
 // for concurrent use.
 type View struct {
-	plans    map[string]Versioned[Plan]
-	ledgers  map[string]Versioned[Ledger]
-	courses  map[string]Versioned[Course] // by key
-	aware    map[string]Aware
-	cordons  Versioned[Cordons]
-	versions map[string]uint64 // of the last change of each key
-	invalid  map[string]error  // records that make no sense, by key
-	changes  uint64
+	plans        map[string]Versioned[Plan]
+	ledgers      map[string]Versioned[Ledger]
+	progress     map[string]Versioned[Progress] // by key
+	participants map[string]Participant
+	cordons      Versioned[Cordons]
+	versions     map[string]uint64 // of the last change of each key
+	invalid      map[string]error  // records that make no sense, by key
+	generation   uint64
 }
 
 // NewView returns a view without records.
 func NewView() *View {
 	return &View{
-		plans: map[string]Versioned[Plan]{}, ledgers: map[string]Versioned[Ledger]{}, courses: map[string]Versioned[Course]{},
-		aware: map[string]Aware{}, versions: map[string]uint64{}, invalid: map[string]error{},
+		plans: map[string]Versioned[Plan]{}, ledgers: map[string]Versioned[Ledger]{}, progress: map[string]Versioned[Progress]{},
+		participants: map[string]Participant{}, versions: map[string]uint64{}, invalid: map[string]error{},
 	}
 }
 
 // ErrMalformed says that a record makes no sense. It is passed over.
 var ErrMalformed = errors.New("malformed drain record")
 
-// Change takes in a record's change. What is older than what is held is passed over.
-func (v *View) Change(e wire.Change) error {
+// Apply takes in a record's change. What is older than what is held is passed over.
+func (v *View) Apply(e wire.Change) error {
 	key := e.Put + e.Delete
 	if !strings.HasPrefix(key, Prefix) || e.Version <= v.versions[key] {
 		return nil
 	}
 	v.versions[key] = e.Version
-	v.changes++
+	v.generation++
 	delete(v.invalid, key)
-	v.forget(key)
+	v.drop(key)
 	if e.Put == "" {
 		return nil
 	}
-	if err := v.take(key, e); err != nil {
+	if err := v.decode(key, e); err != nil {
 		v.invalid[key] = err
 		return fmt.Errorf("%w %s: %w", ErrMalformed, key, err)
 	}
@@ -135,21 +137,21 @@
 	there := map[string]bool{}
 	for _, e := range entries {
 		there[e.Key] = true
-		errs = append(errs, v.Change(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}))
+		errs = append(errs, v.Apply(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}))
 	}
 	for key, version := range v.versions {
 		if !there[key] && version <= revision {
-			v.forget(key)
+			v.drop(key)
 			delete(v.invalid, key)
 			delete(v.versions, key)
-			v.changes++
+			v.generation++
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// forget drops what a key's record told.
-func (v *View) forget(key string) {
+// drop drops what a key's record told.
+func (v *View) drop(key string) {
 	switch {
 	case key == CordonsKey:
 		v.cordons = Versioned[Cordons]{}
@@ -157,35 +159,35 @@
 		delete(v.plans, key[len(PlanPrefix):])
 	case strings.HasPrefix(key, LedgerPrefix):
 		delete(v.ledgers, key[len(LedgerPrefix):])
-	case strings.HasPrefix(key, AwarePrefix):
-		delete(v.aware, key[len(AwarePrefix):])
-	case strings.HasPrefix(key, CoursePrefix):
-		delete(v.courses, key)
+	case strings.HasPrefix(key, ParticipantPrefix):
+		delete(v.participants, key[len(ParticipantPrefix):])
+	case strings.HasPrefix(key, ProgressPrefix):
+		delete(v.progress, key)
 	}
 }
 
-// take decodes a record and keeps it.
-func (v *View) take(key string, e wire.Change) error {
+// decode decodes a record and keeps it.
+func (v *View) decode(key string, e wire.Change) error {
 	switch {
 	case key == CordonsKey:
-		return keep(e, &v.cordons)
+		return decodeInto(e, &v.cordons)
 	case strings.HasPrefix(key, PlanPrefix):
-		return v.takePlan(key[len(PlanPrefix):], e)
+		return v.decodePlan(key[len(PlanPrefix):], e)
 	case strings.HasPrefix(key, LedgerPrefix):
-		return keepIn(v.ledgers, key[len(LedgerPrefix):], e)
-	case strings.HasPrefix(key, CoursePrefix):
-		return keepIn(v.courses, key, e)
-	case strings.HasPrefix(key, AwarePrefix):
-		var a Aware
+		return decodeIntoMap(v.ledgers, key[len(LedgerPrefix):], e)
+	case strings.HasPrefix(key, ProgressPrefix):
+		return decodeIntoMap(v.progress, key, e)
+	case strings.HasPrefix(key, ParticipantPrefix):
+		var a Participant
 		if err := json.Unmarshal(e.Value, &a); err != nil {
 			return err
 		}
-		v.aware[key[len(AwarePrefix):]] = a
+		v.participants[key[len(ParticipantPrefix):]] = a
 	}
 	return nil
 }
 
-func (v *View) takePlan(name string, e wire.Change) error {
+func (v *View) decodePlan(name string, e wire.Change) error {
 	var p Plan
 	if err := json.Unmarshal(e.Value, &p); err != nil {
 		return err
@@ -196,12 +198,12 @@
 	if err := p.Check(); err != nil {
 		return err
 	}
-	p.index()
+	p.indexMachines()
 	v.plans[name] = Versioned[Plan]{Rec: p, Version: e.Version}
 	return nil
 }
 
-func keep[T any](e wire.Change, to *Versioned[T]) error {
+func decodeInto[T any](e wire.Change, to *Versioned[T]) error {
 	var rec T
 	if err := json.Unmarshal(e.Value, &rec); err != nil {
 		return err
@@ -210,17 +212,17 @@
 	return nil
 }
 
-func keepIn[T any](m map[string]Versioned[T], name string, e wire.Change) error {
+func decodeIntoMap[T any](m map[string]Versioned[T], name string, e wire.Change) error {
 	var held Versioned[T]
-	if err := keep(e, &held); err != nil {
+	if err := decodeInto(e, &held); err != nil {
 		return err
 	}
 	m[name] = held
 	return nil
 }
 
-// Changes counts the changes taken in.
-func (v *View) Changes() uint64 { return v.changes }
+// Generation counts the changes taken in.
+func (v *View) Generation() uint64 { return v.generation }
 
 // Plan returns a drain's record.
 func (v *View) Plan(name string) (Versioned[Plan], bool) {
@@ -246,12 +248,12 @@
 // Ledger returns a team's ledger.
 func (v *View) Ledger(team string) Versioned[Ledger] { return v.ledgers[ledgerName(team)] }
 
-// open returns the open disruptions of a part.
-func (v *View) open(part int) []Disruption {
+// openDisruptions returns the open disruptions of a part.
+func (v *View) openDisruptions(part int) []Disruption {
 	var out []Disruption
 	for _, name := range slices.Sorted(maps.Keys(v.ledgers)) {
 		for _, d := range v.ledgers[name].Rec.Open {
-			if d.Part == part {
+			if d.Shard == part {
 				out = append(out, d)
 			}
 		}
@@ -259,17 +261,17 @@
 	return out
 }
 
-// Course returns what a part did for a drain.
-func (v *View) Course(name string, part int) Versioned[Course] {
-	return v.courses[CourseKey(name, part)]
+// Progress returns what a part did for a drain.
+func (v *View) Progress(name string, part int) Versioned[Progress] {
+	return v.progress[ProgressKey(name, part)]
 }
 
-// Courses returns what all parts did for a drain, in the order of their keys.
-func (v *View) Courses(name string) []Course {
-	var out []Course
-	for _, key := range slices.Sorted(maps.Keys(v.courses)) {
-		if strings.HasPrefix(key, CoursePrefix+name+"/") {
-			out = append(out, v.courses[key].Rec)
+// AllProgress returns what all parts did for a drain, in the order of their keys.
+func (v *View) AllProgress(name string) []Progress {
+	var out []Progress
+	for _, key := range slices.Sorted(maps.Keys(v.progress)) {
+		if strings.HasPrefix(key, ProgressPrefix+name+"/") {
+			out = append(out, v.progress[key].Rec)
 		}
 	}
 	return out
@@ -278,45 +280,45 @@
 // Invalid returns the records that make no sense, by key.
 func (v *View) Invalid() map[string]error { return v.invalid }
 
-// Said returns a controller's word on drains.
-func (v *View) Said(label string) (Aware, bool) {
-	a, ok := v.aware[label]
+// Participant returns a controller's word on drains.
+func (v *View) Participant(label string) (Participant, bool) {
+	a, ok := v.participants[label]
 	return a, ok
 }
 
-// Ready reports whether every controller has said that it takes part in drains, all by the
+// AllParticipate reports whether every controller has said that it takes part in drains, all by the
 // same budgets: until then nothing is drained, since one that knows nothing of drains would
 // not count what it loses, and others would grant by another budget.
-func (v *View) Ready(labels []string, budgets string) bool {
-	return !slices.ContainsFunc(labels, func(l string) bool { return v.aware[l].Budgets != budgets })
+func (v *View) AllParticipate(labels []string, budgets string) bool {
+	return !slices.ContainsFunc(labels, func(l string) bool { return v.participants[l].Budgets != budgets })
 }
 
 // InUse reports whether there is a drain that is not over, or a machine cordoned.
 func (v *View) InUse() bool {
 	for _, p := range v.plans {
-		if !p.Rec.State.Over() {
+		if !p.Rec.State.Terminal() {
 			return true
 		}
 	}
-	return len(v.cordons.Rec.Machines) > 0 || v.anyOpen()
+	return len(v.cordons.Rec.Machines) > 0 || v.hasOpenEvictions()
 }
 
-// WantsMore reports whether a drain may cordon further machines now.
-func (v *View) WantsMore() bool {
+// MayCordonMore reports whether a drain may cordon further machines now.
+func (v *View) MayCordonMore() bool {
 	cordoned := map[string]int{}
 	for _, c := range v.cordons.Rec.Machines {
 		cordoned[c.Drain]++
 	}
 	for name, p := range v.plans {
-		if p.Rec.State == Active && cordoned[name] < p.Rec.AtOnce {
+		if p.Rec.State == Active && cordoned[name] < p.Rec.MaxConcurrent {
 			return true
 		}
 	}
 	return false
 }
 
-// anyOpen reports whether a disruption that a drain caused is still open.
-func (v *View) anyOpen() bool {
+// hasOpenEvictions reports whether a disruption that a drain caused is still open.
+func (v *View) hasOpenEvictions() bool {
 	for _, l := range v.ledgers {
 		if slices.ContainsFunc(l.Rec.Open, func(d Disruption) bool { return d.Drain != "" }) {
 			return true
--- a/internal/drainctl/dryrun.go
+++ b/internal/drainctl/dryrun.go
@@ -42,7 +42,7 @@
 		}
 	}
 	var steps []Step
-	for _, batch := range drain.Batches(selected, p.AtOnce, zones, s) {
+	for _, batch := range drain.Batches(selected, p.MaxConcurrent, zones, s) {
 		steps = append(steps, Step{batch, interrupted(batch, work)})
 	}
 	return steps, nil
--- a/internal/drainctl/status.go
+++ b/internal/drainctl/status.go
@@ -41,12 +41,12 @@
 // Status is a drain in detail.
 type Status struct {
 	Summary
-	Plan     drain.Plan     `json:"plan"`
-	Returned int            `json:"machines_returned"`
-	Machines []MachineState `json:"cordoned,omitempty"`
-	Teams    []TeamStatus   `json:"teams,omitempty"`
-	Held     []Hold         `json:"held,omitempty"`
-	Courses  []drain.Course `json:"-"`
+	Plan     drain.Plan       `json:"plan"`
+	Returned int              `json:"machines_returned"`
+	Machines []MachineState   `json:"cordoned,omitempty"`
+	Teams    []TeamStatus     `json:"teams,omitempty"`
+	Held     []Hold           `json:"held,omitempty"`
+	Courses  []drain.Progress `json:"-"`
 }
 
 // MachineState is a machine that is cordoned for a drain.
@@ -84,10 +84,10 @@
 }
 
 func (c *Client) summary(v *drain.View, p *drain.Plan) Summary {
-	s := Summary{Name: p.Name, State: p.State, AtOnce: p.AtOnce, Reason: p.Reason}
+	s := Summary{Name: p.Name, State: p.State, AtOnce: p.MaxConcurrent, Reason: p.Reason}
 	if p.FinishBy != 0 {
 		s.FinishBy = stamp(p.FinishBy)
-		s.Late = !p.State.Over() && c.Now().UnixMilli() > p.FinishBy
+		s.Late = !p.State.Terminal() && c.Now().UnixMilli() > p.FinishBy
 	}
 	for _, at := range v.Cordons().Rec.Machines {
 		if at.Drain == p.Name {
@@ -114,7 +114,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Status{Summary: c.summary(v, &p.Rec), Plan: p.Rec, Courses: v.Courses(name)}
+	s := &Status{Summary: c.summary(v, &p.Rec), Plan: p.Rec, Courses: v.AllProgress(name)}
 	for id, m := range inService(fleet) {
 		if selects(&p.Rec, id, m) {
 			s.Left++
@@ -150,7 +150,7 @@
 			teams[team].Forced += total.Forced
 			teams[team].LostS += total.LostS
 		}
-		for reason, seconds := range c.HeldS {
+		for reason, seconds := range c.HoldSeconds {
 			held[reason] += seconds
 		}
 	}
--- a/internal/drainreport/plots.go
+++ b/internal/drainreport/plots.go
@@ -17,8 +17,8 @@
 // progressPlot shows the machines that were cordoned and given back.
 func (r *Report) progressPlot() (template.HTML, error) {
 	return plots.SVG("Machines", minutes,
-		plots.Line{Name: "cordoned", Color: plots.Orange, Points: r.points(func(p drain.Point) int { return p.Cordoned })},
-		plots.Line{Name: "returned", Color: plots.Blue, Points: r.points(func(p drain.Point) int { return p.Returned })})
+		plots.Line{Name: "cordoned", Color: plots.Orange, Points: r.points(func(p drain.Sample) int { return p.Cordoned })},
+		plots.Line{Name: "returned", Color: plots.Blue, Points: r.points(func(p drain.Sample) int { return p.Returned })})
 }
 
 // disruptionPlots show each team's disruptions against its budget.
@@ -32,13 +32,13 @@
 	var out []template.HTML
 	for _, team := range slices.Sorted(maps.Keys(teams)) {
 		lines := []plots.Line{
-			{Name: "at once", Color: plots.Orange, Points: r.points(func(p drain.Point) int { return p.Teams[team].Open })},
-			{Name: "in the window", Color: plots.Blue, Points: r.points(func(p drain.Point) int { return p.Teams[team].InWindow })},
+			{Name: "at once", Color: plots.Orange, Points: r.points(func(p drain.Sample) int { return p.Teams[team].Concurrent })},
+			{Name: "in the window", Color: plots.Blue, Points: r.points(func(p drain.Sample) int { return p.Teams[team].InWindow })},
 		}
 		if b, ok := r.Budgets[team]; ok {
 			lines = append(lines,
-				plots.Line{Name: "allowed at once", Color: plots.Orange, Dashed: true, Points: r.points(func(drain.Point) int { return b.AtOnce })},
-				plots.Line{Name: "allowed in the window", Color: plots.Blue, Dashed: true, Points: r.points(func(drain.Point) int { return b.InWindow })})
+				plots.Line{Name: "allowed at once", Color: plots.Orange, Dashed: true, Points: r.points(func(drain.Sample) int { return b.MaxConcurrent })},
+				plots.Line{Name: "allowed in the window", Color: plots.Blue, Dashed: true, Points: r.points(func(drain.Sample) int { return b.MaxInWindow })})
 		}
 		svg, err := plots.SVG("Disruptions of "+team, minutes, lines...)
 		if err != nil {
@@ -50,7 +50,7 @@
 }
 
 // points returns a curve over the minutes since the first point.
-func (r *Report) points(value func(drain.Point) int) plotter.XYs {
+func (r *Report) points(value func(drain.Sample) int) plotter.XYs {
 	var out plotter.XYs
 	for _, p := range r.Course {
 		since := time.Duration(p.At-r.Course[0].At) * time.Millisecond
--- a/internal/drainreport/report.go
+++ b/internal/drainreport/report.go
@@ -21,7 +21,7 @@
 type Report struct {
 	Status    *drainctl.Status       `json:"drain"`
 	Generated time.Time              `json:"generated"`
-	Course    []drain.Point          `json:"course"` // of all parts together
+	Course    []drain.Sample         `json:"course"` // of all parts together
 	Budgets   map[string]drain.Limit `json:"budgets,omitempty"`
 }
 
@@ -38,20 +38,20 @@
 }
 
 // together adds up the courses of all parts, each as it last was.
-func together(courses []drain.Course) []drain.Point {
+func together(courses []drain.Progress) []drain.Sample {
 	type moment struct {
 		part  int
-		point drain.Point
+		point drain.Sample
 	}
 	var all []moment
 	for part, c := range courses {
-		for _, p := range c.Points {
+		for _, p := range c.Samples {
 			all = append(all, moment{part, p})
 		}
 	}
 	slices.SortStableFunc(all, func(a, b moment) int { return cmp.Compare(a.point.At, b.point.At) })
-	last := make([]drain.Point, len(courses))
-	var out []drain.Point
+	last := make([]drain.Sample, len(courses))
+	var out []drain.Sample
 	for _, m := range all {
 		last[m.part] = m.point
 		out = append(out, sum(m.point.At, last))
@@ -59,8 +59,8 @@
 	return out
 }
 
-func sum(at int64, points []drain.Point) drain.Point {
-	total := drain.Point{At: at, Teams: map[string]drain.Use{}}
+func sum(at int64, points []drain.Sample) drain.Sample {
+	total := drain.Sample{At: at, Teams: map[string]drain.BudgetUse{}}
 	for _, p := range points {
 		total.Cordoned += p.Cordoned
 		total.Returned += p.Returned
--- a/internal/operations/operations.go
+++ b/internal/operations/operations.go
@@ -244,7 +244,7 @@
 }
 
 func (d *drains) settings() *drain.Settings {
-	s := &drain.Settings{StoreShare: d.StoreShare, ZoneShare: d.ZoneShare, Wait: config.Seconds(d.WaitS),
+	s := &drain.Settings{StoreShare: d.StoreShare, ZoneShare: d.ZoneShare, MaxWait: config.Seconds(d.WaitS),
 		Default: d.Budgets.Default.budget(), Teams: map[string]drain.Budget{}}
 	if s.StoreShare == 0 {
 		s.StoreShare = drain.DefaultStoreShare
@@ -252,8 +252,8 @@
 	if s.ZoneShare == 0 {
 		s.ZoneShare = drain.DefaultZoneShare
 	}
-	if s.Wait == 0 {
-		s.Wait = drain.DefaultWait
+	if s.MaxWait == 0 {
+		s.MaxWait = drain.DefaultMaxWait
 	}
 	for team, b := range d.Budgets.Team {
 		s.Teams[team] = b.budget()
@@ -262,7 +262,7 @@
 }
 
 func (b budget) limit() drain.Limit {
-	return drain.Limit{AtOnce: b.AtOnce, InWindow: b.InWindow, Window: config.Seconds(b.WindowS)}
+	return drain.Limit{MaxConcurrent: b.AtOnce, MaxInWindow: b.InWindow, Window: config.Seconds(b.WindowS)}
 }
 
 func (b budget) budget() drain.Budget {
--- a/internal/operations/operations_test.go
+++ b/internal/operations/operations_test.go
@@ -24,7 +24,7 @@
 	}
 	for _, text := range []string{string(example), least} {
 		s, err := Parse(text)
-		if err != nil || s.Drains == nil || s.Drains.Default.AtOnce < 1 || s.Drains.Wait != 15*time.Minute {
+		if err != nil || s.Drains == nil || s.Drains.Default.MaxConcurrent < 1 || s.Drains.MaxWait != 15*time.Minute {
 			t.Errorf("%v, %+v", err, s)
 		}
 	}
--- a/internal/recoverctl/measure_test.go
+++ b/internal/recoverctl/measure_test.go
@@ -39,7 +39,7 @@
 		for n := 2 * i; n < 2*i+2; n++ {
 			r.Tasks = append(r.Tasks, wire.HeartbeatTask{Task: fmt.Sprintf("run-%06d/%d", n/10, n%10), Attempt: 1, State: wire.Running})
 		}
-		e.Reports.Take(&r)
+		e.Reports.Add(&r)
 	}
 }
 
@@ -83,7 +83,7 @@
 	fleetReports(&g.Evidence, machines)
 	g.Listed = fleetListed(machines)
 	gathered := time.Since(began)
-	p := recovery.Make(g.Evidence, c.Limits)
+	p := recovery.NewPlan(g.Evidence, c.Limits)
 	planned := time.Since(began)
 	if err := c.Apply(b.Context(), p, func(int, int) {}); err != nil {
 		b.Fatal(err)
--- a/internal/recoverctl/recoverctl.go
+++ b/internal/recoverctl/recoverctl.go
@@ -88,9 +88,9 @@
 		return nil, err
 	}
 	if mode == nil || !mode.Active {
-		return nil, recovery.ErrNotSafe
+		return nil, recovery.ErrNoSafeMode
 	}
-	g := &Gathered{Evidence: recovery.Evidence{Mode: *mode, Reports: recovery.Reports{}}}
+	g := &Gathered{Evidence: recovery.Evidence{Mode: *mode, Reports: recovery.Heartbeats{}}}
 	if err := c.gatherStore(ctx, g); err != nil {
 		return nil, err
 	}
@@ -149,15 +149,15 @@
 			return err
 		}
 		if !r.Mode.Active {
-			return recovery.ErrNotSafe
+			return recovery.ErrNoSafeMode
 		}
 		g.Mode.Floor = max(g.Mode.Floor, r.Mode.Floor)
 		if after == "" && r.View.Revision > g.View.Revision {
 			g.View = r.View
 		}
-		g.Hold(r.Held)
+		g.AddHeld(r.Held)
 		for _, report := range r.Reports {
-			g.Reports.Take(&report)
+			g.Reports.Add(&report)
 			g.Mode.Floor = max(g.Mode.Floor, report.Token)
 		}
 		if !r.More {
@@ -168,20 +168,20 @@
 }
 
 // Decide records an operator's choice about an undecided record.
-func (c *Client) Decide(ctx context.Context, key string, choice recovery.Choice) error {
+func (c *Client) Decide(ctx context.Context, key string, choice recovery.Decision) error {
 	mode, _, err := c.Mode(ctx)
 	if err != nil {
 		return err
 	}
 	if mode == nil || !mode.Active {
-		return recovery.ErrNotSafe
+		return recovery.ErrNoSafeMode
 	}
 	for {
 		old, version, err := read[recovery.Decisions](ctx, c, recovery.DecisionsKey)
 		if err != nil {
 			return err
 		}
-		t := recovery.Decide(old, version, mode.Epoch, key, choice)
+		t := recovery.DecisionTxn(old, version, mode.Epoch, key, choice)
 		_, err = again(ctx, c, func() (uint64, error) { return c.Store.Txn(ctx, use, t) })
 		if !errors.As(err, new(*statestore.ConflictError)) {
 			return err
@@ -233,7 +233,7 @@
 		if err != nil {
 			return err
 		}
-		t, needed, err := p.Claim(old, version)
+		t, needed, err := p.ClaimTxn(old, version)
 		if err != nil || !needed {
 			return err
 		}
@@ -261,8 +261,8 @@
 			return err
 		}
 	}
-	if !recovery.Done(t, now) {
-		return recovery.ErrMoved
+	if !recovery.AlreadyApplied(t, now) {
+		return recovery.ErrStoreChanged
 	}
 	return nil
 }
@@ -271,7 +271,7 @@
 // its revisions.
 func (c *Client) raise(ctx context.Context, floor uint64) error {
 	for {
-		revision, err := again(ctx, c, func() (uint64, error) { return c.Store.Txn(ctx, use, recovery.Raise(floor)) })
+		revision, err := again(ctx, c, func() (uint64, error) { return c.Store.Txn(ctx, use, recovery.RaiseRevisionTxn(floor)) })
 		if err != nil || revision > floor {
 			return err
 		}
@@ -285,7 +285,7 @@
 		return err
 	}
 	if mode == nil || mode.Epoch != p.Epoch {
-		return recovery.ErrMoved // the record was lost, or another loss was noticed
+		return recovery.ErrStoreChanged // the record was lost, or another loss was noticed
 	}
 	if !mode.Active {
 		return nil
@@ -295,10 +295,10 @@
 			return err
 		}
 	}
-	t := recovery.Leave(*mode, version, c.Now().UnixMilli())
+	t := recovery.EndSafeModeTxn(*mode, version, c.Now().UnixMilli())
 	_, err = again(ctx, c, func() (uint64, error) { return c.Store.Txn(ctx, use, t) })
 	if errors.As(err, new(*statestore.ConflictError)) {
-		return recovery.ErrMoved // the floor was raised: apply it once more
+		return recovery.ErrStoreChanged // the floor was raised: apply it once more
 	}
 	return err
 }
--- a/internal/recoverctl/recoverctl_test.go
+++ b/internal/recoverctl/recoverctl_test.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return recovery.Make(g.Evidence, c.Limits)
+	return recovery.NewPlan(g.Evidence, c.Limits)
 }
 
 func apply(t *testing.T, c *Client, p *recovery.Plan) error {
@@ -141,7 +141,7 @@
 	s.before = func(n int) error {
 		if n == 2 {
 			s.before = nil
-			if err := apply(t, c, other); !errors.Is(err, recovery.ErrOtherPlan) {
+			if err := apply(t, c, other); !errors.Is(err, recovery.ErrOtherPlanApplied) {
 				t.Errorf("another plan: %v", err)
 			}
 		}
@@ -160,13 +160,13 @@
 		meanwhile func(s *store, p *recovery.Plan)
 		want      error
 	}{
-		"a record was written": {func(s *store, _ *recovery.Plan) { s.Put(record.FinishedJobKey("run-000004"), "other") }, recovery.ErrMoved},
+		"a record was written": {func(s *store, _ *recovery.Plan) { s.Put(record.FinishedJobKey("run-000004"), "other") }, recovery.ErrStoreChanged},
 		"it is another safe mode": {func(s *store, _ *recovery.Plan) {
 			s.Put(recovery.SafeModeKey, recovery.SafeMode{Active: true, Epoch: 2})
 		}, recovery.ErrOtherEpoch},
-		"it is over": {func(s *store, _ *recovery.Plan) { s.Put(recovery.SafeModeKey, recovery.SafeMode{Epoch: 1}) }, recovery.ErrNotSafe},
+		"it is over": {func(s *store, _ *recovery.Plan) { s.Put(recovery.SafeModeKey, recovery.SafeMode{Epoch: 1}) }, recovery.ErrNoSafeMode},
 		"something is undecided": {func(_ *store, p *recovery.Plan) {
-			p.Items = append(p.Items, recovery.Item{Verdict: recovery.Undecided})
+			p.Items = append(p.Items, recovery.Item{Outcome: recovery.Undecided})
 		},
 			recovery.ErrUndecided},
 	} {
@@ -186,7 +186,7 @@
 		}
 		return nil
 	}
-	if err := apply(t, c, p); !errors.Is(err, recovery.ErrMoved) {
+	if err := apply(t, c, p); !errors.Is(err, recovery.ErrStoreChanged) {
 		t.Errorf("a second loss: %v", err)
 	}
 }
@@ -200,7 +200,7 @@
 	if n := len(p.Undecided()); n != 1 {
 		t.Fatalf("%d undecided", n)
 	}
-	for _, choice := range []recovery.Choice{recovery.ChooseAgain, recovery.ChooseDone} {
+	for _, choice := range []recovery.Decision{recovery.DecideRerun, recovery.DecideDone} {
 		if err := c.Decide(t.Context(), key, choice); err != nil {
 			t.Fatal(err)
 		}
@@ -211,7 +211,7 @@
 	if _, err := s.Get(t.Context(), use, record.FinishedJobKey("run-000077")); err != nil {
 		t.Errorf("decided as done: %v", err)
 	}
-	if err := c.Decide(t.Context(), key, recovery.ChooseAgain); !errors.Is(err, recovery.ErrNotSafe) {
+	if err := c.Decide(t.Context(), key, recovery.DecideRerun); !errors.Is(err, recovery.ErrNoSafeMode) {
 		t.Errorf("decided after the safe mode: %v", err)
 	}
 	s.Put(recovery.SafeModeKey, recovery.SafeMode{Active: true, Epoch: 2, Floor: 40})
--- a/internal/recoverreport/report.go
+++ b/internal/recoverreport/report.go
@@ -17,7 +17,7 @@
 var page = reportpage.Parse(pageText, nil)
 
 // verdicts are the columns of the report's table.
-var verdicts = []recovery.Verdict{recovery.Intact, recovery.Recovered, recovery.Finished, recovery.Lost, recovery.Undecided}
+var verdicts = []recovery.Outcome{recovery.Intact, recovery.Recovered, recovery.Finished, recovery.Lost, recovery.Undecided}
 
 // row counts the verdicts on records of one kind.
 type row struct {
@@ -32,7 +32,7 @@
 func HTML(w io.Writer, p *recovery.Plan) error {
 	var named, recovered []recovery.Item
 	for _, i := range p.Items {
-		switch i.Verdict {
+		switch i.Outcome {
 		case recovery.Lost, recovery.Undecided:
 			named = append(named, i)
 		case recovery.Recovered, recovery.Finished:
@@ -41,7 +41,7 @@
 	}
 	return page.Execute(w, struct {
 		*recovery.Plan
-		Verdicts         []recovery.Verdict
+		Verdicts         []recovery.Outcome
 		Rows             []row
 		Named, Recovered []recovery.Item
 	}{p, verdicts, rows(p), named, recovered})
@@ -59,7 +59,7 @@
 		r := row{Kind: k.name, Counts: make([]int, len(verdicts))}
 		for _, i := range p.Items {
 			for n, v := range verdicts {
-				if i.Verdict == v && strings.HasPrefix(i.Key, k.prefix) {
+				if i.Outcome == v && strings.HasPrefix(i.Key, k.prefix) {
 					r.Counts[n]++
 				}
 			}
--- a/internal/recovery/apply.go
+++ b/internal/recovery/apply.go
@@ -19,11 +19,11 @@
 
 // Errors.
 var (
-	ErrMoved      = errors.New("the store has moved on since the plan was made: plan again")
-	ErrOtherPlan  = errors.New("another plan is being applied")
-	ErrNotSafe    = errors.New("there is no safe mode")
-	ErrUndecided  = errors.New("some records are undecided")
-	ErrOtherEpoch = errors.New("the plan is of another safe mode")
+	ErrStoreChanged     = errors.New("the store has moved on since the plan was made: plan again")
+	ErrOtherPlanApplied = errors.New("another plan is being applied")
+	ErrNoSafeMode       = errors.New("there is no safe mode")
+	ErrUndecided        = errors.New("some records are undecided")
+	ErrOtherEpoch       = errors.New("the plan is of another safe mode")
 )
 
 // Applied is the record of the plan that is being applied.
@@ -34,8 +34,8 @@
 
 // Decisions is the record of what operators have decided in a safe mode.
 type Decisions struct {
-	Epoch  int               `json:"epoch"`
-	Chosen map[string]Choice `json:"chosen"`
+	Epoch  int                 `json:"epoch"`
+	Chosen map[string]Decision `json:"chosen"`
 }
 
 // Check tells why a plan may not be applied in a safe mode, whose record is nil if there is
@@ -43,7 +43,7 @@
 func (p *Plan) Check(mode *SafeMode) error {
 	switch {
 	case mode == nil || !mode.Active:
-		return ErrNotSafe
+		return ErrNoSafeMode
 	case mode.Epoch != p.Epoch:
 		return ErrOtherEpoch
 	}
@@ -60,7 +60,7 @@
 	var t wire.Txn
 	size := 0
 	for _, i := range p.Items {
-		if !i.changes() {
+		if !i.writes() {
 			continue
 		}
 		if len(t.Then) > 0 && (len(t.Then) >= l.TxnOps || size+len(i.Put) > l.TxnBytes) {
@@ -81,8 +81,8 @@
 	return out
 }
 
-// Done reports whether a transaction was carried out before, by the records as they are now.
-func Done(t wire.Txn, now map[string]wire.Entry) bool {
+// AlreadyApplied reports whether a transaction was carried out before, by the records as they are now.
+func AlreadyApplied(t wire.Txn, now map[string]wire.Entry) bool {
 	for _, op := range t.Then {
 		e, there := now[op.Put+op.Delete]
 		if there != (op.Put != "") || there && !sameJSON(e.Value, op.Value) {
@@ -101,13 +101,13 @@
 	return bytes.Equal(x.Bytes(), y.Bytes())
 }
 
-// Claim is the transaction that makes a plan the one that is applied; there is none to be made
+// ClaimTxn is the transaction that makes a plan the one that is applied; there is none to be made
 // if it is already.
-func (p *Plan) Claim(old *Applied, version uint64) (wire.Txn, bool, error) {
+func (p *Plan) ClaimTxn(old *Applied, version uint64) (wire.Txn, bool, error) {
 	claim := Applied{Epoch: p.Epoch, Digest: p.Digest()}
 	if old != nil && old.Epoch == p.Epoch {
 		if old.Digest != claim.Digest {
-			return wire.Txn{}, false, ErrOtherPlan
+			return wire.Txn{}, false, ErrOtherPlanApplied
 		}
 		return wire.Txn{}, false, nil
 	}
@@ -115,21 +115,21 @@
 		Then: []wire.Op{{Put: ApplyKey, Value: record.Encode(claim)}}}, true, nil
 }
 
-// Raise is a transaction that only makes the store's revision rise by one.
-func Raise(n uint64) wire.Txn {
+// RaiseRevisionTxn is a transaction that only makes the store's revision rise by one.
+func RaiseRevisionTxn(n uint64) wire.Txn {
 	return wire.Txn{Then: []wire.Op{{Put: raiseKey, Value: record.Encode(n)}}}
 }
 
-// Leave is the one transaction that ends a safe mode.
-func Leave(mode SafeMode, version uint64, nowMillis int64) wire.Txn {
+// EndSafeModeTxn is the one transaction that ends a safe mode.
+func EndSafeModeTxn(mode SafeMode, version uint64, nowMillis int64) wire.Txn {
 	mode.Active, mode.Ended = false, nowMillis
 	return wire.Txn{If: []wire.Cond{{Key: SafeModeKey, Version: version}},
 		Then: []wire.Op{{Put: SafeModeKey, Value: record.Encode(mode)}}}
 }
 
-// Decide is the transaction that records a decision about an undecided record of a plan.
-func Decide(old *Decisions, version uint64, epoch int, key string, c Choice) wire.Txn {
-	d := Decisions{Epoch: epoch, Chosen: map[string]Choice{}}
+// DecisionTxn is the transaction that records a decision about an undecided record of a plan.
+func DecisionTxn(old *Decisions, version uint64, epoch int, key string, c Decision) wire.Txn {
+	d := Decisions{Epoch: epoch, Chosen: map[string]Decision{}}
 	if old != nil && old.Epoch == epoch {
 		for k, v := range old.Chosen {
 			d.Chosen[k] = v
--- a/internal/recovery/evidence.go
+++ b/internal/recovery/evidence.go
@@ -15,22 +15,22 @@
 	FromStore      Source = "store"
 	FromController Source = "controller"
 	FromSnapshot   Source = "snapshot"
-	FromReport     Source = "report"
+	FromHeartbeat  Source = "report"
 	FromOperator   Source = "operator"
 )
 
-// Reports are the newest reports of workers, by machine.
-type Reports map[string]wire.Heartbeat
+// Heartbeats are the newest reports of workers, by machine.
+type Heartbeats map[string]wire.Heartbeat
 
-// Take takes in a report; late and doubled ones come in any order.
-func (rs Reports) Take(r *wire.Heartbeat) {
+// Add takes in a report; late and doubled ones come in any order.
+func (rs Heartbeats) Add(r *wire.Heartbeat) {
 	if old, ok := rs[r.Machine]; !ok || reconcile.OrderOf(r).After(reconcile.OrderOf(&old)) {
 		rs[r.Machine] = *r
 	}
 }
 
-// OpenJob is what a controller knows of an unfinished job.
-type OpenJob struct {
+// ActiveJob is what a controller knows of an unfinished job.
+type ActiveJob struct {
 	Version   uint64
 	Cancelled bool
 }
@@ -38,7 +38,7 @@
 // View is what a controller knew of all unfinished jobs up to a revision; 0: it had none.
 type View struct {
 	Revision uint64
-	Open     map[string]OpenJob
+	Open     map[string]ActiveJob
 }
 
 // Evidence is all that is known of a cluster in safe mode.
@@ -52,14 +52,14 @@
 	// Snapshot is empty if there is none.
 	Snapshot         map[string]wire.Entry
 	SnapshotRevision uint64
-	Reports          Reports
+	Reports          Heartbeats
 	Listed           map[string]wire.Listed // the cloud's machines
-	Decisions        map[string]Choice      // by key
+	Decisions        map[string]Decision    // by key
 }
 
-// Hold takes in the records that a controller holds; version 0 is not known, of one that never
+// AddHeld takes in the records that a controller holds; version 0 is not known, of one that never
 // changes.
-func (e *Evidence) Hold(all []wire.Entry) {
+func (e *Evidence) AddHeld(all []wire.Entry) {
 	if e.Held == nil {
 		e.Held = map[string]wire.Entry{}
 	}
--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -14,37 +14,37 @@
 	"bramblespur/internal/wire"
 )
 
-// Verdict is what becomes of a record.
-type Verdict string
+// Outcome is what becomes of a record.
+type Outcome string
 
 // Verdicts.
 const (
-	Intact    Verdict = "intact"
-	Recovered Verdict = "recovered"
-	Finished  Verdict = "finished since"
-	Lost      Verdict = "lost"
-	Undecided Verdict = "undecided"
+	Intact    Outcome = "intact"
+	Recovered Outcome = "recovered"
+	Finished  Outcome = "finished since"
+	Lost      Outcome = "lost"
+	Undecided Outcome = "undecided"
 )
 
-// Choice is what an operator may decide about a job whose end is not known.
-type Choice string
+// Decision is what an operator may decide about a job whose end is not known.
+type Decision string
 
 // Choices.
 const (
-	ChooseDone      Choice = "done"
-	ChooseCancelled Choice = "cancelled"
-	ChooseAgain     Choice = "again"
-	// ChooseForget accepts that nothing is left of a job but tasks, which are stopped.
-	ChooseForget Choice = "forget"
+	DecideDone      Decision = "done"
+	DecideCancelled Decision = "cancelled"
+	DecideRerun     Decision = "again"
+	// DecideForget accepts that nothing is left of a job but tasks, which are stopped.
+	DecideForget Decision = "forget"
 )
 
 // Item is the verdict on one record, with its evidence.
 type Item struct {
-	Key     string   `json:"key"`
-	Verdict Verdict  `json:"verdict"`
-	From    Source   `json:"from,omitempty"`
-	Why     string   `json:"why,omitempty"`
-	Choices []Choice `json:"choices,omitempty"` // of what is undecided
+	Key     string     `json:"key"`
+	Outcome Outcome    `json:"verdict"`
+	From    Source     `json:"from,omitempty"`
+	Why     string     `json:"why,omitempty"`
+	Choices []Decision `json:"choices,omitempty"` // of what is undecided
 	// Put is the value to be written, and Delete says that the record is to go, if either is;
 	// Version is that of the store's record when the plan was made.
 	Put     json.RawMessage `json:"put,omitempty"`
@@ -52,8 +52,8 @@
 	Version uint64          `json:"version"`
 }
 
-// changes reports whether an item is to be written.
-func (i *Item) changes() bool { return i.Put != nil || i.Delete }
+// writes reports whether an item is to be written.
+func (i *Item) writes() bool { return i.Put != nil || i.Delete }
 
 // Plan is the verdict on everything that is known.
 type Plan struct {
@@ -65,17 +65,17 @@
 }
 
 // Count returns the number of items by verdict.
-func (p *Plan) Count() map[Verdict]int {
-	out := map[Verdict]int{}
+func (p *Plan) Count() map[Outcome]int {
+	out := map[Outcome]int{}
 	for _, i := range p.Items {
-		out[i.Verdict]++
+		out[i.Outcome]++
 	}
 	return out
 }
 
 // Undecided returns the items that an operator has to decide about.
 func (p *Plan) Undecided() []Item {
-	return slices.DeleteFunc(slices.Clone(p.Items), func(i Item) bool { return i.Verdict != Undecided })
+	return slices.DeleteFunc(slices.Clone(p.Items), func(i Item) bool { return i.Outcome != Undecided })
 }
 
 // Digest tells one plan from another.
@@ -87,10 +87,10 @@
 // planner makes a plan.
 type planner struct {
 	Evidence
-	limits Limits
-	items  map[string]*Item
-	jobs   map[string]record.ActiveJob // unfinished, by name, as they will be
-	doubt  map[string]bool             // jobs that are undecided
+	limits        Limits
+	items         map[string]*Item
+	activeJobs    map[string]record.ActiveJob // unfinished, by name, as they will be
+	undecidedJobs map[string]bool             // jobs that are undecided
 }
 
 // Limits are the bounds of the records that a plan writes.
@@ -100,19 +100,19 @@
 	TxnBytes   int
 }
 
-// Make gives each record its verdict, by the table in docs/design-recovery.md.
-func Make(e Evidence, limits Limits) *Plan {
-	p := &planner{Evidence: e, limits: limits, items: map[string]*Item{}, jobs: map[string]record.ActiveJob{}, doubt: map[string]bool{}}
+// NewPlan gives each record its verdict, by the table in docs/design-recovery.md.
+func NewPlan(e Evidence, limits Limits) *Plan {
+	p := &planner{Evidence: e, limits: limits, items: map[string]*Item{}, activeJobs: map[string]record.ActiveJob{}, undecidedJobs: map[string]bool{}}
 	keys := slices.Sorted(maps.Keys(e.keys()))
-	p.each(keys, record.FinishedJobPrefix, p.final)
-	p.each(keys, record.ActiveJobPrefix, p.open)
-	p.each(keys, record.PipelinePrefix, p.plain)
-	p.each(keys, record.FleetPrefix, p.machine)
-	p.each(keys, record.ClusterPrefix, p.cluster)
-	p.each(keys, record.PlacementsPrefix, p.plain)
-	p.lostJobs()
-	p.unknownMachines()
-	p.placements()
+	p.eachWithPrefix(keys, record.FinishedJobPrefix, p.planFinishedJob)
+	p.eachWithPrefix(keys, record.ActiveJobPrefix, p.planActiveJob)
+	p.eachWithPrefix(keys, record.PipelinePrefix, p.planNewest)
+	p.eachWithPrefix(keys, record.FleetPrefix, p.planMachines)
+	p.eachWithPrefix(keys, record.ClusterPrefix, p.planClusterRecord)
+	p.eachWithPrefix(keys, record.PlacementsPrefix, p.planNewest)
+	p.planLostJobs()
+	p.planUnrecordedMachines()
+	p.planPlacements()
 	out := &Plan{Epoch: e.Mode.Epoch, Revision: e.Revision, Floor: e.Mode.Floor, Snapshot: e.SnapshotRevision}
 	for _, key := range slices.Sorted(maps.Keys(p.items)) {
 		out.Items = append(out.Items, *p.items[key])
@@ -120,7 +120,7 @@
 	return out
 }
 
-func (p *planner) each(keys []string, prefix string, f func(key string)) {
+func (p *planner) eachWithPrefix(keys []string, prefix string, f func(key string)) {
 	for _, key := range keys {
 		if strings.HasPrefix(key, prefix) {
 			f(key)
@@ -129,8 +129,8 @@
 }
 
 // item begins the item of a record.
-func (p *planner) item(key string, v Verdict, from Source, why string) *Item {
-	i := &Item{Key: key, Verdict: v, From: from, Why: why, Version: p.Store[key].Version}
+func (p *planner) item(key string, v Outcome, from Source, why string) *Item {
+	i := &Item{Key: key, Outcome: v, From: from, Why: why, Version: p.Store[key].Version}
 	p.items[key] = i
 	return i
 }
@@ -145,28 +145,28 @@
 	return i
 }
 
-// plain restores the newest of a record.
-func (p *planner) plain(key string) {
+// planNewest restores the newest of a record.
+func (p *planner) planNewest(key string) {
 	e, from, _ := p.newest(key)
 	if !json.Valid(e.Value) {
 		p.item(key, Lost, from, "its value makes no sense")
 		return
 	}
-	p.restore(key, e.Value, from, versionOf(e))
+	p.restore(key, e.Value, from, describeVersion(e))
 }
 
-func versionOf(e wire.Entry) string { return fmt.Sprintf("version %d", e.Version) }
+func describeVersion(e wire.Entry) string { return fmt.Sprintf("version %d", e.Version) }
 
-// unrestored are records that controllers write anew by themselves: they go with a lease, or
+// rewrittenByControllers are records that controllers write anew by themselves: they go with a lease, or
 // are claimed under a new token.
-var unrestored = []string{record.MemberPrefix, record.ShardPrefix, record.LeaderKey, Prefix, record.ClusterPrefix + "restart/"}
+var rewrittenByControllers = []string{record.MemberPrefix, record.ShardPrefix, record.LeaderKey, Prefix, record.ClusterPrefix + "restart/"}
 
-// cluster restores what controllers do not write anew.
-func (p *planner) cluster(key string) {
-	for _, prefix := range unrestored {
+// planClusterRecord restores what controllers do not write anew.
+func (p *planner) planClusterRecord(key string) {
+	for _, prefix := range rewrittenByControllers {
 		if strings.HasPrefix(key, prefix) {
 			return
 		}
 	}
-	p.plain(key)
+	p.planNewest(key)
 }
--- a/internal/recovery/jobs.go
+++ b/internal/recovery/plan_jobs.go
@@ -10,9 +10,9 @@
 	"bramblespur/internal/wire"
 )
 
-// final restores the final state of a job. It is written once and never changes, so any source
+// planFinishedJob restores the final state of a job. It is written once and never changes, so any source
 // will do; if they differ, nobody can tell which one users were told.
-func (p *planner) final(key string) {
+func (p *planner) planFinishedJob(key string) {
 	var states []string
 	var first wire.Entry
 	var from Source
@@ -36,40 +36,40 @@
 	}
 	for _, s := range states {
 		if s != states[0] {
-			p.undecided(key, record.Last(key), fmt.Sprintf("sources differ: %s", strings.Join(states, ", ")), ChooseDone, ChooseCancelled)
+			p.undecided(key, record.Last(key), fmt.Sprintf("sources differ: %s", strings.Join(states, ", ")), DecideDone, DecideCancelled)
 			return
 		}
 	}
 	p.restore(key, first.Value, from, "")
 }
 
-// over reports whether a job has a final state by what was planned so far.
-func (p *planner) over(ref string) bool {
+// hasFinished reports whether a job has a final state by what was planned so far.
+func (p *planner) hasFinished(ref string) bool {
 	i := p.items[record.FinishedJobKey(ref)]
-	return i != nil && (i.Verdict == Intact || i.Verdict == Recovered)
+	return i != nil && (i.Outcome == Intact || i.Outcome == Recovered)
 }
 
-// open restores an unfinished job, unless it has ended.
-func (p *planner) open(key string) {
+// planActiveJob restores an unfinished job, unless it has ended.
+func (p *planner) planActiveJob(key string) {
 	ref := record.Last(key)
 	_, stored := p.Store[key]
-	if p.over(ref) {
+	if p.hasFinished(ref) {
 		i := p.item(key, Finished, p.items[record.FinishedJobKey(ref)].From, "its final state is known")
 		i.Delete = stored
 		return
 	}
-	if p.doubt[ref] {
+	if p.undecidedJobs[ref] {
 		return // its final record tells more
 	}
 	e, from, _ := p.newest(key)
 	var o record.ActiveJob
 	if err := json.Unmarshal(e.Value, &o); err != nil || o.Spec.Ref != ref {
-		p.undecided(key, ref, "its record makes no sense", ChooseDone, ChooseCancelled)
+		p.undecided(key, ref, "its record makes no sense", DecideDone, DecideCancelled)
 		return
 	}
-	if why, ok := p.mayHaveEnded(key, ref, from, e.Version); ok && !p.runs(ref) {
-		p.undecided(key, ref, why, ChooseDone, ChooseCancelled, ChooseAgain)
-		if p.Decisions[key] != ChooseAgain {
+	if why, ok := p.mayHaveEnded(key, ref, from, e.Version); ok && !p.runsOnWorker(ref) {
+		p.undecided(key, ref, why, DecideDone, DecideCancelled, DecideRerun)
+		if p.Decisions[key] != DecideRerun {
 			return
 		}
 	}
@@ -78,11 +78,11 @@
 		o.Cancelled = true // since what is restored was written
 		value = record.Encode(o)
 	}
-	p.jobs[ref] = o
-	if p.Decisions[key] == ChooseAgain {
+	p.activeJobs[ref] = o
+	if p.Decisions[key] == DecideRerun {
 		from = FromOperator
 	}
-	p.restore(key, value, from, versionOf(e))
+	p.restore(key, value, from, describeVersion(e))
 }
 
 // mayHaveEnded tells why a job may have ended after what is known of it was written.
@@ -100,8 +100,8 @@
 	return "", false
 }
 
-// runs reports whether a worker has a task of a job that has not exited.
-func (p *planner) runs(ref string) bool {
+// runsOnWorker reports whether a worker has a task of a job that has not exited.
+func (p *planner) runsOnWorker(ref string) bool {
 	for _, r := range p.Reports {
 		for _, t := range r.Tasks {
 			if t.State != wire.Exited && strings.HasPrefix(t.Task, ref+"/") {
@@ -113,11 +113,11 @@
 }
 
 // undecided makes a job wait for an operator, or carries out what was decided.
-func (p *planner) undecided(key, ref, why string, choices ...Choice) {
+func (p *planner) undecided(key, ref, why string, choices ...Decision) {
 	switch p.Decisions[key] {
-	case ChooseDone, ChooseCancelled:
+	case DecideDone, DecideCancelled:
 		state := wire.Done
-		if p.Decisions[key] == ChooseCancelled {
+		if p.Decisions[key] == DecideCancelled {
 			state = wire.Cancelled
 		}
 		final := record.FinishedJobKey(ref)
@@ -127,23 +127,23 @@
 			p.item(record.ActiveJobKey(ref), Finished, FromOperator, why).Delete = true
 		}
 		return
-	case ChooseAgain:
+	case DecideRerun:
 		return // the caller restores it
 	}
-	p.doubt[ref] = true
+	p.undecidedJobs[ref] = true
 	p.item(key, Undecided, "", why).Choices = choices
 }
 
 // LostKey names the record by which operators have accepted that a job is lost.
 func LostKey(ref string) string { return Prefix + "lost/" + ref }
 
-// lostJobs names the jobs of which workers have tasks and nothing else is left.
-func (p *planner) lostJobs() {
+// planLostJobs names the jobs of which workers have tasks and nothing else is left.
+func (p *planner) planLostJobs() {
 	for _, r := range p.Reports {
 		for _, t := range r.Tasks {
 			ref, _, ok := scheduler.SplitTask(t.Task)
-			_, open := p.jobs[ref]
-			if !ok || open || t.State == wire.Exited || p.over(ref) || p.doubt[ref] {
+			_, open := p.activeJobs[ref]
+			if !ok || open || t.State == wire.Exited || p.hasFinished(ref) || p.undecidedJobs[ref] {
 				continue
 			}
 			p.lostJob(ref, "only tasks of it are left, on "+r.Machine)
@@ -156,8 +156,8 @@
 	if _, accepted := p.Store[LostKey(ref)]; accepted || p.items[LostKey(ref)] != nil {
 		return
 	}
-	if p.Decisions[key] != ChooseForget {
-		p.undecided(key, ref, why, ChooseDone, ChooseCancelled, ChooseForget)
+	if p.Decisions[key] != DecideForget {
+		p.undecided(key, ref, why, DecideDone, DecideCancelled, DecideForget)
 		return
 	}
 	p.item(key, Lost, FromOperator, why)
--- a/internal/recovery/machines.go
+++ b/internal/recovery/plan_machines.go
@@ -11,12 +11,12 @@
 	"bramblespur/internal/wire"
 )
 
-// machine restores a record of machines. One of which only the snapshot knows may have been
+// planMachines restores a record of machines. One of which only the snapshot knows may have been
 // cleared since: it counts if the cloud still lists one of its machines.
-func (p *planner) machine(key string) {
+func (p *planner) planMachines(key string) {
 	e, from, _ := p.newest(key)
 	if from != FromSnapshot {
-		p.plain(key)
+		p.planNewest(key)
 		return
 	}
 	ids, err := machinesOf(e)
@@ -45,12 +45,12 @@
 	return r.IDs, err
 }
 
-// fleet returns the machines by the records as they will be.
-func (p *planner) fleet() *record.Fleet {
+// plannedFleet returns the machines by the records as they will be.
+func (p *planner) plannedFleet() *record.Fleet {
 	f := record.NewFleet()
 	for _, key := range slices.Sorted(maps.Keys(p.items)) {
 		i := p.items[key]
-		if !strings.HasPrefix(key, record.FleetPrefix) || (i.Verdict != Intact && i.Verdict != Recovered) {
+		if !strings.HasPrefix(key, record.FleetPrefix) || (i.Outcome != Intact && i.Outcome != Recovered) {
 			continue
 		}
 		value := i.Put
@@ -63,28 +63,28 @@
 	return f
 }
 
-// unknownMachines records machines that were told to do something once and have no record. The
+// planUnrecordedMachines records machines that were told to do something once and have no record. The
 // others are left to the leader, which gives them back.
-func (p *planner) unknownMachines() {
-	f := p.fleet()
+func (p *planner) planUnrecordedMachines() {
+	f := p.plannedFleet()
 	for _, id := range slices.Sorted(maps.Keys(p.Reports)) {
 		r := p.Reports[id]
 		_, listed := p.Listed[id]
 		if _, known := f.Machine(id); known || !listed || r.Token == 0 {
 			continue
 		}
-		rental := record.Provision{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Shards: []int{p.partOf(&r)}, IDs: []string{id}, Addrs: []string{r.Addr}, Born: p.Mode.Since}
-		i := p.item(record.ProvisionKey("recovered-"+id), Recovered, FromReport, "its worker and the cloud tell it")
+		rental := record.Provision{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Shards: []int{p.shardFor(&r)}, IDs: []string{id}, Addrs: []string{r.Addr}, Born: p.Mode.Since}
+		i := p.item(record.ProvisionKey("recovered-"+id), Recovered, FromHeartbeat, "its worker and the cloud tell it")
 		i.Put = record.Encode(rental)
 	}
 }
 
-// partOf returns the part of the first unfinished job of which a worker has a task, or else the
+// shardFor returns the part of the first unfinished job of which a worker has a task, or else the
 // first part: what is not needed there moves on.
-func (p *planner) partOf(r *wire.Heartbeat) int {
+func (p *planner) shardFor(r *wire.Heartbeat) int {
 	for _, t := range r.Tasks {
 		ref, _, _ := scheduler.SplitTask(t.Task)
-		if o, open := p.jobs[ref]; open {
+		if o, open := p.activeJobs[ref]; open {
 			return o.Shard
 		}
 	}
--- a/internal/recovery/plan_test.go
+++ b/internal/recovery/plan_test.go
@@ -39,17 +39,17 @@
 	is := func(v any) map[string]any { return map[string]any{open: v} }
 	over := func(state string) map[string]any { return map[string]any{final: record.FinishedJob{State: state}} }
 	view := func(jobs ...string) View {
-		v := View{Revision: 50, Open: map[string]OpenJob{}}
+		v := View{Revision: 50, Open: map[string]ActiveJob{}}
 		for _, ref := range jobs {
-			v.Open[ref] = OpenJob{Version: 40, Cancelled: true}
+			v.Open[ref] = ActiveJob{Version: 40, Cancelled: true}
 		}
 		return v
 	}
-	choose := func(c Choice) map[string]Choice { return map[string]Choice{open: c} }
+	choose := func(c Decision) map[string]Decision { return map[string]Decision{open: c} }
 	for name, x := range map[string]struct {
 		e       Evidence
 		key     string
-		verdict Verdict
+		verdict Outcome
 		from    Source
 		put     any // nil: nothing is written
 	}{
@@ -68,10 +68,10 @@
 		"open: in the snapshot, and viewed":   {Evidence{Snapshot: entries(9, is(openJob(false))), View: view(testJob)}, open, Recovered, FromSnapshot, openJob(true)},
 		"open: only tasks are left":           {Evidence{Reports: report("m", running("0", 1))}, open, Undecided, "", nil},
 		"open: makes no sense":                {Evidence{Store: entries(9, is("x"))}, open, Undecided, "", nil},
-		"decided: again":                      {Evidence{Snapshot: entries(9, is(openJob(false))), Decisions: choose(ChooseAgain)}, open, Recovered, FromOperator, openJob(false)},
-		"decided: done":                       {Evidence{Snapshot: entries(9, is(openJob(false))), Decisions: choose(ChooseDone)}, final, Recovered, FromOperator, record.FinishedJob{State: "done"}},
-		"decided: cancelled, and it is there": {Evidence{Store: entries(9, is(openJob(false))), View: view(), Decisions: choose(ChooseCancelled)}, open, Finished, FromOperator, nil},
-		"decided: forget":                     {Evidence{Reports: report("m", running("0", 1)), Decisions: choose(ChooseForget)}, LostKey(testJob), Recovered, FromOperator, true},
+		"decided: again":                      {Evidence{Snapshot: entries(9, is(openJob(false))), Decisions: choose(DecideRerun)}, open, Recovered, FromOperator, openJob(false)},
+		"decided: done":                       {Evidence{Snapshot: entries(9, is(openJob(false))), Decisions: choose(DecideDone)}, final, Recovered, FromOperator, record.FinishedJob{State: "done"}},
+		"decided: cancelled, and it is there": {Evidence{Store: entries(9, is(openJob(false))), View: view(), Decisions: choose(DecideCancelled)}, open, Finished, FromOperator, nil},
+		"decided: forget":                     {Evidence{Reports: report("m", running("0", 1)), Decisions: choose(DecideForget)}, LostKey(testJob), Recovered, FromOperator, true},
 		"pipeline: the newest counts": {Evidence{Store: entries(4, map[string]any{"pipes/p": 1}), Snapshot: entries(9, map[string]any{"pipes/p": 2})},
 			"pipes/p", Recovered, FromSnapshot, 2},
 		"pipeline: the snapshot is older": {Evidence{Store: entries(9, map[string]any{"pipes/p": 2}), Snapshot: entries(4, map[string]any{"pipes/p": 1})},
@@ -82,13 +82,13 @@
 		"rental: in the snapshot, listed": {Evidence{Snapshot: entries(4, map[string]any{"fleet/rent/r": record.Provision{IDs: []string{"m"}}}), Listed: map[string]wire.Listed{"m": {ID: "m"}}},
 			"fleet/rent/r", Recovered, FromSnapshot, record.Provision{IDs: []string{"m"}}},
 		"rental: in the snapshot, not listed": {Evidence{Snapshot: entries(4, map[string]any{"fleet/rent/r": record.Provision{IDs: []string{"m"}}})}, "fleet/rent/r", Finished, FromSnapshot, nil},
-		"machine: without a record": {Evidence{Reports: report("m"), Listed: map[string]wire.Listed{"m": {ID: "m"}}}, "fleet/rent/recovered-m", Recovered, FromReport,
+		"machine: without a record": {Evidence{Reports: report("m"), Listed: map[string]wire.Listed{"m": {ID: "m"}}}, "fleet/rent/recovered-m", Recovered, FromHeartbeat,
 			record.Provision{Type: "big", Zone: "a", Shards: []int{0}, IDs: []string{"m"}, Addrs: []string{"a"}}},
 		"budget: in the snapshot": {Evidence{Snapshot: entries(4, map[string]any{"ctl/drain/ledger": 3})}, "ctl/drain/ledger", Recovered, FromSnapshot, 3},
 	} {
 		x.e.Mode = SafeMode{Active: true, Epoch: 1, Floor: 60}
 		var item *Item
-		p := Make(x.e, testLimits)
+		p := NewPlan(x.e, testLimits)
 		for _, i := range p.Items {
 			if i.Key == x.key {
 				item = &i
@@ -102,8 +102,8 @@
 		if x.put != nil {
 			want = string(record.Encode(x.put))
 		}
-		if item.Verdict != x.verdict || item.From != x.from || string(item.Put) != want {
-			t.Errorf("%s: %s from %q writes %s; want %s from %q, %s", name, item.Verdict, item.From, item.Put, x.verdict, x.from, want)
+		if item.Outcome != x.verdict || item.From != x.from || string(item.Put) != want {
+			t.Errorf("%s: %s from %q writes %s; want %s from %q, %s", name, item.Outcome, item.From, item.Put, x.verdict, x.from, want)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 // Members, the leader and the owners of parts are written anew, never restored.
 func TestNotRestored(t *testing.T) {
 	for _, key := range []string{record.LeaderKey, record.MemberPrefix + "c-0", record.ShardKey(1), SafeModeKey} {
-		if p := Make(Evidence{Snapshot: entries(4, map[string]any{key: 1})}, testLimits); len(p.Items) > 0 {
+		if p := NewPlan(Evidence{Snapshot: entries(4, map[string]any{key: 1})}, testLimits); len(p.Items) > 0 {
 			t.Errorf("%s: %+v", key, p.Items)
 		}
 	}
@@ -123,7 +123,7 @@
 	on, least = map[string]record.TaskPlacement{}, ^uint64(0)
 	turns := map[string]int{}
 	for _, i := range p.Items {
-		if _, _, ok := splitSlot(i.Key); !ok {
+		if _, _, ok := parsePlacementsKey(i.Key); !ok {
 			continue
 		}
 		value := i.Put
@@ -154,7 +154,7 @@
 		record.RangeName(testJob, 0): {Attempt: 2, Tasks: 3, Turn: 1, On: map[int]record.TaskPlacement{0: {Machine: "m1", Attempt: 1}, 1: {Machine: "m2", Attempt: 2}}}}}
 	e := Evidence{Mode: SafeMode{Active: true, Floor: 60}, Store: entries(9, map[string]any{record.ActiveJobKey(testJob): openJob(false)}),
 		Snapshot: entries(5, map[string]any{record.PlacementsKey(0, 0): old}), Reports: report("m3", running("0", 4), running("2", 3))}
-	on, least := slots(t, Make(e, testLimits), nil)
+	on, least := slots(t, NewPlan(e, testLimits), nil)
 	want := map[string]record.TaskPlacement{testJob + "/0": {Machine: "m3", Attempt: 4}, testJob + "/1": {Machine: "m2", Attempt: 2}, testJob + "/2": {Machine: "m3", Attempt: 3}}
 	for task, place := range want {
 		if on[task] != place {
@@ -172,7 +172,7 @@
 		record.RangeName(testJob, 0): {Attempt: 2, Tasks: 3, Turn: 1, On: map[int]record.TaskPlacement{0: {Machine: "m3", Attempt: 2}}}}}
 	e := Evidence{Mode: SafeMode{Active: true, Floor: 60}, Store: entries(9, map[string]any{record.ActiveJobKey(testJob): openJob(false)}),
 		Held: entries(12, map[string]any{record.PlacementsKey(0, 0): held}), Reports: report("m3", running("0", 2))}
-	on, least := slots(t, Make(e, testLimits), nil)
+	on, least := slots(t, NewPlan(e, testLimits), nil)
 	if len(on) != 1 || least != 2 {
 		t.Errorf("placements %v, least attempt %d", on, least)
 	}
@@ -184,7 +184,7 @@
 	for n := range 11 {
 		p.Items = append(p.Items, Item{Key: record.FinishedJobKey(string(rune('a' + n))), Put: json.RawMessage(`"x"`), Version: uint64(n)})
 	}
-	p.Items = append(p.Items, Item{Key: "open/z", Delete: true, Version: 99}, Item{Key: "open/y", Verdict: Intact})
+	p.Items = append(p.Items, Item{Key: "open/z", Delete: true, Version: 99}, Item{Key: "open/y", Outcome: Intact})
 	changes := 0
 	for _, txn := range p.Batches(testLimits) {
 		if len(txn.Then) > testLimits.TxnOps || len(txn.If) != len(txn.Then) {
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -8,9 +8,9 @@
 func TestOlder(t *testing.T) {
 	for _, x := range []struct {
 		held, found uint64
-		want        SignKind
-	}{{5, 5, ""}, {5, 6, ""}, {0, 0, ""}, {0, 4, ""}, {5, 4, RecordOlder}, {5, 0, RecordGone}} {
-		s, lost := Older("k", x.held, x.found)
+		want        FindingKind
+	}{{5, 5, ""}, {5, 6, ""}, {0, 0, ""}, {0, 4, ""}, {5, 4, RecordStale}, {5, 0, RecordMissing}} {
+		s, lost := CompareVersions("k", x.held, x.found)
 		if lost != (x.want != "") || s.Kind != x.want {
 			t.Errorf("held %d, found %d: %v", x.held, x.found, s)
 		}
@@ -42,11 +42,11 @@
 		"another began after it":      {active(2, 9), active(3, 7), false, false, 3, 9},
 		"what is over stays the same": {over(2), over(2), false, false, 2, 0},
 	} {
-		h := &Holder{}
+		h := &SafeModeState{}
 		if x.held != nil {
 			h.mode = *x.held
 		}
-		began, ended := h.Read(x.read)
+		began, ended := h.ApplyRecord(x.read)
 		if began != x.began || ended != x.ended || h.Mode().Epoch != x.epoch || h.Mode().Floor != x.floor {
 			t.Errorf("%s: began %v, ended %v, holds %+v", name, began, ended, h.Mode())
 		}
@@ -55,26 +55,26 @@
 
 // What is held is written until the record tells it, and a second sign changes nothing.
 func TestHolderWrites(t *testing.T) {
-	h := &Holder{}
-	if _, behind := h.Write(nil, 0); behind {
+	h := &SafeModeState{}
+	if _, behind := h.RecordUpdate(nil, 0); behind {
 		t.Error("a record is written without a sign")
 	}
-	if !h.Notice("c-0", Sign{Kind: RevisionFell, Held: 9}, 4, 1) || h.Notice("c-0", Sign{Kind: RecordGone}, 99, 2) {
+	if !h.Begin("c-0", Finding{Kind: RevisionRegressed, Held: 9}, 4, 1) || h.Begin("c-0", Finding{Kind: RecordMissing}, 99, 2) {
 		t.Fatal("noticed otherwise than once")
 	}
-	txn, behind := h.Write(nil, 0)
+	txn, behind := h.RecordUpdate(nil, 0)
 	var written SafeMode
 	if !behind || json.Unmarshal(txn.Then[0].Value, &written) != nil || written != h.Mode() || written.Floor != 9 {
 		t.Fatalf("wrote %+v, holds %+v", written, h.Mode())
 	}
-	if _, behind = h.Write(&written, 1); behind {
+	if _, behind = h.RecordUpdate(&written, 1); behind {
 		t.Error("written again")
 	}
-	h.Raise(12)
-	if txn, behind = h.Write(&written, 1); !behind || txn.If[0].Version != 1 {
+	h.RaiseFloor(12)
+	if txn, behind = h.RecordUpdate(&written, 1); !behind || txn.If[0].Version != 1 {
 		t.Error("a higher floor is not written")
 	}
-	if _, behind = h.Write(&SafeMode{Epoch: 1}, 2); behind {
+	if _, behind = h.RecordUpdate(&SafeMode{Epoch: 1}, 2); behind {
 		t.Error("one that is over is begun again")
 	}
 }
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/safe_mode.go
@@ -15,21 +15,21 @@
 	SafeModeKey = Prefix + "safe-mode"
 )
 
-// SignKind is a kind of sign of loss.
-type SignKind string
+// FindingKind is a kind of sign of loss.
+type FindingKind string
 
 // Signs that the state service has lost data. None of them comes about while it keeps what it
 // has confirmed.
 const (
-	RevisionFell SignKind = "revision fell"
-	TokenAhead   SignKind = "token ahead of the store"
-	RecordGone   SignKind = "record gone"
-	RecordOlder  SignKind = "record older"
+	RevisionRegressed FindingKind = "revision fell"
+	TokenAheadOfStore FindingKind = "token ahead of the store"
+	RecordMissing     FindingKind = "record gone"
+	RecordStale       FindingKind = "record older"
 )
 
-// Sign is a sign of loss with its evidence.
-type Sign struct {
-	Kind SignKind `json:"kind"`
+// Finding is a sign of loss with its evidence.
+type Finding struct {
+	Kind FindingKind `json:"kind"`
 	// Key is the record that tells it, if one does, or the machine with the token.
 	Key string `json:"key,omitempty"`
 	// Held is the version, revision or token that was known, Found what the store has.
@@ -38,23 +38,23 @@
 }
 
 // String tells a sign in a line.
-func (s Sign) String() string {
+func (s Finding) String() string {
 	if s.Key == "" {
 		return fmt.Sprintf("%s: %d, was %d", s.Kind, s.Found, s.Held)
 	}
 	return fmt.Sprintf("%s: %s is at %d, was %d", s.Kind, s.Key, s.Found, s.Held)
 }
 
-// Older gives the sign that a record's version tells, if any: what was held of it can only
+// CompareVersions gives the sign that a record's version tells, if any: what was held of it can only
 // have become newer.
-func Older(key string, held, found uint64) (Sign, bool) {
+func CompareVersions(key string, held, found uint64) (Finding, bool) {
 	switch {
 	case found >= held:
-		return Sign{}, false
+		return Finding{}, false
 	case found == 0:
-		return Sign{RecordGone, key, held, 0}, true
+		return Finding{RecordMissing, key, held, 0}, true
 	}
-	return Sign{RecordOlder, key, held, found}, true
+	return Finding{RecordStale, key, held, found}, true
 }
 
 // SafeMode is the record by which controllers agree that nothing may be done until the state
@@ -63,30 +63,30 @@
 	Active bool `json:"active"`
 	// Epoch counts losses: who holds a safe mode leaves it once the record tells that this
 	// epoch or a later one is over.
-	Epoch int    `json:"epoch"`
-	Since int64  `json:"since"` // milliseconds
-	By    string `json:"by"`    // who noticed it
-	Sign  Sign   `json:"sign"`
+	Epoch int     `json:"epoch"`
+	Since int64   `json:"since"` // milliseconds
+	By    string  `json:"by"`    // who noticed it
+	Sign  Finding `json:"sign"`
 	// Floor is the highest revision or token that was seen: the store's revision must be
 	// above it before an order goes out.
 	Floor uint64 `json:"floor"`
 	Ended int64  `json:"ended,omitempty"`
 }
 
-// Holder is one controller's knowledge of safe modes. It is held by each alone, whatever
+// SafeModeState is one controller's knowledge of safe modes. It is held by each alone, whatever
 // becomes of the record.
-type Holder struct {
+type SafeModeState struct {
 	mode SafeMode
 }
 
 // Active reports whether nothing may be done.
-func (h *Holder) Active() bool { return h.mode.Active }
+func (h *SafeModeState) Active() bool { return h.mode.Active }
 
 // Mode returns what is held.
-func (h *Holder) Mode() SafeMode { return h.mode }
+func (h *SafeModeState) Mode() SafeMode { return h.mode }
 
-// Notice begins a safe mode for a sign, unless there is one.
-func (h *Holder) Notice(label string, s Sign, floor uint64, nowMillis int64) (began bool) {
+// Begin begins a safe mode for a sign, unless there is one.
+func (h *SafeModeState) Begin(label string, s Finding, floor uint64, nowMillis int64) (began bool) {
 	if h.mode.Active {
 		return false
 	}
@@ -94,12 +94,12 @@
 	return true
 }
 
-// Raise takes in a revision or token that was seen.
-func (h *Holder) Raise(floor uint64) { h.mode.Floor = max(h.mode.Floor, floor) }
+// RaiseFloor takes in a revision or token that was seen.
+func (h *SafeModeState) RaiseFloor(floor uint64) { h.mode.Floor = max(h.mode.Floor, floor) }
 
-// Read takes in the record as it stands, nil if there is none. It reports whether a safe mode
+// ApplyRecord takes in the record as it stands, nil if there is none. It reports whether a safe mode
 // began or ended here.
-func (h *Holder) Read(r *SafeMode) (began, ended bool) {
+func (h *SafeModeState) ApplyRecord(r *SafeMode) (began, ended bool) {
 	switch {
 	case r == nil || r.Epoch < h.mode.Epoch:
 		return false, false // lost, or not written yet: what is held counts
@@ -112,13 +112,13 @@
 	case r.Epoch > h.mode.Epoch, r.Active == h.mode.Active && r.Floor > h.mode.Floor:
 		floor := h.mode.Floor
 		h.mode = *r
-		h.Raise(floor)
+		h.RaiseFloor(floor)
 	}
 	return false, false
 }
 
-// Write returns the transaction that brings the record up to what is held, if it is behind.
-func (h *Holder) Write(r *SafeMode, version uint64) (wire.Txn, bool) {
+// RecordUpdate returns the transaction that brings the record up to what is held, if it is behind.
+func (h *SafeModeState) RecordUpdate(r *SafeMode, version uint64) (wire.Txn, bool) {
 	if !h.mode.Active {
 		return wire.Txn{}, false
 	}
--- a/internal/restart/episode.go
+++ b/internal/restart/episode.go
@@ -20,43 +20,43 @@
 
 // Causes.
 const (
-	Started  Cause = "started"   // the process began
-	TookOver Cause = "took over" // it claimed parts later
+	Started    Cause = "started"   // the process began
+	FailedOver Cause = "took over" // it claimed parts later
 )
 
 // Episode is the time from a start or a take-over until all of it had settled.
 type Episode struct {
 	Incarnation uint64 `json:"inc"`
 	Cause       Cause  `json:"cause"`
-	Began       int64  `json:"began"`             // milliseconds
-	Settled     int64  `json:"settled,omitempty"` // 0: it has not
-	Parts       []int  `json:"parts"`
-	// Verdicts counts what was found, by the verdicts' names.
-	Verdicts map[string]int `json:"verdicts,omitempty"`
-	Awaited  int            `json:"awaited,omitempty"` // tasks of which nothing is proven yet
-	Unheard  int            `json:"unheard,omitempty"` // machines that have not reported yet
-	Names    []string       `json:"names,omitempty"`   // some of them
-	// Orders are those to workers, by second, and Bound how many were allowed to this
+	BeganAt     int64  `json:"began"`             // milliseconds
+	CompletedAt int64  `json:"settled,omitempty"` // 0: it has not
+	Shards      []int  `json:"parts"`
+	// Outcomes counts what was found, by the verdicts' names.
+	Outcomes       map[string]int `json:"verdicts,omitempty"`
+	PendingTasks   int            `json:"awaited,omitempty"` // tasks of which nothing is proven yet
+	SilentMachines int            `json:"unheard,omitempty"` // machines that have not reported yet
+	PendingNames   []string       `json:"names,omitempty"`   // some of them
+	// CommandsPerSecond are those to workers, by second, and Bound how many were allowed to this
 	// controller in one.
-	Orders []int   `json:"orders,omitempty"`
-	Bound  float64 `json:"bound,omitempty"`
+	CommandsPerSecond []int   `json:"orders,omitempty"`
+	CommandLimit      float64 `json:"bound,omitempty"`
 	// Contradictions counts claims that disagree with what is known.
 	Contradictions int `json:"contradictions,omitempty"`
 	// Malformed counts records that could not be decoded and were passed over.
 	Malformed int `json:"malformed,omitempty"`
 }
 
-// Took returns how long it took to settle, or has taken so far.
-func (e *Episode) Took(now time.Time) time.Duration {
+// Duration returns how long it took to settle, or has taken so far.
+func (e *Episode) Duration(now time.Time) time.Duration {
 	end := now
-	if e.Settled != 0 {
-		end = time.UnixMilli(e.Settled)
+	if e.CompletedAt != 0 {
+		end = time.UnixMilli(e.CompletedAt)
 	}
-	return end.Sub(time.UnixMilli(e.Began))
+	return end.Sub(time.UnixMilli(e.BeganAt))
 }
 
-// Name tells an episode from others of its controller.
-func (e *Episode) Name(label string) string { return fmt.Sprintf("%s/%d", label, e.Began) }
+// ID tells an episode from others of its controller.
+func (e *Episode) ID(label string) string { return fmt.Sprintf("%s/%d", label, e.BeganAt) }
 
 // History is a controller's record: its latest episodes, the newest last.
 type History struct {
@@ -68,7 +68,7 @@
 
 // Put takes in an episode as it stands, in place of what was kept of it.
 func (h *History) Put(e Episode) {
-	h.Episodes = slices.DeleteFunc(h.Episodes, func(o Episode) bool { return o.Began == e.Began })
+	h.Episodes = slices.DeleteFunc(h.Episodes, func(o Episode) bool { return o.BeganAt == e.BeganAt })
 	h.Episodes = append(h.Episodes, e)
 	if n := len(h.Episodes); n > maxEpisodes {
 		h.Episodes = slices.Delete(h.Episodes, 0, n-maxEpisodes)
@@ -92,9 +92,9 @@
 			continue
 		}
 		last := &kept.Episodes[0]
-		if last.Orders == nil && last.Names == nil {
+		if last.CommandsPerSecond == nil && last.PendingNames == nil {
 			return b
 		}
-		last.Orders, last.Names = nil, nil
+		last.CommandsPerSecond, last.PendingNames = nil, nil
 	}
 }
--- a/internal/restartctl/restartctl.go
+++ b/internal/restartctl/restartctl.go
@@ -39,7 +39,7 @@
 	switch {
 	case e.Invalid != "":
 		return "invalid"
-	case e.Settled != 0:
+	case e.CompletedAt != 0:
 		return "settled"
 	}
 	return "settling"
@@ -60,10 +60,10 @@
 			continue
 		}
 		for _, e := range h.Episodes {
-			out = append(out, Episode{Name: e.Name(label), Label: label, TookS: e.Took(c.Now()).Seconds(), Episode: e})
+			out = append(out, Episode{Name: e.ID(label), Label: label, TookS: e.Duration(c.Now()).Seconds(), Episode: e})
 		}
 	}
-	slices.SortStableFunc(out, func(a, b Episode) int { return cmp.Compare(a.Began, b.Began) })
+	slices.SortStableFunc(out, func(a, b Episode) int { return cmp.Compare(a.BeganAt, b.BeganAt) })
 	return out, nil
 }
 
--- a/internal/restartreport/report.go
+++ b/internal/restartreport/report.go
@@ -27,9 +27,9 @@
 // HTML writes a report as one page that needs nothing else.
 func HTML(w io.Writer, e *restartctl.Episode) error {
 	var orders, bound plotter.XYs
-	for second, n := range append(e.Orders, 0) {
+	for second, n := range append(e.CommandsPerSecond, 0) {
 		orders = append(orders, plotter.XY{X: float64(second), Y: float64(n)})
-		bound = append(bound, plotter.XY{X: float64(second), Y: e.Bound})
+		bound = append(bound, plotter.XY{X: float64(second), Y: e.CommandLimit})
 	}
 	svg, err := plots.SVG("Orders to workers", "seconds",
 		plots.Line{Name: "orders in a second", Color: plots.Blue, Points: orders},
@@ -41,5 +41,5 @@
 		*restartctl.Episode
 		BeganAt string
 		Plot    template.HTML
-	}{e, time.UnixMilli(e.Began).UTC().Format(time.RFC3339), svg})
+	}{e, time.UnixMilli(e.BeganAt).UTC().Format(time.RFC3339), svg})
 }
--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain.go
@@ -66,7 +66,7 @@
 		if m.Phase != record.InUse || (m.cordon == NotCordoned && !(later && m.avoided)) {
 			continue
 		}
-		dm := &drain.Machine{ID: m.ID, Type: m.Type.Name, Zone: m.Zone, Rented: m.born, Answers: s.answers(m, now)}
+		dm := &drain.Machine{ID: m.ID, Type: m.Type.Name, Zone: m.Zone, Rented: m.born, Reachable: s.answers(m, now)}
 		had := map[drain.UnitID]bool{}
 		for k := range m.on {
 			id := unitOf(k)
@@ -117,24 +117,24 @@
 	t := &j.tasks[k.i]
 	u := &drain.Unit{
 		UnitID: unitOf(k), Team: spec.Team, Class: spec.Class, Attempt: t.attempt, Service: spec.Kind == wire.Service, Tasks: 1,
-		Estimate: wire.Seconds(spec.EstimateS), Checkpoint: wire.Seconds(spec.CheckpointS), Save: wire.Seconds(spec.SaveS),
-		Running: t.phase == wire.Running, Stopping: t.stop || j.cancelled, OthersUp: j.runningTasks >= len(j.tasks)-1,
+		Estimate: wire.Seconds(spec.EstimateS), Checkpoint: wire.Seconds(spec.CheckpointS), SaveTime: wire.Seconds(spec.SaveS),
+		Running: t.phase == wire.Running, Stopping: t.stop || j.cancelled, OtherReplicasUp: j.runningTasks >= len(j.tasks)-1,
 	}
 	if u.Running {
-		u.Ran = now.Sub(t.runSince)
+		u.RunTime = now.Sub(t.runSince)
 	}
 	if u.Task == drain.WholeGang {
 		u.Tasks = len(j.tasks)
 		u.Running = j.runningTasks == len(j.tasks)
 	}
-	u.Loss = lost(spec, u)
+	u.LostWork = lost(spec, u)
 	for _, o := range j.tasksOf(u.UnitID) {
 		if m := j.tasks[o.i].machine; j.tasks[o.i].state == placed && m.cordon != NotCordoned {
-			u.OnDrained++
+			u.TasksOnCordoned++
 		}
 	}
-	u.HasRoom = u.OnDrained == 0 || s.hasRoom(j, u.OnDrained, false, now)
-	u.HasSelectedRoom = u.HasRoom || s.hasRoom(j, u.OnDrained, true, now)
+	u.FitsElsewhere = u.TasksOnCordoned == 0 || s.hasRoom(j, u.TasksOnCordoned, false, now)
+	u.FitsOnSelected = u.FitsElsewhere || s.hasRoom(j, u.TasksOnCordoned, true, now)
 	return u
 }
 
@@ -143,9 +143,9 @@
 	if !u.Running || u.Service {
 		return 0
 	}
-	loss := u.Ran
+	loss := u.RunTime
 	if u.Checkpoint > 0 {
-		loss = min(u.Ran%u.Checkpoint, u.Save)
+		loss = min(u.RunTime%u.Checkpoint, u.SaveTime)
 	}
 	return loss * time.Duration(u.Tasks)
 }
@@ -174,11 +174,11 @@
 func (s *Shard) SetReplacements(units []*drain.Unit) {
 	s.drained.replace = nil
 	for _, u := range units {
-		if j := s.jobs[u.Job]; j != nil && u.OnDrained > 0 {
+		if j := s.jobs[u.Job]; j != nil && u.TasksOnCordoned > 0 {
 			if s.drained.replace == nil {
 				s.drained.replace = map[*Job]int{}
 			}
-			s.drained.replace[j] += u.OnDrained
+			s.drained.replace[j] += u.TasksOnCordoned
 		}
 	}
 }
@@ -250,16 +250,16 @@
 }
 
 // FateOf tells what became of a unit whose disruption is open.
-func (s *Shard) FateOf(d drain.Disruption) drain.Fate {
+func (s *Shard) FateOf(d drain.Disruption) drain.Outcome {
 	j := s.jobs[d.Job]
 	if j == nil {
 		return drain.Recovered // its end is recorded
 	}
-	fate := drain.Untouched
+	fate := drain.Unaffected
 	for _, k := range j.tasksOf(d.UnitID) {
 		switch s.taskFate(k, d.Attempt) {
-		case drain.Interrupted:
-			return drain.Interrupted
+		case drain.StillInterrupted:
+			return drain.StillInterrupted
 		case drain.Recovered:
 			fate = drain.Recovered
 		}
@@ -267,19 +267,19 @@
 	return fate
 }
 
-func (s *Shard) taskFate(k key, attempt uint64) drain.Fate {
+func (s *Shard) taskFate(k key, attempt uint64) drain.Outcome {
 	t := &k.job.tasks[k.i]
 	switch {
 	case t.state == done:
 		return drain.Recovered
 	case t.state != placed || t.phase != wire.Running || t.stop:
-		return drain.Interrupted
+		return drain.StillInterrupted
 	case t.attempt > attempt:
 		return drain.Recovered
 	case t.attempt == attempt && t.seen && t.machine.fenced:
-		return drain.Untouched // a stop of an earlier owner would be refused
+		return drain.Unaffected // a stop of an earlier owner would be refused
 	}
-	return drain.Interrupted
+	return drain.StillInterrupted
 }
 
 // noteInterruption tells that a running task is proven gone without having ended.
@@ -290,7 +290,7 @@
 	}
 	spec := k.job.spec
 	s.out.Interrupted = append(s.out.Interrupted, Interruption{
-		Disruption: drain.Disruption{UnitID: unitOf(k), Attempt: t.attempt, Part: s.id, Class: spec.Class, Machine: t.machine.ID},
+		Disruption: drain.Disruption{UnitID: unitOf(k), Attempt: t.attempt, Shard: s.id, Class: spec.Class, Machine: t.machine.ID},
 		Team:       spec.Team,
 	})
 }
