--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -6,6 +6,7 @@
 	"errors"
 	"time"
 
+	"bramblespur/internal/controller/jobspec"
 	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/record"
 	"bramblespur/internal/statestore"
@@ -26,7 +27,7 @@
 // be renewed by who can't hear of cancellations. Until then the user is asked to
 // come again.
 func (c *Controller) cancel(ref string) transport.Response {
-	if !validJobReference(ref) {
+	if !jobspec.ValidJobReference(ref) {
 		return transport.Response{Status: 404}
 	}
 	if j, ok := c.terminalStates.Get(ref); ok {
--- a/internal/controller/lean_test.go
+++ b/internal/controller/lean_test.go
@@ -11,6 +11,7 @@
 	"testing/synctest"
 	"time"
 
+	"bramblespur/internal/controller/jobspec"
 	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/record"
@@ -205,9 +206,9 @@
 
 func mustSpec(t testing.TB, b []byte) *wire.Spec {
 	t.Helper()
-	spec, ok := parseSpec(b)
-	if !ok {
-		t.Fatal("no specification")
+	spec, err := jobspec.ParseJob(b)
+	if err != nil {
+		t.Fatal(err)
 	}
 	return spec
 }
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -7,6 +7,7 @@
 	"math"
 	"slices"
 
+	"bramblespur/internal/controller/jobspec"
 	"bramblespur/internal/fleet"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/peer"
@@ -81,7 +82,7 @@
 		return errSenseless("a record of %d bytes", len(a.Value))
 	}
 	ref := record.Last(a.Key)
-	if !validJobReference(ref) {
+	if !jobspec.ValidJobReference(ref) {
 		return errSenseless("a record of %.64q", a.Key)
 	}
 	switch a.Key {
@@ -92,7 +93,7 @@
 		if err := json.Unmarshal(a.Value, &j); err != nil {
 			return errSenseless("final record: %v", err)
 		}
-		if (j.State != wire.Done && j.State != wire.Cancelled) || j.Tasks < 0 || j.Tasks > maxTasks {
+		if (j.State != wire.Done && j.State != wire.Cancelled) || j.Tasks < 0 || j.Tasks > jobspec.MaxTasks {
 			return errSenseless("final record: %.32q with %d tasks", j.State, j.Tasks)
 		}
 		return nil
@@ -106,7 +107,7 @@
 	if err := json.Unmarshal(a.Value, &o); err != nil {
 		return errSenseless("open record: %v", err)
 	}
-	if a.Version == 0 || !c.isShard(o.Shard) || o.Spec.Ref != ref || !validSpec(&o.Spec) {
+	if a.Version == 0 || !c.isShard(o.Shard) || o.Spec.Ref != ref || jobspec.Validate(&o.Spec) != nil {
 		return errSenseless("open record of %s, part %d, version %d", ref, o.Shard, a.Version)
 	}
 	return nil
@@ -141,7 +142,7 @@
 	amounts := []float64{summary.Arriving, summary.ArrivingSpot}
 	for i := range summary.Needs {
 		n := &summary.Needs[i]
-		if n.Count < 0 || n.Count > maxTasks || n.ZoneLimit < 0 {
+		if n.Count < 0 || n.Count > jobspec.MaxTasks || n.ZoneLimit < 0 {
 			return errSenseless("part %d needs %d of %.32q", summary.Part, n.Count, n.Job)
 		}
 		amounts = append(amounts, n.CPUs, n.GPUs, n.MemoryGB)
--- a/internal/controller/pipelines.go
+++ b/internal/controller/pipelines.go
@@ -5,9 +5,9 @@
 	"encoding/json"
 	"errors"
 	"slices"
-	"strings"
 	"time"
 
+	"bramblespur/internal/controller/jobspec"
 	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/record"
 	"bramblespur/internal/statestore"
@@ -18,31 +18,13 @@
 // with all its jobs in one transaction or not at all; what it releases is its
 // owner's to decide, see package scheduler.
 
-// parsePipeline checks a submission's form, as parseSpec does a job's.
-func parsePipeline(body []byte) (ref string, rec record.Pipeline, specs []*wire.Spec, ok bool) {
-	var w wire.Pipeline
-	if json.Unmarshal(body, &w) != nil || !validReference(w.Ref, "pipe-") || len(w.Jobs) == 0 {
-		return "", rec, nil, false
-	}
-	for _, raw := range w.Jobs {
-		spec, ok := parseSpec(raw)
-		if !ok || len(spec.DependsOn) > 0 { // links say what follows what
-			return "", rec, nil, false
-		}
-		specs = append(specs, spec)
-		rec.Jobs = append(rec.Jobs, spec.Ref)
-	}
-	rec.Links, rec.Choices = w.Links, w.Choices
-	oneTeam := !slices.ContainsFunc(specs, func(spec *wire.Spec) bool { return spec.Team != specs[0].Team })
-	return w.Ref, rec, specs, oneTeam && wellFormed(&rec)
-}
-
 // submitPipeline accepts a pipeline whole, or refuses it.
 func (c *Controller) submitPipeline(body []byte) transport.Response {
-	ref, rec, specs, ok := parsePipeline(body)
-	if !ok {
+	parsed, err := jobspec.ParsePipeline(body)
+	if err != nil {
 		return transport.Response{Status: 400}
 	}
+	ref, rec, specs := parsed.Ref, parsed.Record, parsed.Jobs
 	types, ok := c.submissionTypes()
 	if !ok {
 		return retryReply()
@@ -54,7 +36,7 @@
 	if r := c.knownPipeline(ctx, use, ref); r.Status != 404 {
 		return r
 	}
-	if slices.ContainsFunc(specs, func(spec *wire.Spec) bool { return !c.canRun(spec, types) }) {
+	if slices.ContainsFunc(specs, func(spec *wire.Spec) bool { return jobspec.CheckFeasible(spec, types, c.cfg.Params.Teams) != nil }) {
 		return transport.Response{Status: 422}
 	}
 	rec.Shard = record.ShardOf(c.teams, specs[0].Team, ref, c.cfg.Params.Count)
@@ -78,23 +60,6 @@
 	return retryReply()
 }
 
-// wellFormed checks references, structure, and that each choice is stated.
-func wellFormed(rec *record.Pipeline) bool {
-	net, err := rec.Net()
-	if err != nil {
-		return false
-	}
-	open := net.Choices()
-	for _, ch := range rec.Choices {
-		branches, ok := open[ch.At]
-		if !ok || !slices.Contains(branches, ch.Done) || (ch.Cancelled != "" && !slices.Contains(branches, ch.Cancelled)) {
-			return false // no choice there, or stated twice, or for a job that is no branch
-		}
-		delete(open, ch.At)
-	}
-	return len(open) == 0
-}
-
 // pipelineTxn records a pipeline and its jobs, all but the first held. It
 // reports false if a record would be too large, or a step that follows.
 func (c *Controller) pipelineTxn(ref string, rec record.Pipeline, specs []*wire.Spec) (wire.Txn, bool) {
@@ -194,7 +159,7 @@
 
 // pipelineStatusQuery answers with a pipeline's state and those of its jobs.
 func (c *Controller) pipelineStatusQuery(ref string) transport.Response {
-	if no := c.refuseEarly(ref, "pipe-"); !no.IsZero() {
+	if no := c.refuseEarly(ref); !no.IsZero() {
 		return no
 	}
 	ctx, cancel := context.WithTimeout(c.life, userTimeout)
@@ -240,7 +205,7 @@
 // nothing more is released, then its jobs. The user is told once all are over; until
 // then any controller that is asked again carries on.
 func (c *Controller) cancelPipeline(ref string) transport.Response {
-	if no := c.refuseEarly(ref, "pipe-"); !no.IsZero() {
+	if no := c.refuseEarly(ref); !no.IsZero() {
 		return no
 	}
 	ctx, cancel := context.WithTimeout(c.life, userTimeout)
@@ -362,26 +327,12 @@
 
 // refuseEarly answers at once what asks for a malformed reference, or comes while
 // the state service can't be asked.
-func (c *Controller) refuseEarly(ref, prefix string) transport.Response {
+func (c *Controller) refuseEarly(ref string) transport.Response {
 	switch {
-	case !validReference(ref, prefix):
+	case !jobspec.ValidPipelineReference(ref):
 		return transport.Response{Status: 404}
 	case c.leaseLost():
 		return retryReply()
 	}
 	return transport.Response{}
 }
-
-// validReference checks the form of a reference.
-func validReference(ref, prefix string) bool {
-	digits, ok := strings.CutPrefix(ref, prefix)
-	if !ok || len(digits) < 6 || len(digits) > 18 {
-		return false
-	}
-	for _, d := range digits {
-		if d < '0' || d > '9' {
-			return false
-		}
-	}
-	return true
-}
--- a/internal/controller/status_queries.go
+++ b/internal/controller/status_queries.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 
+	"bramblespur/internal/controller/jobspec"
 	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/record"
 	"bramblespur/internal/statestore"
@@ -51,7 +52,7 @@
 // statusQuery answers a user's question for a job's state, which is never older than what any
 // controller has told a user before the question came.
 func (c *Controller) statusQuery(ref string) transport.Response {
-	if !validJobReference(ref) {
+	if !jobspec.ValidJobReference(ref) {
 		return transport.Response{Status: 404}
 	}
 	if j, ok := c.terminalStates.Get(ref); ok {
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -2,88 +2,16 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
-	"math"
-	"slices"
 	"time"
 
+	"bramblespur/internal/controller/jobspec"
 	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/record"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
 )
 
-// validJobReference checks the form of a job id.
-func validJobReference(ref string) bool { return validReference(ref, "run-") }
-
-// maxTasks is the protocol's bound of a job's tasks.
-const maxTasks = 100000
-
-// parseSpec checks a submission's form. Every field must be there, except
-// those that may be null.
-func parseSpec(body []byte) (*wire.Spec, bool) {
-	var fields map[string]json.RawMessage
-	if json.Unmarshal(body, &fields) != nil || fields == nil {
-		return nil, false
-	}
-	for _, f := range wire.RequiredFields {
-		if v, ok := fields[f]; !ok || string(v) == "null" {
-			return nil, false
-		}
-	}
-	var spec wire.Spec
-	if json.Unmarshal(body, &spec) != nil {
-		return nil, false
-	}
-	ok := validSpec(&spec)
-	slices.Sort(spec.DependsOn)
-	spec.DependsOn = slices.Compact(spec.DependsOn)
-	return &spec, ok
-}
-
-// isAmount reports whether a number may be an amount of something.
-func isAmount(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
-
-// validSpec checks the values of a specification's fields.
-func validSpec(spec *wire.Spec) bool {
-	return validJobReference(spec.Ref) && spec.Class != "" && spec.Team != "" && spec.Image != "" &&
-		slices.Contains([]string{wire.Array, wire.Gang, wire.Service}, spec.Kind) &&
-		slices.Contains([]string{"prod", "urgent", "normal", "low"}, spec.Priority) &&
-		spec.Tasks >= 1 && spec.Tasks <= maxTasks &&
-		isAmount(spec.CPUs) && isAmount(spec.GPUs) && isAmount(spec.MemoryGB) && isAmount(spec.ImageGB) &&
-		isAmount(spec.EstimateS) && isAmount(spec.CheckpointS) && isAmount(spec.SaveS) && (spec.DeadlineS == nil || isAmount(*spec.DeadlineS)) &&
-		!slices.ContainsFunc(spec.DependsOn, func(r string) bool { return !validJobReference(r) })
-}
-
-// canRun reports whether a job could ever run here.
-func (c *Controller) canRun(spec *wire.Spec, types []wire.MachineType) bool {
-	fits := false
-	for _, t := range types {
-		if (spec.Types == nil || slices.Contains(spec.Types, t.Name)) && spec.CPUs <= t.CPUs && spec.GPUs <= t.GPUs &&
-			spec.MemoryGB <= t.MemoryGB && (spec.Zone == nil || slices.Contains(t.Zones, *spec.Zone)) {
-			fits = true
-		}
-	}
-	if !fits {
-		return false
-	}
-	if len(c.cfg.Params.Teams) == 0 {
-		return true
-	}
-	n := float64(spec.Tasks)
-	if spec.Kind == wire.Array {
-		n = 1
-	}
-	const slack = 1e-6
-	for _, t := range c.cfg.Params.Teams {
-		if t.Name == spec.Team {
-			return (t.CPUsMax <= 0 || n*spec.CPUs <= t.CPUsMax+slack) && (t.GPUsMax <= 0 || n*spec.GPUs <= t.GPUsMax+slack)
-		}
-	}
-	return false
-}
-
 // submissionTypes returns the machine types if a submission can be decided on: they are
 // known, and the state service can be asked.
 func (c *Controller) submissionTypes() ([]wire.MachineType, bool) {
@@ -96,8 +24,8 @@
 // submit answers a submission. 201 and 200 are durable: the job's record is in the state
 // service by then.
 func (c *Controller) submit(body []byte) transport.Response {
-	spec, ok := parseSpec(body)
-	if !ok {
+	spec, err := jobspec.ParseJob(body)
+	if err != nil {
 		return transport.Response{Status: 400}
 	}
 	if j, ok := c.terminalStates.Get(spec.Ref); ok {
@@ -116,7 +44,7 @@
 			return r
 		}
 	}
-	if !c.canRun(spec, types) {
+	if jobspec.CheckFeasible(spec, types, c.cfg.Params.Teams) != nil {
 		return c.refuseUnlessAccepted(ctx, spec.Ref, 422)
 	}
 	part := record.ShardOf(c.teams, spec.Team, spec.Ref, c.cfg.Params.Count)
