--- a/internal/contract/snapshot_test.go
+++ b/internal/contract/snapshot_test.go
@@ -21,11 +21,11 @@
 
 var errDown = errors.New("down")
 
-func (s *store) Get(context.Context, statestore.Use, string) (wire.Entry, error) {
+func (s *store) Get(context.Context, statestore.Purpose, string) (wire.Entry, error) {
 	return wire.Entry{Key: "ctl/cluster", Value: []byte(`{"id":"C"}`), Version: 1}, nil
 }
 
-func (s *store) ListPage(_ context.Context, _ statestore.Use, prefix, _ string, _ int) (wire.EntryPage, error) {
+func (s *store) ListPage(_ context.Context, _ statestore.Purpose, prefix, _ string, _ int) (wire.EntryPage, error) {
 	if s.pages == 0 {
 		return wire.EntryPage{}, errDown
 	}
@@ -40,7 +40,7 @@
 	}
 }
 
-func (s *store) Txn(context.Context, statestore.Use, wire.Txn) (uint64, error) { return 0, errDown }
+func (s *store) Txn(context.Context, statestore.Purpose, wire.Txn) (uint64, error) { return 0, errDown }
 
 func (s *store) Watch(context.Context, string, uint64, time.Duration) (wire.Changes, error) {
 	return wire.Changes{Revision: 9}, nil
--- a/internal/controller/bounds_test.go
+++ b/internal/controller/bounds_test.go
@@ -255,19 +255,19 @@
 	n *tally
 }
 
-func (s countingStore) Get(ctx context.Context, u statestore.Use, key string) (wire.Entry, error) {
-	s.n.add(u.For)
-	return s.Store.Get(ctx, u, key)
+func (s countingStore) Get(ctx context.Context, purpose statestore.Purpose, key string) (wire.Entry, error) {
+	s.n.add(purpose.Name)
+	return s.Store.Get(ctx, purpose, key)
 }
 
-func (s countingStore) List(ctx context.Context, u statestore.Use, prefix string) ([]wire.Entry, uint64, error) {
-	s.n.add(u.For)
-	return s.Store.List(ctx, u, prefix)
+func (s countingStore) List(ctx context.Context, purpose statestore.Purpose, prefix string) ([]wire.Entry, uint64, error) {
+	s.n.add(purpose.Name)
+	return s.Store.List(ctx, purpose, prefix)
 }
 
-func (s countingStore) Txn(ctx context.Context, u statestore.Use, t wire.Txn) (uint64, error) {
-	s.n.add(u.For)
-	return s.Store.Txn(ctx, u, t)
+func (s countingStore) Txn(ctx context.Context, purpose statestore.Purpose, t wire.Txn) (uint64, error) {
+	s.n.add(purpose.Name)
+	return s.Store.Txn(ctx, purpose, t)
 }
 
 func (s countingStore) Renew(ctx context.Context, lease uint64) error {
--- a/internal/controller/claim.go
+++ b/internal/controller/claim.go
@@ -188,7 +188,7 @@
 }
 
 // readFleet reads the records of all machines.
-func (c *Controller) readFleet(ctx context.Context, use statestore.Use) (*record.Fleet, error) {
+func (c *Controller) readFleet(ctx context.Context, use statestore.Purpose) (*record.Fleet, error) {
 	entries, _, err := c.store.List(ctx, use, record.FleetPrefix)
 	if err != nil {
 		return nil, err
--- a/internal/controller/dependency_tracking.go
+++ b/internal/controller/dependency_tracking.go
@@ -67,9 +67,9 @@
 }
 
 // readTerminal reads a job's final record.
-func (c *Controller) readTerminal(ctx context.Context, u statestore.Use, ref string) (record.FinishedJob, error) {
+func (c *Controller) readTerminal(ctx context.Context, purpose statestore.Purpose, ref string) (record.FinishedJob, error) {
 	var j record.FinishedJob
-	e, err := c.store.Get(ctx, u, record.FinishedJobKey(ref))
+	e, err := c.store.Get(ctx, purpose, record.FinishedJobKey(ref))
 	if err != nil {
 		return j, err
 	}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -53,7 +53,7 @@
 	releasing          map[string]bool // batches being given back
 	grants             quotaGrants
 	orderLimits        *ratelimit.ClusterShares // of the orders to workers; nil until they are shared out
-	lender             *statestore.Pool         // changes that it lends
+	lender             *statestore.LoanPool     // changes that it lends
 	lastSyncAt         time.Time
 	lastPlanAt         time.Time
 	addresses          map[string]string // of machines, as their owners tell
@@ -160,7 +160,7 @@
 	r := peer.SyncReply{Summaries: c.summaries(now), StateOK: c.sure(now),
 		Recovering: load.recovering, HasRoom: load.hasRoom}
 	if len(a.Orders) == 0 { // orders alone come between the leader's turns
-		r.Requests, r.Changes = c.store.Needed()
+		r.Requests, r.Changes = c.store.TakeDemand()
 		r.OrdersWaiting = c.delayedCommands()
 	}
 	return r
@@ -254,7 +254,7 @@
 			plan:       fleet.NewPlanner(c.fleetConfig()),
 			provisions: map[string]record.Provision{}, unrecognized: map[string]int{}, recentMachines: map[string]time.Time{}, started: now,
 			releasing: map[string]bool{}, addresses: map[string]string{}, recordingAddresses: map[string]bool{},
-			lender: statestore.NewPool(),
+			lender: statestore.NewLoanPool(),
 		}
 	}
 	return c.leadership
@@ -269,7 +269,7 @@
 	}
 	l.lastSyncAt = now
 	own := quotaDemand{ordersWaiting: c.delayedCommands()}
-	own.Requests, own.Changes = c.store.Needed()
+	own.Requests, own.Changes = c.store.TakeDemand()
 	needs[c.cfg.Label] = own
 	c.setCommandRate(l.grants.orders[c.cfg.Label], now) // as the others were told in this turn
 	l.grants = c.computeGrants(needs, turn)
--- a/internal/controller/lean_test.go
+++ b/internal/controller/lean_test.go
@@ -33,21 +33,21 @@
 	s.read.Store(0)
 }
 
-func (s *countingState) Get(ctx context.Context, u statestore.Use, key string) (wire.Entry, error) {
+func (s *countingState) Get(ctx context.Context, purpose statestore.Purpose, key string) (wire.Entry, error) {
 	s.gets.Add(1)
-	return s.State.Get(ctx, u, key)
+	return s.State.Get(ctx, purpose, key)
 }
 
-func (s *countingState) List(ctx context.Context, u statestore.Use, prefix string) ([]wire.Entry, uint64, error) {
-	l, rev, err := s.State.List(ctx, u, prefix)
+func (s *countingState) List(ctx context.Context, purpose statestore.Purpose, prefix string) ([]wire.Entry, uint64, error) {
+	l, rev, err := s.State.List(ctx, purpose, prefix)
 	s.read.Add(int64(len(l)))
 	s.lists.Add(1)
 	return l, rev, err
 }
 
-func (s *countingState) Txn(ctx context.Context, u statestore.Use, t wire.Txn) (uint64, error) {
+func (s *countingState) Txn(ctx context.Context, purpose statestore.Purpose, t wire.Txn) (uint64, error) {
 	s.txns.Add(1)
-	return s.State.Txn(ctx, u, t)
+	return s.State.Txn(ctx, purpose, t)
 }
 
 // Polls that wait together cost one request, and a time without polls none.
--- a/internal/controller/parts.go
+++ b/internal/controller/parts.go
@@ -147,7 +147,7 @@
 }
 
 func (c *Controller) commit(shard *scheduler.Shard, t *scheduler.Txn) {
-	rev, err := c.store.Txn(c.life, statestore.Use{For: t.Purpose, Routine: t.Routine}, t.Body)
+	rev, err := c.store.Txn(c.life, statestore.Purpose{Name: t.Purpose, Routine: t.Routine}, t.Body)
 	var conflict *statestore.ConflictError
 	c.updateShard(shard, func(now time.Time) {
 		switch {
@@ -284,7 +284,7 @@
 // missingPipelineEnds reads the final records of a pipeline's jobs whose ends its own record
 // does not tell: it may have been too large to be written again.
 // Those named are known to be open.
-func (c *Controller) missingPipelineEnds(ctx context.Context, u statestore.Use, rec *record.Pipeline, open []string) ([]record.PipelineJobEnd, error) {
+func (c *Controller) missingPipelineEnds(ctx context.Context, purpose statestore.Purpose, rec *record.Pipeline, open []string) ([]record.PipelineJobEnd, error) {
 	var ends []record.PipelineJobEnd
 	for _, ref := range rec.Untold() {
 		if slices.Contains(open, ref) {
@@ -293,7 +293,7 @@
 		j, known := c.terminalStates.Get(ref)
 		if !known {
 			var err error
-			j, err = c.readTerminal(ctx, u, ref)
+			j, err = c.readTerminal(ctx, purpose, ref)
 			if errors.Is(err, statestore.ErrNotFound) {
 				continue
 			}
--- a/internal/controller/pipelines.go
+++ b/internal/controller/pipelines.go
@@ -90,9 +90,9 @@
 const maxTxnBytes = 48 << 10
 
 // pipelineRecord reads a pipeline's record.
-func (c *Controller) pipelineRecord(ctx context.Context, u statestore.Use, ref string) (record.Pipeline, uint64, error) {
+func (c *Controller) pipelineRecord(ctx context.Context, purpose statestore.Purpose, ref string) (record.Pipeline, uint64, error) {
 	var rec record.Pipeline
-	e, err := c.store.Get(ctx, u, record.PipelineKey(ref))
+	e, err := c.store.Get(ctx, purpose, record.PipelineKey(ref))
 	if err != nil {
 		return rec, 0, err
 	}
@@ -101,14 +101,14 @@
 
 // knownPipeline answers with the state of an accepted pipeline, 404 if there is
 // none.
-func (c *Controller) knownPipeline(ctx context.Context, u statestore.Use, ref string) transport.Response {
-	rec, _, err := c.pipelineRecord(ctx, u, ref)
+func (c *Controller) knownPipeline(ctx context.Context, purpose statestore.Purpose, ref string) transport.Response {
+	rec, _, err := c.pipelineRecord(ctx, purpose, ref)
 	if errors.Is(err, statestore.ErrNotFound) {
 		return transport.Response{Status: 404}
 	}
 	over := false
 	if err == nil {
-		over, err = c.pipelineTerminal(ctx, u, &rec)
+		over, err = c.pipelineTerminal(ctx, purpose, &rec)
 	}
 	if err != nil {
 		return retryReply()
@@ -119,7 +119,7 @@
 // pipelineTerminal reports whether a pipeline has its final state: as with a single job,
 // it is called cancelled only once none of its jobs is open any more, and so all
 // tasks are proven gone.
-func (c *Controller) pipelineTerminal(ctx context.Context, u statestore.Use, rec *record.Pipeline) (bool, error) {
+func (c *Controller) pipelineTerminal(ctx context.Context, purpose statestore.Purpose, rec *record.Pipeline) (bool, error) {
 	if rec.State != wire.Cancelled {
 		return rec.State != "", nil
 	}
@@ -129,7 +129,7 @@
 		for _, ref := range refs {
 			t.If = append(t.If, wire.Cond{Key: record.ActiveJobKey(ref)})
 		}
-		_, err := c.store.Txn(ctx, u, t)
+		_, err := c.store.Txn(ctx, purpose, t)
 		var conflict *statestore.ConflictError
 		if errors.As(err, &conflict) {
 			return false, nil
@@ -275,7 +275,7 @@
 }
 
 // cancelTxn makes the transaction that cancels those of some jobs that are open.
-func (c *Controller) cancelTxn(ctx context.Context, use statestore.Use, refs []string) (wire.Txn, error) {
+func (c *Controller) cancelTxn(ctx context.Context, use statestore.Purpose, refs []string) (wire.Txn, error) {
 	var t wire.Txn
 	for _, ref := range refs {
 		key := record.ActiveJobKey(ref)
--- a/internal/controller/quota.go
+++ b/internal/controller/quota.go
@@ -39,8 +39,8 @@
 // is left to it. The lock is held.
 func (c *Controller) computeGrants(needs map[string]quotaDemand, turn time.Duration) quotaGrants {
 	s := c.rates()
-	c.leadership.lender.Limit(c.cfg.Params.Count, s.WriteRPS, time.Now())
-	rps, writes := s.RPS*grantedShare, s.WriteRPS*(grantedShare-statestore.LentRate)
+	c.leadership.lender.SetLimit(c.cfg.Params.Count, s.WriteRPS, time.Now())
+	rps, writes := s.RPS*grantedShare, s.WriteRPS*(grantedShare-statestore.LoanShare)
 	requests, changes := map[string]float64{}, map[string]float64{}
 	for _, l := range c.cfg.Labels() {
 		u, answered := needs[l]
@@ -89,7 +89,7 @@
 func (c *Controller) applyGrant(requests, changes float64, now time.Time) {
 	if requests > 0 && changes > 0 {
 		c.grantedAt = now
-		c.store.Budget(requests, changes)
+		c.store.SetLimits(requests, changes)
 	}
 }
 
@@ -97,7 +97,7 @@
 func (c *Controller) expireGrant(now time.Time) {
 	if now.Sub(c.grantedAt) > grantLifetime {
 		n := float64(c.cfg.Params.Count)
-		c.store.Budget(c.rates().RPS/n, c.rates().WriteRPS/n)
+		c.store.SetLimits(c.rates().RPS/n, c.rates().WriteRPS/n)
 	}
 }
 
@@ -106,7 +106,7 @@
 	short := false
 	for sleep(ctx, countsEvery) {
 		args := []any{}
-		for purpose, n := range c.store.Counts() {
+		for purpose, n := range c.store.TakeUsage() {
 			args = append(args, purpose, n)
 		}
 		c.log.Info("state service used", args...)
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -19,7 +19,7 @@
 	c.cfg.Params.State.RPS, c.cfg.Params.State.WriteRPS = 200, 25
 	c.lease.Grant(membership.LeaseState{ID: 1, Incarnation: 5, RenewedAt: time.Now()})
 	c.leader = versioned[record.Leader]{rec: record.Leader{Label: c.cfg.Label, Incarnation: 5}, version: 1}
-	c.leadership = &leadership{lender: statestore.NewPool()}
+	c.leadership = &leadership{lender: statestore.NewLoanPool()}
 }
 
 // What the leader shares out and what it lends keep within the limit together, and
--- a/internal/controller/safe_mode.go
+++ b/internal/controller/safe_mode.go
@@ -96,7 +96,7 @@
 	if !m.enabled || !c.upgraded() {
 		return
 	}
-	if m.state.Begin(c.cfg.Label, s, m.guard.Highest(), now.UnixMilli()) {
+	if m.state.Begin(c.cfg.Label, s, m.guard.HighestRevision(), now.UnixMilli()) {
 		c.enterSafeMode(now)
 	}
 }
@@ -116,7 +116,7 @@
 	m := &c.safeMode
 	mode := m.state.Mode()
 	c.log.Error("the state service has lost data: safe mode", "sign", mode.Sign, "noticed_by", mode.By, "epoch", mode.Epoch)
-	m.guard.Close(true)
+	m.guard.SetReadOnly(true)
 	go c.safeModeLoop(c.life)
 	m.frozenShards, m.heartbeats = c.shards, recovery.Heartbeats{}
 	m.activeJobsRevision, m.heldRecords = c.viewRevisions[record.ActiveJobPrefix], nil
@@ -131,8 +131,8 @@
 	m := &c.safeMode
 	c.log.Info("safe mode is over", "epoch", m.state.Mode().Epoch)
 	m.frozenShards, m.heartbeats, m.heldRecords = nil, nil, nil
-	m.guard.Reset()
-	m.guard.Close(false)
+	m.guard.ForgetRevision()
+	m.guard.SetReadOnly(false)
 	m.viewResets++
 	c.shardRecords = map[int]versioned[record.Shard]{}
 	c.fleet = record.NewFleet()
@@ -208,7 +208,7 @@
 // checkHeartbeatToken looks into a worker's token that is ahead of all revisions seen: tokens are
 // revisions of the state service. The lock is held.
 func (c *Controller) checkHeartbeatToken(r *wire.Heartbeat) {
-	if m := &c.safeMode; m.enabled && r.Token > m.guard.Highest() {
+	if m := &c.safeMode; m.enabled && r.Token > m.guard.HighestRevision() {
 		go c.confirmRevisionLoss(recovery.Finding{Kind: recovery.TokenAheadOfStore, Key: r.Machine, Held: r.Token})
 	}
 }
--- a/internal/controller/saturated_test.go
+++ b/internal/controller/saturated_test.go
@@ -22,16 +22,16 @@
 	turn time.Duration
 }
 
-func (s *saturatedState) Get(ctx context.Context, u statestore.Use, key string) (wire.Entry, error) {
+func (s *saturatedState) Get(ctx context.Context, purpose statestore.Purpose, key string) (wire.Entry, error) {
 	d := s.turn
-	if u.Routine {
+	if purpose.Routine {
 		d += time.Second
 	}
 	select {
 	case <-ctx.Done():
 		return wire.Entry{}, statestore.ErrRefused
 	case <-time.After(d):
-		return s.State.Get(ctx, u, key)
+		return s.State.Get(ctx, purpose, key)
 	}
 }
 
--- a/internal/controller/status_queries.go
+++ b/internal/controller/status_queries.go
@@ -16,15 +16,15 @@
 // would take longer than a user waits while the budget is used up, and then every
 // poll that is refused would come again. Else the open record comes first, since a
 // job that has none any more is in the other by then.
-func (c *Controller) jobState(ctx context.Context, u statestore.Use, ref string) (string, error) {
+func (c *Controller) jobState(ctx context.Context, purpose statestore.Purpose, ref string) (string, error) {
 	known := c.activeJobBaseline(ref)
 	if known.version == 0 {
-		if state, err := c.terminalState(ctx, u, ref); !errors.Is(err, statestore.ErrNotFound) {
+		if state, err := c.terminalState(ctx, purpose, ref); !errors.Is(err, statestore.ErrNotFound) {
 			return state, err
 		}
-		u = statestore.Urgent(u.For) // a reading that has begun goes on
+		purpose = statestore.Urgent(purpose.Name) // a reading that has begun goes on
 	}
-	e, err := c.store.Get(ctx, u, record.ActiveJobKey(ref))
+	e, err := c.store.Get(ctx, purpose, record.ActiveJobKey(ref))
 	if err == nil {
 		// Also of one that is being cancelled: see cancel.
 		return wire.Pending, c.checkActiveRecord(ref, known, e.Version)
@@ -32,7 +32,7 @@
 	if !errors.Is(err, statestore.ErrNotFound) {
 		return "", err
 	}
-	state, err := c.terminalState(ctx, statestore.Urgent(u.For), ref)
+	state, err := c.terminalState(ctx, statestore.Urgent(purpose.Name), ref)
 	if errors.Is(err, statestore.ErrNotFound) {
 		err = c.checkMissingRecords(ref, known)
 	}
@@ -40,8 +40,8 @@
 }
 
 // terminalState reads the state of a job that is over.
-func (c *Controller) terminalState(ctx context.Context, u statestore.Use, ref string) (string, error) {
-	j, err := c.readTerminal(ctx, u, ref)
+func (c *Controller) terminalState(ctx context.Context, purpose statestore.Purpose, ref string) (string, error) {
+	j, err := c.readTerminal(ctx, purpose, ref)
 	return j.State, err
 }
 
--- a/internal/controller/wave_test.go
+++ b/internal/controller/wave_test.go
@@ -46,10 +46,10 @@
 	asked, let chan struct{}
 }
 
-func (s *slowState) Txn(ctx context.Context, u statestore.Use, t wire.Txn) (uint64, error) {
+func (s *slowState) Txn(ctx context.Context, purpose statestore.Purpose, t wire.Txn) (uint64, error) {
 	s.asked <- struct{}{}
 	<-s.let
-	return s.State.Txn(ctx, u, t)
+	return s.State.Txn(ctx, purpose, t)
 }
 
 // While changes wait for the state service's budget the leader's turns go on: what
--- a/internal/controller/withheld_test.go
+++ b/internal/controller/withheld_test.go
@@ -22,8 +22,8 @@
 	asked []string
 }
 
-func (s *lossyState) Txn(ctx context.Context, u statestore.Use, t wire.Txn) (uint64, error) {
-	revision, err := s.State.Txn(ctx, u, t)
+func (s *lossyState) Txn(ctx context.Context, purpose statestore.Purpose, t wire.Txn) (uint64, error) {
+	revision, err := s.State.Txn(ctx, purpose, t)
 	if !writes(t, record.PlacementsPrefix) {
 		return revision, err
 	}
@@ -36,13 +36,13 @@
 	return revision, err
 }
 
-func (s *lossyState) Get(ctx context.Context, u statestore.Use, key string) (wire.Entry, error) {
+func (s *lossyState) Get(ctx context.Context, purpose statestore.Purpose, key string) (wire.Entry, error) {
 	if strings.HasPrefix(key, record.PlacementsPrefix) {
 		s.mu.Lock()
 		s.asked = append(s.asked, "read")
 		s.mu.Unlock()
 	}
-	return s.State.Get(ctx, u, key)
+	return s.State.Get(ctx, purpose, key)
 }
 
 // ownerOfOne returns a controller that owns a machine without an address, so that starts
--- a/internal/recoverctl/measure_test.go
+++ b/internal/recoverctl/measure_test.go
@@ -90,7 +90,7 @@
 	}
 	count := p.Count()
 	requests := 0
-	for _, n := range store.Counts() {
+	for _, n := range store.TakeUsage() {
 		requests += n.Requests
 	}
 	b.ReportMetric(gathered.Seconds(), "s-gathered")
--- a/internal/recoverctl/recoverctl_test.go
+++ b/internal/recoverctl/recoverctl_test.go
@@ -22,14 +22,14 @@
 	requests int
 }
 
-func (s *store) Txn(ctx context.Context, u statestore.Use, t wire.Txn) (uint64, error) {
+func (s *store) Txn(ctx context.Context, purpose statestore.Purpose, t wire.Txn) (uint64, error) {
 	s.requests++
 	if s.before != nil {
 		if err := s.before(s.requests); err != nil {
 			return 0, err
 		}
 	}
-	return s.State.Txn(ctx, u, t)
+	return s.State.Txn(ctx, purpose, t)
 }
 
 // jobs is how many jobs are to be recovered, in several transactions.
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -40,11 +40,11 @@
 // smallPage is the most keys in a page of the stand-in.
 const smallPage = 3
 
-func (s *source) ListPage(ctx context.Context, u statestore.Use, prefix, after string, _ int) (wire.EntryPage, error) {
+func (s *source) ListPage(ctx context.Context, purpose statestore.Purpose, prefix, after string, _ int) (wire.EntryPage, error) {
 	if err := s.meet(); err != nil {
 		return wire.EntryPage{}, err
 	}
-	return s.State.ListPage(ctx, u, prefix, after, smallPage)
+	return s.State.ListPage(ctx, purpose, prefix, after, smallPage)
 }
 
 func (s *source) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (wire.Changes, error) {
--- a/internal/snapshot/take.go
+++ b/internal/snapshot/take.go
@@ -18,9 +18,9 @@
 
 // Source is the state service as far as snapshots need it.
 type Source interface {
-	Get(ctx context.Context, u statestore.Use, key string) (wire.Entry, error)
-	ListPage(ctx context.Context, u statestore.Use, prefix, after string, limit int) (wire.EntryPage, error)
-	Txn(ctx context.Context, u statestore.Use, t wire.Txn) (uint64, error)
+	Get(ctx context.Context, u statestore.Purpose, key string) (wire.Entry, error)
+	ListPage(ctx context.Context, u statestore.Purpose, prefix, after string, limit int) (wire.EntryPage, error)
+	Txn(ctx context.Context, u statestore.Purpose, t wire.Txn) (uint64, error)
 	Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (wire.Changes, error)
 }
 
--- a/internal/statestore/admission.go
+++ b/internal/statestore/admission.go
@@ -10,43 +10,43 @@
 )
 
 const (
-	// routineFloor is the share of a burst that routine work leaves free.
-	routineFloor = 0.3
-	// routinePatience is how long routine work leaves that free.
-	routinePatience = time.Second
-	// fairTurn is how many units (changes or requests) others take before the request
+	// reservedShare is the share of a burst that routine work leaves free.
+	reservedShare = 0.3
+	// reserveTimeout is how long routine work leaves that free.
+	reserveTimeout = time.Second
+	// agingUnits is how many units (changes or requests) others take before the request
 	// that waits longest has its turn, whatever it is for: so no class starves. Ends of
 	// jobs, of two changes, get a third so, which is what they need where all jobs
 	// are of one task.
-	fairTurn = 4
-	// fairAfter is how long a request has waited before it may have that turn.
-	fairAfter = routinePatience
-	// longestQueue bounds the requests that wait in a lane.
-	longestQueue = 200
-	// answerTime is left of a caller's deadline for the service's answer.
-	answerTime = 100 * time.Millisecond
-	// lendPause is how long no changes are asked for after they were denied.
-	lendPause = 200 * time.Millisecond
-	// shortestTimer keeps rounding from waking the process twice.
-	shortestTimer = time.Millisecond
+	agingUnits = 4
+	// agingDelay is how long a request has waited before it may have that turn.
+	agingDelay = reserveTimeout
+	// maxQueueLength bounds the requests that wait in a lane.
+	maxQueueLength = 200
+	// responseTime is left of a caller's deadline for the service's answer.
+	responseTime = 100 * time.Millisecond
+	// loanRetryDelay is how long no changes are asked for after they were denied.
+	loanRetryDelay = 200 * time.Millisecond
+	// minTimer keeps rounding from waking the process twice.
+	minTimer = time.Millisecond
 )
 
-// admission keeps requests to this controller's part of the service's limits. The
+// requestScheduler keeps requests to this controller's part of the service's limits. The
 // limiters hold the tokens; what finds none waits here, ordered by class. No timer
 // runs and nothing is woken while nothing waits.
-type admission struct {
-	reqs    *rate.Limiter
-	changes *rate.Limiter
+type requestScheduler struct {
+	requestTokens *rate.Limiter
+	writeTokens   *rate.Limiter
 
-	mu     sync.Mutex
-	reads  lane // need a request each
-	writes lane // need changes as well
-	timer  *time.Timer
-	passed [2]int // requests and changes let through since last asked
+	mu       sync.Mutex
+	reads    queue // need a request each
+	writes   queue // need changes as well
+	timer    *time.Timer
+	admitted [2]int // requests and changes let through since last asked
 
-	lender   Lender
-	asking   bool      // it is being asked
-	askAfter time.Time // it denied changes, and is not asked again before
+	lender        Lender
+	loanRequested bool      // it is being asked
+	nextLoanAt    time.Time // it denied changes, and is not asked again before
 }
 
 // Lender lets a controller make changes beyond its own part of the limit, if there
@@ -55,254 +55,254 @@
 
 // The kinds of budget.
 const (
-	requests = iota
-	changes
+	requestUnits = iota
+	writeUnits
 )
 
-// lane returns the lane of requests that make so many changes.
-func (a *admission) lane(changed int) *lane {
-	if changed > 0 {
-		return &a.writes
+// queueFor returns the lane of requests that make so many changes.
+func (s *requestScheduler) queueFor(writes int) *queue {
+	if writes > 0 {
+		return &s.writes
 	}
-	return &a.reads
+	return &s.reads
 }
 
 // admit waits until the limits let a request with so many changes through. It
 // reports false, with nothing used, as soon as it can't be let through in time.
-func (a *admission) admit(ctx context.Context, changed int, u Use) bool {
+func (s *requestScheduler) admit(ctx context.Context, writes int, purpose Purpose) bool {
 	if ctx.Err() != nil {
 		return false
 	}
-	w := a.enter(ctx, changed, u)
+	w := s.enqueue(ctx, writes, purpose)
 	if w == nil {
 		return false
 	}
 	select {
-	case v := <-w.answer:
+	case v := <-w.decided:
 		return v.admitted && sleep(ctx, v.delay)
 	case <-ctx.Done():
-		a.abandon(w)
+		s.abandon(w)
 		return false
 	}
 }
 
-// enter queues a request up, unless it could not be let through in time.
-func (a *admission) enter(ctx context.Context, changed int, u Use) *waiter {
+// enqueue queues a request up, unless it could not be let through in time.
+func (s *requestScheduler) enqueue(ctx context.Context, writes int, purpose Purpose) *waitingRequest {
 	now := time.Now()
-	c := u.class()
-	w := &waiter{class: c, routine: u.Routine, changes: changed, since: now, until: now.Add(longestWaits[c]),
-		answer: make(chan verdict, 1)}
-	if deadline, ok := ctx.Deadline(); ok && deadline.Add(-answerTime).Before(w.until) {
-		w.until = deadline.Add(-answerTime)
+	c := purpose.priority()
+	w := &waitingRequest{priority: c, routine: purpose.Routine, writes: writes, enqueued: now, deadline: now.Add(maxWaits[c]),
+		decided: make(chan decision, 1)}
+	if deadline, ok := ctx.Deadline(); ok && deadline.Add(-responseTime).Before(w.deadline) {
+		w.deadline = deadline.Add(-responseTime)
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	l := a.lane(changed)
-	if len(l.waiting) >= longestQueue {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	l := s.queueFor(writes)
+	if len(l.waiting) >= maxQueueLength {
 		return nil
 	}
-	ahead := l.enter(w)
-	if !a.mayBorrow(w, now) && now.Add(a.estimate(w, ahead, now)).After(w.until) {
-		l.leave(w)
+	unitsAhead := l.insert(w)
+	if !s.canBorrow(w, now) && now.Add(s.estimate(w, unitsAhead, now)).After(w.deadline) {
+		l.remove(w)
 		return nil
 	}
-	a.dispatch(now)
+	s.dispatch(now)
 	return w
 }
 
 // estimate is how long a waiter waits behind so many units if nothing comes that
 // goes before it.
-func (a *admission) estimate(w *waiter, ahead int, now time.Time) time.Duration {
-	if w.changes > 0 {
-		return max(until(a.changes, float64(ahead+w.changes), now), until(a.reqs, 1, now))
+func (s *requestScheduler) estimate(w *waitingRequest, unitsAhead int, now time.Time) time.Duration {
+	if w.writes > 0 {
+		return max(timeUntilTokens(s.writeTokens, float64(unitsAhead+w.writes), now), timeUntilTokens(s.requestTokens, 1, now))
 	}
-	return until(a.reqs, float64(ahead+1), now)
+	return timeUntilTokens(s.requestTokens, float64(unitsAhead+1), now)
 }
 
 // abandon takes a request out whose caller waits no more.
-func (a *admission) abandon(w *waiter) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.lane(w.changes).leave(w) {
-		a.dispatch(time.Now())
+func (s *requestScheduler) abandon(w *waitingRequest) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.queueFor(w.writes).remove(w) {
+		s.dispatch(time.Now())
 	}
 }
 
 // dispatch lets through what the limits allow, refuses what is too late, and sets
 // the timer for the next of either. The lock is held.
-func (a *admission) dispatch(now time.Time) {
-	a.reads.expire(now)
-	a.writes.expire(now)
+func (s *requestScheduler) dispatch(now time.Time) {
+	s.reads.rejectExpired(now)
+	s.writes.rejectExpired(now)
 	for {
-		w := a.first(now)
-		if w == nil || a.delay(w, now) > 0 {
+		w := s.next(now)
+		if w == nil || s.delay(w, now) > 0 {
 			break
 		}
-		a.pass(w, now)
+		s.reserveAndSend(w, now)
 	}
-	a.borrow(now)
-	a.setTimer(now)
+	s.borrow(now)
+	s.setTimer(now)
 }
 
-// first returns the waiter to be let through next: of the two lanes' the one of the
+// next returns the waiter to be let through next: of the two lanes' the one of the
 // smaller class. A write that lacks changes keeps no read waiting.
-func (a *admission) first(now time.Time) *waiter {
-	write, read := a.writes.next(now), a.reads.next(now)
-	if write == nil || (read != nil && (read.class < write.class || a.changesDelay(write, now) > 0)) {
+func (s *requestScheduler) next(now time.Time) *waitingRequest {
+	write, read := s.writes.next(now), s.reads.next(now)
+	if write == nil || (read != nil && (read.priority < write.priority || s.writeDelay(write, now) > 0)) {
 		return read
 	}
 	return write
 }
 
 // delay is how long a waiter must wait for the limits if it is its turn.
-func (a *admission) delay(w *waiter, now time.Time) time.Duration {
+func (s *requestScheduler) delay(w *waitingRequest, now time.Time) time.Duration {
 	requests := 1.0
-	if w.restrained(now) {
-		requests += routineFloor * float64(a.reqs.Burst())
+	if w.keepsReserve(now) {
+		requests += reservedShare * float64(s.requestTokens.Burst())
 	}
-	return max(a.restraint(w, a.reqs, requests, 1, now), a.changesDelay(w, now))
+	return max(s.tokenDelay(w, s.requestTokens, requests, 1, now), s.writeDelay(w, now))
 }
 
-// changesDelay is the same for its changes alone. Of more than a burst the rest is
+// writeDelay is the same for its changes alone. Of more than a burst the rest is
 // taken in advance, and the request sent when that has come.
-func (a *admission) changesDelay(w *waiter, now time.Time) time.Duration {
+func (s *requestScheduler) writeDelay(w *waitingRequest, now time.Time) time.Duration {
 	switch {
-	case w.changes == 0:
+	case w.writes == 0:
 		return 0
-	case a.awaitsLoan(w, now):
-		return w.until.Sub(now)
+	case s.awaitsLoan(w, now):
+		return w.deadline.Sub(now)
 	}
-	burst := a.changes.Burst()
-	least := float64(min(w.changes, burst))
+	burst := s.writeTokens.Burst()
+	least := float64(min(w.writes, burst))
 	tokens := least
-	if w.restrained(now) {
-		tokens = max(least, routineFloor*float64(burst)+float64(min(w.changes, burst/2)))
+	if w.keepsReserve(now) {
+		tokens = max(least, reservedShare*float64(burst)+float64(min(w.writes, burst/2)))
 	}
-	return a.restraint(w, a.changes, tokens, least, now)
+	return s.tokenDelay(w, s.writeTokens, tokens, least, now)
 }
 
-// restraint is how long it takes until a limiter holds so many tokens, or until the
+// tokenDelay is how long it takes until a limiter holds so many tokens, or until the
 // waiter's patience ends and it holds the least that is needed.
-func (a *admission) restraint(w *waiter, l *rate.Limiter, tokens, least float64, now time.Time) time.Duration {
-	d := until(l, tokens, now)
+func (s *requestScheduler) tokenDelay(w *waitingRequest, l *rate.Limiter, tokens, least float64, now time.Time) time.Duration {
+	d := timeUntilTokens(l, tokens, now)
 	if tokens <= least {
 		return d
 	}
-	patience := w.since.Add(routinePatience).Sub(now)
-	return min(d, max(patience, until(l, least, now)))
+	patience := w.enqueued.Add(reserveTimeout).Sub(now)
+	return min(d, max(patience, timeUntilTokens(l, least, now)))
 }
 
-// until is how long it takes a limiter to hold so many tokens.
-func until(l *rate.Limiter, tokens float64, now time.Time) time.Duration {
+// timeUntilTokens is how long it takes a limiter to hold so many tokens.
+func timeUntilTokens(limiter *rate.Limiter, tokens float64, now time.Time) time.Duration {
 	const roundingError = 1e-6
-	lacks := tokens - l.TokensAt(now)
-	if lacks <= roundingError {
+	missing := tokens - limiter.TokensAt(now)
+	if missing <= roundingError {
 		return 0
 	}
-	if l.Limit() <= 0 {
+	if limiter.Limit() <= 0 {
 		return time.Hour
 	}
-	return time.Duration(lacks / float64(l.Limit()) * float64(time.Second))
+	return time.Duration(missing / float64(limiter.Limit()) * float64(time.Second))
 }
 
-// pass lets a waiter through.
-func (a *admission) pass(w *waiter, now time.Time) {
-	a.lane(w.changes).grant(w)
-	taken := []*rate.Reservation{a.reqs.ReserveN(now, 1)}
-	for left := w.changes; left > 0; {
-		n := min(left, a.changes.Burst())
-		taken = append(taken, a.changes.ReserveN(now, n))
+// reserveAndSend lets a waiter through.
+func (s *requestScheduler) reserveAndSend(w *waitingRequest, now time.Time) {
+	s.queueFor(w.writes).admit(w)
+	taken := []*rate.Reservation{s.requestTokens.ReserveN(now, 1)}
+	for left := w.writes; left > 0; {
+		n := min(left, s.writeTokens.Burst())
+		taken = append(taken, s.writeTokens.ReserveN(now, n))
 		left -= n
 	}
-	a.send(w, taken, now)
+	s.send(w, taken, now)
 }
 
 // send lets a waiter through once what was taken for it has come, unless that is too
 // late.
-func (a *admission) send(w *waiter, taken []*rate.Reservation, now time.Time) {
+func (s *requestScheduler) send(w *waitingRequest, taken []*rate.Reservation, now time.Time) {
 	var delay time.Duration
 	for _, r := range taken {
 		delay = max(delay, r.DelayFrom(now))
 	}
-	if delay > shortestTimer && now.Add(delay).After(w.until) {
+	if delay > minTimer && now.Add(delay).After(w.deadline) {
 		for _, r := range slices.Backward(taken) {
 			r.CancelAt(now)
 		}
-		w.answer <- verdict{}
+		w.decided <- decision{}
 		return
 	}
-	a.passed[requests]++
-	a.passed[changes] += w.changes
-	w.answer <- verdict{admitted: true, delay: delay}
+	s.admitted[requestUnits]++
+	s.admitted[writeUnits] += w.writes
+	w.decided <- decision{admitted: true, delay: delay}
 }
 
 // setTimer sets the timer for the next moment at which something may be let through
 // or is too late.
-func (a *admission) setTimer(now time.Time) {
+func (s *requestScheduler) setTimer(now time.Time) {
 	var next time.Time
 	earliest := func(at time.Time) {
 		if next.IsZero() || at.Before(next) {
 			next = at
 		}
 	}
-	for _, l := range []*lane{&a.reads, &a.writes} {
+	for _, l := range []*queue{&s.reads, &s.writes} {
 		for _, w := range l.waiting {
-			earliest(w.until)
+			earliest(w.deadline)
 		}
 		if w := l.next(now); w != nil {
-			earliest(now.Add(a.delay(w, now)))
+			earliest(now.Add(s.delay(w, now)))
 		}
 	}
-	if len(a.writes.waiting) > 0 && a.lender != nil && !a.asking && now.Before(a.askAfter) {
-		earliest(a.askAfter)
+	if len(s.writes.waiting) > 0 && s.lender != nil && !s.loanRequested && now.Before(s.nextLoanAt) {
+		earliest(s.nextLoanAt)
 	}
-	switch d := max(next.Sub(now), shortestTimer); {
-	case next.IsZero() && a.timer != nil:
-		a.timer.Stop()
+	switch d := max(next.Sub(now), minTimer); {
+	case next.IsZero() && s.timer != nil:
+		s.timer.Stop()
 	case next.IsZero():
-	case a.timer == nil:
-		a.timer = time.AfterFunc(d, a.wake)
+	case s.timer == nil:
+		s.timer = time.AfterFunc(d, s.wake)
 	default:
-		a.timer.Reset(d)
+		s.timer.Reset(d)
 	}
 }
 
 // wake is the timer's turn.
-func (a *admission) wake() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.dispatch(time.Now())
+func (s *requestScheduler) wake() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.dispatch(time.Now())
 }
 
-// needed returns what was let through since the last call and what waits.
-func (a *admission) needed() (reqs, changed int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	reqs = a.passed[requests] + len(a.reads.waiting) + len(a.writes.waiting)
-	changed = a.passed[changes] + a.writes.units()
-	a.passed = [2]int{}
-	return reqs, changed
+// takeDemand returns what was let through since the last call and what waits.
+func (s *requestScheduler) takeDemand() (reqs, writes int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	reqs = s.admitted[requestUnits] + len(s.reads.waiting) + len(s.writes.waiting)
+	writes = s.admitted[writeUnits] + s.writes.units()
+	s.admitted = [2]int{}
+	return reqs, writes
 }
 
 // backlog is how long the changes that wait now will take.
-func (a *admission) backlog() time.Duration {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return time.Duration(float64(a.writes.units()) / float64(a.changes.Limit()) * float64(time.Second))
+func (s *requestScheduler) backlog() time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return time.Duration(float64(s.writes.units()) / float64(s.writeTokens.Limit()) * float64(time.Second))
 }
 
-// limit sets the limits. The lock is taken, as what waits may go on at once.
-func (a *admission) limit(l *rate.Limiter, r float64, burst int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// setLimit sets the limits. The lock is taken, as what waits may go on at once.
+func (s *requestScheduler) setLimit(l *rate.Limiter, r float64, burst int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if l.Limit() == rate.Limit(r) && l.Burst() == burst {
 		return
 	}
 	now := time.Now()
 	l.SetLimitAt(now, rate.Limit(r))
 	l.SetBurstAt(now, burst)
-	if len(a.reads.waiting)+len(a.writes.waiting) > 0 {
-		a.dispatch(now)
+	if len(s.reads.waiting)+len(s.writes.waiting) > 0 {
+		s.dispatch(now)
 	}
 }
 
--- a/internal/statestore/admission_test.go
+++ b/internal/statestore/admission_test.go
@@ -16,11 +16,11 @@
 }
 
 // ask starts a request with so many changes and returns where its outcome will be.
-func ask(ctx context.Context, c *Client, n int, u Use) <-chan admitted {
+func ask(ctx context.Context, c *Client, n int, purpose Purpose) <-chan admitted {
 	out := make(chan admitted, 1)
 	begun := time.Now()
 	go func() {
-		err := c.admit(ctx, n, u)
+		err := c.admit(ctx, n, purpose)
 		out <- admitted{err == nil, time.Since(begun)}
 	}()
 	synctest.Wait()
@@ -31,7 +31,7 @@
 func spend(t *testing.T, c *Client) {
 	t.Helper()
 	time.Sleep(time.Minute)
-	if err := c.admit(t.Context(), c.changes.Burst(), Urgent("start")); err != nil {
+	if err := c.admit(t.Context(), c.writeTokens.Burst(), Urgent("start")); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -62,10 +62,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := New("127.0.0.1:1", 1, 100, 4, nil)
 		spend(t, c)
-		uses := []Use{Routine("completions"), Routine("job end"), Urgent("job end"), Urgent("cancel"), Urgent("start"), Urgent("member")}
+		uses := []Purpose{Routine("completions"), Routine("job end"), Urgent("job end"), Urgent("cancel"), Urgent("start"), Urgent("member")}
 		var outcomes []<-chan admitted
-		for _, u := range uses {
-			outcomes = append(outcomes, ask(t.Context(), c, 1, u))
+		for _, purpose := range uses {
+			outcomes = append(outcomes, ask(t.Context(), c, 1, purpose))
 		}
 		last := time.Hour
 		for i, out := range outcomes {
@@ -105,7 +105,7 @@
 		}
 		for i, end := range ends {
 			// Of each five changes two are an end's, which are 1.25 s at 4 a second.
-			if got := <-end; !got.ok || got.took > time.Duration(i+1)*1500*time.Millisecond+fairAfter {
+			if got := <-end; !got.ok || got.took > time.Duration(i+1)*1500*time.Millisecond+agingDelay {
 				t.Errorf("end %d: %+v", i, got)
 			}
 		}
@@ -143,7 +143,7 @@
 			if !got.ok {
 				refused++
 			}
-			if limit := longestWaits[endClass]; got.took > limit+10*time.Millisecond {
+			if limit := maxWaits[priorityCompletion]; got.took > limit+10*time.Millisecond {
 				t.Errorf("%+v, want an answer within %v", got, limit)
 			}
 		}
@@ -184,7 +184,7 @@
 		for range 200 {
 			outcomes = append(outcomes, ask(t.Context(), c, 2, Routine("job end")))
 		}
-		if waiting := c.backlog(); waiting > longestWaits[endClass] {
+		if waiting := c.backlog(); waiting > maxWaits[priorityCompletion] {
 			t.Errorf("%v of changes wait, more than the longest wait", waiting)
 		}
 		for _, out := range outcomes {
@@ -194,7 +194,7 @@
 				refused++
 			}
 		}
-		if refused < 100 || longest > longestWaits[endClass]+time.Second {
+		if refused < 100 || longest > maxWaits[priorityCompletion]+time.Second {
 			t.Errorf("%d of 200 refused, the longest wait %v", refused, longest)
 		}
 		if waiting := c.backlog(); waiting > 0 {
@@ -223,12 +223,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := New("127.0.0.1:1", 1, 100, 10, nil)
 		time.Sleep(time.Minute)
-		c.Budget(100, 0.1)
-		if err := c.admit(t.Context(), c.changes.Burst()-1, Urgent("start")); err != nil {
+		c.SetLimits(100, 0.1)
+		if err := c.admit(t.Context(), c.writeTokens.Burst()-1, Urgent("start")); err != nil {
 			t.Fatal(err)
 		}
-		if got := <-ask(t.Context(), c, 1, Routine("completions")); !got.ok || got.took != routinePatience {
-			t.Errorf("completions: %+v, want %v", got, routinePatience)
+		if got := <-ask(t.Context(), c, 1, Routine("completions")); !got.ok || got.took != reserveTimeout {
+			t.Errorf("completions: %+v, want %v", got, reserveTimeout)
 		}
 	})
 }
@@ -238,7 +238,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := New("127.0.0.1:1", 1, 100, 10, nil)
 		time.Sleep(time.Minute)
-		for range c.changes.Burst() {
+		for range c.writeTokens.Burst() {
 			if err := c.admit(t.Context(), 1, Urgent("start")); err != nil {
 				t.Fatal(err)
 			}
@@ -341,9 +341,9 @@
 			fresh, saved := 0.0, 0.0
 			for range x.n {
 				c := New("127.0.0.1:1", x.n, 200, x.limit, nil)
-				fresh += c.changes.Tokens()
+				fresh += c.writeTokens.Tokens()
 				time.Sleep(time.Hour)
-				saved += c.changes.Tokens()
+				saved += c.writeTokens.Tokens()
 			}
 			if fresh > 0.01 || saved > x.limit/2 {
 				t.Errorf("%d controllers of %v changes a second: %.2f at once when new, %.2f later", x.n, x.limit, fresh, saved)
--- a/internal/statestore/guard.go
+++ b/internal/statestore/guard.go
@@ -11,98 +11,98 @@
 	"bramblespur/internal/wire"
 )
 
-// ErrWentBack says that an answer is of an older revision than one that was given before its
+// ErrRevisionRegressed says that an answer is of an older revision than one that was given before its
 // request was made: the state service has lost data, or another one answers.
-var ErrWentBack = errors.New("statestore: revision went back")
+var ErrRevisionRegressed = errors.New("statestore: revision went back")
 
 // Guard is a Store that notices when revisions fall, and that can be closed for changes.
 type Guard struct {
 	Store
-	highest atomic.Uint64
-	closed  atomic.Bool
-	allowed []string
-	fell    func(held, found uint64)
+	highestRevision  atomic.Uint64
+	readOnly         atomic.Bool
+	writablePrefixes []string
+	onRegression     func(held, found uint64)
 }
 
 // NewGuard returns a guard of a store. While it is closed it refuses changes but of keys with
 // the allowed prefixes. It tells of each answer whose revision fell.
 func NewGuard(s Store, allowed []string, fell func(held, found uint64)) *Guard {
-	return &Guard{Store: s, allowed: allowed, fell: fell}
+	return &Guard{Store: s, writablePrefixes: allowed, onRegression: fell}
 }
 
-// Highest returns the highest revision that was seen.
-func (g *Guard) Highest() uint64 { return g.highest.Load() }
+// HighestRevision returns the highest revision that was seen.
+func (g *Guard) HighestRevision() uint64 { return g.highestRevision.Load() }
 
-// Reset forgets the highest revision.
-func (g *Guard) Reset() { g.highest.Store(0) }
+// ForgetRevision forgets the highest revision.
+func (g *Guard) ForgetRevision() { g.highestRevision.Store(0) }
 
-// Close refuses changes from now on, or no longer.
-func (g *Guard) Close(closed bool) { g.closed.Store(closed) }
+// SetReadOnly refuses changes from now on, or no longer.
+func (g *Guard) SetReadOnly(closed bool) { g.readOnly.Store(closed) }
 
-// raise takes in a revision that was seen.
-func (g *Guard) raise(revision uint64) {
+// observe takes in a revision that was seen.
+func (g *Guard) observe(revision uint64) {
 	for {
-		held := g.highest.Load()
-		if revision <= held || g.highest.CompareAndSwap(held, revision) {
+		held := g.highestRevision.Load()
+		if revision <= held || g.highestRevision.CompareAndSwap(held, revision) {
 			return
 		}
 	}
 }
 
-// answered takes in the revision of an answer to a request that was made when the highest one
+// checkRevision takes in the revision of an answer to a request that was made when the highest one
 // was as given. Answers may come in any order, so only that counts.
-func (g *Guard) answered(before, revision uint64) error {
+func (g *Guard) checkRevision(before, revision uint64) error {
 	if revision < before {
-		g.fell(before, revision)
-		return fmt.Errorf("%w: %d, was %d", ErrWentBack, revision, before)
+		g.onRegression(before, revision)
+		return fmt.Errorf("%w: %d, was %d", ErrRevisionRegressed, revision, before)
 	}
-	g.raise(revision)
+	g.observe(revision)
 	return nil
 }
 
 // Get implements Store.
-func (g *Guard) Get(ctx context.Context, u Use, key string) (wire.Entry, error) {
-	e, err := g.Store.Get(ctx, u, key)
+func (g *Guard) Get(ctx context.Context, purpose Purpose, key string) (wire.Entry, error) {
+	e, err := g.Store.Get(ctx, purpose, key)
 	if err == nil {
-		g.raise(e.Version)
+		g.observe(e.Version)
 	}
 	return e, err
 }
 
 // List implements Store.
-func (g *Guard) List(ctx context.Context, u Use, prefix string) ([]wire.Entry, uint64, error) {
-	before := g.highest.Load()
-	entries, revision, err := g.Store.List(ctx, u, prefix)
+func (g *Guard) List(ctx context.Context, purpose Purpose, prefix string) ([]wire.Entry, uint64, error) {
+	before := g.highestRevision.Load()
+	entries, revision, err := g.Store.List(ctx, purpose, prefix)
 	if err == nil {
-		err = g.answered(before, revision)
+		err = g.checkRevision(before, revision)
 	}
 	return entries, revision, err
 }
 
 // Txn implements Store.
-func (g *Guard) Txn(ctx context.Context, u Use, t wire.Txn) (uint64, error) {
-	if g.closed.Load() && !g.allows(t) {
+func (g *Guard) Txn(ctx context.Context, purpose Purpose, t wire.Txn) (uint64, error) {
+	if g.readOnly.Load() && !g.permits(t) {
 		return 0, fmt.Errorf("%w: closed for changes", ErrRefused)
 	}
-	before := g.highest.Load()
-	revision, err := g.Store.Txn(ctx, u, t)
+	before := g.highestRevision.Load()
+	revision, err := g.Store.Txn(ctx, purpose, t)
 	if err == nil && len(t.Then) > 0 { // one without changes only compares
-		err = g.answered(before, revision)
+		err = g.checkRevision(before, revision)
 	}
 	return revision, err
 }
 
-// allows reports whether a transaction may be made while the guard is closed.
-func (g *Guard) allows(t wire.Txn) bool {
+// permits reports whether a transaction may be made while the guard is closed.
+func (g *Guard) permits(t wire.Txn) bool {
 	for _, op := range t.Then {
-		if !hasPrefix(op.Put+op.Delete, g.allowed) {
+		if !hasAnyPrefix(op.Put+op.Delete, g.writablePrefixes) {
 			return false
 		}
 	}
 	return true
 }
 
-func hasPrefix(key string, prefixes []string) bool {
+func hasAnyPrefix(key string, prefixes []string) bool {
 	for _, p := range prefixes {
 		if strings.HasPrefix(key, p) {
 			return true
@@ -116,7 +116,7 @@
 func (g *Guard) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (wire.Changes, error) {
 	ch, err := g.Store.Watch(ctx, prefix, since, wait)
 	if err == nil {
-		err = g.answered(since, ch.Revision)
+		err = g.checkRevision(since, ch.Revision)
 	}
 	return ch, err
 }
--- a/internal/statestore/guard_test.go
+++ b/internal/statestore/guard_test.go
@@ -16,11 +16,11 @@
 	txns     int
 }
 
-func (s *scriptedStore) List(context.Context, Use, string) ([]wire.Entry, uint64, error) {
+func (s *scriptedStore) List(context.Context, Purpose, string) ([]wire.Entry, uint64, error) {
 	return nil, s.revision, nil
 }
 
-func (s *scriptedStore) Txn(context.Context, Use, wire.Txn) (uint64, error) {
+func (s *scriptedStore) Txn(context.Context, Purpose, wire.Txn) (uint64, error) {
 	s.txns++
 	return s.revision, nil
 }
@@ -33,8 +33,8 @@
 func TestGuardNoticesFallingRevisions(t *testing.T) {
 	put := wire.Txn{Then: []wire.Op{{Put: "k"}}}
 	for name, ask := range map[string]func(g *Guard) error{
-		"list":  func(g *Guard) error { _, _, err := g.List(t.Context(), Use{}, ""); return err },
-		"txn":   func(g *Guard) error { _, err := g.Txn(t.Context(), Use{}, put); return err },
+		"list":  func(g *Guard) error { _, _, err := g.List(t.Context(), Purpose{}, ""); return err },
+		"txn":   func(g *Guard) error { _, err := g.Txn(t.Context(), Purpose{}, put); return err },
 		"watch": func(g *Guard) error { _, err := g.Watch(t.Context(), "", 7, 0); return err },
 	} {
 		s, fell := &scriptedStore{revision: 7}, 0
@@ -49,11 +49,11 @@
 			}
 		}
 		s.revision = 6
-		if err := ask(g); !errors.Is(err, ErrWentBack) || fell != 1 || g.Highest() != 7 {
-			t.Errorf("%s: %v, told %d times, highest %d", name, err, fell, g.Highest())
+		if err := ask(g); !errors.Is(err, ErrRevisionRegressed) || fell != 1 || g.HighestRevision() != 7 {
+			t.Errorf("%s: %v, told %d times, highest %d", name, err, fell, g.HighestRevision())
 		}
-		g.Reset()
-		if _, _, err := g.List(t.Context(), Use{}, ""); err != nil {
+		g.ForgetRevision()
+		if _, _, err := g.List(t.Context(), Purpose{}, ""); err != nil {
 			t.Errorf("%s: %v after all was forgotten", name, err)
 		}
 	}
@@ -63,7 +63,7 @@
 func TestGuardComparesWatchWithItsBeginning(t *testing.T) {
 	s := &scriptedStore{revision: 9}
 	g := NewGuard(s, nil, func(uint64, uint64) { t.Error("told of a loss") })
-	if _, _, err := g.List(t.Context(), Use{}, ""); err != nil {
+	if _, _, err := g.List(t.Context(), Purpose{}, ""); err != nil {
 		t.Fatal(err)
 	}
 	s.revision = 8
@@ -76,20 +76,20 @@
 func TestClosedGuard(t *testing.T) {
 	s := &scriptedStore{revision: 9}
 	g := NewGuard(s, []string{"allowed/"}, nil)
-	g.Close(true)
+	g.SetReadOnly(true)
 	for _, op := range []wire.Op{{Put: "other"}, {Delete: "other"}} {
-		if _, err := g.Txn(t.Context(), Use{}, wire.Txn{Then: []wire.Op{{Put: "allowed/a"}, op}}); !errors.Is(err, ErrRefused) {
+		if _, err := g.Txn(t.Context(), Purpose{}, wire.Txn{Then: []wire.Op{{Put: "allowed/a"}, op}}); !errors.Is(err, ErrRefused) {
 			t.Errorf("%+v: %v", op, err)
 		}
 	}
 	if s.txns != 0 {
 		t.Error("a change went through")
 	}
-	if _, err := g.Txn(t.Context(), Use{}, wire.Txn{Then: []wire.Op{{Delete: "allowed/a"}}}); err != nil || s.txns != 1 {
+	if _, err := g.Txn(t.Context(), Purpose{}, wire.Txn{Then: []wire.Op{{Delete: "allowed/a"}}}); err != nil || s.txns != 1 {
 		t.Errorf("an allowed change: %v", err)
 	}
-	g.Close(false)
-	if _, err := g.Txn(t.Context(), Use{}, wire.Txn{Then: []wire.Op{{Put: "other"}}}); err != nil {
+	g.SetReadOnly(false)
+	if _, err := g.Txn(t.Context(), Purpose{}, wire.Txn{Then: []wire.Op{{Put: "other"}}}); err != nil {
 		t.Errorf("once it is open: %v", err)
 	}
 }
--- a/internal/statestore/lane.go
+++ b/internal/statestore/lane.go
@@ -5,103 +5,103 @@
 	"time"
 )
 
-// waiter is a request that waits.
-type waiter struct {
-	class   class
-	routine bool
-	changes int
-	since   time.Time
-	until   time.Time // it is of no use after this
-	answer  chan verdict
+// waitingRequest is a request that waits.
+type waitingRequest struct {
+	priority priority
+	routine  bool
+	writes   int
+	enqueued time.Time
+	deadline time.Time // it is of no use after this
+	decided  chan decision
 }
 
-// verdict tells a waiter whether it may be sent, and after which further delay.
-type verdict struct {
+// decision tells a waiter whether it may be sent, and after which further delay.
+type decision struct {
 	admitted bool
 	delay    time.Duration
 }
 
 // units is what a waiter counts in its lane.
-func (w *waiter) units() int { return max(1, w.changes) }
+func (w *waitingRequest) units() int { return max(1, w.writes) }
 
-// restrained reports whether a waiter still leaves a part of the budget free.
-func (w *waiter) restrained(now time.Time) bool {
-	return w.routine && now.Sub(w.since) < routinePatience
+// keepsReserve reports whether a waiter still leaves a part of the budget free.
+func (w *waitingRequest) keepsReserve(now time.Time) bool {
+	return w.routine && now.Sub(w.enqueued) < reserveTimeout
 }
 
-// lane holds waiters by class, and by arrival within one.
-type lane struct {
-	waiting []*waiter
-	passed  int // units since the longest waiting had its turn
+// queue holds waiters by class, and by arrival within one.
+type queue struct {
+	waiting             []*waitingRequest
+	admittedSinceOldest int // units since the longest waiting had its turn
 }
 
-// enter puts a waiter at its place and returns the units that go before it.
-func (l *lane) enter(w *waiter) (ahead int) {
-	at := len(l.waiting)
-	for at > 0 && l.waiting[at-1].class > w.class {
+// insert puts a waiter at its place and returns the units that go before it.
+func (q *queue) insert(w *waitingRequest) (unitsAhead int) {
+	at := len(q.waiting)
+	for at > 0 && q.waiting[at-1].priority > w.priority {
 		at--
 	}
-	for _, earlier := range l.waiting[:at] {
-		ahead += earlier.units()
+	for _, earlier := range q.waiting[:at] {
+		unitsAhead += earlier.units()
 	}
-	l.waiting = slices.Insert(l.waiting, at, w)
-	return ahead
+	q.waiting = slices.Insert(q.waiting, at, w)
+	return unitsAhead
 }
 
-// leave takes a waiter out and reports whether it was there.
-func (l *lane) leave(w *waiter) bool {
-	at := slices.Index(l.waiting, w)
+// remove takes a waiter out and reports whether it was there.
+func (q *queue) remove(w *waitingRequest) bool {
+	at := slices.Index(q.waiting, w)
 	if at < 0 {
 		return false
 	}
-	l.waiting = slices.Delete(l.waiting, at, at+1)
+	q.waiting = slices.Delete(q.waiting, at, at+1)
 	return true
 }
 
 // oldest returns the waiter that came first.
-func (l *lane) oldest() *waiter {
-	return slices.MinFunc(l.waiting, func(a, b *waiter) int { return a.since.Compare(b.since) })
+func (q *queue) oldest() *waitingRequest {
+	return slices.MinFunc(q.waiting, func(a, b *waitingRequest) int { return a.enqueued.Compare(b.enqueued) })
 }
 
 // next returns the waiter whose turn it is, nil if there is none.
-func (l *lane) next(now time.Time) *waiter {
-	if len(l.waiting) == 0 {
+func (q *queue) next(now time.Time) *waitingRequest {
+	if len(q.waiting) == 0 {
 		return nil
 	}
-	first := l.waiting[0]
-	if l.passed < fairTurn || first.class == officeClass {
+	first := q.waiting[0]
+	if q.admittedSinceOldest < agingUnits || first.priority == priorityControl {
 		return first
 	}
-	if w := l.oldest(); now.Sub(w.since) >= fairAfter {
+	if w := q.oldest(); now.Sub(w.enqueued) >= agingDelay {
 		return w
 	}
 	return first
 }
 
-// grant takes a waiter out that is let through.
-func (l *lane) grant(w *waiter) {
-	if l.oldest() == w {
-		l.passed = 0
+// admit takes a waiter out that is let through.
+func (q *queue) admit(w *waitingRequest) {
+	if q.oldest() == w {
+		q.admittedSinceOldest = 0
 	} else {
-		l.passed += w.units()
+		q.admittedSinceOldest += w.units()
 	}
-	l.leave(w)
+	q.remove(w)
 }
 
 // units is what all that wait count.
-func (l *lane) units() (sum int) {
-	for _, w := range l.waiting {
+func (q *queue) units() (sum int) {
+	for _, w := range q.waiting {
 		sum += w.units()
 	}
 	return sum
 }
 
-// expire refuses what is too late.
-func (l *lane) expire(now time.Time) {
-	l.waiting = slices.DeleteFunc(l.waiting, func(w *waiter) bool {
-		late := now.After(w.until)
+// rejectExpired refuses what is too late.
+func (q *queue) rejectExpired(now time.Time) {
+	q.waiting = slices.DeleteFunc(q.waiting, func(w *waitingRequest) bool {
+		late := now.After(w.deadline)
 		if late {
-			w.answer <- verdict{}
+			w.decided <- decision{}
 		}
 		return late
 	})
--- a/internal/statestore/lending.go
+++ b/internal/statestore/lending.go
@@ -7,62 +7,62 @@
 	"golang.org/x/time/rate"
 )
 
-// mayBorrow reports whether a waiter's changes may come from the lender, so that its
+// canBorrow reports whether a waiter's changes may come from the lender, so that its
 // place does not tell how long it waits.
-func (a *admission) mayBorrow(w *waiter, now time.Time) bool {
-	return a.lender != nil && w.changes > 0 && !now.Before(a.askAfter)
+func (s *requestScheduler) canBorrow(w *waitingRequest, now time.Time) bool {
+	return s.lender != nil && w.writes > 0 && !now.Before(s.nextLoanAt)
 }
 
 // awaitsLoan reports whether a waiter needs more than can be saved up here, and the
 // lender's answer may spare it the time that taking the rest in advance costs.
-func (a *admission) awaitsLoan(w *waiter, now time.Time) bool {
-	return !w.routine && w.changes > a.changes.Burst() && (a.asking || a.mayBorrow(w, now))
+func (s *requestScheduler) awaitsLoan(w *waitingRequest, now time.Time) bool {
+	return !w.routine && w.writes > s.writeTokens.Burst() && (s.loanRequested || s.canBorrow(w, now))
 }
 
 // borrow asks the lender for the changes of the next write, if these are what it
 // waits for. The lock is held.
-func (a *admission) borrow(now time.Time) {
-	w := a.writes.next(now)
-	if w == nil || a.asking || w.restrained(now) || !a.mayBorrow(w, now) || a.changesDelay(w, now) <= shortestTimer {
+func (s *requestScheduler) borrow(now time.Time) {
+	w := s.writes.next(now)
+	if w == nil || s.loanRequested || w.keepsReserve(now) || !s.canBorrow(w, now) || s.writeDelay(w, now) <= minTimer {
 		return
 	}
-	a.asking = true
+	s.loanRequested = true
 	modest := w.routine
 	go func() {
-		ok := a.lender(w.changes, modest)
-		a.mu.Lock()
-		defer a.mu.Unlock()
+		ok := s.lender(w.writes, modest)
+		s.mu.Lock()
+		defer s.mu.Unlock()
 		now := time.Now()
-		a.asking = false
+		s.loanRequested = false
 		if ok {
-			a.lent(w.changes, now)
+			s.useLoan(w.writes, now)
 		} else {
-			a.askAfter = now.Add(lendPause)
-			a.shed(now)
+			s.nextLoanAt = now.Add(loanRetryDelay)
+			s.rejectLate(now)
 		}
-		a.dispatch(now)
+		s.dispatch(now)
 	}()
 }
 
-// lent lets the first write through that needs no more than the changes lent.
-func (a *admission) lent(changed int, now time.Time) {
-	w := a.writes.next(now)
-	if w == nil || w.changes > changed { // which were for one that has left since
+// useLoan lets the first write through that needs no more than the changes lent.
+func (s *requestScheduler) useLoan(writes int, now time.Time) {
+	w := s.writes.next(now)
+	if w == nil || w.writes > writes { // which were for one that has left since
 		return
 	}
-	a.writes.grant(w)
-	a.send(w, []*rate.Reservation{a.reqs.ReserveN(now, 1)}, now)
+	s.writes.admit(w)
+	s.send(w, []*rate.Reservation{s.requestTokens.ReserveN(now, 1)}, now)
 }
 
-// shed refuses the writes that can't be in time at their places.
-func (a *admission) shed(now time.Time) {
-	ahead := 0
-	a.writes.waiting = slices.DeleteFunc(a.writes.waiting, func(w *waiter) bool {
-		if now.Add(a.estimate(w, ahead, now)).After(w.until) {
-			w.answer <- verdict{}
+// rejectLate refuses the writes that can't be in time at their places.
+func (s *requestScheduler) rejectLate(now time.Time) {
+	unitsAhead := 0
+	s.writes.waiting = slices.DeleteFunc(s.writes.waiting, func(w *waitingRequest) bool {
+		if now.Add(s.estimate(w, unitsAhead, now)).After(w.deadline) {
+			w.decided <- decision{}
 			return true
 		}
-		ahead += w.units()
+		unitsAhead += w.units()
 		return false
 	})
 }
--- a/internal/statestore/pool_test.go
+++ b/internal/statestore/pool_test.go
@@ -57,18 +57,18 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &service{limit: rate.NewLimiter(writeRPS, writeRPS)}
-				pool := NewPool()
-				pool.Limit(controllers, writeRPS, time.Now())
+				pool := NewLoanPool()
+				pool.SetLimit(controllers, writeRPS, time.Now())
 				lender, share := Lender(nil), writeRPS/controllers
 				if x.led {
 					lender = func(changes int, modest bool) bool { return pool.Lend(changes, modest, time.Now()) }
-					share = writeRPS * (0.95 - LentRate) / controllers
+					share = writeRPS * (0.95 - LoanShare) / controllers
 				}
 				ctx, cancel := context.WithCancel(t.Context())
 				var clients []*Client
 				for range controllers {
 					c := New("127.0.0.1:1", controllers, 200, writeRPS, lender)
-					c.Budget(200/controllers, share)
+					c.SetLimits(200/controllers, share)
 					clients = append(clients, c)
 				}
 				time.Sleep(x.idle)
@@ -95,11 +95,11 @@
 // A new leader lends nothing at first, and who asks modestly leaves a part to others.
 func TestPool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := NewPool()
+		p := NewLoanPool()
 		if p.Lend(1, false, time.Now()) {
 			t.Error("a pool without a limit lends")
 		}
-		p.Limit(7, 25, time.Now())
+		p.SetLimit(7, 25, time.Now())
 		if p.Lend(1, false, time.Now()) {
 			t.Error("a new pool lends")
 		}
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -39,54 +39,54 @@
 
 func (e *ConflictError) Error() string { return fmt.Sprintf("statestore: conflict on %v", e.Keys) }
 
-// Use says what a request is for. Urgent work (starts, acceptances, leases) may
+// Purpose says what a request is for. Urgent work (starts, acceptances, leases) may
 // use the whole budget, routine work (polls, housekeeping) leaves a part of it
 // free.
-type Use struct {
-	For     string
+type Purpose struct {
+	Name    string
 	Routine bool
 }
 
 // Urgent and Routine name a purpose.
-func Urgent(purpose string) Use  { return Use{For: purpose} }
-func Routine(purpose string) Use { return Use{For: purpose, Routine: true} }
+func Urgent(purpose string) Purpose  { return Purpose{Name: purpose} }
+func Routine(purpose string) Purpose { return Purpose{Name: purpose, Routine: true} }
 
 // Store is what controllers need of the state service.
 type Store interface {
-	Get(ctx context.Context, u Use, key string) (wire.Entry, error)
-	List(ctx context.Context, u Use, prefix string) ([]wire.Entry, uint64, error)
+	Get(ctx context.Context, u Purpose, key string) (wire.Entry, error)
+	List(ctx context.Context, u Purpose, prefix string) ([]wire.Entry, uint64, error)
 	// ListPage reads up to so many keys with a prefix that come after one, none for the first.
-	ListPage(ctx context.Context, u Use, prefix, after string, limit int) (wire.EntryPage, error)
-	Txn(ctx context.Context, u Use, t wire.Txn) (uint64, error)
+	ListPage(ctx context.Context, u Purpose, prefix, after string, limit int) (wire.EntryPage, error)
+	Txn(ctx context.Context, u Purpose, t wire.Txn) (uint64, error)
 	Grant(ctx context.Context, ttl time.Duration) (uint64, error)
 	Renew(ctx context.Context, lease uint64) error
 	Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (wire.Changes, error)
-	// Budget sets this controller's part of the service's limits, a second.
-	Budget(rps, writeRPS float64)
-	// Needed returns the requests and changes made since the last call, and
+	// SetLimits sets this controller's part of the service's limits, a second.
+	SetLimits(rps, writeRPS float64)
+	// TakeDemand returns the requests and changes made since the last call, and
 	// those that wait for the budget.
-	Needed() (requests, changes int)
+	TakeDemand() (requests, changes int)
 	// Backlog is how long the changes that wait now will take.
 	Backlog() time.Duration
-	// Counts returns what was used since the last call, by purpose.
-	Counts() map[string]Count
+	// TakeUsage returns what was used since the last call, by purpose.
+	TakeUsage() map[string]Usage
 }
 
-// Count is what requests of one purpose used.
-type Count struct {
+// Usage is what requests of one purpose used.
+type Usage struct {
 	Requests, Puts, Deletes, Refused int
 	Bytes                            int // of requests and answers
 }
 
 // Client is a Store over HTTP.
 type Client struct {
-	admission
-	http  *httpwire.Client
-	watch *httpwire.Client
-	burst int // of changes
+	requestScheduler
+	requests   *httpwire.Client
+	watches    *httpwire.Client
+	writeBurst int // of changes
 
-	countsMu sync.Mutex
-	counts   map[string]Count
+	usageMu sync.Mutex
+	usage   map[string]Usage
 }
 
 // New returns a client that keeps to an equal share of the service's budget, which
@@ -95,53 +95,53 @@
 func New(addr string, controllers int, rps, writeRPS float64, lender Lender) *Client {
 	n := float64(controllers)
 	c := &Client{
-		burst: ownBurst(controllers, writeRPS),
-		http:  httpwire.NewClient(addr, 4), watch: httpwire.NewClient(addr, 4),
-		admission: admission{reqs: rate.NewLimiter(0, 0), changes: rate.NewLimiter(0, 0), lender: lender},
-		counts:    map[string]Count{},
+		writeBurst: localWriteBurst(controllers, writeRPS),
+		requests:   httpwire.NewClient(addr, 4), watches: httpwire.NewClient(addr, 4),
+		requestScheduler: requestScheduler{requestTokens: rate.NewLimiter(0, 0), writeTokens: rate.NewLimiter(0, 0), lender: lender},
+		usage:            map[string]Usage{},
 	}
-	c.Budget(rps/n, writeRPS/n)
+	c.SetLimits(rps/n, writeRPS/n)
 	return c
 }
 
 var _ Store = (*Client)(nil)
 
-// Budget implements Store. Bursts of requests are of half a second's worth: the
+// SetLimits implements Store. Bursts of requests are of half a second's worth: the
 // service allows a second's for all controllers together. A process begins with
 // nothing saved up.
-func (c *Client) Budget(rps, writeRPS float64) {
-	c.limit(c.reqs, rps, max(minBurst, int(rps/2)))
-	c.limit(c.changes, writeRPS, c.burst)
+func (c *Client) SetLimits(rps, writeRPS float64) {
+	c.setLimit(c.requestTokens, rps, max(minRequestBurst, int(rps/2)))
+	c.setLimit(c.writeTokens, writeRPS, c.writeBurst)
 }
 
-// minBurst is the burst of requests of the smallest budget.
-const minBurst = 3
+// minRequestBurst is the burst of requests of the smallest budget.
+const minRequestBurst = 3
 
-// Needed implements Store.
-func (c *Client) Needed() (requests, changes int) { return c.needed() }
+// TakeDemand implements Store.
+func (c *Client) TakeDemand() (requests, changes int) { return c.takeDemand() }
 
 // Backlog implements Store.
 func (c *Client) Backlog() time.Duration { return c.backlog() }
 
-// Counts implements Store.
-func (c *Client) Counts() map[string]Count {
-	c.countsMu.Lock()
-	defer c.countsMu.Unlock()
-	out := c.counts
-	c.counts = map[string]Count{}
+// TakeUsage implements Store.
+func (c *Client) TakeUsage() map[string]Usage {
+	c.usageMu.Lock()
+	defer c.usageMu.Unlock()
+	out := c.usage
+	c.usage = map[string]Usage{}
 	return out
 }
 
-func (c *Client) count(purpose string, add Count) {
-	c.countsMu.Lock()
-	defer c.countsMu.Unlock()
-	n := c.counts[purpose]
+func (c *Client) addUsage(purpose string, add Usage) {
+	c.usageMu.Lock()
+	defer c.usageMu.Unlock()
+	n := c.usage[purpose]
 	n.Requests += add.Requests
 	n.Puts += add.Puts
 	n.Deletes += add.Deletes
 	n.Refused += add.Refused
 	n.Bytes += add.Bytes
-	c.counts[purpose] = n
+	c.usage[purpose] = n
 }
 
 // callTimeout bounds one request: answers normally take milliseconds, at times
@@ -150,30 +150,30 @@
 
 // admit waits for this controller's part of the limits, for a request and its
 // changes, if it makes any. What is refused has used nothing.
-func (c *Client) admit(ctx context.Context, n int, u Use) error {
-	if !c.admission.admit(ctx, n, u) {
-		c.count(u.For, Count{Refused: 1})
+func (c *Client) admit(ctx context.Context, writes int, purpose Purpose) error {
+	if !c.requestScheduler.admit(ctx, writes, purpose) {
+		c.addUsage(purpose.Name, Usage{Refused: 1})
 		return fmt.Errorf("%w: request budget used up", ErrRefused)
 	}
 	return nil
 }
 
-func (c *Client) do(ctx context.Context, u Use, method, target string, in, out any) (int, []byte, error) {
-	return c.change(ctx, u, method, target, Count{}, in, out)
+func (c *Client) query(ctx context.Context, purpose Purpose, method, target string, in, out any) (int, []byte, error) {
+	return c.execute(ctx, purpose, method, target, Usage{}, in, out)
 }
 
-// change makes a request that changes as many keys as counted.
-func (c *Client) change(ctx context.Context, u Use, method, target string, used Count, in, out any) (int, []byte, error) {
-	n := used.Puts + used.Deletes
-	if n > 0 { // changes wait as long as their caller does
-		if err := c.admit(ctx, n, u); err != nil {
+// execute makes a request that changes as many keys as counted.
+func (c *Client) execute(ctx context.Context, purpose Purpose, method, target string, used Usage, in, out any) (int, []byte, error) {
+	writes := used.Puts + used.Deletes
+	if writes > 0 { // changes wait as long as their caller does
+		if err := c.admit(ctx, writes, purpose); err != nil {
 			return 0, nil, err
 		}
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if n == 0 {
-		if err := c.admit(ctx, 0, u); err != nil {
+	if writes == 0 {
+		if err := c.admit(ctx, 0, purpose); err != nil {
 			return 0, nil, err
 		}
 	}
@@ -184,16 +184,16 @@
 			return 0, nil, fmt.Errorf("encode: %w", err)
 		}
 	}
-	resp, err := c.http.Do(ctx, method, target, body)
+	resp, err := c.requests.Do(ctx, method, target, body)
 	used.Requests, used.Bytes = 1, len(body)+len(resp.Body)
 	if resp.Status == 429 {
 		used.Refused = 1
 	}
-	c.count(u.For, used)
-	return c.outcome(resp, err, out)
+	c.addUsage(purpose.Name, used)
+	return c.decode(resp, err, out)
 }
 
-func (c *Client) outcome(resp httpwire.Response, err error, out any) (int, []byte, error) {
+func (c *Client) decode(resp httpwire.Response, err error, out any) (int, []byte, error) {
 	if errors.Is(err, httpwire.ErrNotSent) {
 		return 0, nil, fmt.Errorf("%w: %v", ErrRefused, err)
 	}
@@ -214,9 +214,9 @@
 }
 
 // Get reads one key.
-func (c *Client) Get(ctx context.Context, u Use, key string) (wire.Entry, error) {
+func (c *Client) Get(ctx context.Context, purpose Purpose, key string) (wire.Entry, error) {
 	var e wire.Entry
-	status, _, err := c.do(ctx, u, "GET", "/store/"+key, nil, &e)
+	status, _, err := c.query(ctx, purpose, "GET", "/store/"+key, nil, &e)
 	switch {
 	case err != nil:
 		return e, err
@@ -232,12 +232,12 @@
 const MaxPage = 1000
 
 // List reads all keys with a prefix, and the revision of the first page.
-func (c *Client) List(ctx context.Context, u Use, prefix string) ([]wire.Entry, uint64, error) {
+func (c *Client) List(ctx context.Context, purpose Purpose, prefix string) ([]wire.Entry, uint64, error) {
 	var all []wire.Entry
 	var rev uint64
 	after := ""
 	for {
-		p, err := c.ListPage(ctx, u, prefix, after, MaxPage)
+		p, err := c.ListPage(ctx, purpose, prefix, after, MaxPage)
 		if err != nil {
 			return nil, 0, err
 		}
@@ -253,13 +253,13 @@
 }
 
 // ListPage implements Store.
-func (c *Client) ListPage(ctx context.Context, u Use, prefix, after string, limit int) (wire.EntryPage, error) {
+func (c *Client) ListPage(ctx context.Context, purpose Purpose, prefix, after string, limit int) (wire.EntryPage, error) {
 	target := fmt.Sprintf("/store?prefix=%s&page=%d", url.QueryEscape(prefix), limit)
 	if after != "" {
 		target += "&since=" + url.QueryEscape(after)
 	}
 	var p wire.EntryPage
-	status, _, err := c.do(ctx, u, "GET", target, nil, &p)
+	status, _, err := c.query(ctx, purpose, "GET", target, nil, &p)
 	if err == nil && status != 200 {
 		err = fmt.Errorf("%w: status %d", ErrInvalid, status)
 	}
@@ -267,11 +267,11 @@
 }
 
 // Txn applies a transaction and returns its revision.
-func (c *Client) Txn(ctx context.Context, u Use, t wire.Txn) (uint64, error) {
+func (c *Client) Txn(ctx context.Context, purpose Purpose, t wire.Txn) (uint64, error) {
 	if t.If == nil {
 		t.If = []wire.Cond{}
 	}
-	var used Count
+	var used Usage
 	for _, op := range t.Then {
 		if op.Delete != "" {
 			used.Deletes++
@@ -280,7 +280,7 @@
 		}
 	}
 	var r wire.TxnResult
-	status, body, err := c.change(ctx, u, "POST", "/txn", used, t, &r)
+	status, body, err := c.execute(ctx, purpose, "POST", "/txn", used, t, &r)
 	if err != nil {
 		return 0, err
 	}
@@ -299,7 +299,7 @@
 // Grant makes a lease.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
 	var g wire.LeaseGrant
-	status, _, err := c.do(ctx, Urgent("lease"), "POST", "/holds", wire.LeaseRequest{TTLMillis: ttl.Milliseconds()}, &g)
+	status, _, err := c.query(ctx, Urgent("lease"), "POST", "/holds", wire.LeaseRequest{TTLMillis: ttl.Milliseconds()}, &g)
 	if err != nil {
 		return 0, err
 	}
@@ -311,7 +311,7 @@
 
 // Renew renews a lease.
 func (c *Client) Renew(ctx context.Context, lease uint64) error {
-	status, _, err := c.do(ctx, Urgent("lease"), "POST", "/holds/"+strconv.FormatUint(lease, 10)+"/renew", nil, nil)
+	status, _, err := c.query(ctx, Urgent("lease"), "POST", "/holds/"+strconv.FormatUint(lease, 10)+"/renew", nil, nil)
 	switch {
 	case err != nil:
 		return err
@@ -332,9 +332,9 @@
 		return ch, err
 	}
 	target := fmt.Sprintf("/follow?prefix=%s&since=%d&wait_ms=%d", url.QueryEscape(prefix), since, wait.Milliseconds())
-	resp, err := c.watch.Do(ctx, "GET", target, nil)
-	c.count("watch", Count{Requests: 1, Bytes: len(resp.Body)})
-	status, _, err := c.outcome(resp, err, &ch)
+	resp, err := c.watches.Do(ctx, "GET", target, nil)
+	c.addUsage("watch", Usage{Requests: 1, Bytes: len(resp.Body)})
+	status, _, err := c.decode(resp, err, &ch)
 	switch {
 	case err != nil:
 		return ch, err
--- a/internal/statestore/statestore_test.go
+++ b/internal/statestore/statestore_test.go
@@ -15,24 +15,24 @@
 func TestRefusedTransactionUsesNoChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New("127.0.0.1:1", 1, 10, 10, nil)
-		time.Sleep(time.Second)         // fills both budgets
-		for range c.reqs.Burst() + 20 { // others' requests, for two seconds
-			c.reqs.ReserveN(time.Now(), 1)
+		time.Sleep(time.Second)                  // fills both budgets
+		for range c.requestTokens.Burst() + 20 { // others' requests, for two seconds
+			c.requestTokens.ReserveN(time.Now(), 1)
 		}
-		before := c.changes.Tokens()
+		before := c.writeTokens.Tokens()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err := c.Txn(ctx, Urgent("accept"), wire.Txn{Then: []wire.Op{{Put: "a"}, {Delete: "b"}}})
 		if !errors.Is(err, ErrRefused) {
 			t.Fatalf("got %v, want %v", err, ErrRefused)
 		}
-		if got := c.changes.Tokens(); got < before {
+		if got := c.writeTokens.Tokens(); got < before {
 			t.Errorf("%.1f changes left of %.1f: refused, it used some", got, before)
 		}
-		if n := c.Counts()["accept"]; n != (Count{Refused: 1}) {
+		if n := c.TakeUsage()["accept"]; n != (Usage{Refused: 1}) {
 			t.Errorf("counted %+v, want one refused and nothing used", n)
 		}
-		if reqs, changes := c.Needed(); reqs != 0 || changes != 0 {
+		if reqs, changes := c.TakeDemand(); reqs != 0 || changes != 0 {
 			t.Errorf("needed %d requests and %d changes, want none", reqs, changes)
 		}
 	})
@@ -43,16 +43,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := New("127.0.0.1:1", 1, 10, 10, nil)
 		time.Sleep(time.Second)
-		for range c.changes.Burst() + 20 {
-			c.changes.ReserveN(time.Now(), 1)
+		for range c.writeTokens.Burst() + 20 {
+			c.writeTokens.ReserveN(time.Now(), 1)
 		}
-		before := c.reqs.Tokens()
+		before := c.requestTokens.Tokens()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if _, err := c.Txn(ctx, Urgent("cancel"), wire.Txn{Then: []wire.Op{{Put: "a"}}}); !errors.Is(err, ErrRefused) {
 			t.Fatalf("got %v, want %v", err, ErrRefused)
 		}
-		if got := c.reqs.Tokens(); got < before {
+		if got := c.requestTokens.Tokens(); got < before {
 			t.Errorf("%.1f requests left of %.1f: refused, it used some", got, before)
 		}
 	})
@@ -79,7 +79,7 @@
 		if last < 7450*time.Millisecond || last > 7550*time.Millisecond {
 			t.Errorf("all were let through after %v, want 7.5 s", last)
 		}
-		if reqs, changes := c.Needed(); reqs != 30 || changes != 30 {
+		if reqs, changes := c.TakeDemand(); reqs != 30 || changes != 30 {
 			t.Errorf("needed %d requests and %d changes, want 30 of each", reqs, changes)
 		}
 	})
--- a/internal/testkit/service.go
+++ b/internal/testkit/service.go
@@ -224,34 +224,34 @@
 }
 
 // Get implements statestore.Store.
-func (l *Link) Get(ctx context.Context, u statestore.Use, key string) (wire.Entry, error) {
+func (l *Link) Get(ctx context.Context, purpose statestore.Purpose, key string) (wire.Entry, error) {
 	if err := l.begin(ctx); err != nil {
 		return wire.Entry{}, err
 	}
 	defer l.s.mu.Unlock()
-	return l.s.state.Get(ctx, u, key)
+	return l.s.state.Get(ctx, purpose, key)
 }
 
 // List implements statestore.Store.
-func (l *Link) List(ctx context.Context, u statestore.Use, prefix string) ([]wire.Entry, uint64, error) {
+func (l *Link) List(ctx context.Context, purpose statestore.Purpose, prefix string) ([]wire.Entry, uint64, error) {
 	if err := l.begin(ctx); err != nil {
 		return nil, 0, err
 	}
 	defer l.s.mu.Unlock()
-	return l.s.state.List(ctx, u, prefix)
+	return l.s.state.List(ctx, purpose, prefix)
 }
 
 // ListPage implements statestore.Store.
-func (l *Link) ListPage(ctx context.Context, u statestore.Use, prefix, after string, limit int) (wire.EntryPage, error) {
+func (l *Link) ListPage(ctx context.Context, purpose statestore.Purpose, prefix, after string, limit int) (wire.EntryPage, error) {
 	if err := l.begin(ctx); err != nil {
 		return wire.EntryPage{}, err
 	}
 	defer l.s.mu.Unlock()
-	return l.s.state.ListPage(ctx, u, prefix, after, limit)
+	return l.s.state.ListPage(ctx, purpose, prefix, after, limit)
 }
 
 // Txn implements statestore.Store.
-func (l *Link) Txn(ctx context.Context, _ statestore.Use, t wire.Txn) (uint64, error) {
+func (l *Link) Txn(ctx context.Context, _ statestore.Purpose, t wire.Txn) (uint64, error) {
 	if err := l.begin(ctx); err != nil {
 		return 0, err
 	}
@@ -340,17 +340,17 @@
 	}
 }
 
-// Budget implements statestore.Store: the service has no limits here.
-func (l *Link) Budget(float64, float64) {}
+// SetLimits implements statestore.Store: the service has no limits here.
+func (l *Link) SetLimits(float64, float64) {}
 
-// Needed implements statestore.Store.
-func (l *Link) Needed() (requests, changes int) { return 0, 0 }
+// TakeDemand implements statestore.Store.
+func (l *Link) TakeDemand() (requests, changes int) { return 0, 0 }
 
 // Backlog implements statestore.Store.
 func (l *Link) Backlog() time.Duration { return 0 }
 
-// Counts implements statestore.Store.
-func (l *Link) Counts() map[string]statestore.Count { return nil }
+// TakeUsage implements statestore.Store.
+func (l *Link) TakeUsage() map[string]statestore.Usage { return nil }
 
 // TestEnd is who writes what a test itself puts.
 const TestEnd = "test"
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -63,7 +63,7 @@
 }
 
 // Get implements statestore.Store.
-func (s *State) Get(_ context.Context, _ statestore.Use, key string) (wire.Entry, error) {
+func (s *State) Get(_ context.Context, _ statestore.Purpose, key string) (wire.Entry, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.Down {
@@ -77,7 +77,7 @@
 }
 
 // List implements statestore.Store.
-func (s *State) List(_ context.Context, _ statestore.Use, prefix string) ([]wire.Entry, uint64, error) {
+func (s *State) List(_ context.Context, _ statestore.Purpose, prefix string) ([]wire.Entry, uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.Down {
@@ -94,15 +94,15 @@
 }
 
 // ListPage implements statestore.Store.
-func (s *State) ListPage(ctx context.Context, u statestore.Use, prefix, after string, limit int) (wire.EntryPage, error) {
-	items, rev, err := s.List(ctx, u, prefix)
+func (s *State) ListPage(ctx context.Context, purpose statestore.Purpose, prefix, after string, limit int) (wire.EntryPage, error) {
+	items, rev, err := s.List(ctx, purpose, prefix)
 	items = slices.DeleteFunc(items, func(e wire.Entry) bool { return e.Key <= after })
 	n := min(limit, len(items))
 	return wire.EntryPage{Items: items[:n], More: n < len(items), Revision: rev}, err
 }
 
 // Txn implements statestore.Store.
-func (s *State) Txn(_ context.Context, _ statestore.Use, t wire.Txn) (uint64, error) {
+func (s *State) Txn(_ context.Context, _ statestore.Purpose, t wire.Txn) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -238,17 +238,17 @@
 	return ch, nil
 }
 
-// Budget implements statestore.Store.
-func (s *State) Budget(float64, float64) {}
+// SetLimits implements statestore.Store.
+func (s *State) SetLimits(float64, float64) {}
 
-// Needed implements statestore.Store.
-func (s *State) Needed() (requests, changes int) { return 0, 0 }
+// TakeDemand implements statestore.Store.
+func (s *State) TakeDemand() (requests, changes int) { return 0, 0 }
 
 // Backlog implements statestore.Store.
 func (s *State) Backlog() time.Duration { return 0 }
 
-// Counts implements statestore.Store.
-func (s *State) Counts() map[string]statestore.Count { return nil }
+// TakeUsage implements statestore.Store.
+func (s *State) TakeUsage() map[string]statestore.Usage { return nil }
 
 // Cloud rents without limit, or as scripted. It implements cloud.API.
 type Cloud struct {
