--- a/internal/controller/account_test.go
+++ b/internal/controller/account_test.go
@@ -82,7 +82,7 @@
 	t.Helper()
 	inner := testkit.NewState()
 	c := newTest(t, inner)
-	c.schedulerConfig.Report = 1500 * time.Millisecond // starts ride on reports' answers
+	c.schedulerConfig.HeartbeatInterval = 1500 * time.Millisecond // starts ride on reports' answers
 	c.agents = mute{}
 	workers := putRentals(fleetPut(inner, c), machines)
 	putJobs(t, inner, workers, jobs)
@@ -283,7 +283,7 @@
 	c, _, workers := fleetController(b, accountMachines, 0)
 	met(b, c, workers)
 	c.mu.Lock()
-	c.schedulerConfig.GatherStarts = 0
+	c.schedulerConfig.StartBatchDelay = 0
 	c.mu.Unlock()
 	n := 0
 	b.ReportAllocs()
--- a/internal/controller/claim.go
+++ b/internal/controller/claim.go
@@ -177,7 +177,7 @@
 	})
 	for ref, j := range c.activeJobs {
 		if j.part == id {
-			shard.Inherit(ref, c.dependencies.Claim(ref))
+			shard.SetInheritedClaim(ref, c.dependencies.Claim(ref))
 		}
 	}
 	c.log.Info("shard acquired", "shard", id, "token", shard.Token())
@@ -219,15 +219,15 @@
 	}
 	shard := scheduler.New(cfg, id, token)
 	if c.safeMode.enabled {
-		shard.SetStrict()
+		shard.DetectDataLoss()
 	}
 	c.mu.Lock()
 	open = slices.DeleteFunc(open, func(e wire.Entry) bool { return c.belongsToOtherShard(e, id) })
 	if c.upgraded() {
-		shard.SetUpgraded()
+		shard.AllowSizedRanges()
 	}
 	if c.allStated() {
-		shard.SetStated() // before it writes anything
+		shard.UseSizedRanges() // before it writes anything
 	}
 	c.mu.Unlock()
 	return shard, shard.Load(fl, open, slots, time.Now())
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -294,10 +294,10 @@
 		backlog := c.store.Backlog()
 		for _, shard := range c.shards {
 			if c.allStated() {
-				shard.SetStated()
+				shard.UseSizedRanges()
 			}
-			shard.SetCut(cut)
-			shard.SetBehind(c.pressure.behind)
+			shard.SetPartitionedZones(cut)
+			shard.SetOverloaded(c.pressure.behind)
 			shard.SetBacklog(backlog)
 			c.step(shard, now)
 		}
--- a/internal/controller/dependency_tracking.go
+++ b/internal/controller/dependency_tracking.go
@@ -184,7 +184,7 @@
 func (c *Controller) passDemandOn(refs []string) {
 	for _, ref := range refs {
 		if shard := c.shards[c.activeJobs[ref].part]; shard != nil {
-			shard.Inherit(ref, c.dependencies.Claim(ref))
+			shard.SetInheritedClaim(ref, c.dependencies.Claim(ref))
 		}
 	}
 }
--- a/internal/controller/drainer.go
+++ b/internal/controller/drainer.go
@@ -119,7 +119,7 @@
 			return scheduler.Cordoned, false
 		}
 		return scheduler.NotCordoned, slices.ContainsFunc(active, func(p drain.Plan) bool {
-			return p.Selects(m.ID, m.Type.Name, m.Zone, m.Rented())
+			return p.Selects(m.ID, m.Type.Name, m.Zone, m.ProvisionedAt())
 		})
 	})
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -142,7 +142,7 @@
 	now := time.Now()
 	for _, o := range a.Orders {
 		if shard := c.shards[o.Part]; shard != nil {
-			shard.Order(o, now)
+			shard.ApplyFleetOrder(o, now)
 		}
 	}
 	for _, id := range a.Claim {
@@ -288,7 +288,7 @@
 	byOwner := map[string][]fleet.Order{}
 	for _, o := range orders {
 		if shard := c.shards[o.Part]; shard != nil {
-			shard.Order(o, now)
+			shard.ApplyFleetOrder(o, now)
 			c.step(shard, now)
 			continue
 		}
--- a/internal/controller/parts.go
+++ b/internal/controller/parts.go
@@ -40,19 +40,19 @@
 	kinds := map[string]string{wire.Array: "array", wire.Gang: "gang", wire.Service: "service"}
 	s := &scheduler.Config{
 		Teams: map[string]scheduler.Team{}, Types: map[string]wire.MachineType{},
-		Report: config.Seconds(p.Workers.ReportS), Lease: config.Seconds(p.Workers.LeaseS),
-		SilentAfter:  config.Seconds(p.Workers.ReportS)*silentReports + silentExtra,
-		BootFactor:   bootFactor,
-		PreemptAfter: preemptAfter,
-		GangWait:     config.Seconds(p.Workers.GangWaitS),
-		Probes:       max(1, p.Resources.MaxSockets/probeSockets),
-		TxnOps:       c.limits().TxnOps,
-		ValueBytes:   c.limits().Bytes(),
-		SlotTasks:    scheduler.SlotTasks(p.State.ValueKB),
-		GatherEnds:   gatherEnds,
-		GatherStarts: gatherStarts,
-		GatherBacks:  gatherBacks,
-		Pace:         c.restarts.limiter,
+		HeartbeatInterval: config.Seconds(p.Workers.ReportS), Lease: config.Seconds(p.Workers.LeaseS),
+		SilentAfter:          config.Seconds(p.Workers.ReportS)*silentReports + silentExtra,
+		BootFactor:           bootFactor,
+		PreemptAfter:         preemptAfter,
+		GangWait:             config.Seconds(p.Workers.GangWaitS),
+		MaxProbes:            max(1, p.Resources.MaxSockets/probeSockets),
+		TxnOps:               c.limits().TxnOps,
+		ValueBytes:           c.limits().Bytes(),
+		PlacementsPerRecord:  scheduler.PlacementsPerRecord(p.State.ValueKB),
+		CompletionBatchDelay: gatherEnds,
+		StartBatchDelay:      gatherStarts,
+		ReleaseBatchDelay:    gatherBacks,
+		Pace:                 c.restarts.limiter,
 		Urgency: func(spec *wire.Spec, waited time.Duration, deadline *float64) float64 {
 			j := policy.Job{Class: spec.Class, Team: spec.Team, Kind: kinds[spec.Kind], Tasks: spec.Tasks, WaitedS: waited.Seconds(), EstimateS: spec.EstimateS}
 			if deadline != nil {
@@ -82,7 +82,7 @@
 	eff := shard.Step(now)
 	c.recordInterruptions(eff.Interrupted, now)
 	c.recordContradictions(eff.Contradictions)
-	if shard.Lost() {
+	if shard.OwnershipLost() {
 		delete(c.shards, shard.ID())
 		go c.rereadShardRecord(shard.ID())
 	}
@@ -92,16 +92,16 @@
 	for _, ref := range eff.RereadJobs {
 		go c.rereadJob(shard, ref)
 	}
-	for _, n := range eff.RereadSlots {
+	for _, n := range eff.RereadPlacements {
 		go c.rereadPlacements(shard, n)
 	}
 	for _, id := range eff.RereadMachines {
 		go c.rereadMachine(shard, id)
 	}
-	for _, ref := range eff.RereadPipes {
+	for _, ref := range eff.RereadPipelines {
 		go c.rereadPipeline(shard, ref)
 	}
-	for _, d := range eff.Pushes {
+	for _, d := range eff.DirectCommands {
 		go c.sendCommands(shard, d)
 	}
 	for _, q := range eff.Probes {
@@ -110,14 +110,14 @@
 	for _, u := range eff.Unrecorded {
 		go c.lookUpMissingRecords(shard, u)
 	}
-	for _, id := range eff.Wake {
+	for _, id := range eff.StartsReady {
 		if c.held[id] != nil {
 			c.release(id, now)
-		} else if d, ok := shard.Start(id, now); ok {
+		} else if d, ok := shard.DirectStarts(id, now); ok {
 			go c.sendCommands(shard, d)
 		}
 	}
-	for _, g := range eff.Returned {
+	for _, g := range eff.Released {
 		c.log.Info("machine released", "machine", g.Machine, "shard", shard.ID(), "why", g.Why, "tasks", g.Tasks, "silent", g.Silent.Round(time.Millisecond))
 	}
 	for _, e := range eff.Ended {
@@ -134,7 +134,7 @@
 // still finds its lease ended, and its timers and answers due, before any of its
 // loops has run again: it must not send what was recorded before.
 func (c *Controller) refreshAuthority(shard *scheduler.Shard, now time.Time) {
-	shard.SetBlind(c.blind(now) || !c.sure(now))
+	shard.SetCancellationsUnknown(c.blind(now) || !c.sure(now))
 }
 
 // updateShard runs f on a part under the lock, then pumps it.
@@ -161,7 +161,7 @@
 			shard.Refused(t, now)
 		case errors.Is(err, statestore.ErrInvalid):
 			c.log.Error("transaction not taken: writing less from now on", "shard", shard.ID(), "for", t.Purpose, "err", err)
-			shard.Shrink(t, now)
+			shard.TooLarge(t, now)
 		default:
 			c.log.Info("transaction without answer", "shard", shard.ID(), "err", err)
 			shard.Unknown(t, now)
@@ -247,7 +247,7 @@
 }
 
 func (c *Controller) rereadPlacements(shard *scheduler.Shard, n int) {
-	c.rereadRecord(shard, record.PlacementsKey(shard.ID(), n), func(e *wire.Entry, now time.Time) error { return shard.SlotRead(n, e, now) })
+	c.rereadRecord(shard, record.PlacementsKey(shard.ID(), n), func(e *wire.Entry, now time.Time) error { return shard.PlacementsRead(n, e, now) })
 }
 
 func (c *Controller) rereadMachine(shard *scheduler.Shard, id string) {
@@ -275,7 +275,7 @@
 		return
 	}
 	c.updateShard(shard, func(now time.Time) {
-		if err := shard.PipeRead(ref, e, ends, now); err != nil {
+		if err := shard.PipelineRead(ref, e, ends, now); err != nil {
 			c.log.Error("read back", "pipeline", ref, "err", err)
 		}
 	})
@@ -343,15 +343,15 @@
 	}
 	c.updateShard(shard, func(now time.Time) {
 		if err != nil {
-			shard.Probed(q.Machine, nil, now)
+			shard.ProbeAnswered(q.Machine, nil, now)
 			return
 		}
-		shard.Probed(q.Machine, &r, now)
+		shard.ProbeAnswered(q.Machine, &r, now)
 	})
 }
 
 // sendCommands sends commands straight to a worker and tells the part what came of it.
-func (c *Controller) sendCommands(shard *scheduler.Shard, d scheduler.Push) {
+func (c *Controller) sendCommands(shard *scheduler.Shard, d scheduler.DirectCommand) {
 	c.commands <- struct{}{}
 	r, ok, err := c.agents.Command(c.life, d.Addr, d.Orders)
 	<-c.commands
@@ -373,9 +373,9 @@
 		c.log.Debug("direct command", "machine", d.Machine, "err", err)
 	}
 	c.updateShard(shard, func(now time.Time) {
-		shard.PushDone(d, outcome, now)
+		shard.CommandDone(d, outcome, now)
 		if err == nil {
-			shard.Report(&r, true, now)
+			shard.Heartbeat(&r, true, now)
 		}
 	})
 }
--- a/internal/controller/restarts.go
+++ b/internal/controller/restarts.go
@@ -65,12 +65,12 @@
 // beginEpisode takes in that a part was taken over. The lock is held.
 func (c *Controller) beginEpisode(shard *scheduler.Shard, now time.Time) {
 	r := &c.restarts
-	malformed := shard.Malformed()
+	malformed := shard.MalformedRecords()
 	for _, err := range malformed {
 		c.log.Error("malformed record passed over", "shard", shard.ID(), "err", err)
 	}
 	if !r.enabled || !shard.HasMachines() {
-		shard.EndSettling() // where there are no workers there is nothing to find out
+		shard.EndReconciliation() // where there are no workers there is nothing to find out
 		return
 	}
 	if r.episode == nil {
@@ -206,14 +206,14 @@
 			delete(r.reconcilingShards, id) // another's by now
 			continue
 		}
-		progress, settling := shard.Progress()
+		progress, settling := shard.ReconciliationProgress()
 		tally.Plus(progress.Tally)
-		e.PendingTasks += progress.Awaited
+		e.PendingTasks += progress.Pending
 		e.SilentMachines += progress.Unheard
-		e.PendingNames = append(e.PendingNames, progress.Names...)
-		if !settling || progress.Awaited+progress.Unheard == 0 {
+		e.PendingNames = append(e.PendingNames, progress.UnheardNames...)
+		if !settling || progress.Pending+progress.Unheard == 0 {
 			r.reconciledTally.Plus(progress.Tally)
-			shard.EndSettling()
+			shard.EndReconciliation()
 			delete(r.reconcilingShards, id)
 		}
 	}
--- a/internal/controller/stale_reads.go
+++ b/internal/controller/stale_reads.go
@@ -96,7 +96,7 @@
 	}
 	c.updateShard(shard, func(now time.Time) {
 		if explained {
-			shard.Explain(u.Task)
+			shard.ExplainUnrecorded(u.Task)
 			return
 		}
 		if shard.ConfirmUnrecorded(u.Task) {
--- a/internal/controller/standalone.go
+++ b/internal/controller/standalone.go
@@ -46,7 +46,7 @@
 	orders, rents := c.standalone.plan.Plan(sums, now)
 	for _, o := range orders {
 		if shard := c.shards[o.Part]; shard != nil && (o.To == fleet.ReleaseToCloud || c.shards[o.To] != nil) {
-			shard.Order(o, now)
+			shard.ApplyFleetOrder(o, now)
 			c.step(shard, now)
 		}
 	}
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -322,7 +322,7 @@
 		c.removeActiveJob(ref) // the owner ends jobs itself, but those that only waited
 		for _, shard := range c.shards {
 			if shard.HasJob(ref) {
-				shard.JobGone(ref, now)
+				shard.JobRecordGone(ref, now)
 				c.step(shard, now)
 			}
 		}
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -127,7 +127,7 @@
 	if c.pressure.strained {
 		return 0
 	}
-	return shard.Hold(machine, now)
+	return shard.LongPollTimeout(machine, now)
 }
 
 // hold keeps an answer back for at most d. The lock is held.
@@ -155,7 +155,7 @@
 	rep := transport.Response{Status: 503, RetryAfter: 1}
 	if c.shards[h.part.ID()] == h.part {
 		c.refreshAuthority(h.part, now)
-		if o, ok := h.part.Held(machine, now); ok {
+		if o, ok := h.part.ParkedOrders(machine, now); ok {
 			rep = transport.Response{Status: 200, Body: o}
 		}
 	}
@@ -168,7 +168,7 @@
 		return transport.Response{Status: 421, Body: wire.Redirect{Label: to}}
 	}
 	c.refreshAuthority(shard, now)
-	orders, verdict := shard.Report(r, false, now)
+	orders, verdict := shard.Heartbeat(r, false, now)
 	c.step(shard, now)
 	switch verdict {
 	case scheduler.Answered:
--- a/internal/scheduler/arrivals.go
+++ b/internal/scheduler/arrivals.go
@@ -7,12 +7,12 @@
 	"bramblespur/internal/wire"
 )
 
-const arrivalFade = 60 * time.Second
+const arrivalDecay = 60 * time.Second
 
-// arrive counts a job for the headroom if it is of the kind that must start
+// recordArrival counts a job for the headroom if it is of the kind that must start
 // soon: no spot machine will do, or its team is guaranteed. What may use spot
 // machines is counted apart: they are what is kept ready for it.
-func (s *Shard) arrive(j *Job, now time.Time) {
+func (s *Shard) recordArrival(j *Job, now time.Time) {
 	t := s.cfg.Teams[j.spec.Team]
 	if j.spec.Spot && t.CPUs <= 0 && t.GPUs <= 0 {
 		return
@@ -25,27 +25,27 @@
 		}
 		share = min(share, size)
 	}
-	s.fade(now)
+	s.decayArrivals(now)
 	n := float64(j.spec.Tasks)
 	switch {
 	case j.spec.Spot:
-		s.arrivedSpot += n * share
+		s.spotArrivals += n * share
 	case j.spec.Kind == wire.Array:
-		s.arrived += min(n, arrayAhead) * share
+		s.arrivals += min(n, maxArrayArrivals) * share
 	default:
-		s.arrived += n * share
+		s.arrivals += n * share
 	}
 }
 
-// arrayAhead bounds the tasks of an array that count as expected in ordinary
+// maxArrayArrivals bounds the tasks of an array that count as expected in ordinary
 // machines, which cost more: the rest of it starts where there is room.
-const arrayAhead = 2
+const maxArrayArrivals = 2
 
-func (s *Shard) fade(now time.Time) {
-	if !s.arriveAt.IsZero() {
-		f := math.Exp(-now.Sub(s.arriveAt).Seconds() / arrivalFade.Seconds())
-		s.arrived *= f
-		s.arrivedSpot *= f
+func (s *Shard) decayArrivals(now time.Time) {
+	if !s.arrivalsAt.IsZero() {
+		f := math.Exp(-now.Sub(s.arrivalsAt).Seconds() / arrivalDecay.Seconds())
+		s.arrivals *= f
+		s.spotArrivals *= f
 	}
-	s.arriveAt = now
+	s.arrivalsAt = now
 }
--- a/internal/scheduler/attain_test.go
+++ b/internal/scheduler/attain_test.go
@@ -19,26 +19,26 @@
 // where no more can be rented, machines would else stand idle for as long as it waits.
 func TestGangThatCannotBeCompleteKeepsNothing(t *testing.T) {
 	for name, busy := range map[string]bool{"too few machines": false, "a service on one of them": true} {
-		r := newRig(t)
+		r := newHarness(t)
 		large := 4
 		if busy {
 			large = 3
 			r.machine("m0", "z1", false)
-			r.beats(2)
+			r.heartbeats(2)
 			r.submit(spec("run-000001", "b", wire.Service, "prod", 1, 1))
-			r.beats(2)
+			r.heartbeats(2)
 		}
 		for _, id := range []string{"m0", "m1", "m2"} {
 			if r.workers[id] == nil {
 				r.machine(id, "z1", false)
 			}
 		}
-		r.beats(2)
+		r.heartbeats(2)
 		r.submit(gangOf("run-000002", large))
-		r.beats(1)
+		r.heartbeats(1)
 		r.submit(gangOf("run-000003", 2))
 		r.submit(spec("run-000004", "b", wire.Array, "normal", 1, 1))
-		r.beats(int((missingAfter + gatherFor + 4*time.Second) / r.cfg.Report))
+		r.heartbeats(int((infeasibleAfter + gangReservation + 4*time.Second) / r.cfg.HeartbeatInterval))
 		if r.on("run-000003/0") == "" || r.on("run-000003/1") == "" {
 			t.Errorf("%s: the small gang waits beside machines kept for one of %d", name, large)
 		}
@@ -51,17 +51,17 @@
 // An array that had waited too long places its next task as soon as one ends, and
 // nothing takes its place: its machines don't come free for a gang.
 func TestGangDoesNotAwaitAnArrayThatGoesOn(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.machine("m0", "z1", false)
-	r.beats(2)
+	r.heartbeats(2)
 	r.submit(spec("run-000001", "b", wire.Array, "low", 9, 1))
-	r.beats(2)
-	array := r.part.jobs["run-000001"]
-	array.kept, r.part.kept[array] = true, true
+	r.heartbeats(2)
+	array := r.shard.jobs["run-000001"]
+	array.protected, r.shard.protected[array] = true, true
 	r.submit(gangOf("run-000002", 2))
 	r.submit(gangOf("run-000003", 1))
 	r.machine("m1", "z1", false)
-	r.beats(int((missingAfter + gatherFor + 4*time.Second) / r.cfg.Report))
+	r.heartbeats(int((infeasibleAfter + gangReservation + 4*time.Second) / r.cfg.HeartbeatInterval))
 	if r.on("run-000003/0") != "m1" {
 		t.Error("the small gang waits beside a machine kept for one of 2")
 	}
@@ -70,21 +70,21 @@
 // What has not booted yet, and what ends by itself, does count: a gang goes on
 // gathering for as long as that takes.
 func TestGangAwaitsMachinesThatBoot(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	for _, id := range []string{"m0", "m1"} {
 		r.machine(id, "z1", false)
 	}
-	r.beats(2)
+	r.heartbeats(2)
 	late := r.machine("m2", "z1", false)
 	delete(r.workers, "m2") // it boots
 	r.submit(gangOf("run-000002", 3))
 	r.submit(gangOf("run-000003", 2))
-	r.beats(int((missingAfter + 3*gatherFor) / r.cfg.Report))
+	r.heartbeats(int((infeasibleAfter + 3*gangReservation) / r.cfg.HeartbeatInterval))
 	if r.on("run-000003/0") != "" {
 		t.Fatal("the small gang took what the large one gathered")
 	}
 	r.workers["m2"] = late
-	r.beats(4)
+	r.heartbeats(4)
 	for _, task := range []string{"run-000002/0", "run-000002/1", "run-000002/2"} {
 		if r.on(task) == "" {
 			t.Errorf("%s does not run", task)
@@ -95,33 +95,33 @@
 // A machine that goes to another part once it is empty takes no new work, and stops
 // none.
 func TestMachineLeavesAsItEmpties(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	w := r.machine("m1", "z1", false)
-	r.beats(2)
+	r.heartbeats(2)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 3, 1))
-	r.beats(3)
+	r.heartbeats(3)
 	w.End("run-000001/0", wire.Done)
-	r.part.Order(fleet.Order{Machine: "m1", To: 1, Emptied: true}, r.clock.Now())
-	r.beats(3)
-	if summary := r.part.Summary(r.clock.Now()); len(summary.Machines) != 1 || !summary.Machines[0].Moving || summary.Machines[0].To != 1 {
+	r.shard.ApplyFleetOrder(fleet.Order{Machine: "m1", To: 1, Emptied: true}, r.clock.Now())
+	r.heartbeats(3)
+	if summary := r.shard.Summary(r.clock.Now()); len(summary.Machines) != 1 || !summary.Machines[0].Moving || summary.Machines[0].To != 1 {
 		t.Fatalf("summary %+v, want it to tell where the machine goes", summary.Machines)
 	}
 	if r.on("run-000001/1") != "m1" || r.on("run-000001/2") != "" {
 		t.Fatalf("tasks on %q and %q, want the one that ran, and no new one", r.on("run-000001/1"), r.on("run-000001/2"))
 	}
 	w.End("run-000001/1", wire.Done)
-	r.beats(3)
-	if summary := r.part.Summary(r.clock.Now()); len(summary.Machines) != 0 {
+	r.heartbeats(3)
+	if summary := r.shard.Summary(r.clock.Now()); len(summary.Machines) != 0 {
 		t.Fatalf("%+v has not gone", summary.Machines)
 	}
 }
 
 // The leader is told of jobs of which nothing ran for minutes, and of no others.
 func TestSummaryTellsWhatStarves(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	starved := func() bool {
-		needs := r.part.Summary(r.clock.Now()).Needs
+		needs := r.shard.Summary(r.clock.Now()).Needs
 		return len(needs) == 1 && needs[0].Starved
 	}
 	if starved() {
@@ -136,14 +136,14 @@
 // Work that had waited too long keeps its machines from urgent work of other parts,
 // not from services, which users wait for all the time.
 func TestOnlyServicesTakeWhatWaitedLong(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.machine("m1", "z1", false)
-	r.beats(2)
+	r.heartbeats(2)
 	r.submit(spec("run-000001", "b", wire.Array, "low", 2, 1))
-	r.beats(2)
-	array := r.part.jobs["run-000001"]
-	array.kept, r.part.kept[array] = true, true
-	if top := r.part.Summary(r.clock.Now()).Machines[0].TopRank; top < Rank("urgent") || top >= Rank("prod") {
+	r.heartbeats(2)
+	array := r.shard.jobs["run-000001"]
+	array.protected, r.shard.protected[array] = true, true
+	if top := r.shard.Summary(r.clock.Now()).Machines[0].TopRank; top < Rank("urgent") || top >= Rank("prod") {
 		t.Errorf("priority %d is told for it", top)
 	}
 }
--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -8,21 +8,21 @@
 	"bramblespur/internal/wire"
 )
 
-// find chooses a machine for each of n tasks of j, nil if there is no room for
+// selectMachines chooses a machine for each of n tasks of j, nil if there is no room for
 // all of them.
-func (s *Shard) find(j *Job, n int, now time.Time) []*Machine {
+func (s *Shard) selectMachines(j *Job, n int, now time.Time) []*Machine {
 	spec := j.spec
-	if n == 1 && s.found.job == j {
-		return s.next(j)
+	if n == 1 && s.candidates.job == j {
+		return s.nextCandidate(j)
 	}
-	s.found.job = nil
+	s.candidates.job = nil
 	var cands []*Machine
-	s.roomy(spec, now, func(m *Machine) {
+	s.eachFeasibleMachine(spec, now, func(m *Machine) {
 		if j.failedOn[m.ID] && !j.atFault() {
 			return
 		}
-		if m.keptFromOthers(j, now) {
-			if o := s.jobs[m.reserved]; o != nil && o.idleTasks > 0 && s.yields(j, o, now) {
+		if m.reservedForOther(j, now) {
+			if o := s.jobs[m.reserved]; o != nil && o.pendingTasks > 0 && s.yieldsReservation(j, o, now) {
 				return
 			}
 		}
@@ -38,16 +38,16 @@
 			only = z
 		}
 	}
-	if n == 1 && (spec.Spread || spec.OneZone || j.idleTasks == 1) {
-		return s.best(j, cands, limit, only)
+	if n == 1 && (spec.Spread || spec.OneZone || j.pendingTasks == 1) {
+		return s.bestMachine(j, cands, limit, only)
 	}
 	scores := s.sortByScore(j, cands)
 	if n == 1 {
-		s.found = found{j, cands}
-		return s.next(j)
+		s.candidates = candidateCache{j, cands}
+		return s.nextCandidate(j)
 	}
 	if !spec.OneZone || only != "" {
-		return pick(spec, cands, n, j.zones, limit, only)
+		return packMachines(spec, cands, n, j.zones, limit, only)
 	}
 	// The zone that serves the whole gang best: it starts when the last of its
 	// tasks has the image.
@@ -59,7 +59,7 @@
 			continue
 		}
 		tried[m.Zone] = true
-		got := pick(spec, cands, n, j.zones, limit, m.Zone)
+		got := packMachines(spec, cands, n, j.zones, limit, m.Zone)
 		if got == nil {
 			continue
 		}
@@ -82,32 +82,32 @@
 	return len(j.tasks)
 }
 
-// mayGoTo reports whether a zone may take one more of a job's tasks, as those that
+// allowsZone reports whether a zone may take one more of a job's tasks, as those that
 // are placed leave it.
-func (j *Job) mayGoTo(zone string) bool {
+func (j *Job) allowsZone(zone string) bool {
 	if j.spec.OneZone && len(j.zones) > 0 && j.zones[zone] == 0 {
 		return false
 	}
 	return j.zones[zone] < j.zoneLimit()
 }
 
-// found is the candidates for a job's tasks, the best first, while no other
+// candidateCache is the candidates for a job's tasks, the best first, while no other
 // job's task is placed.
-type found struct {
-	job  *Job
-	list []*Machine
+type candidateCache struct {
+	job      *Job
+	machines []*Machine
 }
 
-// next returns the machine for the next task of a job that places one after the
+// nextCandidate returns the machine for the next task of a job that places one after the
 // other: a wide array would else look at all free machines for each of them. A
 // machine that took one is fuller, and so stays the best until it is full.
-func (s *Shard) next(j *Job) []*Machine {
-	for len(s.found.list) > 0 {
-		m := s.found.list[0]
-		if r := free(m); roomFor(j.spec, r.cpus, r.gpus, r.mem) {
-			return s.found.list[:1]
+func (s *Shard) nextCandidate(j *Job) []*Machine {
+	for len(s.candidates.machines) > 0 {
+		m := s.candidates.machines[0]
+		if r := freeRoom(m); fits(j.spec, r.cpus, r.gpus, r.mem) {
+			return s.candidates.machines[:1]
 		}
-		s.found.list = s.found.list[1:]
+		s.candidates.machines = s.candidates.machines[1:]
 	}
 	return nil
 }
@@ -127,19 +127,19 @@
 	return scores
 }
 
-// yields reports whether a job leaves alone what is kept for another. One that has
+// yieldsReservation reports whether a job leaves alone what is kept for another. One that has
 // waited too long takes it from those that have not, but not from those that go
 // before it: small gangs, which find room soon, would keep the largest from ever
 // having gathered enough.
-func (s *Shard) yields(j, other *Job, now time.Time) bool {
+func (s *Shard) yieldsReservation(j, other *Job, now time.Time) bool {
 	if s.aged(j, now) {
 		return s.aged(other, now) && beforeAged(other, j)
 	}
 	return other.rank >= j.rank
 }
 
-// best returns the best of the candidates for one task.
-func (s *Shard) best(j *Job, cands []*Machine, limit int, only string) []*Machine {
+// bestMachine returns the best of the candidates for one task.
+func (s *Shard) bestMachine(j *Job, cands []*Machine, limit int, only string) []*Machine {
 	var best *Machine
 	top := 0.0
 	for _, m := range cands {
@@ -156,8 +156,8 @@
 	return []*Machine{best}
 }
 
-// pick takes machines in order, several tasks to one where they fit.
-func pick(spec *wire.Spec, cands []*Machine, n int, placed map[string]int, limit int, only string) []*Machine {
+// packMachines takes machines in order, several tasks to one where they fit.
+func packMachines(spec *wire.Spec, cands []*Machine, n int, placed map[string]int, limit int, only string) []*Machine {
 	zones := make(map[string]int, len(placed))
 	for z, c := range placed {
 		zones[z] = c
@@ -167,11 +167,11 @@
 		if only != "" && m.Zone != only {
 			continue
 		}
-		r := free(m)
-		for len(got) < n && roomFor(spec, r.cpus, r.gpus, r.mem) && zones[m.Zone] < limit {
+		r := freeRoom(m)
+		for len(got) < n && fits(spec, r.cpus, r.gpus, r.mem) && zones[m.Zone] < limit {
 			got = append(got, m)
 			zones[m.Zone]++
-			r = r.less(spec, 1)
+			r = r.minus(spec, 1)
 		}
 		if len(got) == n {
 			return got
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -9,126 +9,126 @@
 	"bramblespur/internal/wire"
 )
 
-// endsPatience is how much longer completions of jobs that go on wait for others,
+// completionPatience is how much longer completions of jobs that go on wait for others,
 // in times that changes wait for the state service's budget. Their workers keep them
 // meanwhile, also for a new owner, and nobody waits for them, while each such write
 // is one that a user's request or a start does not get.
-const endsPatience = 8
+const completionPatience = 8
 
 // retryAfter is the pause after a transaction that the state service refused.
 const retryAfter = 300 * time.Millisecond
 
 // Purposes of transactions, for the log.
 const (
-	forStart  = "start"
-	forEnds   = "completions"
-	forJobEnd = "job end"
-	forMove   = "move"
-	forBack   = "back"
-	forFence  = "fence"
-	forSplit  = "split"
+	purposeStart       = "start"
+	purposeCompletions = "completions"
+	purposeJobEnd      = "job end"
+	purposeTransfer    = "move"
+	purposeRelease     = "back"
+	purposeRaiseToken  = "fence"
+	purposeSplit       = "split"
 )
 
-// flush makes the transactions that bring the records up to the ledger.
-func (s *Shard) flush(now time.Time) {
-	for ref, j := range s.ending {
-		if j.ending != nil || j.versionUnknown || now.Before(j.retry) {
+// writeRecords makes the transactions that bring the records up to the ledger.
+func (s *Shard) writeRecords(now time.Time) {
+	for ref, j := range s.endingJobs {
+		if j.endTxn != nil || j.versionUnknown || now.Before(j.retryAt) {
 			continue
 		}
-		if !j.over() {
-			delete(s.ending, ref) // a task counted as gone came back into the ledger
+		if !j.terminal() {
+			delete(s.endingJobs, ref) // a task counted as gone came back into the ledger
 			continue
 		}
-		s.endTxn(j, now)
+		s.recordJobEnd(j, now)
 	}
-	if s.stated {
-		s.retire()
+	if s.sized {
+		s.retireUnsizedRecords()
 	}
-	for _, rec := range s.slots {
-		if !rec.dirty || len(rec.left) > 0 || rec.txn != nil || rec.versionUnknown || now.Before(rec.retry) {
+	for _, rec := range s.placements {
+		if !rec.dirty || len(rec.departed) > 0 || rec.txn != nil || rec.versionUnknown || now.Before(rec.retryAt) {
 			continue
 		}
 		// Completions alone wait for others to share the write: a user may be
 		// told of the end a little later. Starts that come one shortly after
 		// the other share one, too.
-		due := rec.since.Add(s.cfg.GatherEnds + endsPatience*s.backlog)
+		due := rec.dirtySince.Add(s.cfg.CompletionBatchDelay + completionPatience*s.writeBacklog)
 		if rec.urgent {
-			due = rec.written.Add(s.cfg.GatherStarts + s.backlog)
+			due = rec.writtenAt.Add(s.cfg.StartBatchDelay + s.writeBacklog)
 		}
 		if now.Before(due) {
-			s.alarm(due)
+			s.wakeAt(due)
 			continue
 		}
-		s.slotTxn(rec, now)
+		s.writePlacements(rec, now)
 	}
-	s.dropPlain(now)
-	s.flushBack(now)
+	s.deleteObsoleteRecords(now)
+	s.writeReleases(now)
 }
 
-// dropPlain deletes plain slots that tell nothing any more.
-func (s *Shard) dropPlain(now time.Time) {
-	for _, rec := range s.plain {
-		if now.Before(rec.retry) {
-			s.alarm(rec.retry)
+// deleteObsoleteRecords deletes plain slots that tell nothing any more.
+func (s *Shard) deleteObsoleteRecords(now time.Time) {
+	for _, rec := range s.obsolete {
+		if now.Before(rec.retryAt) {
+			s.wakeAt(rec.retryAt)
 			continue
 		}
-		at := record.PlacementsKey(s.id, rec.n)
-		t := &Txn{slot: rec, gone: true, Purpose: forSplit, Routine: true}
-		t.Body.If = []wire.Cond{s.cond(), {Key: at, Version: rec.version}}
+		at := record.PlacementsKey(s.id, rec.number)
+		t := &Txn{placements: rec, deletesRecord: true, Purpose: purposeSplit, Routine: true}
+		t.Body.If = []wire.Cond{s.ownershipCondition(), {Key: at, Version: rec.version}}
 		t.Body.Then = []wire.Op{{Delete: at}}
 		rec.txn = t
-		s.out.Txns = append(s.out.Txns, t)
+		s.effects.Txns = append(s.effects.Txns, t)
 	}
-	s.plain = nil
+	s.obsolete = nil
 }
 
-// endTxn records a job's end: its state for ever, and no open record any more.
+// recordJobEnd records a job's end: its state for ever, and no open record any more.
 // Its placements stay in their slot until that is next written; without an open
 // job a Load passes over them.
-func (s *Shard) endTxn(j *Job, now time.Time) {
+func (s *Shard) recordJobEnd(j *Job, now time.Time) {
 	open := record.ActiveJobKey(j.ref)
 	rec := record.FinishedJob{State: wire.Done, Tasks: len(j.tasks), At: now.UnixMilli()}
 	if j.cancelled {
 		rec.State, rec.Tasks = wire.Cancelled, 0
 	}
-	t := &Txn{job: j, Purpose: forJobEnd, Routine: !j.cancelled && !j.needed} // a user waits for a cancellation
-	t.Body.If = []wire.Cond{s.cond(), {Key: open, Version: j.version}}
+	t := &Txn{job: j, Purpose: purposeJobEnd, Routine: !j.cancelled && !j.hasDependents} // a user waits for a cancellation
+	t.Body.If = []wire.Cond{s.ownershipCondition(), {Key: open, Version: j.version}}
 	t.Body.Then = []wire.Op{{Put: record.FinishedJobKey(j.ref), Value: record.Encode(rec)}, {Delete: open}}
-	if !s.advance(t, j, now) {
+	if !s.addPipelineStep(t, j, now) {
 		return // when its pipeline's record is there
 	}
-	j.ending = t
-	s.out.Txns = append(s.out.Txns, t)
+	j.endTxn = t
+	s.effects.Txns = append(s.effects.Txns, t)
 }
 
-// slotTxn records the placements and completions of a slot, with as many new
+// writePlacements records the placements and completions of a slot, with as many new
 // starts as there is room for conditions on their jobs and machines. Ends that
 // freed a place need no write of their own: the next start rewrites the slot.
-func (s *Shard) slotTxn(placements *placementRecord, now time.Time) {
-	t := &Txn{slot: placements, Purpose: forEnds}
+func (s *Shard) writePlacements(placements *placementRecord, now time.Time) {
+	t := &Txn{placements: placements, Purpose: purposeCompletions}
 	conds := map[string]uint64{}
-	moved := placements.moved
-	rec, left := s.slotRecord(placements, t, conds)
-	if placements.stated {
+	moved := placements.rangeAwaited
+	rec, left := s.buildPlacements(placements, t, conds)
+	if placements.sized {
 		rec.Format = record.SizedRanges
 	}
-	placements.dirty, placements.urgent, placements.moved = left, left, false
-	if len(t.starts) == 0 && len(t.dones) == 0 && !moved {
+	placements.dirty, placements.urgent, placements.rangeAwaited = left, left, false
+	if len(t.starts) == 0 && len(t.completions) == 0 && !moved {
 		return
 	}
 	value := record.Encode(rec)
-	if !s.fit(placements, len(value)) {
+	if !s.splitOversizedRecord(placements, len(value)) {
 		placements.dirty, placements.urgent = true, true
-		s.alarm(now) // the slots that take what has no room here come first
+		s.wakeAt(now) // the slots that take what has no room here come first
 		return
 	}
-	placements.written = now
+	placements.writtenAt = now
 	t.Routine = true
 	if len(t.starts) > 0 {
-		t.Purpose, t.Routine = forStart, false
+		t.Purpose, t.Routine = purposeStart, false
 	}
-	at := record.PlacementsKey(s.id, placements.n)
-	t.Body.If = []wire.Cond{s.cond(), {Key: at, Version: placements.version}}
+	at := record.PlacementsKey(s.id, placements.number)
+	t.Body.If = []wire.Cond{s.ownershipCondition(), {Key: at, Version: placements.version}}
 	keys := make([]string, 0, len(conds))
 	for k := range conds {
 		keys = append(keys, k)
@@ -139,30 +139,30 @@
 	}
 	t.Body.Then = []wire.Op{{Put: at, Value: value}}
 	for _, k := range t.starts {
-		k.job.tasks[k.i].inTxn = true
+		k.job.tasks[k.index].recording = true
 	}
 	placements.txn = t
-	s.out.Txns = append(s.out.Txns, t)
+	s.effects.Txns = append(s.effects.Txns, t)
 }
 
-// slotRecord makes the record of a slot, notes in a transaction which starts and
+// buildPlacements makes the record of a slot, notes in a transaction which starts and
 // completions it brings, and adds the conditions that these rely on. It reports whether
 // starts were left out for want of room for their conditions.
-func (s *Shard) slotRecord(placements *placementRecord, t *Txn, conds map[string]uint64) (rec record.Placements, left bool) {
+func (s *Shard) buildPlacements(placements *placementRecord, t *Txn, conds map[string]uint64) (rec record.Placements, left bool) {
 	rec = record.Placements{Ranges: map[string]record.TaskRange{}}
 	room := 4*s.txnOps - 2
-	for name, c := range placements.chunks {
+	for name, c := range placements.ranges {
 		j := c.job
 		run := record.TaskRange{Attempt: c.attempt}
-		if placements.stated {
+		if placements.sized {
 			run.Tasks, run.Turn = c.end-c.first, c.turn
 		}
 		for i := c.first; i < c.end; i++ {
-			k := key{j, i}
+			k := taskKey{j, i}
 			task := &j.tasks[i]
 			switch task.state {
 			case placed:
-				if !task.recorded && !condition(conds, room, map[string]uint64{
+				if !task.recorded && !addConditions(conds, room, map[string]uint64{
 					record.ActiveJobKey(j.ref): j.version, record.OverrideKey(task.machine.ID): task.machine.version,
 				}) {
 					left = true
@@ -175,14 +175,14 @@
 					run.On = map[int]record.TaskPlacement{}
 				}
 				run.On[i] = record.TaskPlacement{Machine: task.machine.ID, Attempt: task.attempt}
-			case done:
-				if !task.durable {
-					t.dones = append(t.dones, k)
+			case completed:
+				if !task.completionRecorded {
+					t.completions = append(t.completions, k)
 				}
 				run.Done = withDone(run.Done, i)
 			}
 		}
-		t.chunks = append(t.chunks, c)
+		t.ranges = append(t.ranges, c)
 		rec.Ranges[name] = run
 	}
 	return rec, left
@@ -197,8 +197,8 @@
 	return append(spans, [2]int{i, i})
 }
 
-// condition adds conditions to those of a transaction if there is room for all.
-func condition(conds map[string]uint64, room int, add map[string]uint64) bool {
+// addConditions adds conditions to those of a transaction if there is room for all.
+func addConditions(conds map[string]uint64, room int, add map[string]uint64) bool {
 	n := len(conds)
 	for k := range add {
 		if _, ok := conds[k]; !ok {
@@ -214,21 +214,21 @@
 	return true
 }
 
-// moveTxn records that a machine belongs to another part from now on. Once
+// recordTransfer records that a machine belongs to another part from now on. Once
 // asked for, it is asked for again until it is known to be recorded, so that no
 // start can come before a late copy of it.
-func (s *Shard) moveTxn(m *Machine) {
+func (s *Shard) recordTransfer(m *Machine) {
 	at := record.OverrideKey(m.ID)
-	t := &Txn{machine: m, Purpose: forMove, Routine: true}
-	t.Body.If = []wire.Cond{s.cond(), {Key: at, Version: m.version}}
-	t.Body.Then = []wire.Op{{Put: at, Value: record.Encode(s.own(m, m.moveTo))}}
+	t := &Txn{machine: m, Purpose: purposeTransfer, Routine: true}
+	t.Body.If = []wire.Cond{s.ownershipCondition(), {Key: at, Version: m.version}}
+	t.Body.Then = []wire.Op{{Put: at, Value: record.Encode(s.overrideRecord(m, m.transferTo))}}
 	m.txn = t
-	s.out.Txns = append(s.out.Txns, t)
+	s.effects.Txns = append(s.effects.Txns, t)
 }
 
-// own is a machine's own record, with as many of its latest images as it holds.
-func (s *Shard) own(m *Machine, part int) record.Machine {
-	rec := record.Machine{Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot, Shard: part, Born: m.born.UnixMilli()}
+// overrideRecord is a machine's own record, with as many of its latest images as it holds.
+func (s *Shard) overrideRecord(m *Machine, part int) record.Machine {
+	rec := record.Machine{Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot, Shard: part, Born: m.provisionedAt.UnixMilli()}
 	last := func(n int) any {
 		r := rec
 		r.Images = m.images[len(m.images)-n:]
@@ -237,69 +237,69 @@
 	return last(record.Within(s.valueBytes, 0, len(m.images), last)).(record.Machine)
 }
 
-// returnMachine makes a machine leave for good. Only the answered return, as its
+// releaseMachine makes a machine leave for good. Only the answered return, as its
 // batch's record tells, proves gone what may run on it.
-func (s *Shard) returnMachine(m *Machine, why string, now time.Time) {
-	s.out.Returned = append(s.out.Returned, MachineReturn{Machine: m.ID, Why: why, Tasks: len(m.on), Silent: now.Sub(m.heard)})
+func (s *Shard) releaseMachine(m *Machine, why string, now time.Time) {
+	s.effects.Released = append(s.effects.Released, MachineRelease{Machine: m.ID, Why: why, Tasks: len(m.tasks), Silent: now.Sub(m.heardAt)})
 	m.Phase = record.Returning
 	s.index.update(m)
-	if len(s.leaving) == 0 {
-		s.leaveAt = now.Add(s.cfg.GatherBacks)
+	if len(s.toRelease) == 0 {
+		s.releaseAt = now.Add(s.cfg.ReleaseBatchDelay)
 	}
-	if len(m.on) > 0 {
-		s.leaveAt = now // its tasks wait for the proof
+	if len(m.tasks) > 0 {
+		s.releaseAt = now // its tasks wait for the proof
 	}
-	s.leaving = append(s.leaving, m.ID)
+	s.toRelease = append(s.toRelease, m.ID)
 }
 
-// maxBack is the cloud's bound of machines in one return.
-const maxBack = 100
+// maxReleaseBatch is the cloud's bound of machines in one return.
+const maxReleaseBatch = 100
 
-// flushBack records which machines are to be given back. The leader asks the
+// writeReleases records which machines are to be given back. The leader asks the
 // cloud; the batch's name is never used again.
-func (s *Shard) flushBack(now time.Time) {
-	if s.back == nil && len(s.leaving) > 0 && !now.Before(s.leaveAt) {
-		n := record.Within(s.valueBytes, 1, min(len(s.leaving), maxBack), func(n int) any {
-			return record.Release{IDs: s.leaving[:n], Done: true}
+func (s *Shard) writeReleases(now time.Time) {
+	if s.releasing == nil && len(s.toRelease) > 0 && !now.Before(s.releaseAt) {
+		n := record.Within(s.valueBytes, 1, min(len(s.toRelease), maxReleaseBatch), func(n int) any {
+			return record.Release{IDs: s.toRelease[:n], Done: true}
 		})
-		s.backs++
-		s.back = &batch{key: record.ReleaseKey(s.id, s.token, s.backs), ids: slices.Clone(s.leaving[:n])}
-		s.leaving = s.leaving[n:]
+		s.releaseBatches++
+		s.releasing = &releaseBatch{key: record.ReleaseKey(s.id, s.token, s.releaseBatches), ids: slices.Clone(s.toRelease[:n])}
+		s.toRelease = s.toRelease[n:]
 	}
-	b := s.back
-	if b == nil || b.txn != nil || now.Before(b.retry) {
+	b := s.releasing
+	if b == nil || b.txn != nil || now.Before(b.retryAt) {
 		return
 	}
-	t := &Txn{back: b, Purpose: forBack, Routine: true}
-	t.Body.If = []wire.Cond{s.cond(), {Key: b.key}}
+	t := &Txn{release: b, Purpose: purposeRelease, Routine: true}
+	t.Body.If = []wire.Cond{s.ownershipCondition(), {Key: b.key}}
 	t.Body.Then = []wire.Op{{Put: b.key, Value: record.Encode(record.Release{IDs: b.ids})}}
 	b.txn = t
-	s.out.Txns = append(s.out.Txns, t)
+	s.effects.Txns = append(s.effects.Txns, t)
 }
 
-// ended tells how long a job took.
-func (s *Shard) ended(j *Job, now time.Time) {
-	e := End{Ref: j.ref, Class: j.spec.Class, State: wire.Done, Took: now.Sub(j.accepted), Tasks: len(j.tasks),
+// reportJobEnd tells how long a job took.
+func (s *Shard) reportJobEnd(j *Job, now time.Time) {
+	e := JobEnd{Ref: j.ref, Class: j.spec.Class, State: wire.Done, Took: now.Sub(j.accepted), Tasks: len(j.tasks),
 		Estimate: wire.Seconds(j.spec.EstimateS)}
 	if j.cancelled {
 		e.State = wire.Cancelled
 	}
-	for _, c := range j.chunks {
+	for _, c := range j.ranges {
 		e.Attempts = max(e.Attempts, int(c.attempt))
 	}
-	s.out.Ended = append(s.out.Ended, e)
+	s.effects.Ended = append(s.effects.Ended, e)
 }
 
-// end takes a job out whose end is recorded.
-func (s *Shard) end(j *Job, now time.Time) {
+// removeJob takes a job out whose end is recorded.
+func (s *Shard) removeJob(j *Job, now time.Time) {
 	for i := range j.tasks {
 		if j.tasks[i].state == placed {
-			s.take(key{j, i}, now)
+			s.unplaceTask(taskKey{j, i}, now)
 		}
 	}
-	for _, c := range slices.Clone(j.chunks) {
-		s.leave(c)
-		s.settle(c)
+	for _, c := range slices.Clone(j.ranges) {
+		s.detachRange(c)
+		s.confirmRange(c)
 	}
 	for _, r := range j.spec.DependsOn {
 		if delete(s.dependents[r], j); len(s.dependents[r]) == 0 {
@@ -307,8 +307,8 @@
 		}
 	}
 	delete(s.jobs, j.ref)
-	delete(s.index.waiting, j.ref)
-	delete(s.kept, j)
-	delete(s.ending, j.ref)
-	s.changed = true
+	delete(s.index.pendingJobs, j.ref)
+	delete(s.protected, j)
+	delete(s.endingJobs, j.ref)
+	s.placementDue = true
 }
--- a/internal/scheduler/delay.go
+++ b/internal/scheduler/delay.go
@@ -12,17 +12,17 @@
 // the next attempt. So starts on machines that cache the image are delayed.
 
 const (
-	// slowFetch is the slowest fetch that the protocol allows, in fetches at the
+	// slowestFetch is the slowest fetch that the protocol allows, in fetches at the
 	// nominal rate.
-	slowFetch = 4.0 / 3
+	slowestFetch = 4.0 / 3
 	// plannedWait is the share of GangWait that is planned for. The rest is for starts
 	// that come later than planned and for fetches that share their rate.
 	plannedWait = 2.0 / 3
 )
 
-// startAfter returns when a recorded task may be started at the earliest.
-func (s *Shard) startAfter(k key, t *task) time.Time {
-	if k.job.spec.Kind != wire.Gang || t.steps == nil || !t.steps.cached {
+// earliestStart returns when a recorded task may be started at the earliest.
+func (s *Shard) earliestStart(k taskKey, t *task) time.Time {
+	if k.job.spec.Kind != wire.Gang || t.trace == nil || !t.trace.cached {
 		return time.Time{}
 	}
 	var latest time.Time
@@ -31,7 +31,7 @@
 		if !peer.fetching() {
 			continue
 		}
-		at := peer.steps.recorded.Add(s.cachedDelay(k.job.spec, peer.machine))
+		at := peer.trace.recorded.Add(s.cachedStartDelay(k.job.spec, peer.machine))
 		if at.After(latest) {
 			latest = at
 		}
@@ -41,26 +41,26 @@
 
 // fetching reports whether a task of this owner has yet to fetch its image.
 func (t *task) fetching() bool {
-	return t.state == placed && t.steps != nil && !t.steps.cached && (t.phase == "" || t.phase == wire.Fetching)
+	return t.state == placed && t.trace != nil && !t.trace.cached && (t.phase == "" || t.phase == wire.Fetching)
 }
 
-// cachedDelay is how much later than a task that must fetch its image on a machine
+// cachedStartDelay is how much later than a task that must fetch its image on a machine
 // its peers on machines that cache it are started.
-func (s *Shard) cachedDelay(spec *wire.Spec, fetches *Machine) time.Duration {
+func (s *Shard) cachedStartDelay(spec *wire.Spec, fetches *Machine) time.Duration {
 	if fetches.Type.FetchGBps <= 0 {
 		return 0
 	}
-	fetch := slowFetch * spec.ImageGB / fetches.Type.FetchGBps * float64(time.Second)
+	fetch := slowestFetch * spec.ImageGB / fetches.Type.FetchGBps * float64(time.Second)
 	return max(0, time.Duration(fetch-plannedWait*float64(s.cfg.GangWait)))
 }
 
-// wakeDelayed wakes the machines whose delayed starts are due.
-func (s *Shard) wakeDelayed(now time.Time) {
-	for m, due := range s.delayed {
+// notifyDelayedStarts wakes the machines whose delayed starts are due.
+func (s *Shard) notifyDelayedStarts(now time.Time) {
+	for m, due := range s.delayedStarts {
 		if now.Before(due) {
 			continue
 		}
-		delete(s.delayed, m)
-		s.out.Wake = append(s.out.Wake, m.ID)
+		delete(s.delayedStarts, m)
+		s.effects.StartsReady = append(s.effects.StartsReady, m.ID)
 	}
 }
--- a/internal/scheduler/delay_test.go
+++ b/internal/scheduler/delay_test.go
@@ -11,7 +11,7 @@
 
 // gangPlay plays how the tasks of a gang fetch, and how they wait for each other.
 type gangPlay struct {
-	r       *rig
+	r       *harness
 	ref     string
 	fetch   time.Duration // where the image is not cached
 	cached  string        // the machine that caches it
@@ -63,7 +63,7 @@
 func TestGangWaitsForSlowFetch(t *testing.T) {
 	for name, direct := range map[string]bool{"by reports": false, "by direct starts": true} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t)
+			r := newHarness(t)
 			r.cfg.GangWait = 30 * time.Second
 			typ := r.cfg.Types["big"]
 			typ.FetchGBps = 0.5
@@ -72,19 +72,19 @@
 			before := spec("run-000001", "b", wire.Array, "normal", 1, 2)
 			before.ImageGB = 20
 			r.submit(before)
-			r.beats(3)
+			r.heartbeats(3)
 			m1.End("run-000001/0", wire.Done)
-			r.beats(3)
+			r.heartbeats(3)
 
 			r.machine("m2", "z1", false)
-			r.beats(1)
+			r.heartbeats(1)
 			gang := spec("run-000002", "b", wire.Gang, "urgent", 2, 2)
 			gang.ImageGB = before.ImageGB
 			r.submit(gang)
 			play := &gangPlay{r: r, ref: gang.Ref, fetch: 45 * time.Second, cached: "m1",
 				started: map[*testkit.WorkerTask]time.Time{}, has: map[*testkit.WorkerTask]time.Time{}}
 			if direct {
-				r.sendStart = func(d Push) {
+				r.sendStart = func(d DirectCommand) {
 					w := r.workers[d.Machine]
 					w.Obey(wire.Orders{Token: d.Orders.Token, Commands: d.Orders.Commands})
 					play.advance()
@@ -92,7 +92,7 @@
 				}
 			}
 			for range 60 {
-				r.beat()
+				r.heartbeat()
 				play.advance()
 				if play.gathered()[1] == 2 {
 					return
@@ -106,33 +106,33 @@
 // A delayed start is brought to its machine when it is due, without waiting for the
 // machine's next report: that may be seconds away.
 func TestDelayedStartWakesItsMachine(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	m := r.machine("m1", "z1", false)
-	r.beats(2, m)
+	r.heartbeats(2, m)
 	due := r.clock.Now().Add(5 * time.Second)
-	r.part.delayed[r.part.machines["m1"]] = due
-	if eff := r.part.Step(due.Add(-time.Millisecond)); len(eff.Wake) != 0 {
-		t.Fatalf("woken before it is due: %v", eff.Wake)
+	r.shard.delayedStarts[r.shard.machines["m1"]] = due
+	if eff := r.shard.Step(due.Add(-time.Millisecond)); len(eff.StartsReady) != 0 {
+		t.Fatalf("woken before it is due: %v", eff.StartsReady)
 	}
-	if eff := r.part.Step(due); !slices.Equal(eff.Wake, []string{"m1"}) {
-		t.Fatalf("woke %v when m1 was due", eff.Wake)
+	if eff := r.shard.Step(due); !slices.Equal(eff.StartsReady, []string{"m1"}) {
+		t.Fatalf("woke %v when m1 was due", eff.StartsReady)
 	}
-	if eff := r.part.Step(due.Add(time.Second)); len(eff.Wake) != 0 {
-		t.Fatalf("woken twice: %v", eff.Wake)
+	if eff := r.shard.Step(due.Add(time.Second)); len(eff.StartsReady) != 0 {
+		t.Fatalf("woken twice: %v", eff.StartsReady)
 	}
 }
 
 // What need not wait for others is started at once: a gang whose image all of its
 // machines cache, and one whose fetch is short.
 func TestShortFetchDelaysNothing(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.cfg.GangWait = 30 * time.Second
 	typ := r.cfg.Types["big"]
 	typ.FetchGBps = 0.5
 	s := spec("run-000001", "b", wire.Gang, "urgent", 2, 2)
 	for gb, want := range map[float64]time.Duration{4: 0, 7.5: 0, 15: 20 * time.Second} {
 		s.ImageGB = gb
-		if got := r.part.cachedDelay(&s, &Machine{Type: typ}); got != want {
+		if got := r.shard.cachedStartDelay(&s, &Machine{Type: typ}); got != want {
 			t.Errorf("an image of %g GB delays by %v, want %v", gb, got, want)
 		}
 	}
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -16,7 +16,7 @@
 )
 
 // after records a job that names others, as a controller does.
-func (r *rig) after(ref string, roots ...string) wire.Spec {
+func (r *harness) after(ref string, roots ...string) wire.Spec {
 	s := spec(ref, "b", wire.Array, "normal", 1, 0)
 	s.CPUs, s.MemoryGB, s.DependsOn = 1, 1, roots
 	r.open(record.ActiveJob{Spec: s, At: r.clock.Now().UnixMilli(), AwaitsDependencies: len(roots) > 0})()
@@ -24,49 +24,49 @@
 }
 
 // tellEnds tells the part which of the jobs that it waits for are over.
-func (r *rig) tellEnds() {
-	for _, ref := range r.part.Dependencies() {
+func (r *harness) tellEnds() {
+	for _, ref := range r.shard.Dependencies() {
 		if e := r.get(record.FinishedJobKey(ref)); e != nil {
 			j, err := decode[record.FinishedJob](*e)
 			if err != nil {
 				r.t.Fatal(err)
 			}
-			r.part.DependencyEnded(ref, j, r.clock.Now())
+			r.shard.DependencyEnded(ref, j, r.clock.Now())
 		}
 	}
 }
 
 func TestWaitsForEveryRoot(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	w := r.machine("m1", "z1", false)
 	r.after(jobA)
 	r.after(jobB)
 	r.after(jobC, jobA, jobB)
-	r.beats(3)
-	before := r.part.arrived
-	if summary := r.part.Summary(r.clock.Now()); slices.ContainsFunc(summary.Needs, func(n fleet.Need) bool { return n.Job == jobC }) {
+	r.heartbeats(3)
+	before := r.shard.arrivals
+	if summary := r.shard.Summary(r.clock.Now()); slices.ContainsFunc(summary.Needs, func(n fleet.Need) bool { return n.Job == jobC }) {
 		t.Error("a job that waits for others asks for machines")
 	}
 	w.End(jobA+"/0", wire.Done)
-	r.beats(2)
+	r.heartbeats(2)
 	r.tellEnds()
-	r.beats(2)
+	r.heartbeats(2)
 	if got := started(w); slices.Contains(got, jobC) {
 		t.Fatalf("started %v with a root left", got)
 	}
 	w.End(jobB+"/0", wire.Done)
-	r.beat()
+	r.heartbeat()
 	over := r.clock.Now()
-	r.beat()
+	r.heartbeat()
 	r.tellEnds()
-	r.beats(2)
+	r.heartbeats(2)
 	if got := started(w); !slices.Contains(got, jobC) {
 		t.Fatalf("started %v, want the job after both", got)
 	}
-	if r.part.arrived <= before {
+	if r.shard.arrivals <= before {
 		t.Error("its release is no arrival")
 	}
-	if j := r.part.jobs[jobC]; j.accepted.Sub(over).Abs() > time.Second {
+	if j := r.shard.jobs[jobC]; j.accepted.Sub(over).Abs() > time.Second {
 		t.Errorf("it counts as waiting since %v, want since its last root was done at %v", j.accepted, over)
 	}
 	if o, err := decode[record.ActiveJob](*r.get(record.ActiveJobKey(jobC))); err != nil || !o.AwaitsDependencies {
@@ -75,15 +75,15 @@
 }
 
 func TestEndsWithACancelledRoot(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	w := r.machine("m1", "z1", false)
 	a := r.after(jobA)
 	r.after(jobB, jobA)
 	r.after(jobC, jobB)
-	r.beats(2)
+	r.heartbeats(2)
 	r.cancel(a)()
 	for range 4 {
-		r.beat()
+		r.heartbeat()
 		r.tellEnds()
 	}
 	for _, ref := range []string{jobA, jobB, jobC} {
@@ -94,9 +94,9 @@
 	// Who comes after the cascade has passed is caught as well.
 	r.after(jobD, jobC)
 	r.tellEnds()
-	r.beats(2)
-	if r.jobState(jobD) != wire.Cancelled || len(r.part.dependents) > 0 {
-		t.Errorf("a later one is %q, and %d are waited for", r.jobState(jobD), len(r.part.dependents))
+	r.heartbeats(2)
+	if r.jobState(jobD) != wire.Cancelled || len(r.shard.dependents) > 0 {
+		t.Errorf("a later one is %q, and %d are waited for", r.jobState(jobD), len(r.shard.dependents))
 	}
 	if got := started(w); !slices.Equal(got, []string{jobA}) {
 		t.Errorf("started %v", got)
@@ -106,7 +106,7 @@
 // A job that another controller has ended, since it found a root cancelled, is
 // gone here, too, whether its own end was under way or not.
 func TestHeldJobEndedElsewhere(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.after(jobA)
 	r.after(jobB, jobA)
 	e := r.get(record.ActiveJobKey(jobB))
@@ -117,15 +117,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.part.DependencyEnded(jobA, record.FinishedJob{State: wire.Cancelled}, r.clock.Now())
-	r.beats(2) // its own write conflicts
-	if r.part.HasJob(jobB) {
+	r.shard.DependencyEnded(jobA, record.FinishedJob{State: wire.Cancelled}, r.clock.Now())
+	r.heartbeats(2) // its own write conflicts
+	if r.shard.HasJob(jobB) {
 		t.Error("still held after its record was found gone")
 	}
 	r.after(jobC, jobA)
-	r.part.JobGone(jobC, r.clock.Now())
-	r.part.JobGone(jobA, r.clock.Now()) // runs, so only its owner ends it
-	if r.part.HasJob(jobC) || !r.part.HasJob(jobA) {
+	r.shard.JobRecordGone(jobC, r.clock.Now())
+	r.shard.JobRecordGone(jobA, r.clock.Now()) // runs, so only its owner ends it
+	if r.shard.HasJob(jobC) || !r.shard.HasJob(jobA) {
 		t.Error("a job that waited is still there, or one that runs is not")
 	}
 }
@@ -133,38 +133,38 @@
 // A job that inherits a priority goes before others of its own, and takes the
 // place of what is lower; without heirs it is as before.
 func TestInheritedPriority(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	w := r.machine("m1", "z1", false)
 	low := spec("run-000001", "b", wire.Array, "low", 2, 1)
 	r.submit(low)
-	r.beats(2)
+	r.heartbeats(2)
 	step := spec("run-000002", "b", wire.Array, "low", 1, 1)
 	r.submit(step)
-	r.beats(4)
+	r.heartbeats(4)
 	if got := started(w); slices.Contains(got, "run-000002") {
 		t.Fatalf("started %v: work of one priority gave way to its equal", got)
 	}
 	due := r.clock.Now().Add(time.Minute)
-	r.part.Inherit("run-000002", fragment.Claim{Rank: Rank("urgent"), Due: due})
-	r.beats(5)
+	r.shard.SetInheritedClaim("run-000002", fragment.Claim{Rank: Rank("urgent"), Due: due})
+	r.heartbeats(5)
 	if got := started(w); !slices.Contains(got, "run-000002") {
 		t.Fatalf("started %v: lower work did not give way", got)
 	}
-	j := r.part.jobs["run-000002"]
+	j := r.shard.jobs["run-000002"]
 	if d := j.deadline(); d == nil || *d != due.Sub(j.accepted).Seconds() {
 		t.Errorf("its deadline is %v", d)
 	}
-	r.part.Inherit("run-000002", fragment.Claim{Rank: Rank("low"), Needed: true})
-	for rank, ms := range r.part.index.byRank {
+	r.shard.SetInheritedClaim("run-000002", fragment.Claim{Rank: Rank("low"), Needed: true})
+	for rank, ms := range r.shard.index.byRank {
 		for m := range ms {
 			n := 0
-			for k := range m.on {
+			for k := range m.tasks {
 				if k.job.rank == rank {
 					n++
 				}
 			}
-			if m.ranks[rank] != n {
-				t.Errorf("the index counts %d tasks of priority %d on %s, which has %d", m.ranks[rank], rank, m.ID, n)
+			if m.tasksByRank[rank] != n {
+				t.Errorf("the index counts %d tasks of priority %d on %s, which has %d", m.tasksByRank[rank], rank, m.ID, n)
 			}
 		}
 	}
@@ -173,16 +173,16 @@
 // The end that others wait for does not let other writes pass.
 func TestNeededEndIsUrgent(t *testing.T) {
 	for _, needed := range []bool{false, true} {
-		r := newRig(t)
+		r := newHarness(t)
 		w := r.machine("m1", "z1", false)
 		r.after(jobA)
-		r.beats(2)
-		r.part.Inherit(jobA, fragment.Claim{Rank: Rank("normal"), Needed: needed})
+		r.heartbeats(2)
+		r.shard.SetInheritedClaim(jobA, fragment.Claim{Rank: Rank("normal"), Needed: needed})
 		w.End(jobA+"/0", wire.Done)
 		rep := w.Report()
-		r.part.Report(&rep, false, r.clock.Now())
-		eff := r.part.Step(r.clock.Now())
-		i := slices.IndexFunc(eff.Txns, func(t *Txn) bool { return t.Purpose == forJobEnd })
+		r.shard.Heartbeat(&rep, false, r.clock.Now())
+		eff := r.shard.Step(r.clock.Now())
+		i := slices.IndexFunc(eff.Txns, func(t *Txn) bool { return t.Purpose == purposeJobEnd })
 		if i < 0 || eff.Txns[i].Routine == needed {
 			t.Errorf("needed %t: %d writes, the end routine or missing", needed, len(eff.Txns))
 		}
@@ -196,9 +196,9 @@
 	for seed := range uint64(25) {
 		rnd := rand.New(rand.NewPCG(seed, 4))
 		clock, state := testkit.NewClock(), testkit.NewState()
-		var rigs []*rig
+		var rigs []*harness
 		for id := range 3 {
-			r := newRigOf(t, id, clock, state)
+			r := newHarnessOf(t, id, clock, state)
 			r.cfg.SilentAfter, r.cfg.BootFactor = time.Hour, 1e3 // parts take turns, which takes a while
 			for m := range 2 {
 				r.machine(fmt.Sprintf("m%d-%d", id, m), "z1", false)
@@ -229,7 +229,7 @@
 				}
 			}
 		}
-		owner := func(ref string) *rig { return rigs[int(record.Hash(ref))%len(rigs)] }
+		owner := func(ref string) *harness { return rigs[int(record.Hash(ref))%len(rigs)] }
 		for round := range 120 {
 			if round < 60 && rnd.IntN(2) == 0 {
 				ref := fmt.Sprintf("run-%06d", rnd.IntN(1e6))
@@ -260,7 +260,7 @@
 						tell()
 					}
 				case 1:
-					rigs[rnd.IntN(len(rigs))].claim()
+					rigs[rnd.IntN(len(rigs))].failOver()
 				case 2:
 					state.LoseAnswers = 1
 				case 3:
@@ -276,7 +276,7 @@
 				}
 			}
 			r.tellEnds()
-			r.beat()
+			r.heartbeat()
 			check()
 		}
 		state.Release()
@@ -284,7 +284,7 @@
 			for _, r := range rigs {
 				r.endAll()
 				r.tellEnds()
-				r.beat()
+				r.heartbeat()
 			}
 			check()
 		}
@@ -300,8 +300,8 @@
 			}
 		}
 		for _, r := range rigs {
-			if len(r.part.dependents) > 0 || len(r.part.jobs) > 0 {
-				t.Errorf("seed %d: part %d still holds %d jobs and waits for %d", seed, r.id, len(r.part.jobs), len(r.part.dependents))
+			if len(r.shard.dependents) > 0 || len(r.shard.jobs) > 0 {
+				t.Errorf("seed %d: part %d still holds %d jobs and waits for %d", seed, r.id, len(r.shard.jobs), len(r.shard.dependents))
 			}
 		}
 	}
--- a/internal/scheduler/deposed_test.go
+++ b/internal/scheduler/deposed_test.go
@@ -20,26 +20,26 @@
 
 // deposed is a part whose owner does not know yet that another one has followed.
 type deposed struct {
-	*rig
+	*harness
 	old *Shard
 }
 
 // depose makes a new owner and keeps the old one.
-func depose(r *rig) *deposed {
-	d := &deposed{rig: r, old: r.part}
-	r.claim()
+func depose(r *harness) *deposed {
+	d := &deposed{harness: r, old: r.shard}
+	r.failOver()
 	return d
 }
 
 // nextTxn returns the next transaction that the part's owner makes by itself.
-func (r *rig) nextTxn() *Txn {
+func (r *harness) nextTxn() *Txn {
 	r.t.Helper()
 	for range 4 {
-		eff := r.part.Step(r.clock.Now())
+		eff := r.shard.Step(r.clock.Now())
 		if len(eff.Txns) > 0 {
 			return eff.Txns[0]
 		}
-		r.clock.Advance(r.cfg.Report / 2)
+		r.clock.Advance(r.cfg.HeartbeatInterval / 2)
 	}
 	r.t.Fatal("no transaction")
 	return nil
@@ -66,7 +66,7 @@
 // reportToOld lets a worker that has not heard the new owner report to the old one.
 func (d *deposed) reportToOld(w *testkit.Worker) {
 	report := w.Report()
-	if orders, verdict := d.old.Report(&report, false, d.clock.Now()); verdict == Answered {
+	if orders, verdict := d.old.Heartbeat(&report, false, d.clock.Now()); verdict == Answered {
 		w.Obey(orders)
 	}
 }
@@ -74,20 +74,20 @@
 // A start that the old owner records after its successor has read the records would
 // run beside the one that the successor decides on.
 func TestDeposedOwnerRecordsNoStart(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	w1 := r.machine("m1", "z1", false)
-	r.beats(2)
+	r.heartbeats(2)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	start := r.nextTxn()
 	d := depose(r)
 	refused := d.late(start)
 	d.reportToOld(w1)
 	w2 := r.machine("m2", "z1", false)
-	r.beats(4, w2)
+	r.heartbeats(4, w2)
 	if at := r.on("run-000001/0"); at != "m2" {
 		t.Errorf("the task is on %q, want m2, where its owner started it", at)
 	}
-	if !refused || !d.old.Lost() {
+	if !refused || !d.old.OwnershipLost() {
 		t.Error("a start was recorded by an owner that has a successor")
 	}
 }
@@ -95,13 +95,13 @@
 // An end that the old owner records, in whose ledger no task of the job is left, would
 // be told to the user while the successor's task runs.
 func TestDeposedOwnerEndsNoJob(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	s := spec("run-000001", "b", wire.Array, "normal", 1, 1)
 	r.submit(s)
-	r.settle()
+	r.carryOutEffects()
 	d := depose(r)
 	r.machine("m1", "z1", false)
-	r.beats(3)
+	r.heartbeats(3)
 	if r.on("run-000001/0") == "" {
 		t.Fatal("not started by the successor")
 	}
@@ -123,14 +123,14 @@
 // A machine that the old owner moves to another part, since it knows of nothing
 // there, would take the successor's task with it, which then runs twice.
 func TestDeposedOwnerMovesNoMachine(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	w1 := r.machine("m1", "z1", false)
-	r.beats(2)
-	r.part.Order(fleet.Order{Machine: "m1", To: 1}, r.clock.Now())
+	r.heartbeats(2)
+	r.shard.ApplyFleetOrder(fleet.Order{Machine: "m1", To: 1}, r.clock.Now())
 	move := r.nextTxn()
 	d := depose(r)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
-	r.beats(3)
+	r.heartbeats(3)
 	if r.on("run-000001/0") != "m1" {
 		t.Fatal("not started by the successor")
 	}
@@ -141,9 +141,9 @@
 	// The next start on the machine is conditioned on its record, which tells its owner
 	// that it has moved.
 	r.submit(spec("run-000002", "b", wire.Array, "normal", 1, 1))
-	r.beats(2, w1)
+	r.heartbeats(2, w1)
 	w2 := r.machine("m2", "z1", false)
-	r.beats(3, w2)
+	r.heartbeats(3, w2)
 	if at := r.on("run-000001/0"); at != "m1" {
 		t.Errorf("the task is on %q, want m1", at)
 	}
@@ -154,19 +154,19 @@
 
 // A machine that the old owner gives back would end the successor's task.
 func TestDeposedOwnerReturnsNoMachine(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.machine("m1", "z1", false)
-	r.beats(2)
-	r.part.Order(fleet.Order{Machine: "m1", To: fleet.ReleaseToCloud}, r.clock.Now())
+	r.heartbeats(2)
+	r.shard.ApplyFleetOrder(fleet.Order{Machine: "m1", To: fleet.ReleaseToCloud}, r.clock.Now())
 	back := r.nextTxn()
 	d := depose(r)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
-	r.beats(3)
+	r.heartbeats(3)
 	if r.on("run-000001/0") != "m1" {
 		t.Fatal("not started by the successor")
 	}
 	refused := d.late(back)
-	r.returns()
+	r.releaseMachines()
 	if len(r.cloud.Returned) != 0 {
 		t.Errorf("%v went back with a task on it", r.cloud.Returned)
 	}
@@ -177,18 +177,18 @@
 
 // refusedTurn plays a turn of an owner that the state service refuses alone: nothing is
 // written, and what it wants to read is read later. It returns that.
-func (r *rig) refusedTurn(workers ...*testkit.Worker) (rereads []string) {
+func (r *harness) refusedTurn(workers ...*testkit.Worker) (rereads []string) {
 	now := r.clock.Now()
 	for _, w := range workers {
 		report := w.Report()
-		if orders, verdict := r.part.Report(&report, false, now); verdict == Answered {
+		if orders, verdict := r.shard.Heartbeat(&report, false, now); verdict == Answered {
 			w.Obey(orders)
 		}
 	}
-	effects := r.part.Step(now)
+	effects := r.shard.Step(now)
 	r.probe(effects)
 	for _, t := range effects.Txns {
-		r.part.Refused(t, now)
+		r.shard.Refused(t, now)
 	}
 	return effects.RereadMachines
 }
@@ -198,40 +198,40 @@
 // refuses its owner alone: it says nothing there, since it reports to the part that it
 // has moved to, and would be given back with that part's task on it.
 func TestMoveWithoutAnswerIsNotTakenForRefused(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	moved, stays := r.machine("m1", "z1", false), r.machine("m2", "z1", false)
-	r.beats(2)
-	r.part.Order(fleet.Order{Machine: "m1", To: 1}, r.clock.Now())
+	r.heartbeats(2)
+	r.shard.ApplyFleetOrder(fleet.Order{Machine: "m1", To: 1}, r.clock.Now())
 	move := r.nextTxn()
 	if _, err := r.state.Txn(context.Background(), statestore.Urgent("test"), move.Body); err != nil {
 		t.Fatal(err)
 	}
-	r.part.Unknown(move, r.clock.Now())
-	other := newRigOf(t, 1, r.clock, r.state)
+	r.shard.Unknown(move, r.clock.Now())
+	other := newHarnessOf(t, 1, r.clock, r.state)
 	other.cloud, other.workers["m1"] = r.cloud, moved
 	other.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	var rereads []string
 	for range 12 {
-		other.beats(1)
+		other.heartbeats(1)
 		rereads = append(rereads, r.refusedTurn(stays)...)
 	}
 	if other.on("run-000001/0") != "m1" {
 		t.Fatal("not started by the part that the machine has moved to")
 	}
 	for _, id := range rereads { // the state service serves it again
-		if err := r.part.MachineRead(id, r.get(record.OverrideKey(id)), r.clock.Now()); err != nil {
+		if err := r.shard.MachineRead(id, r.get(record.OverrideKey(id)), r.clock.Now()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r.beats(3, stays)
-	other.beats(2)
+	r.heartbeats(3, stays)
+	other.heartbeats(2)
 	if len(r.cloud.Returned) != 0 {
 		t.Errorf("%v went back while run-000001/0 runs there", r.cloud.Returned)
 	}
 	if other.on("run-000001/0") != "m1" || len(moved.Started) != 1 {
 		t.Errorf("starts %v", moved.Started)
 	}
-	if r.part.HasMachine("m1") {
+	if r.shard.HasMachine("m1") {
 		t.Error("the machine still counts as the old part's")
 	}
 }
--- a/internal/scheduler/evidence.go
+++ b/internal/scheduler/evidence.go
@@ -15,23 +15,23 @@
 		out = append(out, wire.Entry{Key: key, Version: version, Value: json.RawMessage(record.Encode(v))})
 	}
 	for ref, j := range s.jobs {
-		o := record.ActiveJob{Spec: *j.spec, Shard: s.id, At: j.accepted.UnixMilli(), Cancelled: j.cancelled, AwaitsDependencies: j.held}
-		if j.line != alone {
-			o.Pipeline = j.line.ref
+		o := record.ActiveJob{Spec: *j.spec, Shard: s.id, At: j.accepted.UnixMilli(), Cancelled: j.cancelled, AwaitsDependencies: j.awaitsDependencies}
+		if j.pipeline != singleJob {
+			o.Pipeline = j.pipeline.ref
 		}
 		add(record.ActiveJobKey(ref), j.version, o)
 	}
-	for n, placements := range s.slots {
-		if placements.version == 0 || placements.unreadable || len(placements.left) > 0 {
+	for n, placements := range s.placements {
+		if placements.version == 0 || placements.unreadable || len(placements.departed) > 0 {
 			continue
 		}
 		rec := record.Placements{Ranges: map[string]record.TaskRange{}}
-		if placements.stated {
+		if placements.sized {
 			rec.Format = record.SizedRanges
 		}
-		for name, c := range placements.chunks {
-			if c.from == nil {
-				rec.Ranges[name] = c.recorded()
+		for name, c := range placements.ranges {
+			if c.previous == nil {
+				rec.Ranges[name] = c.asRecorded()
 			}
 		}
 		add(record.PlacementsKey(s.id, n), placements.version, rec)
@@ -39,10 +39,10 @@
 	return out
 }
 
-// recorded is a range as its record tells it.
-func (c *chunk) recorded() record.TaskRange {
+// asRecorded is a range as its record tells it.
+func (c *taskRange) asRecorded() record.TaskRange {
 	run := record.TaskRange{Attempt: c.attempt}
-	if c.slot.stated {
+	if c.record.sized {
 		run.Tasks, run.Turn = c.end-c.first, c.turn
 	}
 	for i := c.first; i < c.end; i++ {
@@ -52,7 +52,7 @@
 				run.On = map[int]record.TaskPlacement{}
 			}
 			run.On[i] = record.TaskPlacement{Machine: t.machine.ID, Attempt: t.attempt}
-		case t.state == done:
+		case t.state == completed:
 			run.Done = withDone(run.Done, i)
 		}
 	}
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -10,18 +10,18 @@
 )
 
 func TestGangStartsWhole(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	s := spec("run-000001", "b", wire.Gang, "urgent", 2, 2)
 	s.OneZone = true
 	r.submit(s)
 	r.machine("m1", "z1", false)
 	r.machine("m2", "z2", false)
-	r.beats(4)
+	r.heartbeats(4)
 	if r.on("run-000001/0") != "" || r.on("run-000001/1") != "" {
 		t.Fatal("gang started over two zones")
 	}
 	r.machine("m3", "z2", false)
-	r.beats(4)
+	r.heartbeats(4)
 	a, b := r.on("run-000001/0"), r.on("run-000001/1")
 	if a == b || a == "m1" || b == "m1" || a == "" || b == "" {
 		t.Fatalf("gang on %q and %q, want m2 and m3", a, b)
@@ -29,7 +29,7 @@
 	// One machine's session ends: the whole attempt must go before the next.
 	lost := r.workers[a]
 	r.expire(lost)
-	r.beats(5)
+	r.heartbeats(5)
 	x, y := r.workers[a].Tasks["run-000001/0"], r.workers[b].Tasks["run-000001/1"]
 	if x == nil {
 		x, y = r.workers[b].Tasks["run-000001/0"], r.workers[a].Tasks["run-000001/1"]
@@ -40,7 +40,7 @@
 }
 
 // gangOfTwo submits a gang and adds the two machines that it needs.
-func (r *rig) gangOfTwo() wire.Spec {
+func (r *harness) gangOfTwo() wire.Spec {
 	r.t.Helper()
 	s := spec("run-000001", "b", wire.Gang, "urgent", 2, 2)
 	r.submit(s)
@@ -52,18 +52,18 @@
 // While a gang waits for its last task, one that is lost is replaced under the
 // same attempt.
 func TestGangReplacement(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.gangOfTwo()
-	r.beats(2)
+	r.heartbeats(2)
 	a, b := r.on("run-000001/0"), r.on("run-000001/1")
 	if a == "" || b == "" {
 		t.Fatal("gang not started")
 	}
 	r.workers[a].Tasks["run-000001/0"].State = wire.Gathering
 	r.workers[b].Tasks["run-000001/1"].State = wire.Fetching
-	r.beat()
+	r.heartbeat()
 	r.expire(r.workers[b])
-	r.beats(4)
+	r.heartbeats(4)
 	if got := r.workers[a].Tasks["run-000001/0"]; got == nil || got.Attempt != 1 || got.State != wire.Gathering {
 		t.Fatalf("the waiting task was disturbed: %+v", got)
 	}
@@ -74,12 +74,12 @@
 
 // A gang is done when one of its tasks is: they complete together.
 func TestGangDoneTogether(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	spec := r.gangOfTwo()
-	r.beats(4)
+	r.heartbeats(4)
 	w := r.workers[r.on("run-000001/0")]
 	w.End("run-000001/0", wire.Done)
-	r.beats(1, w)
+	r.heartbeats(1, w)
 	if r.jobState(spec.Ref) != wire.Done {
 		t.Fatal("gang not done")
 	}
@@ -88,7 +88,7 @@
 // Machines that come one by one are kept for the gang that waits: smaller work
 // of its priority and below can't starve it.
 func TestGangGathersMachines(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	g := spec("run-000001", "b", wire.Gang, "urgent", 3, 2)
 	g.OneZone = true
 	r.submit(g)
@@ -96,9 +96,9 @@
 		r.submit(spec(fmt.Sprintf("run-00001%d", i), "b", wire.Gang, "urgent", 1, 2))
 		r.submit(spec(fmt.Sprintf("run-00002%d", i), "b", wire.Array, "normal", 2, 1))
 		r.machine(fmt.Sprintf("m%d", i), "z1", false)
-		r.beats(2)
+		r.heartbeats(2)
 	}
-	r.beats(2)
+	r.heartbeats(2)
 	for i := range 3 {
 		if name := fmt.Sprintf("run-000001/%d", i); r.on(name) == "" {
 			t.Errorf("%s was starved by smaller work", name)
@@ -109,7 +109,7 @@
 // The largest gang starts within four minutes although smaller ones of its
 // priority never end to come and no machine can be added.
 func TestLargestGangIsServed(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	for i := range 4 {
 		r.machine(fmt.Sprintf("m%d", i), "z1", false)
 	}
@@ -124,7 +124,7 @@
 	large := spec("run-000001", "b", wire.Gang, "urgent", 4, 2)
 	large.OneZone = true
 	r.submit(large)
-	r.play(int(4*time.Minute/r.cfg.Report), 8, small)
+	r.play(int(4*time.Minute/r.cfg.HeartbeatInterval), 8, small)
 	started := 0
 	for _, w := range r.workers {
 		for _, s := range w.Started {
@@ -142,7 +142,7 @@
 // minutes: small ones that have waited too long as well take nothing from what a
 // larger one has gathered, and do not go past it.
 func TestLargestGangsAreNotOvertaken(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.cfg.Urgency = func(s *wire.Spec, waited time.Duration, _ *float64) float64 { return s.EstimateS - waited.Seconds() }
 	for i := range 8 {
 		r.machine(fmt.Sprintf("m%d", i), []string{"z1", "z2"}[i/4], false)
@@ -155,7 +155,7 @@
 		accepted[s.Ref] = r.clock.Now()
 		r.submit(s)
 	}
-	r.play(int(14*time.Minute/r.cfg.Report), 25, func(beat int) {
+	r.play(int(14*time.Minute/r.cfg.HeartbeatInterval), 25, func(beat int) {
 		for _, w := range r.workers {
 			for name := range w.Tasks {
 				if ref, _, _ := SplitTask(name); began[ref].IsZero() {
@@ -163,7 +163,7 @@
 				}
 			}
 		}
-		if beat < int(6*time.Minute/r.cfg.Report) {
+		if beat < int(6*time.Minute/r.cfg.HeartbeatInterval) {
 			if beat%20 == 0 {
 				submit(beat, largest)
 			}
--- a/internal/scheduler/history_test.go
+++ b/internal/scheduler/history_test.go
@@ -17,7 +17,7 @@
 // history is a generated course of records, reports and ends, with a ground truth of its own
 // of what ran where.
 type history struct {
-	*rig
+	*harness
 	r       *rand.Rand
 	jobs    map[string]wire.Spec
 	ended   map[string]bool       // tasks that completed, by the workers
@@ -49,8 +49,8 @@
 	func(h *history) { h.cancelOne() },
 	func(h *history) { h.state.LoseAnswers = h.r.IntN(3) },
 	func(h *history) { h.state.HoldTxns = h.r.IntN(2) },
-	func(h *history) { h.state.Release(); h.settle() },
-	func(h *history) { h.beat() },
+	func(h *history) { h.state.Release(); h.carryOutEffects() },
+	func(h *history) { h.heartbeat() },
 }
 
 func (h *history) worker() *testkit.Worker {
@@ -66,23 +66,23 @@
 	}
 	h.jobs[ref] = s
 	h.submit(s)
-	h.settle()
+	h.carryOutEffects()
 }
 
 // reportOne lets a worker report. Its answer arrives, is lost, or comes late; a copy of the
 // report may come once more.
 func (h *history) reportOne() {
 	w := h.worker()
-	h.clock.Advance(h.cfg.Report)
+	h.clock.Advance(h.cfg.HeartbeatInterval)
 	rep := w.Report()
 	if h.r.IntN(3) == 0 {
 		h.copies = append(h.copies, rep)
 	}
-	to := h.part
+	to := h.shard
 	if n := len(h.deposed); n > 0 && h.r.IntN(4) == 0 {
 		to = h.deposed[h.r.IntN(n)]
 	}
-	o, v := to.Report(&rep, false, h.clock.Now())
+	o, v := to.Heartbeat(&rep, false, h.clock.Now())
 	switch {
 	case v != Answered || h.r.IntN(5) == 0:
 	case h.r.IntN(6) == 0:
@@ -90,7 +90,7 @@
 	default:
 		w.Obey(o)
 	}
-	h.settle()
+	h.carryOutEffects()
 }
 
 // answerLate brings an answer that was late. Its worker takes it if it has heard nothing
@@ -111,10 +111,10 @@
 		return
 	}
 	rep := h.copies[h.r.IntN(len(h.copies))]
-	for _, shard := range append(h.deposed, h.part) {
-		shard.Report(&rep, false, h.clock.Now())
+	for _, shard := range append(h.deposed, h.shard) {
+		shard.Heartbeat(&rep, false, h.clock.Now())
 	}
-	h.settle()
+	h.carryOutEffects()
 }
 
 func (h *history) endOne(why string) {
@@ -171,9 +171,9 @@
 
 // takeOver ends the owner: the next one knows only the records.
 func (h *history) takeOver() {
-	h.deposed = append(h.deposed[max(0, len(h.deposed)-1):], h.part)
-	h.claim()
-	h.settle()
+	h.deposed = append(h.deposed[max(0, len(h.deposed)-1):], h.shard)
+	h.failOver()
+	h.carryOutEffects()
 }
 
 func (h *history) cancelOne() {
@@ -187,13 +187,13 @@
 	}
 	h.asked[ref] = true
 	h.cancel(h.jobs[ref])()
-	h.settle()
+	h.carryOutEffects()
 }
 
 // replaceMachines takes out the machines that were given back, with all on them, and rents
 // others.
 func (h *history) replaceMachines() {
-	h.returns() // also what was recorded late
+	h.releaseMachines() // also what was recorded late
 	for _, id := range h.cloud.Returned {
 		delete(h.workers, id)
 	}
@@ -290,9 +290,9 @@
 	h.state.Release()
 	h.restore()
 	for n := range 200 {
-		h.beat()
-		if h.part.Lost() {
-			h.claim()
+		h.heartbeat()
+		if h.shard.OwnershipLost() {
+			h.failOver()
 		}
 		if n%5 == 4 {
 			h.leaveMates()
@@ -339,7 +339,7 @@
 
 // newHistory begins the history of a seed.
 func newHistory(t *testing.T, seed uint64) *history {
-	return &history{rig: newRig(t), r: rand.New(rand.NewPCG(seed, 3)), jobs: map[string]wire.Spec{}, ended: map[string]bool{},
+	return &history{harness: newHarness(t), r: rand.New(rand.NewPCG(seed, 3)), jobs: map[string]wire.Spec{}, ended: map[string]bool{},
 		asked: map[string]bool{}, finals: map[string]string{}, late: map[string]lateAnswer{}, intact: map[string]json.RawMessage{}}
 }
 
@@ -374,7 +374,7 @@
 	for seed := range uint64(historySeeds) {
 		h := newHistory(t, seed)
 		h.upgraded = true
-		h.claim()
+		h.failOver()
 		if err := h.play(damaging); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
--- a/internal/scheduler/index.go
+++ b/internal/scheduler/index.go
@@ -13,48 +13,48 @@
 // their free room, by the images that they cache and by the priority of what runs
 // there, kept ones by their job, and the jobs that wait.
 
-// class is what machines have in common for a placement: their kind, whether
+// machineClass is what machines have in common for a placement: their kind, whether
 // they take new work, and their free room, rounded down.
-type class struct {
+type machineClass struct {
 	typ, zone  string
 	spot       bool
 	open       bool // takes new work, as far as that does not depend on the time
 	cpus, gpus int
 }
 
-type machines map[*Machine]struct{}
+type machineSet map[*Machine]struct{}
 
 // index finds machines without walking all of them.
 type index struct {
-	byRoom  map[class]machines
-	byImage map[string]machines
-	byRank  [highestRank + 1]machines // those with a task of this priority
-	kept    map[string]machines       // by the job that room is, or was, kept for
-	toPush  machines                  // for which a direct command is due
-	// clearing are those with a task that is being stopped.
-	clearing machines
-	waiting  map[string]*Job // jobs with a task that has no place
-	cpus     float64         // of all machines
+	byRoom      map[machineClass]machineSet
+	byImage     map[string]machineSet
+	byRank      [highestRank + 1]machineSet // those with a task of this priority
+	reserved    map[string]machineSet       // by the job that room is, or was, kept for
+	commandsDue machineSet                  // for which a direct command is due
+	// evicting are those with a task that is being stopped.
+	evicting    machineSet
+	pendingJobs map[string]*Job // jobs with a task that has no place
+	cpus        float64         // of all machines
 }
 
 func newIndex() index {
-	x := index{byRoom: map[class]machines{}, byImage: map[string]machines{}, kept: map[string]machines{}, toPush: machines{}, clearing: machines{}, waiting: map[string]*Job{}}
+	x := index{byRoom: map[machineClass]machineSet{}, byImage: map[string]machineSet{}, reserved: map[string]machineSet{}, commandsDue: machineSet{}, evicting: machineSet{}, pendingJobs: map[string]*Job{}}
 	for r := range x.byRank {
-		x.byRank[r] = machines{}
+		x.byRank[r] = machineSet{}
 	}
 	return x
 }
 
-func insert[K comparable](sets map[K]machines, k K, m *Machine) {
+func insert[K comparable](sets map[K]machineSet, k K, m *Machine) {
 	s := sets[k]
 	if s == nil {
-		s = machines{}
+		s = machineSet{}
 		sets[k] = s
 	}
 	s[m] = struct{}{}
 }
 
-func remove[K comparable](sets map[K]machines, k K, m *Machine) {
+func remove[K comparable](sets map[K]machineSet, k K, m *Machine) {
 	if s := sets[k]; s != nil {
 		delete(s, m)
 		if len(s) == 0 {
@@ -63,11 +63,11 @@
 	}
 }
 
-func (m *Machine) class() class {
-	f := free(m)
-	return class{
+func (m *Machine) class() machineClass {
+	f := freeRoom(m)
+	return machineClass{
 		typ: m.Type.Name, zone: m.Zone, spot: m.Spot,
-		open: m.up && m.Phase == record.InUse && !m.drain && m.cordon == NotCordoned && m.moveTo < 0 && m.unreachableSince.IsZero(),
+		open: m.up && m.Phase == record.InUse && !m.draining && m.cordon == NotCordoned && m.transferTo < 0 && m.unreachableSince.IsZero(),
 		cpus: int(math.Floor(f.cpus + slack)), gpus: int(math.Floor(f.gpus + slack)),
 	}
 }
@@ -75,18 +75,18 @@
 // update puts a machine where it belongs after its room or its state has changed.
 func (x *index) update(m *Machine) {
 	c := m.class()
-	if m.indexed && c == m.indexedAs {
+	if m.indexed && c == m.indexedClass {
 		return
 	}
 	if m.indexed {
-		remove(x.byRoom, m.indexedAs, m)
+		remove(x.byRoom, m.indexedClass, m)
 	} else {
 		x.cpus += m.Type.CPUs
 		for _, i := range m.images {
 			insert(x.byImage, i.Name, m)
 		}
 	}
-	m.indexed, m.indexedAs = true, c
+	m.indexed, m.indexedClass = true, c
 	insert(x.byRoom, c, m)
 }
 
@@ -97,47 +97,47 @@
 	}
 	m.indexed = false
 	x.cpus -= m.Type.CPUs
-	remove(x.byRoom, m.indexedAs, m)
+	remove(x.byRoom, m.indexedClass, m)
 	for _, i := range m.images {
 		remove(x.byImage, i.Name, m)
 	}
 	for r := range x.byRank {
 		delete(x.byRank[r], m)
 	}
-	remove(x.kept, m.reserved, m)
-	delete(x.toPush, m)
-	delete(x.clearing, m)
+	remove(x.reserved, m.reserved, m)
+	delete(x.commandsDue, m)
+	delete(x.evicting, m)
 }
 
-// holds counts a task of some priority on a machine, or one less.
-func (x *index) holds(m *Machine, rank, n int) {
-	if m.ranks[rank] += n; m.ranks[rank] > 0 {
+// countTask counts a task of some priority on a machine, or one less.
+func (x *index) countTask(m *Machine, rank, n int) {
+	if m.tasksByRank[rank] += n; m.tasksByRank[rank] > 0 {
 		x.byRank[rank][m] = struct{}{}
 	} else {
 		delete(x.byRank[rank], m)
 	}
 }
 
-// queue notes whether a job has a task without a place.
-func (x *index) queue(j *Job) {
-	if j.idleTasks > 0 {
-		x.waiting[j.ref] = j
+// updatePending notes whether a job has a task without a place.
+func (x *index) updatePending(j *Job) {
+	if j.pendingTasks > 0 {
+		x.pendingJobs[j.ref] = j
 	} else {
-		delete(x.waiting, j.ref)
+		delete(x.pendingJobs, j.ref)
 	}
 }
 
-// roomy calls f for the machines that may have room for a task of s now. Machines
+// eachFeasibleMachine calls f for the machines that may have room for a task of s now. Machines
 // that only look as if they had are few: rooms are rounded down.
-func (s *Shard) roomy(spec *wire.Spec, now time.Time, f func(*Machine)) {
+func (s *Shard) eachFeasibleMachine(spec *wire.Spec, now time.Time, f func(*Machine)) {
 	for c, ms := range s.index.byRoom {
 		if !c.open || (c.spot && !spec.Spot) || (spec.Zone != nil && *spec.Zone != c.zone) ||
 			spec.CPUs >= float64(c.cpus+1) || spec.GPUs >= float64(c.gpus+1) {
 			continue
 		}
 		for m := range ms {
-			s.looked++
-			if r := free(m); roomFor(spec, r.cpus, r.gpus, r.mem) && allows(spec, m) && s.usable(m, now) {
+			s.candidatesExamined++
+			if r := freeRoom(m); fits(spec, r.cpus, r.gpus, r.mem) && allows(spec, m) && s.usable(m, now) {
 				f(m)
 			}
 		}
--- a/internal/scheduler/lean_test.go
+++ b/internal/scheduler/lean_test.go
@@ -22,11 +22,11 @@
 // measured, nearly all for encoding the slot's record.
 var startAllocs = map[int]float64{40: 760, 400: 1600, 1600: 2400}
 
-// fleetRig is a part of so many machines, with so many tasks running on each 40.
-func fleetRig(t testing.TB, machines, tasks int) *rig {
-	r := newRig(t)
-	r.cfg.SlotTasks, r.cfg.ValueBytes, r.cfg.TxnOps = SlotTasks(16), 16<<10, 24
-	r.claim()
+// fleetHarness is a part of so many machines, with so many tasks running on each 40.
+func fleetHarness(t testing.TB, machines, tasks int) *harness {
+	r := newHarness(t)
+	r.cfg.PlacementsPerRecord, r.cfg.ValueBytes, r.cfg.TxnOps = PlacementsPerRecord(16), 16<<10, 24
+	r.failOver()
 	for at := 0; at < machines; at += 50 {
 		rental := record.Provision{Type: "big", Zone: "z1", Born: r.clock.Now().UnixMilli()}
 		for i := at; i < min(at+50, machines); i++ {
@@ -36,12 +36,12 @@
 		}
 		r.sync(r.state.Put(record.ProvisionKey(fmt.Sprint("r", at)), rental))
 	}
-	r.beat()
+	r.heartbeat()
 	for i := range machines / 40 {
 		r.submit(spec(fmt.Sprintf("run-%06d", i), "b", wire.Array, "normal", tasks, 1))
 	}
-	r.settle()
-	r.beats(3)
+	r.carryOutEffects()
+	r.heartbeats(3)
 	return r
 }
 
@@ -49,22 +49,22 @@
 // fleet's size: those of its answer and of what it is compared by.
 func TestReportAllocations(t *testing.T) {
 	for _, machines := range []int{40, 400} {
-		r := fleetRig(t, machines, 80)
+		r := fleetHarness(t, machines, 80)
 		const id = "i-000000"
 		rep := r.workers[id].Report()
 		if len(rep.Tasks) != 2 {
 			t.Fatalf("%d tasks on the machine, want 2", len(rep.Tasks))
 		}
 		now := r.clock.Now()
-		r.part.Step(now)
+		r.shard.Step(now)
 		got := testing.AllocsPerRun(200, func() {
 			rep.Seq++
-			if _, v := r.part.Report(&rep, false, now); v != Answered {
+			if _, v := r.shard.Heartbeat(&rep, false, now); v != Answered {
 				t.Fatal("not answered")
 			}
-			r.part.Step(now)
+			r.shard.Step(now)
 		})
-		if m := r.part.machines[id]; m.seq != rep.Seq || !m.fenced {
+		if m := r.shard.machines[id]; m.seq != rep.Seq || !m.fenced {
 			t.Fatal("the report was not taken in")
 		}
 		if got > reportAllocs {
@@ -79,7 +79,7 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	r := fleetRig(t, manyMachines, 80)
+	r := fleetHarness(t, manyMachines, 80)
 	r.workers, r.state, r.fleet = map[string]*testkit.Worker{"i-003999": r.workers["i-003999"]}, nil, nil // the test's own
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -87,20 +87,20 @@
 		t.Errorf("%d bytes for a machine, want %d at most", got, machineBytes)
 	}
 	now := r.clock.Now()
-	r.part.Step(now)
+	r.shard.Step(now)
 	rep := r.workers["i-003999"].Report()
 	got := testing.AllocsPerRun(200, func() {
 		rep.Seq++
-		if _, v := r.part.Report(&rep, false, now); v != Answered {
+		if _, v := r.shard.Heartbeat(&rep, false, now); v != Answered {
 			t.Fatal("not answered")
 		}
-		r.part.Step(now)
+		r.shard.Step(now)
 	})
 	if len(rep.Tasks) != 2 || got > reportAllocs {
 		t.Errorf("%.0f allocations for a report of %d tasks, want %d at most", got, len(rep.Tasks), reportAllocs)
 	}
 	runtime.ReadMemStats(&before)
-	summary := r.part.Summary(now)
+	summary := r.shard.Summary(now)
 	runtime.ReadMemStats(&after)
 	if got := (after.TotalAlloc - before.TotalAlloc) / manyMachines; got > summaryBytes || len(summary.Machines) != manyMachines {
 		t.Errorf("%d bytes to tell of a machine, want %d at most; %d machines", got, summaryBytes, len(summary.Machines))
@@ -109,8 +109,8 @@
 
 // A machine with its two tasks holds few bytes.
 func TestBytesPerMachine(t *testing.T) {
-	held := func(machines int) (*rig, uint64) {
-		r := fleetRig(t, machines, 80)
+	held := func(machines int) (*harness, uint64) {
+		r := fleetHarness(t, machines, 80)
 		r.workers, r.state, r.fleet = nil, nil, nil // the test's own
 		runtime.GC()
 		var m runtime.MemStats
@@ -130,12 +130,12 @@
 // What the leader is told each second takes little more than it fills.
 func TestSummaryBytes(t *testing.T) {
 	const machines, summaries = 400, 10
-	r := fleetRig(t, machines, 80)
+	r := fleetHarness(t, machines, 80)
 	now := r.clock.Now()
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for range summaries {
-		r.part.Summary(now)
+		r.shard.Summary(now)
 	}
 	runtime.ReadMemStats(&after)
 	got := (after.TotalAlloc - before.TotalAlloc) / (summaries * machines)
@@ -148,19 +148,19 @@
 // tasks that share its slot's record, not by the machines or by all that runs.
 func TestStartAllocations(t *testing.T) {
 	for machines, most := range startAllocs {
-		r := fleetRig(t, machines, 60)
+		r := fleetHarness(t, machines, 60)
 		n, slots := 0, 0
 		got := testing.AllocsPerRun(10, func() {
 			n++
 			s := spec(fmt.Sprintf("run-8%05d", n), "b", wire.Array, "normal", 1, 1)
-			r.part.SetJob(s.Ref, record.ActiveJob{Spec: s}, uint64(1000+n), r.clock.Now().Add(time.Duration(n)*200*time.Millisecond))
+			r.shard.SetJob(s.Ref, record.ActiveJob{Spec: s}, uint64(1000+n), r.clock.Now().Add(time.Duration(n)*200*time.Millisecond))
 			now := r.clock.Now().Add(time.Duration(n) * 200 * time.Millisecond)
-			eff := r.part.Step(now)
+			eff := r.shard.Step(now)
 			for _, txn := range eff.Txns {
-				r.part.Applied(txn, uint64(2000+n), now)
+				r.shard.Applied(txn, uint64(2000+n), now)
 				slots++
 			}
-			if j := r.part.jobs[s.Ref]; j == nil || !j.tasks[0].recorded {
+			if j := r.shard.jobs[s.Ref]; j == nil || !j.tasks[0].recorded {
 				t.Fatal("not started")
 			}
 		})
--- a/internal/scheduler/limits.go
+++ b/internal/scheduler/limits.go
@@ -13,21 +13,21 @@
 
 const slack = 1e-6 // amounts are decimal numbers
 
-func roomFor(spec *wire.Spec, cpus, gpus, mem float64) bool {
+func fits(spec *wire.Spec, cpus, gpus, mem float64) bool {
 	return spec.CPUs <= cpus+slack && spec.GPUs <= gpus+slack && spec.MemoryGB <= mem+slack
 }
 
-// room is what is free on m, less what a plan has put there already.
-type room struct{ cpus, gpus, mem float64 }
+// resources is what is free on m, less what a plan has put there already.
+type resources struct{ cpus, gpus, mem float64 }
 
-func free(m *Machine) room {
-	return room{m.Type.CPUs - m.cpus, m.Type.GPUs - m.gpus, m.Type.MemoryGB - m.mem}
+func freeRoom(m *Machine) resources {
+	return resources{m.Type.CPUs - m.cpus, m.Type.GPUs - m.gpus, m.Type.MemoryGB - m.mem}
 }
 
-// less is what is left of r after n tasks.
-func (r room) less(spec *wire.Spec, n int) room {
+// minus is what is left of r after n tasks.
+func (r resources) minus(spec *wire.Spec, n int) resources {
 	f := float64(n)
-	return room{r.cpus - f*spec.CPUs, r.gpus - f*spec.GPUs, r.mem - f*spec.MemoryGB}
+	return resources{r.cpus - f*spec.CPUs, r.gpus - f*spec.GPUs, r.mem - f*spec.MemoryGB}
 }
 
 func (s *Shard) withinLimit(j *Job, n int) bool {
@@ -41,8 +41,8 @@
 		(t.MaxGPUs <= 0 || u.gpus+f*j.spec.GPUs <= t.MaxGPUs+slack)
 }
 
-// guaranteed reports whether n more tasks of j keep to its team's guarantee.
-func (s *Shard) guaranteed(j *Job, n int) bool {
+// withinGuarantee reports whether n more tasks of j keep to its team's guarantee.
+func (s *Shard) withinGuarantee(j *Job, n int) bool {
 	t := s.cfg.Teams[j.spec.Team]
 	if t.CPUs <= 0 && t.GPUs <= 0 {
 		return false
@@ -52,14 +52,14 @@
 	return (t.CPUs <= 0 || u.cpus+f*j.spec.CPUs <= t.CPUs+slack) && (t.GPUs <= 0 || u.gpus+f*j.spec.GPUs <= t.GPUs+slack)
 }
 
-// borrowed reports whether a team runs beyond its guarantee.
-func (s *Shard) borrowed(team string) bool {
+// overGuarantee reports whether a team runs beyond its guarantee.
+func (s *Shard) overGuarantee(team string) bool {
 	t := s.cfg.Teams[team]
 	u := s.usage(team)
 	return (t.CPUs > 0 && u.cpus > t.CPUs+slack) || (t.GPUs > 0 && u.gpus > t.GPUs+slack) || (t.CPUs <= 0 && t.GPUs <= 0)
 }
 
-func (s *Shard) load(team string) float64 {
+func (s *Shard) teamLoad(team string) float64 {
 	share := s.cfg.Teams[team].Share
 	if share <= 0 {
 		share = 1
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -29,44 +29,44 @@
 	for _, e := range open {
 		o, err := decode[record.ActiveJob](e)
 		if err != nil {
-			s.settling.malformed = append(s.settling.malformed, err)
+			s.reconciliation.malformed = append(s.reconciliation.malformed, err)
 			continue // that job waits for who mends its record; the others go on
 		}
 		s.SetJob(record.Last(e.Key), o, e.Version, now)
 	}
-	runs, err := s.loadSlots(slots)
+	runs, err := s.loadPlacements(slots)
 	if err != nil {
 		return err
 	}
 	for _, l := range runs {
-		s.loadRun(l, now)
+		s.loadRange(l, now)
 	}
-	s.withhold()
-	s.awaitReports(slots, now)
-	s.beginSettling(now)
+	s.withholdJobs()
+	s.awaitHeartbeats(slots, now)
+	s.beginReconciliation(now)
 	return nil
 }
 
-// loadRun takes in a range, or what is left of it by those that count before it.
-func (s *Shard) loadRun(l loaded, now time.Time) {
-	j, r := l.job, l.run
+// loadRange takes in a range, or what is left of it by those that count before it.
+func (s *Shard) loadRange(l loadedRange, now time.Time) {
+	j, r := l.job, l.recorded
 	fresh := j.uncovered(l.first, l.end, l.end-l.first)
 	if len(fresh) == 1 && fresh[0] == [2]int{l.first, l.end} {
-		c := &chunk{job: j, first: l.first, end: l.end, turn: r.Turn}
-		s.enter(c, l.slot)
+		c := &taskRange{job: j, first: l.first, end: l.end, turn: r.Turn}
+		s.assignRange(c, l.record)
 		c.turn = r.Turn
 	} else {
 		for _, span := range fresh {
-			c := &chunk{job: j, first: span[0], end: span[1], turn: r.Turn, from: l.slot}
+			c := &taskRange{job: j, first: span[0], end: span[1], turn: r.Turn, previous: l.record}
 			// A slot that waits for what leaves it must not be where that goes.
-			s.enter(c, s.roomySlot(s.cost(c, s.stated), l.slot))
-			l.slot.left[c] = struct{}{}
-			if l.slot.stated { // which can't be written before this is
-				c.slot.dirty, c.slot.urgent, c.slot.moved = true, true, true
+			s.assignRange(c, s.recordWithRoom(s.rangeBytes(c, s.sized), l.record))
+			l.record.departed[c] = struct{}{}
+			if l.record.sized { // which can't be written before this is
+				c.record.dirty, c.record.urgent, c.record.rangeAwaited = true, true, true
 			}
 		}
 	}
-	for _, c := range j.chunks {
+	for _, c := range j.ranges {
 		if c.first < l.end && l.first < c.end {
 			c.attempt = max(c.attempt, r.Attempt)
 		}
@@ -77,31 +77,31 @@
 	for _, span := range r.Done {
 		for i := max(0, span[0]); i <= span[1] && i < len(j.tasks); i++ {
 			if mine(i) {
-				s.finish(key{j, i}, now)
-				j.tasks[i].durable = true
+				s.markCompleted(taskKey{j, i}, now)
+				j.tasks[i].completionRecorded = true
 			}
 		}
 	}
 	for i, pl := range r.On {
-		if !mine(i) || j.tasks[i].state != idle {
+		if !mine(i) || j.tasks[i].state != pending {
 			continue
 		}
 		m := s.machines[pl.Machine]
 		if m == nil {
 			// Given back or empty when it moved: proven gone before. If its record was lost
 			// instead, its worker reports before this is over.
-			if s.strict {
-				j.hold = now.Add(reportsToBelieve * s.cfg.Report)
+			if s.detectsDataLoss {
+				j.notBefore = now.Add(heartbeatsToConfirmLoss * s.cfg.HeartbeatInterval)
 			}
 			continue
 		}
-		t := s.put(key{j, i}, m, pl.Attempt, now)
+		t := s.placeTask(taskKey{j, i}, m, pl.Attempt, now)
 		t.recorded, t.inherited = true, true
-		t.steps = nil
+		t.trace = nil
 		if j.cancelled {
 			// The cancellation came while nobody owned the part: its record
 			// was read before these placements were.
-			s.stop(key{j, i}, 0, now)
+			s.stopTask(taskKey{j, i}, 0, now)
 		}
 	}
 }
--- a/internal/scheduler/machine_test.go
+++ b/internal/scheduler/machine_test.go
@@ -13,23 +13,23 @@
 // A silent machine is given back while others are heard, and only that frees
 // its tasks; when all are silent, none is.
 func TestSilentMachine(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.machine("m1", "z1", false)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
-	r.beats(3)
+	r.heartbeats(3)
 	w2 := r.machine("m2", "z1", false)
-	r.beats(2)
+	r.heartbeats(2)
 	r.clock.Advance(10 * time.Second)
-	r.settle()
+	r.carryOutEffects()
 	if len(r.cloud.Returned) != 0 {
 		t.Fatalf("returned %v though all were silent", r.cloud.Returned)
 	}
-	r.beats(8, w2)
+	r.heartbeats(8, w2)
 	if !slices.Equal(r.cloud.Returned, []string{"m1"}) {
 		t.Fatalf("returned %v, want m1", r.cloud.Returned)
 	}
 	delete(r.workers, "m1")
-	r.beats(2)
+	r.heartbeats(2)
 	if r.on("run-000001/0") != "m2" {
 		t.Fatal("not started again after the return")
 	}
@@ -38,15 +38,15 @@
 // Machines cut off together fall silent one shortly after the other: the first
 // must not be given up because the rest was heard a moment later.
 func TestZoneFallsSilentTogether(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	w1, w2, w3 := r.machine("m1", "z1", false), r.machine("m2", "z1", false), r.machine("m3", "z1", false)
 	r.submit(spec("run-000001", "b", wire.Service, "prod", 3, 2))
-	r.beats(4)
-	r.beat(w1)
-	r.beat(w2, w3)
+	r.heartbeats(4)
+	r.heartbeat(w1)
+	r.heartbeat(w2, w3)
 	for range 12 {
 		r.clock.Advance(time.Second)
-		r.settle()
+		r.carryOutEffects()
 	}
 	if len(r.cloud.Returned) != 0 {
 		t.Fatalf("returned %v", r.cloud.Returned)
@@ -58,23 +58,23 @@
 // knew them nor to one that took over meanwhile.
 func TestZoneComesBackTogether(t *testing.T) {
 	for _, takeOver := range []bool{false, true} {
-		r := newRig(t)
+		r := newHarness(t)
 		var ws []*testkit.Worker
 		for i := range 6 {
 			ws = append(ws, r.machine(fmt.Sprintf("m%d", i), "z1", false))
 		}
 		r.submit(spec("run-000001", "b", wire.Service, "prod", 6, 2))
-		r.beats(10)
+		r.heartbeats(10)
 		if takeOver {
-			r.claim()
+			r.failOver()
 		}
 		r.clock.Advance(15 * time.Second)
-		r.settle()
+		r.carryOutEffects()
 		for i := range ws {
-			r.beat(ws[:i+1]...)
-			r.clock.Advance(-r.cfg.Report * 3 / 4)
+			r.heartbeat(ws[:i+1]...)
+			r.clock.Advance(-r.cfg.HeartbeatInterval * 3 / 4)
 		}
-		r.beats(3)
+		r.heartbeats(3)
 		if len(r.cloud.Returned) != 0 {
 			t.Errorf("take-over %t: returned %v", takeOver, r.cloud.Returned)
 		}
@@ -83,7 +83,7 @@
 
 // Errors on one machine end it; errors of one job everywhere hold the job back.
 func TestErrorsFindTheirCause(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	for _, id := range []string{"m1", "m2", "m3", "m4", "m5"} {
 		r.machine(id, "z1", false)
 	}
@@ -92,7 +92,7 @@
 		for _, w := range r.workers {
 			w.End("run-000001/0", wire.WhyError)
 		}
-		r.beat()
+		r.heartbeat()
 	}
 	if len(r.cloud.Returned) > 0 {
 		t.Fatalf("a bad job burned machines: %v", r.cloud.Returned)
@@ -104,7 +104,7 @@
 	if n > 12 {
 		t.Fatalf("%d tries of a job failing everywhere", n)
 	}
-	r = newRig(t)
+	r = newHarness(t)
 	bad := r.machine("m1", "z1", false)
 	r.machine("m2", "z1", false)
 	for i := range 4 {
@@ -114,7 +114,7 @@
 		for name := range bad.Tasks {
 			bad.End(name, wire.WhyError)
 		}
-		r.beat()
+		r.heartbeat()
 	}
 	if !slices.Equal(r.cloud.Returned, []string{"m1"}) {
 		t.Fatalf("returned %v, want the faulty machine", r.cloud.Returned)
@@ -123,44 +123,44 @@
 
 // Only an empty machine moves, and its record goes with conditions.
 func TestNoticeSavesAndReturns(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	w := r.machine("m1", "z1", true)
 	s := spec("run-000001", "b", wire.Array, "normal", 1, 1)
 	s.Spot = true
 	r.submit(s)
-	r.beats(3)
+	r.heartbeats(3)
 	left := 10.0
 	w.Notice = &left
-	r.beats(4)
+	r.heartbeats(4)
 	if len(w.Tasks) != 0 || !slices.Equal(r.cloud.Returned, []string{"m1"}) {
 		t.Fatalf("tasks %v, returned %v", w.Tasks, r.cloud.Returned)
 	}
 }
 
-// deaf lets a worker report without any answer reaching it.
-func (r *rig) deaf(w *testkit.Worker) {
+// heartbeatUnanswered lets a worker report without any answer reaching it.
+func (r *harness) heartbeatUnanswered(w *testkit.Worker) {
 	rep := w.Report()
-	r.part.Report(&rep, false, r.clock.Now())
+	r.shard.Heartbeat(&rep, false, r.clock.Now())
 }
 
 // A machine whose reports arrive but which no answer reaches gets no more work
 // once starts don't show, and goes back; its tasks run elsewhere only then, or
 // when its reports prove them absent.
 func TestOneWayMachine(t *testing.T) {
-	r, w1 := newRigWithMachine(t)
+	r, w1 := newHarnessWithMachine(t)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 2, 1))
-	r.settle() // placed and recorded on m1
+	r.carryOutEffects() // placed and recorded on m1
 	for range 3 {
-		r.clock.Advance(r.cfg.Report)
-		r.deaf(w1)
-		r.settle()
+		r.clock.Advance(r.cfg.HeartbeatInterval)
+		r.heartbeatUnanswered(w1)
+		r.carryOutEffects()
 	}
 	w2 := r.machine("m2", "z1", false)
 	r.submit(spec("run-000002", "b", wire.Array, "normal", 2, 1))
 	for range 6 {
-		r.clock.Advance(r.cfg.Report)
-		r.deaf(w1)
-		r.beat(w2)
+		r.clock.Advance(r.cfg.HeartbeatInterval)
+		r.heartbeatUnanswered(w1)
+		r.heartbeat(w2)
 	}
 	w1.Expire()
 	if len(w1.Started) != 0 || len(w2.Started) != 2 {
@@ -171,8 +171,8 @@
 		w2.End("run-000001/1", wire.Done)
 		w2.End("run-000002/0", wire.Done)
 		w2.End("run-000002/1", wire.Done)
-		r.deaf(w1)
-		r.beat(w2)
+		r.heartbeatUnanswered(w1)
+		r.heartbeat(w2)
 	}
 	if !slices.Equal(r.cloud.Returned, []string{"m1"}) {
 		t.Fatalf("returned %v, want the machine that hears nothing", r.cloud.Returned)
@@ -185,19 +185,19 @@
 // A lease that ran out though every report was answered marks such a machine,
 // too; one answer seen to arrive clears it.
 func TestOneWayMachineRecovers(t *testing.T) {
-	r, w := newRigWithMachine(t)
+	r, w := newHarnessWithMachine(t)
 	for range 10 {
-		r.clock.Advance(r.cfg.Report)
-		r.deaf(w)
+		r.clock.Advance(r.cfg.HeartbeatInterval)
+		r.heartbeatUnanswered(w)
 	}
 	w.Expire()
-	r.deaf(w)
+	r.heartbeatUnanswered(w)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
-	r.beats(5)
+	r.heartbeats(5)
 	if len(w.Started) != 0 {
 		t.Fatalf("started %v on a machine that may hear nothing", w.Started)
 	}
-	r.beats(8) // the session outlives its lease: answers arrive
+	r.heartbeats(8) // the session outlives its lease: answers arrive
 	if len(w.Started) != 1 || len(r.cloud.Returned) != 0 {
 		t.Fatalf("starts %v, returned %v: want the machine used again", w.Started, r.cloud.Returned)
 	}
@@ -208,25 +208,25 @@
 // that took them over dead, and their tasks start elsewhere.
 func TestWholeZoneDies(t *testing.T) {
 	for _, takeOver := range []bool{false, true} {
-		r := newRig(t)
-		r.cfg.Probes = 8
+		r := newHarness(t)
+		r.cfg.MaxProbes = 8
 		r.machine("m1", "z1", false)
 		r.machine("m2", "z1", false)
 		r.submit(spec("run-000001", "b", wire.Array, "normal", 4, 1))
-		r.beats(4)
+		r.heartbeats(4)
 		r.machine("m3", "z2", false)
 		r.machine("m4", "z2", false)
-		r.beats(2)
+		r.heartbeats(2)
 		delete(r.workers, "m1")
 		delete(r.workers, "m2")
 		if takeOver {
-			r.claim()
+			r.failOver()
 		}
-		given := func(id string) bool { return r.part.machines[id] == nil || r.phase(id) > 0 }
+		given := func(id string) bool { return r.shard.machines[id] == nil || r.phase(id) > 0 }
 		r.answers = []string{"m3", "m4"}
 		for i := range 40 {
-			r.beats(1)
-			if early := r.cfg.Report * time.Duration(i+1); early < r.cfg.Lease && (given("m1") || given("m2")) {
+			r.heartbeats(1)
+			if early := r.cfg.HeartbeatInterval * time.Duration(i+1); early < r.cfg.Lease && (given("m1") || given("m2")) {
 				t.Fatalf("take-over %t: given back after %v", takeOver, early)
 			}
 		}
@@ -245,32 +245,32 @@
 // nothing, however long it was: they are asked anew.
 func TestCutsEndLosesNobody(t *testing.T) {
 	for name, back := range map[string]bool{"they answer": true, "they died within the cut": false} {
-		r := newRig(t)
-		r.cfg.Probes = 8
+		r := newHarness(t)
+		r.cfg.MaxProbes = 8
 		r.machine("m1", "z1", false)
 		r.machine("m2", "z1", false)
 		r.submit(spec("run-000001", "b", wire.Array, "normal", 4, 1))
-		r.beats(4)
-		r.part.SetCut(map[string]bool{"z1": true})
-		for range 2 * int(r.cfg.Lease/r.cfg.Report) {
-			r.probed(r.cfg.Report)
+		r.heartbeats(4)
+		r.shard.SetPartitionedZones(map[string]bool{"z1": true})
+		for range 2 * int(r.cfg.Lease/r.cfg.HeartbeatInterval) {
+			r.probed(r.cfg.HeartbeatInterval)
 		}
 		if r.phase("m1")+r.phase("m2") > 0 {
 			t.Fatalf("%s: given back within the cut", name)
 		}
-		r.part.SetCut(nil)
+		r.shard.SetPartitionedZones(nil)
 		var answers []string
 		if back {
 			answers = []string{"m1", "m2"}
 		}
-		r.probed(r.cfg.Report, answers...)
+		r.probed(r.cfg.HeartbeatInterval, answers...)
 		if back && r.phase("m1")+r.phase("m2") > 0 {
 			t.Errorf("%s: given back as the cut ended", name)
 		}
 		for range 6 {
-			r.probed(r.cfg.Report, answers...)
+			r.probed(r.cfg.HeartbeatInterval, answers...)
 		}
-		if given := r.part.machines["m1"] == nil || r.phase("m1") > 0; given == back {
+		if given := r.shard.machines["m1"] == nil || r.phase("m1") > 0; given == back {
 			t.Errorf("%s: given back %t", name, given)
 		}
 	}
--- a/internal/scheduler/orders.go
+++ b/internal/scheduler/orders.go
@@ -10,60 +10,60 @@
 	"bramblespur/internal/wire"
 )
 
-// which says what the orders to a machine are.
-type which bool
+// commandKinds says what the orders to a machine are.
+type commandKinds bool
 
 // Kinds of orders.
 const (
-	startsOnly which = false
-	stopsToo   which = true
+	startsOnly     commandKinds = false
+	startsAndStops commandKinds = true
 )
 
-// starts returns the starts of recorded tasks that the machine has not shown.
-func (s *Shard) starts(m *Machine, now time.Time) []wire.Command {
-	out := s.appendOrders(nil, m, startsOnly, now)
+// startCommands returns the starts of recorded tasks that the machine has not shown.
+func (s *Shard) startCommands(m *Machine, now time.Time) []wire.Command {
+	out := s.appendCommands(nil, m, startsOnly, now)
 	return out[:min(len(out), maxCommands)]
 }
 
-// appendOrders adds what an answer to a machine carries for the tasks in the ledger. While
+// appendCommands adds what an answer to a machine carries for the tasks in the ledger. While
 // orders are paced the urgent ones come first, and a worker gets a few starts at a time.
-func (s *Shard) appendOrders(out []wire.Command, m *Machine, w which, now time.Time) []wire.Command {
+func (s *Shard) appendCommands(out []wire.Command, m *Machine, w commandKinds, now time.Time) []wire.Command {
 	if s.cfg.Pace.Active() {
-		return s.appendPaced(out, m, w, now)
+		return s.appendPacedCommands(out, m, w, now)
 	}
-	for k, t := range m.on {
-		if s.hasOrder(k, t, m, w, now) {
-			out = append(out, t.order(k, m, now))
+	for k, t := range m.tasks {
+		if s.hasCommand(k, t, m, w, now) {
+			out = append(out, t.command(k, m, now))
 		}
 	}
 	return out
 }
 
-// appendPaced does the same within the pace.
-func (s *Shard) appendPaced(out []wire.Command, m *Machine, w which, now time.Time) []wire.Command {
-	var due []key
-	for k := range m.on {
+// appendPacedCommands does the same within the pace.
+func (s *Shard) appendPacedCommands(out []wire.Command, m *Machine, w commandKinds, now time.Time) []wire.Command {
+	var due []taskKey
+	for k := range m.tasks {
 		due = append(due, k)
 	}
-	slices.SortFunc(due, func(a, b key) int {
-		return cmp.Or(cmp.Compare(s.paceClass(a), s.paceClass(b)), cmp.Compare(a.job.ref, b.job.ref), cmp.Compare(a.i, b.i))
+	slices.SortFunc(due, func(a, b taskKey) int {
+		return cmp.Or(cmp.Compare(s.paceClass(a), s.paceClass(b)), cmp.Compare(a.job.ref, b.job.ref), cmp.Compare(a.index, b.index))
 	})
 	left := s.cfg.Pace.Settings().CommandsPerWorker
 	for _, k := range due {
-		t := m.on[k]
-		isStart := !t.stop
+		t := m.tasks[k]
+		isStart := !t.stopping
 		if isStart && left <= 0 {
-			s.delay(m, now.Add(s.cfg.Report))
+			s.delayStarts(m, now.Add(s.cfg.HeartbeatInterval))
 			continue
 		}
-		if !s.hasOrder(k, t, m, w, now) {
+		if !s.hasCommand(k, t, m, w, now) {
 			continue
 		}
 		if !s.cfg.Pace.Allow(s.paceClass(k), now) {
-			s.delay(m, s.cfg.Pace.NextAllowedAt(now))
+			s.delayStarts(m, s.cfg.Pace.NextAllowedAt(now))
 			continue
 		}
-		out = append(out, t.order(k, m, now))
+		out = append(out, t.command(k, m, now))
 		if isStart {
 			left--
 		}
@@ -73,54 +73,54 @@
 
 // paceClass tells how urgent the order for a task is. Those of a gang of which one was
 // started follow it, as they wait for each other only for so long.
-func (s *Shard) paceClass(k key) ratelimit.Priority {
-	t := &k.job.tasks[k.i]
+func (s *Shard) paceClass(k taskKey) ratelimit.Priority {
+	t := &k.job.tasks[k.index]
 	switch {
-	case t.stop && k.job.cancelled:
+	case t.stopping && k.job.cancelled:
 		return ratelimit.Exempt
-	case k.job.spec.Kind == wire.Service, s.guaranteed(k.job, 0), k.job.spec.Kind == wire.Gang && k.job.started():
+	case k.job.spec.Kind == wire.Service, s.withinGuarantee(k.job, 0), k.job.spec.Kind == wire.Gang && k.job.startSent():
 		return ratelimit.Urgent
 	}
 	return ratelimit.Routine
 }
 
-// started reports whether the start of one of a job's placed tasks was sent.
-func (j *Job) started() bool {
+// startSent reports whether the start of one of a job's placed tasks was sent.
+func (j *Job) startSent() bool {
 	return slices.ContainsFunc(j.tasks, func(t task) bool { return t.state == placed && t.sent })
 }
 
-// delay makes a machine be looked at again for starts that wait.
-func (s *Shard) delay(m *Machine, until time.Time) {
-	if due, ok := s.delayed[m]; !ok || until.Before(due) {
-		s.delayed[m] = until
+// delayStarts makes a machine be looked at again for starts that wait.
+func (s *Shard) delayStarts(m *Machine, until time.Time) {
+	if due, ok := s.delayedStarts[m]; !ok || until.Before(due) {
+		s.delayedStarts[m] = until
 	}
 }
 
-// hasOrder reports whether there is an order for a task.
-func (s *Shard) hasOrder(k key, t *task, m *Machine, w which, now time.Time) bool {
+// hasCommand reports whether there is an order for a task.
+func (s *Shard) hasCommand(k taskKey, t *task, m *Machine, w commandKinds, now time.Time) bool {
 	switch {
 	case !t.recorded:
 		return false
-	case t.stop:
-		return w == stopsToo && !(t.phase == wire.Saving && t.grace > 0)
-	case t.seen || t.inherited || s.lost || s.blind || m.Phase != record.InUse || k.job.cancelled || !k.job.wholeRecorded():
+	case t.stopping:
+		return w == startsAndStops && !(t.phase == wire.Saving && t.grace > 0)
+	case t.reported || t.inherited || s.ownershipLost || s.cancellationsUnknown || m.Phase != record.InUse || k.job.cancelled || !k.job.wholeRecorded():
 		return false
 	}
-	if due := s.startAfter(k, t); !t.sent && now.Before(due) {
-		s.delayed[m] = due
+	if due := s.earliestStart(k, t); !t.sent && now.Before(due) {
+		s.delayedStarts[m] = due
 		return false
 	}
 	return true
 }
 
-// order returns the order that there is for a task, and notes that a start is sent.
-func (t *task) order(k key, m *Machine, now time.Time) wire.Command {
-	if t.stop {
-		return halt(k.name(), t.attempt, t.grace)
+// command returns the order that there is for a task, and notes that a start is sent.
+func (t *task) command(k taskKey, m *Machine, now time.Time) wire.Command {
+	if t.stopping {
+		return stopCommand(k.name(), t.attempt, t.grace)
 	}
 	if !t.sent {
-		t.step(func(st *steps) { st.sent = now })
+		t.traceStep(func(st *startTrace) { st.sent = now })
 	}
-	t.sent, t.sentSess = true, m.session
+	t.sent, t.sentEpoch = true, m.epoch
 	return wire.Command{Op: wire.Start, Task: k.name(), Attempt: t.attempt}
 }
--- a/internal/scheduler/outcomes.go
+++ b/internal/scheduler/outcomes.go
@@ -14,73 +14,73 @@
 	switch {
 	case t.machine != nil:
 		t.machine.txn = nil
-		if t.fence {
+		if t.raisesToken {
 			t.machine.version, t.machine.fenced = revision, false
-			s.changed = true
+			s.placementDue = true
 			break
 		}
-		s.forgetMachine(t.machine, now)
-	case t.back != nil:
-		s.back = nil
+		s.removeMachine(t.machine, now)
+	case t.release != nil:
+		s.releasing = nil
 	case t.job != nil:
-		t.job.ending = nil
-		s.ended(t.job, now)
-		s.end(t.job, now)
-		s.advanced(t, revision, now)
+		t.job.endTxn = nil
+		s.reportJobEnd(t.job, now)
+		s.removeJob(t.job, now)
+		s.applyPipelineStep(t, revision, now)
 	default:
-		s.written(t, revision, now)
+		s.placementsWritten(t, revision, now)
 	}
 }
 
-func (s *Shard) written(t *Txn, revision uint64, now time.Time) {
-	t.slot.txn = nil
-	t.slot.version = revision
-	if t.gone {
-		delete(s.slots, t.slot.n)
+func (s *Shard) placementsWritten(t *Txn, revision uint64, now time.Time) {
+	t.placements.txn = nil
+	t.placements.version = revision
+	if t.deletesRecord {
+		delete(s.placements, t.placements.number)
 	}
-	for _, c := range t.chunks {
-		s.settle(c)
+	for _, c := range t.ranges {
+		s.confirmRange(c)
 	}
 	for _, k := range t.starts {
-		other := &k.job.tasks[k.i]
-		if other.state == placed && other.inTxn {
-			other.recorded, other.inTxn = true, false
-			other.step(func(st *steps) { st.recorded = now })
-			s.out.Wake = append(s.out.Wake, other.machine.ID)
+		other := &k.job.tasks[k.index]
+		if other.state == placed && other.recording {
+			other.recorded, other.recording = true, false
+			other.traceStep(func(st *startTrace) { st.recorded = now })
+			s.effects.StartsReady = append(s.effects.StartsReady, other.machine.ID)
 		}
 	}
-	for _, k := range t.dones {
-		k.job.tasks[k.i].durable = true
+	for _, k := range t.completions {
+		k.job.tasks[k.index].completionRecorded = true
 	}
 }
 
 // Conflict takes in that conditions failed: nothing was applied.
 func (s *Shard) Conflict(t *Txn, failed []string, now time.Time) {
 	if slices.Contains(failed, record.ShardKey(s.id)) {
-		s.lost = true // somebody claimed the part: every later write fails too
+		s.ownershipLost = true // somebody claimed the part: every later write fails too
 		return
 	}
 	switch {
-	case t.back != nil:
+	case t.release != nil:
 		// Its name is ours alone: an earlier try was applied after all.
-		s.back = nil
+		s.releasing = nil
 	case t.machine != nil:
 		t.machine.txn = nil
-		t.machine.retry = now.Add(retryAfter)
+		t.machine.retryAt = now.Add(retryAfter)
 		s.rereadMachine(t.machine)
 	case t.job != nil:
-		t.job.ending = nil
-		s.stalled(t.job, false)
+		t.job.endTxn = nil
+		s.pipelineStepFailed(t.job, false)
 		s.rereadJob(t.job)
 	default:
-		s.slotConflict(t, failed, now)
+		s.placementsConflict(t, failed, now)
 	}
 }
 
-// slotConflict takes back the starts that can't be recorded as they are; the
+// placementsConflict takes back the starts that can't be recorded as they are; the
 // others are tried again at once.
-func (s *Shard) slotConflict(t *Txn, failed []string, now time.Time) {
-	rec := t.slot
+func (s *Shard) placementsConflict(t *Txn, failed []string, now time.Time) {
+	rec := t.placements
 	rec.txn = nil
 	bad := map[string]bool{}
 	for _, k := range failed {
@@ -96,81 +96,81 @@
 			}
 		}
 	}
-	s.revert(t, now, func(k key) bool {
-		m := k.job.tasks[k.i].machine
+	s.revertWrite(t, now, func(k taskKey) bool {
+		m := k.job.tasks[k.index].machine
 		return bad[record.ActiveJobKey(k.job.ref)] || (m != nil && bad[record.OverrideKey(m.ID)])
 	})
-	if bad[record.PlacementsKey(s.id, rec.n)] {
-		s.rereadSlot(rec)
+	if bad[record.PlacementsKey(s.id, rec.number)] {
+		s.rereadPlacements(rec)
 	}
 }
 
 // Refused takes in that a transaction was not executed. The more waits for the
 // state service, the later it is asked again.
 func (s *Shard) Refused(t *Txn, now time.Time) {
-	at := now.Add(retryAfter + s.backlog)
+	at := now.Add(retryAfter + s.writeBacklog)
 	switch {
-	case t.back != nil:
-		t.back.txn, t.back.retry = nil, at
+	case t.release != nil:
+		t.release.txn, t.release.retryAt = nil, at
 	case t.machine != nil:
-		t.machine.txn, t.machine.retry = nil, at
+		t.machine.txn, t.machine.retryAt = nil, at
 	case t.job != nil:
-		t.job.ending, t.job.retry = nil, at
-		s.stalled(t.job, true)
+		t.job.endTxn, t.job.retryAt = nil, at
+		s.pipelineStepFailed(t.job, true)
 	default:
-		t.slot.txn, t.slot.retry = nil, at
-		s.revert(t, now, func(key) bool { return false })
+		t.placements.txn, t.placements.retryAt = nil, at
+		s.revertWrite(t, now, func(taskKey) bool { return false })
 	}
-	s.alarm(at)
+	s.wakeAt(at)
 }
 
-// Shrink takes in that the state service does not take a transaction of this
+// TooLarge takes in that the state service does not take a transaction of this
 // size. It is never sent again as it was: what is written from now on is smaller.
-func (s *Shard) Shrink(t *Txn, now time.Time) {
+func (s *Shard) TooLarge(t *Txn, now time.Time) {
 	largest := 0
 	for _, op := range t.Body.Then {
 		largest = max(largest, len(op.Value))
 	}
-	if least := plainPlace * 2 * runOverhead; largest > least {
+	if least := unsizedPlacementBytes * 2 * unsizedRangeOverhead; largest > least {
 		s.valueBytes = min(s.valueBytes, max(least, largest*3/4))
 	}
-	if n := len(t.Body.Then); n > leastOps {
+	if n := len(t.Body.Then); n > jobEndOps {
 		s.txnOps = min(s.txnOps, n-1)
 	}
 	s.Refused(t, now)
 }
 
-// leastOps is the changes in the transaction that ends a job.
-const leastOps = 2
+// jobEndOps is the changes in the transaction that ends a job.
+const jobEndOps = 2
 
 // Unknown takes in that a transaction may have been, or may yet be, applied.
 // The records are read back and decide.
 func (s *Shard) Unknown(t *Txn, now time.Time) {
 	switch {
-	case t.back != nil:
-		t.back.txn, t.back.retry = nil, now.Add(retryAfter) // the same again does no harm
+	case t.release != nil:
+		t.release.txn, t.release.retryAt = nil, now.Add(retryAfter) // the same again does no harm
 	case t.machine != nil:
 		s.rereadMachine(t.machine)
 	case t.job != nil:
-		s.stalled(t.job, false)
+		s.pipelineStepFailed(t.job, false)
 		s.rereadJob(t.job)
 	default:
-		s.rereadSlot(t.slot)
+		s.rereadPlacements(t.placements)
 	}
 }
 
-// revert makes a slot's transaction undone: bad starts are taken back, which
+// revertWrite makes a slot's transaction undone: bad starts are taken back, which
 // were never recorded and so never sent, the others wait for the next write.
-func (s *Shard) revert(t *Txn, now time.Time, bad func(key) bool) {
+func (s *Shard) revertWrite(t *Txn, now time.Time, bad func(taskKey) bool) {
 	gangs := map[*Job]bool{}
 	for _, k := range t.starts {
-		other := &k.job.tasks[k.i]
-		if other.state != placed || !other.inTxn {
+		other := &k.job.tasks[k.index]
+		if other.state != placed || !other.recording {
 			continue
 		}
-		other.inTxn = false
+		other.recording = false
 		if bad(k) || k.job.cancelled {
-			s.take(k, now)
+			s.unplaceTask(k, now)
 			gangs[k.job] = k.job.spec.Kind == wire.Gang
 		}
 	}
@@ -181,14 +181,14 @@
 			continue
 		}
 		for i := range j.tasks {
-			if t := &j.tasks[i]; t.state == placed && !t.sent && !t.inherited && !t.inTxn {
-				s.take(key{j, i}, now)
+			if t := &j.tasks[i]; t.state == placed && !t.sent && !t.inherited && !t.recording {
+				s.unplaceTask(taskKey{j, i}, now)
 			}
 		}
 	}
-	if !t.slot.dirty {
-		t.slot.since = now
+	if !t.placements.dirty {
+		t.placements.dirtySince = now
 	}
-	t.slot.dirty = true
-	t.slot.urgent = t.slot.urgent || len(t.starts) > 0
+	t.placements.dirty = true
+	t.placements.urgent = t.placements.urgent || len(t.starts) > 0
 }
--- a/internal/scheduler/pipeline_test.go
+++ b/internal/scheduler/pipeline_test.go
@@ -35,7 +35,7 @@
 }
 
 // pipeline submits a pipeline as a controller records it.
-func (r *rig) pipeline(p record.Pipeline) {
+func (r *harness) pipeline(p record.Pipeline) {
 	r.state.Put(record.PipelineKey("pipe-000001"), p)
 	for i, ref := range p.Jobs {
 		r.open(record.ActiveJob{Spec: spec(ref, "b", wire.Array, "normal", 1, 1), At: r.clock.Now().UnixMilli(), Pipeline: "pipe-000001", AwaitsDependencies: i > 0})()
@@ -43,7 +43,7 @@
 }
 
 // endAll lets whatever runs complete.
-func (r *rig) endAll() {
+func (r *harness) endAll() {
 	for _, w := range r.workers {
 		for name, t := range w.Tasks {
 			if t.State == wire.Running {
@@ -62,7 +62,7 @@
 	return out
 }
 
-func (r *rig) pipeState() string {
+func (r *harness) pipeState() string {
 	rec, err := decode[record.Pipeline](*r.get(record.PipelineKey("pipe-000001")))
 	if err != nil {
 		r.t.Fatal(err)
@@ -74,14 +74,14 @@
 // job runs once, also when the part is taken over after any number of reports.
 func TestPipelineStepByStep(t *testing.T) {
 	for crash := range 12 {
-		r := newRig(t)
+		r := newHarness(t)
 		w := r.machine("m1", "z1", false)
 		r.pipeline(diamond())
 		for beat := range 40 {
 			if crash > 0 && beat%crash == crash-1 && beat < 24 {
-				r.claim()
+				r.failOver()
 			}
-			r.beat()
+			r.heartbeat()
 			got := started(w)
 			if slices.Contains(got, jobD) && (r.jobState(jobB) != wire.Done || r.jobState(jobC) != wire.Done) {
 				t.Fatalf("claims each %d reports: the join started before both branches were done: %v", crash, got)
@@ -93,24 +93,24 @@
 		if !slices.Equal(got, []string{jobA, jobB, jobC, jobD}) || r.pipeState() != wire.Done {
 			t.Errorf("claims each %d reports: started %v, pipeline %q", crash, got, r.pipeState())
 		}
-		if len(r.part.lines) > 0 && crash == 0 {
-			t.Errorf("%d pipelines kept after the end", len(r.part.lines))
+		if len(r.shard.pipelines) > 0 && crash == 0 {
+			t.Errorf("%d pipelines kept after the end", len(r.shard.pipelines))
 		}
 	}
 }
 
 // A cancelled job ends all that follows it, and nothing else.
 func TestPipelineEndsSuccessors(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	w := r.machine("m1", "z1", false)
 	r.pipeline(diamond())
-	r.beats(2)
+	r.heartbeats(2)
 	r.endAll()
-	r.beats(3)
+	r.heartbeats(3)
 	r.open(record.ActiveJob{Spec: spec(jobB, "b", wire.Array, "normal", 1, 1), Pipeline: "pipe-000001", Cancelled: true})()
-	r.beats(3)
+	r.heartbeats(3)
 	r.endAll()
-	r.beats(5)
+	r.heartbeats(5)
 	for ref, want := range map[string]string{jobA: wire.Done, jobB: wire.Cancelled, jobC: wire.Done, jobD: wire.Cancelled} {
 		if got := r.jobState(ref); got != want {
 			t.Errorf("%s is %q, want %q", ref, got, want)
@@ -127,16 +127,16 @@
 		cancel     bool
 		runs, dies string
 	}{{false, jobB, jobC}, {true, jobC, jobB}} {
-		r := newRig(t)
+		r := newHarness(t)
 		w := r.machine("m1", "z1", false)
 		r.pipeline(fork())
-		r.beats(2)
+		r.heartbeats(2)
 		if x.cancel {
 			r.open(record.ActiveJob{Spec: spec(jobA, "b", wire.Array, "normal", 1, 1), Pipeline: "pipe-000001", Cancelled: true})()
 		}
 		for range 16 {
 			r.endAll()
-			r.beat()
+			r.heartbeat()
 		}
 		got := started(w)
 		if !slices.Contains(got, x.runs) || slices.Contains(got, x.dies) || !slices.Contains(got, jobD) {
@@ -151,27 +151,27 @@
 // A withdrawn pipeline releases nothing more, whatever its owner knew, and the
 // answer of a step that got lost neither repeats nor loses it.
 func TestPipelineWithdrawnAndLostAnswers(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	w := r.machine("m1", "z1", false)
 	r.pipeline(diamond())
-	r.beats(2)
+	r.heartbeats(2)
 	rec := diamond()
 	rec.State = wire.Cancelled
 	r.state.Put(record.PipelineKey("pipe-000001"), rec) // not told to the owner
 	r.endAll()
-	r.beats(6)
+	r.heartbeats(6)
 	if got := started(w); !slices.Equal(got, []string{jobA}) {
 		t.Fatalf("started %v after the withdrawal", got)
 	}
 	for lost := range 4 {
-		r := newRig(t)
+		r := newHarness(t)
 		w := r.machine("m1", "z1", false)
 		r.pipeline(diamond())
 		for beat := range 40 {
 			if beat%4 == lost {
 				r.state.LoseAnswers = 1
 			}
-			r.beat()
+			r.heartbeat()
 			r.endAll()
 			for _, ref := range diamond().Jobs { // as the watch tells
 				if e := r.get(record.ActiveJobKey(ref)); e != nil {
@@ -179,7 +179,7 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					r.part.SetJob(ref, o, e.Version, r.clock.Now())
+					r.shard.SetJob(ref, o, e.Version, r.clock.Now())
 				}
 			}
 		}
@@ -210,10 +210,10 @@
 func TestPipelineInPieces(t *testing.T) {
 	for seed := range uint64(10) {
 		rnd := rand.New(rand.NewPCG(seed, 5))
-		r := newRig(t)
-		r.cfg.SlotTasks, r.cfg.TxnOps, r.cfg.ValueBytes = SlotTasks(16), 5, 1024
-		r.claim()
-		r.part.SetStated()
+		r := newHarness(t)
+		r.cfg.PlacementsPerRecord, r.cfg.TxnOps, r.cfg.ValueBytes = PlacementsPerRecord(16), 5, 1024
+		r.failOver()
+		r.shard.UseSizedRanges()
 		w := r.machine("m1", "z1", false)
 		p := wide(13)
 		if size := len(record.Encode(p)); size < 1024 || !p.InPieces(1024, 5) {
@@ -226,8 +226,8 @@
 			if beat < 60 {
 				switch rnd.IntN(4) {
 				case 0:
-					r.claim()
-					r.part.SetStated()
+					r.failOver()
+					r.shard.UseSizedRanges()
 				case 1:
 					r.state.LoseAnswers = 1
 				case 2:
@@ -236,7 +236,7 @@
 			} else {
 				r.state.Release()
 			}
-			r.beat()
+			r.heartbeat()
 			if slices.Contains(started(w), last) {
 				for _, ref := range p.Jobs[:len(p.Jobs)-1] {
 					if r.jobState(ref) != wire.Done {
@@ -261,17 +261,17 @@
 // further than the pipeline's own record ends all.
 func TestPipelineInPiecesEnds(t *testing.T) {
 	for _, withdrawn := range []bool{false, true} {
-		r := newRig(t)
-		r.cfg.SlotTasks, r.cfg.TxnOps, r.cfg.ValueBytes = SlotTasks(16), 5, 1024
-		r.claim()
-		r.part.SetStated()
+		r := newHarness(t)
+		r.cfg.PlacementsPerRecord, r.cfg.TxnOps, r.cfg.ValueBytes = PlacementsPerRecord(16), 5, 1024
+		r.failOver()
+		r.shard.UseSizedRanges()
 		r.machine("m1", "z1", false)
 		p := wide(13)
 		r.pipeline(p)
 		r.state.Limit(1024, 5)
-		r.beats(2)
+		r.heartbeats(2)
 		r.endAll()
-		r.beats(3)
+		r.heartbeats(3)
 		if withdrawn {
 			over := p
 			over.State = wire.Cancelled
@@ -279,11 +279,11 @@
 		} else {
 			r.open(record.ActiveJob{Spec: spec(p.Jobs[3], "b", wire.Array, "normal", 1, 1), Pipeline: "pipe-000001", AwaitsDependencies: true, Cancelled: true})()
 		}
-		r.beats(2)
-		r.claim()
-		r.part.SetStated()
+		r.heartbeats(2)
+		r.failOver()
+		r.shard.UseSizedRanges()
 		for range 20 {
-			r.beat()
+			r.heartbeat()
 			if !withdrawn {
 				r.endAll()
 			}
@@ -297,8 +297,8 @@
 				t.Errorf("withdrawn %t: %s is %q, want %q", withdrawn, ref, got, want)
 			}
 		}
-		if r.pipeState() != wire.Cancelled || len(r.part.jobs) > 0 {
-			t.Errorf("withdrawn %t: the pipeline is %q with %d jobs left", withdrawn, r.pipeState(), len(r.part.jobs))
+		if r.pipeState() != wire.Cancelled || len(r.shard.jobs) > 0 {
+			t.Errorf("withdrawn %t: the pipeline is %q with %d jobs left", withdrawn, r.pipeState(), len(r.shard.jobs))
 		}
 	}
 }
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -10,46 +10,46 @@
 
 // usable reports whether new work may be placed on a machine.
 func (s *Shard) usable(m *Machine, now time.Time) bool {
-	return m.up && m.Phase == record.InUse && !m.drain && m.cordon == NotCordoned && m.moveTo < 0 && m.txn == nil && !m.versionUnknown &&
-		m.unreachableSince.IsZero() && (m.fenced || !m.inherited) && m.taken.IsZero() && now.Sub(m.reported) < s.suspectAfter()
+	return m.up && m.Phase == record.InUse && !m.draining && m.cordon == NotCordoned && m.transferTo < 0 && m.txn == nil && !m.versionUnknown &&
+		m.unreachableSince.IsZero() && (m.fenced || !m.inherited) && m.reclaimedAt.IsZero() && now.Sub(m.heartbeatAt) < s.suspectAfter()
 }
 
 // suspectAfter is when a silent machine gets no new work.
-func (s *Shard) suspectAfter() time.Duration { return s.cfg.Report*2 + time.Second }
+func (s *Shard) suspectAfter() time.Duration { return s.cfg.HeartbeatInterval*2 + time.Second }
 
-func (j *Job) unit() int {
+func (j *Job) unitSize() int {
 	if j.spec.Kind == wire.Gang {
-		return j.idleTasks // all, or what replaces those lost while it waits
+		return j.pendingTasks // all, or what replaces those lost while it waits
 	}
 	return 1
 }
 
-func (s *Shard) waiting(j *Job, now time.Time) bool {
-	if j.held || j.withheld || j.cancelled || j.idleTasks == 0 || j.versionUnknown {
+func (s *Shard) placeable(j *Job, now time.Time) bool {
+	if j.awaitsDependencies || j.withheld || j.cancelled || j.pendingTasks == 0 || j.versionUnknown {
 		return false
 	}
-	if j.spec.Kind == wire.Gang && !j.gathering() {
+	if j.spec.Kind == wire.Gang && !j.assembling() {
 		return false // the old attempt must be gone, all of it
 	}
 	return true
 }
 
-// place starts what can be started: team by team, in turn by shares.
-func (s *Shard) place(now time.Time) {
-	if s.unreadable.unheard || s.awaitsReports(now) {
+// placeJobs starts what can be started: team by team, in turn by shares.
+func (s *Shard) placeJobs(now time.Time) {
+	if s.unreadable.awaitsMachines || s.awaitsHeartbeats(now) {
 		return // what runs unrecorded uses room and quota
 	}
-	s.gathers, s.found = map[string]*Job{}, found{}
-	s.weighKept()
+	s.reservingGangs, s.candidates = map[string]*Job{}, candidateCache{}
+	s.weighProtected()
 	queues := map[string][]*Job{}
-	for _, j := range s.index.waiting {
-		s.looked++
-		if !s.waiting(j, now) {
-			j.stuck = time.Time{}
+	for _, j := range s.index.pendingJobs {
+		s.candidatesExamined++
+		if !s.placeable(j, now) {
+			j.unplacedSince = time.Time{}
 			continue
 		}
-		if now.Before(j.hold) {
-			s.alarm(j.hold)
+		if now.Before(j.notBefore) {
+			s.wakeAt(j.notBefore)
 			continue
 		}
 		queues[j.spec.Team] = append(queues[j.spec.Team], j)
@@ -71,7 +71,7 @@
 			}
 			// Gangs that have waited for long go by their age alone: the small
 			// and the short ones would else overtake the large for ever.
-			if late := x.late(now); late != y.late(now) {
+			if late := x.longWaiting(now); late != y.longWaiting(now) {
 				return late
 			} else if late && !x.accepted.Equal(y.accepted) {
 				return x.accepted.Before(y.accepted)
@@ -89,14 +89,14 @@
 			if len(q) == 0 {
 				continue
 			}
-			if bestJob == nil || s.before(q[0], team, bestJob, best, now) {
+			if bestJob == nil || s.teamBefore(q[0], team, bestJob, best, now) {
 				best, bestJob = team, q[0]
 			}
 		}
 		if bestJob == nil {
 			return
 		}
-		if s.start(bestJob, now) && bestJob.idleTasks > 0 {
+		if s.placeUnit(bestJob, now) && bestJob.pendingTasks > 0 {
 			continue
 		}
 		queues[best] = queues[best][1:]
@@ -113,12 +113,12 @@
 )
 
 func (s *Shard) aged(j *Job, now time.Time) bool {
-	return (j.kept || j.starved(now)) && now.Sub(j.accepted) > agedAfter && s.keptLoad[j.rank] < agedShare
+	return (j.protected || j.starved(now)) && now.Sub(j.accepted) > agedAfter && s.protectedLoad[j.rank] < agedShare
 }
 
 // starved reports whether nothing of a job has run for too long.
 func (j *Job) starved(now time.Time) bool {
-	return j.placedTasks+j.doneTasks == 0 && now.Sub(j.accepted) > agedAfter
+	return j.placedTasks+j.completedTasks == 0 && now.Sub(j.accepted) > agedAfter
 }
 
 // beforeAged orders jobs that have waited too long: the lowest priority first,
@@ -128,72 +128,72 @@
 	if a.rank != b.rank {
 		return a.rank < b.rank
 	}
-	if x, y := a.unit(), b.unit(); x != y {
+	if x, y := a.unitSize(), b.unitSize(); x != y {
 		return x > y
 	}
 	return a.accepted.Before(b.accepted)
 }
 
-// weighKept computes the share of the part's machines that kept jobs hold.
-func (s *Shard) weighKept() {
-	s.keptLoad = [highestRank + 1]float64{}
-	for j := range s.kept {
+// weighProtected computes the share of the part's machines that kept jobs hold.
+func (s *Shard) weighProtected() {
+	s.protectedLoad = [highestRank + 1]float64{}
+	for j := range s.protected {
 		if s.index.cpus > 0 {
-			s.keptLoad[j.rank] += float64(j.placedTasks) * j.spec.CPUs / s.index.cpus
+			s.protectedLoad[j.rank] += float64(j.placedTasks) * j.spec.CPUs / s.index.cpus
 		}
 	}
 }
 
-// before orders the heads of two teams' queues: what has waited too long goes
+// teamBefore orders the heads of two teams' queues: what has waited too long goes
 // first, then work within a guarantee, then priority, then the team with less of
 // its share.
-func (s *Shard) before(a *Job, teamA string, b *Job, teamB string, now time.Time) bool {
+func (s *Shard) teamBefore(a *Job, teamA string, b *Job, teamB string, now time.Time) bool {
 	if old := s.aged(a, now); old != s.aged(b, now) {
 		return old
 	} else if old {
 		return beforeAged(a, b)
 	}
-	if x, y := s.guaranteed(a, a.unit()), s.guaranteed(b, b.unit()); x != y {
+	if x, y := s.withinGuarantee(a, a.unitSize()), s.withinGuarantee(b, b.unitSize()); x != y {
 		return x
 	}
 	if a.rank != b.rank {
 		return a.rank > b.rank
 	}
-	if x, y := s.load(teamA), s.load(teamB); x != y {
+	if x, y := s.teamLoad(teamA), s.teamLoad(teamB); x != y {
 		return x < y
 	}
 	return teamA < teamB
 }
 
-// start places one unit of a job: a task, or all of a gang.
-func (s *Shard) start(j *Job, now time.Time) bool {
-	n := j.unit()
+// placeUnit places one unit of a job: a task, or all of a gang.
+func (s *Shard) placeUnit(j *Job, now time.Time) bool {
+	n := j.unitSize()
 	if !s.withinLimit(j, n) {
-		j.stuck = time.Time{} // waits for its own team, not for machines
+		j.unplacedSince = time.Time{} // waits for its own team, not for machines
 		return false
 	}
-	where := s.find(j, n, now)
+	where := s.selectMachines(j, n, now)
 	if where == nil {
-		if j.stuck.IsZero() {
-			j.stuck = now
+		if j.unplacedSince.IsZero() {
+			j.unplacedSince = now
 		}
-		if j.spec.Kind == wire.Gang && (len(s.gathers) == 0 || j.late(now)) {
-			s.gather(j, n, now)
+		if j.spec.Kind == wire.Gang && (len(s.reservingGangs) == 0 || j.longWaiting(now)) {
+			s.reserveForGang(j, n, now)
 		}
-		s.makeRoom(j, n, now)
+		s.preemptFor(j, n, now)
 		return false
 	}
-	if wait, more := s.seek(j, where[0], now); wait {
+	if wait, more := s.preemptWhereCached(j, where[0], now); wait {
 		return more
 	}
 	if s.aged(j, now) {
-		j.kept = true
-		s.kept[j] = true
-		defer s.weighKept()
+		j.protected = true
+		s.protected[j] = true
+		defer s.weighProtected()
 	}
-	gang := j.attempt()
+	gang := j.gangAttempt()
 	for _, m := range where {
-		i := j.nextIdle()
+		i := j.nextPending()
 		a := s.nextAttempt(j, i)
 		if j.spec.Kind == wire.Gang {
 			if gang == 0 {
@@ -201,92 +201,92 @@
 			}
 			a = gang
 		}
-		s.put(key{j, i}, m, a, now)
-		s.use(m, j)
+		s.placeTask(taskKey{j, i}, m, a, now)
+		s.useReservation(m, j)
 	}
-	if j.idleTasks == 0 {
-		j.stuck = time.Time{}
+	if j.pendingTasks == 0 {
+		j.unplacedSince = time.Time{}
 	}
 	return true
 }
 
-func (j *Job) nextIdle() int {
-	for j.tasks[j.firstIdle].state != idle {
-		j.firstIdle++
+func (j *Job) nextPending() int {
+	for j.tasks[j.firstPending].state != pending {
+		j.firstPending++
 	}
-	return j.firstIdle
+	return j.firstPending
 }
 
-// gather keeps the machines that are free for the first gang that waits, in the
+// reserveForGang keeps the machines that are free for the first gang that waits, in the
 // zone that has most for it, so that smaller work can't take them one by one.
 // Those that have waited for long gather too, each in a zone of its own: two in
 // one zone could hold up each other.
-func (s *Shard) gather(j *Job, n int, now time.Time) {
-	if _, anywhere := s.gathers[""]; anywhere || (!j.spec.OneZone && len(s.gathers) > 0) {
+func (s *Shard) reserveForGang(j *Job, n int, now time.Time) {
+	if _, anywhere := s.reservingGangs[""]; anywhere || (!j.spec.OneZone && len(s.reservingGangs) > 0) {
 		return
 	}
 	byZone := map[string][]*Machine{}
 	units := map[string]int{}
-	s.roomy(j.spec, now, func(m *Machine) {
-		if m.keptFromOthers(j, now) || s.gathers[m.Zone] != nil || !j.mayGoTo(m.Zone) {
+	s.eachFeasibleMachine(j.spec, now, func(m *Machine) {
+		if m.reservedForOther(j, now) || s.reservingGangs[m.Zone] != nil || !j.allowsZone(m.Zone) {
 			return
 		}
-		fits := 0
-		for r := free(m); fits < n && roomFor(j.spec, r.cpus, r.gpus, r.mem); r = r.less(j.spec, 1) {
-			fits++
+		count := 0
+		for r := freeRoom(m); count < n && fits(j.spec, r.cpus, r.gpus, r.mem); r = r.minus(j.spec, 1) {
+			count++
 		}
 		z := m.Zone
 		if !j.spec.OneZone {
 			z = ""
 		}
 		byZone[z] = append(byZone[z], m)
-		units[z] += fits
+		units[z] += count
 	})
-	missing := now.Sub(j.stuck) > missingAfter
+	missing := now.Sub(j.unplacedSince) > infeasibleAfter
 	best, most := "", 0
 	for z, u := range units {
-		if missing && !s.attainable(j, n, z) {
+		if missing && !s.feasible(j, n, z) {
 			continue
 		}
 		if u > most || (u == most && z < best) {
 			best, most = z, u
 		}
 	}
-	for m := range s.index.kept[j.ref] {
-		if !m.clearing() {
-			s.release(m)
+	for m := range s.index.reserved[j.ref] {
+		if !m.evicting() {
+			s.cancelReservation(m)
 		}
 	}
 	if most == 0 {
 		return
 	}
-	s.gathers[best] = j
+	s.reservingGangs[best] = j
 	for _, m := range byZone[best] {
-		if m.reserved == "" || !now.Before(m.reservedT) {
-			s.reserve(m, j, 1, now.Add(gatherFor))
+		if m.reserved == "" || !now.Before(m.reservedUntil) {
+			s.reserve(m, j, 1, now.Add(gangReservation))
 		}
 	}
-	s.alarm(now.Add(gatherFor / 2))
+	s.wakeAt(now.Add(gangReservation / 2))
 }
 
-// late reports whether a gang has waited so long that more seems to be asked than
+// longWaiting reports whether a gang has waited so long that more seems to be asked than
 // can be done.
-func (j *Job) late(now time.Time) bool {
-	return j.spec.Kind == wire.Gang && now.Sub(j.accepted) > lateAfter
+func (j *Job) longWaiting(now time.Time) bool {
+	return j.spec.Kind == wire.Gang && now.Sub(j.accepted) > longWaitAfter
 }
 
-// lateAfter is well above what a boot and the fetch of an image take, so that a
+// longWaitAfter is well above what a boot and the fetch of an image take, so that a
 // machine lost here and there makes no gang late: those that can still start in
 // time go first.
-const lateAfter = 90 * time.Second
+const longWaitAfter = 90 * time.Second
 
-// gatherFor is how long a free machine is kept for a gang unless that is renewed.
-const gatherFor = 4 * time.Second
+// gangReservation is how long a free machine is kept for a gang unless that is renewed.
+const gangReservation = 4 * time.Second
 
-// clearing reports whether tasks on a machine are being stopped.
-func (m *Machine) clearing() bool {
-	for _, t := range m.on {
-		if t.stop {
+// evicting reports whether tasks on a machine are being stopped.
+func (m *Machine) evicting() bool {
+	for _, t := range m.tasks {
+		if t.stopping {
 			return true
 		}
 	}
--- a/internal/scheduler/place_test.go
+++ b/internal/scheduler/place_test.go
@@ -8,13 +8,13 @@
 )
 
 func TestSpreadOverZones(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	s := spec("run-000001", "b", wire.Service, "prod", 3, 1)
 	s.Spread = true
 	r.submit(s)
 	r.machine("m1", "z1", false)
 	r.machine("m2", "z1", false)
-	r.beats(4)
+	r.heartbeats(4)
 	n := 0
 	for i := range 3 {
 		if r.on(fmt.Sprintf("run-000001/%d", i)) != "" {
@@ -27,7 +27,7 @@
 }
 
 func TestKindsOfMachine(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.machine("m1", "z1", true)
 	zone := "z2"
 	s := spec("run-000001", "b", wire.Array, "normal", 1, 1) // no spot
@@ -35,7 +35,7 @@
 	z.Spot, z.Zone = true, &zone // wrong zone
 	r.submit(s)
 	r.submit(z)
-	r.beats(4)
+	r.heartbeats(4)
 	if got := r.workers["m1"].Started; len(got) != 0 {
 		t.Fatalf("started %v on a machine that no job allows", got)
 	}
@@ -43,12 +43,12 @@
 
 // Higher work takes the place of lower, which saves first.
 func TestPreemption(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	w := r.machine("m1", "z1", false)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 2, 1))
-	r.beats(3)
+	r.heartbeats(3)
 	r.submit(spec("run-000002", "b", wire.Service, "prod", 1, 1))
-	r.beats(6)
+	r.heartbeats(6)
 	if r.on("run-000002/0") != "m1" {
 		t.Fatalf("prod task waits: %v", w.Started)
 	}
@@ -57,7 +57,7 @@
 	}
 	// Its equal does not.
 	r.submit(spec("run-000003", "b", wire.Service, "prod", 2, 1))
-	r.beats(6)
+	r.heartbeats(6)
 	if r.on("run-000002/0") != "m1" {
 		t.Fatal("equal priority was preempted")
 	}
@@ -65,20 +65,20 @@
 
 // The order in which a team is served: a guarantee before borrowing.
 func TestGuaranteeGoesFirst(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 2, 1))
 	r.submit(spec("run-000002", "a", wire.Array, "normal", 2, 1))
 	w := r.machine("m1", "z1", false)
-	r.beats(3)
+	r.heartbeats(3)
 	if r.on("run-000002/0") == "" || r.on("run-000002/1") == "" {
 		t.Fatalf("guaranteed team waits: %v", w.Started)
 	}
 }
 
 // newRigWithSlowFetches has machines to which an image takes 20 s.
-func newRigWithSlowFetches(t testing.TB) *rig {
+func newRigWithSlowFetches(t testing.TB) *harness {
 	t.Helper()
-	r := newRig(t)
+	r := newHarness(t)
 	typ := r.cfg.Types["big"]
 	typ.FetchGBps = 0.2
 	r.cfg.Types["big"] = typ
@@ -93,24 +93,24 @@
 	first := spec("run-000001", "b", wire.Service, "prod", 1, 2)
 	first.Image = "web"
 	r.submit(first)
-	r.beats(3)
+	r.heartbeats(3)
 	r.cancel(first)()
-	r.beats(3)
+	r.heartbeats(3)
 	r.submit(spec("run-000002", "b", wire.Array, "normal", 2, 1))
-	r.beats(20)
+	r.heartbeats(20)
 	if r.on("run-000002/0") != "m1" || r.on("run-000002/1") != "m1" {
 		t.Fatal("the array did not start")
 	}
 	r.machine("m2", "z1", false)
-	r.beats(2)
+	r.heartbeats(2)
 	again := spec("run-000003", "b", wire.Service, "prod", 2, 1)
 	again.Image = "web"
 	r.submit(again)
-	r.beats(4)
+	r.heartbeats(4)
 	if a, b := r.on("run-000003/0"), r.on("run-000003/1"); a != "m1" || b != "m1" {
 		t.Fatalf("on %q and %q, want both on the machine with the image", a, b)
 	}
-	r.beats(4)
+	r.heartbeats(4)
 	if a, b := r.on("run-000002/0"), r.on("run-000002/1"); a != "m2" || b != "m2" {
 		t.Fatalf("the array is on %q and %q, want it to go on elsewhere", a, b)
 	}
@@ -122,18 +122,18 @@
 	r := newRigWithSlowFetches(t)
 	r.machine("m1", "z1", false)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 2, 1))
-	r.beats(20)
+	r.heartbeats(20)
 	s := spec("run-000002", "b", wire.Service, "prod", 1, 2)
 	s.Image = "web"
 	r.submit(s)
-	r.beats(4)
+	r.heartbeats(4)
 	if got := r.on("run-000002/0"); got != "m1" {
 		t.Fatalf("on %q after 8 s, want the machine on which others gave way", got)
 	}
 }
 
 // play lets tasks end after so many beats and calls arrive before each.
-func (r *rig) play(beats, life int, arrive func(beat int)) {
+func (r *harness) play(beats, life int, arrive func(beat int)) {
 	began := map[string]int{}
 	for beat := range beats {
 		arrive(beat)
@@ -150,14 +150,14 @@
 				}
 			}
 		}
-		r.beat()
+		r.heartbeat()
 	}
 }
 
 // Low work is served as well, though higher work asks for more than there is
 // all the time, and it is not taken off again.
 func TestLowWorkIsServed(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	for i := range 4 {
 		r.machine(fmt.Sprintf("m%d", i), "z1", false)
 	}
@@ -186,29 +186,29 @@
 // that a gang could use as a whole.
 func TestWithoutCardsBesideWhatStays(t *testing.T) {
 	place := func(with string) string {
-		r := newRig(t)
+		r := newHarness(t)
 		r.machine("m1", "z1", false)
-		r.beats(2)
+		r.heartbeats(2)
 		r.submit(spec("run-000001", "b", wire.Array, with, 2, 1))
-		r.beats(2)
+		r.heartbeats(2)
 		for _, id := range []string{"m2", "m3"} {
 			r.machine(id, "z1", false)
 		}
-		r.beats(2)
+		r.heartbeats(2)
 		r.submit(spec("run-000002", "b", wire.Gang, "urgent", 1, 2))
-		r.beats(2)
+		r.heartbeats(2)
 		if r.on("run-000001/0") != "m1" || r.on("run-000001/1") != "m1" || r.on("run-000002/0") == "" {
 			t.Fatalf("the array is on %s, the gang on %s", r.on("run-000001/0"), r.on("run-000002/0"))
 		}
 		s := spec("run-000003", "b", wire.Array, "low", 1, 0)
 		s.CPUs, s.MemoryGB, s.Image = 1, 1, "step"
-		for id, m := range r.part.machines {
+		for id, m := range r.shard.machines {
 			if id != r.on("run-000002/0") {
-				r.part.keepsImage(m, s.Image, 1) // all but the gang's machine cache it
+				r.shard.recordCachedImage(m, s.Image, 1) // all but the gang's machine cache it
 			}
 		}
 		r.submit(s)
-		r.beats(2)
+		r.heartbeats(2)
 		switch r.on("run-000003/0") {
 		case "":
 			t.Fatal("it does not run")
@@ -229,19 +229,19 @@
 // What a job's tasks that run leave to the others is told to the leader: a job of
 // one zone waits for a machine there, and one that is spread for one elsewhere.
 func TestNeedsNameTheZonesLeft(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	one := spec("run-000001", "b", wire.Array, "prod", 3, 1)
 	one.OneZone = true
 	r.submit(one)
 	r.machine("m1", "z2", false)
-	r.beats(4)
+	r.heartbeats(4)
 	apart := spec("run-000002", "b", wire.Service, "prod", 2, 1)
 	apart.Spread = true
 	r.submit(apart)
 	r.machine("m2", "z1", false)
-	r.beats(4)
+	r.heartbeats(4)
 	found := 0
-	for _, n := range r.part.Summary(r.clock.Now()).Needs {
+	for _, n := range r.shard.Summary(r.clock.Now()).Needs {
 		switch n.Job {
 		case "run-000001":
 			found++
@@ -264,17 +264,17 @@
 // another zone is neither stopped nor kept from others for it.
 func TestNoRoomIsMadeInAnotherZone(t *testing.T) {
 	for kind, n := range map[string]int{wire.Array: 3, wire.Service: 2} {
-		r := newRig(t)
+		r := newHarness(t)
 		bound := spec("run-000001", "b", kind, "prod", n, 1)
 		bound.OneZone, bound.Spread = kind == wire.Array, kind == wire.Service
 		r.submit(bound)
 		first := map[string]string{wire.Array: "z2", wire.Service: "z1"}[kind]
 		r.machine("m1", first, false)
-		r.beats(4)
+		r.heartbeats(4)
 		low := spec("run-000002", "b", wire.Array, "low", 2, 1)
 		r.submit(low)
 		r.machine("m2", "z1", false)
-		r.beats(20)
+		r.heartbeats(20)
 		for i := range 2 {
 			name := fmt.Sprintf("run-000002/%d", i)
 			if at := r.on(name); at == "" || (kind == wire.Array && at != "m2") {
--- a/internal/scheduler/probe.go
+++ b/internal/scheduler/probe.go
@@ -18,14 +18,14 @@
 // Probe is a question to a worker for its report.
 type Probe struct{ Machine, Addr string }
 
-// probing is what is known from a machine's probes since it was last heard.
-type probing struct {
-	asked  bool // under way
-	failed int
-	at     time.Time // when the last one ended
-	fair   bool      // the last one began when its zone had answered since the one before
-	late   bool      // the last one began when the machine's lease was over
-	vain   int       // so many of these in a row had no answer
+// probeState is what is known from a machine's probes since it was last heard.
+type probeState struct {
+	inFlight            bool // under way
+	failed              int
+	endedAt             time.Time // when the last one ended
+	zoneAnswered        bool      // the last one began when its zone had answered since the one before
+	leaseExpired        bool      // the last one began when the machine's lease was over
+	unansweredPastLease int       // so many of these in a row had no answer
 }
 
 const (
@@ -34,98 +34,98 @@
 	overdueSlack = 500 * time.Millisecond
 	// probePause is between two probes of one machine.
 	probePause = 500 * time.Millisecond
-	// probesLost is how many probes in a row must fail: one packet may be lost.
-	probesLost = 2
+	// probesUntilLost is how many probes in a row must fail: one packet may be lost.
+	probesUntilLost = 2
 )
 
-// reportDue is how long after one report the next must have come.
-func (s *Shard) reportDue() time.Duration { return s.cfg.Report*5/4 + overdueSlack }
+// heartbeatDue is how long after one report the next must have come.
+func (s *Shard) heartbeatDue() time.Duration { return s.cfg.HeartbeatInterval*5/4 + overdueSlack }
 
-// greets is how often a machine is asked after a take-over before its own report
+// failoverProbes is how often a machine is asked after a take-over before its own report
 // is awaited.
-const greets = 3
+const failoverProbes = 3
 
-// unmet reports whether a machine was taken over and has not been heard since.
+// awaitsFirstHeartbeat reports whether a machine was taken over and has not been heard since.
 // The token can only be brought to it with the session that it is in, so it is
 // asked first. It then reports at once, and need not wait until its next report is
 // due, or until it finds its new owner.
-func (s *Shard) unmet(m *Machine) bool {
+func (s *Shard) awaitsFirstHeartbeat(m *Machine) bool {
 	return m.inherited && !m.fenced && m.Phase == record.InUse && m.Addr != ""
 }
 
-// probe asks the machines that are overdue or were taken over, and for each zone
+// probeMachines asks the machines that are overdue or were taken over, and for each zone
 // in which one did not answer another one that was heard lately. While this controller
 // falls behind, overdue reports are its own doing, and more questions make it worse.
-func (s *Shard) probe(now time.Time) {
+func (s *Shard) probeMachines(now time.Time) {
 	doubted := map[string]bool{}
 	for _, m := range s.machines {
-		if s.unmet(m) && m.probes.failed < greets && now.Sub(m.probes.at) >= probePause {
-			s.ask(m, now)
+		if s.awaitsFirstHeartbeat(m) && m.probes.failed < failoverProbes && now.Sub(m.probes.endedAt) >= probePause {
+			s.sendProbe(m, now)
 		}
-		if s.behind || !(m.up || m.inherited) || m.Phase != record.InUse || m.Addr == "" || now.Sub(m.heard) < s.reportDue() {
+		if s.overloaded || !(m.up || m.inherited) || m.Phase != record.InUse || m.Addr == "" || now.Sub(m.heardAt) < s.heartbeatDue() {
 			continue
 		}
-		late := s.leaseOver(m, now)
+		late := s.leaseExpired(m, now)
 		if !late {
-			m.probes.vain = 0
+			m.probes.unansweredPastLease = 0
 		}
-		seen := s.zoneSeen[m.Zone].After(m.probes.at)
+		seen := s.zoneAnsweredAt[m.Zone].After(m.probes.endedAt)
 		if m.probes.failed > 0 && !seen {
 			doubted[m.Zone] = true
 		}
-		if (m.probes.failed < probesLost || seen || late && m.probes.vain < probesLost) && now.Sub(m.probes.at) >= probePause && !s.unanswering(m, now) {
-			s.ask(m, now)
+		if (m.probes.failed < probesUntilLost || seen || late && m.probes.unansweredPastLease < probesUntilLost) && now.Sub(m.probes.endedAt) >= probePause && !s.unresponsive(m, now) {
+			s.sendProbe(m, now)
 		}
 	}
 	for zone := range doubted {
 		var witness *Machine
 		for _, m := range s.machines {
-			if m.Zone == zone && m.up && m.Addr != "" && m.probes.failed == 0 && now.Sub(m.heard) < s.reportDue() && (witness == nil || m.heard.After(witness.heard)) {
+			if m.Zone == zone && m.up && m.Addr != "" && m.probes.failed == 0 && now.Sub(m.heardAt) < s.heartbeatDue() && (witness == nil || m.heardAt.After(witness.heardAt)) {
 				witness = m
 			}
 		}
-		if witness != nil && now.Sub(witness.probes.at) >= probePause {
-			s.ask(witness, now)
+		if witness != nil && now.Sub(witness.probes.endedAt) >= probePause {
+			s.sendProbe(witness, now)
 		}
 	}
 }
 
-func (s *Shard) ask(m *Machine, now time.Time) {
-	if m.probes.asked || s.asked >= s.cfg.Probes || !s.cfg.Pace.AllowProbe(now) {
+func (s *Shard) sendProbe(m *Machine, now time.Time) {
+	if m.probes.inFlight || s.probesInFlight >= s.cfg.MaxProbes || !s.cfg.Pace.AllowProbe(now) {
 		return
 	}
-	m.probes.asked, m.probes.fair, m.probes.late = true, s.zoneSeen[m.Zone].After(m.probes.at), s.leaseOver(m, now)
-	s.asked++
-	s.out.Probes = append(s.out.Probes, Probe{m.ID, m.Addr})
+	m.probes.inFlight, m.probes.zoneAnswered, m.probes.leaseExpired = true, s.zoneAnsweredAt[m.Zone].After(m.probes.endedAt), s.leaseExpired(m, now)
+	s.probesInFlight++
+	s.effects.Probes = append(s.effects.Probes, Probe{m.ID, m.Addr})
 }
 
-// Probed takes in the answer to a probe, nil if none came.
-func (s *Shard) Probed(id string, r *wire.Heartbeat, now time.Time) {
-	s.asked--
+// ProbeAnswered takes in the answer to a probe, nil if none came.
+func (s *Shard) ProbeAnswered(id string, r *wire.Heartbeat, now time.Time) {
+	s.probesInFlight--
 	m := s.machines[id]
 	if m == nil {
 		return
 	}
-	m.probes.asked = false
+	m.probes.inFlight = false
 	if r == nil {
 		m.probes.failed++
-		m.probes.at = now
-		if m.probes.late {
-			m.probes.vain++
+		m.probes.endedAt = now
+		if m.probes.leaseExpired {
+			m.probes.unansweredPastLease++
 		}
 		return
 	}
-	s.zoneSeen[m.Zone] = now
-	s.Report(r, true, now)
-	m.probes.failed, m.probes.at = 0, now
-	if m.inherited && !m.fenced && r.Token < m.token(s) {
+	s.zoneAnsweredAt[m.Zone] = now
+	s.Heartbeat(r, true, now)
+	m.probes.failed, m.probes.endedAt = 0, now
+	if m.inherited && !m.fenced && r.Token < m.fencingToken(s) {
 		m.announceToken = true
-		s.index.toPush[m] = struct{}{}
+		s.index.commandsDue[m] = struct{}{}
 	}
 }
 
-// unanswering reports whether a machine did not answer while its zone did.
-func (s *Shard) unanswering(m *Machine, now time.Time) bool {
-	return (m.up || m.inherited) && now.Sub(m.heard) >= s.reportDue() && m.probes.failed >= probesLost && !m.probes.asked &&
-		m.probes.fair && s.zoneSeen[m.Zone].After(m.probes.at)
+// unresponsive reports whether a machine did not answer while its zone did.
+func (s *Shard) unresponsive(m *Machine, now time.Time) bool {
+	return (m.up || m.inherited) && now.Sub(m.heardAt) >= s.heartbeatDue() && m.probes.failed >= probesUntilLost && !m.probes.inFlight &&
+		m.probes.zoneAnswered && s.zoneAnsweredAt[m.Zone].After(m.probes.endedAt)
 }
--- a/internal/scheduler/probe_test.go
+++ b/internal/scheduler/probe_test.go
@@ -10,34 +10,34 @@
 )
 
 // probe lets the machines that answer probes do so.
-func (r *rig) probe(eff Effects) {
+func (r *harness) probe(eff Effects) {
 	for _, q := range eff.Probes {
 		if slices.Contains(r.answers, q.Machine) {
 			rep := r.workers[q.Machine].Report()
-			r.part.Probed(q.Machine, &rep, r.clock.Now())
+			r.shard.ProbeAnswered(q.Machine, &rep, r.clock.Now())
 		} else {
-			r.part.Probed(q.Machine, nil, r.clock.Now())
+			r.shard.ProbeAnswered(q.Machine, nil, r.clock.Now())
 		}
 	}
 }
 
 // probed lets a time go by in which only some machines answer probes, and none
 // reports. It returns how many probes there were.
-func (r *rig) probed(d time.Duration, answers ...string) (asked int) {
+func (r *harness) probed(d time.Duration, answers ...string) (asked int) {
 	r.answers = answers
 	for end := r.clock.Now().Add(d); r.clock.Now().Before(end); {
 		r.clock.Advance(healthEvery)
-		eff := r.part.Step(r.clock.Now())
+		eff := r.shard.Step(r.clock.Now())
 		asked += len(eff.Probes)
 		r.probe(eff)
 		for _, t := range eff.Txns {
-			r.part.Applied(t, r.state.Put("x", 1).Version, r.clock.Now())
+			r.shard.Applied(t, r.state.Put("x", 1).Version, r.clock.Now())
 		}
 	}
 	return asked
 }
 
-func (r *rig) phase(id string) int { return int(r.part.machines[id].Phase) }
+func (r *harness) phase(id string) int { return int(r.shard.machines[id].Phase) }
 
 // A machine whose report is overdue and that does not answer is lost as soon as
 // another of its zone answers; without such a witness it may be the controller
@@ -53,15 +53,15 @@
 		"reports go astray":  {[]string{"m1", "m2", "m3"}, nil},
 		"only another zone":  {[]string{"n1"}, nil},
 	} {
-		r := newRig(t)
-		r.cfg.Probes = 8
+		r := newHarness(t)
+		r.cfg.MaxProbes = 8
 		for _, id := range []string{"m1", "m2", "m3"} {
 			r.machine(id, "z1", false)
 		}
 		r.machine("n1", "z2", false)
 		r.submit(spec("run-000001", "b", wire.Array, "normal", 8, 1))
-		r.beats(4)
-		lostAfter := r.part.reportDue() + 2*time.Second
+		r.heartbeats(4)
+		lostAfter := r.shard.heartbeatDue() + 2*time.Second
 		if r.probed(lostAfter, x.answers...) == 0 {
 			t.Errorf("%s: nobody is asked", name)
 		}
@@ -83,8 +83,8 @@
 // not count: the first that answers must not make the others lost.
 func TestCutEndsForAll(t *testing.T) {
 	for _, takeOver := range []bool{false, true} {
-		r := newRig(t)
-		r.cfg.Probes = 8
+		r := newHarness(t)
+		r.cfg.MaxProbes = 8
 		ids := []string{"m1", "m2", "m3", "m4"}
 		for _, id := range ids {
 			r.machine(id, "z1", false)
@@ -92,14 +92,14 @@
 				Addrs: []string{"10.1.0.1:9000"}, Born: r.clock.Now().UnixMilli()}))
 		}
 		r.submit(spec("run-000001", "b", wire.Service, "prod", 8, 1))
-		r.beats(4)
+		r.heartbeats(4)
 		if takeOver {
-			r.claim()
+			r.failOver()
 		}
-		r.probed(2 * r.part.reportDue())
+		r.probed(2 * r.shard.heartbeatDue())
 		r.answers = ids
-		r.beat(r.workers["m1"])
-		r.probed(r.cfg.Report, ids...)
+		r.heartbeat(r.workers["m1"])
+		r.probed(r.cfg.HeartbeatInterval, ids...)
 		for _, id := range ids {
 			if r.phase(id) > 0 {
 				t.Errorf("take-over %t: %s is given back", takeOver, id)
@@ -112,25 +112,25 @@
 // everybody answers once it goes on, and a probe that it sent before proves
 // nothing.
 func TestStandingStillLosesNobody(t *testing.T) {
-	r := newRig(t)
-	r.cfg.Probes = 8
+	r := newHarness(t)
+	r.cfg.MaxProbes = 8
 	ids := []string{"m1", "m2", "m3"}
 	for _, id := range ids {
 		r.machine(id, "z1", false)
 	}
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 6, 1))
-	r.beats(4)
-	r.clock.Advance(r.part.reportDue())
-	eff := r.part.Step(r.clock.Now())
+	r.heartbeats(4)
+	r.clock.Advance(r.shard.heartbeatDue())
+	eff := r.shard.Step(r.clock.Now())
 	if len(eff.Probes) != len(ids) {
 		t.Fatalf("asks %v", eff.Probes)
 	}
 	r.clock.Advance(40 * time.Second) // it stands still
 	for _, q := range eff.Probes {
-		r.part.Probed(q.Machine, nil, r.clock.Now())
+		r.shard.ProbeAnswered(q.Machine, nil, r.clock.Now())
 	}
-	r.probed(r.cfg.Report, ids...)
-	r.beats(3)
+	r.probed(r.cfg.HeartbeatInterval, ids...)
+	r.heartbeats(3)
 	for _, id := range ids {
 		if r.phase(id) > 0 {
 			t.Errorf("%s is given back", id)
@@ -140,15 +140,15 @@
 
 // Only so many machines are asked at a time: each takes a socket.
 func TestProbesAreBounded(t *testing.T) {
-	r := newRig(t)
-	r.cfg.Probes = 2
+	r := newHarness(t)
+	r.cfg.MaxProbes = 2
 	for _, id := range []string{"m1", "m2", "m3", "m4"} {
 		r.machine(id, "z1", false)
 	}
-	r.beats(2)
-	r.clock.Advance(r.part.reportDue())
+	r.heartbeats(2)
+	r.clock.Advance(r.shard.heartbeatDue())
 	for range 3 {
-		if eff := r.part.Step(r.clock.Now()); len(eff.Probes) > 2 || r.part.asked > 2 {
+		if eff := r.shard.Step(r.clock.Now()); len(eff.Probes) > 2 || r.shard.probesInFlight > 2 {
 			t.Fatalf("asks %v at once", eff.Probes)
 		}
 		r.clock.Advance(healthEvery)
@@ -160,8 +160,8 @@
 // work at once, one that doesn't while its zone does is lost without the patience
 // that a worker looking for its new owner gets.
 func TestTakeOverAsksMachines(t *testing.T) {
-	r := newRig(t)
-	r.cfg.Probes = 8
+	r := newHarness(t)
+	r.cfg.MaxProbes = 8
 	w1 := r.machine("m1", "z1", false)
 	r.machine("m2", "z1", false)
 	for _, id := range []string{"m1", "m2"} {
@@ -169,23 +169,23 @@
 			Addrs: []string{"10.1.0.1:9000"}, Born: r.clock.Now().UnixMilli()}))
 	}
 	r.submit(spec("run-000001", "b", wire.Service, "prod", 3, 1))
-	r.beats(4)
-	r.claim()
+	r.heartbeats(4)
+	r.failOver()
 	if n := r.probed(healthEvery, "m1"); n != 2 {
 		t.Fatalf("%d machines asked, want 2", n)
 	}
 	now := r.clock.Now()
-	eff := r.part.Step(now)
-	if len(eff.Pushes) != 1 || eff.Pushes[0].Machine != "m1" || len(eff.Pushes[0].Orders.Commands) != 0 {
-		t.Fatalf("sends %+v", eff.Pushes)
+	eff := r.shard.Step(now)
+	if len(eff.DirectCommands) != 1 || eff.DirectCommands[0].Machine != "m1" || len(eff.DirectCommands[0].Orders.Commands) != 0 {
+		t.Fatalf("sends %+v", eff.DirectCommands)
 	}
-	w1.Obey(wire.Orders{Token: eff.Pushes[0].Orders.Token})
+	w1.Obey(wire.Orders{Token: eff.DirectCommands[0].Orders.Token})
 	rep := w1.Report()
-	r.part.Report(&rep, true, now)
-	if m := r.part.machines["m1"]; !m.fenced || !r.part.usable(m, now) {
+	r.shard.Heartbeat(&rep, true, now)
+	if m := r.shard.machines["m1"]; !m.fenced || !r.shard.usable(m, now) {
 		t.Fatal("asked and told, but takes no work")
 	}
-	r.probed(r.part.reportDue()+time.Second, "m1")
+	r.probed(r.shard.heartbeatDue()+time.Second, "m1")
 	if r.phase("m1") > 0 || r.phase("m2") == 0 {
 		t.Errorf("phases %d and %d, want m2 given back", r.phase("m1"), r.phase("m2"))
 	}
--- a/internal/scheduler/push_test.go
+++ b/internal/scheduler/push_test.go
@@ -9,37 +9,37 @@
 
 // deliver carries a direct command out, as its worker would, and tells the
 // part unless the answer is lost.
-func (r *rig) deliver(d Push, answered bool) {
+func (r *harness) deliver(d DirectCommand, answered bool) {
 	w := r.workers[d.Machine]
 	if w.Session != d.Orders.Session || !w.Obey(wire.Orders{Token: d.Orders.Token, Commands: d.Orders.Commands}) {
 		if answered {
-			r.part.PushDone(d, Refused, r.clock.Now())
+			r.shard.CommandDone(d, Refused, r.clock.Now())
 		}
 		return
 	}
 	rep := w.Report()
 	if answered {
-		r.part.PushDone(d, Executed, r.clock.Now())
-		r.part.Report(&rep, true, r.clock.Now())
+		r.shard.CommandDone(d, Executed, r.clock.Now())
+		r.shard.Heartbeat(&rep, true, r.clock.Now())
 	}
 }
 
 // A start sent straight to the worker runs without waiting for a report, and
 // its repetition in an answer starts nothing twice.
 func TestDirectStart(t *testing.T) {
-	r := newRig(t)
-	r.sendStart = func(d Push) { r.deliver(d, true) }
+	r := newHarness(t)
+	r.sendStart = func(d DirectCommand) { r.deliver(d, true) }
 	w := r.machine("m1", "z1", false)
-	r.beats(2)
+	r.heartbeats(2)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 2, 1))
-	r.settle()
+	r.carryOutEffects()
 	if len(w.Started) != 2 {
 		t.Fatalf("starts %v before the next report, want both", w.Started)
 	}
-	r.beats(2)
+	r.heartbeats(2)
 	w.End("run-000001/0", wire.Done)
 	w.End("run-000001/1", wire.Done)
-	r.beats(4)
+	r.heartbeats(4)
 	if len(w.Started) != 2 || r.jobState("run-000001") != wire.Done {
 		t.Fatalf("starts %v, state %s", w.Started, r.jobState("run-000001"))
 	}
@@ -49,28 +49,28 @@
 // its job is not over, until the worker has seen a higher token; from then on
 // the late command does nothing.
 func TestLateDirectStart(t *testing.T) {
-	r := newRig(t)
-	var late []Push
-	r.sendStart = func(d Push) { late = append(late, d) }
+	r := newHarness(t)
+	var late []DirectCommand
+	r.sendStart = func(d DirectCommand) { late = append(late, d) }
 	w := r.machine("m1", "z1", false)
-	r.beats(2)
+	r.heartbeats(2)
 	s := spec("run-000001", "b", wire.Array, "normal", 1, 1)
 	r.submit(s)
-	r.settle()
+	r.carryOutEffects()
 	if len(late) != 1 {
 		t.Fatalf("%d direct starts, want one", len(late))
 	}
 	r.cancel(s)()
-	r.beats(1)
-	if !r.part.HasJob(s.Ref) {
+	r.heartbeats(1)
+	if !r.shard.HasJob(s.Ref) {
 		t.Fatal("the job is over though its start may still come")
 	}
 	before := w.Token
 	for range 6 {
-		r.part.PushDone(late[0], NoAnswer, r.clock.Now())
-		r.beat()
+		r.shard.CommandDone(late[0], NoAnswer, r.clock.Now())
+		r.heartbeat()
 	}
-	if w.Token <= before || r.part.HasJob(s.Ref) {
+	if w.Token <= before || r.shard.HasJob(s.Ref) {
 		t.Fatalf("token %d, before %d: want a higher one, and the job's end after it", w.Token, before)
 	}
 	r.deliver(late[0], false)
@@ -82,18 +82,18 @@
 // A copy of a direct start that was carried out comes after its task was
 // stopped and started elsewhere: the worker has not forgotten the attempt.
 func TestCopyOfDirectStart(t *testing.T) {
-	r := newRig(t)
-	var sent []Push
-	r.sendStart = func(d Push) { sent = append(sent, d); r.deliver(d, true) }
+	r := newHarness(t)
+	var sent []DirectCommand
+	r.sendStart = func(d DirectCommand) { sent = append(sent, d); r.deliver(d, true) }
 	w1 := r.machine("m1", "z1", false)
-	r.beats(2)
+	r.heartbeats(2)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 2))
-	r.settle()
-	r.beats(1)
+	r.carryOutEffects()
+	r.heartbeats(1)
 	r.submit(spec("run-000002", "b", wire.Service, "prod", 1, 2))
-	r.beats(4) // takes the array's place
+	r.heartbeats(4) // takes the array's place
 	w2 := r.machine("m2", "z1", false)
-	r.beats(4)
+	r.heartbeats(4)
 	if r.on("run-000001/0") != "m2" || r.on("run-000002/0") != "m1" {
 		t.Fatalf("starts %v and %v", w1.Started, w2.Started)
 	}
@@ -111,38 +111,38 @@
 
 // Attempts that may not be forgotten do not pile up: a higher token ends that.
 func TestKeptAttemptsAreCleared(t *testing.T) {
-	r := newRig(t)
-	r.sendStart = func(d Push) { r.deliver(d, true) }
+	r := newHarness(t)
+	r.sendStart = func(d DirectCommand) { r.deliver(d, true) }
 	w := r.machine("m1", "z1", false)
-	r.beats(2)
-	for i := range 3 * fenceRuns {
+	r.heartbeats(2)
+	for i := range 3 * raiseTokenRetained {
 		s := spec(fmt.Sprintf("run-0000%02d", i), "b", wire.Service, "prod", 1, 2)
 		r.submit(s)
-		r.beats(2)
+		r.heartbeats(2)
 		r.cancel(s)()
-		r.beats(2)
-		if len(w.Tasks) > fenceRuns+2 {
+		r.heartbeats(2)
+		if len(w.Tasks) > raiseTokenRetained+2 {
 			t.Fatalf("%d tasks are kept after %d jobs", len(w.Tasks), i+1)
 		}
 	}
-	if len(w.Started) != 3*fenceRuns {
-		t.Fatalf("%d starts, want %d", len(w.Started), 3*fenceRuns)
+	if len(w.Started) != 3*raiseTokenRetained {
+		t.Fatalf("%d starts, want %d", len(w.Started), 3*raiseTokenRetained)
 	}
 }
 
 // A take-over makes every direct start of the earlier owner void.
 func TestTakeOverVoidsDirectStarts(t *testing.T) {
-	r := newRig(t)
-	var late []Push
-	r.sendStart = func(d Push) { late = append(late, d) }
+	r := newHarness(t)
+	var late []DirectCommand
+	r.sendStart = func(d DirectCommand) { late = append(late, d) }
 	w1 := r.machine("m1", "z1", false)
-	r.beats(2)
+	r.heartbeats(2)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 2))
-	r.settle()
+	r.carryOutEffects()
 	r.sendStart = nil
 	w2 := r.machine("m2", "z1", false)
-	r.claim()
-	r.beats(4)
+	r.failOver()
+	r.heartbeats(4)
 	r.deliver(late[0], false)
 	if n := len(w1.Started) + len(w2.Started); n != 1 {
 		t.Fatalf("starts %v and %v, want one", w1.Started, w2.Started)
--- a/internal/scheduler/ranges.go
+++ b/internal/scheduler/ranges.go
@@ -25,100 +25,100 @@
 // doubles a placement.
 
 const (
-	// plainPlace is what a placement takes at the most in a plain slot, in bytes.
-	plainPlace = 64
-	// runOverhead is what a range costs in a plain slot besides its tasks, in tasks.
-	runOverhead = 2
-	// statedPlace is what a placement takes besides its machine's name, and
+	// unsizedPlacementBytes is what a placement takes at the most in a plain slot, in bytes.
+	unsizedPlacementBytes = 64
+	// unsizedRangeOverhead is what a range costs in a plain slot besides its tasks, in tasks.
+	unsizedRangeOverhead = 2
+	// sizedPlacementOverhead is what a placement takes besides its machine's name, and
 	// statedRun a range besides its placements and its job's name.
-	statedPlace = 16
-	statedRun   = 48
-	// slotEnvelope is what a slot takes besides its ranges.
-	slotEnvelope = 16
+	sizedPlacementOverhead = 16
+	sizedRangeOverhead     = 48
+	// recordOverhead is what a slot takes besides its ranges.
+	recordOverhead = 16
 	// longestRef is that of the longest job id.
 	longestRef = 22
 )
 
-// SlotTasks sizes a plain record of placements so that it keeps to valueKB. The
+// PlacementsPerRecord sizes a plain record of placements so that it keeps to valueKB. The
 // size of plain ranges follows from it: it must stay as it is.
-func SlotTasks(valueKB float64) int {
-	return max(2*runOverhead, min(int(valueKB*1024/plainPlace), 256))
+func PlacementsPerRecord(valueKB float64) int {
+	return max(2*unsizedRangeOverhead, min(int(valueKB*1024/unsizedPlacementBytes), 256))
 }
 
-// chunkTasks is the most tasks of one job in one plain slot.
-func (c *Config) chunkTasks() int { return c.SlotTasks - runOverhead }
+// unsizedRangeTasks is the most tasks of one job in one plain slot.
+func (c *Config) unsizedRangeTasks() int { return c.PlacementsPerRecord - unsizedRangeOverhead }
 
-// chunk is a range of a job's tasks; its placements lie in a slot.
-type chunk struct {
+// taskRange is a range of a job's tasks; its placements lie in a slot.
+type taskRange struct {
 	job        *Job
 	first, end int
-	slot       *placementRecord
-	cost       int              // what it may take there, in bytes
+	record     *placementRecord
+	bytes      int              // what it may take there, in bytes
 	turn       int              // how often it was entered in a stated slot
 	attempt    uint64           // highest ever used
-	from       *placementRecord // whose record tells it until its slot is written
+	previous   *placementRecord // whose record tells it until its slot is written
 }
 
 // placementRecord is one record of placements, shared by ranges of several jobs.
 type placementRecord struct {
-	n              int
+	number         int
 	version        uint64 // 0: no record
-	stated         bool
+	sized          bool
 	unreadable     bool // its record can't be decoded, and is never written
-	used           int  // in bytes
-	chunks         map[string]*chunk
-	left           map[*chunk]struct{} // ranges that went elsewhere and are not written there yet
+	usedBytes      int  // in bytes
+	ranges         map[string]*taskRange
+	departed       map[*taskRange]struct{} // ranges that went elsewhere and are not written there yet
 	dirty          bool
 	urgent         bool      // a start waits for it
-	moved          bool      // a range must come here for its old slot to be written
-	since          time.Time // when it became dirty
-	written        time.Time // when it was last written
+	rangeAwaited   bool      // a range must come here for its old slot to be written
+	dirtySince     time.Time // when it became dirty
+	writtenAt      time.Time // when it was last written
 	txn            *Txn
 	versionUnknown bool // a transaction's outcome is unknown; a reread is under way
-	retry          time.Time
+	retryAt        time.Time
 }
 
-// SetUpgraded tells that no controller of the first version is left, so that ranges may state
+// AllowSizedRanges tells that no controller of the first version is left, so that ranges may state
 // their size where that is needed.
-func (s *Shard) SetUpgraded() { s.upgraded = true }
+func (s *Shard) AllowSizedRanges() { s.sizedAllowed = true }
 
-// SetStated makes ranges state their size from now on: no controller of the first version is
+// UseSizedRanges makes ranges state their size from now on: no controller of the first version is
 // left.
-func (s *Shard) SetStated() {
-	if !s.stated {
-		s.stated, s.changed = true, true
+func (s *Shard) UseSizedRanges() {
+	if !s.sized {
+		s.sized, s.placementDue = true, true
 	}
 }
 
-// placeBytes is what a placement may take in a stated slot.
-func (s *Shard) placeBytes() int { return statedPlace + max(s.longestID, 8) }
+// sizedPlacementBytes is what a placement may take in a stated slot.
+func (s *Shard) sizedPlacementBytes() int { return sizedPlacementOverhead + max(s.longestMachineID, 8) }
 
-// statedTasks is the most tasks in a stated range.
-func (s *Shard) statedTasks() int {
-	return max(1, min((s.valueBytes-slotEnvelope-statedRun-longestRef)/s.placeBytes(), s.cfg.chunkTasks()))
+// sizedRangeTasks is the most tasks in a stated range.
+func (s *Shard) sizedRangeTasks() int {
+	return max(1, min((s.valueBytes-recordOverhead-sizedRangeOverhead-longestRef)/s.sizedPlacementBytes(), s.cfg.unsizedRangeTasks()))
 }
 
-// cost is what a range may take in a slot.
-func (s *Shard) cost(c *chunk, stated bool) int {
+// rangeBytes is what a range may take in a slot.
+func (s *Shard) rangeBytes(c *taskRange, stated bool) int {
 	if stated {
-		return statedRun + len(c.job.ref) + (c.end-c.first)*s.placeBytes()
+		return sizedRangeOverhead + len(c.job.ref) + (c.end-c.first)*s.sizedPlacementBytes()
 	}
-	return (c.end - c.first + runOverhead) * plainPlace
+	return (c.end - c.first + unsizedRangeOverhead) * unsizedPlacementBytes
 }
 
-// chunkAt returns the range that task i is in, nil if there is none yet.
-func (j *Job) chunkAt(i int) *chunk {
-	n := sort.Search(len(j.chunks), func(n int) bool { return j.chunks[n].end > i })
-	if n < len(j.chunks) && j.chunks[n].first <= i {
-		return j.chunks[n]
+// rangeAt returns the range that task i is in, nil if there is none yet.
+func (j *Job) rangeAt(i int) *taskRange {
+	n := sort.Search(len(j.ranges), func(n int) bool { return j.ranges[n].end > i })
+	if n < len(j.ranges) && j.ranges[n].first <= i {
+		return j.ranges[n]
 	}
 	return nil
 }
 
-// keep adds a range to a job's, which are in order and apart.
-func (j *Job) keep(c *chunk) {
-	n := sort.Search(len(j.chunks), func(n int) bool { return j.chunks[n].first > c.first })
-	j.chunks = slices.Insert(j.chunks, n, c)
+// insertRange adds a range to a job's, which are in order and apart.
+func (j *Job) insertRange(c *taskRange) {
+	n := sort.Search(len(j.ranges), func(n int) bool { return j.ranges[n].first > c.first })
+	j.ranges = slices.Insert(j.ranges, n, c)
 }
 
 // uncovered returns the spans of [first, end) that are in no range yet, each of
@@ -131,7 +131,7 @@
 		}
 	}
 	at := first
-	for _, c := range j.chunks {
+	for _, c := range j.ranges {
 		if c.end <= at || c.first >= end {
 			continue
 		}
@@ -142,185 +142,185 @@
 	return out
 }
 
-// chunk returns the range of a task, a new one in the first slot that has room.
-func (s *Shard) chunk(j *Job, i int) *chunk {
-	if c := j.chunkAt(i); c != nil {
+// rangeOf returns the range of a task, a new one in the first slot that has room.
+func (s *Shard) rangeOf(j *Job, i int) *taskRange {
+	if c := j.rangeAt(i); c != nil {
 		return c
 	}
 	if j.withheld {
-		return s.enter(s.withheldRange(j, i), nil)
+		return s.assignRange(s.withheldRange(j, i), nil)
 	}
-	size := s.cfg.chunkTasks()
-	if s.stated {
-		size = s.statedTasks()
+	size := s.cfg.unsizedRangeTasks()
+	if s.sized {
+		size = s.sizedRangeTasks()
 	}
 	first := i / size * size
 	for _, span := range j.uncovered(first, min(first+size, len(j.tasks)), size) {
 		if span[0] <= i && i < span[1] {
-			return s.enter(&chunk{job: j, first: span[0], end: span[1]}, nil)
+			return s.assignRange(&taskRange{job: j, first: span[0], end: span[1]}, nil)
 		}
 	}
 	panic(fmt.Sprintf("sched: %s/%d is in no range and in one", j.ref, i))
 }
 
-// enter puts a range into a slot, the first with room if none is named.
-func (s *Shard) enter(c *chunk, rec *placementRecord) *chunk {
+// assignRange puts a range into a slot, the first with room if none is named.
+func (s *Shard) assignRange(c *taskRange, rec *placementRecord) *taskRange {
 	if rec == nil {
-		rec = s.roomySlot(s.cost(c, s.stated), nil)
+		rec = s.recordWithRoom(s.rangeBytes(c, s.sized), nil)
 	}
-	c.slot, c.cost = rec, s.cost(c, rec.stated)
-	if rec.stated {
+	c.record, c.bytes = rec, s.rangeBytes(c, rec.sized)
+	if rec.sized {
 		c.turn++
 	}
-	rec.chunks[s.runName(c)] = c
-	rec.used += c.cost
-	if c.job.chunkAt(c.first) != c {
-		c.job.keep(c)
+	rec.ranges[s.rangeName(c)] = c
+	rec.usedBytes += c.bytes
+	if c.job.rangeAt(c.first) != c {
+		c.job.insertRange(c)
 	}
 	return c
 }
 
-// roomySlot returns the first slot that may take a range. What is written keeps
+// recordWithRoom returns the first slot that may take a range. What is written keeps
 // to the tighter of the limits where it can: only a range that is larger by
 // itself gets a slot of its own. What leaves a slot does not come back to it, which
 // would wait for itself to be written.
-func (s *Shard) roomySlot(cost int, leaves *placementRecord) *placementRecord {
+func (s *Shard) recordWithRoom(cost int, leaves *placementRecord) *placementRecord {
 	most := s.valueBytes
-	if s.stated {
-		most -= slotEnvelope
+	if s.sized {
+		most -= recordOverhead
 	}
 	for n := 0; ; n++ {
-		rec := s.slot(n)
-		if rec != leaves && !rec.unreadable && rec.stated == s.stated && len(rec.left) == 0 && (len(rec.chunks) == 0 || rec.used+cost <= most) {
+		rec := s.placementRecord(n)
+		if rec != leaves && !rec.unreadable && rec.sized == s.sized && len(rec.departed) == 0 && (len(rec.ranges) == 0 || rec.usedBytes+cost <= most) {
 			return rec
 		}
 	}
 }
 
-func (s *Shard) slot(n int) *placementRecord {
-	rec := s.slots[n]
+func (s *Shard) placementRecord(n int) *placementRecord {
+	rec := s.placements[n]
 	if rec == nil {
-		rec = &placementRecord{n: n, stated: s.stated, chunks: map[string]*chunk{}, left: map[*chunk]struct{}{}}
-		s.slots[n] = rec
+		rec = &placementRecord{number: n, sized: s.sized, ranges: map[string]*taskRange{}, departed: map[*taskRange]struct{}{}}
+		s.placements[n] = rec
 	}
 	return rec
 }
 
-// runName is a range's name in its slot.
-func (s *Shard) runName(c *chunk) string {
-	if c.slot.stated {
+// rangeName is a range's name in its slot.
+func (s *Shard) rangeName(c *taskRange) string {
+	if c.record.sized {
 		return record.RangeName(c.job.ref, c.first)
 	}
-	return record.RangeName(c.job.ref, c.first/s.cfg.chunkTasks())
+	return record.RangeName(c.job.ref, c.first/s.cfg.unsizedRangeTasks())
 }
 
-// leave takes a range out of its slot and its job.
-func (s *Shard) leave(c *chunk) {
-	c.slot.used -= c.cost
-	delete(c.slot.chunks, s.runName(c))
-	c.job.chunks = slices.DeleteFunc(c.job.chunks, func(o *chunk) bool { return o == c })
+// detachRange takes a range out of its slot and its job.
+func (s *Shard) detachRange(c *taskRange) {
+	c.record.usedBytes -= c.bytes
+	delete(c.record.ranges, s.rangeName(c))
+	c.job.ranges = slices.DeleteFunc(c.job.ranges, func(o *taskRange) bool { return o == c })
 }
 
-// settle notes that a range is written to its slot: the one before tells it no
+// confirmRange notes that a range is written to its slot: the one before tells it no
 // longer, or tells it in vain.
-func (s *Shard) settle(c *chunk) {
-	if c.from != nil {
-		delete(c.from.left, c)
-		c.from = nil
+func (s *Shard) confirmRange(c *taskRange) {
+	if c.previous != nil {
+		delete(c.previous.departed, c)
+		c.previous = nil
 	}
 }
 
-// move cuts a range into pieces and enters them in other slots. The slot that it
+// splitRange cuts a range into pieces and enters them in other slots. The slot that it
 // leaves is not written before they are there.
-func (s *Shard) move(c *chunk, most int) {
-	old := c.slot
-	s.leave(c)
-	from := c.from
-	s.settle(c)
+func (s *Shard) splitRange(c *taskRange, most int) {
+	old := c.record
+	s.detachRange(c)
+	from := c.previous
+	s.confirmRange(c)
 	if from == nil {
 		from = old
 	}
 	for first := c.first; first < c.end; first += most {
-		n := &chunk{job: c.job, first: first, end: min(first+most, c.end), turn: c.turn, attempt: c.attempt, from: from}
-		s.enter(n, s.roomySlot(s.cost(n, s.stated), old))
+		n := &taskRange{job: c.job, first: first, end: min(first+most, c.end), turn: c.turn, attempt: c.attempt, previous: from}
+		s.assignRange(n, s.recordWithRoom(s.rangeBytes(n, s.sized), old))
 		if from.version > 0 {
-			from.left[n] = struct{}{}
+			from.departed[n] = struct{}{}
 		} else {
-			n.from = nil // no record tells it
+			n.previous = nil // no record tells it
 		}
 		for i := n.first; i < n.end; i++ {
-			if t := &c.job.tasks[i]; (t.state == placed && !t.recorded) || (t.state == done && !t.durable) {
-				n.slot.urgent = n.slot.urgent || t.state == placed
-				n.slot.dirty = true
+			if t := &c.job.tasks[i]; (t.state == placed && !t.recorded) || (t.state == completed && !t.completionRecorded) {
+				n.record.urgent = n.record.urgent || t.state == placed
+				n.record.dirty = true
 			}
 		}
-		if from.stated {
-			n.slot.dirty, n.slot.urgent, n.slot.moved = true, true, true
+		if from.sized {
+			n.record.dirty, n.record.urgent, n.record.rangeAwaited = true, true, true
 		}
 	}
 }
 
-// retire makes the ranges of plain slots stated ones, and deletes the plain slots
+// retireUnsizedRecords makes the ranges of plain slots stated ones, and deletes the plain slots
 // that tell nothing any more.
-func (s *Shard) retire() {
-	for n, rec := range s.slots {
-		if rec.stated || rec.unreadable || rec.txn != nil || rec.versionUnknown {
+func (s *Shard) retireUnsizedRecords() {
+	for n, rec := range s.placements {
+		if rec.sized || rec.unreadable || rec.txn != nil || rec.versionUnknown {
 			continue
 		}
-		for _, c := range rec.chunks {
-			s.move(c, s.statedTasks())
+		for _, c := range rec.ranges {
+			s.splitRange(c, s.sizedRangeTasks())
 		}
-		if len(rec.left) == 0 {
+		if len(rec.departed) == 0 {
 			if rec.version == 0 {
-				delete(s.slots, n)
+				delete(s.placements, n)
 				continue
 			}
-			s.plain = append(s.plain, rec)
+			s.obsolete = append(s.obsolete, rec)
 		}
 	}
 }
 
-// fit makes a slot keep to the limit of a value: ranges that its record has no
+// splitOversizedRecord makes a slot keep to the limit of a value: ranges that its record has no
 // room for go elsewhere. It reports false if the slot must wait for that. What a
 // range takes is estimated well above what it does take, so this is for what
 // nobody expects, as machines' names that have grown.
-func (s *Shard) fit(rec *placementRecord, size int) bool {
-	if !rec.stated || size <= s.valueBytes {
+func (s *Shard) splitOversizedRecord(rec *placementRecord, size int) bool {
+	if !rec.sized || size <= s.valueBytes {
 		return true
 	}
-	var all []*chunk
-	for _, c := range rec.chunks {
+	var all []*taskRange
+	for _, c := range rec.ranges {
 		all = append(all, c)
 	}
-	sort.Slice(all, func(a, b int) bool { return s.runName(all[a]) < s.runName(all[b]) })
+	sort.Slice(all, func(a, b int) bool { return s.rangeName(all[a]) < s.rangeName(all[b]) })
 	if len(all) == 1 {
 		if c := all[0]; c.end-c.first > 1 {
-			s.move(c, (c.end-c.first+1)/2)
+			s.splitRange(c, (c.end-c.first+1)/2)
 			return false
 		}
 		return true
 	}
 	for _, c := range all[len(all)/2:] {
-		s.move(c, c.end-c.first)
+		s.splitRange(c, c.end-c.first)
 	}
 	return false
 }
 
-// loaded is a range as a record tells it.
-type loaded struct {
+// loadedRange is a range as a record tells it.
+type loadedRange struct {
 	job        *Job
-	slot       *placementRecord
+	record     *placementRecord
 	first, end int
-	run        record.TaskRange
+	recorded   record.TaskRange
 }
 
-// loadSlots reads the records of placements.
-func (s *Shard) loadSlots(slots []wire.Entry) ([]loaded, error) {
-	var out []loaded
+// loadPlacements reads the records of placements.
+func (s *Shard) loadPlacements(slots []wire.Entry) ([]loadedRange, error) {
+	var out []loadedRange
 	for _, e := range slots {
 		r, err := decode[record.Placements](e)
 		if err != nil {
-			if err := s.passOver(e, err); err != nil {
+			if err := s.passOverUnreadable(e, err); err != nil {
 				return nil, err
 			}
 			continue
@@ -332,10 +332,10 @@
 		if r.Format > record.SizedRanges {
 			return nil, fmt.Errorf("record %s: format %d is unknown", e.Key, r.Format)
 		}
-		rec := s.slot(n)
-		rec.version, rec.stated = e.Version, r.Format == record.SizedRanges
-		if rec.stated {
-			s.SetStated() // who wrote it knew that the first version is gone
+		rec := s.placementRecord(n)
+		rec.version, rec.sized = e.Version, r.Format == record.SizedRanges
+		if rec.sized {
+			s.UseSizedRanges() // who wrote it knew that the first version is gone
 		}
 		for name, run := range r.Ranges {
 			ref, n, ok := record.SplitRangeName(name)
@@ -343,9 +343,9 @@
 			if !ok || j == nil {
 				continue // left over from a finished job
 			}
-			l := loaded{job: j, slot: rec, first: n, end: n + run.Tasks, run: run}
-			if !rec.stated {
-				per := s.cfg.chunkTasks()
+			l := loadedRange{job: j, record: rec, first: n, end: n + run.Tasks, recorded: run}
+			if !rec.sized {
+				per := s.cfg.unsizedRangeTasks()
 				l.first, l.end = n*per, (n+1)*per
 			}
 			if l.end = min(l.end, len(j.tasks)); l.first < l.end {
@@ -355,7 +355,7 @@
 	}
 	// Of two that tell the same tasks the one entered later counts.
 	sort.Slice(out, func(a, b int) bool {
-		if x, y := out[a].run.Turn, out[b].run.Turn; x != y {
+		if x, y := out[a].recorded.Turn, out[b].recorded.Turn; x != y {
 			return x > y
 		}
 		return out[a].first < out[b].first
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -18,17 +18,17 @@
 // placed on the machine under the same attempt it puts into placedHere; the map is the
 // caller's, so that a small one needs no allocation. Of the others it returns the commands
 // that end or forget them, and how many must be kept.
-func (s *Shard) reconcileReported(m *Machine, r *wire.Heartbeat, placedHere map[key]*wire.HeartbeatTask, now time.Time) (commands []wire.Command, kept int) {
+func (s *Shard) reconcileReported(m *Machine, r *wire.Heartbeat, placedHere map[taskKey]*wire.HeartbeatTask, now time.Time) (commands []wire.Command, kept int) {
 	for i := range r.Tasks {
 		rt := &r.Tasks[i]
 		ref, n, ok := SplitTask(rt.Task)
 		j := s.jobs[ref]
 		known := ok && j != nil && n < len(j.tasks)
-		if known && (j.tasks[n].on(m, rt.Attempt) || s.adoptWithheld(key{j, n}, m, rt, now)) {
-			placedHere[key{j, n}] = rt
+		if known && (j.tasks[n].isPlacedOn(m, rt.Attempt) || s.adoptWithheldTask(taskKey{j, n}, m, rt, now)) {
+			placedHere[taskKey{j, n}] = rt
 			continue
 		}
-		if s.doubtful(m, rt, j, n, now) {
+		if s.suspectDataLoss(m, rt, j, n, now) {
 			kept++
 			continue
 		}
@@ -36,7 +36,7 @@
 		if known {
 			t := &j.tasks[n]
 			claim.Elsewhere = t.state == placed && t.attempt == rt.Attempt
-			claim.Done, claim.Durable = t.state == done, t.durable
+			claim.Done, claim.Durable = t.state == completed, t.completionRecorded
 		} else {
 			j = nil
 		}
@@ -44,15 +44,15 @@
 			claim.MayForget = s.mayForget(m, rt, j)
 		}
 		f := reconcile.Claimed(claim)
-		s.judgeStray(m, rt, f.Verdict)
+		s.recordOrphanOutcome(m, rt, f.Verdict)
 		switch f.Action {
 		case reconcile.Complete:
-			if j.tasks[n].state == idle {
-				s.complete(key{j, n}, now) // of whatever attempt: the result is kept
+			if j.tasks[n].state == pending {
+				s.completeTask(taskKey{j, n}, now) // of whatever attempt: the result is kept
 			}
 		case reconcile.Stop:
 			s.cfg.Pace.Allow(ratelimit.Exempt, now) // its job may have been cancelled
-			commands = append(commands, halt(rt.Task, rt.Attempt, 0))
+			commands = append(commands, stopCommand(rt.Task, rt.Attempt, 0))
 		case reconcile.Forget:
 			commands = append(commands, wire.Command{Op: wire.Forget, Task: rt.Task, Attempt: rt.Attempt})
 		case reconcile.Retain:
@@ -62,22 +62,22 @@
 	return commands, kept
 }
 
-// on reports whether a task is placed on a machine under an attempt.
-func (t *task) on(m *Machine, attempt uint64) bool {
+// isPlacedOn reports whether a task is placed on a machine under an attempt.
+func (t *task) isPlacedOn(m *Machine, attempt uint64) bool {
 	return t.state == placed && t.machine == m && t.attempt == attempt
 }
 
 // reconcilePlaced compares the tasks that are placed on the machine with a current report.
 // It returns commands that forget those that ended in vain, whether the report lacks a start
 // that was sent before, and how many ended ones must be kept.
-func (s *Shard) reconcilePlaced(m *Machine, reported map[key]*wire.HeartbeatTask, direct bool, now time.Time) (commands []wire.Command, missed bool, kept int) {
-	for k, t := range m.on {
+func (s *Shard) reconcilePlaced(m *Machine, reported map[taskKey]*wire.HeartbeatTask, direct bool, now time.Time) (commands []wire.Command, missed bool, kept int) {
+	for k, t := range m.tasks {
 		rt := reported[k]
 		if rt == nil {
-			missed = s.absent(k, t, m, direct, now) || missed
+			missed = s.reconcileAbsent(k, t, m, direct, now) || missed
 			continue
 		}
-		s.present(k, t, rt, m, now)
+		s.reconcilePresent(k, t, rt, m, now)
 		if rt.State != wire.Exited || rt.Why == wire.Done {
 			continue
 		}
@@ -91,66 +91,66 @@
 	return commands, missed, kept
 }
 
-// absent takes in that a report lacks a placed task. It reports whether the task's start was
+// reconcileAbsent takes in that a report lacks a placed task. It reports whether the task's start was
 // sent and did not arrive.
-func (s *Shard) absent(k key, t *task, m *Machine, direct bool, now time.Time) bool {
+func (s *Shard) reconcileAbsent(k taskKey, t *task, m *Machine, direct bool, now time.Time) bool {
 	f := reconcile.Absent(reconcile.Absence{
-		Told: t.recorded && !t.inTxn, Inherited: t.inherited, Seen: t.seen, Sent: t.sent,
-		EarlierSession: t.sentSess != m.session, Direct: direct, Stopping: t.stop,
-		MayCome: t.sent && !direct && m.mayCome(k.name(), t.attempt),
+		Told: t.recorded && !t.recording, Inherited: t.inherited, Seen: t.reported, Sent: t.sent,
+		EarlierSession: t.sentEpoch != m.epoch, Direct: direct, Stopping: t.stopping,
+		MayCome: t.sent && !direct && m.mayStartLate(k.name(), t.attempt),
 	})
 	if f.Action == reconcile.Free {
-		s.lose(k, now)
+		s.taskLost(k, now)
 	}
 	return f.Action == reconcile.Repeat
 }
 
-// present takes in what a report says of a task that is where the records say.
-func (s *Shard) present(k key, t *task, rt *wire.HeartbeatTask, m *Machine, now time.Time) {
+// reconcilePresent takes in what a report says of a task that is where the records say.
+func (s *Shard) reconcilePresent(k taskKey, t *task, rt *wire.HeartbeatTask, m *Machine, now time.Time) {
 	j := k.job
-	if !t.seen && t.sent {
+	if !t.reported && t.sent {
 		s.markReached(m) // a start of ours has arrived
 		s.cfg.Pace.Acknowledge()
 	}
-	if !t.seen {
-		t.step(func(stages *steps) { stages.seen = now })
+	if !t.reported {
+		t.traceStep(func(stages *startTrace) { stages.reported = now })
 	}
-	t.seen = true
+	t.reported = true
 	if rt.State == wire.Running && t.phase != wire.Running {
-		t.runSince = now
-		s.started(k, t, now)
+		t.runningSince = now
+		s.reportTaskStart(k, t, now)
 	}
 	if (rt.State == wire.Running || rt.State == wire.Gathering) && t.phase != rt.State {
-		s.keepsImage(m, j.spec.Image, j.spec.ImageGB)
+		s.recordCachedImage(m, j.spec.Image, j.spec.ImageGB)
 	}
-	t.reported(j, rt.State)
+	t.setPhase(j, rt.State)
 	f := reconcile.Claimed(reconcile.Claim{State: rt.State, Why: rt.Why, KnownJob: true, Placed: true})
-	s.judge(t, f.Verdict)
+	s.recordOutcome(t, f.Verdict)
 	switch f.Action {
 	case reconcile.Complete:
 		m.failed = nil
-		s.complete(k, now)
+		s.completeTask(k, now)
 		if t.state == placed { // a service's task that ended all the same
-			s.lose(k, now)
+			s.taskLost(k, now)
 		}
 	case reconcile.Free:
-		s.exitedInVain(k, rt, m, now)
+		s.exitedIncomplete(k, rt, m, now)
 	}
 }
 
-// exitedInVain takes in that a placed task has exited without having completed.
-func (s *Shard) exitedInVain(k key, rt *wire.HeartbeatTask, m *Machine, now time.Time) {
+// exitedIncomplete takes in that a placed task has exited without having completed.
+func (s *Shard) exitedIncomplete(k taskKey, rt *wire.HeartbeatTask, m *Machine, now time.Time) {
 	j := k.job
 	switch rt.Why {
 	case wire.WhyError:
-		s.failed(j, m, now)
+		s.countFailure(j, m, now)
 	case wire.WhyUnknown:
-		j.hold = now.Add(s.backoff(j))
+		j.notBefore = now.Add(s.backoff(j))
 	case wire.WhyNoRoom, wire.WhyBusy:
-		j.hold = now.Add(s.cfg.Report)
+		j.notBefore = now.Add(s.cfg.HeartbeatInterval)
 	}
-	s.lose(k, now)
+	s.taskLost(k, now)
 	if j.spec.Kind == wire.Gang && (rt.Why == wire.WhyStopped || rt.Why == wire.WhyPeers || rt.Why == wire.WhyIncomplete) {
-		s.endAttempt(j, now) // the attempt is over for all of them
+		s.stopAttempt(j, now) // the attempt is over for all of them
 	}
 }
--- a/internal/scheduler/report.go
+++ b/internal/scheduler/report.go
@@ -7,26 +7,26 @@
 	"bramblespur/internal/wire"
 )
 
-// Disposition says how to answer a report.
-type Disposition int
+// HeartbeatDisposition says how to answer a report.
+type HeartbeatDisposition int
 
 // Dispositions of Report.
 const (
-	Answered Disposition = iota // 200 with the orders
-	Deposed                     // the worker has seen a higher token: not ours
-	NotMine                     // no such machine in this part
+	Answered HeartbeatDisposition = iota // 200 with the orders
+	Deposed                              // the worker has seen a higher token: not ours
+	NotMine                              // no such machine in this part
 )
 
-// Report takes in a worker's report and returns the answer. A direct report is
+// Heartbeat takes in a worker's report and returns the answer. A direct report is
 // the answer to a command; it gets no orders.
-func (s *Shard) Report(r *wire.Heartbeat, direct bool, now time.Time) (wire.Orders, Disposition) {
+func (s *Shard) Heartbeat(r *wire.Heartbeat, direct bool, now time.Time) (wire.Orders, HeartbeatDisposition) {
 	m := s.machines[r.Machine]
 	if m == nil {
 		return wire.Orders{}, NotMine
 	}
-	token := m.token(s)
+	token := m.fencingToken(s)
 	freshness := reconcile.Fresh(reconcile.OrderOf(r),
-		reconcile.Order{Session: m.session, Seq: m.seq}, r.Token, token)
+		reconcile.Order{Session: m.epoch, Seq: m.seq}, r.Token, token)
 	if freshness == reconcile.Deposed {
 		return wire.Orders{}, Deposed
 	}
@@ -35,8 +35,8 @@
 		return orders, Answered // it settles, starts and renews nothing
 	}
 	defer s.index.update(m)
-	m.outlived(r)
-	s.session(m, r, now)
+	m.dropOutdatedStarts(r)
+	s.applyEpoch(m, r, now)
 	m.seq = r.Seq
 	m.Addr = r.Addr
 	// After a take-over nobody remembers the last report, so the first ones may
@@ -46,35 +46,35 @@
 		s.markAlive(m, direct, now)
 	}
 	if !direct {
-		m.answered = now
+		m.answeredAt = now
 	}
-	s.notice(m, r, now)
+	s.applyReclaimNotice(m, r, now)
 	if freshness == reconcile.Unfenced {
 		// What earlier owners recorded here is settled only by a report under
 		// our token. Our own starts need not wait for it on a machine that was
 		// rented or moved to us: an earlier owner can have sent nothing that is
 		// not among the records we read.
 		if !direct && live {
-			orders.Commands = append(orders.Commands, s.starts(m, now)...)
+			orders.Commands = append(orders.Commands, s.startCommands(m, now)...)
 		}
 		return orders, Answered
 	}
 	if !m.fenced {
 		m.fenced = true
 		s.markReached(m)
-		s.changed = true
+		s.placementDue = true
 	}
-	placedHere := make(map[key]*wire.HeartbeatTask, len(r.Tasks))
+	placedHere := make(map[taskKey]*wire.HeartbeatTask, len(r.Tasks))
 	commands, keptOthers := s.reconcileReported(m, r, placedHere, now)
 	orders.Commands = append(orders.Commands, commands...)
 	commands, missed, keptHere := s.reconcilePlaced(m, placedHere, direct, now)
 	orders.Commands = append(orders.Commands, commands...)
-	m.kept = keptOthers + keptHere
+	m.retained = keptOthers + keptHere
 	if direct {
 		return orders, Answered
 	}
-	s.countMissed(m, missed, now)
-	orders.Commands = s.appendOrders(orders.Commands, m, stopsToo, now)
+	s.countMissedStart(m, missed, now)
+	orders.Commands = s.appendCommands(orders.Commands, m, startsAndStops, now)
 	if len(orders.Commands) > maxCommands {
 		orders.Commands = orders.Commands[:maxCommands]
 	}
@@ -83,28 +83,28 @@
 
 // markAlive takes in that a machine sent a report that is no late copy.
 func (s *Shard) markAlive(m *Machine, direct bool, now time.Time) {
-	if !m.up || now.Sub(m.heard) > s.cfg.SilentAfter {
-		m.steady = now
+	if !m.up || now.Sub(m.heardAt) > s.cfg.SilentAfter {
+		m.steadySince = now
 	}
-	m.heard = now
-	m.probes.failed, m.probes.vain = 0, 0
+	m.heardAt = now
+	m.probes.failed, m.probes.unansweredPastLease = 0, 0
 	if !direct || !m.fenced { // one that was told our token reports at once
-		m.reported = now
+		m.heartbeatAt = now
 	}
 	if !m.up {
 		m.up = true
-		s.changed = true
+		s.placementDue = true
 	}
 }
 
-// countMissed counts the reports in a row that lack a start sent before: after some the
+// countMissedStart counts the reports in a row that lack a start sent before: after some the
 // machine counts as unreachable.
-func (s *Shard) countMissed(m *Machine, missed bool, now time.Time) {
+func (s *Shard) countMissedStart(m *Machine, missed bool, now time.Time) {
 	if !missed {
-		m.missed = 0
+		m.missedStarts = 0
 		return
 	}
-	if m.missed++; m.missed >= unreachableAfter {
+	if m.missedStarts++; m.missedStarts >= unreachableAfter {
 		s.markUnreachable(m, now)
 	}
 }
@@ -113,28 +113,28 @@
 // next report.
 const maxCommands = 300
 
-func halt(name string, attempt uint64, grace time.Duration) wire.Command {
+func stopCommand(name string, attempt uint64, grace time.Duration) wire.Command {
 	g := grace.Seconds()
 	return wire.Command{Op: wire.Stop, Task: name, Attempt: attempt, GraceS: &g}
 }
 
-func (s *Shard) complete(k key, now time.Time) {
+func (s *Shard) completeTask(k taskKey, now time.Time) {
 	if k.job.spec.Kind == wire.Service {
 		return // a service has no end of its own
 	}
 	if k.job.spec.Kind != wire.Gang {
-		s.finish(k, now)
+		s.markCompleted(k, now)
 		return
 	}
 	// A gang's tasks complete together: where one is done, all are. Their
 	// machines keep their places until they report so themselves.
 	for i := range k.job.tasks {
-		s.finish(key{k.job, i}, now)
+		s.markCompleted(taskKey{k.job, i}, now)
 	}
 }
 
-// reported takes in what a report says of a placed task.
-func (t *task) reported(j *Job, phase string) {
+// setPhase takes in what a report says of a placed task.
+func (t *task) setPhase(j *Job, phase string) {
 	if t.phase == wire.Running {
 		j.runningTasks--
 	}
@@ -143,38 +143,38 @@
 	}
 }
 
-// step notes one of the steps of a start that is still followed.
-func (t *task) step(note func(*steps)) {
-	if t.steps != nil {
-		note(t.steps)
+// traceStep notes one of the steps of a start that is still followed.
+func (t *task) traceStep(note func(*startTrace)) {
+	if t.trace != nil {
+		note(t.trace)
 	}
 }
 
-// started tells how a task came to run.
-func (s *Shard) started(k key, t *task, now time.Time) {
-	stages := t.steps
+// reportTaskStart tells how a task came to run.
+func (s *Shard) reportTaskStart(k taskKey, t *task, now time.Time) {
+	stages := t.trace
 	if stages == nil {
 		return
 	}
-	t.steps = nil
-	s.out.Started = append(s.out.Started, Start{
+	t.trace = nil
+	s.effects.Started = append(s.effects.Started, TaskStart{
 		Task: k.name(), Class: k.job.spec.Class, Machine: t.machine.ID, Image: k.job.spec.Image, ImageGB: k.job.spec.ImageGB, Cached: stages.cached,
 		Queued: stages.placed.Sub(k.job.accepted), Recording: stages.recorded.Sub(stages.placed), Sending: stages.sent.Sub(stages.recorded),
-		Seen: stages.seen.Sub(stages.sent), Runs: now.Sub(stages.seen),
+		Seen: stages.reported.Sub(stages.sent), Runs: now.Sub(stages.reported),
 	})
 }
 
-// failed takes in an error. Errors of several jobs on one machine put the blame
+// countFailure takes in an error. Errors of several jobs on one machine put the blame
 // on it; a job failing on several machines is at fault itself, backs off and
 // burns no more machines. Until that is settled a job avoids where it failed.
-func (s *Shard) failed(j *Job, m *Machine, now time.Time) {
+func (s *Shard) countFailure(j *Job, m *Machine, now time.Time) {
 	if j.failedOn == nil {
 		j.failedOn = map[string]bool{}
 	}
 	j.failedOn[m.ID] = true
 	if j.atFault() {
-		j.fails++
-		j.hold = now.Add(s.backoff(j))
+		j.failures++
+		j.notBefore = now.Add(s.backoff(j))
 		return
 	}
 	if m.failed == nil {
@@ -182,7 +182,7 @@
 	}
 	m.failed[j.ref] = true
 	if len(m.failed) >= badMachineJobs {
-		m.drain = true
+		m.draining = true
 	}
 }
 
@@ -197,7 +197,7 @@
 )
 
 func (s *Shard) backoff(j *Job) time.Duration {
-	d := s.cfg.Report << min(j.fails, 6)
+	d := s.cfg.HeartbeatInterval << min(j.failures, 6)
 	return min(d, maxBackoff)
 }
 
@@ -208,20 +208,20 @@
 		return true
 	}
 	for i := range j.tasks {
-		if t := &j.tasks[i]; t.state == idle || (t.state == placed && !t.recorded) {
+		if t := &j.tasks[i]; t.state == pending || (t.state == placed && !t.recorded) {
 			return false
 		}
 	}
 	return true
 }
 
-// notice takes in that the cloud will take a machine back.
-func (s *Shard) notice(m *Machine, r *wire.Heartbeat, now time.Time) {
-	if r.NoticeS == nil || !m.taken.IsZero() {
+// applyReclaimNotice takes in that the cloud will take a machine back.
+func (s *Shard) applyReclaimNotice(m *Machine, r *wire.Heartbeat, now time.Time) {
+	if r.NoticeS == nil || !m.reclaimedAt.IsZero() {
 		return
 	}
 	left := wire.Seconds(max(0, *r.NoticeS))
-	m.taken = now.Add(left)
-	m.drain = true
-	s.changed = true
+	m.reclaimedAt = now.Add(left)
+	m.draining = true
+	s.placementDue = true
 }
