--- a/internal/scheduler/reread.go
+++ b/internal/scheduler/reread.go
@@ -10,21 +10,21 @@
 func (s *Shard) rereadJob(j *Job) {
 	if !j.versionUnknown {
 		j.versionUnknown = true
-		s.out.RereadJobs = append(s.out.RereadJobs, j.ref)
+		s.effects.RereadJobs = append(s.effects.RereadJobs, j.ref)
 	}
 }
 
-func (s *Shard) rereadSlot(rec *placementRecord) {
+func (s *Shard) rereadPlacements(rec *placementRecord) {
 	if !rec.versionUnknown {
 		rec.versionUnknown = true
-		s.out.RereadSlots = append(s.out.RereadSlots, rec.n)
+		s.effects.RereadPlacements = append(s.effects.RereadPlacements, rec.number)
 	}
 }
 
 func (s *Shard) rereadMachine(m *Machine) {
 	if !m.versionUnknown {
 		m.versionUnknown = true
-		s.out.RereadMachines = append(s.out.RereadMachines, m.ID)
+		s.effects.RereadMachines = append(s.effects.RereadMachines, m.ID)
 	}
 }
 
@@ -37,9 +37,9 @@
 	if open == nil {
 		// Our final transaction was applied, or that of a controller which found a
 		// job that this one needs cancelled.
-		s.end(j, now)
-		if j.line.ref != "" {
-			s.rereadPipe(j.line)
+		s.removeJob(j, now)
+		if j.pipeline.ref != "" {
+			s.rereadPipeline(j.pipeline)
 		}
 		return nil
 	}
@@ -48,19 +48,19 @@
 		return err
 	}
 	j.versionUnknown = false
-	j.ending = nil
-	j.retry = now.Add(retryAfter)
-	s.alarm(j.retry)
+	j.endTxn = nil
+	j.retryAt = now.Add(retryAfter)
+	s.wakeAt(j.retryAt)
 	s.SetJob(ref, o, open.Version, now)
-	s.changed = true
+	s.placementDue = true
 	return nil
 }
 
-// SlotRead takes in a slot's record as read back, nil when there is none.
-func (s *Shard) SlotRead(n int, e *wire.Entry, now time.Time) error {
-	placements := s.slots[n]
+// PlacementsRead takes in a slot's record as read back, nil when there is none.
+func (s *Shard) PlacementsRead(n int, e *wire.Entry, now time.Time) error {
+	placements := s.placements[n]
 	if placements != nil && placements.unreadable {
-		s.unreadableRead(placements, e)
+		s.unreadableReread(placements, e)
 		return nil
 	}
 	if placements == nil || !placements.versionUnknown {
@@ -84,34 +84,34 @@
 		// A write given up came late: what it recorded was never sent, and the
 		// next write clears it.
 		if changed {
-			placements.dirty, placements.urgent, placements.since = true, true, now
+			placements.dirty, placements.urgent, placements.dirtySince = true, true, now
 		}
 		return nil
 	}
-	for _, c := range t.chunks {
-		if run, ok := rec.Ranges[s.runName(c)]; ok && run.Turn == c.turn {
-			s.settle(c)
+	for _, c := range t.ranges {
+		if run, ok := rec.Ranges[s.rangeName(c)]; ok && run.Turn == c.turn {
+			s.confirmRange(c)
 		}
 	}
-	there := func(k key) bool {
-		c := k.job.chunkAt(k.i)
-		if c == nil || c.slot != placements {
+	there := func(k taskKey) bool {
+		c := k.job.rangeAt(k.index)
+		if c == nil || c.record != placements {
 			return false
 		}
-		pl, ok := rec.Ranges[s.runName(c)].On[k.i]
-		task := &k.job.tasks[k.i]
+		pl, ok := rec.Ranges[s.rangeName(c)].On[k.index]
+		task := &k.job.tasks[k.index]
 		return changed && ok && task.machine != nil && pl.Attempt == task.attempt && pl.Machine == task.machine.ID
 	}
 	for _, k := range t.starts {
-		if task := &k.job.tasks[k.i]; task.state == placed && task.inTxn && there(k) {
-			task.recorded, task.inTxn = true, false
-			s.out.Wake = append(s.out.Wake, task.machine.ID)
+		if task := &k.job.tasks[k.index]; task.state == placed && task.recording && there(k) {
+			task.recorded, task.recording = true, false
+			s.effects.StartsReady = append(s.effects.StartsReady, task.machine.ID)
 		}
 	}
-	s.revert(t, now, func(key) bool { return true })
-	placements.retry = now.Add(retryAfter)
-	s.alarm(placements.retry)
-	s.changed = true
+	s.revertWrite(t, now, func(taskKey) bool { return true })
+	placements.retryAt = now.Add(retryAfter)
+	s.wakeAt(placements.retryAt)
+	s.placementDue = true
 	return nil
 }
 
@@ -123,11 +123,11 @@
 		return nil
 	}
 	m.versionUnknown, m.txn = false, nil
-	m.retry = now.Add(retryAfter)
-	s.changed = true
+	m.retryAt = now.Add(retryAfter)
+	s.placementDue = true
 	if e == nil {
 		if m.version > 0 {
-			s.forgetMachine(m, now) // records go only when the machine is gone
+			s.removeMachine(m, now) // records go only when the machine is gone
 		}
 		return nil
 	}
@@ -136,7 +136,7 @@
 		return err
 	}
 	if r.Shard != s.id {
-		s.forgetMachine(m, now)
+		s.removeMachine(m, now)
 		return nil
 	}
 	if e.Version != m.version {
--- a/internal/scheduler/restart_test.go
+++ b/internal/scheduler/restart_test.go
@@ -13,14 +13,14 @@
 // ended and as much work has come as there is room for. Its new owner then hears all machines,
 // each once in an interval of reports, until all that waits has started.
 type busyRestart struct {
-	*rig
+	*harness
 	machines int
 	started  int // orders so far
 	seconds  map[int]int
 }
 
 func newBusyRestart(t testing.TB, machines int, p *ratelimit.Limiter) *busyRestart {
-	r := &busyRestart{rig: fleetRig(t, machines, 80), machines: machines, seconds: map[int]int{}}
+	r := &busyRestart{harness: fleetHarness(t, machines, 80), machines: machines, seconds: map[int]int{}}
 	n := 0
 	for _, w := range r.workers {
 		if n++; n%2 == 0 {
@@ -33,7 +33,7 @@
 		r.submit(spec(fmt.Sprintf("run-5%05d", i), "b", wire.Array, "normal", 40, 1))
 	}
 	r.cfg.Pace = p
-	r.claim()
+	r.failOver()
 	if p != nil {
 		p.Start(p.Settings().ClusterRate(machines), r.clock.Now())
 	}
@@ -45,12 +45,12 @@
 	begun := r.clock.Now()
 	const slices = 20 // of an interval of reports
 	for ; r.starting() && took < 10*time.Minute; took = r.clock.Now().Sub(begun) {
-		r.clock.Advance(r.cfg.Report / slices)
-		turn := int(r.clock.Now().Sub(begun)/(r.cfg.Report/slices)) % slices
+		r.clock.Advance(r.cfg.HeartbeatInterval / slices)
+		turn := int(r.clock.Now().Sub(begun)/(r.cfg.HeartbeatInterval/slices)) % slices
 		for i := turn; i < r.machines; i += slices {
 			w := r.workers[fmt.Sprintf("i-%06d", i)]
 			rep := w.Report()
-			orders, v := r.part.Report(&rep, false, r.clock.Now())
+			orders, v := r.shard.Heartbeat(&rep, false, r.clock.Now())
 			if v != Answered {
 				continue
 			}
@@ -62,7 +62,7 @@
 			}
 			w.Obey(orders)
 		}
-		r.settle()
+		r.carryOutEffects()
 	}
 	for _, n := range r.seconds {
 		peak = max(peak, n)
@@ -85,8 +85,8 @@
 	if r.starting() || took > ratelimit.DefaultLimitFor {
 		t.Errorf("%d orders after %v", r.started, took)
 	}
-	progress, settling := r.part.Progress()
-	if !settling || progress.Awaited+progress.Unheard > 0 {
+	progress, settling := r.shard.ReconciliationProgress()
+	if !settling || progress.Pending+progress.Unheard > 0 {
 		t.Errorf("still awaited after %v: %+v", took, progress)
 	}
 }
--- a/internal/scheduler/safety_test.go
+++ b/internal/scheduler/safety_test.go
@@ -17,15 +17,15 @@
 // A start goes out only after its record: nothing runs while the state service
 // refuses, and a start whose transaction failed is never sent.
 func TestNoStartWithoutRecord(t *testing.T) {
-	r, w := newRigWithMachine(t)
+	r, w := newHarnessWithMachine(t)
 	r.state.Down = true
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
-	r.beats(4)
+	r.heartbeats(4)
 	if len(w.Started) != 0 {
 		t.Fatalf("started without a record: %v", w.Started)
 	}
 	r.state.Down = false
-	r.beats(3)
+	r.heartbeats(3)
 	if r.on("run-000001/0") != "m1" {
 		t.Fatal("not started after the outage")
 	}
@@ -33,11 +33,11 @@
 
 // A start given up for want of an answer must not be applied later.
 func TestLateTransactionStartsNothing(t *testing.T) {
-	r, w := newRigWithMachine(t)
+	r, w := newHarnessWithMachine(t)
 	r.state.HoldTxns = 1
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
-	r.settle() // its start is held, given up, and placed anew
-	r.beats(3)
+	r.carryOutEffects() // its start is held, given up, and placed anew
+	r.heartbeats(3)
 	if got := r.state.Release(); len(got) != 1 || got[0] == nil {
 		t.Fatalf("a late start was still applied: %v", got)
 	}
@@ -47,17 +47,17 @@
 }
 
 func TestLostAnswerIsReadBack(t *testing.T) {
-	r, w := newRigWithMachine(t)
+	r, w := newHarnessWithMachine(t)
 	r.state.LoseAnswers = 1
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
-	r.settle()
-	r.beats(2)
+	r.carryOutEffects()
+	r.heartbeats(2)
 	if !slices.Equal(w.Started, []string{"run-000001/0#1"}) {
 		t.Fatalf("starts %v, want the recorded first attempt", w.Started)
 	}
 	w.End("run-000001/0", wire.Done)
 	r.state.LoseAnswers = 1
-	r.beats(2)
+	r.heartbeats(2)
 	if got := r.jobState("run-000001"); got != wire.Done {
 		t.Fatalf("state %q, want done", got)
 	}
@@ -65,11 +65,11 @@
 
 // A cancellation the owner has not heard of makes its start fail.
 func TestCancelRacesStart(t *testing.T) {
-	r, w := newRigWithMachine(t)
+	r, w := newHarnessWithMachine(t)
 	s := spec("run-000001", "b", wire.Array, "normal", 1, 1)
 	r.submit(s)
 	r.cancel(s) // not told: the part is about to record a start
-	r.beats(4)
+	r.heartbeats(4)
 	if len(w.Started) != 0 {
 		t.Fatalf("started after the cancellation: %v", w.Started)
 	}
@@ -80,12 +80,12 @@
 
 // Reports order by session and sequence: an old one proves nothing.
 func TestLateReportIsIgnored(t *testing.T) {
-	r, w := newRigWithMachine(t)
+	r, w := newHarnessWithMachine(t)
 	empty := w.Report()
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
-	r.beats(3)
-	r.part.Report(&empty, false, r.clock.Now())
-	r.beats(3)
+	r.heartbeats(3)
+	r.shard.Heartbeat(&empty, false, r.clock.Now())
+	r.heartbeats(3)
 	if len(w.Started) != 1 {
 		t.Fatalf("starts %v, want one", w.Started)
 	}
@@ -93,12 +93,12 @@
 
 // A start whose answer was lost is repeated under the same attempt.
 func TestLostStartIsRepeated(t *testing.T) {
-	r, w := newRigWithMachine(t)
+	r, w := newHarnessWithMachine(t)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
-	r.settle()
+	r.carryOutEffects()
 	rep := w.Report()
-	r.part.Report(&rep, false, r.clock.Now()) // the answer is lost
-	r.beats(2)
+	r.shard.Heartbeat(&rep, false, r.clock.Now()) // the answer is lost
+	r.heartbeats(2)
 	if !slices.Equal(w.Started, []string{"run-000001/0#1"}) {
 		t.Fatalf("starts %v", w.Started)
 	}
@@ -106,12 +106,12 @@
 
 // An expired session proves its tasks gone.
 func TestNewSessionFreesTasks(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	w := r.machine("m1", "z1", false)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
-	r.beats(3)
+	r.heartbeats(3)
 	r.expire(w)
-	r.beats(3)
+	r.heartbeats(3)
 	if !slices.Equal(w.Started, []string{"run-000001/0#1", "run-000001/0#2"}) {
 		t.Fatalf("starts %v, want a second attempt", w.Started)
 	}
@@ -119,14 +119,14 @@
 
 // The team's limit counts tasks that can't be reached.
 func TestLimitCountsUnreachable(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.machine("m1", "z1", false)
 	r.machine("m2", "z1", false)
 	r.submit(spec("run-000001", "a", wire.Array, "normal", 4, 1))
-	r.beats(3)
+	r.heartbeats(3)
 	w3 := r.machine("m3", "z2", false)
 	r.submit(spec("run-000002", "a", wire.Array, "prod", 2, 1))
-	r.beats(3, w3)
+	r.heartbeats(3, w3)
 	if len(w3.Started) != 0 {
 		t.Fatalf("over the limit: %v", w3.Started)
 	}
@@ -135,24 +135,24 @@
 // Old tasks count for zones as long as they are in place: with same_place no
 // other task may start in another zone, with scatter none beyond half in one.
 func TestZonesCountOldTasks(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	s := spec("run-000001", "b", wire.Array, "normal", 2, 2)
 	s.OneZone = true
 	r.submit(s)
 	w1 := r.machine("m1", "z1", false)
-	r.beats(3)
+	r.heartbeats(3)
 	if r.on("run-000001/0") != "m1" {
 		t.Fatal("not started")
 	}
 	r.machine("m2", "z2", false)
-	r.claim() // the new owner has not heard m1 yet
-	r.beats(3, r.workers["m2"])
+	r.failOver() // the new owner has not heard m1 yet
+	r.heartbeats(3, r.workers["m2"])
 	if got := r.workers["m2"].Started; len(got) != 0 {
 		t.Fatalf("started %v in a second zone", got)
 	}
-	r.beat(w1)
+	r.heartbeat(w1)
 	w1.End("run-000001/0", wire.Done)
-	r.beats(3)
+	r.heartbeats(3)
 	if r.on("run-000001/1") == "" {
 		t.Fatal("the second task never started")
 	}
@@ -160,15 +160,15 @@
 
 // With scatter, a task that can't be reached still counts for its zone.
 func TestSpreadCountsOldTasks(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	s := spec("run-000001", "b", wire.Service, "prod", 3, 1)
 	s.Spread = true
 	r.submit(s)
 	r.machine("m1", "z1", false)
-	r.beats(3)
+	r.heartbeats(3)
 	r.machine("m2", "z1", false)
-	r.claim()
-	r.beats(3, r.workers["m2"])
+	r.failOver()
+	r.heartbeats(3, r.workers["m2"])
 	if got := r.workers["m2"].Started; len(got) != 0 {
 		t.Fatalf("started %v: more than half in one zone", got)
 	}
@@ -177,16 +177,16 @@
 // While cancellations told elsewhere may be unknown, nothing is started, not
 // even what was recorded before; stops still go out.
 func TestBlindStartsNothing(t *testing.T) {
-	r, w := newRigWithMachine(t)
+	r, w := newHarnessWithMachine(t)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
-	r.settle()
-	r.part.SetBlind(true)
-	r.beats(3)
+	r.carryOutEffects()
+	r.shard.SetCancellationsUnknown(true)
+	r.heartbeats(3)
 	if len(w.Started) != 0 {
 		t.Fatalf("started %v", w.Started)
 	}
-	r.part.SetBlind(false)
-	r.beats(1)
+	r.shard.SetCancellationsUnknown(false)
+	r.heartbeats(1)
 	if len(w.Started) != 1 {
 		t.Fatalf("starts %v after the views came back", w.Started)
 	}
@@ -195,13 +195,13 @@
 // Starts of many jobs share one write, and a cancelled one among them does not
 // hold the others up.
 func TestSlotSharesWrites(t *testing.T) {
-	r := newRig(t)
-	r.cfg.SlotTasks, r.cfg.ValueBytes = 200, 200*plainPlace
-	r.claim()
+	r := newHarness(t)
+	r.cfg.PlacementsPerRecord, r.cfg.ValueBytes = 200, 200*unsizedPlacementBytes
+	r.failOver()
 	for i := range 4 {
 		r.machine(fmt.Sprintf("m%d", i), "z1", false)
 	}
-	r.beats(2)
+	r.heartbeats(2)
 	for i := range 6 {
 		s := spec(fmt.Sprintf("run-00000%d", i), "b", wire.Array, "normal", 1, 1)
 		r.submit(s)
@@ -209,7 +209,7 @@
 			r.cancel(s) // not told to the owner
 		}
 	}
-	eff := r.part.Step(r.clock.Now())
+	eff := r.shard.Step(r.clock.Now())
 	if len(eff.Txns) != 1 || len(eff.Txns[0].Body.Then) != 1 {
 		t.Fatalf("%d transactions for six starts, want one with one change", len(eff.Txns))
 	}
@@ -218,14 +218,14 @@
 	if !errors.As(err, &conflict) {
 		t.Fatalf("got %v, want a conflict on the cancelled job", err)
 	}
-	r.part.Conflict(eff.Txns[0], conflict.Keys, r.clock.Now())
-	for _, ref := range r.part.out.RereadJobs {
-		if err := r.part.JobRead(ref, r.get(record.ActiveJobKey(ref)), r.clock.Now()); err != nil {
+	r.shard.Conflict(eff.Txns[0], conflict.Keys, r.clock.Now())
+	for _, ref := range r.shard.effects.RereadJobs {
+		if err := r.shard.JobRead(ref, r.get(record.ActiveJobKey(ref)), r.clock.Now()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r.part.out.RereadJobs = nil
-	r.beats(3)
+	r.shard.effects.RereadJobs = nil
+	r.heartbeats(3)
 	for i := range 6 {
 		name := fmt.Sprintf("run-00000%d/0", i)
 		if on := r.on(name); (on == "") != (i == 3) {
@@ -241,18 +241,18 @@
 		func(s *testkit.State) { s.LoseAnswers = 1 },
 		func(s *testkit.State) { s.HoldTxns = 1 },
 	} {
-		r, w := newRigWithMachine(t)
-		r.part.Order(fleet.Order{Machine: "m1", To: fleet.ReleaseToCloud}, r.clock.Now())
+		r, w := newHarnessWithMachine(t)
+		r.shard.ApplyFleetOrder(fleet.Order{Machine: "m1", To: fleet.ReleaseToCloud}, r.clock.Now())
 		script(r.state)
-		r.beats(1)
+		r.heartbeats(1)
 		r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
-		r.beats(4)
+		r.heartbeats(4)
 		r.state.Release()
-		r.beats(2)
+		r.heartbeats(2)
 		if len(w.Started) != 0 {
 			t.Fatalf("started %v on a machine given back", w.Started)
 		}
-		if len(r.cloud.Returned) == 0 || r.part.HasMachine("m1") {
+		if len(r.cloud.Returned) == 0 || r.shard.HasMachine("m1") {
 			t.Fatalf("returned %v", r.cloud.Returned)
 		}
 	}
--- a/internal/scheduler/sched_test.go
+++ b/internal/scheduler/sched_test.go
@@ -12,15 +12,15 @@
 	"bramblespur/internal/wire"
 )
 
-// rig plays one part against a scripted state service, cloud and workers.
-type rig struct {
+// harness plays one part against a scripted state service, cloud and workers.
+type harness struct {
 	t       testing.TB
 	id      int // of the part
 	clock   *testkit.Clock
 	state   *testkit.State
 	cloud   *testkit.Cloud
 	cfg     *Config
-	part    *Shard
+	shard   *Shard
 	fleet   *record.Fleet
 	workers map[string]*testkit.Worker
 	// invalid counts transactions that the state service did not take for their size.
@@ -32,52 +32,54 @@
 	// upgraded says that no controller of the first version is left.
 	upgraded bool
 	// sendStart, if set, carries direct starts to their workers.
-	sendStart func(d Push)
+	sendStart func(d DirectCommand)
 }
 
-func newRig(t testing.TB) *rig { return newRigOf(t, 0, testkit.NewClock(), testkit.NewState()) }
+func newHarness(t testing.TB) *harness {
+	return newHarnessOf(t, 0, testkit.NewClock(), testkit.NewState())
+}
 
-// newRigOf plays one of several parts that share a state service.
-func newRigOf(t testing.TB, id int, clock *testkit.Clock, state *testkit.State) *rig {
-	r := &rig{t: t, id: id, clock: clock, state: state, cloud: &testkit.Cloud{}, workers: map[string]*testkit.Worker{}}
+// newHarnessOf plays one of several parts that share a state service.
+func newHarnessOf(t testing.TB, id int, clock *testkit.Clock, state *testkit.State) *harness {
+	r := &harness{t: t, id: id, clock: clock, state: state, cloud: &testkit.Cloud{}, workers: map[string]*testkit.Worker{}}
 	r.cfg = &Config{
-		Teams:  map[string]Team{"a": {Name: "a", GPUs: 2, MaxGPUs: 4}, "b": {Name: "b"}},
-		Types:  map[string]wire.MachineType{"big": {Name: "big", CPUs: 16, GPUs: 2, MemoryGB: 64, BootS: 20, CacheGB: 50}},
-		Report: 2 * time.Second, Lease: 20 * time.Second, SilentAfter: 8 * time.Second, BootFactor: 3,
-		PreemptAfter: 2 * time.Second, TxnOps: 16, SlotTasks: 10, ValueBytes: 10 * plainPlace,
+		Teams:             map[string]Team{"a": {Name: "a", GPUs: 2, MaxGPUs: 4}, "b": {Name: "b"}},
+		Types:             map[string]wire.MachineType{"big": {Name: "big", CPUs: 16, GPUs: 2, MemoryGB: 64, BootS: 20, CacheGB: 50}},
+		HeartbeatInterval: 2 * time.Second, Lease: 20 * time.Second, SilentAfter: 8 * time.Second, BootFactor: 3,
+		PreemptAfter: 2 * time.Second, TxnOps: 16, PlacementsPerRecord: 10, ValueBytes: 10 * unsizedPlacementBytes,
 		Urgency: func(_ *wire.Spec, waited time.Duration, _ *float64) float64 { return -waited.Seconds() },
 	}
-	r.claim()
+	r.failOver()
 	return r
 }
 
-// newRigWithMachine has one machine, m1, which has reported twice and runs nothing.
-func newRigWithMachine(t testing.TB) (*rig, *testkit.Worker) {
+// newHarnessWithMachine has one machine, m1, which has reported twice and runs nothing.
+func newHarnessWithMachine(t testing.TB) (*harness, *testkit.Worker) {
 	t.Helper()
-	r := newRig(t)
+	r := newHarness(t)
 	w := r.machine("m1", "z1", false)
-	r.beats(2)
+	r.heartbeats(2)
 	return r, w
 }
 
-// claim makes a new owner: a new token and only what the records hold.
-func (r *rig) claim() {
+// failOver makes a new owner: a new token and only what the records hold.
+func (r *harness) failOver() {
 	r.t.Helper()
 	e := r.state.Put(record.ShardKey(r.id), record.Shard{Owner: "x"})
-	r.part = New(r.cfg, r.id, e.Version)
+	r.shard = New(r.cfg, r.id, e.Version)
 	if r.upgraded {
-		r.part.SetUpgraded()
+		r.shard.AllowSizedRanges()
 	}
 	r.fleet = record.NewFleet()
 	for _, e := range r.list(record.FleetPrefix) {
 		r.fleetChange(e)
 	}
-	if err := r.part.Load(r.fleet, r.list(record.ActiveJobPrefix), r.list(record.ShardPlacementsPrefix(r.id)), r.clock.Now()); err != nil {
+	if err := r.shard.Load(r.fleet, r.list(record.ActiveJobPrefix), r.list(record.ShardPlacementsPrefix(r.id)), r.clock.Now()); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-func (r *rig) list(prefix string) []wire.Entry {
+func (r *harness) list(prefix string) []wire.Entry {
 	r.t.Helper()
 	l, _, err := r.state.List(context.Background(), statestore.Urgent("test"), prefix)
 	if err != nil {
@@ -86,7 +88,7 @@
 	return l
 }
 
-func (r *rig) fleetChange(e wire.Entry) []string {
+func (r *harness) fleetChange(e wire.Entry) []string {
 	r.t.Helper()
 	ids, err := r.fleet.Change(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version})
 	if err != nil {
@@ -96,19 +98,19 @@
 }
 
 // sync tells the part what changed in the fleet's records, as the watch does.
-func (r *rig) sync(e wire.Entry) {
+func (r *harness) sync(e wire.Entry) {
 	r.t.Helper()
 	for _, id := range r.fleetChange(e) {
 		if v, ok := r.fleet.Machine(id); ok {
-			if err := r.part.SetMachine(id, v, r.clock.Now()); err != nil {
+			if err := r.shard.SetMachine(id, v, r.clock.Now()); err != nil {
 				r.t.Fatal(err)
 			}
 		}
 	}
 }
 
-// returns plays the leader: what is to be given back is, and that is recorded.
-func (r *rig) returns() {
+// releaseMachines plays the leader: what is to be given back is, and that is recorded.
+func (r *harness) releaseMachines() {
 	r.t.Helper()
 	if r.state.Down {
 		return
@@ -124,7 +126,7 @@
 	}
 }
 
-func (r *rig) machine(id, zone string, spot bool) *testkit.Worker {
+func (r *harness) machine(id, zone string, spot bool) *testkit.Worker {
 	r.t.Helper()
 	r.sync(r.state.Put(record.ProvisionKey(id), record.Provision{Type: "big", Zone: zone, Spot: spot, Shards: []int{r.id}, IDs: []string{id}, Born: r.clock.Now().UnixMilli()}))
 	w := testkit.NewWorker(id, "big", zone, spot)
@@ -137,36 +139,36 @@
 		CPUs: 4, GPUs: gpus, MemoryGB: 10, Image: "img", ImageGB: 4, EstimateS: 60, CheckpointS: 10, SaveS: 2}
 }
 
-func (r *rig) submit(spec wire.Spec) {
+func (r *harness) submit(spec wire.Spec) {
 	r.open(record.ActiveJob{Spec: spec, At: r.clock.Now().UnixMilli()})()
 }
 
-func (r *rig) open(o record.ActiveJob) (tell func()) {
+func (r *harness) open(o record.ActiveJob) (tell func()) {
 	o.Shard = r.id
 	e := r.state.Put(record.ActiveJobKey(o.Spec.Ref), o)
-	return func() { r.part.SetJob(o.Spec.Ref, o, e.Version, r.clock.Now()) }
+	return func() { r.shard.SetJob(o.Spec.Ref, o, e.Version, r.clock.Now()) }
 }
 
 // cancel writes a cancellation as any controller does; tell brings it to the owner.
-func (r *rig) cancel(spec wire.Spec) (tell func()) {
+func (r *harness) cancel(spec wire.Spec) (tell func()) {
 	return r.open(record.ActiveJob{Spec: spec, Cancelled: true})
 }
 
-// settle carries out all effects until there are none.
-func (r *rig) settle() {
+// carryOutEffects carries out all effects until there are none.
+func (r *harness) carryOutEffects() {
 	ctx := context.Background()
 	for range 50 {
 		now := r.clock.Now()
-		eff := r.part.Step(now)
+		eff := r.shard.Step(now)
 		if r.sendStart != nil {
-			for _, id := range eff.Wake {
-				if d, ok := r.part.Start(id, now); ok {
+			for _, id := range eff.StartsReady {
+				if d, ok := r.shard.DirectStarts(id, now); ok {
 					r.sendStart(d)
 				}
 			}
 		}
 		r.probe(eff)
-		if len(eff.Txns)+len(eff.RereadJobs)+len(eff.RereadSlots)+len(eff.RereadMachines)+len(eff.RereadPipes)+len(eff.Pushes) == 0 {
+		if len(eff.Txns)+len(eff.RereadJobs)+len(eff.RereadPlacements)+len(eff.RereadMachines)+len(eff.RereadPipelines)+len(eff.DirectCommands) == 0 {
 			return
 		}
 		for _, t := range eff.Txns {
@@ -177,55 +179,55 @@
 			var conflict *statestore.ConflictError
 			switch {
 			case err == nil:
-				r.part.Applied(t, rev, now)
+				r.shard.Applied(t, rev, now)
 			case errors.As(err, &conflict):
-				r.part.Conflict(t, conflict.Keys, now)
+				r.shard.Conflict(t, conflict.Keys, now)
 			case errors.Is(err, statestore.ErrRefused):
-				r.part.Refused(t, now)
+				r.shard.Refused(t, now)
 			case errors.Is(err, statestore.ErrInvalid):
-				r.part.Shrink(t, now)
+				r.shard.TooLarge(t, now)
 				r.invalid++
 			default:
-				r.part.Unknown(t, now)
+				r.shard.Unknown(t, now)
 			}
 		}
 		for _, ref := range eff.RereadJobs {
-			if err := r.part.JobRead(ref, r.get(record.ActiveJobKey(ref)), now); err != nil {
+			if err := r.shard.JobRead(ref, r.get(record.ActiveJobKey(ref)), now); err != nil {
 				r.t.Fatal(err)
 			}
 		}
-		for _, ref := range eff.RereadPipes {
+		for _, ref := range eff.RereadPipelines {
 			e := r.get(record.PipelineKey(ref))
-			if err := r.part.PipeRead(ref, e, r.endsOf(e), now); err != nil {
+			if err := r.shard.PipelineRead(ref, e, r.endsOf(e), now); err != nil {
 				r.t.Fatal(err)
 			}
 		}
-		for _, n := range eff.RereadSlots {
-			if err := r.part.SlotRead(n, r.get(record.PlacementsKey(r.id, n)), now); err != nil {
+		for _, n := range eff.RereadPlacements {
+			if err := r.shard.PlacementsRead(n, r.get(record.PlacementsKey(r.id, n)), now); err != nil {
 				r.t.Fatal(err)
 			}
 		}
 		for _, id := range eff.RereadMachines {
-			if err := r.part.MachineRead(id, r.get(record.OverrideKey(id)), now); err != nil {
+			if err := r.shard.MachineRead(id, r.get(record.OverrideKey(id)), now); err != nil {
 				r.t.Fatal(err)
 			}
 		}
-		r.returns()
-		for _, d := range eff.Pushes {
+		r.releaseMachines()
+		for _, d := range eff.DirectCommands {
 			w := r.workers[d.Machine]
 			if w == nil || w.Session != d.Orders.Session {
 				continue
 			}
 			w.Obey(wire.Orders{Token: d.Orders.Token, Commands: d.Orders.Commands})
 			rep := w.Report()
-			r.part.Report(&rep, true, now)
+			r.shard.Heartbeat(&rep, true, now)
 		}
 	}
 	r.t.Fatal("effects never end")
 }
 
 // endsOf returns the ends of a pipeline's jobs that its record does not tell.
-func (r *rig) endsOf(e *wire.Entry) []record.PipelineJobEnd {
+func (r *harness) endsOf(e *wire.Entry) []record.PipelineJobEnd {
 	rec, err := decode[record.Pipeline](*e)
 	if err != nil {
 		r.t.Fatal(err)
@@ -243,7 +245,7 @@
 	return out
 }
 
-func (r *rig) get(key string) *wire.Entry {
+func (r *harness) get(key string) *wire.Entry {
 	e, err := r.state.Get(context.Background(), statestore.Urgent("test"), key)
 	if err != nil {
 		return nil
@@ -252,15 +254,15 @@
 }
 
 // expire lets a lease run out in which no report was answered.
-func (r *rig) expire(w *testkit.Worker) {
+func (r *harness) expire(w *testkit.Worker) {
 	r.clock.Advance(r.cfg.Lease)
 	w.Expire()
 }
 
-// beat lets workers report once, and carries out what follows.
-func (r *rig) beat(ws ...*testkit.Worker) {
+// heartbeat lets workers report once, and carries out what follows.
+func (r *harness) heartbeat(ws ...*testkit.Worker) {
 	r.t.Helper()
-	r.clock.Advance(r.cfg.Report)
+	r.clock.Advance(r.cfg.HeartbeatInterval)
 	if len(ws) == 0 {
 		for _, w := range r.workers {
 			ws = append(ws, w)
@@ -268,32 +270,32 @@
 	}
 	for _, w := range ws {
 		rep := w.Report()
-		o, v := r.part.Report(&rep, false, r.clock.Now())
+		o, v := r.shard.Heartbeat(&rep, false, r.clock.Now())
 		if v == Answered {
 			w.Obey(o)
 		}
 	}
-	r.settle()
+	r.carryOutEffects()
 }
 
-func (r *rig) beats(n int, ws ...*testkit.Worker) {
+func (r *harness) heartbeats(n int, ws ...*testkit.Worker) {
 	r.t.Helper()
 	for range n {
-		r.beat(ws...)
+		r.heartbeat(ws...)
 	}
 }
 
 // beatAndEnd lets all workers report once, and then ends all tasks of one of them.
-func (r *rig) beatAndEnd(w *testkit.Worker) {
+func (r *harness) beatAndEnd(w *testkit.Worker) {
 	r.t.Helper()
-	r.beat()
+	r.heartbeat()
 	for name := range w.Tasks {
 		w.End(name, wire.Done)
 	}
 }
 
 // on returns where a task runs, asserting that it is in one place at most.
-func (r *rig) on(task string) string {
+func (r *harness) on(task string) string {
 	r.t.Helper()
 	at := ""
 	for id, w := range r.workers {
@@ -307,7 +309,7 @@
 	return at
 }
 
-func (r *rig) jobState(ref string) string {
+func (r *harness) jobState(ref string) string {
 	r.t.Helper()
 	if e := r.get(record.FinishedJobKey(ref)); e != nil {
 		j, err := decode[record.FinishedJob](*e)
@@ -328,21 +330,21 @@
 }
 
 func TestArrayRunsToItsEnd(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	w := r.machine("m1", "z1", false)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 3, 1))
-	r.beats(3)
+	r.heartbeats(3)
 	if r.on("run-000001/0") != "m1" || r.on("run-000001/1") != "m1" || r.on("run-000001/2") != "" {
 		t.Fatalf("want two tasks on the machine's two cards, got %v", w.Started)
 	}
 	w.End("run-000001/0", wire.Done)
 	w.End("run-000001/1", wire.Done)
-	r.beats(3)
+	r.heartbeats(3)
 	if got := r.jobState("run-000001"); got != wire.Pending {
 		t.Fatalf("state %q with a task left", got)
 	}
 	w.End("run-000001/2", wire.Done)
-	r.beats(3)
+	r.heartbeats(3)
 	if got := r.jobState("run-000001"); got != wire.Done {
 		t.Fatalf("state %q, want done", got)
 	}
@@ -353,9 +355,9 @@
 
 // The largest job that the protocol allows keeps its records small.
 func TestLargestArray(t *testing.T) {
-	r := newRig(t)
-	r.cfg.SlotTasks, r.cfg.ValueBytes = SlotTasks(16), 16<<10
-	r.claim()
+	r := newHarness(t)
+	r.cfg.PlacementsPerRecord, r.cfg.ValueBytes = PlacementsPerRecord(16), 16<<10
+	r.failOver()
 	s := spec("run-000001", "b", wire.Array, "normal", 100000, 0)
 	s.CPUs, s.MemoryGB = 1, 1
 	r.submit(s)
@@ -372,14 +374,14 @@
 			t.Errorf("record %s has %d bytes", e.Key, len(e.Value))
 		}
 	}
-	if st, ok := r.part.Status(s.Ref); !ok || st.Done < 300 {
+	if st, ok := r.shard.Status(s.Ref); !ok || st.Done < 300 {
 		t.Fatalf("status %+v", st)
 	}
 }
 
 // A job of many ranges ends in one piece and keeps to the limits of records.
 func TestLargeArray(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	s := spec("run-000001", "b", wire.Array, "normal", 40, 0)
 	s.CPUs, s.MemoryGB = 1, 1
 	r.submit(s)
--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -8,13 +8,13 @@
 // holdsUp that all its work is such as may have to give way to a gang: a task that
 // has inherited a priority would not.
 const (
-	breaksUp = 150
-	holdsUp  = 110
+	breaksUpPenalty    = 150
+	holdsUpGangPenalty = 110
 )
 
-// soonCordoned is what it counts against a machine that is to be drained: more than its
+// cordonedLaterPenalty is what it counts against a machine that is to be drained: more than its
 // image is worth, as what starts there may be evicted soon.
-const soonCordoned = 250
+const cordonedLaterPenalty = 250
 
 // score ranks a machine for a task: one that caches its image first (DESIGN's
 // stand-in for sending fragments to the data), then a spot machine where the
@@ -31,13 +31,13 @@
 	if j.spec.GPUs <= 0 && m.Type.GPUs > 0 {
 		switch {
 		case m.gpus <= 0:
-			v -= breaksUp
-		case m.ranks[highestRank]+m.ranks[highestRank-1] == 0:
-			v -= holdsUp
+			v -= breaksUpPenalty
+		case m.tasksByRank[highestRank]+m.tasksByRank[highestRank-1] == 0:
+			v -= holdsUpGangPenalty
 		}
 	}
-	if m.avoided {
-		v -= soonCordoned
+	if m.cordonedLater {
+		v -= cordonedLaterPenalty
 	}
 	if m.Spot {
 		v += 30
--- a/internal/scheduler/settling.go
+++ b/internal/scheduler/settling.go
@@ -9,98 +9,98 @@
 	"bramblespur/internal/wire"
 )
 
-// settling is what became of what a part's owner found on record when it took the part over.
-type settling struct {
+// reconciliation is what became of what a part's owner found on record when it took the part over.
+type reconciliation struct {
 	since   time.Time // zero: it has settled
-	awaited int       // placements of earlier owners without a verdict
+	pending int       // placements of earlier owners without a verdict
 	tally   reconcile.Tally
-	strays  map[string]bool // tasks in reports that are not on record, each counted once
+	orphans map[string]bool // tasks in reports that are not on record, each counted once
 	// malformed is what is wrong with records that were passed over.
 	malformed []error
 }
 
 // Bounds of what is remembered while a part settles.
 const (
-	maxStrays  = 4096
+	maxOrphans = 4096
 	maxUnheard = 16 // machines that are named
 )
 
-// Progress is how far a part has settled after it was taken over.
-type Progress struct {
-	Since   time.Time
-	Awaited int      // tasks of which nothing is proven yet
-	Unheard int      // machines that have not reported under the part's token
-	Names   []string // some of them
-	Tally   reconcile.Tally
+// ReconciliationProgress is how far a part has settled after it was taken over.
+type ReconciliationProgress struct {
+	Since        time.Time
+	Pending      int      // tasks of which nothing is proven yet
+	Unheard      int      // machines that have not reported under the part's token
+	UnheardNames []string // some of them
+	Tally        reconcile.Tally
 }
 
-// beginSettling counts what is to be found out about.
-func (s *Shard) beginSettling(now time.Time) {
-	s.settling.since, s.settling.strays = now, map[string]bool{}
+// beginReconciliation counts what is to be found out about.
+func (s *Shard) beginReconciliation(now time.Time) {
+	s.reconciliation.since, s.reconciliation.orphans = now, map[string]bool{}
 	for _, m := range s.machines {
-		for _, t := range m.on {
+		for _, t := range m.tasks {
 			if t.inherited {
-				s.settling.awaited++
+				s.reconciliation.pending++
 			}
 		}
 	}
 }
 
-// Progress tells how far the part has settled; there is nothing to tell once it has.
-func (s *Shard) Progress() (Progress, bool) {
-	progress := &s.settling
+// ReconciliationProgress tells how far the part has settled; there is nothing to tell once it has.
+func (s *Shard) ReconciliationProgress() (ReconciliationProgress, bool) {
+	progress := &s.reconciliation
 	if progress.since.IsZero() {
-		return Progress{}, false
+		return ReconciliationProgress{}, false
 	}
-	out := Progress{Since: progress.since, Awaited: progress.awaited, Tally: progress.tally}
+	out := ReconciliationProgress{Since: progress.since, Pending: progress.pending, Tally: progress.tally}
 	for _, m := range s.machines {
-		if !m.inherited || m.fenced || m.Phase != record.InUse || (!m.up && len(m.on) == 0) {
+		if !m.inherited || m.fenced || m.Phase != record.InUse || (!m.up && len(m.tasks) == 0) {
 			continue
 		}
 		out.Unheard++
-		if len(out.Names) < maxUnheard {
-			out.Names = append(out.Names, m.ID)
+		if len(out.UnheardNames) < maxUnheard {
+			out.UnheardNames = append(out.UnheardNames, m.ID)
 		}
 	}
-	slices.Sort(out.Names)
+	slices.Sort(out.UnheardNames)
 	return out, true
 }
 
 // HasMachines reports whether the part has any machine.
 func (s *Shard) HasMachines() bool { return len(s.machines) > 0 }
 
-// Malformed returns what is wrong with records that were passed over when the part was loaded.
-func (s *Shard) Malformed() []error { return s.settling.malformed }
+// MalformedRecords returns what is wrong with records that were passed over when the part was loaded.
+func (s *Shard) MalformedRecords() []error { return s.reconciliation.malformed }
 
-// EndSettling forgets what was found out.
-func (s *Shard) EndSettling() { s.settling = settling{} }
+// EndReconciliation forgets what was found out.
+func (s *Shard) EndReconciliation() { s.reconciliation = reconciliation{} }
 
-// judge counts the verdict on a placement of an earlier owner, once.
-func (s *Shard) judge(t *task, v reconcile.Verdict) {
-	if s.settling.since.IsZero() || !t.inherited || t.judged {
+// recordOutcome counts the verdict on a placement of an earlier owner, once.
+func (s *Shard) recordOutcome(t *task, v reconcile.Verdict) {
+	if s.reconciliation.since.IsZero() || !t.inherited || t.reconciled {
 		return
 	}
-	t.judged = true
-	s.settling.awaited--
-	s.settling.tally.Add(v)
+	t.reconciled = true
+	s.reconciliation.pending--
+	s.reconciliation.tally.Add(v)
 }
 
-// judgeStray counts the verdict on a task in a report that is not on record there, once, and
+// recordOrphanOutcome counts the verdict on a task in a report that is not on record there, once, and
 // tells of a contradiction.
-func (s *Shard) judgeStray(m *Machine, rt *wire.HeartbeatTask, v reconcile.Verdict) {
-	if s.settling.since.IsZero() || s.settling.strays[rt.Task] || len(s.settling.strays) >= maxStrays {
+func (s *Shard) recordOrphanOutcome(m *Machine, rt *wire.HeartbeatTask, v reconcile.Verdict) {
+	if s.reconciliation.since.IsZero() || s.reconciliation.orphans[rt.Task] || len(s.reconciliation.orphans) >= maxOrphans {
 		return
 	}
-	s.settling.strays[rt.Task] = true
-	s.settling.tally.Add(v)
+	s.reconciliation.orphans[rt.Task] = true
+	s.reconciliation.tally.Add(v)
 	if v == reconcile.Contradictory {
-		s.out.Contradictions = append(s.out.Contradictions, Contradiction{
-			Task: rt.Task, Machine: m.ID, Claimed: rt.State + " " + rt.Why, Known: s.knownOf(rt.Task)})
+		s.effects.Contradictions = append(s.effects.Contradictions, Contradiction{
+			Task: rt.Task, Machine: m.ID, Claimed: rt.State + " " + rt.Why, Known: s.describeTask(rt.Task)})
 	}
 }
 
-// knownOf tells what the ledger has of a task.
-func (s *Shard) knownOf(name string) string {
+// describeTask tells what the ledger has of a task.
+func (s *Shard) describeTask(name string) string {
 	ref, n, ok := SplitTask(name)
 	j := s.jobs[ref]
 	if !ok || j == nil || n >= len(j.tasks) {
@@ -109,7 +109,7 @@
 	switch t := &j.tasks[n]; t.state {
 	case placed:
 		return "placed on " + t.machine.ID
-	case done:
+	case completed:
 		return "done"
 	}
 	return "without a place"
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -16,10 +16,10 @@
 
 // crowd makes a part of many machines in two zones, all of them busy, with jobs
 // that wait for room.
-func crowd(t testing.TB, machines, waiting int) *rig {
-	r := newRig(t)
-	r.cfg.SlotTasks, r.cfg.ValueBytes, r.cfg.TxnOps = SlotTasks(16), 16<<10, 24
-	r.claim()
+func crowd(t testing.TB, machines, waiting int) *harness {
+	r := newHarness(t)
+	r.cfg.PlacementsPerRecord, r.cfg.ValueBytes, r.cfg.TxnOps = PlacementsPerRecord(16), 16<<10, 24
+	r.failOver()
 	r.cfg.PreemptAfter = time.Second
 	delete(r.cfg.Teams, "a")
 	for at := 0; at < machines; at += 50 {
@@ -32,14 +32,14 @@
 		}
 		r.sync(r.state.Put(record.ProvisionKey(fmt.Sprint("r", at)), rental))
 	}
-	r.beat()
+	r.heartbeat()
 	for i := range machines / 40 {
 		s := spec(fmt.Sprintf("run-%06d", i), "b", wire.Array, "normal", 80, 1)
 		s.Image = fmt.Sprint("img-", i%16)
 		r.submit(s)
 	}
-	r.settle()
-	r.beats(2)
+	r.carryOutEffects()
+	r.heartbeats(2)
 	for i := range waiting {
 		kind, priority, tasks, gpus := wire.Array, "normal", 20, 1.0
 		switch i % 4 {
@@ -53,7 +53,7 @@
 		s.OneZone, s.Spread = kind == wire.Gang, kind == wire.Service
 		r.submit(s)
 	}
-	r.settle()
+	r.carryOutEffects()
 	return r
 }
 
@@ -62,21 +62,21 @@
 func TestPlacementLooksAtFew(t *testing.T) {
 	const machines, waiting = 600, 60
 	r := crowd(t, machines, waiting)
-	r.clock.Advance(roomAgain)
-	r.settle() // room for what waits was just sought in vain
-	r.part.looked = 0
+	r.clock.Advance(preemptionRetry)
+	r.carryOutEffects() // room for what waits was just sought in vain
+	r.shard.candidatesExamined = 0
 	w := r.workers["i-000007"]
 	for name := range w.Tasks {
 		w.End(name, wire.Done)
 		break
 	}
 	rep := w.Report()
-	r.part.Report(&rep, false, r.clock.Now())
-	if eff := r.part.Step(r.clock.Now()); len(eff.Txns) == 0 {
+	r.shard.Heartbeat(&rep, false, r.clock.Now())
+	if eff := r.shard.Step(r.clock.Now()); len(eff.Txns) == 0 {
 		t.Fatal("nothing placed where a task ended")
 	}
-	if r.part.looked > 2*waiting {
-		t.Errorf("looked at %d machines and jobs, with %d jobs waiting and %d machines", r.part.looked, waiting, machines)
+	if r.shard.candidatesExamined > 2*waiting {
+		t.Errorf("looked at %d machines and jobs, with %d jobs waiting and %d machines", r.shard.candidatesExamined, waiting, machines)
 	}
 }
 
@@ -87,9 +87,9 @@
 	for i := 0; b.Loop(); i++ {
 		w := r.workers[fmt.Sprintf("i-%06d", i%manyMachines)]
 		rep := w.Report()
-		r.clock.Advance(r.cfg.Report / manyMachines)
-		r.part.Report(&rep, false, r.clock.Now())
-		r.part.Step(r.clock.Now())
+		r.clock.Advance(r.cfg.HeartbeatInterval / manyMachines)
+		r.shard.Heartbeat(&rep, false, r.clock.Now())
+		r.shard.Step(r.clock.Now())
 	}
 }
 
@@ -109,11 +109,11 @@
 		rep := w.Report()
 		r.clock.Advance(10 * time.Millisecond)
 		now := r.clock.Now()
-		if o, v := r.part.Report(&rep, false, now); v == Answered {
+		if o, v := r.shard.Heartbeat(&rep, false, now); v == Answered {
 			w.Obey(o)
 		}
-		for _, t := range r.part.Step(now).Txns {
-			r.part.Applied(t, r.state.Put("x", 1).Version, now)
+		for _, t := range r.shard.Step(now).Txns {
+			r.shard.Applied(t, r.state.Put("x", 1).Version, now)
 		}
 	}
 }
@@ -125,8 +125,8 @@
 	now := r.clock.Now()
 	b.ReportAllocs()
 	for b.Loop() {
-		r.part.healthAt = time.Time{}
-		r.part.Step(now)
+		r.shard.healthCheckedAt = time.Time{}
+		r.shard.Step(now)
 	}
 }
 
@@ -135,6 +135,6 @@
 	r := crowd(b, manyMachines, 100)
 	b.ReportAllocs()
 	for b.Loop() {
-		r.part.Summary(r.clock.Now())
+		r.shard.Summary(r.clock.Now())
 	}
 }
--- a/internal/scheduler/slot_test.go
+++ b/internal/scheduler/slot_test.go
@@ -20,18 +20,18 @@
 
 func outgrow(t *testing.T, rnd *rand.Rand) {
 	const most = 1024
-	r := newRig(t)
+	r := newHarness(t)
 	r.cfg.ValueBytes = most
-	r.claim()
-	r.part.SetStated()
+	r.failOver()
+	r.shard.UseSizedRanges()
 	r.machine("m1", "z1", false)
 	for i := range 4 {
 		s := spec(fmt.Sprintf("run-00000%d", i), "b", wire.Array, "normal", 8, 0)
 		s.CPUs, s.MemoryGB = 1, 1 // of 16
 		r.submit(s)
-		r.part.chunk(r.part.jobs[s.Ref], 0) // sized by the names known so far
+		r.shard.rangeOf(r.shard.jobs[s.Ref], 0) // sized by the names known so far
 	}
-	r.beats(2) // some are recorded
+	r.heartbeats(2) // some are recorded
 	for i := range 40 {
 		r.machine(fmt.Sprintf("i-%080d", i), "z1", false)
 	}
@@ -41,16 +41,16 @@
 			r.state.HoldTxns = rnd.IntN(3) // not carried out, and nobody says so
 			r.workers["m1"].End(fmt.Sprintf("run-00000%d/%d", rnd.IntN(2), rnd.IntN(8)), wire.Done)
 		}
-		r.beat()
+		r.heartbeat()
 		r.oneOwner()
 		if rnd.IntN(7) == 0 {
-			r.claim()
-			r.part.SetStated()
+			r.failOver()
+			r.shard.UseSizedRanges()
 		}
 	}
 	for range 10 {
 		r.endAll()
-		r.beat()
+		r.heartbeat()
 	}
 	for i := range 4 {
 		if got := r.jobState(fmt.Sprintf("run-00000%d", i)); got != wire.Done {
@@ -67,39 +67,39 @@
 // A range that leaves a slot goes to another, and until it is written there the slot
 // that tells it is not written without it, whatever else changes in it.
 func TestSlotWaitsForWhatLeft(t *testing.T) {
-	r := newRig(t)
-	r.claim()
-	r.part.SetStated()
+	r := newHarness(t)
+	r.failOver()
+	r.shard.UseSizedRanges()
 	w := r.machine("m1", "z1", false)
 	for i := range 2 {
 		s := spec(fmt.Sprintf("run-00000%d", i), "b", wire.Array, "normal", 2, 0)
 		s.CPUs, s.MemoryGB = 1, 1
 		r.submit(s)
 	}
-	r.beats(2)
-	moved, stays := r.part.jobs["run-000000"].chunks[0], r.part.jobs["run-000001"].chunks[0]
-	old := moved.slot
-	if stays.slot != old || old.version == 0 {
+	r.heartbeats(2)
+	moved, stays := r.shard.jobs["run-000000"].ranges[0], r.shard.jobs["run-000001"].ranges[0]
+	old := moved.record
+	if stays.record != old || old.version == 0 {
 		t.Fatal("the jobs do not share a recorded slot")
 	}
-	r.part.move(moved, 2)
-	if now := r.part.jobs["run-000000"].chunks[0].slot; now == old {
+	r.shard.splitRange(moved, 2)
+	if now := r.shard.jobs["run-000000"].ranges[0].record; now == old {
 		t.Fatal("the range came back to the slot that it left")
 	}
 	w.End("run-000001/0", wire.Done) // the old slot has something to write
 	rep := w.Report()
-	r.part.Report(&rep, false, r.clock.Now())
+	r.shard.Heartbeat(&rep, false, r.clock.Now())
 	r.clock.Advance(time.Second)
 	writes := func() []*Txn {
-		return slices.DeleteFunc(r.part.Step(r.clock.Now()).Txns, func(t *Txn) bool { return t.slot == nil })
+		return slices.DeleteFunc(r.shard.Step(r.clock.Now()).Txns, func(t *Txn) bool { return t.placements == nil })
 	}
 	txns := writes()
-	if len(txns) != 1 || txns[0].slot == old {
+	if len(txns) != 1 || txns[0].placements == old {
 		t.Fatalf("%d writes, want one, of what left", len(txns))
 	}
-	r.part.Applied(txns[0], r.state.Put("x", 1).Version, r.clock.Now())
+	r.shard.Applied(txns[0], r.state.Put("x", 1).Version, r.clock.Now())
 	txns = writes()
-	if len(txns) != 1 || txns[0].slot != old {
+	if len(txns) != 1 || txns[0].placements != old {
 		t.Errorf("%d writes after that, want the old slot's", len(txns))
 	}
 }
@@ -107,10 +107,10 @@
 // A state service that takes less than was known: what it does not take is never
 // sent again as it was, and work goes on.
 func TestShrinks(t *testing.T) {
-	r := newRig(t)
-	r.cfg.SlotTasks, r.cfg.ValueBytes = SlotTasks(16), 4096
-	r.claim()
-	r.part.SetStated()
+	r := newHarness(t)
+	r.cfg.PlacementsPerRecord, r.cfg.ValueBytes = PlacementsPerRecord(16), 4096
+	r.failOver()
+	r.shard.UseSizedRanges()
 	r.state.Limit(1500, 4)
 	for i := range 20 {
 		r.machine(fmt.Sprintf("m%d", i), "z1", false)
@@ -120,7 +120,7 @@
 	r.submit(s)
 	for range 40 {
 		r.endAll()
-		r.beat()
+		r.heartbeat()
 		r.clock.Advance(time.Second)
 	}
 	if got := r.jobState(s.Ref); got != wire.Done {
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -12,13 +12,13 @@
 
 // Summary tells the leader what waits and what the part's machines do.
 func (s *Shard) Summary(now time.Time) fleet.Summary {
-	s.fade(now)
-	summary := fleet.Summary{Part: s.id, Arriving: s.arrived / arrivalFade.Seconds(), ArrivingSpot: s.arrivedSpot / arrivalFade.Seconds()}
-	for _, j := range s.index.waiting {
-		if !s.waiting(j, now) || now.Before(j.hold) {
+	s.decayArrivals(now)
+	summary := fleet.Summary{Part: s.id, Arriving: s.arrivals / arrivalDecay.Seconds(), ArrivingSpot: s.spotArrivals / arrivalDecay.Seconds()}
+	for _, j := range s.index.pendingJobs {
+		if !s.placeable(j, now) || now.Before(j.notBefore) {
 			continue
 		}
-		n := j.idleTasks
+		n := j.pendingTasks
 		for n > 0 && !s.withinLimit(j, n) {
 			if j.spec.Kind == wire.Gang {
 				n = 0
@@ -27,10 +27,10 @@
 			n--
 		}
 		if j.spec.Kind != wire.Gang {
-			for m := range s.index.kept[j.ref] {
-				n = max(0, n-m.heldFor(j, now))
+			for m := range s.index.reserved[j.ref] {
+				n = max(0, n-m.reservedFor(j, now))
 			}
-		} else if now.Before(j.madeRoom) {
+		} else if now.Before(j.preemptedUntil) {
 			n = 0
 		}
 		if n == 0 {
@@ -52,32 +52,32 @@
 	}
 	summary.Machines = make([]fleet.Machine, 0, len(s.machines))
 	for _, m := range s.machines {
-		f := free(m)
+		f := freeRoom(m)
 		fm := fleet.Machine{
 			ID: m.ID, Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot, Up: m.up, Usable: s.usable(m, now),
-			Leaving: m.moveTo >= 0 || m.drain || m.cordon != NotCordoned || m.Phase != record.InUse || !m.taken.IsZero(),
-			CPUs:    f.cpus, GPUs: f.gpus, MemoryGB: f.mem, Tasks: len(m.on),
-			Avoided: m.avoided,
+			Leaving: m.transferTo >= 0 || m.draining || m.cordon != NotCordoned || m.Phase != record.InUse || !m.reclaimedAt.IsZero(),
+			CPUs:    f.cpus, GPUs: f.gpus, MemoryGB: f.mem, Tasks: len(m.tasks),
+			Avoided: m.cordonedLater,
 		}
-		if m.moveTo >= 0 {
-			fm.Moving, fm.To = true, m.moveTo
+		if m.transferTo >= 0 {
+			fm.Moving, fm.To = true, m.transferTo
 		}
-		if len(m.on) == 0 && m.up && !m.idleSince.IsZero() {
+		if len(m.tasks) == 0 && m.up && !m.idleSince.IsZero() {
 			fm.Idle = now.Sub(m.idleSince)
 		}
-		if !m.addressed {
+		if !m.addressRecorded {
 			fm.Addr = m.Addr
 		}
 		for _, i := range m.images {
 			fm.Images = append(fm.Images, i.Name)
 		}
-		if m.reserved != "" && now.Before(m.reservedT) {
+		if m.reserved != "" && now.Before(m.reservedUntil) {
 			fm.For = m.reserved
 		}
-		for k := range m.on {
+		for k := range m.tasks {
 			fm.Lasting = fm.Lasting || k.job.spec.Kind == wire.Service
 			fm.TopRank = max(fm.TopRank, k.job.rank)
-			if k.job.kept {
+			if k.job.protected {
 				fm.TopRank = max(fm.TopRank, highestRank-1) // only services take its place
 			}
 		}
@@ -111,27 +111,27 @@
 // maxNeeds bounds what a summary tells.
 const maxNeeds = 64
 
-// Order carries out the leader's wish for a machine, as far as it still fits.
-func (s *Shard) Order(o fleet.Order, now time.Time) {
+// ApplyFleetOrder carries out the leader's wish for a machine, as far as it still fits.
+func (s *Shard) ApplyFleetOrder(o fleet.Order, now time.Time) {
 	m := s.machines[o.Machine]
-	if s.unreadable.unheard || m == nil || m.moveTo >= 0 || m.drain || m.cordon != NotCordoned || m.Phase != record.InUse || m.txn != nil {
+	if s.unreadable.awaitsMachines || m == nil || m.transferTo >= 0 || m.draining || m.cordon != NotCordoned || m.Phase != record.InUse || m.txn != nil {
 		return
 	}
-	for k, t := range m.on {
-		if !o.Emptied && !t.stop && (o.Below <= 0 || k.job.rank >= o.Below) {
+	for k, t := range m.tasks {
+		if !o.Emptied && !t.stopping && (o.Below <= 0 || k.job.rank >= o.Below) {
 			return // in use by now
 		}
 	}
 	defer s.index.update(m)
 	if o.To == fleet.ReleaseToCloud {
-		m.drain = true
+		m.draining = true
 		return
 	}
-	if !m.fenced || m.reserved != "" && now.Before(m.reservedT) {
+	if !m.fenced || m.reserved != "" && now.Before(m.reservedUntil) {
 		return
 	}
-	m.moveTo = o.To
+	m.transferTo = o.To
 	if !o.Emptied {
-		s.clear(m, now)
+		s.evictAll(m, now)
 	}
 }
--- a/internal/scheduler/unreachable.go
+++ b/internal/scheduler/unreachable.go
@@ -11,22 +11,22 @@
 // lost or late.
 const unreachableAfter = 2
 
-// session takes in the session of a report. A lease that ran out although its
+// applyEpoch takes in the session of a report. A lease that ran out although its
 // worker's reports were answered tells that no answer reaches the machine.
-func (s *Shard) session(m *Machine, r *wire.Heartbeat, now time.Time) {
-	if r.Session == m.session {
+func (s *Shard) applyEpoch(m *Machine, r *wire.Heartbeat, now time.Time) {
+	if r.Session == m.epoch {
 		// A session that outlives the lease was renewed: answers arrive.
-		if !m.unreachableSince.IsZero() && now.Sub(m.unreachableSince) > s.cfg.Lease+s.cfg.Report {
+		if !m.unreachableSince.IsZero() && now.Sub(m.unreachableSince) > s.cfg.Lease+s.cfg.HeartbeatInterval {
 			s.markReached(m)
 		}
 		return
 	}
-	if m.session != 0 && !m.answered.IsZero() && now.Sub(m.answered) < s.cfg.Lease*3/4 {
+	if m.epoch != 0 && !m.answeredAt.IsZero() && now.Sub(m.answeredAt) < s.cfg.Lease*3/4 {
 		s.markUnreachable(m, now)
 	}
-	m.session = r.Session
-	m.answered = time.Time{}
-	m.missed = 0
+	m.epoch = r.Session
+	m.answeredAt = time.Time{}
+	m.missedStarts = 0
 }
 
 // markUnreachable notes that no answer or command seems to reach a machine whose reports
@@ -37,25 +37,25 @@
 		return
 	}
 	m.unreachableSince = now
-	s.changed = true
-	for k, t := range m.on {
-		if t.sent && !t.seen {
-			s.stop(k, 0, now) // not repeated: the next report proves it absent
+	s.placementDue = true
+	for k, t := range m.tasks {
+		if t.sent && !t.reported {
+			s.stopTask(k, 0, now) // not repeated: the next report proves it absent
 		}
 	}
 }
 
 // markReached notes that an answer was seen to arrive at a machine.
 func (s *Shard) markReached(m *Machine) {
-	m.missed = 0
+	m.missedStarts = 0
 	if !m.unreachableSince.IsZero() {
 		m.unreachableSince = time.Time{}
-		s.changed = true
+		s.placementDue = true
 	}
 }
 
 // staysUnreachable reports whether a machine is to be given back because no answer was
 // seen to reach it for longer than a lease, by which one would have shown.
 func (s *Shard) staysUnreachable(m *Machine, now time.Time) bool {
-	return !m.unreachableSince.IsZero() && now.Sub(m.unreachableSince) > s.cfg.Lease+2*s.cfg.Report
+	return !m.unreachableSince.IsZero() && now.Sub(m.unreachableSince) > s.cfg.Lease+2*s.cfg.HeartbeatInterval
 }
--- a/internal/scheduler/unreadable.go
+++ b/internal/scheduler/unreadable.go
@@ -28,94 +28,94 @@
 // that somebody has restored or deleted it.
 const rereadUnreadableEvery = 15 * time.Second
 
-// unreadable is what a part knows of its records of placements that can't be decoded.
-type unreadable struct {
-	slots    []*placementRecord
-	newest   uint64 // the highest of their versions
-	unheard  bool   // machines have not reported yet since the part was taken over
-	rereadAt time.Time
+// unreadableRecords is what a part knows of its records of placements that can't be decoded.
+type unreadableRecords struct {
+	records        []*placementRecord
+	newestVersion  uint64 // the highest of their versions
+	awaitsMachines bool   // machines have not reported yet since the part was taken over
+	rereadAt       time.Time
 }
 
-// passOver takes in that a record of placements can't be decoded. Plain ranges have no turns,
+// passOverUnreadable takes in that a record of placements can't be decoded. Plain ranges have no turns,
 // so that what is adopted could not be told from what a restored record tells: the part turns to
 // stated ones, and as long as a controller of the first version may be there, the error stands.
-func (s *Shard) passOver(e wire.Entry, err error) error {
-	if !s.upgraded {
+func (s *Shard) passOverUnreadable(e wire.Entry, err error) error {
+	if !s.sizedAllowed {
 		return err
 	}
-	s.SetStated()
-	s.settling.malformed = append(s.settling.malformed, err)
+	s.UseSizedRanges()
+	s.reconciliation.malformed = append(s.reconciliation.malformed, err)
 	n, keyErr := strconv.Atoi(record.Last(e.Key))
 	if keyErr != nil {
 		return keyErr
 	}
-	rec := s.slot(n)
+	rec := s.placementRecord(n)
 	rec.version, rec.unreadable = e.Version, true
-	s.unreadable.slots = append(s.unreadable.slots, rec)
-	s.unreadable.newest = max(s.unreadable.newest, e.Version)
+	s.unreadable.records = append(s.unreadable.records, rec)
+	s.unreadable.newestVersion = max(s.unreadable.newestVersion, e.Version)
 	return nil
 }
 
-// withhold keeps the jobs from being started that a record which can't be decoded may tell of.
-func (s *Shard) withhold() {
-	if len(s.unreadable.slots) == 0 {
+// withholdJobs keeps the jobs from being started that a record which can't be decoded may tell of.
+func (s *Shard) withholdJobs() {
+	if len(s.unreadable.records) == 0 {
 		return
 	}
-	s.unreadable.unheard = true
+	s.unreadable.awaitsMachines = true
 	for _, j := range s.jobs {
 		// The record of a job that was cancelled or released may be newer than the job.
-		rewritten := j.cancelled || j.line != alone
-		j.withheld = rewritten || j.version <= s.unreadable.newest
+		rewritten := j.cancelled || j.pipeline != singleJob
+		j.withheld = rewritten || j.version <= s.unreadable.newestVersion
 	}
 }
 
-// laterTurn is a turn above that of any range on record.
-func (s *Shard) laterTurn() int { return int(s.token) }
+// overridingTurn is a turn above that of any range on record.
+func (s *Shard) overridingTurn() int { return int(s.token) }
 
-// releaseWithheld lets jobs go on of which nothing can be unknown any more.
-func (s *Shard) releaseWithheld(now time.Time) {
+// releaseWithheldJobs lets jobs go on of which nothing can be unknown any more.
+func (s *Shard) releaseWithheldJobs(now time.Time) {
 	u := &s.unreadable
-	if len(u.slots) == 0 {
+	if len(u.records) == 0 {
 		return
 	}
 	if !now.Before(u.rereadAt) {
 		u.rereadAt = now.Add(rereadUnreadableEvery)
-		for _, rec := range u.slots {
-			s.out.RereadSlots = append(s.out.RereadSlots, rec.n)
+		for _, rec := range u.records {
+			s.effects.RereadPlacements = append(s.effects.RereadPlacements, rec.number)
 		}
 	}
-	s.alarm(u.rereadAt)
-	if u.unheard && s.awaitsInherited() {
+	s.wakeAt(u.rereadAt)
+	if u.awaitsMachines && s.awaitsInheritedMachines() {
 		return
 	}
-	s.changed = s.changed || u.unheard
-	u.unheard = false
+	s.placementDue = s.placementDue || u.awaitsMachines
+	u.awaitsMachines = false
 	for _, j := range s.jobs {
-		if j.withheld && (j.cancelled || j.idleTasks == 0) {
+		if j.withheld && (j.cancelled || j.pendingTasks == 0) {
 			j.withheld = false
-			s.supersede(j)
-			s.ends(j)
+			s.supersedeRecorded(j)
+			s.queueIfTerminal(j)
 		}
 	}
 }
 
-// supersede makes what is known of all of a job's tasks count before what the record tells.
-func (s *Shard) supersede(j *Job) {
-	for _, c := range j.chunks {
-		c.turn = max(c.turn, s.laterTurn())
-		c.slot.dirty, c.slot.moved = true, true
+// supersedeRecorded makes what is known of all of a job's tasks count before what the record tells.
+func (s *Shard) supersedeRecorded(j *Job) {
+	for _, c := range j.ranges {
+		c.turn = max(c.turn, s.overridingTurn())
+		c.record.dirty, c.record.rangeAwaited = true, true
 	}
 }
 
 // withheldRange is a range for a task of a withheld job: of that one alone, since nothing is
 // known of its neighbours.
-func (s *Shard) withheldRange(j *Job, i int) *chunk {
-	return &chunk{job: j, first: i, end: i + 1, turn: s.laterTurn()}
+func (s *Shard) withheldRange(j *Job, i int) *taskRange {
+	return &taskRange{job: j, first: i, end: i + 1, turn: s.overridingTurn()}
 }
 
-// awaitsInherited reports whether a machine that the part had when it was taken over has
+// awaitsInheritedMachines reports whether a machine that the part had when it was taken over has
 // neither reported under the part's token nor is proven gone.
-func (s *Shard) awaitsInherited() bool {
+func (s *Shard) awaitsInheritedMachines() bool {
 	for _, m := range s.machines {
 		if m.inherited && !m.fenced {
 			return true
@@ -124,35 +124,35 @@
 	return false
 }
 
-// adoptWithheld takes in that a worker has a task of a withheld job that has no place on
+// adoptWithheldTask takes in that a worker has a task of a withheld job that has no place on
 // record, or an outdated one: a higher attempt was only made once the one on record was proven
 // gone. It reports whether the task is placed there from now on.
-func (s *Shard) adoptWithheld(k key, m *Machine, rt *wire.HeartbeatTask, now time.Time) bool {
+func (s *Shard) adoptWithheldTask(k taskKey, m *Machine, rt *wire.HeartbeatTask, now time.Time) bool {
 	j := k.job
 	if !j.withheld || rt.State == wire.Exited {
 		return false
 	}
-	switch t := &j.tasks[k.i]; {
-	case t.state == idle:
-	case t.state == placed && t.inherited && !t.seen && rt.Attempt > t.attempt:
-		s.judge(t, reconcile.Missing)
-		s.take(k, now)
+	switch t := &j.tasks[k.index]; {
+	case t.state == pending:
+	case t.state == placed && t.inherited && !t.reported && rt.Attempt > t.attempt:
+		s.recordOutcome(t, reconcile.Missing)
+		s.unplaceTask(k, now)
 	default:
 		return false
 	}
-	t := s.put(k, m, rt.Attempt, now)
-	t.recorded, t.inherited, t.steps = true, true, nil
-	j.chunkAt(k.i).slot.moved = true // to be written, though nothing is to be started
+	t := s.placeTask(k, m, rt.Attempt, now)
+	t.recorded, t.inherited, t.trace = true, true, nil
+	j.rangeAt(k.index).record.rangeAwaited = true // to be written, though nothing is to be started
 	if j.cancelled {
-		s.stop(k, 0, now)
+		s.stopTask(k, 0, now)
 	}
 	return true
 }
 
-// unreadableRead takes in a record that could not be decoded as it is now. If it was restored
+// unreadableReread takes in a record that could not be decoded as it is now. If it was restored
 // or deleted, the part is given up: whoever takes it over reads all records again.
-func (s *Shard) unreadableRead(rec *placementRecord, e *wire.Entry) {
+func (s *Shard) unreadableReread(rec *placementRecord, e *wire.Entry) {
 	if e == nil || e.Version != rec.version {
-		s.lost = true
+		s.ownershipLost = true
 	}
 }
--- a/internal/scheduler/unreadable_test.go
+++ b/internal/scheduler/unreadable_test.go
@@ -15,7 +15,7 @@
 // unreadableRig is a part whose only record of placements is damaged: it told of a job that
 // runs on a machine, and of another with one task done and one to be started again.
 type unreadableRig struct {
-	*rig
+	*harness
 	worker     *testkit.Worker
 	runs, half wire.Spec
 	key        string
@@ -24,25 +24,25 @@
 
 func newUnreadableRig(t *testing.T) *unreadableRig {
 	t.Helper()
-	r := newRig(t)
+	r := newHarness(t)
 	r.upgraded = true
-	r.claim()
+	r.failOver()
 	w := r.machine("m1", "z1", false)
-	r.beats(2)
+	r.heartbeats(2)
 	u := &unreadableRig{
-		rig: r, worker: w, key: record.PlacementsKey(r.id, 0),
+		harness: r, worker: w, key: record.PlacementsKey(r.id, 0),
 		runs: spec("run-000001", "b", wire.Array, "normal", 1, 1),
 		half: spec("run-000002", "b", wire.Array, "normal", 2, 1),
 	}
 	r.submit(u.runs)
 	r.submit(u.half)
-	r.beats(3)
+	r.heartbeats(3)
 	w.End("run-000002/0", wire.Done)
 	w.End("run-000002/1", wire.WhyError)
-	r.beats(1)
+	r.heartbeats(1)
 	u.intact = slices.Clone(r.get(u.key).Value)
 	u.state.Put(u.key, "nonsense")
-	r.claim()
+	r.failOver()
 	return u
 }
 
@@ -50,17 +50,17 @@
 // is not started again, and new jobs go on once all machines have reported.
 func TestUnreadablePlacementsAreIsolated(t *testing.T) {
 	u := newUnreadableRig(t)
-	if len(u.part.Malformed()) != 1 {
-		t.Fatalf("told of %v", u.part.Malformed())
+	if len(u.shard.MalformedRecords()) != 1 {
+		t.Fatalf("told of %v", u.shard.MalformedRecords())
 	}
 	started := len(u.worker.Started)
 	other := u.machine("m2", "z1", false)
 	u.submit(spec("run-000003", "b", wire.Array, "normal", 1, 1))
-	u.beats(4, other)
+	u.heartbeats(4, other)
 	if len(other.Started) != 0 {
 		t.Fatalf("started %v while a machine is silent", other.Started)
 	}
-	u.beats(4)
+	u.heartbeats(4)
 	if u.on("run-000001/0") != "m1" {
 		t.Error("the running task was not adopted")
 	}
@@ -72,7 +72,7 @@
 		t.Errorf("started %v, want the new job alone", all)
 	}
 	u.worker.End("run-000001/0", wire.Done)
-	u.beats(3)
+	u.heartbeats(3)
 	if u.jobState(u.runs.Ref) != wire.Done || u.jobState(u.half.Ref) != wire.Pending {
 		t.Errorf("the jobs are %q and %q, want done and pending", u.jobState(u.runs.Ref), u.jobState(u.half.Ref))
 	}
@@ -84,8 +84,8 @@
 // An adopted task is on record: the next owner finds it also while its machine is silent.
 func TestAdoptedPlacementIsRecorded(t *testing.T) {
 	u := newUnreadableRig(t)
-	u.beats(4)
-	u.claim()
+	u.heartbeats(4)
+	u.failOver()
 	if got := u.on("run-000001/0"); got != "m1" {
 		t.Fatalf("after another take-over the task is on %q", got)
 	}
@@ -97,13 +97,13 @@
 	other := u.machine("m2", "z1", false)
 	u.cancel(u.runs)()
 	u.cancel(u.half)()
-	u.beats(4, other)
+	u.heartbeats(4, other)
 	for _, spec := range []wire.Spec{u.runs, u.half} {
 		if u.get(record.FinishedJobKey(spec.Ref)) != nil {
 			t.Fatalf("%s has ended while its machine is silent", spec.Ref)
 		}
 	}
-	u.beats(6)
+	u.heartbeats(6)
 	for _, spec := range []wire.Spec{u.runs, u.half} {
 		if u.get(record.FinishedJobKey(spec.Ref)) == nil {
 			t.Errorf("the end of %s is not recorded", spec.Ref)
@@ -119,21 +119,21 @@
 func TestRestoredPlacementsCountLast(t *testing.T) {
 	u := newUnreadableRig(t)
 	u.state.Put(u.key, json.RawMessage(u.intact))
-	u.claim()
-	u.beats(6) // the second task of the other job runs again
+	u.failOver()
+	u.heartbeats(6) // the second task of the other job runs again
 	if u.on("run-000002/1") != "m1" {
 		t.Fatal("not started")
 	}
 	u.intact = slices.Clone(u.get(u.key).Value)
 	u.state.Put(u.key, "nonsense")
-	u.claim()
-	u.beats(2)
+	u.failOver()
+	u.heartbeats(2)
 	u.worker.End("run-000002/1", wire.Done)
-	u.beats(6)
+	u.heartbeats(6)
 	started := len(u.worker.Started)
 	u.state.Put(u.key, json.RawMessage(u.intact))
-	u.claim()
-	u.beats(6)
+	u.failOver()
+	u.heartbeats(6)
 	if again := u.worker.Started[started:]; len(again) > 0 {
 		t.Errorf("started %v again", again)
 	}
@@ -157,12 +157,12 @@
 	for name, f := range mend {
 		t.Run(name, func(t *testing.T) {
 			u := newUnreadableRig(t)
-			u.beats(4)
+			u.heartbeats(4)
 			f(u)
 			for range 20 {
-				u.beat()
-				if u.part.Lost() {
-					u.claim()
+				u.heartbeat()
+				if u.shard.OwnershipLost() {
+					u.failOver()
 				}
 			}
 			if u.on("run-000001/0") != "m1" {
@@ -171,7 +171,7 @@
 			u.worker.End("run-000001/0", wire.Done)
 			u.worker.End("run-000002/0", wire.Done)
 			u.worker.End("run-000002/1", wire.Done)
-			u.beats(3)
+			u.heartbeats(3)
 			if u.jobState(u.runs.Ref) != wire.Done || u.jobState(u.half.Ref) != wire.Done {
 				t.Error("the jobs do not end")
 			}
--- a/internal/scheduler/unrecorded.go
+++ b/internal/scheduler/unrecorded.go
@@ -14,8 +14,8 @@
 // records. If several machines have tasks of which there is none, they were lost; if one alone
 // has, after a while that is its own error, and its tasks are strays.
 
-// doubt is a reported task that the records do not know.
-type doubt struct {
+// unrecordedTask is a reported task that the records do not know.
+type unrecordedTask struct {
 	machine   string
 	since     time.Time
 	runs      bool // it was not reported as exited
@@ -30,84 +30,84 @@
 }
 
 const (
-	// maxDoubts bounds the tasks that are remembered.
-	maxDoubts = 4096
-	// machinesToBelieve is how many machines must have unrecorded tasks for records to be lost.
-	machinesToBelieve = 2
-	// reportsToBelieve is for how many intervals of reports other machines may yet tell.
-	reportsToBelieve = 2
+	// maxUnrecordedTasks bounds the tasks that are remembered.
+	maxUnrecordedTasks = 4096
+	// machinesToConfirmLoss is how many machines must have unrecorded tasks for records to be lost.
+	machinesToConfirmLoss = 2
+	// heartbeatsToConfirmLoss is for how many intervals of reports other machines may yet tell.
+	heartbeatsToConfirmLoss = 2
 )
 
-// SetStrict makes the part ask for what the records do not know.
-func (s *Shard) SetStrict() {
-	s.strict, s.doubts, s.explained = true, map[string]*doubt{}, map[string]struct{}{}
+// DetectDataLoss makes the part ask for what the records do not know.
+func (s *Shard) DetectDataLoss() {
+	s.detectsDataLoss, s.unrecordedTasks, s.explainedTasks = true, map[string]*unrecordedTask{}, map[string]struct{}{}
 }
 
-// Explain takes in that records were found that explain a reported task: its job is over, or
+// ExplainUnrecorded takes in that records were found that explain a reported task: its job is over, or
 // another part's.
-func (s *Shard) Explain(task string) {
-	if len(s.explained) >= maxDoubts {
-		clear(s.explained) // what is reported again is looked for again
+func (s *Shard) ExplainUnrecorded(task string) {
+	if len(s.explainedTasks) >= maxUnrecordedTasks {
+		clear(s.explainedTasks) // what is reported again is looked for again
 	}
-	s.explained[task] = struct{}{}
-	delete(s.doubts, task)
-	s.changed = true
+	s.explainedTasks[task] = struct{}{}
+	delete(s.unrecordedTasks, task)
+	s.placementDue = true
 }
 
 // ConfirmUnrecorded takes in that no record explains a reported task, and reports whether so
 // many machines have such tasks that the records must be lost.
 func (s *Shard) ConfirmUnrecorded(task string) bool {
-	if d := s.doubts[task]; d != nil {
+	if d := s.unrecordedTasks[task]; d != nil {
 		d.confirmed = true
 	}
 	machines := map[string]bool{}
-	for _, d := range s.doubts {
+	for _, d := range s.unrecordedTasks {
 		if d.confirmed && d.runs {
 			machines[d.machine] = true
 		}
 	}
-	return len(machines) >= machinesToBelieve
+	return len(machines) >= machinesToConfirmLoss
 }
 
-// doubtful reports whether a reported task is one that the records should know and do not, so
+// suspectDataLoss reports whether a reported task is one that the records should know and do not, so
 // that nothing may be done about it yet. The job is nil if the part does not hold it.
-func (s *Shard) doubtful(m *Machine, rt *wire.HeartbeatTask, j *Job, i int, now time.Time) bool {
-	if !s.strict || (j != nil && (j.withheld || i >= len(j.tasks))) {
+func (s *Shard) suspectDataLoss(m *Machine, rt *wire.HeartbeatTask, j *Job, i int, now time.Time) bool {
+	if !s.detectsDataLoss || (j != nil && (j.withheld || i >= len(j.tasks))) {
 		return false
 	}
 	recorded := uint64(0)
 	if j != nil {
-		if c := j.chunkAt(i); c != nil {
+		if c := j.rangeAt(i); c != nil {
 			recorded = c.attempt
 		}
 		if rt.Attempt <= recorded {
 			return false
 		}
 	}
-	if _, explained := s.explained[rt.Task]; explained {
+	if _, explained := s.explainedTasks[rt.Task]; explained {
 		return false
 	}
-	if d := s.doubts[rt.Task]; d != nil {
-		return d.open(now, s.cfg.Report)
+	if d := s.unrecordedTasks[rt.Task]; d != nil {
+		return d.undecided(now, s.cfg.HeartbeatInterval)
 	}
-	if len(s.doubts) >= maxDoubts {
+	if len(s.unrecordedTasks) >= maxUnrecordedTasks {
 		return true
 	}
-	s.doubts[rt.Task] = &doubt{machine: m.ID, since: now, runs: rt.State != wire.Exited}
-	s.out.Unrecorded = append(s.out.Unrecorded, Unrecorded{Task: rt.Task, Machine: m.ID, Attempt: rt.Attempt, Recorded: recorded, KnownJob: j != nil})
+	s.unrecordedTasks[rt.Task] = &unrecordedTask{machine: m.ID, since: now, runs: rt.State != wire.Exited}
+	s.effects.Unrecorded = append(s.effects.Unrecorded, Unrecorded{Task: rt.Task, Machine: m.ID, Attempt: rt.Attempt, Recorded: recorded, KnownJob: j != nil})
 	return true
 }
 
-// open reports whether a doubt is not decided yet: after a while it is a worker's own error.
-func (d *doubt) open(now time.Time, report time.Duration) bool {
-	return !d.confirmed || now.Sub(d.since) < reportsToBelieve*report
+// undecided reports whether a doubt is not decided yet: after a while it is a worker's own error.
+func (d *unrecordedTask) undecided(now time.Time, report time.Duration) bool {
+	return !d.confirmed || now.Sub(d.since) < heartbeatsToConfirmLoss*report
 }
 
-// awaitReports puts starts off after a take-over if records of placements seem to be missing:
+// awaitHeartbeats puts starts off after a take-over if records of placements seem to be missing:
 // there are none though the part has machines, or their numbers, which are given out in order,
 // have gaps. What runs by them is in the workers' first reports.
-func (s *Shard) awaitReports(slots []wire.Entry, now time.Time) {
-	if !s.strict || len(s.machines) == 0 {
+func (s *Shard) awaitHeartbeats(slots []wire.Entry, now time.Time) {
+	if !s.detectsDataLoss || len(s.machines) == 0 {
 		return
 	}
 	highest := -1
@@ -117,19 +117,19 @@
 		}
 	}
 	if len(slots) == 0 || highest >= len(slots) {
-		s.reportsDue = now.Add(reportsToBelieve * s.cfg.Report)
+		s.heartbeatsAwaitedUntil = now.Add(heartbeatsToConfirmLoss * s.cfg.HeartbeatInterval)
 	}
 }
 
-// awaitsReports reports whether starts are put off: records seem to be missing, or it is not
+// awaitsHeartbeats reports whether starts are put off: records seem to be missing, or it is not
 // known yet why a worker has what they do not.
-func (s *Shard) awaitsReports(now time.Time) bool {
-	waits := now.Before(s.reportsDue) && s.awaitsInherited()
-	for _, d := range s.doubts {
-		waits = waits || d.open(now, s.cfg.Report)
+func (s *Shard) awaitsHeartbeats(now time.Time) bool {
+	waits := now.Before(s.heartbeatsAwaitedUntil) && s.awaitsInheritedMachines()
+	for _, d := range s.unrecordedTasks {
+		waits = waits || d.undecided(now, s.cfg.HeartbeatInterval)
 	}
 	if waits {
-		s.alarm(now.Add(s.cfg.Report / 4))
+		s.wakeAt(now.Add(s.cfg.HeartbeatInterval / 4))
 	}
 	return waits
 }
--- a/internal/scheduler/upgrade_test.go
+++ b/internal/scheduler/upgrade_test.go
@@ -22,7 +22,7 @@
 
 // upgradeRig is a part of which the first version wrote the records, as
 // testdata/production.json holds them.
-func upgradeRig(t testing.TB) *rig {
+func upgradeRig(t testing.TB) *harness {
 	t.Helper()
 	data, err := os.ReadFile("testdata/production.json")
 	if err != nil {
@@ -32,14 +32,14 @@
 	if err := json.Unmarshal(data, &all); err != nil {
 		t.Fatal(err)
 	}
-	r := newRig(t)
+	r := newHarness(t)
 	r.cfg.Teams = map[string]Team{"b": {Name: "b"}}
-	r.cfg.SlotTasks, r.cfg.TxnOps, r.cfg.ValueBytes = SlotTasks(wideBytes/1024), tightOps, tightBytes
+	r.cfg.PlacementsPerRecord, r.cfg.TxnOps, r.cfg.ValueBytes = PlacementsPerRecord(wideBytes/1024), tightOps, tightBytes
 	for key, v := range all {
 		r.state.Put(key, v)
 	}
-	r.claim()
-	for _, m := range r.part.machines {
+	r.failOver()
+	for _, m := range r.shard.machines {
 		r.workers[m.ID] = testkit.NewWorker(m.ID, m.Type.Name, m.Zone, m.Spot)
 	}
 	return r
@@ -95,9 +95,9 @@
 		for i := range j.tasks {
 			switch t := &j.tasks[i]; {
 			case t.state == placed && t.recorded:
-				f.on[key{j, i}.name()] = record.TaskPlacement{Machine: t.machine.ID, Attempt: t.attempt}
-			case t.state == done && t.durable:
-				f.done[key{j, i}.name()] = true
+				f.on[taskKey{j, i}.name()] = record.TaskPlacement{Machine: t.machine.ID, Attempt: t.attempt}
+			case t.state == completed && t.completionRecorded:
+				f.done[taskKey{j, i}.name()] = true
 			}
 		}
 	}
@@ -106,10 +106,10 @@
 
 func (f facts) equal(g facts) bool { return maps.Equal(f.on, g.on) && maps.Equal(f.done, g.done) }
 
-func (r *rig) slots() []wire.Entry { return r.list(record.ShardPlacementsPrefix(0)) }
+func (r *harness) slots() []wire.Entry { return r.list(record.ShardPlacementsPrefix(0)) }
 
 // runAs lets workers run what is recorded, as they did under the first version.
-func (r *rig) runAs(f facts) {
+func (r *harness) runAs(f facts) {
 	for task, pl := range f.on {
 		r.workers[pl.Machine].Tasks[task] = &testkit.WorkerTask{Attempt: pl.Attempt, State: wire.Running}
 	}
@@ -119,39 +119,39 @@
 // come back, what is written is plain and tells it the same.
 func TestUpgradeReadsAndKeepsPlainRecords(t *testing.T) {
 	r := upgradeRig(t)
-	before := plainFacts(t, r.slots(), r.cfg.chunkTasks())
+	before := plainFacts(t, r.slots(), r.cfg.unsizedRangeTasks())
 	if len(before.on) < 200 || len(before.done) < 50 {
 		t.Fatalf("testdata: %d placements, %d completions", len(before.on), len(before.done))
 	}
-	if got := partFacts(r.part); !got.equal(before) {
+	if got := partFacts(r.shard); !got.equal(before) {
 		t.Fatalf("read %d placements and %d completions, want %d and %d", len(got.on), len(got.done), len(before.on), len(before.done))
 	}
-	if j := r.part.jobs["run-000008"]; j == nil || !j.held {
+	if j := r.shard.jobs["run-000008"]; j == nil || !j.awaitsDependencies {
 		t.Fatal("a held job without a pipeline was let go")
 	}
 	r.runAs(before)
 	for round := range 6 {
 		r.endSome(round)
-		r.beats(2)
+		r.heartbeats(2)
 		for _, e := range r.slots() {
 			var s record.Placements
 			if err := json.Unmarshal(e.Value, &s); err != nil || s.Format != 0 {
 				t.Fatalf("%s: format %d, %v", e.Key, s.Format, err)
 			}
 		}
-		if got, want := plainFacts(t, r.slots(), r.cfg.chunkTasks()), partFacts(r.part); !maps.Equal(onLive(r, got.on), want.on) {
+		if got, want := plainFacts(t, r.slots(), r.cfg.unsizedRangeTasks()), partFacts(r.shard); !maps.Equal(onLive(r, got.on), want.on) {
 			t.Fatalf("round %d: the first version would read %d placements, want %d", round, len(got.on), len(want.on))
 		}
 		if round%2 == 1 {
-			r.claim() // perhaps by the first version: nothing but the records counts
+			r.failOver() // perhaps by the first version: nothing but the records counts
 		}
 	}
 }
 
 // onLive leaves the placements that count: of tasks that are proven gone the
 // record is rewritten with the next start only.
-func onLive(r *rig, on map[string]record.TaskPlacement) map[string]record.TaskPlacement {
-	live := partFacts(r.part).on
+func onLive(r *harness, on map[string]record.TaskPlacement) map[string]record.TaskPlacement {
+	live := partFacts(r.shard).on
 	out := map[string]record.TaskPlacement{}
 	for task, pl := range on {
 		if live[task] == pl {
@@ -162,7 +162,7 @@
 }
 
 // endSome lets about a tenth of what runs end.
-func (r *rig) endSome(seed int) {
+func (r *harness) endSome(seed int) {
 	names := slices.Sorted(maps.Keys(r.workers))
 	n := seed
 	for _, id := range names {
@@ -176,7 +176,7 @@
 }
 
 // oneOwner checks that no task runs in two places, whatever the records say.
-func (r *rig) oneOwner() {
+func (r *harness) oneOwner() {
 	r.t.Helper()
 	at := map[string]string{}
 	for id, w := range r.workers {
@@ -199,23 +199,23 @@
 	for seed := range uint64(12) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
 		r := upgradeRig(t)
-		r.runAs(plainFacts(t, r.slots(), r.cfg.chunkTasks()))
+		r.runAs(plainFacts(t, r.slots(), r.cfg.unsizedRangeTasks()))
 		r.state.Limit(wideBytes, wideOps)
 		// The limits fall after any of the writes from then on.
 		at, falls, writes := rnd.IntN(6), rnd.IntN(25), 0
 		r.afterTxn = func() {
-			if writes++; r.part.stated && writes > falls {
+			if writes++; r.shard.sized && writes > falls {
 				r.state.Limit(tightBytes, tightOps)
 			}
 		}
 		for round := range 60 {
 			if round >= at {
-				r.part.SetStated() // each controller's word is there for every owner
+				r.shard.UseSizedRanges() // each controller's word is there for every owner
 			}
 			if round < 40 {
 				switch rnd.IntN(5) {
 				case 0:
-					r.claim()
+					r.failOver()
 				case 1:
 					r.state.LoseAnswers = 1 + rnd.IntN(2)
 				case 2:
@@ -225,16 +225,16 @@
 				}
 			}
 			if round >= at {
-				r.part.SetStated()
+				r.shard.UseSizedRanges()
 			}
 			r.endSome(rnd.IntN(10))
-			r.beat()
+			r.heartbeat()
 			r.oneOwner()
 		}
 		r.state.Release()
 		for range 200 {
 			r.endAll()
-			r.beat()
+			r.heartbeat()
 			r.oneOwner()
 		}
 		if got := r.jobState("run-000001"); got != wire.Done {
@@ -253,11 +253,11 @@
 }
 
 // known checks that whoever took the part over now would know of all that runs.
-func (r *rig) known() {
+func (r *harness) known() {
 	r.t.Helper()
-	next := New(r.cfg, 0, r.part.token)
-	if r.part.stated {
-		next.SetStated() // as the controller knows from the words of all
+	next := New(r.cfg, 0, r.shard.token)
+	if r.shard.sized {
+		next.UseSizedRanges() // as the controller knows from the words of all
 	}
 	if err := next.Load(r.fleet, r.list(record.ActiveJobPrefix), r.slots(), r.clock.Now()); err != nil {
 		r.t.Fatal(err)
@@ -270,8 +270,8 @@
 			}
 		}
 	}
-	for task := range partFacts(r.part).done {
-		if ref, _, _ := SplitTask(task); r.part.jobs[ref].ending == nil && !got.done[task] {
+	for task := range partFacts(r.shard).done {
+		if ref, _, _ := SplitTask(task); r.shard.jobs[ref].endTxn == nil && !got.done[task] {
 			r.t.Fatalf("%s is done, and a new owner would start it again", task)
 		}
 	}
@@ -283,10 +283,10 @@
 	for seed := range uint64(8) {
 		rnd := rand.New(rand.NewPCG(seed, 2))
 		r := upgradeRig(t)
-		r.runAs(plainFacts(t, r.slots(), r.cfg.chunkTasks()))
-		r.beats(2)
+		r.runAs(plainFacts(t, r.slots(), r.cfg.unsizedRangeTasks()))
+		r.heartbeats(2)
 		r.state.Limit(tightBytes, tightOps)
-		r.part.SetStated()
+		r.shard.UseSizedRanges()
 		steps := 0
 		r.afterTxn = func() { steps++; r.known() }
 		for range 40 {
@@ -300,10 +300,10 @@
 				}
 			}
 			if rnd.IntN(4) == 0 {
-				r.claim()
-				r.part.SetStated()
+				r.failOver()
+				r.shard.UseSizedRanges()
 			}
-			r.beat()
+			r.heartbeat()
 			r.oneOwner()
 		}
 		if steps < 25 {
--- a/internal/scheduler/versions.go
+++ b/internal/scheduler/versions.go
@@ -23,7 +23,7 @@
 		}
 	case strings.HasPrefix(key, record.ShardPlacementsPrefix(s.id)):
 		n, err := strconv.Atoi(last)
-		if rec := s.slots[n]; err == nil && rec != nil && !rec.unreadable {
+		if rec := s.placements[n]; err == nil && rec != nil && !rec.unreadable {
 			return rec.version
 		}
 	}
@@ -33,7 +33,7 @@
 // HeardWithin reports whether a machine was heard in some time.
 func (s *Shard) HeardWithin(id string, d time.Duration, now time.Time) bool {
 	m := s.machines[id]
-	return m != nil && m.up && now.Sub(m.heard) < d
+	return m != nil && m.up && now.Sub(m.heardAt) < d
 }
 
 // Lease is how long a worker's tasks outlive its last answered report.
