--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -19,8 +19,10 @@
 	"bramblespur/internal/agent"
 	"bramblespur/internal/cloud"
 	"bramblespur/internal/config"
+	"bramblespur/internal/controller/admission"
 	"bramblespur/internal/controller/leader"
 	"bramblespur/internal/controller/membership"
+	"bramblespur/internal/controller/overload"
 	"bramblespur/internal/controller/rejectlog"
 	"bramblespur/internal/controller/terminal"
 	"bramblespur/internal/controller/transport"
@@ -63,6 +65,9 @@
 	terminalStates    *terminal.Cache
 	linearizableReads *Batcher
 	peerHealth        *membership.PeerHealth
+	overload          *overload.Detector
+	admission         *admission.Limiter // of users' requests
+	rejections        *rejectlog.Log
 
 	duties *leader.Leader // its state is guarded by mu
 
@@ -101,10 +106,6 @@
 	held              map[string]*held
 	readiness         membership.Readiness
 	commands          chan struct{} // direct commands under way, each on a socket of its own
-	pressure          pressure
-	users             int // their requests being served
-	polls             int // those of them that only ask
-	rejections        *rejectlog.Log
 }
 
 // activeJob is what polls need to know of an unfinished job.
@@ -206,6 +207,8 @@
 	c.held = map[string]*held{}
 	c.peerHealth = membership.NewPeerHealth()
 	c.rejections = rejectlog.New(c.log)
+	c.overload = overload.NewDetector(c.log, c.cfg.Params.Resources.CPUShare, membership.LeaseTTL)
+	c.admission = admission.NewLimiter(c.cfg.Params.Resources, c.overload.Behind)
 	c.duties = leader.New(leaderHost{c}, c.cfg, c.policy, c.log)
 	c.drains = newDrains()
 }
@@ -281,7 +284,7 @@
 	for due := time.Now().Add(tickEvery); sleep(ctx, tickEvery); due = time.Now().Add(tickEvery) {
 		now := time.Now()
 		c.mu.Lock()
-		c.turn(now.Sub(due), now)
+		c.overload.Observe(now.Sub(due), now)
 		cut := c.partitionedZones(now)
 		backlog := c.store.Backlog()
 		for _, shard := range c.shards {
@@ -289,7 +292,7 @@
 				shard.UseSizedRanges()
 			}
 			shard.SetPartitionedZones(cut)
-			shard.SetOverloaded(c.pressure.behind)
+			shard.SetOverloaded(c.overload.Behind())
 			shard.SetBacklog(backlog)
 			c.step(shard, now)
 		}
@@ -332,12 +335,12 @@
 	case req.Path == wire.HeartbeatPath, req.Path == wire.ReadyPath:
 		return transport.Response{Status: 405}, true
 	}
-	if !c.admits(req) {
+	if !c.admission.Admit(req) {
 		return retryReply(), true
 	}
 	go func() {
 		r := c.serveUserRequest(req)
-		c.letGo(req)
+		c.admission.Release(req)
 		answer(r)
 	}()
 	return transport.Response{}, false
--- a/internal/controller/leader_host.go
+++ b/internal/controller/leader_host.go
@@ -51,7 +51,7 @@
 func (h leaderHost) ClusterLocked(now time.Time) leader.Cluster {
 	c := h.c
 	cluster := leader.Cluster{
-		Self: c.cfg.Label, Isolated: c.status.cutFromAll, Behind: c.pressure.behind,
+		Self: c.cfg.Label, Isolated: c.status.cutFromAll, Behind: c.overload.Behind(),
 		Owners: map[int]string{}, Preferred: c.preferredOwner, Members: map[string]leader.Member{}, Now: now,
 	}
 	for id, r := range c.shardRecords {
@@ -158,12 +158,11 @@
 
 // LoadLocked implements leader.Limits.
 func (h leaderHost) LoadLocked(now time.Time) leader.Load {
-	p := &h.c.pressure
-	return leader.Load{At: now, Recovering: !p.keepsUp(now), HasRoom: p.hasRoom(now)}
+	return leader.Load{At: now, Recovering: !h.c.overload.KeepsUp(now), HasRoom: h.c.overload.HasRoom(now)}
 }
 
 // BehindLocked implements leader.Limits.
-func (h leaderHost) BehindLocked() bool { return h.c.pressure.behind }
+func (h leaderHost) BehindLocked() bool { return h.c.overload.Behind() }
 
 // OrdersWaitingLocked implements leader.Limits.
 func (h leaderHost) OrdersWaitingLocked() int { return h.c.delayedCommands() }
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -11,17 +11,24 @@
 	"bramblespur/internal/wire"
 )
 
-const leaseRetry = 400 * time.Millisecond // after a renewal without success
+const (
+	leaseRetry = 400 * time.Millisecond // after a renewal without success
+	// A strained process renews its lease each strainedRenewInterval, without awaiting
+	// the answers, of which at most maxPendingRenewals are under way: its timers and the
+	// answers are late.
+	strainedRenewInterval = membership.LeaseTTL / 8
+	maxPendingRenewals    = 8
+)
 
 // leaseLoop keeps this controller's lease and its member record.
 func (c *Controller) leaseLoop(ctx context.Context) {
-	early := make(chan struct{}, renewalsAtOnce)
+	early := make(chan struct{}, maxPendingRenewals)
 	for {
 		sent := time.Now()
 		lease := c.lease.Current()
-		if lease.ID != 0 && c.strained() {
+		if lease.ID != 0 && c.overload.Strained() {
 			c.renewEarly(ctx, lease.ID, sent, early)
-			if !sleep(ctx, renewStrained) {
+			if !sleep(ctx, strainedRenewInterval) {
 				return
 			}
 			continue
@@ -39,13 +46,6 @@
 	}
 }
 
-// strained reports whether the process gets a little less of the processor than it needs.
-func (c *Controller) strained() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.pressure.strained
-}
-
 // renewEarly renews the lease without awaiting the answer, which a process that falls
 // behind reads as late as it fires its timers: one after the other the lease would end
 // in between.
--- /dev/null
+++ b/internal/controller/lease_strained_test.go
@@ -0,0 +1,89 @@
+package controller
+
+import (
+	"context"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"bramblespur/internal/controller/membership"
+	"bramblespur/internal/statestore"
+	"bramblespur/internal/testkit"
+)
+
+// lateAnswers is a state service whose answers are read late, as by a process that
+// falls behind. Its leases end when they are not renewed in time.
+type lateAnswers struct {
+	*testkit.State
+	late    time.Duration
+	mu      sync.Mutex
+	renewed time.Time
+	pending int // renewals whose answers wait
+	most    int
+}
+
+func (s *lateAnswers) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
+	s.mu.Lock()
+	s.renewed = time.Now()
+	s.mu.Unlock()
+	return s.State.Grant(ctx, ttl)
+}
+
+func (s *lateAnswers) Renew(context.Context, uint64) error {
+	s.mu.Lock()
+	gone := time.Since(s.renewed) >= membership.LeaseTTL
+	if !gone {
+		s.renewed = time.Now()
+	}
+	s.pending++
+	s.most = max(s.most, s.pending)
+	late := s.late
+	s.mu.Unlock()
+	time.Sleep(late)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.pending--
+	if gone {
+		return statestore.ErrNoLease
+	}
+	return nil
+}
+
+// A process that falls behind keeps its lease, from before that shows: it renews it
+// without awaiting the answers, which it reads late. One by one the renewals would come too late.
+func TestStrainedKeepsItsLease(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		state := &lateAnswers{State: testkit.NewState()}
+		c := newTest(t, state.State)
+		ctx, cancel := context.WithCancel(t.Context())
+		c.store = state
+		c.lease.Grant(membership.LeaseState{})
+		go c.leaseLoop(ctx)
+		time.Sleep(2 * membership.LeaseTTL)
+		c.mu.Lock()
+		for !c.overload.Strained() {
+			c.overload.Observe(time.Second, time.Now())
+		}
+		lease := c.lease.Current().ID
+		c.mu.Unlock()
+		state.mu.Lock()
+		state.late = membership.LeaseTTL * 5 / 8
+		state.mu.Unlock()
+		for range 60 {
+			time.Sleep(time.Second)
+			c.mu.Lock()
+			if now := c.lease.Current(); !now.Certain(time.Now()) || now.ID != lease {
+				t.Errorf("lease %d of %d, renewed %v ago", now.ID, lease, time.Since(now.RenewedAt))
+			}
+			c.mu.Unlock()
+		}
+		state.mu.Lock()
+		if state.most > maxPendingRenewals+1 {
+			t.Errorf("%d renewals at once", state.most)
+		}
+		state.mu.Unlock()
+		cancel()
+		time.Sleep(membership.LeaseTTL)
+	})
+}
--- a/internal/controller/member_status.go
+++ b/internal/controller/member_status.go
@@ -30,7 +30,7 @@
 
 // statusNow returns this controller's status. The lock is held.
 func (c *Controller) statusNow(now time.Time) memberStatus {
-	s := memberStatus{cutFromPeers: len(c.peers) > 0, overloaded: c.pressure.overloaded}
+	s := memberStatus{cutFromPeers: len(c.peers) > 0, overloaded: c.overload.Overloaded()}
 	for label := range c.peers {
 		if c.peerHealth.Contact(label).AnsweredWithin(isolatedAfter, now) {
 			s.cutFromPeers = false
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"bramblespur/internal/controller/overload"
 	"bramblespur/internal/testkit"
 	"bramblespur/internal/wire"
 )
@@ -22,7 +23,7 @@
 				return
 			case now := <-tick.C:
 				c.mu.Lock()
-				c.turn(lateMost, now)
+				c.overload.Observe(time.Second, now)
 				c.mu.Unlock()
 			}
 		}
@@ -64,10 +65,10 @@
 					k.t.Errorf("%d more owners while the cause lasts", n)
 				}
 				heal()
-				if n := k.changes(part, leastRecovery*9/10); n > 0 {
-					k.t.Errorf("%d more owners before its home has kept up for %v", n, leastRecovery)
+				if n := k.changes(part, overload.MinRecovery*9/10); n > 0 {
+					k.t.Errorf("%d more owners before its home has kept up for %v", n, overload.MinRecovery)
 				}
-				k.await(leastRecovery, "at home", func() bool { return k.owner(part) == slow })
+				k.await(overload.MinRecovery, "at home", func() bool { return k.owner(part) == slow })
 			})
 		})
 	}
@@ -105,9 +106,9 @@
 	if c.mayLeave(r, "c-1", now) {
 		t.Error("sent to an owner that does not answer")
 	}
-	for !c.pressure.behind {
-		now = now.Add(tickEvery + lateMost)
-		c.turn(lateMost, now)
+	for !c.overload.Behind() {
+		now = now.Add(tickEvery + time.Second)
+		c.overload.Observe(time.Second, now)
 	}
 	if !c.mayLeave(r, "c-1", now) {
 		t.Error("kept by a controller that falls behind")
@@ -152,17 +153,17 @@
 		})
 		c := k.process(label).c
 		c.mu.Lock()
-		for !c.pressure.strained {
-			c.turn(2*lateStrained, time.Now())
+		for !c.overload.Strained() {
+			c.overload.Observe(60*time.Millisecond, time.Now())
 		}
 		c.mu.Unlock()
 		time.Sleep(longestHeld)
-		for end := time.Now().Add(holdAgainAfter / 2); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		for end := time.Now().Add(overload.RelaxedFor / 2); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 			if n := k.heldAt(label); n > 0 {
 				t.Fatalf("%d answers held", n)
 			}
 		}
-		k.await(2*inTimeFor, "a held answer once it keeps up", func() bool { return k.heldAt(label) > 0 })
+		k.await(2*overload.InTimeFor, "a held answer once it keeps up", func() bool { return k.heldAt(label) > 0 })
 	})
 }
 
--- a/internal/controller/redirects.go
+++ b/internal/controller/redirects.go
@@ -58,7 +58,7 @@
 // The lock is held.
 func (c *Controller) mayLeave(r *wire.Heartbeat, owner string, now time.Time) bool {
 	contact := c.peerHealth.Contact(owner)
-	return len(r.Tasks) == 0 || c.pressure.behind || contact.Answers(now) || contact.Refuses(now)
+	return len(r.Tasks) == 0 || c.overload.Behind() || contact.Answers(now) || contact.Refuses(now)
 }
 
 // reportsTo chooses the controller that a machine reports to: one of its own
--- a/internal/controller/usage_log.go
+++ b/internal/controller/usage_log.go
@@ -3,6 +3,8 @@
 import (
 	"context"
 	"runtime"
+
+	"bramblespur/internal/controller/overload"
 )
 
 // logUsageLoop logs what was used of the state service, by purpose, and of the memory.
@@ -14,11 +16,11 @@
 			args = append(args, purpose, n)
 		}
 		c.log.Info("state service used", args...)
-		m := readMemory()
-		c.log.Info("memory used", "held", m.held, "live", m.live, "goroutines", runtime.NumGoroutine())
+		m := overload.ReadMemory()
+		c.log.Info("memory used", "held", m.Held, "live", m.Live, "goroutines", runtime.NumGoroutine())
 		r, was := c.cfg.Params.Resources, short
-		if short = m.short(r); short && !was {
-			c.log.Info("memory is short: params.resources.memory_mb is too small", "memory_mb", r.MemoryMB, "held", m.held)
+		if short = m.Short(r); short && !was {
+			c.log.Info("memory is short: params.resources.memory_mb is too small", "memory_mb", r.MemoryMB, "held", m.Held)
 		}
 	}
 }
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -124,7 +124,7 @@
 // mayHold returns how long an answer may be held. A strained controller holds none: a held answer costs it a timer and another turn, while a start only waits for
 // the machine's next report. The lock is held.
 func (c *Controller) mayHold(shard *scheduler.Shard, machine string, now time.Time) time.Duration {
-	if c.pressure.strained {
+	if c.overload.Strained() {
 		return 0
 	}
 	return shard.LongPollTimeout(machine, now)
