--- a/internal/scheduler/lean_test.go
+++ b/internal/scheduler/allocations_test.go
@@ -64,7 +64,7 @@
 			}
 			r.shard.Step(now)
 		})
-		if m := r.shard.machines[id]; m.seq != rep.Seq || !m.fenced {
+		if m := r.shard.inventory.byID[id]; m.contact.seq != rep.Seq || !m.contact.fenced {
 			t.Fatal("the report was not taken in")
 		}
 		if got > reportAllocs {
--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -12,17 +12,17 @@
 // all of them.
 func (s *Shard) selectMachines(j *Job, n int, now time.Time) []*Machine {
 	spec := j.spec
-	if n == 1 && s.candidates.job == j {
-		return s.nextCandidate(j)
+	if n == 1 && s.pass.candidates.job == j {
+		return s.pass.candidates.next(j)
 	}
-	s.candidates.job = nil
+	s.pass.candidates.job = nil
 	var cands []*Machine
 	s.eachFeasibleMachine(spec, now, func(m *Machine) {
-		if j.failedOn[m.ID] && !j.atFault() {
+		if j.faults.machines[m.ID] && !j.atFault() {
 			return
 		}
 		if m.reservedForOther(j, now) {
-			if o := s.jobs[m.reserved]; o != nil && o.pendingTasks > 0 && s.yieldsReservation(j, o, now) {
+			if o := s.jobs[m.reservation.job]; o != nil && o.progress.pending > 0 && s.yieldsReservation(j, o, now) {
 				return
 			}
 		}
@@ -34,20 +34,20 @@
 	limit := j.zoneLimit()
 	only := ""
 	if spec.OneZone {
-		for z := range j.zones {
+		for z := range j.progress.placedByZone {
 			only = z
 		}
 	}
-	if n == 1 && (spec.Spread || spec.OneZone || j.pendingTasks == 1) {
+	if n == 1 && (spec.Spread || spec.OneZone || j.progress.pending == 1) {
 		return s.bestMachine(j, cands, limit, only)
 	}
 	scores := s.sortByScore(j, cands)
 	if n == 1 {
-		s.candidates = candidateCache{j, cands}
-		return s.nextCandidate(j)
+		s.pass.candidates = candidateCache{j, cands}
+		return s.pass.candidates.next(j)
 	}
 	if !spec.OneZone || only != "" {
-		return packMachines(spec, cands, n, j.zones, limit, only)
+		return packMachines(spec, cands, n, j.progress.placedByZone, limit, only)
 	}
 	// The zone that serves the whole gang best: it starts when the last of its
 	// tasks has the image.
@@ -59,7 +59,7 @@
 			continue
 		}
 		tried[m.Zone] = true
-		got := packMachines(spec, cands, n, j.zones, limit, m.Zone)
+		got := packMachines(spec, cands, n, j.progress.placedByZone, limit, m.Zone)
 		if got == nil {
 			continue
 		}
@@ -85,10 +85,10 @@
 // allowsZone reports whether a zone may take one more of a job's tasks, as those that
 // are placed leave it.
 func (j *Job) allowsZone(zone string) bool {
-	if j.spec.OneZone && len(j.zones) > 0 && j.zones[zone] == 0 {
+	if j.spec.OneZone && len(j.progress.placedByZone) > 0 && j.progress.placedByZone[zone] == 0 {
 		return false
 	}
-	return j.zones[zone] < j.zoneLimit()
+	return j.progress.placedByZone[zone] < j.zoneLimit()
 }
 
 // candidateCache is the candidates for a job's tasks, the best first, while no other
@@ -101,13 +101,13 @@
 // nextCandidate returns the machine for the next task of a job that places one after the
 // other: a wide array would else look at all free machines for each of them. A
 // machine that took one is fuller, and so stays the best until it is full.
-func (s *Shard) nextCandidate(j *Job) []*Machine {
-	for len(s.candidates.machines) > 0 {
-		m := s.candidates.machines[0]
+func (c *candidateCache) next(j *Job) []*Machine {
+	for len(c.machines) > 0 {
+		m := c.machines[0]
 		if r := freeRoom(m); fits(j.spec, r.cpus, r.gpus, r.mem) {
-			return s.candidates.machines[:1]
+			return c.machines[:1]
 		}
-		s.candidates.machines = s.candidates.machines[1:]
+		c.machines = c.machines[1:]
 	}
 	return nil
 }
@@ -143,7 +143,7 @@
 	var best *Machine
 	top := 0.0
 	for _, m := range cands {
-		if (only != "" && m.Zone != only) || j.zones[m.Zone] >= limit {
+		if (only != "" && m.Zone != only) || j.progress.placedByZone[m.Zone] >= limit {
 			continue
 		}
 		if v := s.score(j, m); best == nil || v > top || (v == top && m.ID < best.ID) {
--- a/internal/scheduler/orders.go
+++ b/internal/scheduler/commands.go
@@ -78,7 +78,7 @@
 	switch {
 	case t.stopping && k.job.cancelled:
 		return ratelimit.Exempt
-	case k.job.spec.Kind == wire.Service, s.withinGuarantee(k.job, 0), k.job.spec.Kind == wire.Gang && k.job.startSent():
+	case k.job.spec.Kind == wire.Service, s.quotas.withinGuarantee(k.job, 0), k.job.spec.Kind == wire.Gang && k.job.startSent():
 		return ratelimit.Urgent
 	}
 	return ratelimit.Routine
@@ -121,6 +121,6 @@
 	if !t.sent {
 		t.traceStep(func(st *startTrace) { st.sent = now })
 	}
-	t.sent, t.sentEpoch = true, m.epoch
+	t.sent, t.sentEpoch = true, m.contact.epoch
 	return wire.Command{Op: wire.Start, Task: k.name(), Attempt: t.attempt}
 }
--- a/internal/scheduler/unrecorded.go
+++ b/internal/scheduler/data_loss.go
@@ -14,6 +14,15 @@
 // records. If several machines have tasks of which there is none, they were lost; if one alone
 // has, after a while that is its own error, and its tasks are strays.
 
+// dataLossDetection compares what workers report with the records, if it is enabled.
+type dataLossDetection struct {
+	enabled   bool
+	suspected map[string]*unrecordedTask // reported tasks that the records do not know
+	explained map[string]struct{}        // those that turned out to be of terminal jobs
+	// heartbeatsAwaitedUntil is until when starts may wait for heartbeats after a failover.
+	heartbeatsAwaitedUntil time.Time
+}
+
 // unrecordedTask is a reported task that the records do not know.
 type unrecordedTask struct {
 	machine   string
@@ -40,28 +49,28 @@
 
 // DetectDataLoss makes the part ask for what the records do not know.
 func (s *Shard) DetectDataLoss() {
-	s.detectsDataLoss, s.unrecordedTasks, s.explainedTasks = true, map[string]*unrecordedTask{}, map[string]struct{}{}
+	s.dataLoss.enabled, s.dataLoss.suspected, s.dataLoss.explained = true, map[string]*unrecordedTask{}, map[string]struct{}{}
 }
 
 // ExplainUnrecorded takes in that records were found that explain a reported task: its job is over, or
 // another part's.
 func (s *Shard) ExplainUnrecorded(task string) {
-	if len(s.explainedTasks) >= maxUnrecordedTasks {
-		clear(s.explainedTasks) // what is reported again is looked for again
+	if len(s.dataLoss.explained) >= maxUnrecordedTasks {
+		clear(s.dataLoss.explained) // what is reported again is looked for again
 	}
-	s.explainedTasks[task] = struct{}{}
-	delete(s.unrecordedTasks, task)
+	s.dataLoss.explained[task] = struct{}{}
+	delete(s.dataLoss.suspected, task)
 	s.placementDue = true
 }
 
 // ConfirmUnrecorded takes in that no record explains a reported task, and reports whether so
 // many machines have such tasks that the records must be lost.
 func (s *Shard) ConfirmUnrecorded(task string) bool {
-	if d := s.unrecordedTasks[task]; d != nil {
+	if d := s.dataLoss.suspected[task]; d != nil {
 		d.confirmed = true
 	}
 	machines := map[string]bool{}
-	for _, d := range s.unrecordedTasks {
+	for _, d := range s.dataLoss.suspected {
 		if d.confirmed && d.runs {
 			machines[d.machine] = true
 		}
@@ -72,7 +81,7 @@
 // suspectDataLoss reports whether a reported task is one that the records should know and do not, so
 // that nothing may be done about it yet. The job is nil if the part does not hold it.
 func (s *Shard) suspectDataLoss(m *Machine, rt *wire.HeartbeatTask, j *Job, i int, now time.Time) bool {
-	if !s.detectsDataLoss || (j != nil && (j.withheld || i >= len(j.tasks))) {
+	if !s.dataLoss.enabled || (j != nil && (j.withheld || i >= len(j.tasks))) {
 		return false
 	}
 	recorded := uint64(0)
@@ -84,16 +93,16 @@
 			return false
 		}
 	}
-	if _, explained := s.explainedTasks[rt.Task]; explained {
+	if _, explained := s.dataLoss.explained[rt.Task]; explained {
 		return false
 	}
-	if d := s.unrecordedTasks[rt.Task]; d != nil {
+	if d := s.dataLoss.suspected[rt.Task]; d != nil {
 		return d.undecided(now, s.cfg.HeartbeatInterval)
 	}
-	if len(s.unrecordedTasks) >= maxUnrecordedTasks {
+	if len(s.dataLoss.suspected) >= maxUnrecordedTasks {
 		return true
 	}
-	s.unrecordedTasks[rt.Task] = &unrecordedTask{machine: m.ID, since: now, runs: rt.State != wire.Exited}
+	s.dataLoss.suspected[rt.Task] = &unrecordedTask{machine: m.ID, since: now, runs: rt.State != wire.Exited}
 	s.effects.Unrecorded = append(s.effects.Unrecorded, Unrecorded{Task: rt.Task, Machine: m.ID, Attempt: rt.Attempt, Recorded: recorded, KnownJob: j != nil})
 	return true
 }
@@ -107,7 +116,7 @@
 // there are none though the part has machines, or their numbers, which are given out in order,
 // have gaps. What runs by them is in the workers' first reports.
 func (s *Shard) awaitHeartbeats(slots []wire.Entry, now time.Time) {
-	if !s.detectsDataLoss || len(s.machines) == 0 {
+	if !s.dataLoss.enabled || len(s.inventory.byID) == 0 {
 		return
 	}
 	highest := -1
@@ -117,15 +126,15 @@
 		}
 	}
 	if len(slots) == 0 || highest >= len(slots) {
-		s.heartbeatsAwaitedUntil = now.Add(heartbeatsToConfirmLoss * s.cfg.HeartbeatInterval)
+		s.dataLoss.heartbeatsAwaitedUntil = now.Add(heartbeatsToConfirmLoss * s.cfg.HeartbeatInterval)
 	}
 }
 
 // awaitsHeartbeats reports whether starts are put off: records seem to be missing, or it is not
 // known yet why a worker has what they do not.
 func (s *Shard) awaitsHeartbeats(now time.Time) bool {
-	waits := now.Before(s.heartbeatsAwaitedUntil) && s.awaitsInheritedMachines()
-	for _, d := range s.unrecordedTasks {
+	waits := now.Before(s.dataLoss.heartbeatsAwaitedUntil) && s.awaitsInheritedMachines()
+	for _, d := range s.dataLoss.suspected {
 		waits = waits || d.undecided(now, s.cfg.HeartbeatInterval)
 	}
 	if waits {
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -43,7 +43,7 @@
 	r.after(jobB)
 	r.after(jobC, jobA, jobB)
 	r.heartbeats(3)
-	before := r.shard.arrivals
+	before := r.shard.arrivals.onDemand
 	if summary := r.shard.Summary(r.clock.Now()); slices.ContainsFunc(summary.Needs, func(n fleet.Need) bool { return n.Job == jobC }) {
 		t.Error("a job that waits for others asks for machines")
 	}
@@ -63,7 +63,7 @@
 	if got := started(w); !slices.Contains(got, jobC) {
 		t.Fatalf("started %v, want the job after both", got)
 	}
-	if r.shard.arrivals <= before {
+	if r.shard.arrivals.onDemand <= before {
 		t.Error("its release is no arrival")
 	}
 	if j := r.shard.jobs[jobC]; j.accepted.Sub(over).Abs() > time.Second {
@@ -95,8 +95,8 @@
 	r.after(jobD, jobC)
 	r.tellEnds()
 	r.heartbeats(2)
-	if r.jobState(jobD) != wire.Cancelled || len(r.shard.dependents) > 0 {
-		t.Errorf("a later one is %q, and %d are waited for", r.jobState(jobD), len(r.shard.dependents))
+	if r.jobState(jobD) != wire.Cancelled || len(r.shard.dependencies.dependents) > 0 {
+		t.Errorf("a later one is %q, and %d are waited for", r.jobState(jobD), len(r.shard.dependencies.dependents))
 	}
 	if got := started(w); !slices.Equal(got, []string{jobA}) {
 		t.Errorf("started %v", got)
@@ -155,7 +155,7 @@
 		t.Errorf("its deadline is %v", d)
 	}
 	r.shard.SetInheritedClaim("run-000002", fragment.Claim{Rank: Rank("low"), Needed: true})
-	for rank, ms := range r.shard.index.byRank {
+	for rank, ms := range r.shard.inventory.byRank {
 		for m := range ms {
 			n := 0
 			for k := range m.tasks {
@@ -163,8 +163,8 @@
 					n++
 				}
 			}
-			if m.tasksByRank[rank] != n {
-				t.Errorf("the index counts %d tasks of priority %d on %s, which has %d", m.tasksByRank[rank], rank, m.ID, n)
+			if m.entry.tasksByRank[rank] != n {
+				t.Errorf("the index counts %d tasks of priority %d on %s, which has %d", m.entry.tasksByRank[rank], rank, m.ID, n)
 			}
 		}
 	}
@@ -300,8 +300,8 @@
 			}
 		}
 		for _, r := range rigs {
-			if len(r.shard.dependents) > 0 || len(r.shard.jobs) > 0 {
-				t.Errorf("seed %d: part %d still holds %d jobs and waits for %d", seed, r.id, len(r.shard.jobs), len(r.shard.dependents))
+			if len(r.shard.dependencies.dependents) > 0 || len(r.shard.jobs) > 0 {
+				t.Errorf("seed %d: part %d still holds %d jobs and waits for %d", seed, r.id, len(r.shard.jobs), len(r.shard.dependencies.dependents))
 			}
 		}
 	}
--- a/internal/scheduler/push.go
+++ b/internal/scheduler/direct_commands.go
@@ -48,11 +48,11 @@
 // DirectStarts makes the command that brings what is recorded for a machine to it at
 // once, if its next report is far.
 func (s *Shard) DirectStarts(id string, now time.Time) (DirectCommand, bool) {
-	m := s.machines[id]
-	if m == nil || m.Addr == "" || m.epoch == 0 || !s.usable(m, now) || s.cfg.HeartbeatInterval < 2*directStartWorth {
+	m := s.inventory.byID[id]
+	if m == nil || m.Addr == "" || m.contact.epoch == 0 || !s.usable(m, now) || s.cfg.HeartbeatInterval < 2*directStartWorth {
 		return DirectCommand{}, false
 	}
-	d := DirectCommand{Machine: m.ID, Addr: m.Addr, Orders: wire.DirectOrders{Token: m.fencingToken(s), Session: m.epoch, Commands: s.startCommands(m, now)}}
+	d := DirectCommand{Machine: m.ID, Addr: m.Addr, Orders: wire.DirectOrders{Token: m.fencingToken(s), Session: m.contact.epoch, Commands: s.startCommands(m, now)}}
 	if len(d.Orders.Commands) == 0 {
 		return DirectCommand{}, false
 	}
@@ -67,7 +67,7 @@
 
 // CommandDone takes in how a direct command ended.
 func (s *Shard) CommandDone(d DirectCommand, o CommandOutcome, now time.Time) {
-	m := s.machines[d.Machine]
+	m := s.inventory.byID[d.Machine]
 	if m == nil {
 		return
 	}
@@ -90,7 +90,7 @@
 // dropOutdatedStarts drops the direct starts that can't be carried out any more, as a
 // report shows: its session is newer or it has seen a higher token.
 func (m *Machine) dropOutdatedStarts(r *wire.Heartbeat) {
-	if r.Session > m.epoch {
+	if r.Session > m.contact.epoch {
 		m.directStarts = nil
 	}
 	for name, run := range m.directStarts {
@@ -126,18 +126,18 @@
 func (s *Shard) raiseToken(m *Machine, now time.Time) {
 	due := m.retained >= raiseTokenRetained
 	for _, run := range m.directStarts {
-		if !run.answered && now.Sub(run.sentAt) > raiseTokenAfter && m.heardAt.After(run.sentAt) {
+		if !run.answered && now.Sub(run.sentAt) > raiseTokenAfter && m.contact.heardAt.After(run.sentAt) {
 			due = true
 		}
 	}
-	if !due || !m.fenced || m.txn != nil || m.versionUnknown {
+	if !due || !m.contact.fenced || m.record.txn != nil || m.record.versionUnknown {
 		return
 	}
 	at := record.OverrideKey(m.ID)
 	t := &Txn{machine: m, raisesToken: true, Purpose: purposeRaiseToken, Routine: true}
-	t.Body.If = []wire.Cond{s.ownershipCondition(), {Key: at, Version: m.version}}
+	t.Body.If = []wire.Cond{s.ownershipCondition(), {Key: at, Version: m.record.version}}
 	t.Body.Then = []wire.Op{{Put: at, Value: record.Encode(s.overrideRecord(m, s.id))}}
-	m.txn = t
+	m.record.txn = t
 	s.effects.Txns = append(s.effects.Txns, t)
 }
 
--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain.go
@@ -43,13 +43,13 @@
 // of changes of the drains' view.
 func (s *Shard) SetCordons(changes uint64, of func(m *Machine) (c Cordon, later bool)) {
 	s.drains.cordonsAsOf = changes
-	for _, m := range s.machines {
+	for _, m := range s.inventory.byID {
 		c, later := of(m)
 		if m.cordon == c && m.cordonedLater == later {
 			continue
 		}
 		m.cordon, m.cordonedLater = c, later
-		s.index.update(m)
+		s.inventory.update(m)
 		s.placementDue = true
 	}
 }
@@ -62,7 +62,7 @@
 func (s *Shard) DrainMachines(later bool, now time.Time) []*drain.Machine {
 	units := map[drain.UnitID]*drain.Unit{}
 	var out []*drain.Machine
-	for _, m := range s.machines {
+	for _, m := range s.inventory.byID {
 		if m.Phase != record.InUse || (m.cordon == NotCordoned && !(later && m.cordonedLater)) {
 			continue
 		}
@@ -85,7 +85,7 @@
 
 // responsive reports whether a machine is heard and reached, so that it can carry out a stop.
 func (s *Shard) responsive(m *Machine, now time.Time) bool {
-	return m.up && m.fenced && m.unreachableSince.IsZero() && now.Sub(m.heartbeatAt) < s.suspectAfter()
+	return m.contact.up && m.contact.fenced && m.contact.unreachableSince.IsZero() && now.Sub(m.contact.heartbeatAt) < s.suspectAfter()
 }
 
 // unitOf returns the unit that a task is interrupted with.
@@ -118,14 +118,14 @@
 	u := &drain.Unit{
 		UnitID: unitOf(k), Team: spec.Team, Class: spec.Class, Attempt: t.attempt, Service: spec.Kind == wire.Service, Tasks: 1,
 		Estimate: wire.Seconds(spec.EstimateS), Checkpoint: wire.Seconds(spec.CheckpointS), SaveTime: wire.Seconds(spec.SaveS),
-		Running: t.phase == wire.Running, Stopping: t.stopping || j.cancelled, OtherReplicasUp: j.runningTasks >= len(j.tasks)-1,
+		Running: t.phase == wire.Running, Stopping: t.stopping || j.cancelled, OtherReplicasUp: j.progress.running >= len(j.tasks)-1,
 	}
 	if u.Running {
 		u.RunTime = now.Sub(t.runningSince)
 	}
 	if u.Task == drain.WholeGang {
 		u.Tasks = len(j.tasks)
-		u.Running = j.runningTasks == len(j.tasks)
+		u.Running = j.progress.running == len(j.tasks)
 	}
 	u.LostWork = workLost(spec, u)
 	for _, o := range j.tasksOf(u.UnitID) {
@@ -155,7 +155,7 @@
 func (s *Shard) hasRoomFor(j *Job, n int, avoided bool, now time.Time) bool {
 	zone := ""
 	if j.spec.OneZone {
-		for z := range j.zones {
+		for z := range j.progress.placedByZone {
 			zone = z // the others of the gang stay there
 		}
 	}
@@ -237,7 +237,7 @@
 	var best *Machine
 	top := 0.0
 	s.eachFeasibleMachine(j.spec, now, func(m *Machine) {
-		if m.reserved != "" || !j.allowsZone(m.Zone) {
+		if m.reservation.job != "" || !j.allowsZone(m.Zone) {
 			return
 		}
 		if v := s.score(j, m); best == nil || v > top || (v == top && m.ID < best.ID) {
@@ -245,7 +245,7 @@
 		}
 	})
 	if best != nil {
-		s.reserve(best, j, 1, now.Add(preemptedReservation))
+		s.inventory.reserve(best, j, 1, now.Add(preemptedReservation))
 	}
 }
 
@@ -276,7 +276,7 @@
 		return drain.StillInterrupted
 	case t.attempt > attempt:
 		return drain.Recovered
-	case t.attempt == attempt && t.reported && t.machine.fenced:
+	case t.attempt == attempt && t.reported && t.machine.contact.fenced:
 		return drain.Unaffected // a stop of an earlier owner would be refused
 	}
 	return drain.StillInterrupted
--- a/internal/scheduler/attain.go
+++ b/internal/scheduler/feasibility.go
@@ -15,8 +15,8 @@
 // once everything there has ended that ends by itself or gives way to it. Machines
 // kept for a gang for which there will never be enough would serve nobody.
 func (s *Shard) feasible(j *Job, n int, zone string) bool {
-	within := s.withinGuarantee(j, n)
-	for _, m := range s.machines {
+	within := s.quotas.withinGuarantee(j, n)
+	for _, m := range s.inventory.byID {
 		s.candidatesExamined++
 		if (zone != "" && m.Zone != zone) || !m.staysInShard() || !allows(j.spec, m) {
 			continue
@@ -43,7 +43,7 @@
 func (s *Shard) roomInTime(m *Machine, j *Job, within bool) resources {
 	r := resources{m.Type.CPUs, m.Type.GPUs, m.Type.MemoryGB}
 	for k, t := range m.tasks {
-		goesOn := k.job.spec.Kind == wire.Service || (k.job.protected && k.job.pendingTasks > 0)
+		goesOn := k.job.spec.Kind == wire.Service || (k.job.protected && k.job.progress.pending > 0)
 		if goesOn && !t.stopping && !s.preemptible(k.job, j, within) {
 			r = r.minus(k.job.spec, 1)
 		}
@@ -57,5 +57,5 @@
 	if job.protected {
 		return false
 	}
-	return job.rank < j.rank || (within && job.spec.Team != j.spec.Team && s.overGuarantee(job.spec.Team))
+	return job.rank < j.rank || (within && job.spec.Team != j.spec.Team && s.quotas.overGuarantee(job.spec.Team))
 }
--- a/internal/scheduler/attain_test.go
+++ b/internal/scheduler/feasibility_test.go
@@ -57,7 +57,7 @@
 	r.submit(spec("run-000001", "b", wire.Array, "low", 9, 1))
 	r.heartbeats(2)
 	array := r.shard.jobs["run-000001"]
-	array.protected, r.shard.protected[array] = true, true
+	r.shard.protection.add(array)
 	r.submit(gangOf("run-000002", 2))
 	r.submit(gangOf("run-000003", 1))
 	r.machine("m1", "z1", false)
@@ -142,7 +142,7 @@
 	r.submit(spec("run-000001", "b", wire.Array, "low", 2, 1))
 	r.heartbeats(2)
 	array := r.shard.jobs["run-000001"]
-	array.protected, r.shard.protected[array] = true, true
+	r.shard.protection.add(array)
 	if top := r.shard.Summary(r.clock.Now()).Machines[0].TopRank; top < Rank("urgent") || top >= Rank("prod") {
 		t.Errorf("priority %d is told for it", top)
 	}
--- a/internal/scheduler/delay_test.go
+++ b/internal/scheduler/gang_start_delay_test.go
@@ -110,7 +110,7 @@
 	m := r.machine("m1", "z1", false)
 	r.heartbeats(2, m)
 	due := r.clock.Now().Add(5 * time.Second)
-	r.shard.delayedStarts[r.shard.machines["m1"]] = due
+	r.shard.delayedStarts[r.shard.inventory.byID["m1"]] = due
 	if eff := r.shard.Step(due.Add(-time.Millisecond)); len(eff.StartsReady) != 0 {
 		t.Fatalf("woken before it is due: %v", eff.StartsReady)
 	}
--- a/internal/scheduler/report.go
+++ b/internal/scheduler/heartbeat.go
@@ -20,13 +20,13 @@
 // Heartbeat takes in a worker's report and returns the answer. A direct report is
 // the answer to a command; it gets no orders.
 func (s *Shard) Heartbeat(r *wire.Heartbeat, direct bool, now time.Time) (wire.Orders, HeartbeatDisposition) {
-	m := s.machines[r.Machine]
+	m := s.inventory.byID[r.Machine]
 	if m == nil {
 		return wire.Orders{}, NotMine
 	}
 	token := m.fencingToken(s)
 	freshness := reconcile.Fresh(reconcile.OrderOf(r),
-		reconcile.Order{Session: m.epoch, Seq: m.seq}, r.Token, token)
+		reconcile.Order{Session: m.contact.epoch, Seq: m.contact.seq}, r.Token, token)
 	if freshness == reconcile.Deposed {
 		return wire.Orders{}, Deposed
 	}
@@ -34,10 +34,10 @@
 	if freshness == reconcile.Late {
 		return orders, Answered // it settles, starts and renews nothing
 	}
-	defer s.index.update(m)
+	defer s.inventory.update(m)
 	m.dropOutdatedStarts(r)
 	s.applyEpoch(m, r, now)
-	m.seq = r.Seq
+	m.contact.seq = r.Seq
 	m.Addr = r.Addr
 	// After a take-over nobody remembers the last report, so the first ones may
 	// be late copies: only one under our own token proves the machine alive.
@@ -46,7 +46,7 @@
 		s.markAlive(m, direct, now)
 	}
 	if !direct {
-		m.answeredAt = now
+		m.contact.answeredAt = now
 	}
 	s.applyReclaimNotice(m, r, now)
 	if freshness == reconcile.Unfenced {
@@ -59,8 +59,8 @@
 		}
 		return orders, Answered
 	}
-	if !m.fenced {
-		m.fenced = true
+	if !m.contact.fenced {
+		m.contact.fenced = true
 		s.markReached(m)
 		s.placementDue = true
 	}
@@ -83,16 +83,16 @@
 
 // markAlive takes in that a machine sent a report that is no late copy.
 func (s *Shard) markAlive(m *Machine, direct bool, now time.Time) {
-	if !m.up || now.Sub(m.heardAt) > s.cfg.SilentAfter {
-		m.steadySince = now
+	if !m.contact.up || now.Sub(m.contact.heardAt) > s.cfg.SilentAfter {
+		m.contact.steadySince = now
 	}
-	m.heardAt = now
+	m.contact.heardAt = now
 	m.probes.failed, m.probes.unansweredPastLease = 0, 0
-	if !direct || !m.fenced { // one that was told our token reports at once
-		m.heartbeatAt = now
+	if !direct || !m.contact.fenced { // one that was told our token reports at once
+		m.contact.heartbeatAt = now
 	}
-	if !m.up {
-		m.up = true
+	if !m.contact.up {
+		m.contact.up = true
 		s.placementDue = true
 	}
 }
@@ -101,10 +101,10 @@
 // machine counts as unreachable.
 func (s *Shard) countMissedStart(m *Machine, missed bool, now time.Time) {
 	if !missed {
-		m.missedStarts = 0
+		m.contact.missedStarts = 0
 		return
 	}
-	if m.missedStarts++; m.missedStarts >= unreachableAfter {
+	if m.contact.missedStarts++; m.contact.missedStarts >= unreachableAfter {
 		s.markUnreachable(m, now)
 	}
 }
@@ -136,10 +136,10 @@
 // setPhase takes in what a report says of a placed task.
 func (t *task) setPhase(j *Job, phase string) {
 	if t.phase == wire.Running {
-		j.runningTasks--
+		j.progress.running--
 	}
 	if t.phase = phase; phase == wire.Running {
-		j.runningTasks++
+		j.progress.running++
 	}
 }
 
@@ -168,12 +168,12 @@
 // on it; a job failing on several machines is at fault itself, backs off and
 // burns no more machines. Until that is settled a job avoids where it failed.
 func (s *Shard) countFailure(j *Job, m *Machine, now time.Time) {
-	if j.failedOn == nil {
-		j.failedOn = map[string]bool{}
+	if j.faults.machines == nil {
+		j.faults.machines = map[string]bool{}
 	}
-	j.failedOn[m.ID] = true
+	j.faults.machines[m.ID] = true
 	if j.atFault() {
-		j.failures++
+		j.faults.count++
 		j.notBefore = now.Add(s.backoff(j))
 		return
 	}
@@ -186,7 +186,7 @@
 	}
 }
 
-func (j *Job) atFault() bool { return len(j.failedOn) >= badJobMachines }
+func (j *Job) atFault() bool { return len(j.faults.machines) >= badJobMachines }
 
 const (
 	// badJobMachines is on how many machines a job must fail to be at fault.
@@ -197,7 +197,7 @@
 )
 
 func (s *Shard) backoff(j *Job) time.Duration {
-	d := s.cfg.HeartbeatInterval << min(j.failures, 6)
+	d := s.cfg.HeartbeatInterval << min(j.faults.count, 6)
 	return min(d, maxBackoff)
 }
 
--- a/internal/scheduler/index.go
+++ b/internal/scheduler/inventory.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"slices"
 	"time"
 
 	"bramblespur/internal/record"
@@ -25,7 +26,8 @@
 type machineSet map[*Machine]struct{}
 
 // index finds machines without walking all of them.
-type index struct {
+type inventory struct {
+	byID        map[string]*Machine
 	byRoom      map[machineClass]machineSet
 	byImage     map[string]machineSet
 	byRank      [highestRank + 1]machineSet // those with a task of this priority
@@ -37,8 +39,8 @@
 	cpus        float64         // of all machines
 }
 
-func newIndex() index {
-	x := index{byRoom: map[machineClass]machineSet{}, byImage: map[string]machineSet{}, reserved: map[string]machineSet{}, commandsDue: machineSet{}, evicting: machineSet{}, pendingJobs: map[string]*Job{}}
+func newInventory() inventory {
+	x := inventory{byID: map[string]*Machine{}, byRoom: map[machineClass]machineSet{}, byImage: map[string]machineSet{}, reserved: map[string]machineSet{}, commandsDue: machineSet{}, evicting: machineSet{}, pendingJobs: map[string]*Job{}}
 	for r := range x.byRank {
 		x.byRank[r] = machineSet{}
 	}
@@ -67,51 +69,51 @@
 	f := freeRoom(m)
 	return machineClass{
 		typ: m.Type.Name, zone: m.Zone, spot: m.Spot,
-		open: m.up && m.Phase == record.InUse && !m.draining && m.cordon == NotCordoned && m.transferTo < 0 && m.unreachableSince.IsZero(),
+		open: m.contact.up && m.Phase == record.InUse && !m.draining && m.cordon == NotCordoned && m.transferTo < 0 && m.contact.unreachableSince.IsZero(),
 		cpus: int(math.Floor(f.cpus + slack)), gpus: int(math.Floor(f.gpus + slack)),
 	}
 }
 
 // update puts a machine where it belongs after its room or its state has changed.
-func (x *index) update(m *Machine) {
+func (x *inventory) update(m *Machine) {
 	c := m.class()
-	if m.indexed && c == m.indexedClass {
+	if m.entry.indexed && c == m.entry.class {
 		return
 	}
-	if m.indexed {
-		remove(x.byRoom, m.indexedClass, m)
+	if m.entry.indexed {
+		remove(x.byRoom, m.entry.class, m)
 	} else {
 		x.cpus += m.Type.CPUs
 		for _, i := range m.images {
 			insert(x.byImage, i.Name, m)
 		}
 	}
-	m.indexed, m.indexedClass = true, c
+	m.entry.indexed, m.entry.class = true, c
 	insert(x.byRoom, c, m)
 }
 
 // drop forgets a machine.
-func (x *index) drop(m *Machine) {
-	if !m.indexed {
+func (x *inventory) drop(m *Machine) {
+	if !m.entry.indexed {
 		return
 	}
-	m.indexed = false
+	m.entry.indexed = false
 	x.cpus -= m.Type.CPUs
-	remove(x.byRoom, m.indexedClass, m)
+	remove(x.byRoom, m.entry.class, m)
 	for _, i := range m.images {
 		remove(x.byImage, i.Name, m)
 	}
 	for r := range x.byRank {
 		delete(x.byRank[r], m)
 	}
-	remove(x.reserved, m.reserved, m)
+	remove(x.reserved, m.reservation.job, m)
 	delete(x.commandsDue, m)
 	delete(x.evicting, m)
 }
 
 // countTask counts a task of some priority on a machine, or one less.
-func (x *index) countTask(m *Machine, rank, n int) {
-	if m.tasksByRank[rank] += n; m.tasksByRank[rank] > 0 {
+func (x *inventory) countTask(m *Machine, rank, n int) {
+	if m.entry.tasksByRank[rank] += n; m.entry.tasksByRank[rank] > 0 {
 		x.byRank[rank][m] = struct{}{}
 	} else {
 		delete(x.byRank[rank], m)
@@ -119,8 +121,8 @@
 }
 
 // updatePending notes whether a job has a task without a place.
-func (x *index) updatePending(j *Job) {
-	if j.pendingTasks > 0 {
+func (x *inventory) updatePending(j *Job) {
+	if j.progress.pending > 0 {
 		x.pendingJobs[j.ref] = j
 	} else {
 		delete(x.pendingJobs, j.ref)
@@ -130,7 +132,7 @@
 // eachFeasibleMachine calls f for the machines that may have room for a task of s now. Machines
 // that only look as if they had are few: rooms are rounded down.
 func (s *Shard) eachFeasibleMachine(spec *wire.Spec, now time.Time, f func(*Machine)) {
-	for c, ms := range s.index.byRoom {
+	for c, ms := range s.inventory.byRoom {
 		if !c.open || (c.spot && !spec.Spot) || (spec.Zone != nil && *spec.Zone != c.zone) ||
 			spec.CPUs >= float64(c.cpus+1) || spec.GPUs >= float64(c.gpus+1) {
 			continue
@@ -143,3 +145,21 @@
 		}
 	}
 }
+
+// recordCachedImage takes in that an image was used on a machine, and which older ones
+// its cache can no longer hold.
+func (x *inventory) recordCachedImage(m *Machine, name string, gb float64) {
+	m.images = slices.DeleteFunc(m.images, func(i record.Image) bool { return i.Name == name })
+	m.images = append(m.images, record.Image{Name: name, GB: gb})
+	insert(x.byImage, name, m)
+	sum := 0.0
+	for i := len(m.images) - 1; i >= 0; i-- {
+		if sum += m.images[i].GB; sum > m.Type.CacheGB && i < len(m.images)-1 {
+			for _, old := range m.images[:i+1] {
+				remove(x.byImage, old.Name, m)
+			}
+			m.images = slices.Clone(m.images[i+1:])
+			break
+		}
+	}
+}
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load_records.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return err
 	}
-	for _, m := range s.machines {
+	for _, m := range s.inventory.byID {
 		m.inherited = true
 	}
 	for _, e := range open {
@@ -53,13 +53,13 @@
 	fresh := j.uncovered(l.first, l.end, l.end-l.first)
 	if len(fresh) == 1 && fresh[0] == [2]int{l.first, l.end} {
 		c := &taskRange{job: j, first: l.first, end: l.end, turn: r.Turn}
-		s.assignRange(c, l.record)
+		s.ledger.assign(c, l.record)
 		c.turn = r.Turn
 	} else {
 		for _, span := range fresh {
 			c := &taskRange{job: j, first: span[0], end: span[1], turn: r.Turn, previous: l.record}
 			// A slot that waits for what leaves it must not be where that goes.
-			s.assignRange(c, s.recordWithRoom(s.rangeBytes(c, s.sized), l.record))
+			s.ledger.assign(c, s.ledger.recordWithRoom(s.ledger.rangeBytes(c, s.ledger.sized), l.record))
 			l.record.departed[c] = struct{}{}
 			if l.record.sized { // which can't be written before this is
 				c.record.dirty, c.record.urgent, c.record.rangeAwaited = true, true, true
@@ -86,11 +86,11 @@
 		if !mine(i) || j.tasks[i].state != pending {
 			continue
 		}
-		m := s.machines[pl.Machine]
+		m := s.inventory.byID[pl.Machine]
 		if m == nil {
 			// Given back or empty when it moved: proven gone before. If its record was lost
 			// instead, its worker reports before this is over.
-			if s.detectsDataLoss {
+			if s.dataLoss.enabled {
 				j.notBefore = now.Add(heartbeatsToConfirmLoss * s.cfg.HeartbeatInterval)
 			}
 			continue
--- a/internal/scheduler/held_answers.go
+++ b/internal/scheduler/long_poll.go
@@ -10,8 +10,8 @@
 // is decided meanwhile reaches the machine at once. A machine without tasks has
 // nothing to tell; one with some tells of their ends a little later.
 func (s *Shard) LongPollTimeout(id string, now time.Time) time.Duration {
-	m := s.machines[id]
-	if m == nil || !s.usable(m, now) || !m.fenced {
+	m := s.inventory.byID[id]
+	if m == nil || !s.usable(m, now) || !m.contact.fenced {
 		return 0
 	}
 	if len(m.tasks) == 0 {
@@ -30,7 +30,7 @@
 
 // ParkedOrders returns the answer to a held report as things stand now.
 func (s *Shard) ParkedOrders(id string, now time.Time) (wire.Orders, bool) {
-	m := s.machines[id]
+	m := s.inventory.byID[id]
 	if m == nil {
 		return wire.Orders{}, false
 	}
--- a/internal/scheduler/health.go
+++ b/internal/scheduler/machine_health.go
@@ -33,18 +33,26 @@
 	}
 }
 
+// health is what the shard knows of its machines' zones and of its own controller.
+type health struct {
+	checkedAt        time.Time
+	partitionedZones map[string]bool            // no controller there can be reached from here
+	overloaded       bool                       // this controller falls behind: see lossReason
+	zoneCounts       map[silenceLimit]zoneCount // since the last check
+}
+
 // healthEvery is how often machines are looked over.
 const healthEvery = 250 * time.Millisecond
 
 func (s *Shard) checkHealth(now time.Time) {
-	if now.Sub(s.healthCheckedAt) < healthEvery {
+	if now.Sub(s.health.checkedAt) < healthEvery {
 		return
 	}
-	s.healthCheckedAt = now
-	s.zoneCounts = map[silenceLimit]zoneCount{}
+	s.health.checkedAt = now
+	s.health.zoneCounts = map[silenceLimit]zoneCount{}
 	s.probeMachines(now)
-	for _, m := range s.machines {
-		if m.txn != nil || m.versionUnknown || m.Phase != record.InUse || now.Before(m.retryAt) {
+	for _, m := range s.inventory.byID {
+		if m.record.txn != nil || m.record.versionUnknown || m.Phase != record.InUse || now.Before(m.record.retryAt) {
 			continue
 		}
 		// Only the answered return proves gone what may run there.
@@ -58,7 +66,7 @@
 			}
 		case m.cordon == CordonedForReturn && len(m.tasks) == 0:
 			s.releaseMachine(m, "drained", now)
-		case m.transferTo >= 0 && len(m.tasks) == 0 && m.fenced && m.directStartsAnswered():
+		case m.transferTo >= 0 && len(m.tasks) == 0 && m.contact.fenced && m.directStartsAnswered():
 			s.recordTransfer(m)
 		default:
 			s.raiseToken(m, now)
@@ -71,7 +79,7 @@
 // that says nothing for several leases is lost then.
 func (s *Shard) lossReason(m *Machine, now time.Time) string {
 	switch {
-	case s.overloaded && now.Sub(m.heardAt) < overloadedLeases*s.cfg.Lease:
+	case s.health.overloaded && now.Sub(m.contact.heardAt) < overloadedLeases*s.cfg.Lease:
 		return ""
 	case s.unresponsive(m, now):
 		return "no answer"
@@ -90,10 +98,10 @@
 const overloadedLeases = 4
 
 // SetOverloaded tells whether this controller falls behind with what it is sent.
-func (s *Shard) SetOverloaded(behind bool) { s.overloaded = behind }
+func (s *Shard) SetOverloaded(behind bool) { s.health.overloaded = behind }
 
 // SetPartitionedZones tells the zones of which no controller can be reached from here.
-func (s *Shard) SetPartitionedZones(zones map[string]bool) { s.partitionedZones = zones }
+func (s *Shard) SetPartitionedZones(zones map[string]bool) { s.health.partitionedZones = zones }
 
 // silent reports whether a machine is lost: its worker says nothing while
 // others in its zone do. When all of the part's machines in a zone are silent there
@@ -105,13 +113,13 @@
 // several times that.
 func (s *Shard) silent(m *Machine, now time.Time) bool {
 	limit := s.cfg.SilentAfter
-	if !m.up {
+	if !m.contact.up {
 		if len(m.tasks) == 0 {
 			return false // perhaps still booting: see overdue
 		}
 		limit += s.cfg.Lease / 2 // its worker has yet to find its new owner
 	}
-	if now.Sub(m.heardAt) < limit {
+	if now.Sub(m.contact.heardAt) < limit {
 		return false
 	}
 	others := s.countZone(silenceLimit{m.Zone, limit}, now)
@@ -121,18 +129,18 @@
 	}
 	patience := s.cfg.Lease + limit
 	switch {
-	case s.partitionedZones[m.Zone]:
+	case s.health.partitionedZones[m.Zone]:
 		patience *= 3
 	case m.Addr != "":
 		return m.probes.unansweredPastLease >= probesUntilLost
 	}
-	return now.Sub(m.heardAt) > patience
+	return now.Sub(m.contact.heardAt) > patience
 }
 
 // leaseExpired reports whether a machine has been silent for so long that its lease is
 // over, unless somebody else answers it, though its zone is not cut off from here.
 func (s *Shard) leaseExpired(m *Machine, now time.Time) bool {
-	return !s.partitionedZones[m.Zone] && now.Sub(m.heardAt) > s.cfg.Lease+s.heartbeatDue()
+	return !s.health.partitionedZones[m.Zone] && now.Sub(m.contact.heardAt) > s.cfg.Lease+s.heartbeatDue()
 }
 
 // silenceLimit is a zone, and how long a machine there may be silent.
@@ -147,32 +155,32 @@
 // countZone counts a zone's machines once for all that are looked at together: when
 // a zone falls silent, that is all of its machines.
 func (s *Shard) countZone(at silenceLimit, now time.Time) zoneCount {
-	if n, ok := s.zoneCounts[at]; ok {
+	if n, ok := s.health.zoneCounts[at]; ok {
 		return n
 	}
 	var n zoneCount
-	for _, o := range s.machines {
-		if o.Zone != at.zone || (!o.up && len(o.tasks) == 0) {
+	for _, o := range s.inventory.byID {
+		if o.Zone != at.zone || (!o.contact.up && len(o.tasks) == 0) {
 			continue
 		}
 		// Machines cut off together fall silent within one report's time: only
 		// one heard well after another speaks against that. When the cut ends they
 		// come back one by one: only one heard for as long as those that are silent
 		// are given does.
-		if o.up && now.Sub(o.heardAt) < at.limit/2 && now.Sub(o.steadySince) > at.limit {
+		if o.contact.up && now.Sub(o.contact.heardAt) < at.limit/2 && now.Sub(o.contact.steadySince) > at.limit {
 			n.heard++
 		} else {
 			n.quiet++
 		}
 	}
-	s.zoneCounts[at] = n
+	s.health.zoneCounts[at] = n
 	return n
 }
 
 // neverBooted reports whether a machine never came up.
 func (s *Shard) neverBooted(m *Machine, now time.Time) bool {
 	limit := time.Duration(s.cfg.BootFactor * m.Type.BootS * float64(time.Second))
-	return !m.up && len(m.tasks) == 0 && !s.partitionedZones[m.Zone] && now.Sub(m.provisionedAt) > limit && now.Sub(m.heardAt) > s.cfg.Lease
+	return !m.contact.up && len(m.tasks) == 0 && !s.health.partitionedZones[m.Zone] && now.Sub(m.provisionedAt) > limit && now.Sub(m.contact.heardAt) > s.cfg.Lease
 }
 
 // evictAll stops in an orderly way what runs on a machine that is to be empty.
@@ -205,12 +213,12 @@
 // sendStops sends stops straight to the workers: a report may be seconds away,
 // and a gang's tasks must be told within a short time of each other.
 func (s *Shard) sendStops(now time.Time) {
-	for m := range s.index.commandsDue {
-		delete(s.index.commandsDue, m)
-		if m.Addr == "" || m.epoch == 0 {
+	for m := range s.inventory.commandsDue {
+		delete(s.inventory.commandsDue, m)
+		if m.Addr == "" || m.contact.epoch == 0 {
 			continue
 		}
-		o := wire.DirectOrders{Token: m.fencingToken(s), Session: m.epoch, Commands: s.stopCommands(m, now)}
+		o := wire.DirectOrders{Token: m.fencingToken(s), Session: m.contact.epoch, Commands: s.stopCommands(m, now)}
 		if len(o.Commands) > 0 || m.announceToken {
 			m.announceToken = false
 			s.effects.DirectCommands = append(s.effects.DirectCommands, DirectCommand{Machine: m.ID, Addr: m.Addr, Orders: o})
--- a/internal/scheduler/machine_test.go
+++ b/internal/scheduler/machine_health_test.go
@@ -222,7 +222,7 @@
 		if takeOver {
 			r.failOver()
 		}
-		given := func(id string) bool { return r.shard.machines[id] == nil || r.phase(id) > 0 }
+		given := func(id string) bool { return r.shard.inventory.byID[id] == nil || r.phase(id) > 0 }
 		r.answers = []string{"m3", "m4"}
 		for i := range 40 {
 			r.heartbeats(1)
@@ -270,7 +270,7 @@
 		for range 6 {
 			r.probed(r.cfg.HeartbeatInterval, answers...)
 		}
-		if given := r.shard.machines["m1"] == nil || r.phase("m1") > 0; given == back {
+		if given := r.shard.inventory.byID["m1"] == nil || r.phase("m1") > 0; given == back {
 			t.Errorf("%s: given back %t", name, given)
 		}
 	}
--- a/internal/scheduler/behind_test.go
+++ b/internal/scheduler/overloaded_test.go
@@ -25,7 +25,7 @@
 				r.heartbeat(w2)
 				asked += r.probed(r.cfg.HeartbeatInterval, "m2")
 			}
-			if m := r.shard.machines[dead.ID]; m == nil || r.phase(dead.ID) > 0 {
+			if m := r.shard.inventory.byID[dead.ID]; m == nil || r.phase(dead.ID) > 0 {
 				t.Fatal("given back while nothing tells that it is lost")
 			}
 			if asked > 0 {
@@ -39,7 +39,7 @@
 				r.heartbeat(w2)
 				r.probed(r.cfg.HeartbeatInterval, "m2")
 			}
-			if m := r.shard.machines[dead.ID]; m != nil && r.phase(dead.ID) == 0 {
+			if m := r.shard.inventory.byID[dead.ID]; m != nil && r.phase(dead.ID) == 0 {
 				t.Error("never given back")
 			}
 		})
--- a/internal/scheduler/pipeline.go
+++ b/internal/scheduler/pipeline.go
@@ -35,19 +35,19 @@
 func (s *Shard) awaitDependencies(j *Job) {
 	j.pipeline = &pipeline{run: fragment.After(j.ref, j.spec.DependsOn)}
 	for _, r := range j.spec.DependsOn {
-		if s.dependents[r] == nil {
-			s.dependents[r] = map[*Job]struct{}{}
+		if s.dependencies.dependents[r] == nil {
+			s.dependencies.dependents[r] = map[*Job]struct{}{}
 		}
-		s.dependents[r][j] = struct{}{}
+		s.dependencies.dependents[r][j] = struct{}{}
 	}
 }
 
 // Dependencies returns the jobs, of this part or others, that jobs here wait for.
-func (s *Shard) Dependencies() []string { return slices.Collect(maps.Keys(s.dependents)) }
+func (s *Shard) Dependencies() []string { return slices.Collect(maps.Keys(s.dependencies.dependents)) }
 
 // DependencyEnded takes in the final record of a job that others wait for.
 func (s *Shard) DependencyEnded(ref string, end record.FinishedJob, now time.Time) {
-	for j := range s.dependents[ref] {
+	for j := range s.dependencies.dependents[ref] {
 		if end.State != wire.Done {
 			// All that needs a cancelled job is cancelled with it. Nothing of it has
 			// run, so its end can be recorded at once.
@@ -65,7 +65,7 @@
 			s.releaseJob(j, j.dependenciesEndedAt, now)
 		}
 	}
-	delete(s.dependents, ref)
+	delete(s.dependencies.dependents, ref)
 }
 
 // SetInheritedClaim gives a job what those that need it ask for.
@@ -79,8 +79,8 @@
 	}
 	for i := range j.tasks {
 		if m := j.tasks[i].machine; m != nil && j.rank != c.Rank {
-			s.index.countTask(m, j.rank, -1)
-			s.index.countTask(m, c.Rank, 1)
+			s.inventory.countTask(m, j.rank, -1)
+			s.inventory.countTask(m, c.Rank, 1)
 		}
 	}
 	j.rank, j.deadlineAt = c.Rank, c.Due
@@ -106,17 +106,17 @@
 // JobRecordGone takes in that a job that is held here has no open record any more: some
 // controller found a job that it needs cancelled, and recorded its end.
 func (s *Shard) JobRecordGone(ref string, now time.Time) {
-	if j := s.jobs[ref]; j != nil && j.awaitsDependencies && j.placedTasks == 0 && j.endTxn == nil && !j.versionUnknown {
+	if j := s.jobs[ref]; j != nil && j.awaitsDependencies && j.progress.placed == 0 && j.record.endTxn == nil && !j.record.versionUnknown {
 		s.removeJob(j, now)
 	}
 }
 
 // pipelineOf returns the pipeline of a job; its record is read when it is new.
 func (s *Shard) pipelineOf(ref string) *pipeline {
-	l := s.pipelines[ref]
+	l := s.dependencies.pipelines[ref]
 	if l == nil {
 		l = &pipeline{ref: ref}
-		s.pipelines[ref] = l
+		s.dependencies.pipelines[ref] = l
 		s.rereadPipeline(l)
 	}
 	return l
@@ -132,7 +132,7 @@
 // PipelineRead takes in a pipeline's record as read back, and the ends of those of its
 // jobs that it does not tell.
 func (s *Shard) PipelineRead(ref string, e *wire.Entry, others []record.PipelineJobEnd, now time.Time) error {
-	l := s.pipelines[ref]
+	l := s.dependencies.pipelines[ref]
 	if l == nil {
 		return nil
 	}
@@ -228,7 +228,7 @@
 	t.Body.If = append(t.Body.If, wire.Cond{Key: at, Version: l.version})
 	t.pipelineAfter, t.releasedJobs = next, map[*Job]record.ActiveJob{}
 	l.writing = true
-	if over := next.record.Over(s.valueBytes); over.State != "" {
+	if over := next.record.Over(s.ledger.valueBytes); over.State != "" {
 		next.record = over
 	}
 	ops := []wire.Op{{Put: at, Value: record.Encode(next.record)}}
@@ -237,8 +237,8 @@
 		opens[i] = record.ActiveJob{Spec: *released.spec, Shard: s.id, At: now.UnixMilli(), Pipeline: l.ref}
 		ops = append(ops, wire.Op{Put: record.ActiveJobKey(released.ref), Value: record.Encode(opens[i])})
 	}
-	large := func(op wire.Op) bool { return len(op.Value) > s.valueBytes }
-	if slices.ContainsFunc(ops, large) || len(t.Body.Then)+len(ops) > s.txnOps {
+	large := func(op wire.Op) bool { return len(op.Value) > s.ledger.valueBytes }
+	if slices.ContainsFunc(ops, large) || len(t.Body.Then)+len(ops) > s.ledger.txnOps {
 		// Too much for one piece, as the first version may have accepted it. What
 		// is released follows from the jobs' final records, so the job's end is
 		// enough; its condition keeps it from passing a withdrawal.
@@ -250,7 +250,7 @@
 	}
 	t.Body.Then = append(t.Body.Then, ops...)
 	for i, released := range free {
-		t.Body.If = append(t.Body.If, wire.Cond{Key: record.ActiveJobKey(released.ref), Version: released.version})
+		t.Body.If = append(t.Body.If, wire.Cond{Key: record.ActiveJobKey(released.ref), Version: released.record.version})
 		t.releasedJobs[released] = opens[i]
 	}
 	return true
@@ -284,7 +284,7 @@
 	}
 	s.cancelUnneeded(l, now)
 	if l.record.State != "" && len(s.activeJobsOf(l)) == 0 {
-		delete(s.pipelines, l.ref)
+		delete(s.dependencies.pipelines, l.ref)
 	}
 }
 
--- a/internal/scheduler/pipeline_test.go
+++ b/internal/scheduler/pipeline_test.go
@@ -93,8 +93,8 @@
 		if !slices.Equal(got, []string{jobA, jobB, jobC, jobD}) || r.pipeState() != wire.Done {
 			t.Errorf("claims each %d reports: started %v, pipeline %q", crash, got, r.pipeState())
 		}
-		if len(r.shard.pipelines) > 0 && crash == 0 {
-			t.Errorf("%d pipelines kept after the end", len(r.shard.pipelines))
+		if len(r.shard.dependencies.pipelines) > 0 && crash == 0 {
+			t.Errorf("%d pipelines kept after the end", len(r.shard.dependencies.pipelines))
 		}
 	}
 }
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/placement.go
@@ -10,8 +10,8 @@
 
 // usable reports whether new work may be placed on a machine.
 func (s *Shard) usable(m *Machine, now time.Time) bool {
-	return m.up && m.Phase == record.InUse && !m.draining && m.cordon == NotCordoned && m.transferTo < 0 && m.txn == nil && !m.versionUnknown &&
-		m.unreachableSince.IsZero() && (m.fenced || !m.inherited) && m.reclaimedAt.IsZero() && now.Sub(m.heartbeatAt) < s.suspectAfter()
+	return m.contact.up && m.Phase == record.InUse && !m.draining && m.cordon == NotCordoned && m.transferTo < 0 && m.record.txn == nil && !m.record.versionUnknown &&
+		m.contact.unreachableSince.IsZero() && (m.contact.fenced || !m.inherited) && m.reclaimedAt.IsZero() && now.Sub(m.contact.heartbeatAt) < s.suspectAfter()
 }
 
 // suspectAfter is when a silent machine gets no new work.
@@ -19,13 +19,13 @@
 
 func (j *Job) unitSize() int {
 	if j.spec.Kind == wire.Gang {
-		return j.pendingTasks // all, or what replaces those lost while it waits
+		return j.progress.pending // all, or what replaces those lost while it waits
 	}
 	return 1
 }
 
 func (s *Shard) placeable(j *Job, now time.Time) bool {
-	if j.awaitsDependencies || j.withheld || j.cancelled || j.pendingTasks == 0 || j.versionUnknown {
+	if j.awaitsDependencies || j.withheld || j.cancelled || j.progress.pending == 0 || j.record.versionUnknown {
 		return false
 	}
 	if j.spec.Kind == wire.Gang && !j.assembling() {
@@ -39,10 +39,10 @@
 	if s.unreadable.awaitsMachines || s.awaitsHeartbeats(now) {
 		return // what runs unrecorded uses room and quota
 	}
-	s.reservingGangs, s.candidates = map[string]*Job{}, candidateCache{}
-	s.weighProtected()
+	s.pass.gangByZone, s.pass.candidates = map[string]*Job{}, candidateCache{}
+	s.protection.weigh(s.inventory.cpus)
 	queues := map[string][]*Job{}
-	for _, j := range s.index.pendingJobs {
+	for _, j := range s.inventory.pendingJobs {
 		s.candidatesExamined++
 		if !s.placeable(j, now) {
 			j.unplacedSince = time.Time{}
@@ -96,7 +96,7 @@
 		if bestJob == nil {
 			return
 		}
-		if s.placeUnit(bestJob, now) && bestJob.pendingTasks > 0 {
+		if s.placeUnit(bestJob, now) && bestJob.progress.pending > 0 {
 			continue
 		}
 		queues[best] = queues[best][1:]
@@ -113,12 +113,12 @@
 )
 
 func (s *Shard) aged(j *Job, now time.Time) bool {
-	return (j.protected || j.starved(now)) && now.Sub(j.accepted) > agedAfter && s.protectedLoad[j.rank] < agedShare
+	return (j.protected || j.starved(now)) && now.Sub(j.accepted) > agedAfter && s.protection.load[j.rank] < agedShare
 }
 
 // starved reports whether nothing of a job has run for too long.
 func (j *Job) starved(now time.Time) bool {
-	return j.placedTasks+j.completedTasks == 0 && now.Sub(j.accepted) > agedAfter
+	return j.progress.placed+j.progress.completed == 0 && now.Sub(j.accepted) > agedAfter
 }
 
 // beforeAged orders jobs that have waited too long: the lowest priority first,
@@ -134,12 +134,28 @@
 	return a.accepted.Before(b.accepted)
 }
 
-// weighProtected computes the share of the part's machines that kept jobs hold.
-func (s *Shard) weighProtected() {
-	s.protectedLoad = [highestRank + 1]float64{}
-	for j := range s.protected {
-		if s.index.cpus > 0 {
-			s.protectedLoad[j.rank] += float64(j.placedTasks) * j.spec.CPUs / s.index.cpus
+// protectedJobs are those that were placed after too long a wait, and are not preempted.
+type protectedJobs struct {
+	jobs map[*Job]bool
+	load [highestRank + 1]float64 // the share of the machines that they hold, by priority
+}
+
+// add protects a job from preemption.
+func (p *protectedJobs) add(j *Job) {
+	j.protected = true
+	p.jobs[j] = true
+}
+
+// remove forgets a job.
+func (p *protectedJobs) remove(j *Job) { delete(p.jobs, j) }
+
+// weigh computes the share of the shard's machines, which have so many CPUs, that protected
+// jobs hold.
+func (p *protectedJobs) weigh(cpus float64) {
+	p.load = [highestRank + 1]float64{}
+	for j := range p.jobs {
+		if cpus > 0 {
+			p.load[j.rank] += float64(j.progress.placed) * j.spec.CPUs / cpus
 		}
 	}
 }
@@ -153,13 +169,13 @@
 	} else if old {
 		return beforeAged(a, b)
 	}
-	if x, y := s.withinGuarantee(a, a.unitSize()), s.withinGuarantee(b, b.unitSize()); x != y {
+	if x, y := s.quotas.withinGuarantee(a, a.unitSize()), s.quotas.withinGuarantee(b, b.unitSize()); x != y {
 		return x
 	}
 	if a.rank != b.rank {
 		return a.rank > b.rank
 	}
-	if x, y := s.teamLoad(teamA), s.teamLoad(teamB); x != y {
+	if x, y := s.quotas.load(teamA), s.quotas.load(teamB); x != y {
 		return x < y
 	}
 	return teamA < teamB
@@ -168,7 +184,7 @@
 // placeUnit places one unit of a job: a task, or all of a gang.
 func (s *Shard) placeUnit(j *Job, now time.Time) bool {
 	n := j.unitSize()
-	if !s.withinLimit(j, n) {
+	if !s.quotas.withinLimit(j, n) {
 		j.unplacedSince = time.Time{} // waits for its own team, not for machines
 		return false
 	}
@@ -177,7 +193,7 @@
 		if j.unplacedSince.IsZero() {
 			j.unplacedSince = now
 		}
-		if j.spec.Kind == wire.Gang && (len(s.reservingGangs) == 0 || j.longWaiting(now)) {
+		if j.spec.Kind == wire.Gang && (len(s.pass.gangByZone) == 0 || j.longWaiting(now)) {
 			s.reserveForGang(j, n, now)
 		}
 		s.preemptFor(j, n, now)
@@ -187,14 +203,13 @@
 		return more
 	}
 	if s.aged(j, now) {
-		j.protected = true
-		s.protected[j] = true
-		defer s.weighProtected()
+		s.protection.add(j)
+		defer s.protection.weigh(s.inventory.cpus)
 	}
 	gang := j.gangAttempt()
 	for _, m := range where {
 		i := j.nextPending()
-		a := s.nextAttempt(j, i)
+		a := s.ledger.nextAttempt(j, i)
 		if j.spec.Kind == wire.Gang {
 			if gang == 0 {
 				gang = a
@@ -202,19 +217,19 @@
 			a = gang
 		}
 		s.placeTask(taskKey{j, i}, m, a, now)
-		s.useReservation(m, j)
+		s.inventory.useReservation(m, j)
 	}
-	if j.pendingTasks == 0 {
+	if j.progress.pending == 0 {
 		j.unplacedSince = time.Time{}
 	}
 	return true
 }
 
 func (j *Job) nextPending() int {
-	for j.tasks[j.firstPending].state != pending {
-		j.firstPending++
+	for j.tasks[j.progress.firstPending].state != pending {
+		j.progress.firstPending++
 	}
-	return j.firstPending
+	return j.progress.firstPending
 }
 
 // reserveForGang keeps the machines that are free for the first gang that waits, in the
@@ -222,13 +237,13 @@
 // Those that have waited for long gather too, each in a zone of its own: two in
 // one zone could hold up each other.
 func (s *Shard) reserveForGang(j *Job, n int, now time.Time) {
-	if _, anywhere := s.reservingGangs[""]; anywhere || (!j.spec.OneZone && len(s.reservingGangs) > 0) {
+	if _, anywhere := s.pass.gangByZone[""]; anywhere || (!j.spec.OneZone && len(s.pass.gangByZone) > 0) {
 		return
 	}
 	byZone := map[string][]*Machine{}
 	units := map[string]int{}
 	s.eachFeasibleMachine(j.spec, now, func(m *Machine) {
-		if m.reservedForOther(j, now) || s.reservingGangs[m.Zone] != nil || !j.allowsZone(m.Zone) {
+		if m.reservedForOther(j, now) || s.pass.gangByZone[m.Zone] != nil || !j.allowsZone(m.Zone) {
 			return
 		}
 		count := 0
@@ -252,18 +267,18 @@
 			best, most = z, u
 		}
 	}
-	for m := range s.index.reserved[j.ref] {
+	for m := range s.inventory.reserved[j.ref] {
 		if !m.evicting() {
-			s.cancelReservation(m)
+			s.inventory.cancelReservation(m)
 		}
 	}
 	if most == 0 {
 		return
 	}
-	s.reservingGangs[best] = j
+	s.pass.gangByZone[best] = j
 	for _, m := range byZone[best] {
-		if m.reserved == "" || !now.Before(m.reservedUntil) {
-			s.reserve(m, j, 1, now.Add(gangReservation))
+		if m.reservation.job == "" || !now.Before(m.reservation.until) {
+			s.inventory.reserve(m, j, 1, now.Add(gangReservation))
 		}
 	}
 	s.wakeAt(now.Add(gangReservation / 2))
--- a/internal/scheduler/ranges.go
+++ b/internal/scheduler/placement_records.go
@@ -78,30 +78,52 @@
 	retryAt        time.Time
 }
 
+// placementLedger keeps the shard's placement records and which range of tasks is told by
+// which of them. Every task that was ever placed is in exactly one range, and every range in
+// one record; what a record may take stays within valueBytes.
+type placementLedger struct {
+	cfg     *Config
+	token   uint64
+	records map[int]*placementRecord
+	// txnOps and valueBytes are the limits to write by: those of the settings,
+	// or less where the state service turned out to have others.
+	txnOps, valueBytes int
+	longestMachineID   int                // of the machines' names
+	sizedAllowed       bool               // no controller of the first version is left
+	sized              bool               // ranges state their size
+	obsolete           []*placementRecord // to be deleted
+}
+
+func newPlacementLedger(cfg *Config, token uint64) placementLedger {
+	return placementLedger{cfg: cfg, token: token, records: map[int]*placementRecord{}, txnOps: cfg.TxnOps, valueBytes: cfg.ValueBytes}
+}
+
 // AllowSizedRanges tells that no controller of the first version is left, so that ranges may state
 // their size where that is needed.
-func (s *Shard) AllowSizedRanges() { s.sizedAllowed = true }
+func (s *Shard) AllowSizedRanges() { s.ledger.sizedAllowed = true }
 
 // UseSizedRanges makes ranges state their size from now on: no controller of the first version is
 // left.
 func (s *Shard) UseSizedRanges() {
-	if !s.sized {
-		s.sized, s.placementDue = true, true
+	if !s.ledger.sized {
+		s.ledger.sized, s.placementDue = true, true
 	}
 }
 
-// sizedPlacementBytes is what a placement may take in a stated slot.
-func (s *Shard) sizedPlacementBytes() int { return sizedPlacementOverhead + max(s.longestMachineID, 8) }
+// placementBytes is what a placement may take in a stated slot.
+func (l *placementLedger) placementBytes() int {
+	return sizedPlacementOverhead + max(l.longestMachineID, 8)
+}
 
 // sizedRangeTasks is the most tasks in a stated range.
-func (s *Shard) sizedRangeTasks() int {
-	return max(1, min((s.valueBytes-recordOverhead-sizedRangeOverhead-longestRef)/s.sizedPlacementBytes(), s.cfg.unsizedRangeTasks()))
+func (l *placementLedger) sizedRangeTasks() int {
+	return max(1, min((l.valueBytes-recordOverhead-sizedRangeOverhead-longestRef)/l.placementBytes(), l.cfg.unsizedRangeTasks()))
 }
 
 // rangeBytes is what a range may take in a slot.
-func (s *Shard) rangeBytes(c *taskRange, stated bool) int {
+func (l *placementLedger) rangeBytes(c *taskRange, stated bool) int {
 	if stated {
-		return sizedRangeOverhead + len(c.job.ref) + (c.end-c.first)*s.sizedPlacementBytes()
+		return sizedRangeOverhead + len(c.job.ref) + (c.end-c.first)*l.placementBytes()
 	}
 	return (c.end - c.first + unsizedRangeOverhead) * unsizedPlacementBytes
 }
@@ -143,36 +165,36 @@
 }
 
 // rangeOf returns the range of a task, a new one in the first slot that has room.
-func (s *Shard) rangeOf(j *Job, i int) *taskRange {
+func (l *placementLedger) rangeOf(j *Job, i int) *taskRange {
 	if c := j.rangeAt(i); c != nil {
 		return c
 	}
 	if j.withheld {
-		return s.assignRange(s.withheldRange(j, i), nil)
+		return l.assign(l.withheldRange(j, i), nil)
 	}
-	size := s.cfg.unsizedRangeTasks()
-	if s.sized {
-		size = s.sizedRangeTasks()
+	size := l.cfg.unsizedRangeTasks()
+	if l.sized {
+		size = l.sizedRangeTasks()
 	}
 	first := i / size * size
 	for _, span := range j.uncovered(first, min(first+size, len(j.tasks)), size) {
 		if span[0] <= i && i < span[1] {
-			return s.assignRange(&taskRange{job: j, first: span[0], end: span[1]}, nil)
+			return l.assign(&taskRange{job: j, first: span[0], end: span[1]}, nil)
 		}
 	}
 	panic(fmt.Sprintf("sched: %s/%d is in no range and in one", j.ref, i))
 }
 
 // assignRange puts a range into a slot, the first with room if none is named.
-func (s *Shard) assignRange(c *taskRange, rec *placementRecord) *taskRange {
+func (l *placementLedger) assign(c *taskRange, rec *placementRecord) *taskRange {
 	if rec == nil {
-		rec = s.recordWithRoom(s.rangeBytes(c, s.sized), nil)
+		rec = l.recordWithRoom(l.rangeBytes(c, l.sized), nil)
 	}
-	c.record, c.bytes = rec, s.rangeBytes(c, rec.sized)
+	c.record, c.bytes = rec, l.rangeBytes(c, rec.sized)
 	if rec.sized {
 		c.turn++
 	}
-	rec.ranges[s.rangeName(c)] = c
+	rec.ranges[l.rangeName(c)] = c
 	rec.usedBytes += c.bytes
 	if c.job.rangeAt(c.first) != c {
 		c.job.insertRange(c)
@@ -184,46 +206,46 @@
 // to the tighter of the limits where it can: only a range that is larger by
 // itself gets a slot of its own. What leaves a slot does not come back to it, which
 // would wait for itself to be written.
-func (s *Shard) recordWithRoom(cost int, leaves *placementRecord) *placementRecord {
-	most := s.valueBytes
-	if s.sized {
+func (l *placementLedger) recordWithRoom(cost int, leaves *placementRecord) *placementRecord {
+	most := l.valueBytes
+	if l.sized {
 		most -= recordOverhead
 	}
 	for n := 0; ; n++ {
-		rec := s.placementRecord(n)
-		if rec != leaves && !rec.unreadable && rec.sized == s.sized && len(rec.departed) == 0 && (len(rec.ranges) == 0 || rec.usedBytes+cost <= most) {
+		rec := l.record(n)
+		if rec != leaves && !rec.unreadable && rec.sized == l.sized && len(rec.departed) == 0 && (len(rec.ranges) == 0 || rec.usedBytes+cost <= most) {
 			return rec
 		}
 	}
 }
 
-func (s *Shard) placementRecord(n int) *placementRecord {
-	rec := s.placements[n]
+func (l *placementLedger) record(n int) *placementRecord {
+	rec := l.records[n]
 	if rec == nil {
-		rec = &placementRecord{number: n, sized: s.sized, ranges: map[string]*taskRange{}, departed: map[*taskRange]struct{}{}}
-		s.placements[n] = rec
+		rec = &placementRecord{number: n, sized: l.sized, ranges: map[string]*taskRange{}, departed: map[*taskRange]struct{}{}}
+		l.records[n] = rec
 	}
 	return rec
 }
 
 // rangeName is a range's name in its slot.
-func (s *Shard) rangeName(c *taskRange) string {
+func (l *placementLedger) rangeName(c *taskRange) string {
 	if c.record.sized {
 		return record.RangeName(c.job.ref, c.first)
 	}
-	return record.RangeName(c.job.ref, c.first/s.cfg.unsizedRangeTasks())
+	return record.RangeName(c.job.ref, c.first/l.cfg.unsizedRangeTasks())
 }
 
 // detachRange takes a range out of its slot and its job.
-func (s *Shard) detachRange(c *taskRange) {
+func (l *placementLedger) detach(c *taskRange) {
 	c.record.usedBytes -= c.bytes
-	delete(c.record.ranges, s.rangeName(c))
+	delete(c.record.ranges, l.rangeName(c))
 	c.job.ranges = slices.DeleteFunc(c.job.ranges, func(o *taskRange) bool { return o == c })
 }
 
 // confirmRange notes that a range is written to its slot: the one before tells it no
 // longer, or tells it in vain.
-func (s *Shard) confirmRange(c *taskRange) {
+func (l *placementLedger) confirm(c *taskRange) {
 	if c.previous != nil {
 		delete(c.previous.departed, c)
 		c.previous = nil
@@ -232,17 +254,17 @@
 
 // splitRange cuts a range into pieces and enters them in other slots. The slot that it
 // leaves is not written before they are there.
-func (s *Shard) splitRange(c *taskRange, most int) {
+func (l *placementLedger) split(c *taskRange, most int) {
 	old := c.record
-	s.detachRange(c)
+	l.detach(c)
 	from := c.previous
-	s.confirmRange(c)
+	l.confirm(c)
 	if from == nil {
 		from = old
 	}
 	for first := c.first; first < c.end; first += most {
 		n := &taskRange{job: c.job, first: first, end: min(first+most, c.end), turn: c.turn, attempt: c.attempt, previous: from}
-		s.assignRange(n, s.recordWithRoom(s.rangeBytes(n, s.sized), old))
+		l.assign(n, l.recordWithRoom(l.rangeBytes(n, l.sized), old))
 		if from.version > 0 {
 			from.departed[n] = struct{}{}
 		} else {
@@ -262,20 +284,20 @@
 
 // retireUnsizedRecords makes the ranges of plain slots stated ones, and deletes the plain slots
 // that tell nothing any more.
-func (s *Shard) retireUnsizedRecords() {
-	for n, rec := range s.placements {
+func (l *placementLedger) retireUnsized() {
+	for n, rec := range l.records {
 		if rec.sized || rec.unreadable || rec.txn != nil || rec.versionUnknown {
 			continue
 		}
 		for _, c := range rec.ranges {
-			s.splitRange(c, s.sizedRangeTasks())
+			l.split(c, l.sizedRangeTasks())
 		}
 		if len(rec.departed) == 0 {
 			if rec.version == 0 {
-				delete(s.placements, n)
+				delete(l.records, n)
 				continue
 			}
-			s.obsolete = append(s.obsolete, rec)
+			l.obsolete = append(l.obsolete, rec)
 		}
 	}
 }
@@ -284,24 +306,24 @@
 // room for go elsewhere. It reports false if the slot must wait for that. What a
 // range takes is estimated well above what it does take, so this is for what
 // nobody expects, as machines' names that have grown.
-func (s *Shard) splitOversizedRecord(rec *placementRecord, size int) bool {
-	if !rec.sized || size <= s.valueBytes {
+func (l *placementLedger) splitOversized(rec *placementRecord, size int) bool {
+	if !rec.sized || size <= l.valueBytes {
 		return true
 	}
 	var all []*taskRange
 	for _, c := range rec.ranges {
 		all = append(all, c)
 	}
-	sort.Slice(all, func(a, b int) bool { return s.rangeName(all[a]) < s.rangeName(all[b]) })
+	sort.Slice(all, func(a, b int) bool { return l.rangeName(all[a]) < l.rangeName(all[b]) })
 	if len(all) == 1 {
 		if c := all[0]; c.end-c.first > 1 {
-			s.splitRange(c, (c.end-c.first+1)/2)
+			l.split(c, (c.end-c.first+1)/2)
 			return false
 		}
 		return true
 	}
 	for _, c := range all[len(all)/2:] {
-		s.splitRange(c, c.end-c.first)
+		l.split(c, c.end-c.first)
 	}
 	return false
 }
@@ -332,7 +354,7 @@
 		if r.Format > record.SizedRanges {
 			return nil, fmt.Errorf("record %s: format %d is unknown", e.Key, r.Format)
 		}
-		rec := s.placementRecord(n)
+		rec := s.ledger.record(n)
 		rec.version, rec.sized = e.Version, r.Format == record.SizedRanges
 		if rec.sized {
 			s.UseSizedRanges() // who wrote it knew that the first version is gone
--- a/internal/scheduler/slot_test.go
+++ b/internal/scheduler/placement_records_test.go
@@ -29,7 +29,7 @@
 		s := spec(fmt.Sprintf("run-00000%d", i), "b", wire.Array, "normal", 8, 0)
 		s.CPUs, s.MemoryGB = 1, 1 // of 16
 		r.submit(s)
-		r.shard.rangeOf(r.shard.jobs[s.Ref], 0) // sized by the names known so far
+		r.shard.ledger.rangeOf(r.shard.jobs[s.Ref], 0) // sized by the names known so far
 	}
 	r.heartbeats(2) // some are recorded
 	for i := range 40 {
@@ -82,7 +82,7 @@
 	if stays.record != old || old.version == 0 {
 		t.Fatal("the jobs do not share a recorded slot")
 	}
-	r.shard.splitRange(moved, 2)
+	r.shard.ledger.split(moved, 2)
 	if now := r.shard.jobs["run-000000"].ranges[0].record; now == old {
 		t.Fatal("the range came back to the slot that it left")
 	}
--- a/internal/scheduler/place_test.go
+++ b/internal/scheduler/placement_test.go
@@ -202,9 +202,9 @@
 		}
 		s := spec("run-000003", "b", wire.Array, "low", 1, 0)
 		s.CPUs, s.MemoryGB, s.Image = 1, 1, "step"
-		for id, m := range r.shard.machines {
+		for id, m := range r.shard.inventory.byID {
 			if id != r.on("run-000002/0") {
-				r.shard.recordCachedImage(m, s.Image, 1) // all but the gang's machine cache it
+				r.shard.inventory.recordCachedImage(m, s.Image, 1) // all but the gang's machine cache it
 			}
 		}
 		r.submit(s)
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preemption.go
@@ -17,10 +17,10 @@
 		s.wakeAt(due)
 		return
 	}
-	if now.Before(j.preemptedUntil) {
+	if now.Before(j.preemption.awaitedUntil) {
 		return
 	}
-	if again := j.preemptionTriedAt.Add(preemptionRetry); now.Before(again) {
+	if again := j.preemption.triedAt.Add(preemptionRetry); now.Before(again) {
 		s.wakeAt(again)
 		return
 	}
@@ -31,7 +31,7 @@
 		units   int
 	}
 	byZone := map[string][]option{}
-	within := s.withinGuarantee(j, n)
+	within := s.quotas.withinGuarantee(j, n)
 	s.eachPreemptionCandidate(j, within, now, func(m *Machine) {
 		if !allows(j.spec, m) || !j.allowsZone(m.Zone) || !s.usable(m, now) || m.reservedForOther(j, now) || s.reservedByLongWaitingGang(m, j, now) {
 			return
@@ -106,7 +106,7 @@
 	if best == nil && j.longWaiting(now) {
 		// Too much for one moment: what the gang gathers grows step by step.
 		for zone, os := range byZone {
-			if s.reservingGangs[zone] == j {
+			if s.pass.gangByZone[zone] == j {
 				best = os
 			}
 		}
@@ -115,13 +115,13 @@
 		for _, k := range o.victims {
 			s.preemptTask(k, now)
 		}
-		s.reserve(o.m, j, o.units, now.Add(preemptedReservation))
+		s.inventory.reserve(o.m, j, o.units, now.Add(preemptedReservation))
 	}
 	if best != nil {
-		j.preemptedUntil = now.Add(preemptedReservation / 2)
-		s.wakeAt(j.preemptedUntil)
+		j.preemption.awaitedUntil = now.Add(preemptedReservation / 2)
+		s.wakeAt(j.preemption.awaitedUntil)
 	} else {
-		j.preemptionTriedAt = now
+		j.preemption.triedAt = now
 		s.wakeAt(now.Add(preemptionRetry))
 	}
 }
@@ -132,9 +132,9 @@
 // reservedByLongWaitingGang reports whether a gang that has waited for long gathers machines where m
 // is: one that is no more urgent makes no room for itself there meanwhile.
 func (s *Shard) reservedByLongWaitingGang(m *Machine, j *Job, now time.Time) bool {
-	g := s.reservingGangs[m.Zone]
+	g := s.pass.gangByZone[m.Zone]
 	if g == nil {
-		g = s.reservingGangs[""]
+		g = s.pass.gangByZone[""]
 	}
 	return g != nil && g != j && g.longWaiting(now) && g.rank >= j.rank
 }
@@ -151,14 +151,14 @@
 		}
 	}
 	s.eachFeasibleMachine(j.spec, now, look)
-	for m := range s.index.evicting {
+	for m := range s.inventory.evicting {
 		look(m)
 	}
 	top := j.rank
-	if within && s.othersOverGuarantee(j.spec.Team) {
+	if within && s.quotas.othersOverGuarantee(j.spec.Team) {
 		top = highestRank + 1 // whatever its priority
 	}
-	for _, ms := range s.index.byRank[:top] {
+	for _, ms := range s.inventory.byRank[:top] {
 		for m := range ms {
 			look(m)
 		}
@@ -166,9 +166,9 @@
 }
 
 // othersOverGuarantee reports whether another team runs beyond its guarantee here.
-func (s *Shard) othersOverGuarantee(team string) bool {
-	for t, u := range s.quotaUsage {
-		if t != team && u.gpus+u.cpus > 0 && s.overGuarantee(t) {
+func (q *quotas) othersOverGuarantee(team string) bool {
+	for t, u := range q.used {
+		if t != team && u.gpus+u.cpus > 0 && q.overGuarantee(t) {
 			return true
 		}
 	}
@@ -233,10 +233,10 @@
 	if fetch < fetchWorthPreempting || now.Sub(j.accepted) > cachedRoomWait {
 		return false, false
 	}
-	zones := maps.Clone(j.zones)
+	zones := maps.Clone(j.progress.placedByZone)
 	coming := 0
 	limit := j.zoneLimit()
-	for m := range s.index.reserved[j.ref] {
+	for m := range s.inventory.reserved[j.ref] {
 		// Room that is free by now, or made where the image is not, is not what
 		// is waited for.
 		if n := m.reservedFor(j, now); n > 0 && m.hasImage(spec.Image) && m.evicting() && zones[m.Zone]+n <= limit {
@@ -244,13 +244,13 @@
 			zones[m.Zone] += n
 		}
 	}
-	if coming >= j.pendingTasks {
+	if coming >= j.progress.pending {
 		return true, false
 	}
 	var best *Machine
 	var victim taskKey
 	bestLoss := math.Inf(1)
-	for m := range s.index.byImage[spec.Image] {
+	for m := range s.inventory.byImage[spec.Image] {
 		if !allows(spec, m) || !j.allowsZone(m.Zone) || !s.usable(m, now) || zones[m.Zone] >= limit || m.reservedForOther(j, now) {
 			continue
 		}
@@ -275,8 +275,8 @@
 		return false, false
 	}
 	s.preemptTask(victim, now)
-	s.reserve(best, j, 1, now.Add(cachedRoomWait))
-	s.wakeAt(best.reservedUntil)
+	s.inventory.reserve(best, j, 1, now.Add(cachedRoomWait))
+	s.wakeAt(best.reservation.until)
 	return true, true
 }
 
--- a/internal/scheduler/probe.go
+++ b/internal/scheduler/probe.go
@@ -18,6 +18,12 @@
 // Probe is a question to a worker for its report.
 type Probe struct{ Machine, Addr string }
 
+// probes is the probes of all machines.
+type probes struct {
+	inFlight       int
+	zoneAnsweredAt map[string]time.Time // when a probe of a zone's machine was last answered
+}
+
 // probeState is what is known from a machine's probes since it was last heard.
 type probeState struct {
 	inFlight            bool // under way
@@ -50,7 +56,7 @@
 // asked first. It then reports at once, and need not wait until its next report is
 // due, or until it finds its new owner.
 func (s *Shard) awaitsFirstHeartbeat(m *Machine) bool {
-	return m.inherited && !m.fenced && m.Phase == record.InUse && m.Addr != ""
+	return m.inherited && !m.contact.fenced && m.Phase == record.InUse && m.Addr != ""
 }
 
 // probeMachines asks the machines that are overdue or were taken over, and for each zone
@@ -58,18 +64,18 @@
 // falls behind, overdue reports are its own doing, and more questions make it worse.
 func (s *Shard) probeMachines(now time.Time) {
 	doubted := map[string]bool{}
-	for _, m := range s.machines {
+	for _, m := range s.inventory.byID {
 		if s.awaitsFirstHeartbeat(m) && m.probes.failed < failoverProbes && now.Sub(m.probes.endedAt) >= probePause {
 			s.sendProbe(m, now)
 		}
-		if s.overloaded || !(m.up || m.inherited) || m.Phase != record.InUse || m.Addr == "" || now.Sub(m.heardAt) < s.heartbeatDue() {
+		if s.health.overloaded || !(m.contact.up || m.inherited) || m.Phase != record.InUse || m.Addr == "" || now.Sub(m.contact.heardAt) < s.heartbeatDue() {
 			continue
 		}
 		late := s.leaseExpired(m, now)
 		if !late {
 			m.probes.unansweredPastLease = 0
 		}
-		seen := s.zoneAnsweredAt[m.Zone].After(m.probes.endedAt)
+		seen := s.probes.zoneAnsweredAt[m.Zone].After(m.probes.endedAt)
 		if m.probes.failed > 0 && !seen {
 			doubted[m.Zone] = true
 		}
@@ -79,8 +85,8 @@
 	}
 	for zone := range doubted {
 		var witness *Machine
-		for _, m := range s.machines {
-			if m.Zone == zone && m.up && m.Addr != "" && m.probes.failed == 0 && now.Sub(m.heardAt) < s.heartbeatDue() && (witness == nil || m.heardAt.After(witness.heardAt)) {
+		for _, m := range s.inventory.byID {
+			if m.Zone == zone && m.contact.up && m.Addr != "" && m.probes.failed == 0 && now.Sub(m.contact.heardAt) < s.heartbeatDue() && (witness == nil || m.contact.heardAt.After(witness.contact.heardAt)) {
 				witness = m
 			}
 		}
@@ -91,18 +97,18 @@
 }
 
 func (s *Shard) sendProbe(m *Machine, now time.Time) {
-	if m.probes.inFlight || s.probesInFlight >= s.cfg.MaxProbes || !s.cfg.Pace.AllowProbe(now) {
+	if m.probes.inFlight || s.probes.inFlight >= s.cfg.MaxProbes || !s.cfg.Pace.AllowProbe(now) {
 		return
 	}
-	m.probes.inFlight, m.probes.zoneAnswered, m.probes.leaseExpired = true, s.zoneAnsweredAt[m.Zone].After(m.probes.endedAt), s.leaseExpired(m, now)
-	s.probesInFlight++
+	m.probes.inFlight, m.probes.zoneAnswered, m.probes.leaseExpired = true, s.probes.zoneAnsweredAt[m.Zone].After(m.probes.endedAt), s.leaseExpired(m, now)
+	s.probes.inFlight++
 	s.effects.Probes = append(s.effects.Probes, Probe{m.ID, m.Addr})
 }
 
 // ProbeAnswered takes in the answer to a probe, nil if none came.
 func (s *Shard) ProbeAnswered(id string, r *wire.Heartbeat, now time.Time) {
-	s.probesInFlight--
-	m := s.machines[id]
+	s.probes.inFlight--
+	m := s.inventory.byID[id]
 	if m == nil {
 		return
 	}
@@ -115,17 +121,17 @@
 		}
 		return
 	}
-	s.zoneAnsweredAt[m.Zone] = now
+	s.probes.zoneAnsweredAt[m.Zone] = now
 	s.Heartbeat(r, true, now)
 	m.probes.failed, m.probes.endedAt = 0, now
-	if m.inherited && !m.fenced && r.Token < m.fencingToken(s) {
+	if m.inherited && !m.contact.fenced && r.Token < m.fencingToken(s) {
 		m.announceToken = true
-		s.index.commandsDue[m] = struct{}{}
+		s.inventory.commandsDue[m] = struct{}{}
 	}
 }
 
 // unresponsive reports whether a machine did not answer while its zone did.
 func (s *Shard) unresponsive(m *Machine, now time.Time) bool {
-	return (m.up || m.inherited) && now.Sub(m.heardAt) >= s.heartbeatDue() && m.probes.failed >= probesUntilLost && !m.probes.inFlight &&
-		m.probes.zoneAnswered && s.zoneAnsweredAt[m.Zone].After(m.probes.endedAt)
+	return (m.contact.up || m.inherited) && now.Sub(m.contact.heardAt) >= s.heartbeatDue() && m.probes.failed >= probesUntilLost && !m.probes.inFlight &&
+		m.probes.zoneAnswered && s.probes.zoneAnsweredAt[m.Zone].After(m.probes.endedAt)
 }
--- a/internal/scheduler/probe_test.go
+++ b/internal/scheduler/probe_test.go
@@ -37,7 +37,7 @@
 	return asked
 }
 
-func (r *harness) phase(id string) int { return int(r.shard.machines[id].Phase) }
+func (r *harness) phase(id string) int { return int(r.shard.inventory.byID[id].Phase) }
 
 // A machine whose report is overdue and that does not answer is lost as soon as
 // another of its zone answers; without such a witness it may be the controller
@@ -148,7 +148,7 @@
 	r.heartbeats(2)
 	r.clock.Advance(r.shard.heartbeatDue())
 	for range 3 {
-		if eff := r.shard.Step(r.clock.Now()); len(eff.Probes) > 2 || r.shard.probesInFlight > 2 {
+		if eff := r.shard.Step(r.clock.Now()); len(eff.Probes) > 2 || r.shard.probes.inFlight > 2 {
 			t.Fatalf("asks %v at once", eff.Probes)
 		}
 		r.clock.Advance(healthEvery)
@@ -182,7 +182,7 @@
 	w1.Obey(wire.Orders{Token: eff.DirectCommands[0].Orders.Token})
 	rep := w1.Report()
 	r.shard.Heartbeat(&rep, true, now)
-	if m := r.shard.machines["m1"]; !m.fenced || !r.shard.usable(m, now) {
+	if m := r.shard.inventory.byID["m1"]; !m.contact.fenced || !r.shard.usable(m, now) {
 		t.Fatal("asked and told, but takes no work")
 	}
 	r.probed(r.shard.heartbeatDue()+time.Second, "m1")
--- a/internal/scheduler/limits.go
+++ b/internal/scheduler/quotas.go
@@ -21,7 +21,7 @@
 type resources struct{ cpus, gpus, mem float64 }
 
 func freeRoom(m *Machine) resources {
-	return resources{m.Type.CPUs - m.cpus, m.Type.GPUs - m.gpus, m.Type.MemoryGB - m.mem}
+	return resources{m.Type.CPUs - m.used.cpus, m.Type.GPUs - m.used.gpus, m.Type.MemoryGB - m.used.mem}
 }
 
 // minus is what is left of r after n tasks.
@@ -30,40 +30,60 @@
 	return resources{r.cpus - f*spec.CPUs, r.gpus - f*spec.GPUs, r.mem - f*spec.MemoryGB}
 }
 
-func (s *Shard) withinLimit(j *Job, n int) bool {
-	t, ok := s.cfg.Teams[j.spec.Team]
+// quotas is what each team uses of the shard, against its guarantee and its limit.
+type quotas struct {
+	cfg  *Config
+	used map[string]*usage
+}
+
+// usage is what a team's placed tasks use.
+type usage struct{ cpus, gpus float64 }
+
+// usage returns a team's usage, to read or to change.
+func (q *quotas) usage(team string) *usage {
+	u := q.used[team]
+	if u == nil {
+		u = &usage{}
+		q.used[team] = u
+	}
+	return u
+}
+
+// withinLimit reports whether n more tasks of j keep to its team's limit.
+func (q *quotas) withinLimit(j *Job, n int) bool {
+	t, ok := q.cfg.Teams[j.spec.Team]
 	if !ok {
 		return true
 	}
-	u := s.usage(j.spec.Team)
+	u := q.usage(j.spec.Team)
 	f := float64(n)
 	return (t.MaxCPUs <= 0 || u.cpus+f*j.spec.CPUs <= t.MaxCPUs+slack) &&
 		(t.MaxGPUs <= 0 || u.gpus+f*j.spec.GPUs <= t.MaxGPUs+slack)
 }
 
 // withinGuarantee reports whether n more tasks of j keep to its team's guarantee.
-func (s *Shard) withinGuarantee(j *Job, n int) bool {
-	t := s.cfg.Teams[j.spec.Team]
+func (q *quotas) withinGuarantee(j *Job, n int) bool {
+	t := q.cfg.Teams[j.spec.Team]
 	if t.CPUs <= 0 && t.GPUs <= 0 {
 		return false
 	}
-	u := s.usage(j.spec.Team)
+	u := q.usage(j.spec.Team)
 	f := float64(n)
 	return (t.CPUs <= 0 || u.cpus+f*j.spec.CPUs <= t.CPUs+slack) && (t.GPUs <= 0 || u.gpus+f*j.spec.GPUs <= t.GPUs+slack)
 }
 
 // overGuarantee reports whether a team runs beyond its guarantee.
-func (s *Shard) overGuarantee(team string) bool {
-	t := s.cfg.Teams[team]
-	u := s.usage(team)
+func (q *quotas) overGuarantee(team string) bool {
+	t := q.cfg.Teams[team]
+	u := q.usage(team)
 	return (t.CPUs > 0 && u.cpus > t.CPUs+slack) || (t.GPUs > 0 && u.gpus > t.GPUs+slack) || (t.CPUs <= 0 && t.GPUs <= 0)
 }
 
-func (s *Shard) teamLoad(team string) float64 {
-	share := s.cfg.Teams[team].Share
+func (q *quotas) load(team string) float64 {
+	share := q.cfg.Teams[team].Share
 	if share <= 0 {
 		share = 1
 	}
-	u := s.usage(team)
+	u := q.usage(team)
 	return (u.gpus*4 + u.cpus) / share // both kinds count; cards are the scarcer
 }
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -96,7 +96,7 @@
 func (s *Shard) reconcileAbsent(k taskKey, t *task, m *Machine, direct bool, now time.Time) bool {
 	f := reconcile.Absent(reconcile.Absence{
 		Told: t.recorded && !t.recording, Inherited: t.inherited, Seen: t.reported, Sent: t.sent,
-		EarlierSession: t.sentEpoch != m.epoch, Direct: direct, Stopping: t.stopping,
+		EarlierSession: t.sentEpoch != m.contact.epoch, Direct: direct, Stopping: t.stopping,
 		MayCome: t.sent && !direct && m.mayStartLate(k.name(), t.attempt),
 	})
 	if f.Action == reconcile.Free {
@@ -121,7 +121,7 @@
 		s.reportTaskStart(k, t, now)
 	}
 	if (rt.State == wire.Running || rt.State == wire.Gathering) && t.phase != rt.State {
-		s.recordCachedImage(m, j.spec.Image, j.spec.ImageGB)
+		s.inventory.recordCachedImage(m, j.spec.Image, j.spec.ImageGB)
 	}
 	t.setPhase(j, rt.State)
 	f := reconcile.Claimed(reconcile.Claim{State: rt.State, Why: rt.Why, KnownJob: true, Placed: true})
--- a/internal/scheduler/settling.go
+++ b/internal/scheduler/reconciliation_progress.go
@@ -37,7 +37,7 @@
 // beginReconciliation counts what is to be found out about.
 func (s *Shard) beginReconciliation(now time.Time) {
 	s.reconciliation.since, s.reconciliation.orphans = now, map[string]bool{}
-	for _, m := range s.machines {
+	for _, m := range s.inventory.byID {
 		for _, t := range m.tasks {
 			if t.inherited {
 				s.reconciliation.pending++
@@ -53,8 +53,8 @@
 		return ReconciliationProgress{}, false
 	}
 	out := ReconciliationProgress{Since: progress.since, Pending: progress.pending, Tally: progress.tally}
-	for _, m := range s.machines {
-		if !m.inherited || m.fenced || m.Phase != record.InUse || (!m.up && len(m.tasks) == 0) {
+	for _, m := range s.inventory.byID {
+		if !m.inherited || m.contact.fenced || m.Phase != record.InUse || (!m.contact.up && len(m.tasks) == 0) {
 			continue
 		}
 		out.Unheard++
@@ -67,7 +67,7 @@
 }
 
 // HasMachines reports whether the part has any machine.
-func (s *Shard) HasMachines() bool { return len(s.machines) > 0 }
+func (s *Shard) HasMachines() bool { return len(s.inventory.byID) > 0 }
 
 // MalformedRecords returns what is wrong with records that were passed over when the part was loaded.
 func (s *Shard) MalformedRecords() []error { return s.reconciliation.malformed }
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/record_writes.go
@@ -32,7 +32,7 @@
 // writeRecords makes the transactions that bring the records up to the ledger.
 func (s *Shard) writeRecords(now time.Time) {
 	for ref, j := range s.endingJobs {
-		if j.endTxn != nil || j.versionUnknown || now.Before(j.retryAt) {
+		if j.record.endTxn != nil || j.record.versionUnknown || now.Before(j.record.retryAt) {
 			continue
 		}
 		if !j.terminal() {
@@ -41,10 +41,10 @@
 		}
 		s.recordJobEnd(j, now)
 	}
-	if s.sized {
-		s.retireUnsizedRecords()
+	if s.ledger.sized {
+		s.ledger.retireUnsized()
 	}
-	for _, rec := range s.placements {
+	for _, rec := range s.ledger.records {
 		if !rec.dirty || len(rec.departed) > 0 || rec.txn != nil || rec.versionUnknown || now.Before(rec.retryAt) {
 			continue
 		}
@@ -67,7 +67,7 @@
 
 // deleteObsoleteRecords deletes plain slots that tell nothing any more.
 func (s *Shard) deleteObsoleteRecords(now time.Time) {
-	for _, rec := range s.obsolete {
+	for _, rec := range s.ledger.obsolete {
 		if now.Before(rec.retryAt) {
 			s.wakeAt(rec.retryAt)
 			continue
@@ -79,7 +79,7 @@
 		rec.txn = t
 		s.effects.Txns = append(s.effects.Txns, t)
 	}
-	s.obsolete = nil
+	s.ledger.obsolete = nil
 }
 
 // recordJobEnd records a job's end: its state for ever, and no open record any more.
@@ -92,12 +92,12 @@
 		rec.State, rec.Tasks = wire.Cancelled, 0
 	}
 	t := &Txn{job: j, Purpose: purposeJobEnd, Routine: !j.cancelled && !j.hasDependents} // a user waits for a cancellation
-	t.Body.If = []wire.Cond{s.ownershipCondition(), {Key: open, Version: j.version}}
+	t.Body.If = []wire.Cond{s.ownershipCondition(), {Key: open, Version: j.record.version}}
 	t.Body.Then = []wire.Op{{Put: record.FinishedJobKey(j.ref), Value: record.Encode(rec)}, {Delete: open}}
 	if !s.addPipelineStep(t, j, now) {
 		return // when its pipeline's record is there
 	}
-	j.endTxn = t
+	j.record.endTxn = t
 	s.effects.Txns = append(s.effects.Txns, t)
 }
 
@@ -117,7 +117,7 @@
 		return
 	}
 	value := record.Encode(rec)
-	if !s.splitOversizedRecord(placements, len(value)) {
+	if !s.ledger.splitOversized(placements, len(value)) {
 		placements.dirty, placements.urgent = true, true
 		s.wakeAt(now) // the slots that take what has no room here come first
 		return
@@ -150,7 +150,7 @@
 // starts were left out for want of room for their conditions.
 func (s *Shard) buildPlacements(placements *placementRecord, t *Txn, conds map[string]uint64) (rec record.Placements, left bool) {
 	rec = record.Placements{Ranges: map[string]record.TaskRange{}}
-	room := 4*s.txnOps - 2
+	room := 4*s.ledger.txnOps - 2
 	for name, c := range placements.ranges {
 		j := c.job
 		run := record.TaskRange{Attempt: c.attempt}
@@ -163,7 +163,7 @@
 			switch task.state {
 			case placed:
 				if !task.recorded && !addConditions(conds, room, map[string]uint64{
-					record.ActiveJobKey(j.ref): j.version, record.OverrideKey(task.machine.ID): task.machine.version,
+					record.ActiveJobKey(j.ref): j.record.version, record.OverrideKey(task.machine.ID): task.machine.record.version,
 				}) {
 					left = true
 					continue
@@ -220,9 +220,9 @@
 func (s *Shard) recordTransfer(m *Machine) {
 	at := record.OverrideKey(m.ID)
 	t := &Txn{machine: m, Purpose: purposeTransfer, Routine: true}
-	t.Body.If = []wire.Cond{s.ownershipCondition(), {Key: at, Version: m.version}}
+	t.Body.If = []wire.Cond{s.ownershipCondition(), {Key: at, Version: m.record.version}}
 	t.Body.Then = []wire.Op{{Put: at, Value: record.Encode(s.overrideRecord(m, m.transferTo))}}
-	m.txn = t
+	m.record.txn = t
 	s.effects.Txns = append(s.effects.Txns, t)
 }
 
@@ -234,22 +234,22 @@
 		r.Images = m.images[len(m.images)-n:]
 		return r
 	}
-	return last(record.Within(s.valueBytes, 0, len(m.images), last)).(record.Machine)
+	return last(record.Within(s.ledger.valueBytes, 0, len(m.images), last)).(record.Machine)
 }
 
 // releaseMachine makes a machine leave for good. Only the answered return, as its
 // batch's record tells, proves gone what may run on it.
 func (s *Shard) releaseMachine(m *Machine, why string, now time.Time) {
-	s.effects.Released = append(s.effects.Released, MachineRelease{Machine: m.ID, Why: why, Tasks: len(m.tasks), Silent: now.Sub(m.heardAt)})
+	s.effects.Released = append(s.effects.Released, MachineRelease{Machine: m.ID, Why: why, Tasks: len(m.tasks), Silent: now.Sub(m.contact.heardAt)})
 	m.Phase = record.Returning
-	s.index.update(m)
-	if len(s.toRelease) == 0 {
-		s.releaseAt = now.Add(s.cfg.ReleaseBatchDelay)
+	s.inventory.update(m)
+	if len(s.releases.waiting) == 0 {
+		s.releases.dueAt = now.Add(s.cfg.ReleaseBatchDelay)
 	}
 	if len(m.tasks) > 0 {
-		s.releaseAt = now // its tasks wait for the proof
+		s.releases.dueAt = now // its tasks wait for the proof
 	}
-	s.toRelease = append(s.toRelease, m.ID)
+	s.releases.waiting = append(s.releases.waiting, m.ID)
 }
 
 // maxReleaseBatch is the cloud's bound of machines in one return.
@@ -258,15 +258,15 @@
 // writeReleases records which machines are to be given back. The leader asks the
 // cloud; the batch's name is never used again.
 func (s *Shard) writeReleases(now time.Time) {
-	if s.releasing == nil && len(s.toRelease) > 0 && !now.Before(s.releaseAt) {
-		n := record.Within(s.valueBytes, 1, min(len(s.toRelease), maxReleaseBatch), func(n int) any {
-			return record.Release{IDs: s.toRelease[:n], Done: true}
+	if s.releases.batch == nil && len(s.releases.waiting) > 0 && !now.Before(s.releases.dueAt) {
+		n := record.Within(s.ledger.valueBytes, 1, min(len(s.releases.waiting), maxReleaseBatch), func(n int) any {
+			return record.Release{IDs: s.releases.waiting[:n], Done: true}
 		})
-		s.releaseBatches++
-		s.releasing = &releaseBatch{key: record.ReleaseKey(s.id, s.token, s.releaseBatches), ids: slices.Clone(s.toRelease[:n])}
-		s.toRelease = s.toRelease[n:]
+		s.releases.batches++
+		s.releases.batch = &releaseBatch{key: record.ReleaseKey(s.id, s.token, s.releases.batches), ids: slices.Clone(s.releases.waiting[:n])}
+		s.releases.waiting = s.releases.waiting[n:]
 	}
-	b := s.releasing
+	b := s.releases.batch
 	if b == nil || b.txn != nil || now.Before(b.retryAt) {
 		return
 	}
@@ -298,17 +298,17 @@
 		}
 	}
 	for _, c := range slices.Clone(j.ranges) {
-		s.detachRange(c)
-		s.confirmRange(c)
+		s.ledger.detach(c)
+		s.ledger.confirm(c)
 	}
 	for _, r := range j.spec.DependsOn {
-		if delete(s.dependents[r], j); len(s.dependents[r]) == 0 {
-			delete(s.dependents, r)
+		if delete(s.dependencies.dependents[r], j); len(s.dependencies.dependents[r]) == 0 {
+			delete(s.dependencies.dependents, r)
 		}
 	}
 	delete(s.jobs, j.ref)
-	delete(s.index.pendingJobs, j.ref)
-	delete(s.protected, j)
+	delete(s.inventory.pendingJobs, j.ref)
+	s.protection.remove(j)
 	delete(s.endingJobs, j.ref)
 	s.placementDue = true
 }
--- a/internal/scheduler/evidence.go
+++ b/internal/scheduler/recorded_state.go
@@ -19,9 +19,9 @@
 		if j.pipeline != singleJob {
 			o.Pipeline = j.pipeline.ref
 		}
-		add(record.ActiveJobKey(ref), j.version, o)
+		add(record.ActiveJobKey(ref), j.record.version, o)
 	}
-	for n, placements := range s.placements {
+	for n, placements := range s.ledger.records {
 		if placements.version == 0 || placements.unreadable || len(placements.departed) > 0 {
 			continue
 		}
--- a/internal/scheduler/reread.go
+++ b/internal/scheduler/rereads.go
@@ -8,8 +8,8 @@
 )
 
 func (s *Shard) rereadJob(j *Job) {
-	if !j.versionUnknown {
-		j.versionUnknown = true
+	if !j.record.versionUnknown {
+		j.record.versionUnknown = true
 		s.effects.RereadJobs = append(s.effects.RereadJobs, j.ref)
 	}
 }
@@ -22,8 +22,8 @@
 }
 
 func (s *Shard) rereadMachine(m *Machine) {
-	if !m.versionUnknown {
-		m.versionUnknown = true
+	if !m.record.versionUnknown {
+		m.record.versionUnknown = true
 		s.effects.RereadMachines = append(s.effects.RereadMachines, m.ID)
 	}
 }
@@ -31,7 +31,7 @@
 // JobRead takes in a job's open record as read back, nil when there is none.
 func (s *Shard) JobRead(ref string, open *wire.Entry, now time.Time) error {
 	j := s.jobs[ref]
-	if j == nil || !j.versionUnknown {
+	if j == nil || !j.record.versionUnknown {
 		return nil
 	}
 	if open == nil {
@@ -47,10 +47,10 @@
 	if err != nil {
 		return err
 	}
-	j.versionUnknown = false
-	j.endTxn = nil
-	j.retryAt = now.Add(retryAfter)
-	s.wakeAt(j.retryAt)
+	j.record.versionUnknown = false
+	j.record.endTxn = nil
+	j.record.retryAt = now.Add(retryAfter)
+	s.wakeAt(j.record.retryAt)
 	s.SetJob(ref, o, open.Version, now)
 	s.placementDue = true
 	return nil
@@ -58,7 +58,7 @@
 
 // PlacementsRead takes in a slot's record as read back, nil when there is none.
 func (s *Shard) PlacementsRead(n int, e *wire.Entry, now time.Time) error {
-	placements := s.placements[n]
+	placements := s.ledger.records[n]
 	if placements != nil && placements.unreadable {
 		s.unreadableReread(placements, e)
 		return nil
@@ -89,8 +89,8 @@
 		return nil
 	}
 	for _, c := range t.ranges {
-		if run, ok := rec.Ranges[s.rangeName(c)]; ok && run.Turn == c.turn {
-			s.confirmRange(c)
+		if run, ok := rec.Ranges[s.ledger.rangeName(c)]; ok && run.Turn == c.turn {
+			s.ledger.confirm(c)
 		}
 	}
 	there := func(k taskKey) bool {
@@ -98,7 +98,7 @@
 		if c == nil || c.record != placements {
 			return false
 		}
-		pl, ok := rec.Ranges[s.rangeName(c)].On[k.index]
+		pl, ok := rec.Ranges[s.ledger.rangeName(c)].On[k.index]
 		task := &k.job.tasks[k.index]
 		return changed && ok && task.machine != nil && pl.Attempt == task.attempt && pl.Machine == task.machine.ID
 	}
@@ -118,15 +118,15 @@
 // MachineRead takes in a machine's own record as read back, nil when there is
 // none.
 func (s *Shard) MachineRead(id string, e *wire.Entry, now time.Time) error {
-	m := s.machines[id]
+	m := s.inventory.byID[id]
 	if m == nil {
 		return nil
 	}
-	m.versionUnknown, m.txn = false, nil
-	m.retryAt = now.Add(retryAfter)
+	m.record.versionUnknown, m.record.txn = false, nil
+	m.record.retryAt = now.Add(retryAfter)
 	s.placementDue = true
 	if e == nil {
-		if m.version > 0 {
+		if m.record.version > 0 {
 			s.removeMachine(m, now) // records go only when the machine is gone
 		}
 		return nil
@@ -139,9 +139,9 @@
 		s.removeMachine(m, now)
 		return nil
 	}
-	if e.Version != m.version {
-		m.version = e.Version
-		m.fenced = false
+	if e.Version != m.record.version {
+		m.record.version = e.Version
+		m.contact.fenced = false
 	}
 	return nil
 }
--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -30,9 +30,9 @@
 	}
 	if j.spec.GPUs <= 0 && m.Type.GPUs > 0 {
 		switch {
-		case m.gpus <= 0:
+		case m.used.gpus <= 0:
 			v -= breaksUpPenalty
-		case m.tasksByRank[highestRank]+m.tasksByRank[highestRank-1] == 0:
+		case m.entry.tasksByRank[highestRank]+m.entry.tasksByRank[highestRank-1] == 0:
 			v -= holdsUpGangPenalty
 		}
 	}
@@ -43,14 +43,14 @@
 		v += 30
 	}
 	if j.spec.Spread {
-		v -= 10 * float64(j.zones[m.Zone])
+		v -= 10 * float64(j.progress.placedByZone[m.Zone])
 	}
 	used := 0.0
 	if m.Type.GPUs > 0 {
-		used = m.gpus / m.Type.GPUs
+		used = m.used.gpus / m.Type.GPUs
 	}
 	if m.Type.CPUs > 0 {
-		used = math.Max(used, m.cpus/m.Type.CPUs)
+		used = math.Max(used, m.used.cpus/m.Type.CPUs)
 	}
 	return v + 20*used - float64(len(m.images))/2
 }
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -125,7 +125,7 @@
 	now := r.clock.Now()
 	b.ReportAllocs()
 	for b.Loop() {
-		r.shard.healthCheckedAt = time.Time{}
+		r.shard.health.checkedAt = time.Time{}
 		r.shard.Step(now)
 	}
 }
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -12,14 +12,14 @@
 
 // Summary tells the leader what waits and what the part's machines do.
 func (s *Shard) Summary(now time.Time) fleet.Summary {
-	s.decayArrivals(now)
-	summary := fleet.Summary{Part: s.id, Arriving: s.arrivals / arrivalDecay.Seconds(), ArrivingSpot: s.spotArrivals / arrivalDecay.Seconds()}
-	for _, j := range s.index.pendingJobs {
+	s.arrivals.decay(now)
+	summary := fleet.Summary{Part: s.id, Arriving: s.arrivals.onDemand / arrivalDecay.Seconds(), ArrivingSpot: s.arrivals.spot / arrivalDecay.Seconds()}
+	for _, j := range s.inventory.pendingJobs {
 		if !s.placeable(j, now) || now.Before(j.notBefore) {
 			continue
 		}
-		n := j.pendingTasks
-		for n > 0 && !s.withinLimit(j, n) {
+		n := j.progress.pending
+		for n > 0 && !s.quotas.withinLimit(j, n) {
 			if j.spec.Kind == wire.Gang {
 				n = 0
 				break
@@ -27,10 +27,10 @@
 			n--
 		}
 		if j.spec.Kind != wire.Gang {
-			for m := range s.index.reserved[j.ref] {
+			for m := range s.inventory.reserved[j.ref] {
 				n = max(0, n-m.reservedFor(j, now))
 			}
-		} else if now.Before(j.preemptedUntil) {
+		} else if now.Before(j.preemption.awaitedUntil) {
 			n = 0
 		}
 		if n == 0 {
@@ -50,11 +50,11 @@
 	if len(summary.Needs) > maxNeeds {
 		summary.Needs = summary.Needs[:maxNeeds]
 	}
-	summary.Machines = make([]fleet.Machine, 0, len(s.machines))
-	for _, m := range s.machines {
+	summary.Machines = make([]fleet.Machine, 0, len(s.inventory.byID))
+	for _, m := range s.inventory.byID {
 		f := freeRoom(m)
 		fm := fleet.Machine{
-			ID: m.ID, Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot, Up: m.up, Usable: s.usable(m, now),
+			ID: m.ID, Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot, Up: m.contact.up, Usable: s.usable(m, now),
 			Leaving: m.transferTo >= 0 || m.draining || m.cordon != NotCordoned || m.Phase != record.InUse || !m.reclaimedAt.IsZero(),
 			CPUs:    f.cpus, GPUs: f.gpus, MemoryGB: f.mem, Tasks: len(m.tasks),
 			Avoided: m.cordonedLater,
@@ -62,17 +62,17 @@
 		if m.transferTo >= 0 {
 			fm.Moving, fm.To = true, m.transferTo
 		}
-		if len(m.tasks) == 0 && m.up && !m.idleSince.IsZero() {
+		if len(m.tasks) == 0 && m.contact.up && !m.idleSince.IsZero() {
 			fm.Idle = now.Sub(m.idleSince)
 		}
-		if !m.addressRecorded {
+		if !m.record.hasAddress {
 			fm.Addr = m.Addr
 		}
 		for _, i := range m.images {
 			fm.Images = append(fm.Images, i.Name)
 		}
-		if m.reserved != "" && now.Before(m.reservedUntil) {
-			fm.For = m.reserved
+		if m.reservation.job != "" && now.Before(m.reservation.until) {
+			fm.For = m.reservation.job
 		}
 		for k := range m.tasks {
 			fm.Lasting = fm.Lasting || k.job.spec.Kind == wire.Service
@@ -98,12 +98,12 @@
 		need.Zone = *spec.Zone
 	}
 	if spec.OneZone {
-		for z := range j.zones {
+		for z := range j.progress.placedByZone {
 			need.Zone = z // the others have to follow
 		}
 	}
 	if spec.Spread {
-		need.ZoneLimit, need.InZone = j.zoneLimit(), maps.Clone(j.zones)
+		need.ZoneLimit, need.InZone = j.zoneLimit(), maps.Clone(j.progress.placedByZone)
 	}
 	return need
 }
@@ -113,8 +113,8 @@
 
 // ApplyFleetOrder carries out the leader's wish for a machine, as far as it still fits.
 func (s *Shard) ApplyFleetOrder(o fleet.Order, now time.Time) {
-	m := s.machines[o.Machine]
-	if s.unreadable.awaitsMachines || m == nil || m.transferTo >= 0 || m.draining || m.cordon != NotCordoned || m.Phase != record.InUse || m.txn != nil {
+	m := s.inventory.byID[o.Machine]
+	if s.unreadable.awaitsMachines || m == nil || m.transferTo >= 0 || m.draining || m.cordon != NotCordoned || m.Phase != record.InUse || m.record.txn != nil {
 		return
 	}
 	for k, t := range m.tasks {
@@ -122,12 +122,12 @@
 			return // in use by now
 		}
 	}
-	defer s.index.update(m)
+	defer s.inventory.update(m)
 	if o.To == fleet.ReleaseToCloud {
 		m.draining = true
 		return
 	}
-	if !m.fenced || m.reserved != "" && now.Before(m.reservedUntil) {
+	if !m.contact.fenced || m.reservation.job != "" && now.Before(m.reservation.until) {
 		return
 	}
 	m.transferTo = o.To
--- a/internal/scheduler/ledger.go
+++ b/internal/scheduler/task_ledger.go
@@ -14,22 +14,22 @@
 	j := k.job
 	t := &j.tasks[k.index]
 	*t = task{state: placed, attempt: attempt, machine: m}
-	j.pendingTasks--
-	j.placedTasks++
-	j.zones[m.Zone]++
-	s.index.updatePending(j)
+	j.progress.pending--
+	j.progress.placed++
+	j.progress.placedByZone[m.Zone]++
+	s.inventory.updatePending(j)
 	span := j.spec
 	m.tasks[k] = t
-	s.index.countTask(m, j.rank, 1)
-	m.cpus += span.CPUs
-	m.gpus += span.GPUs
-	m.mem += span.MemoryGB
-	u := s.usage(span.Team)
+	s.inventory.countTask(m, j.rank, 1)
+	m.used.cpus += span.CPUs
+	m.used.gpus += span.GPUs
+	m.used.mem += span.MemoryGB
+	u := s.quotas.usage(span.Team)
 	u.cpus += span.CPUs
 	u.gpus += span.GPUs
 	m.idleSince = time.Time{}
-	s.index.update(m)
-	c := s.markRangeDirty(k, now)
+	s.inventory.update(m)
+	c := s.ledger.markDirty(k, now)
 	c.attempt = max(c.attempt, attempt)
 	c.record.urgent = true
 	t.trace = &startTrace{placed: now, cached: m.hasImage(span.Image)}
@@ -43,31 +43,31 @@
 	m := t.machine
 	spec := j.spec
 	delete(m.tasks, k)
-	s.index.countTask(m, j.rank, -1)
-	m.cpus -= spec.CPUs
-	m.gpus -= spec.GPUs
-	m.mem -= spec.MemoryGB
+	s.inventory.countTask(m, j.rank, -1)
+	m.used.cpus -= spec.CPUs
+	m.used.gpus -= spec.GPUs
+	m.used.mem -= spec.MemoryGB
 	if len(m.tasks) == 0 {
-		m.cpus, m.gpus, m.mem = 0, 0, 0
+		m.used.cpus, m.used.gpus, m.used.mem = 0, 0, 0
 		m.idleSince = now
 	}
-	s.index.update(m)
+	s.inventory.update(m)
 	if t.stopping && !m.evicting() {
-		delete(s.index.evicting, m)
+		delete(s.inventory.evicting, m)
 	}
 	t.setPhase(j, "")
-	u := s.usage(spec.Team)
+	u := s.quotas.usage(spec.Team)
 	u.cpus -= spec.CPUs
 	u.gpus -= spec.GPUs
 	*t = task{state: pending}
-	j.placedTasks--
-	j.pendingTasks++
-	if j.zones[m.Zone]--; j.zones[m.Zone] == 0 {
-		delete(j.zones, m.Zone)
-	}
-	s.index.updatePending(j)
-	j.firstPending = min(j.firstPending, k.index)
-	s.markRangeDirty(k, now)
+	j.progress.placed--
+	j.progress.pending++
+	if j.progress.placedByZone[m.Zone]--; j.progress.placedByZone[m.Zone] == 0 {
+		delete(j.progress.placedByZone, m.Zone)
+	}
+	s.inventory.updatePending(j)
+	j.progress.firstPending = min(j.progress.firstPending, k.index)
+	s.ledger.markDirty(k, now)
 	s.queueIfTerminal(j)
 	s.placementDue = true
 }
@@ -83,11 +83,11 @@
 		s.unplaceTask(k, now)
 	}
 	*t = task{state: completed}
-	j.pendingTasks--
-	j.completedTasks++
-	s.index.updatePending(j)
-	j.failures = 0
-	s.markRangeDirty(k, now)
+	j.progress.pending--
+	j.progress.completed++
+	s.inventory.updatePending(j)
+	j.faults.count = 0
+	s.ledger.markDirty(k, now)
 	s.queueIfTerminal(j)
 	s.placementDue = true
 }
@@ -101,21 +101,21 @@
 
 // terminal reports whether nothing of a job is left to run or to be proven gone.
 func (j *Job) terminal() bool {
-	return (j.cancelled && j.placedTasks == 0 && !j.withheld) || (!j.cancelled && j.completedTasks == len(j.tasks))
+	return (j.cancelled && j.progress.placed == 0 && !j.withheld) || (!j.cancelled && j.progress.completed == len(j.tasks))
 }
 
 // markRangeDirty marks the range of a task as changed.
-func (s *Shard) markRangeDirty(k taskKey, now time.Time) *taskRange {
-	c := s.rangeOf(k.job, k.index)
+func (l *placementLedger) markDirty(k taskKey, now time.Time) *taskRange {
+	c := l.rangeOf(k.job, k.index)
 	if !c.record.dirty {
 		c.record.dirty, c.record.dirtySince = true, now
 	}
 	return c
 }
 
-func (s *Shard) nextAttempt(j *Job, i int) uint64 {
+func (l *placementLedger) nextAttempt(j *Job, i int) uint64 {
 	if j.spec.Kind != wire.Gang {
-		return s.rangeOf(j, i).attempt + 1
+		return l.rangeOf(j, i).attempt + 1
 	}
 	var a uint64
 	for _, c := range j.ranges {
@@ -133,11 +133,11 @@
 	if j == nil {
 		spec := o.Spec
 		j = &Job{
-			ref: ref, spec: &spec, accepted: time.UnixMilli(o.At), tasks: make([]task, spec.Tasks), pendingTasks: spec.Tasks,
-			zones: map[string]int{}, rank: Rank(spec.Priority), awaitsDependencies: true,
+			ref: ref, spec: &spec, accepted: time.UnixMilli(o.At), tasks: make([]task, spec.Tasks),
+			progress: jobProgress{pending: spec.Tasks, placedByZone: map[string]int{}}, rank: Rank(spec.Priority), awaitsDependencies: true,
 		}
 		s.jobs[ref] = j
-		s.index.updatePending(j)
+		s.inventory.updatePending(j)
 		switch {
 		case o.Pipeline != "":
 			j.pipeline = s.pipelineOf(o.Pipeline)
@@ -147,10 +147,10 @@
 			j.pipeline = singleJob
 		}
 	}
-	if version <= j.version {
+	if version <= j.record.version {
 		return
 	}
-	j.version = version
+	j.record.version = version
 	if !o.AwaitsDependencies {
 		s.releaseJob(j, time.UnixMilli(o.At), now)
 	}
@@ -167,7 +167,7 @@
 	}
 	j.awaitsDependencies = false
 	if j.accepted = at; now.Sub(at) < arrivalDecay {
-		s.recordArrival(j, now)
+		s.arrivals.record(j, s.cfg, now)
 	}
 	s.placementDue = true
 }
@@ -191,9 +191,9 @@
 
 // SetMachine takes in what the records say of a machine, new or changed.
 func (s *Shard) SetMachine(id string, v record.View, now time.Time) error {
-	m := s.machines[id]
+	m := s.inventory.byID[id]
 	if v.Shard != s.id {
-		if m != nil && v.Version > m.version && len(m.tasks) == 0 {
+		if m != nil && v.Version > m.record.version && len(m.tasks) == 0 {
 			s.removeMachine(m, now)
 		}
 		return nil
@@ -208,23 +208,23 @@
 		}
 		m = &Machine{
 			ID: id, Type: typ, Zone: v.Zone, Spot: v.Spot, provisionedAt: time.UnixMilli(v.Born), tasks: map[taskKey]*task{},
-			images: v.Images, transferTo: -1, idleSince: now, heardAt: now,
+			images: v.Images, transferTo: -1, idleSince: now, contact: contact{heardAt: now},
 		}
-		s.machines[id] = m
-		s.longestMachineID = max(s.longestMachineID, len(id))
+		s.inventory.byID[id] = m
+		s.ledger.longestMachineID = max(s.ledger.longestMachineID, len(id))
 	}
-	if v.Version > m.version {
-		m.version = v.Version
-		m.fenced = false
+	if v.Version > m.record.version {
+		m.record.version = v.Version
+		m.contact.fenced = false
 	}
 	if v.Addr != "" {
-		m.addressRecorded = true
+		m.record.hasAddress = true
 		if m.Addr == "" {
 			m.Addr = v.Addr
 		}
 	}
 	m.Phase = max(m.Phase, v.Phase)
-	s.index.update(m)
+	s.inventory.update(m)
 	if m.Phase == record.Gone {
 		s.removeMachine(m, now)
 	}
@@ -234,7 +234,7 @@
 
 // DropMachine takes in that no record names a machine any more: it is gone.
 func (s *Shard) DropMachine(id string, now time.Time) {
-	if m := s.machines[id]; m != nil {
+	if m := s.inventory.byID[id]; m != nil {
 		s.removeMachine(m, now)
 	}
 }
@@ -244,9 +244,9 @@
 	for k := range m.tasks {
 		s.taskLost(k, now)
 	}
-	delete(s.machines, m.ID)
+	delete(s.inventory.byID, m.ID)
 	delete(s.delayedStarts, m)
-	s.index.drop(m)
+	s.inventory.drop(m)
 	s.placementDue = true
 }
 
@@ -262,7 +262,7 @@
 func (s *Shard) SetCancellationsUnknown(blind bool) { s.cancellationsUnknown = blind }
 
 // HasMachine reports whether the part holds a machine.
-func (s *Shard) HasMachine(id string) bool { return s.machines[id] != nil }
+func (s *Shard) HasMachine(id string) bool { return s.inventory.byID[id] != nil }
 
 // HasJob reports whether the part holds an unfinished job.
 func (s *Shard) HasJob(ref string) bool { return s.jobs[ref] != nil }
@@ -271,7 +271,7 @@
 // tells, or a later one.
 func (s *Shard) KnowsJob(ref string, version uint64) bool {
 	j := s.jobs[ref]
-	return j != nil && j.version >= version
+	return j != nil && j.record.version >= version
 }
 
 // Status returns a job's state for display.
@@ -280,7 +280,7 @@
 	if j == nil {
 		return wire.Status{}, false
 	}
-	status := wire.Status{Ref: ref, State: wire.Pending, Done: j.completedTasks, Running: j.runningTasks}
+	status := wire.Status{Ref: ref, State: wire.Pending, Done: j.progress.completed, Running: j.progress.running}
 	if status.Running > 0 {
 		status.State = wire.Running
 	}
@@ -295,8 +295,8 @@
 	}
 	if !t.stopping || grace < t.grace {
 		t.stopping, t.grace = true, grace
-		s.index.evicting[t.machine] = struct{}{}
-		s.index.commandsDue[t.machine] = struct{}{}
+		s.inventory.evicting[t.machine] = struct{}{}
+		s.inventory.commandsDue[t.machine] = struct{}{}
 	}
 }
 
--- a/internal/scheduler/types.go
+++ b/internal/scheduler/types.go
@@ -119,96 +119,125 @@
 	ImageGB                                float64
 }
 
-// Job is an unfinished job.
+// Job is an unfinished job. Its tasks change state only in the task ledger, which keeps
+// the counts in progress right.
 type Job struct {
 	ref                 string
 	spec                *wire.Spec
-	pipeline            *pipeline // its pipeline; of one job alone unless it was submitted with one
+	accepted            time.Time
+	record              jobRecord
+	pipeline            *pipeline // singleJob unless it was submitted with one
 	awaitsDependencies  bool      // not released by its pipeline, or by the jobs that it names, yet
-	dependenciesEndedAt time.Time // when the last of these that is over was done
+	dependenciesEndedAt time.Time // when the last of these that is terminal ended
 	unneeded            bool      // its pipeline has no use for it any more
-	version             uint64
-	accepted            time.Time
 	cancelled           bool
+	withheld            bool // a record that can't be decoded may tell of its tasks
 	tasks               []task
-	pendingTasks        int
-	placedTasks         int
-	completedTasks      int
-	firstPending        int            // no idle task before it
-	ranges              []*taskRange   // in order, apart
-	zones               map[string]int // placed tasks by zone
-	runningTasks        int            // placed tasks reported as running
-	endTxn              *Txn           // its end, under way
-	versionUnknown      bool           // the record's version is unknown; a reread is under way
-	retryAt             time.Time
-	notBefore           time.Time // not to be placed before, after failures
-	failures            int
-	failedOn            map[string]bool
+	progress            jobProgress
+	ranges              []*taskRange // in order, apart
+	notBefore           time.Time    // not to be placed before, after failures
+	faults              jobFaults
 	unplacedSince       time.Time // since when something waits that fits nowhere
+	preemption          preemptionState
 	rank                int       // its priority, or a higher one of those that need it
 	deadlineAt          time.Time // when it is to be done, for itself and these; zero: whenever
 	hasDependents       bool      // others wait for its end
-	withheld            bool      // a record that can't be decoded may tell of its tasks
-	preemptedUntil      time.Time // until when room made for it is awaited
-	preemptionTriedAt   time.Time // when room was last sought in vain
-	protected           bool      // started after too long a wait: nothing takes its place
+	protected           bool      // started after too long a wait: not preempted any more
+}
+
+// jobRecord is what is known of a job's record in the state service.
+type jobRecord struct {
+	version        uint64
+	endTxn         *Txn // writes the job's end
+	versionUnknown bool // a reread is under way
+	retryAt        time.Time
 }
 
-// releaseBatch is a number of machines to be given back with one record.
-type releaseBatch struct {
-	key     string
-	ids     []string
-	txn     *Txn
-	retryAt time.Time
+// jobProgress counts a job's tasks by state; pending, placed and completed add up to all.
+type jobProgress struct {
+	pending, placed, completed int
+	running                    int            // placed tasks reported as running
+	firstPending               int            // no pending task before it
+	placedByZone               map[string]int // placed tasks by zone
 }
 
-// Machine is a machine of the part.
+// jobFaults is what failed tasks tell of a job.
+type jobFaults struct {
+	count    int             // since the job was found to be at fault itself
+	machines map[string]bool // where its tasks failed
+}
+
+// preemptionState is when a job preempted others, or tried to.
+type preemptionState struct {
+	awaitedUntil time.Time // until when the room that was made is awaited
+	triedAt      time.Time // when preemption last found nothing
+}
+
+// Machine is a machine of the shard.
 type Machine struct {
-	ID               string
-	Type             wire.MachineType
-	Zone             string
-	Spot             bool
-	Addr             string
-	Phase            record.Phase
-	version          uint64 // of its own record, 0 without one
-	provisionedAt    time.Time
-	epoch            uint64
+	ID            string
+	Type          wire.MachineType
+	Zone          string
+	Spot          bool
+	Addr          string
+	Phase         record.Phase
+	provisionedAt time.Time
+	record        machineRecord
+	contact       contact
+	probes        probeState
+	inherited     bool      // may hold what an earlier owner started
+	reclaimedAt   time.Time // when the cloud takes it back; zero: no notice
+	used          resources
+	tasks         map[taskKey]*task
+	images        []record.Image // believed to be cached, the latest used last
+	idleSince     time.Time
+	failed        map[string]bool // jobs that failed here in a row
+	transferTo    int             // the shard that it goes to; -1: stays
+	draining      bool            // to be released once it is empty
+	cordon        Cordon
+	cordonedLater bool                    // new work goes elsewhere if it can
+	directStarts  map[string]*directStart // by task
+	retained      int                     // exited tasks in its last heartbeat that it may not forget
+	announceToken bool                    // a command without orders is due, to bring our token there
+	reservation   reservation
+	entry         inventoryEntry
+}
+
+// machineRecord is what is known of a machine's override record in the state service.
+type machineRecord struct {
+	version        uint64 // 0 without one
+	txn            *Txn   // its transfer or a higher token, under way
+	versionUnknown bool   // a reread is under way
+	retryAt        time.Time
+	hasAddress     bool // the machine's address is on record
+}
+
+// contact is what a machine's heartbeats and answers have shown.
+type contact struct {
+	epoch            uint64 // of its agent
 	seq              uint64
 	up               bool
 	fenced           bool      // has reported our token
-	inherited        bool      // may hold what an earlier owner started
-	heardAt          time.Time // last report, or answer to a direct command or a probe
-	heartbeatAt      time.Time // last report that could be answered
+	heardAt          time.Time // last heartbeat, or answer to a direct command or a probe
+	heartbeatAt      time.Time // last heartbeat that could be answered
 	steadySince      time.Time // since when it was heard without a gap
-	answeredAt       time.Time // when a report of this session was last answered
+	answeredAt       time.Time // when a heartbeat of this epoch was last answered
 	unreachableSince time.Time // since when no answer seems to reach it; zero: they do
-	missedStarts     int       // reports in a row that lacked a start sent before
-	reclaimedAt      time.Time // when the cloud takes it back; zero: no notice
-	cpus             float64   // used
-	gpus             float64
-	mem              float64
-	tasks            map[taskKey]*task
-	images           []record.Image // believed to be cached, the latest used last
-	idleSince        time.Time
-	failed           map[string]bool // jobs that failed here in a row
-	transferTo       int             // -1: stays
-	draining         bool
-	cordon           Cordon
-	cordonedLater    bool // to be cordoned later: new work goes elsewhere if it can
-	txn              *Txn // its move, under way
-	versionUnknown   bool
-	retryAt          time.Time
-	directStarts     map[string]*directStart // starts sent straight to it, by task
-	retained         int                     // exited tasks in its last report that it may not forget
-	reserved         string                  // job for which room was made
-	reservedTasks    int                     // for so many of its tasks
-	reservedUntil    time.Time
-	probes           probeState
-	addressRecorded  bool         // its address is recorded
-	announceToken    bool         // a command without orders is due, to bring our token there
-	indexed          bool         // the index holds it,
-	indexedClass     machineClass // under this class
-	tasksByRank      [highestRank + 1]int
+	missedStarts     int       // heartbeats in a row that lacked a start sent before
+}
+
+// reservation keeps room on a machine for tasks of one job.
+type reservation struct {
+	job   string // empty: none
+	tasks int
+	until time.Time
+}
+
+// inventoryEntry is how the inventory has indexed a machine.
+type inventoryEntry struct {
+	indexed     bool
+	class       machineClass
+	tasksByRank [highestRank + 1]int
 }
 
 type taskKey struct {
@@ -231,68 +260,64 @@
 	return name[:at], i, err == nil && i >= 0
 }
 
-type usage struct{ cpus, gpus float64 }
-
-// Shard is the core of one part.
+// Shard is the scheduling core of one shard.
 type Shard struct {
-	cfg           *Config
-	id            int
-	token         uint64
-	ownershipLost bool
-	machines      map[string]*Machine
-	jobs          map[string]*Job
-	placements    map[int]*placementRecord
-	// txnOps and valueBytes are the limits to write by: those of the settings,
-	// or less where the state service turned out to have others.
-	txnOps, valueBytes     int
-	sizedAllowed           bool                         // no controller of the first version is left
-	sized                  bool                         // ranges state their size
-	obsolete               []*placementRecord           // to be deleted
-	pipelines              map[string]*pipeline         // pipelines of several jobs
-	dependents             map[string]map[*Job]struct{} // by dependency, the jobs here that wait for it
-	longestMachineID       int                          // of the machines' names
-	toRelease              []string                     // machines to be given back with the next batch
-	releaseAt              time.Time                    // when that batch is due
-	releasing              *releaseBatch
-	releaseBatches         int
-	index                  index
-	candidatesExamined     int                      // machines and jobs that placements have looked at, for tests
-	protected              map[*Job]bool            // see Job.kept
-	protectedLoad          [highestRank + 1]float64 // the share of the machines that kept jobs hold, by priority
-	reservingGangs         map[string]*Job          // the gangs that machines are kept for in this pass, by zone
-	candidates             candidateCache           // for the job whose tasks are being placed
-	writeBacklog           time.Duration            // how long changes wait for the state service's budget
-	cancellationsUnknown   bool                     // cancellations told elsewhere may be unknown here
-	quotaUsage             map[string]*usage
-	effects                Effects
-	placementDue           bool // something that may allow a placement
-	nextWake               time.Time
-	delayedStarts          map[*Machine]time.Time // when starts that are delayed there are due
-	endingJobs             map[string]*Job        // jobs whose end is to be recorded
-	healthCheckedAt        time.Time
-	probesInFlight         int                  // probes under way
-	zoneAnsweredAt         map[string]time.Time // when a probe of a zone's machine was last answered
-	partitionedZones       map[string]bool
-	overloaded             bool                       // this controller falls behind: see lostWhy
-	zoneCounts             map[silenceLimit]zoneCount // since the last health check
-	drains                 drainState
-	reconciliation         reconciliation
-	unreadable             unreadableRecords
-	heartbeatsAwaitedUntil time.Time                  // until when starts may wait for reports
-	detectsDataLoss        bool                       // what the records never knew is told
-	unrecordedTasks        map[string]*unrecordedTask // reported tasks that the records do not know
-	explainedTasks         map[string]struct{}        // and those that turned out to be of jobs that are over
-	// Machines' worth that arrived, fading; what may use spot machines apart.
-	arrivals, spotArrivals float64
-	arrivalsAt             time.Time
+	cfg            *Config
+	id             int
+	token          uint64
+	ownershipLost  bool
+	inventory      inventory
+	jobs           map[string]*Job
+	endingJobs     map[string]*Job // jobs whose end is to be recorded
+	dependencies   dependencies
+	ledger         placementLedger
+	releases       releaseQueue
+	quotas         quotas
+	protection     protectedJobs
+	pass           placementPass
+	arrivals       arrivalRate
+	health         health
+	probes         probes
+	drains         drainState
+	reconciliation reconciliation
+	unreadable     unreadableRecords
+	dataLoss       dataLossDetection
+	delayedStarts  map[*Machine]time.Time // when starts that are delayed there are due
+	writeBacklog   time.Duration          // how long changes wait for the state service's budget
+	// cancellationsUnknown: cancellations told elsewhere may be unknown here.
+	cancellationsUnknown bool
+	effects              Effects
+	placementDue         bool      // something changed that may allow a placement
+	nextWake             time.Time // when a Step is due though nothing changes; zero: never
+	candidatesExamined   int       // machines and jobs that placements have examined, for tests
 }
 
-// New makes the core of a part claimed under a token.
+// placementPass is what one pass over the waiting jobs keeps.
+type placementPass struct {
+	gangByZone map[string]*Job // the gangs that machines are reserved for, by zone
+	candidates candidateCache  // for the job whose tasks are being placed
+}
+
+// dependencies is what jobs of the shard wait for besides room.
+type dependencies struct {
+	pipelines  map[string]*pipeline         // those of several jobs
+	dependents map[string]map[*Job]struct{} // by dependency, the jobs here that wait for it
+}
+
+// New makes the core of a shard acquired under a token.
 func New(cfg *Config, id int, token uint64) *Shard {
 	return &Shard{
-		cfg: cfg, id: id, token: token, txnOps: cfg.TxnOps, valueBytes: cfg.ValueBytes, machines: map[string]*Machine{}, jobs: map[string]*Job{},
-		placements: map[int]*placementRecord{}, pipelines: map[string]*pipeline{}, dependents: map[string]map[*Job]struct{}{}, quotaUsage: map[string]*usage{}, endingJobs: map[string]*Job{}, placementDue: true,
-		index: newIndex(), protected: map[*Job]bool{}, delayedStarts: map[*Machine]time.Time{}, zoneAnsweredAt: map[string]time.Time{},
+		cfg: cfg, id: id, token: token,
+		inventory:     newInventory(),
+		jobs:          map[string]*Job{},
+		endingJobs:    map[string]*Job{},
+		dependencies:  dependencies{pipelines: map[string]*pipeline{}, dependents: map[string]map[*Job]struct{}{}},
+		ledger:        newPlacementLedger(cfg, token),
+		quotas:        quotas{cfg: cfg, used: map[string]*usage{}},
+		protection:    protectedJobs{jobs: map[*Job]bool{}},
+		probes:        probes{zoneAnsweredAt: map[string]time.Time{}},
+		delayedStarts: map[*Machine]time.Time{},
+		placementDue:  true,
 	}
 }
 
@@ -302,25 +327,7 @@
 func (s *Shard) Token() uint64       { return s.token }
 func (s *Shard) OwnershipLost() bool { return s.ownershipLost }
 
-func (m *Machine) fencingToken(shard *Shard) uint64 { return max(shard.token, m.version) }
-
-// recordCachedImage takes in that an image was used on a machine, and which older ones
-// its cache can no longer hold.
-func (s *Shard) recordCachedImage(m *Machine, name string, gb float64) {
-	m.images = slices.DeleteFunc(m.images, func(i record.Image) bool { return i.Name == name })
-	m.images = append(m.images, record.Image{Name: name, GB: gb})
-	insert(s.index.byImage, name, m)
-	sum := 0.0
-	for i := len(m.images) - 1; i >= 0; i-- {
-		if sum += m.images[i].GB; sum > m.Type.CacheGB && i < len(m.images)-1 {
-			for _, old := range m.images[:i+1] {
-				remove(s.index.byImage, old.Name, m)
-			}
-			m.images = slices.Clone(m.images[i+1:])
-			break
-		}
-	}
-}
+func (m *Machine) fencingToken(shard *Shard) uint64 { return max(shard.token, m.record.version) }
 
 func (m *Machine) hasImage(name string) bool {
 	return slices.ContainsFunc(m.images, func(i record.Image) bool { return i.Name == name })
@@ -345,12 +352,3 @@
 	}
 	return 0
 }
-
-func (s *Shard) usage(team string) *usage {
-	u := s.quotaUsage[team]
-	if u == nil {
-		u = &usage{}
-		s.quotaUsage[team] = u
-	}
-	return u
-}
--- a/internal/scheduler/unreadable.go
+++ b/internal/scheduler/unreadable_records.go
@@ -40,7 +40,7 @@
 // so that what is adopted could not be told from what a restored record tells: the part turns to
 // stated ones, and as long as a controller of the first version may be there, the error stands.
 func (s *Shard) passOverUnreadable(e wire.Entry, err error) error {
-	if !s.sizedAllowed {
+	if !s.ledger.sizedAllowed {
 		return err
 	}
 	s.UseSizedRanges()
@@ -49,7 +49,7 @@
 	if keyErr != nil {
 		return keyErr
 	}
-	rec := s.placementRecord(n)
+	rec := s.ledger.record(n)
 	rec.version, rec.unreadable = e.Version, true
 	s.unreadable.records = append(s.unreadable.records, rec)
 	s.unreadable.newestVersion = max(s.unreadable.newestVersion, e.Version)
@@ -65,12 +65,12 @@
 	for _, j := range s.jobs {
 		// The record of a job that was cancelled or released may be newer than the job.
 		rewritten := j.cancelled || j.pipeline != singleJob
-		j.withheld = rewritten || j.version <= s.unreadable.newestVersion
+		j.withheld = rewritten || j.record.version <= s.unreadable.newestVersion
 	}
 }
 
 // overridingTurn is a turn above that of any range on record.
-func (s *Shard) overridingTurn() int { return int(s.token) }
+func (l *placementLedger) overridingTurn() int { return int(l.token) }
 
 // releaseWithheldJobs lets jobs go on of which nothing can be unknown any more.
 func (s *Shard) releaseWithheldJobs(now time.Time) {
@@ -91,7 +91,7 @@
 	s.placementDue = s.placementDue || u.awaitsMachines
 	u.awaitsMachines = false
 	for _, j := range s.jobs {
-		if j.withheld && (j.cancelled || j.pendingTasks == 0) {
+		if j.withheld && (j.cancelled || j.progress.pending == 0) {
 			j.withheld = false
 			s.supersedeRecorded(j)
 			s.queueIfTerminal(j)
@@ -102,22 +102,22 @@
 // supersedeRecorded makes what is known of all of a job's tasks count before what the record tells.
 func (s *Shard) supersedeRecorded(j *Job) {
 	for _, c := range j.ranges {
-		c.turn = max(c.turn, s.overridingTurn())
+		c.turn = max(c.turn, s.ledger.overridingTurn())
 		c.record.dirty, c.record.rangeAwaited = true, true
 	}
 }
 
 // withheldRange is a range for a task of a withheld job: of that one alone, since nothing is
 // known of its neighbours.
-func (s *Shard) withheldRange(j *Job, i int) *taskRange {
-	return &taskRange{job: j, first: i, end: i + 1, turn: s.overridingTurn()}
+func (l *placementLedger) withheldRange(j *Job, i int) *taskRange {
+	return &taskRange{job: j, first: i, end: i + 1, turn: l.overridingTurn()}
 }
 
 // awaitsInheritedMachines reports whether a machine that the part had when it was taken over has
 // neither reported under the part's token nor is proven gone.
 func (s *Shard) awaitsInheritedMachines() bool {
-	for _, m := range s.machines {
-		if m.inherited && !m.fenced {
+	for _, m := range s.inventory.byID {
+		if m.inherited && !m.contact.fenced {
 			return true
 		}
 	}
--- a/internal/scheduler/upgrade_test.go
+++ b/internal/scheduler/upgrade_test.go
@@ -39,7 +39,7 @@
 		r.state.Put(key, v)
 	}
 	r.failOver()
-	for _, m := range r.shard.machines {
+	for _, m := range r.shard.inventory.byID {
 		r.workers[m.ID] = testkit.NewWorker(m.ID, m.Type.Name, m.Zone, m.Spot)
 	}
 	return r
@@ -204,7 +204,7 @@
 		// The limits fall after any of the writes from then on.
 		at, falls, writes := rnd.IntN(6), rnd.IntN(25), 0
 		r.afterTxn = func() {
-			if writes++; r.shard.sized && writes > falls {
+			if writes++; r.shard.ledger.sized && writes > falls {
 				r.state.Limit(tightBytes, tightOps)
 			}
 		}
@@ -256,7 +256,7 @@
 func (r *harness) known() {
 	r.t.Helper()
 	next := New(r.cfg, 0, r.shard.token)
-	if r.shard.sized {
+	if r.shard.ledger.sized {
 		next.UseSizedRanges() // as the controller knows from the words of all
 	}
 	if err := next.Load(r.fleet, r.list(record.ActiveJobPrefix), r.slots(), r.clock.Now()); err != nil {
@@ -271,7 +271,7 @@
 		}
 	}
 	for task := range partFacts(r.shard).done {
-		if ref, _, _ := SplitTask(task); r.shard.jobs[ref].endTxn == nil && !got.done[task] {
+		if ref, _, _ := SplitTask(task); r.shard.jobs[ref].record.endTxn == nil && !got.done[task] {
 			r.t.Fatalf("%s is done, and a new owner would start it again", task)
 		}
 	}
--- a/internal/scheduler/versions.go
+++ b/internal/scheduler/versions.go
@@ -15,15 +15,15 @@
 	switch {
 	case strings.HasPrefix(key, record.ActiveJobPrefix):
 		if j := s.jobs[last]; j != nil {
-			return j.version
+			return j.record.version
 		}
 	case strings.HasPrefix(key, record.OverridePrefix):
-		if m := s.machines[last]; m != nil {
-			return m.version
+		if m := s.inventory.byID[last]; m != nil {
+			return m.record.version
 		}
 	case strings.HasPrefix(key, record.ShardPlacementsPrefix(s.id)):
 		n, err := strconv.Atoi(last)
-		if rec := s.placements[n]; err == nil && rec != nil && !rec.unreadable {
+		if rec := s.ledger.records[n]; err == nil && rec != nil && !rec.unreadable {
 			return rec.version
 		}
 	}
@@ -32,8 +32,8 @@
 
 // HeardWithin reports whether a machine was heard in some time.
 func (s *Shard) HeardWithin(id string, d time.Duration, now time.Time) bool {
-	m := s.machines[id]
-	return m != nil && m.up && now.Sub(m.heardAt) < d
+	m := s.inventory.byID[id]
+	return m != nil && m.contact.up && now.Sub(m.contact.heardAt) < d
 }
 
 // Lease is how long a worker's tasks outlive its last answered report.
--- a/internal/scheduler/outcomes.go
+++ b/internal/scheduler/write_outcomes.go
@@ -13,17 +13,17 @@
 func (s *Shard) Applied(t *Txn, revision uint64, now time.Time) {
 	switch {
 	case t.machine != nil:
-		t.machine.txn = nil
+		t.machine.record.txn = nil
 		if t.raisesToken {
-			t.machine.version, t.machine.fenced = revision, false
+			t.machine.record.version, t.machine.contact.fenced = revision, false
 			s.placementDue = true
 			break
 		}
 		s.removeMachine(t.machine, now)
 	case t.release != nil:
-		s.releasing = nil
+		s.releases.batch = nil
 	case t.job != nil:
-		t.job.endTxn = nil
+		t.job.record.endTxn = nil
 		s.reportJobEnd(t.job, now)
 		s.removeJob(t.job, now)
 		s.applyPipelineStep(t, revision, now)
@@ -36,10 +36,10 @@
 	t.placements.txn = nil
 	t.placements.version = revision
 	if t.deletesRecord {
-		delete(s.placements, t.placements.number)
+		delete(s.ledger.records, t.placements.number)
 	}
 	for _, c := range t.ranges {
-		s.confirmRange(c)
+		s.ledger.confirm(c)
 	}
 	for _, k := range t.starts {
 		other := &k.job.tasks[k.index]
@@ -63,13 +63,13 @@
 	switch {
 	case t.release != nil:
 		// Its name is ours alone: an earlier try was applied after all.
-		s.releasing = nil
+		s.releases.batch = nil
 	case t.machine != nil:
-		t.machine.txn = nil
-		t.machine.retryAt = now.Add(retryAfter)
+		t.machine.record.txn = nil
+		t.machine.record.retryAt = now.Add(retryAfter)
 		s.rereadMachine(t.machine)
 	case t.job != nil:
-		t.job.endTxn = nil
+		t.job.record.endTxn = nil
 		s.pipelineStepFailed(t.job, false)
 		s.rereadJob(t.job)
 	default:
@@ -86,7 +86,7 @@
 	for _, k := range failed {
 		bad[k] = true
 		if id, ok := strings.CutPrefix(k, record.OverridePrefix); ok {
-			if m := s.machines[id]; m != nil {
+			if m := s.inventory.byID[id]; m != nil {
 				s.rereadMachine(m)
 			}
 		}
@@ -113,9 +113,9 @@
 	case t.release != nil:
 		t.release.txn, t.release.retryAt = nil, at
 	case t.machine != nil:
-		t.machine.txn, t.machine.retryAt = nil, at
+		t.machine.record.txn, t.machine.record.retryAt = nil, at
 	case t.job != nil:
-		t.job.endTxn, t.job.retryAt = nil, at
+		t.job.record.endTxn, t.job.record.retryAt = nil, at
 		s.pipelineStepFailed(t.job, true)
 	default:
 		t.placements.txn, t.placements.retryAt = nil, at
@@ -132,10 +132,10 @@
 		largest = max(largest, len(op.Value))
 	}
 	if least := unsizedPlacementBytes * 2 * unsizedRangeOverhead; largest > least {
-		s.valueBytes = min(s.valueBytes, max(least, largest*3/4))
+		s.ledger.valueBytes = min(s.ledger.valueBytes, max(least, largest*3/4))
 	}
 	if n := len(t.Body.Then); n > jobEndOps {
-		s.txnOps = min(s.txnOps, n-1)
+		s.ledger.txnOps = min(s.ledger.txnOps, n-1)
 	}
 	s.Refused(t, now)
 }
