--- a/internal/fleet/fair_share_test.go
+++ b/internal/fleet/fair_share_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestShare(t *testing.T) {
+func TestFairShare(t *testing.T) {
 	for name, x := range map[string]struct {
 		needs map[string]float64
 		check func(map[string]float64) bool
--- a/internal/fleet/placement.go
+++ b/internal/fleet/placement.go
@@ -6,47 +6,55 @@
 	"sort"
 )
 
-// satisfy finds machines for a need: its part's own, others' free ones, others'
-// with lower work, and new ones, in that order.
-func (p *planning) satisfy(n *demand, due bool) (orders []Order) {
-	if p.placeOn(n, p.withRoom[n.shard]) {
+// minPreemptingRank is the priority from which demand preempts work of other shards.
+const minPreemptingRank = 2
+
+// satisfy finds machines for a demand: its shard's own, free ones of others, those of others
+// with work of lower priority, and new ones, in that order.
+func (p *planning) satisfy(d *demand, balance bool) []Order {
+	if p.placeOn(d, p.withRoom[d.shard]) {
 		return nil
 	}
-	// Free machines of parts that have no use for them come first.
-	if due || n.Waited >= p.cfg.MoveAfter {
-		var spare []*bin
-		for _, b := range p.unused {
-			if p.movable(b, n) && p.unmet[shardPool{b.shard, b.pool()}] == 0 {
-				spare = append(spare, b)
-			}
-		}
-		// As in a part, a machine that caches the image is preferred.
-		sort.SliceStable(spare, func(a, b int) bool {
-			return slices.Contains(spare[a].Images, n.Image) && !slices.Contains(spare[b].Images, n.Image)
-		})
-		orders = append(orders, p.moveMachines(n, spare, 0)...)
+	var orders []Order
+	if balance || d.Waited >= p.cfg.MoveAfter {
+		orders = p.moveMachines(d, p.spare(d), 0)
 	}
-	if n.Count == 0 {
+	if d.Count == 0 {
 		return orders
 	}
-	if n.Rank >= minPreemptingRank && n.Waited >= p.cfg.PreemptAfter {
-		orders = append(orders, p.moveMachines(n, p.preemptible(n), n.Rank)...)
+	if d.Rank >= minPreemptingRank && d.Waited >= p.cfg.PreemptAfter {
+		orders = append(orders, p.moveMachines(d, p.preemptible(d), d.Rank)...)
 	}
-	p.provision(n)
+	p.provision(d)
 	return orders
 }
 
-// movable reports whether a machine of another part may be moved for a need.
-func (p *planning) movable(b *bin, n *demand) bool {
-	return b.shard != n.shard && b.Up && b.Usable && b.For == "" && !b.promised
+// spare returns free machines of other shards that have no use for them. As within a shard,
+// those that cache the image come first.
+func (p *planning) spare(d *demand) []*bin {
+	var spare []*bin
+	for _, b := range p.unused {
+		if movable(b, d) && p.unmet[shardPool{b.shard, b.pool()}] == 0 {
+			spare = append(spare, b)
+		}
+	}
+	sort.SliceStable(spare, func(a, b int) bool {
+		return slices.Contains(spare[a].Images, d.Image) && !slices.Contains(spare[b].Images, d.Image)
+	})
+	return spare
+}
+
+// movable reports whether a machine of another shard may be moved for a demand.
+func movable(b *bin, d *demand) bool {
+	return b.shard != d.shard && b.Up && b.Usable && b.For == "" && !b.promised
 }
 
-// preemptible returns other parts' machines of which all tasks are of lower priority
-// than a need, as they are once emptied.
-func (p *planning) preemptible(n *demand) []*bin {
+// preemptible returns other shards' machines of which all tasks are of lower priority
+// than a demand, as they are once emptied.
+func (p *planning) preemptible(d *demand) []*bin {
 	var out []*bin
 	for _, e := range p.emptiedMachines() {
-		if e.TopRank < n.Rank && p.movable(e.original, n) {
+		if e.TopRank < d.Rank && movable(e.original, d) {
 			out = append(out, e)
 		}
 	}
@@ -56,96 +64,109 @@
 // emptiedMachines returns all machines as they are without their tasks, those with the
 // fewest first.
 func (p *planning) emptiedMachines() []*bin {
-	if p.emptied == nil {
-		p.emptied = make([]*bin, 0, len(p.bins))
-		for _, b := range p.bins {
-			if t := p.machineType(b.Type); t != nil {
-				e := *b
-				e.CPUs, e.GPUs, e.MemoryGB, e.original = t.CPUs, t.GPUs, t.MemoryGB, b
-				p.emptied = append(p.emptied, &e)
-			}
+	if p.emptied != nil {
+		return p.emptied
+	}
+	p.emptied = make([]*bin, 0, len(p.bins))
+	for _, b := range p.bins {
+		if t := p.machineType(b.Type); t != nil {
+			e := *b
+			e.CPUs, e.GPUs, e.MemoryGB, e.original = t.CPUs, t.GPUs, t.MemoryGB, b
+			p.emptied = append(p.emptied, &e)
 		}
-		sort.SliceStable(p.emptied, func(a, b int) bool { return p.emptied[a].Tasks < p.emptied[b].Tasks })
 	}
+	sort.SliceStable(p.emptied, func(a, b int) bool { return p.emptied[a].Tasks < p.emptied[b].Tasks })
 	return p.emptied
 }
 
-const (
-	// minPreemptingRank is the priority from which work of other parts gives way.
-	minPreemptingRank = 2
-)
-
-// placeOn promises room on bins to a need and lowers its Count by what found
+// placeOn promises room on bins to a demand and lowers its Count by what found
 // some; for a gang it is all in one go. It reports whether nothing is left.
-func (p *planning) placeOn(n *demand, bins []*bin) bool {
-	if got := p.assign(n, bins); got != nil {
-		for _, b := range got {
-			b.use(&n.Need)
-			n.place(b.Zone)
-		}
-		n.Count -= len(got)
+func (p *planning) placeOn(d *demand, bins []*bin) bool {
+	p.promise(d, p.assign(d, bins))
+	return d.Count == 0
+}
+
+// promise takes the room of one of a demand's tasks on each of some bins.
+func (p *planning) promise(d *demand, bins []*bin) {
+	for _, b := range bins {
+		b.use(&d.Need)
+		d.place(b.Zone)
 	}
-	return n.Count == 0
+	d.Count -= len(bins)
 }
 
-// assign finds bins for as many of a need's tasks as possible, or for a gang
+// assign finds bins for as many of a demand's tasks as possible, or for a gang
 // for all of them or none; one bin is named once for each task.
-func (p *planning) assign(n *demand, bins []*bin) []*bin {
+func (p *planning) assign(d *demand, bins []*bin) []*bin {
 	zones := []string{""}
-	if n.OneZone {
+	if d.OneZone {
 		zones = p.cfg.Zones
 	}
 	var best []*bin
-	for _, z := range zones {
-		var got []*bin
-		trial := n.Need
-		trial.InZone = maps.Clone(n.InZone)
-		for _, b := range bins {
-			if len(got) == n.Count {
-				break
-			}
-			if (z != "" && b.Zone != z) || !b.fits(&n.Need) {
-				continue
-			}
-			for c := *b; len(got) < n.Count && c.fits(&n.Need) && trial.open(b.Zone); c.use(&n.Need) {
-				trial.place(b.Zone)
-				got = append(got, b)
-			}
-		}
-		if len(got) > len(best) {
-			best = got
+	for _, zone := range zones {
+		if found := assignInZone(&d.Need, bins, zone); len(found) > len(best) {
+			best = found
 		}
 	}
-	if n.Gang && len(best) < n.Count {
+	if d.Gang && len(best) < d.Count {
 		return nil
 	}
 	return best
 }
 
-// moveMachines orders machines of other parts to a need's part. A gang may be served
-// by its own part's machines and others' together.
-func (p *planning) moveMachines(n *demand, others []*bin, below int) []Order {
+// assignInZone finds bins of one zone, or of any if it is empty.
+func assignInZone(n *Need, bins []*bin, zone string) []*bin {
+	var found []*bin
+	trial := *n
+	trial.InZone = maps.Clone(n.InZone)
+	for _, b := range bins {
+		if len(found) == n.Count {
+			break
+		}
+		if (zone != "" && b.Zone != zone) || !b.fits(n) {
+			continue
+		}
+		left := *b
+		for len(found) < n.Count && left.fits(n) && trial.open(b.Zone) {
+			left.use(n)
+			trial.place(b.Zone)
+			found = append(found, b)
+		}
+	}
+	return found
+}
+
+// moveMachines orders machines of other shards to a demand's shard, of which tasks below a
+// priority may be preempted. A gang may be served by its own shard's machines and others'
+// together.
+func (p *planning) moveMachines(d *demand, others []*bin, below int) []Order {
 	if len(others) == 0 {
 		return nil
 	}
-	got := p.assign(n, append(slices.Clone(p.withRoom[n.shard]), others...))
+	found := p.assign(d, append(slices.Clone(p.withRoom[d.shard]), others...))
 	var orders []Order
-	for _, b := range got {
+	for _, b := range found {
 		if b.original != nil {
-			m := b.original
-			if m.shard != n.shard {
-				m.CPUs, m.GPUs, m.MemoryGB = b.CPUs, b.GPUs, b.MemoryGB
-			}
-			b = m
+			b = emptyOriginal(b, d.shard)
 		}
-		b.use(&n.Need)
-		n.place(b.Zone)
-		if b.shard != n.shard {
-			orders = append(orders, Order{Part: b.shard, Machine: b.ID, To: n.shard, Below: below})
-			b.shard = n.shard // what is left of it serves the same part
-			p.withRoom[n.shard] = append(p.withRoom[n.shard], b)
+		b.use(&d.Need)
+		d.place(b.Zone)
+		if b.shard != d.shard {
+			orders = append(orders, Order{Part: b.shard, Machine: b.ID, To: d.shard, Below: below})
+			b.shard = d.shard // what is left of it serves the same shard
+			p.withRoom[d.shard] = append(p.withRoom[d.shard], b)
 		}
 	}
-	n.Count -= len(got)
+	d.Count -= len(found)
 	return orders
 }
+
+// emptyOriginal returns the machine that an emptied one stands for, with the room that it
+// has once emptied, unless it was moved to the shard before: then it has less.
+func emptyOriginal(emptied *bin, shard int) *bin {
+	m := emptied.original
+	if m.shard != shard {
+		m.CPUs, m.GPUs, m.MemoryGB = emptied.CPUs, emptied.GPUs, emptied.MemoryGB
+	}
+	return m
+}
--- a/internal/fleet/planner_bench_test.go
+++ b/internal/fleet/planner_bench_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// BenchmarkPlan is the leader's turn with the parts of seven controllers, all
+// BenchmarkPlan is the leader's turn with the shards of seven controllers, all
 // their machines in use and as much work waiting as they tell.
 func BenchmarkPlan(b *testing.B) {
-	const parts, machines, needs = 7, 4000, 64
+	const shards, machines, needs = 7, 4000, 64
 	var sums []Summary
-	for p := range parts {
+	for p := range shards {
 		summary := Summary{Part: p, Arriving: 0.3, ArrivingSpot: 0.3}
-		for i := range machines / parts {
+		for i := range machines / shards {
 			m := idleMachine(fmt.Sprintf("i-%d-%06d", p, i), []string{"z1", "z2"}[i%2], i%3 == 0)
 			m.Images = []string{"img-1", "img-2", fmt.Sprint("img-", i%16)}
 			if i%20 > 0 {
@@ -33,6 +33,6 @@
 	}
 	b.ReportAllocs()
 	for now := start; b.Loop(); now = now.Add(time.Second) {
-		newLeader().Plan(sums, now)
+		newTestPlanner().Plan(sums, now)
 	}
 }
--- a/internal/fleet/planner_test.go
+++ b/internal/fleet/planner_test.go
@@ -9,7 +9,7 @@
 
 var testTypes = []wire.MachineType{{Name: "big", CPUs: 16, GPUs: 2, MemoryGB: 64, Price: 5, SpotPrice: 1, BootS: 20, Zones: []string{"z1", "z2"}}}
 
-func newLeader() *Planner {
+func newTestPlanner() *Planner {
 	return NewPlanner(Config{Types: testTypes, Zones: []string{"z1", "z2"}, BalanceInterval: 30 * time.Second, PreemptAfter: 3 * time.Second, MaxProvision: 50,
 		IdleTimeout: func(wire.MachineType, bool) time.Duration { return 30 * time.Second },
 		Headroom:    func(arriving float64, boot time.Duration, _ bool) float64 { return arriving * boot.Seconds() / 2 }, RefusalPause: 10 * time.Second})
@@ -25,13 +25,13 @@
 
 var start = time.Date(2026, 1, 5, 8, 0, 0, 0, time.UTC)
 
-func TestRentsWhatIsMissing(t *testing.T) {
-	l := newLeader()
-	_, rents := l.Plan([]Summary{{Part: 0, Needs: []Need{need(true, 5, 0)}}}, start)
+func TestProvisionsWhatIsMissing(t *testing.T) {
+	l := newTestPlanner()
+	_, requests := l.Plan([]Summary{{Part: 0, Needs: []Need{need(true, 5, 0)}}}, start)
 	n := 0
-	for _, r := range rents {
+	for _, r := range requests {
 		if !r.Spot {
-			t.Errorf("rented %+v, though spot would do", r)
+			t.Errorf("provisioned %+v, though spot would do", r)
 		}
 		n += len(r.Shards)
 	}
@@ -40,55 +40,55 @@
 	}
 	// What is booting counts.
 	booting := Machine{Type: "big", Zone: "z1", CPUs: 16, GPUs: 2, MemoryGB: 64}
-	if _, rents := l.Plan([]Summary{{Part: 0, Needs: []Need{need(true, 2, 0)}, Machines: []Machine{booting}}}, start); len(rents) != 0 {
-		t.Fatalf("rented %v with a machine on its way", rents)
+	if _, requests := l.Plan([]Summary{{Part: 0, Needs: []Need{need(true, 2, 0)}, Machines: []Machine{booting}}}, start); len(requests) != 0 {
+		t.Fatalf("provisioned %v with a machine on its way", requests)
 	}
 }
 
 func TestRefusedPoolIsLeftAlone(t *testing.T) {
-	l := newLeader()
+	l := newTestPlanner()
 	l.CapacityRefused(ProvisionRequest{Type: "big", Zone: "z1", Spot: true}, start)
 	l.CapacityRefused(ProvisionRequest{Type: "big", Zone: "z2", Spot: true}, start)
-	_, rents := l.Plan([]Summary{{Part: 0, Needs: []Need{need(true, 1, 0)}}}, start.Add(time.Second))
-	if len(rents) != 1 || rents[0].Spot {
-		t.Fatalf("rents %v, want an ordinary machine", rents)
+	_, requests := l.Plan([]Summary{{Part: 0, Needs: []Need{need(true, 1, 0)}}}, start.Add(time.Second))
+	if len(requests) != 1 || requests[0].Spot {
+		t.Fatalf("requests %v, want an ordinary machine", requests)
 	}
 }
 
 func TestFreeMachineMovesToDemand(t *testing.T) {
-	l := newLeader()
+	l := newTestPlanner()
 	sums := []Summary{{Part: 0, Needs: []Need{need(false, 1, time.Second)}}, {Part: 1, Machines: []Machine{idleMachine("m", "z1", false)}}}
-	orders, rents := l.Plan(sums, start)
-	if len(rents) != 0 || len(orders) != 1 || orders[0] != (Order{Part: 1, Machine: "m", To: 0}) {
-		t.Fatalf("orders %v, rents %v", orders, rents)
+	orders, requests := l.Plan(sums, start)
+	if len(requests) != 0 || len(orders) != 1 || orders[0] != (Order{Part: 1, Machine: "m", To: 0}) {
+		t.Fatalf("orders %v, requests %v", orders, requests)
 	}
-	// A part that needs it itself keeps it.
+	// A shard that needs it itself keeps it.
 	sums[1].Needs = []Need{need(false, 1, time.Second)}
 	sums[1].Needs[0].Rank = 0
 	orders, _ = l.Plan(sums, start.Add(time.Second))
 	for _, o := range orders {
 		if o.To == 0 {
-			t.Fatalf("took a machine its part waits for: %v", o)
+			t.Fatalf("took a machine its shard waits for: %v", o)
 		}
 	}
 }
 
 func TestGangNeedsOneZone(t *testing.T) {
-	l := newLeader()
+	l := newTestPlanner()
 	n := Need{Job: "g", CPUs: 14, GPUs: 2, MemoryGB: 50, OneZone: true, Gang: true, Count: 2, Rank: 2, Waited: time.Second}
 	sums := []Summary{{Part: 0, Needs: []Need{n}, Machines: []Machine{idleMachine("a", "z1", false), idleMachine("b", "z2", false)}}}
-	_, rents := l.Plan(sums, start)
+	_, requests := l.Plan(sums, start)
 	zones := map[string]int{}
-	for _, r := range rents {
+	for _, r := range requests {
 		zones[r.Zone] += len(r.Shards)
 	}
 	if len(zones) != 1 {
-		t.Fatalf("rents %v, want one zone", rents)
+		t.Fatalf("requests %v, want one zone", requests)
 	}
 }
 
-func TestReturnsIdleButHeadroom(t *testing.T) {
-	l := newLeader()
+func TestReleasesIdleButHeadroom(t *testing.T) {
+	l := newTestPlanner()
 	a, b, c := idleMachine("a", "z1", false), idleMachine("b", "z1", false), idleMachine("c", "z1", true)
 	a.Idle, b.Idle, c.Idle = time.Hour, time.Hour+1, time.Second
 	orders, _ := l.Plan([]Summary{{Part: 0, Machines: []Machine{a, b, c}, Arriving: 0.1}}, start)
@@ -97,16 +97,16 @@
 	}
 }
 
-// The headroom is rented ahead where work arrives.
+// The headroom is provisioned ahead where work arrives.
 func TestHeadroomFollowsArrivals(t *testing.T) {
-	l := newLeader()
+	l := newTestPlanner()
 	sums := []Summary{{Part: 0}, {Part: 1, Arriving: 0.2}}
-	_, rents := l.Plan(sums, start)
+	_, requests := l.Plan(sums, start)
 	n := 0
-	for _, r := range rents {
+	for _, r := range requests {
 		for _, p := range r.Shards {
 			if p != 1 || r.Spot {
-				t.Errorf("rent %+v", r)
+				t.Errorf("request %+v", r)
 			}
 			n++
 		}
@@ -115,29 +115,15 @@
 		t.Fatalf("%d machines ahead, want 2", n)
 	}
 	sums[1].Arriving = 0
-	if _, rents := l.Plan(sums, start); len(rents) != 0 {
-		t.Fatalf("rents %v with nothing arriving", rents)
+	if _, requests := l.Plan(sums, start); len(requests) != 0 {
+		t.Fatalf("requests %v with nothing arriving", requests)
 	}
 }
 
-func TestClaimant(t *testing.T) {
-	owners := map[int]string{0: "a", 1: "b", 2: "c"}
-	if got := ChooseOwner([]string{"a", "b"}, owners, "c"); got != "a" {
-		t.Errorf("got %s", got)
-	}
-	if got := ChooseOwner([]string{"a", "c"}, owners, "c"); got != "c" {
-		t.Errorf("home is live, got %s", got)
-	}
-	owners[2] = "a"
-	if got := ChooseOwner([]string{"a", "b"}, owners, "c"); got != "b" {
-		t.Errorf("want the least loaded, got %s", got)
-	}
-}
-
-// For a gang of one zone only the machines that are missing there are rented,
+// For a gang of one zone only the machines that are missing there are provisioned,
 // and those kept for another job don't count.
-func TestGangRentsWhatIsMissing(t *testing.T) {
-	l := newLeader()
+func TestGangProvisionsWhatIsMissing(t *testing.T) {
+	l := newTestPlanner()
 	n := Need{Job: "g", CPUs: 14, GPUs: 2, MemoryGB: 50, OneZone: true, Gang: true, Count: 4, Rank: 2, Waited: time.Second}
 	sum := Summary{Part: 0, Needs: []Need{n}}
 	for _, id := range []string{"a", "b", "c"} {
@@ -148,15 +134,15 @@
 	other := idleMachine("d", "z2", false)
 	other.For = "x"
 	sum.Machines = append(sum.Machines, other)
-	_, rents := l.Plan([]Summary{sum}, start)
-	if len(rents) != 1 || rents[0].Zone != "z2" || len(rents[0].Shards) != 1 {
-		t.Fatalf("rents %+v, want the one machine missing in z2", rents)
+	_, requests := l.Plan([]Summary{sum}, start)
+	if len(requests) != 1 || requests[0].Zone != "z2" || len(requests[0].Shards) != 1 {
+		t.Fatalf("requests %+v, want the one machine missing in z2", requests)
 	}
 }
 
 // Of the unused machines those with the most images are kept.
 func TestKeepsMachinesWithImages(t *testing.T) {
-	l := newLeader()
+	l := newTestPlanner()
 	a, b := idleMachine("a", "z1", false), idleMachine("b", "z1", false)
 	a.Idle, b.Idle = time.Hour, time.Hour-time.Second
 	a.Images = []string{"x", "y"}
@@ -173,21 +159,21 @@
 	n.ZoneLimit, n.InZone = 1, map[string]int{"z1": 1}
 	beside := Machine{ID: "m", Type: "big", Zone: "z1", Up: true, Usable: true, CPUs: 10, GPUs: 1, MemoryGB: 40, Tasks: 1}
 	for name, sums := range map[string][]Summary{
-		"room beside it":         {{Part: 0, Needs: []Need{n}, Machines: []Machine{beside}}},
-		"unused in another part": {{Part: 0, Needs: []Need{n}}, {Part: 1, Machines: []Machine{idleMachine("i", "z1", false)}}},
+		"room beside it":          {{Part: 0, Needs: []Need{n}, Machines: []Machine{beside}}},
+		"unused in another shard": {{Part: 0, Needs: []Need{n}}, {Part: 1, Machines: []Machine{idleMachine("i", "z1", false)}}},
 	} {
-		orders, rents := newLeader().Plan(sums, start)
-		if len(orders) != 0 || len(rents) != 1 || rents[0].Zone != "z2" || len(rents[0].Shards) != 1 {
-			t.Errorf("%s: orders %v, rents %v, want one machine in z2", name, orders, rents)
+		orders, requests := newTestPlanner().Plan(sums, start)
+		if len(orders) != 0 || len(requests) != 1 || requests[0].Zone != "z2" || len(requests[0].Shards) != 1 {
+			t.Errorf("%s: orders %v, requests %v, want one machine in z2", name, orders, requests)
 		}
 	}
 	n.Count, n.ZoneLimit, n.InZone = 4, 2, nil
-	_, rents := newLeader().Plan([]Summary{{Part: 0, Needs: []Need{n}}}, start)
+	_, requests := newTestPlanner().Plan([]Summary{{Part: 0, Needs: []Need{n}}}, start)
 	byZone := map[string]int{}
-	for _, r := range rents {
+	for _, r := range requests {
 		byZone[r.Zone] += len(r.Shards)
 	}
 	if byZone["z1"] != 1 || byZone["z2"] != 1 {
-		t.Errorf("four tasks of half a machine, two a zone: rents %v", rents)
+		t.Errorf("four tasks of half a machine, two a zone: requests %v", requests)
 	}
 }
--- a/internal/fleet/rebalance.go
+++ b/internal/fleet/rebalance.go
@@ -1,47 +1,47 @@
 package fleet
 
-// Where the cloud has nothing more, the parts' machines are all there is, and a
-// part's own work uses whatever comes free in it: a part whose work came later
-// would wait for as long as the others have any. So parts with starving work get
+// Where the cloud has no more capacity, the shards' machines are all there is, and a
+// shard's own work uses whatever comes free in it: a shard whose work came later
+// would wait for as long as the others have any. So shards with starving work get
 // machines from those with more, until they have about as many as these.
 
-// rebalance orders machines to parts in which work starves, at most one to each in a
-// plan: those of the part that has most, as their tasks end.
+// rebalance orders machines to shards in which work starves, at most one to each in a
+// plan: those of the shard that has most, as their tasks end.
 func (p *planning) rebalance() []Order {
 	var orders []Order
-	relieved := map[int]bool{}
+	served := map[int]bool{}
 	var free freeing
-	for _, n := range p.demands {
-		if !n.Starved || n.Count == 0 || relieved[n.shard] || len(p.offers(&n.Need)) > 0 {
+	for _, d := range p.demands {
+		if !d.Starved || d.Count == 0 || served[d.shard] || len(p.offers(&d.Need)) > 0 {
 			continue
 		}
 		if free.byShard == nil {
 			free = p.countFreeing()
 		}
-		b := p.chooseDonor(n, &free)
+		b := p.chooseDonation(d, &free)
 		if b == nil {
 			continue
 		}
-		relieved[n.shard] = true
+		served[d.shard] = true
 		b.promised = true
-		free.move(b, n.shard)
-		orders = append(orders, Order{Part: b.shard, Machine: b.ID, To: n.shard, Emptied: true})
+		free.move(b, d.shard)
+		orders = append(orders, Order{Part: b.shard, Machine: b.ID, To: d.shard, Emptied: true})
 	}
 	return orders
 }
 
-// shardZone is the machines of one part in one zone.
+// shardZone is the machines of one shard in one zone.
 type shardZone struct {
 	shard int
 	zone  string
 }
 
 // freeing counts the machines that come free by and by: those without services.
-// Machines on their way to another part count there.
+// Machines on their way to another shard count there.
 type freeing struct {
 	byShard     map[int]int
 	byShardZone map[shardZone]int
-	byZone      map[string]int // of all parts
+	byZone      map[string]int
 	total       int
 }
 
@@ -74,56 +74,66 @@
 	f.add(shardZone{to, b.Zone}, 1)
 }
 
-// fairShare is how many of the machines that come free each part would have if all
-// parts that have such machines, or work that waits, had as many.
+// fairShare is how many of the machines that come free each shard would have if all
+// shards that have such machines, or demand, had as many.
 func (p *planning) fairShare(f *freeing) int {
-	parts := map[int]bool{}
-	for part, n := range f.byShard {
+	shards := map[int]bool{}
+	for shard, n := range f.byShard {
 		if n > 0 {
-			parts[part] = true
+			shards[shard] = true
 		}
 	}
-	for _, n := range p.demands {
-		parts[n.shard] = true
+	for _, d := range p.demands {
+		shards[d.shard] = true
 	}
-	return (f.total + len(parts) - 1) / max(1, len(parts))
+	return (f.total + len(shards) - 1) / max(1, len(shards))
 }
 
-// chooseDonor chooses the machine that goes to a starving need's part, nil if no part
+// chooseDonation chooses the machine that goes to a starving demand's shard, nil if no shard
 // has enough more than that.
-func (p *planning) chooseDonor(n *demand, f *freeing) *bin {
-	zone := n.Zone
-	if n.Gang {
-		machines := p.machinesNeeded(n)
-		if machines > p.fairShare(f) {
-			return nil // a part can't have as many without taking others' share
-		}
-		if n.OneZone && zone == "" {
-			if zone = p.fullestZone(n.shard, machines, f); zone == "" {
-				return nil // no zone has as many
-			}
-		}
+func (p *planning) chooseDonation(d *demand, f *freeing) *bin {
+	zone, ok := p.donationZone(d, f)
+	if !ok {
+		return nil
 	}
 	var best *bin
 	for _, e := range p.emptiedMachines() {
 		b := e.original
-		if !e.fits(&n.Need) || (zone != "" && b.Zone != zone) || !p.mayGive(b, n, f) {
+		if !e.fits(&d.Need) || (zone != "" && b.Zone != zone) || !mayDonate(b, d, f) {
 			continue
 		}
-		if best == nil || p.betterDonor(b, best, f) {
+		if best == nil || betterDonation(b, best, f) {
 			best = b
 		}
 	}
 	return best
 }
 
-// mayGive reports whether a machine's part can do without it better than a need's.
-func (p *planning) mayGive(b *bin, n *demand, f *freeing) bool {
-	return b.shard != n.shard && b.Up && b.Usable && !b.Lasting && b.For == "" && f.byShard[b.shard] >= f.byShard[n.shard]+2
+// donationZone returns the zone from which a demand is to get machines, empty for any. It
+// returns false for a gang that could not have enough: a shard can't have more than its
+// share, and for a gang of one zone there must be one with as many.
+func (p *planning) donationZone(d *demand, f *freeing) (zone string, ok bool) {
+	if !d.Gang {
+		return d.Zone, true
+	}
+	machines := p.machinesNeeded(d)
+	if machines > p.fairShare(f) {
+		return "", false
+	}
+	if !d.OneZone || d.Zone != "" {
+		return d.Zone, true
+	}
+	zone = p.fullestZone(d.shard, machines, f)
+	return zone, zone != ""
+}
+
+// mayDonate reports whether a machine's shard can do without it better than a demand's.
+func mayDonate(b *bin, d *demand, f *freeing) bool {
+	return b.shard != d.shard && b.Up && b.Usable && !b.Lasting && b.For == "" && f.byShard[b.shard] >= f.byShard[d.shard]+2
 }
 
-// betterDonor prefers the part with most, then what is sooner empty.
-func (p *planning) betterDonor(a, b *bin, f *freeing) bool {
+// betterDonation prefers a machine of the shard with most, then one that is sooner empty.
+func betterDonation(a, b *bin, f *freeing) bool {
 	if x, y := f.byShard[a.shard], f.byShard[b.shard]; x != y {
 		return x > y
 	}
@@ -136,33 +146,33 @@
 	return a.Tasks < b.Tasks
 }
 
-// fullestZone is the zone in which a part needs fewest machines from others for so
-// many; of those with the same, the one with most machines of all parts.
-func (p *planning) fullestZone(part, machines int, f *freeing) string {
+// fullestZone is the zone in which a shard needs fewest machines from others for so
+// many; of those with the same, the one with most machines of all shards.
+func (p *planning) fullestZone(shard, machines int, f *freeing) string {
 	best := ""
-	for _, z := range p.cfg.Zones {
-		if f.byZone[z] < machines {
+	for _, zone := range p.cfg.Zones {
+		if f.byZone[zone] < machines {
 			continue
 		}
-		x, y := f.byShardZone[shardZone{part, z}], f.byShardZone[shardZone{part, best}]
-		if best == "" || x > y || (x == y && f.byZone[z] > f.byZone[best]) {
-			best = z
+		own, ownBest := f.byShardZone[shardZone{shard, zone}], f.byShardZone[shardZone{shard, best}]
+		if best == "" || own > ownBest || (own == ownBest && f.byZone[zone] > f.byZone[best]) {
+			best = zone
 		}
 	}
 	return best
 }
 
-// machinesNeeded is how many empty machines a need's tasks fill at least.
-func (p *planning) machinesNeeded(n *demand) int {
-	most := 1
+// machinesNeeded is how many empty machines a demand's tasks fill at least.
+func (p *planning) machinesNeeded(d *demand) int {
+	mostPerMachine := 1
 	for i := range p.cfg.Types {
-		t := &p.cfg.Types[i]
-		b := p.newMachine(t, n.Zone, false)
-		fits := 0
-		for ; fits < n.Count && b.fits(&n.Need); fits++ {
-			b.use(&n.Need)
+		b := newBin(&p.cfg.Types[i], d.Zone, false)
+		fit := 0
+		for fit < d.Count && b.fits(&d.Need) {
+			b.use(&d.Need)
+			fit++
 		}
-		most = max(most, fits)
+		mostPerMachine = max(mostPerMachine, fit)
 	}
-	return (n.Count + most - 1) / most
+	return (d.Count + mostPerMachine - 1) / mostPerMachine
 }
--- a/internal/fleet/rebalance_test.go
+++ b/internal/fleet/rebalance_test.go
@@ -19,7 +19,7 @@
 
 // withoutCloud is a leader whom the cloud has refused machines of all kinds.
 func withoutCloud() *Planner {
-	l := newLeader()
+	l := newTestPlanner()
 	for _, zone := range l.cfg.Zones {
 		for _, spot := range []bool{false, true} {
 			l.CapacityRefused(ProvisionRequest{Type: "big", Zone: zone, Spot: spot}, start)
@@ -28,7 +28,7 @@
 	return l
 }
 
-func relieved(orders []Order) (out []Order) {
+func rebalanced(orders []Order) (out []Order) {
 	for _, o := range orders {
 		if o.Emptied {
 			out = append(out, o)
@@ -37,10 +37,10 @@
 	return out
 }
 
-// Work of a part without machines starves for as long as others have any work, if
-// nothing can be rented: its part gets those that are soonest empty, one at a time,
+// Work of a shard without machines starves for as long as others have any work, if
+// nothing can be provisioned: its shard gets those that are soonest empty, one at a time,
 // until it has about as many.
-func TestStarvingPartIsRelieved(t *testing.T) {
+func TestStarvingShardGetsMachines(t *testing.T) {
 	service := busyMachine("service", "z1", 1)
 	service.Lasting = true
 	full := []Machine{service, busyMachine("a", "z1", 2), busyMachine("b", "z2", 1), busyMachine("c", "z2", 2), busyMachine("d", "z1", 2)}
@@ -57,30 +57,30 @@
 		return s
 	}
 	orders, _ := withoutCloud().Plan(sums(starving(5)), start.Add(time.Second))
-	if got := relieved(orders); len(got) != 1 || got[0] != (Order{Part: 1, Machine: "b", To: 0, Emptied: true}) {
+	if got := rebalanced(orders); len(got) != 1 || got[0] != (Order{Part: 1, Machine: "b", To: 0, Emptied: true}) {
 		t.Fatalf("orders %v, want the machine with the fewest tasks", orders)
 	}
 	orders, _ = withoutCloud().Plan(sums(starving(5), "b"), start.Add(time.Second))
-	if got := relieved(orders); len(got) != 1 || got[0].Machine == "service" || got[0].Machine == "b" {
-		t.Fatalf("orders %v, want a second machine: the other part has three", orders)
+	if got := rebalanced(orders); len(got) != 1 || got[0].Machine == "service" || got[0].Machine == "b" {
+		t.Fatalf("orders %v, want a second machine: the other shard has three", orders)
 	}
 	orders, _ = withoutCloud().Plan(sums(starving(5), "b", "a"), start.Add(time.Second))
-	if got := relieved(orders); len(got) != 0 {
-		t.Fatalf("orders %v, though both parts have two", orders)
+	if got := rebalanced(orders); len(got) != 0 {
+		t.Fatalf("orders %v, though both shards have two", orders)
 	}
 	waits := starving(5)
 	waits.Starved = false
-	if orders, _ := withoutCloud().Plan(sums(waits), start.Add(time.Second)); len(relieved(orders)) != 0 {
+	if orders, _ := withoutCloud().Plan(sums(waits), start.Add(time.Second)); len(rebalanced(orders)) != 0 {
 		t.Fatalf("orders %v for work that has not waited for long", orders)
 	}
-	if orders, _ := newLeader().Plan(sums(starving(5)), start); len(relieved(orders)) != 0 {
-		t.Fatalf("orders %v, though machines can be rented", orders)
+	if orders, _ := newTestPlanner().Plan(sums(starving(5)), start); len(rebalanced(orders)) != 0 {
+		t.Fatalf("orders %v, though machines can be provisioned", orders)
 	}
 }
 
 // A starving gang of one zone gets machines of one zone, and none where it would
-// need more than its part's share.
-func TestStarvingGangIsRelievedInOneZone(t *testing.T) {
+// need more than its shard's share.
+func TestStarvingGangGetsMachinesOfOneZone(t *testing.T) {
 	gang := Need{Job: "g", CPUs: 14, GPUs: 2, MemoryGB: 50, OneZone: true, Gang: true, Count: 2, Rank: 2, Waited: 3 * time.Minute, Starved: true}
 	others := []Machine{busyMachine("a", "z1", 1), busyMachine("b", "z2", 1), busyMachine("c", "z2", 1), busyMachine("d", "z2", 1)}
 	own := Machine{ID: "own", Type: "big", Zone: "z1", Up: true, Usable: true, CPUs: 16, GPUs: 2, MemoryGB: 64, Idle: time.Second}
@@ -89,11 +89,11 @@
 		sums := []Summary{{Part: 0, Needs: []Need{gang}, Machines: []Machine{own}}, {Part: 1, Needs: []Need{need(false, 3, 0)}, Machines: others}}
 		orders, _ := withoutCloud().Plan(sums, start.Add(time.Second))
 		got := ""
-		for _, o := range relieved(orders) {
+		for _, o := range rebalanced(orders) {
 			got += o.Machine
 		}
 		if got != want {
-			t.Errorf("gang of %d: relieved by %q, want %q", count, got, want)
+			t.Errorf("gang of %d: served by %q, want %q", count, got, want)
 		}
 	}
 }
--- a/internal/fleet/scale_in.go
+++ b/internal/fleet/scale_in.go
@@ -1,31 +1,14 @@
 package fleet
 
-import (
-	"slices"
-	"sort"
-)
+import "sort"
 
-// scaleIn gives back machines unused for long, keeping the headroom.
+// scaleIn releases machines unused for long, keeping the headroom.
 func (p *planning) scaleIn() []Order {
-	_, ordinary := p.headroom(false)
-	_, spots := p.headroom(true)
-	headroom := map[bool]int{false: ordinary, true: spots}
-	var idle []*bin
-	for _, b := range p.unused {
-		if b.Up && b.For == "" && !b.promised {
-			idle = append(idle, b)
-		}
-	}
-	// The machines kept are those with the most images: whatever comes next
-	// starts sooner there.
-	sort.SliceStable(idle, func(a, b int) bool {
-		if x, y := len(idle[a].Images), len(idle[b].Images); x != y {
-			return x > y
-		}
-		return idle[a].Idle < idle[b].Idle
-	})
+	_, onDemand := p.headroom(false)
+	_, spot := p.headroom(true)
+	headroom := map[bool]int{false: onDemand, true: spot}
 	var orders []Order
-	for _, b := range idle {
+	for _, b := range p.idle() {
 		if headroom[b.Spot] > 0 {
 			headroom[b.Spot]--
 			continue
@@ -37,21 +20,21 @@
 	return orders
 }
 
-// ChooseOwner says which live controller takes a part whose owner is gone: its
-// home if that lives, else the one with the fewest parts.
-func ChooseOwner(live []string, owners map[int]string, home string) string {
-	if slices.Contains(live, home) {
-		return home
-	}
-	load := map[string]int{}
-	for _, o := range owners {
-		load[o]++
-	}
-	best := ""
-	for _, l := range live {
-		if best == "" || load[l] < load[best] || (load[l] == load[best] && l < best) {
-			best = l
+// idle returns the machines that nothing is planned for, those to keep first: the ones with
+// the most images, since whatever comes next starts sooner there, then those last used.
+func (p *planning) idle() []*bin {
+	var idle []*bin
+	for _, b := range p.unused {
+		if b.Up && b.For == "" && !b.promised {
+			idle = append(idle, b)
 		}
 	}
-	return best
+	sort.SliceStable(idle, func(i, j int) bool {
+		a, b := idle[i], idle[j]
+		if len(a.Images) != len(b.Images) {
+			return len(a.Images) > len(b.Images)
+		}
+		return a.Idle < b.Idle
+	})
+	return idle
 }
--- a/internal/fleet/scale_out.go
+++ b/internal/fleet/scale_out.go
@@ -8,21 +8,12 @@
 	"bramblespur/internal/wire"
 )
 
-func (l *Planner) machineType(name string) *wire.MachineType {
-	for i := range l.cfg.Types {
-		if l.cfg.Types[i].Name == name {
-			return &l.cfg.Types[i]
-		}
-	}
-	return nil
-}
-
-// offer is a pool that has room as far as is known.
+// offer is a pool that has capacity as far as is known.
 type offer struct {
 	pool
 	machineType    *wire.MachineType
 	price          float64
-	machinesInZone int // machines of ours in its zone
+	machinesInZone int
 }
 
 // offers returns the pools whose machines fit a need, cheapest first, then
@@ -31,17 +22,12 @@
 	var offers []offer
 	for i := range p.cfg.Types {
 		t := &p.cfg.Types[i]
-		for _, z := range t.Zones {
+		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
-				b := p.newMachine(t, z, spot)
-				if !b.fits(n) || p.now.Before(p.refusals[b.pool()].until) {
-					continue
+				b := newBin(t, zone, spot)
+				if b.fits(n) && !p.now.Before(p.refusals[b.pool()].until) {
+					offers = append(offers, offer{b.pool(), t, price(t, spot), p.machinesInZone[zone]})
 				}
-				price := t.Price
-				if spot {
-					price = t.SpotPrice
-				}
-				offers = append(offers, offer{b.pool(), t, price, p.machinesInZone[z]})
 			}
 		}
 	}
@@ -54,116 +40,135 @@
 	return offers
 }
 
-// addMachine notes a machine to be rented.
-func (p *planning) addMachine(o offer, part int) *bin {
-	b := p.newMachine(o.machineType, o.zone, o.spot)
-	b.shard = part
+func price(t *wire.MachineType, spot bool) float64 {
+	if spot {
+		return t.SpotPrice
+	}
+	return t.Price
+}
+
+// addMachine adds a machine to those to be provisioned.
+func (p *planning) addMachine(o offer, shard int) *bin {
+	b := newBin(o.machineType, o.zone, o.spot)
+	b.shard = shard
 	p.toProvision = append(p.toProvision, b)
-	p.toProvisionFor[part] = append(p.toProvisionFor[part], b)
+	p.toProvisionFor[shard] = append(p.toProvisionFor[shard], b)
 	p.machinesInZone[o.zone]++
 	return b
 }
 
-// provision adds new machines for what is left of a need, cheapest kind first.
-func (p *planning) provision(n *demand) {
-	mine := p.toProvisionFor[n.shard]
-	if p.placeOn(n, mine) {
+// provision adds new machines for what is left of a demand, cheapest pool first. What may
+// not go to any zone that has capacity waits.
+func (p *planning) provision(d *demand) {
+	added := p.toProvisionFor[d.shard]
+	if p.placeOn(d, added) {
 		return
 	}
-	offers := p.offers(&n.Need)
-	if n.Gang && n.OneZone {
-		offers = p.chooseGangZone(n, offers, mine)
+	offers := p.offers(&d.Need)
+	if d.Gang && d.OneZone {
+		offers = p.chooseGangZone(d, offers, added)
 	}
-	for i := 0; n.Count > 0; i++ {
-		offers = slices.DeleteFunc(offers, func(o offer) bool { return !n.open(o.zone) })
+	for i := 0; d.Count > 0; i++ {
+		offers = slices.DeleteFunc(offers, func(o offer) bool { return !d.open(o.zone) })
 		if len(offers) == 0 {
-			return // what may not go to the zones that are left waits
-		}
-		o := offers[0]
-		if !n.OneZone {
-			// Spread over the zones of the cheapest kind.
-			same := 1
-			for same < len(offers) && offers[same].price == o.price {
-				same++
-			}
-			o = offers[i%same]
+			return
 		}
-		b := p.addMachine(o, n.shard)
-		for n.Count > 0 && b.fits(&n.Need) && n.open(b.Zone) {
-			b.use(&n.Need)
-			n.place(b.Zone)
-			n.Count--
+		next := offers[0]
+		if !d.OneZone {
+			next = offers[i%cheapest(offers)] // spread over the zones
 		}
+		p.fill(p.addMachine(next, d.shard), d)
+	}
+}
+
+// cheapest returns how many offers are as cheap as the first.
+func cheapest(offers []offer) int {
+	n := 1
+	for n < len(offers) && offers[n].price == offers[0].price {
+		n++
+	}
+	return n
+}
+
+// fill promises a machine to as many of a demand's tasks as fit on it.
+func (p *planning) fill(b *bin, d *demand) {
+	for d.Count > 0 && b.fits(&d.Need) && d.open(b.Zone) {
+		b.use(&d.Need)
+		d.place(b.Zone)
+		d.Count--
 	}
 }
 
 // chooseGangZone chooses the zone in which the fewest machines are missing for a gang
-// of one zone, promises it those that are there or coming, and returns the
+// of one zone, promises it those that are there or added, and returns the
 // offers of that zone for the rest.
-func (p *planning) chooseGangZone(n *demand, offers []offer, mine []*bin) []offer {
-	var got []*bin
+func (p *planning) chooseGangZone(d *demand, offers []offer, added []*bin) []offer {
+	var most []*bin
 	zone := ""
 	for _, o := range offers { // the cheapest first
-		there := &demand{n.Need, n.shard}
+		there := &demand{d.Need, d.shard}
 		there.Gang, there.Zone = false, o.zone
-		if all := p.assign(there, append(slices.Clone(p.withRoom[n.shard]), mine...)); zone == "" || len(all) > len(got) {
-			zone, got = o.zone, all
+		found := p.assign(there, append(slices.Clone(p.withRoom[d.shard]), added...))
+		if zone == "" || len(found) > len(most) {
+			zone, most = o.zone, found
 		}
 	}
-	for _, b := range got {
-		b.use(&n.Need)
-		n.place(b.Zone)
-	}
-	n.Count -= len(got)
+	p.promise(d, most)
 	return slices.DeleteFunc(offers, func(o offer) bool { return o.zone != zone })
 }
 
-// headroom says how many unused machines of a kind each part should have, from
+// headroom says how many unused machines, spot or not, each shard should have, from
 // what has lately arrived there and how long a new machine takes.
-func (p *planning) headroom(spot bool) (want map[int]float64, total int) {
+func (p *planning) headroom(spot bool) (byShard map[int]float64, total int) {
 	boot := time.Duration(0)
 	for _, t := range p.cfg.Types {
 		boot = max(boot, time.Duration(t.BootS*float64(time.Second)))
 	}
-	want = map[int]float64{}
+	byShard = map[int]float64{}
 	sum := 0.0
 	for _, summary := range p.summaries {
 		arriving := summary.Arriving
 		if spot {
 			arriving = summary.ArrivingSpot
 		}
-		want[summary.Part] = p.cfg.Headroom(arriving, boot, spot)
-		sum += want[summary.Part]
+		byShard[summary.Part] = p.cfg.Headroom(arriving, boot, spot)
+		sum += byShard[summary.Part]
 	}
-	return want, int(sum + 0.5)
+	return byShard, int(sum + 0.5)
 }
 
-// provisionHeadroom rents the headroom of a kind: machines with nothing to do, since a boot
-// and an image take longer than most work may wait.
+// provisionHeadroom provisions what is missing of the headroom: machines with nothing to do,
+// since a boot and an image take longer than most work may wait.
 func (p *planning) provisionHeadroom(spot bool) {
-	want, target := p.headroom(spot)
+	missing, target := p.headroom(spot)
 	total := 0
 	for _, bins := range [][]*bin{p.unused, p.toProvision} {
 		for _, b := range bins {
 			if b.Spot == spot && b.Tasks == 0 && !b.promised {
-				want[b.shard]--
+				missing[b.shard]--
 				total++
 			}
 		}
 	}
 	for ; total < target; total++ {
-		best := -1
-		for _, summary := range p.summaries {
-			if best < 0 || want[summary.Part] > want[best] {
-				best = summary.Part
-			}
-		}
-		want[best]--
+		shard := p.mostMissing(missing)
+		missing[shard]--
 		offers := p.offers(&Need{Spot: spot})
 		i := slices.IndexFunc(offers, func(o offer) bool { return o.spot == spot })
 		if i < 0 {
 			return
 		}
-		p.addMachine(offers[i], best)
+		p.addMachine(offers[i], shard)
+	}
+}
+
+// mostMissing returns the shard that misses most, the first in the summaries if several do.
+func (p *planning) mostMissing(missing map[int]float64) int {
+	most := -1
+	for _, summary := range p.summaries {
+		if most < 0 || missing[summary.Part] > missing[most] {
+			most = summary.Part
+		}
 	}
+	return most
 }
--- a/internal/fleet/summary.go
+++ b/internal/fleet/summary.go
@@ -1,6 +1,7 @@
-// Package fleet is pure: the leader's choices over all parts. It says which
-// machines change parts, what is rented and what is given back, and who claims
-// the parts of a controller that is gone.
+// Package fleet is pure: the leader's plan over all shards. It decides which machines
+// change their shards, what is provisioned and what is released (Planner), who owns a shard
+// whose owner is gone (ChooseOwner), and how a limit is divided (FairShare). It takes no locks;
+// the leader calls a Planner under the shards' lock.
 package fleet
 
 import (
@@ -8,7 +9,12 @@
 	"time"
 )
 
-// Need is work of one part that waits and fits on none of its machines now.
+// Need, Machine, Summary and Order travel by gob between controllers of different
+// versions, which matches fields by name: their exported fields keep their names and
+// meanings, also where these are odd (a Part is a shard). The types and their methods may be
+// renamed.
+
+// Need is work of one shard that waits and fits on none of its machines now.
 type Need struct {
 	Job      string
 	Image    string
@@ -36,23 +42,23 @@
 // open reports whether one more task may go to a zone.
 func (n *Need) open(zone string) bool { return n.ZoneLimit == 0 || n.InZone[zone] < n.ZoneLimit }
 
-// place takes in that a task goes to a zone.
+// place records that a task goes to a zone.
 func (n *Need) place(zone string) {
 	if n.ZoneLimit > 0 {
 		n.InZone[zone]++
 	}
 }
 
-// Machine is a machine as its part's owner sees it.
+// Machine is a machine as its shard's owner sees it.
 type Machine struct {
 	ID       string
 	Type     string
 	Zone     string
 	Spot     bool
-	Up       bool // its worker was heard
+	Up       bool // its agent was heard
 	Usable   bool // new work may be placed on it
-	Leaving  bool // being moved or returned
-	Moving   bool // to the part To, once it is empty
+	Leaving  bool // being moved or released
+	Moving   bool // to the shard To, once it is empty
 	To       int
 	Lasting  bool    // holds services, which end when their users say so
 	CPUs     float64 // free
@@ -67,7 +73,7 @@
 	Avoided  bool     // will be drained later
 }
 
-// Summary is one part's state for the leader.
+// Summary is one shard's state for the leader.
 type Summary struct {
 	Part     int
 	Needs    []Need
@@ -106,16 +112,16 @@
 	return out
 }
 
-// Order tells a part's owner what to do with a machine.
+// Order tells a shard's owner what to do with a machine.
 type Order struct {
 	Part    int
 	Machine string
-	To      int // the part it goes to, or Back
-	// Below lets tasks of lower priority be stopped to free the machine.
+	To      int // the shard it goes to, or ReleaseToCloud
+	// Below lets tasks of lower priority be preempted to free the machine.
 	Below int
 	// Emptied lets the machine's tasks run to their end; it takes no new ones.
 	Emptied bool
 }
 
-// ReleaseToCloud is the value of an Order's To that gives the machine back to the cloud.
+// ReleaseToCloud is the value of an Order's To that releases the machine.
 const ReleaseToCloud = -1
