--- a/internal/controller/account_test.go
+++ b/internal/controller/account_test.go
@@ -89,7 +89,7 @@
 	state := &countingState{State: inner}
 	c.store = state
 	viewOpen(t, c)
-	takeOverPart(t, c, state, versioned[record.Shard]{}, 1)
+	takeOverPart(t, c, state, record.Versioned[record.Shard]{}, 1)
 	return c, state, workers
 }
 
@@ -104,7 +104,7 @@
 }
 
 // takeOverPart claims part 0 and waits until all that it reads has come.
-func takeOverPart(t testing.TB, c *Controller, state *countingState, held versioned[record.Shard], inc uint64) {
+func takeOverPart(t testing.TB, c *Controller, state *countingState, held record.Versioned[record.Shard], inc uint64) {
 	t.Helper()
 	state.reset()
 	if err := c.failOver(context.Background(), 0, held, inc); err != nil {
@@ -177,9 +177,8 @@
 			at = now
 		}
 		held("scheduler", accountMachines, func() { c.shards = nil })
-		held("fleet-view", accountMachines, func() { c.fleet = nil })
+		held("fleet-view", accountMachines, func() { c.machines = nil })
 		held("open-jobs", accountJobs, func() { c.activeJobs = nil })
-		held("dependencies", accountJobs, func() { c.dependencies = nil })
 		runtime.KeepAlive(c)
 	}
 }
@@ -199,7 +198,7 @@
 			most = now
 		}
 		c.mu.Lock()
-		held := c.shardRecords[0]
+		held, _ := c.cluster.Shard(0)
 		c.shards = map[int]*scheduler.Shard{}
 		c.mu.Unlock()
 		inc++
@@ -308,7 +307,7 @@
 	c, _, workers := fleetController(b, accountMachines, accountJobs)
 	met(b, c, workers)
 	c.mu.Lock()
-	version := c.activeJobs[ref(7)].version
+	version := activeJob(c, ref(7)).Version
 	c.mu.Unlock()
 	srv := transport.New(transport.Config{Log: c.log})
 	b.ReportAllocs()
--- a/internal/controller/bounds_test.go
+++ b/internal/controller/bounds_test.go
@@ -67,7 +67,7 @@
 	inc := uint64(1)
 	return testing.AllocsPerRun(runs, func() {
 		c.mu.Lock()
-		held := c.shardRecords[0]
+		held, _ := c.cluster.Shard(0)
 		clear(c.shards)
 		c.mu.Unlock()
 		inc++
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -88,7 +88,8 @@
 func (c *Controller) cancellationPending(ref string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.activeJobs[ref].cancelled && !c.blind(time.Now())
+	j, _ := c.activeJobs.Job(ref)
+	return j.Cancelled && !c.blind(time.Now())
 }
 
 // notYetTerminal answers a cancellation whose tasks are not all proven gone yet, which
@@ -104,18 +105,13 @@
 	defer cancel()
 	for _, ref := range refs {
 		c.mu.Lock()
-		if _, open := c.activeJobs[ref]; !open {
-			c.mu.Unlock()
+		ended := c.activeJobs.Ended(ref)
+		c.mu.Unlock()
+		if ended == nil {
 			continue
 		}
-		over := c.endWaiters[ref]
-		if over == nil {
-			over = make(chan struct{})
-			c.endWaiters[ref] = over
-		}
-		c.mu.Unlock()
 		select {
-		case <-over:
+		case <-ended:
 		case <-ctx.Done():
 			return false
 		}
@@ -125,11 +121,5 @@
 
 // removeActiveJob takes in that a job is not open any more. The lock is held.
 func (c *Controller) removeActiveJob(ref string) {
-	changed := c.dependencies.Remove(ref)
-	delete(c.activeJobs, ref)
-	c.passDemandOn(changed)
-	if over := c.endWaiters[ref]; over != nil {
-		close(over)
-		delete(c.endWaiters, ref)
-	}
+	c.passDemandOn(c.activeJobs.Remove(ref))
 }
--- a/internal/controller/claim.go
+++ b/internal/controller/claim.go
@@ -6,7 +6,6 @@
 	"errors"
 	"fmt"
 	"slices"
-	"sort"
 	"time"
 
 	"bramblespur/internal/controller/membership"
@@ -24,47 +23,35 @@
 
 func (c *Controller) preferredOwner(part int) string { return c.cfg.Labels()[part%c.cfg.Params.Count] }
 
-func (c *Controller) liveMembers() []string {
-	var out []string
-	for l := range c.members {
-		out = append(out, l)
-	}
-	sort.Strings(out)
-	return out
-}
-
 // considerAcquisitions claims what is this controller's to claim: its own parts after
 // a restart, parts offered to it, and those of owners that are gone.
 func (c *Controller) considerAcquisitions(ctx context.Context, now time.Time) {
-	if c.schedulerConfig == nil || !c.sure(now) || c.viewAt.IsZero() {
+	if c.schedulerConfig == nil || !c.sure(now) || !c.cluster.Loaded() {
 		return
 	}
-	owners := map[int]string{}
-	for id, r := range c.shardRecords {
-		owners[id] = r.rec.Owner
-	}
+	owners := c.cluster.Owners()
 	for id := range c.cfg.Params.Count {
 		if c.shards[id] != nil || c.acquiring[id] {
 			continue
 		}
-		r, known := c.shardRecords[id]
-		_, ownerLives := c.members[r.rec.Owner]
+		r, known := c.cluster.Shard(id)
+		_, ownerLives := c.cluster.Member(r.Rec.Owner)
 		mine := false
 		switch {
-		case known && r.rec.TransferTo == c.cfg.Label:
+		case known && r.Rec.TransferTo == c.cfg.Label:
 			mine = true
-		case known && r.rec.Owner == c.cfg.Label:
+		case known && r.Rec.Owner == c.cfg.Label:
 			mine = true // a restart, or records read back after an outage
 		case !known && c.preferredOwner(id) == c.cfg.Label:
 			mine = true
 		case now.Sub(c.startedAt) < acquirePatience:
 			// Its owner may have restarted together with this controller.
-		case !ownerLives && now.Sub(c.viewAt) < 2*c.watchWait() && len(c.members) > 0:
+		case !ownerLives && now.Sub(c.cluster.AsOf()) < 2*c.watchWait() && len(c.cluster.LiveMembers()) > 0:
 			home := c.preferredOwner(id)
 			if !known && now.Sub(c.lease.Current().RenewedAt) < membership.LeaseTTL && c.mayBeFirstStart(home, now) {
 				continue // it is probably about to start
 			}
-			mine = fleet.ChooseOwner(c.liveMembers(), owners, home) == c.cfg.Label
+			mine = fleet.ChooseOwner(c.cluster.LiveMembers(), owners, home) == c.cfg.Label
 		}
 		if mine {
 			c.acquire(ctx, id)
@@ -85,7 +72,7 @@
 // records are read. The lock is held by the caller.
 func (c *Controller) acquire(ctx context.Context, id int) {
 	c.acquiring[id] = true
-	r := c.shardRecords[id]
+	r, _ := c.cluster.Shard(id)
 	incarnation := c.lease.Current().Incarnation
 	go func() {
 		err := c.failOver(ctx, id, r, incarnation)
@@ -100,7 +87,7 @@
 
 // failOver claims a part whose record is as r says, reads its records and begins to serve
 // it.
-func (c *Controller) failOver(ctx context.Context, id int, r versioned[record.Shard], incarnation uint64) error {
+func (c *Controller) failOver(ctx context.Context, id int, r record.Versioned[record.Shard], incarnation uint64) error {
 	token, err := c.recordOwnership(ctx, id, r, incarnation)
 	if err != nil {
 		return fmt.Errorf("claim: %w", err)
@@ -118,7 +105,7 @@
 			break
 		}
 		c.mu.Lock()
-		lost := c.shardRecords[id].version > token
+		lost := c.cluster.ShardVersion(id) > token
 		c.mu.Unlock()
 		if lost {
 			return errors.New("claim: part lost while loading")
@@ -129,11 +116,11 @@
 
 // recordOwnership writes this controller as a part's owner and returns the token. If that
 // fails, the part's record is read for what stands in the way.
-func (c *Controller) recordOwnership(ctx context.Context, id int, r versioned[record.Shard], incarnation uint64) (token uint64, err error) {
+func (c *Controller) recordOwnership(ctx context.Context, id int, r record.Versioned[record.Shard], incarnation uint64) (token uint64, err error) {
 	key := record.ShardKey(id)
 	rec := record.Shard{Owner: c.cfg.Label, Incarnation: incarnation}
 	token, err = c.store.Txn(ctx, statestore.Urgent("claim"), wire.Txn{
-		If:   []wire.Cond{{Key: key, Version: r.version}},
+		If:   []wire.Cond{{Key: key, Version: r.Version}},
 		Then: []wire.Op{{Put: key, Value: record.Encode(rec)}},
 	})
 	if err == nil {
@@ -161,13 +148,13 @@
 	if c.safeMode.state.Active() {
 		return errors.New("claim: safe mode began meanwhile")
 	}
-	if cur := c.shardRecords[id]; cur.version > shard.Token() {
-		return fmt.Errorf("claim: part claimed by %s meanwhile", cur.rec.Owner)
+	if cur, _ := c.cluster.Shard(id); cur.Version > shard.Token() {
+		return fmt.Errorf("claim: part claimed by %s meanwhile", cur.Rec.Owner)
 	}
 	c.shards[id] = shard
 	now := time.Now()
 	// Views may have moved on while the records were read.
-	c.fleet.Each(func(machine string, v record.View) {
+	c.machines.Each(func(machine string, v record.View) {
 		if v.Shard != id {
 			return
 		}
@@ -175,10 +162,8 @@
 			c.log.Error("machine record", "machine", machine, "err", err)
 		}
 	})
-	for ref, j := range c.activeJobs {
-		if j.part == id {
-			shard.SetInheritedClaim(ref, c.dependencies.Claim(ref))
-		}
+	for _, ref := range c.activeJobs.OfShard(id) {
+		shard.SetInheritedClaim(ref, c.activeJobs.Claim(ref))
 	}
 	c.log.Info("shard acquired", "shard", id, "token", shard.Token())
 	c.beginEpisode(shard, now)
@@ -236,8 +221,8 @@
 // belongsToOtherShard reports whether an open job's record is one that the view holds, and
 // another part's: it need not be decoded to tell. The lock is held.
 func (c *Controller) belongsToOtherShard(e wire.Entry, part int) bool {
-	j, open := c.activeJobs[record.Last(e.Key)]
-	return open && j.version == e.Version && j.part != part
+	j, open := c.activeJobs.Job(record.Last(e.Key))
+	return open && j.Version == e.Version && j.Shard != part
 }
 
 // rereadActiveJobs reads the open jobs once more after a claim: one accepted between
--- /dev/null
+++ b/internal/controller/clusterview/machines.go
@@ -0,0 +1,146 @@
+package clusterview
+
+import (
+	"strings"
+	"sync"
+
+	"bramblespur/internal/record"
+	"bramblespur/internal/wire"
+)
+
+// Machines is the view of the records under record.FleetPrefix: all machines
+// that were provisioned and are not cleared away yet.
+type Machines struct {
+	freshness
+
+	mu    sync.Mutex // a leaf: see the package's lock order
+	fleet *record.Fleet
+}
+
+// MachineChange is a machine of which some record changed.
+type MachineChange struct {
+	ID string
+	// View is the machine as its records tell it, if Known.
+	View  record.View
+	Known bool
+	// Released says that the record that provisioned the machine was deleted. Only
+	// that proves a machine gone: that no such record is known here proves nothing.
+	Released bool
+}
+
+// NewMachines returns a view without records.
+func NewMachines() *Machines { return &Machines{fleet: record.NewFleet()} }
+
+// Forget drops all records. The view is to be listed anew.
+func (v *Machines) Forget() {
+	v.forget()
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.fleet = record.NewFleet()
+}
+
+// Apply takes changed and deleted records into the view, all of them before it
+// looks at a machine: the first of a machine's records without the others would
+// tell that there is no such machine. It returns the machines concerned, and the
+// errors of records that can't be read, which are passed over.
+func (v *Machines) Apply(changes []wire.Change) ([]MachineChange, []error) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	released := map[string]bool{} // by the machine that changed
+	var errs []error
+	for _, change := range changes {
+		ids, err := v.fleet.Change(change)
+		if err != nil {
+			errs = append(errs, err)
+			continue
+		}
+		ended := strings.HasPrefix(change.Delete, record.ProvisionPrefix)
+		for _, id := range ids {
+			released[id] = released[id] || ended
+		}
+	}
+	changed := make([]MachineChange, 0, len(released))
+	for id, gone := range released {
+		view, known := v.fleet.Machine(id)
+		changed = append(changed, MachineChange{ID: id, View: view, Known: known, Released: gone})
+	}
+	return changed, errs
+}
+
+// Machine returns a machine; there is none without a record that provisioned it.
+func (v *Machines) Machine(id string) (record.View, bool) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.fleet.Machine(id)
+}
+
+// Each calls fn for every machine under the view's lock: fn must not use the view.
+func (v *Machines) Each(fn func(id string, m record.View)) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.fleet.Each(fn)
+}
+
+// Len returns the number of machines, those gone but not yet cleared away included.
+func (v *Machines) Len() int {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.fleet.Len()
+}
+
+// Versions returns the versions of all records, by key.
+func (v *Machines) Versions() map[string]uint64 {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.fleet.Versions()
+}
+
+// Entries returns all records.
+func (v *Machines) Entries() []wire.Entry {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.fleet.Entries()
+}
+
+// IDs returns the machines that a provision record, by its key, brought.
+func (v *Machines) IDs(provisionKey string) []string {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.fleet.IDs(provisionKey)
+}
+
+// Provision returns a provision record by its name.
+func (v *Machines) Provision(name string) (record.Provision, bool) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.fleet.Rental(name)
+}
+
+// Unaddressed returns the provision records that lack their machines' addresses, by name.
+func (v *Machines) Unaddressed() map[string]record.Versioned[record.Provision] {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.fleet.Unaddressed()
+}
+
+// Unfinished returns the provision records that the cloud has not answered yet, by name.
+func (v *Machines) Unfinished() map[string]record.Versioned[record.Provision] {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.fleet.Unfinished()
+}
+
+// PendingReleases returns the releases that the cloud has not carried out yet, by key.
+func (v *Machines) PendingReleases() map[string]record.Versioned[record.Release] {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.fleet.Pending()
+}
+
+// ClearGone proposes a transaction of at most so many operations that deletes records of
+// machines that are gone. It reports false if there are none.
+func (v *Machines) ClearGone(maxOps int) (wire.Txn, bool) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.fleet.Clear(maxOps)
+}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -20,13 +20,13 @@
 	"bramblespur/internal/cloud"
 	"bramblespur/internal/config"
 	"bramblespur/internal/controller/admission"
+	"bramblespur/internal/controller/clusterview"
 	"bramblespur/internal/controller/leader"
 	"bramblespur/internal/controller/membership"
 	"bramblespur/internal/controller/overload"
 	"bramblespur/internal/controller/rejectlog"
 	"bramblespur/internal/controller/terminal"
 	"bramblespur/internal/controller/transport"
-	"bramblespur/internal/fragment"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/operations"
 	"bramblespur/internal/peer"
@@ -68,6 +68,9 @@
 	overload          *overload.Detector
 	admission         *admission.Limiter // of users' requests
 	rejections        *rejectlog.Log
+	cluster           *clusterview.Cluster
+	machines          *clusterview.Machines
+	activeJobs        *clusterview.ActiveJobs
 
 	duties *leader.Leader // its state is guarded by mu
 
@@ -77,20 +80,8 @@
 	machineTypes      []wire.MachineType
 	shards            map[int]*scheduler.Shard
 	acquiring         map[int]bool
-	shardRecords      map[int]versioned[record.Shard]
-	fleet             *record.Fleet
-	activeJobs        map[string]activeJob     // unfinished jobs as the watch tells them
-	dependencies      *fragment.Needs          // how unfinished jobs need each other
-	dependencyReads   map[string]time.Time     // when final records are read again, or for the first time
-	endWaiters        map[string]chan struct{} // by job; closed when it is not open any more
-	members           map[string]record.Member
-	leader            versioned[record.Leader]
+	dependencyReads   map[string]time.Time // when final records are read again, or for the first time
 	machineTypesKnown bool
-	viewAt            time.Time                // the cluster view was true at this time or later
-	formats           map[string]record.Format // by controller, what it writes and reads
-	jobsAt            time.Time                // so was the view of open jobs
-	fleetAt           time.Time                // and that of the machines
-	viewRevisions     map[string]uint64        // of the views, by prefix
 	redirects         workerRedirects
 	lastHeartbeatAt   time.Time // of any worker, to this controller itself
 	quietUntil        time.Time // not to lead before
@@ -108,19 +99,6 @@
 	commands          chan struct{} // direct commands under way, each on a socket of its own
 }
 
-// activeJob is what polls need to know of an unfinished job.
-type activeJob struct {
-	version   uint64
-	part      int
-	cancelled bool
-	service   bool
-}
-
-type versioned[T any] struct {
-	rec     T
-	version uint64
-}
-
 // Run runs a controller until its server fails.
 func Run(cfg *config.Settings, pol *policy.Policy, ops *operations.Settings, log *slog.Logger) error {
 	p := cfg.Params
@@ -188,18 +166,13 @@
 	c.peers = map[string]peer.Caller{}
 	c.shards = map[int]*scheduler.Shard{}
 	c.acquiring = map[int]bool{}
-	c.shardRecords = map[int]versioned[record.Shard]{}
-	c.fleet = record.NewFleet()
-	c.activeJobs = map[string]activeJob{}
-	c.viewRevisions = map[string]uint64{}
-	c.endWaiters = map[string]chan struct{}{}
-	c.dependencies = fragment.NewNeeds()
+	c.cluster = clusterview.NewCluster()
+	c.machines = clusterview.NewMachines()
+	c.activeJobs = clusterview.NewActiveJobs()
 	c.dependencyReads = map[string]time.Time{}
 	c.commands = make(chan struct{}, max(1, c.cfg.Params.Resources.MaxSockets/commandSockets))
 	c.startedAt = time.Now()
 	c.searches = map[string]workerSearch{}
-	c.members = map[string]record.Member{}
-	c.formats = map[string]record.Format{}
 	c.terminalStates = terminal.NewCache()
 	c.linearizableReads = &Batcher{flush: c.flushLinearizableReads}
 	c.redirects = workerRedirects{}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -120,7 +120,7 @@
 		state, cl := testkit.NewState(), &testkit.Cloud{}
 		c, leading := newTest(t, state), newTest(t, state)
 		c.submit(body(t, nil))
-		if err := c.failOver(ctx, 0, versioned[record.Shard]{}, 1); err != nil {
+		if err := c.failOver(ctx, 0, record.Versioned[record.Shard]{}, 1); err != nil {
 			t.Fatal(err)
 		}
 		recorded := func() []wire.Entry {
@@ -155,7 +155,7 @@
 		if len(cl.Rentals[name]) == 0 {
 			t.Fatalf("provisions %v, want %s", cl.Rentals, name)
 		}
-		if v, ok := leading.fleet.Machine(cl.Rentals[name][0]); !ok || v.Shard != 0 {
+		if v, ok := leading.machines.Machine(cl.Rentals[name][0]); !ok || v.Shard != 0 {
 			t.Fatalf("machine %+v, want it in the owner's shard", v)
 		}
 		if len(cl.Rentals) != 1 {
--- a/internal/controller/data_loss_audit.go
+++ b/internal/controller/data_loss_audit.go
@@ -74,7 +74,7 @@
 	now := time.Now()
 	missing := map[string]uint64{}
 	c.mu.Lock()
-	for key, held := range c.heldVersions(prefix) {
+	for key, held := range c.view(prefix).Versions() {
 		switch found := listed[key]; {
 		case held > revision:
 		case found == 0:
@@ -100,7 +100,7 @@
 func (c *Controller) awaitView(ctx context.Context, prefix string, revision uint64) bool {
 	for end := time.Now().Add(auditWatchTurns * c.watchWait()); time.Now().Before(end); {
 		c.mu.Lock()
-		reached := c.viewRevisions[prefix] >= revision
+		reached := c.view(prefix).Revision() >= revision
 		c.mu.Unlock()
 		if reached {
 			return true
@@ -112,25 +112,6 @@
 	return false
 }
 
-// heldVersions returns the versions of a prefix's records as the view has them. The lock is
-// held.
-func (c *Controller) heldVersions(prefix string) map[string]uint64 {
-	out := map[string]uint64{}
-	switch prefix {
-	case record.FleetPrefix:
-		return c.fleet.Versions()
-	case record.ActiveJobPrefix:
-		for ref, j := range c.activeJobs {
-			out[record.ActiveJobKey(ref)] = j.version
-		}
-	case record.ClusterPrefix:
-		for id, r := range c.shardRecords {
-			out[record.ShardKey(id)] = r.version
-		}
-	}
-	return out
-}
-
 // confirmMissing tells records that were deleted from those that were lost: a deletion is
 // among the changes, as far as the state service still keeps them.
 func (c *Controller) confirmMissing(ctx context.Context, prefix string, missing map[string]uint64) error {
@@ -201,8 +182,8 @@
 func (c *Controller) anyMachineAlive(rental string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, id := range c.fleet.IDs(rental) {
-		v, _ := c.fleet.Machine(id)
+	for _, id := range c.machines.IDs(rental) {
+		v, _ := c.machines.Machine(id)
 		if shard := c.shards[v.Shard]; shard != nil && shard.HeardWithin(id, shard.Lease(), time.Now()) {
 			return true
 		}
--- a/internal/controller/data_loss_evidence.go
+++ b/internal/controller/data_loss_evidence.go
@@ -30,8 +30,8 @@
 	r := peer.EvidenceReply{Mode: mode}
 	if a.After == "" {
 		r.View = recovery.View{Revision: m.activeJobsRevision, Open: map[string]recovery.ActiveJob{}}
-		for ref, j := range c.activeJobs {
-			r.View.Open[ref] = recovery.ActiveJob{Version: j.version, Cancelled: j.cancelled}
+		for ref, j := range c.activeJobs.Jobs() {
+			r.View.Open[ref] = recovery.ActiveJob{Version: j.Version, Cancelled: j.Cancelled}
 		}
 		for _, id := range slices.Sorted(maps.Keys(m.heartbeats)) {
 			r.Reports = append(r.Reports, m.heartbeats[id])
@@ -48,7 +48,7 @@
 
 // heldRecords returns all records that are known here, by key. The lock is held.
 func (c *Controller) heldRecords() []wire.Entry {
-	out := c.fleet.Entries()
+	out := c.machines.Entries()
 	for _, shard := range c.safeMode.frozenShards {
 		out = append(out, shard.Records()...)
 	}
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"maps"
 	"net"
 	"net/rpc"
 	"runtime"
@@ -204,15 +203,10 @@
 		view(t, state, c)
 		var roots []string
 		after := map[string][]string{}
-		c.dependencies.Each(func(r string, needed map[string]struct{}) {
-			if _, open := c.activeJobs[r]; open {
-				return
-			}
+		for _, r := range c.activeJobs.EndedDependencies() {
 			roots = append(roots, r)
-			for d := range needed {
-				after[r] = append(after[r], d)
-			}
-		})
+			after[r] = c.activeJobs.Dependents(r)
+		}
 		for _, r := range roots {
 			c.lookUpDependency(context.Background(), r, after[r])
 		}
@@ -265,7 +259,7 @@
 		e := state.Put(record.FormatKey(label), record.Format{N: record.SizedRanges})
 		c.changeCluster(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
 	}
-	c.viewAt = time.Now()
+	c.cluster.SetAsOf(time.Now())
 	c.formatLoop(context.Background()) // gives its own word, once
 	c.formatLoop(context.Background())
 	word("c-1")
@@ -365,7 +359,7 @@
 	cut := newTest(t, testkit.NewState())
 	second := listen("new", func(ln net.Listener) { _ = peer.Serve(ln, cut, 2) })
 	c := newTest(t, testkit.NewState())
-	c.viewAt = time.Now()
+	c.cluster.SetAsOf(time.Now())
 	c.peers = map[string]peer.Caller{"c-1": peer.NewClient(old), "c-2": peer.NewClient(second)}
 	var ok bool
 	if err := c.peers["c-1"].Call("Ping", "c-0", &ok, time.Minute); err != nil || !ok {
@@ -378,11 +372,11 @@
 	c.askFormats(context.Background())
 	for {
 		c.mu.Lock()
-		got := maps.Clone(c.formats)
+		old, new := c.cluster.Format("c-1"), c.cluster.Format("c-2")
 		c.mu.Unlock()
-		if got["c-2"].N == record.SizedRanges {
-			if len(got) != 1 {
-				t.Errorf("words %v", got)
+		if new == record.SizedRanges {
+			if old != 0 || c.cluster.Format(c.cfg.Label) != 0 {
+				t.Errorf("formats %d of c-1, %d of itself", old, c.cluster.Format(c.cfg.Label))
 			}
 			return
 		}
--- a/internal/controller/dependency_tracking.go
+++ b/internal/controller/dependency_tracking.go
@@ -7,10 +7,8 @@
 	"time"
 
 	"bramblespur/internal/controller/transport"
-	"bramblespur/internal/fragment"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/record"
-	"bramblespur/internal/scheduler"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
 )
@@ -35,11 +33,11 @@
 	use := statestore.Urgent("dependencies")
 	for _, root := range spec.DependsOn {
 		c.mu.Lock()
-		j, open := c.activeJobs[root]
+		j, open := c.activeJobs.Job(root)
 		_, over := c.terminalStates.Get(root)
 		c.mu.Unlock()
 		switch {
-		case over || (open && !j.service):
+		case over || (open && !j.Service):
 			continue
 		case open:
 			return c.refuseUnlessAccepted(ctx, spec.Ref, 422)
@@ -83,7 +81,7 @@
 // dependencyEnded takes in a job's final record and tells the parts. The lock is held.
 func (c *Controller) dependencyEnded(ref string, j record.FinishedJob, now time.Time) {
 	c.terminalStates.Put(ref, j)
-	if len(c.dependencies.After(ref)) == 0 {
+	if !c.activeJobs.HasDependents(ref) {
 		return
 	}
 	for _, shard := range c.shards {
@@ -96,9 +94,10 @@
 // waiting for their views. The lock is held.
 func (c *Controller) notifyDependents(ref string, op wire.Op) {
 	owners := map[peer.Caller]bool{}
-	for d := range c.dependencies.After(ref) {
-		part := c.activeJobs[d].part
-		if owner := c.peers[c.shardRecords[part].rec.Owner]; c.shards[part] == nil && owner != nil {
+	for _, dependent := range c.activeJobs.Dependents(ref) {
+		j, _ := c.activeJobs.Job(dependent)
+		part := j.Shard
+		if owner := c.peers[c.cluster.Owner(part)]; c.shards[part] == nil && owner != nil {
 			owners[owner] = true
 		}
 	}
@@ -116,7 +115,7 @@
 // parts held here at once, and for others later, in case their owners can't end
 // what needs a cancelled job. The lock is held.
 func (c *Controller) lookUpDependencies(ctx context.Context, now time.Time) {
-	if c.jobsAt.IsZero() {
+	if !c.activeJobs.Loaded() {
 		return // before there is a view nothing can be missing from it
 	}
 	mine := map[string]bool{}
@@ -130,10 +129,7 @@
 			mine[r] = true
 		}
 	}
-	c.dependencies.Each(func(r string, needed map[string]struct{}) {
-		if _, open := c.activeJobs[r]; open {
-			return
-		}
+	for _, r := range c.activeJobs.EndedDependencies() {
 		at, noted := c.dependencyReads[r]
 		if !noted {
 			at = now
@@ -146,45 +142,34 @@
 			at = now // it came to be ours meanwhile
 		}
 		if now.Before(at) {
-			return
+			continue
 		}
 		c.dependencyReads[r] = now.Add(jitter(cancelDependentsAfter))
 		j, known := c.terminalStates.Get(r)
 		if known && j.State == wire.Done {
-			return
+			continue
 		}
 		var others []string
-		for d := range needed {
-			if c.shards[c.activeJobs[d].part] == nil {
-				others = append(others, d)
+		for _, dependent := range c.activeJobs.Dependents(r) {
+			if j, _ := c.activeJobs.Job(dependent); c.shards[j.Shard] == nil {
+				others = append(others, dependent)
 			}
 		}
 		go c.lookUpDependency(ctx, r, others)
-	})
+	}
 	for r := range c.dependencyReads {
-		if len(c.dependencies.After(r)) == 0 {
+		if !c.activeJobs.HasDependents(r) {
 			delete(c.dependencyReads, r)
 		}
 	}
 }
 
-// dependencyStep is an open job as those that it needs see it.
-func dependencyStep(o *record.ActiveJob) fragment.Step {
-	s := fragment.Step{Claim: fragment.Claim{Rank: scheduler.Rank(o.Spec.Priority)}, DependsOn: o.Spec.DependsOn, Length: wire.Seconds(o.Spec.EstimateS)}
-	if o.Spec.DeadlineS != nil {
-		s.Due = time.UnixMilli(o.At).Add(wire.Seconds(*o.Spec.DeadlineS))
-	}
-	if o.Cancelled {
-		s.Claim = fragment.Claim{} // it asks for nothing any more
-	}
-	return s
-}
-
 // passDemandOn tells the parts what jobs are to be given. The lock is held.
 func (c *Controller) passDemandOn(refs []string) {
 	for _, ref := range refs {
-		if shard := c.shards[c.activeJobs[ref].part]; shard != nil {
-			shard.SetInheritedClaim(ref, c.dependencies.Claim(ref))
+		j, _ := c.activeJobs.Job(ref)
+		if shard := c.shards[j.Shard]; shard != nil {
+			shard.SetInheritedClaim(ref, c.activeJobs.Claim(ref))
 		}
 	}
 }
@@ -222,14 +207,14 @@
 // so that needs no word of its owner: only that its record is as it was.
 func (c *Controller) cancelDependent(ctx context.Context, ref string) {
 	c.mu.Lock()
-	j, open := c.activeJobs[ref]
+	j, open := c.activeJobs.Job(ref)
 	c.mu.Unlock()
 	if !open {
 		return
 	}
 	key := record.ActiveJobKey(ref)
 	t := wire.Txn{
-		If: []wire.Cond{{Key: key, Version: j.version}},
+		If: []wire.Cond{{Key: key, Version: j.Version}},
 		Then: []wire.Op{
 			{Put: record.FinishedJobKey(ref), Value: record.Encode(record.FinishedJob{State: wire.Cancelled, At: time.Now().UnixMilli()})},
 			{Delete: key},
--- a/internal/controller/drainer.go
+++ b/internal/controller/drainer.go
@@ -149,7 +149,7 @@
 func (c *Controller) announceDrainSupport(ctx context.Context) {
 	c.mu.Lock()
 	said, _ := c.drains.view.Participant(c.cfg.Label)
-	known := c.viewAt.IsZero() || said.Budgets == c.drains.budgetFingerprint
+	known := !c.cluster.Loaded() || said.Budgets == c.drains.budgetFingerprint
 	rec := drain.Participant{Budgets: c.drains.budgetFingerprint}
 	c.mu.Unlock()
 	if !known {
@@ -183,7 +183,7 @@
 func (c *Controller) drainShard(ctx context.Context, shard *scheduler.Shard) {
 	c.mu.Lock()
 	now := time.Now()
-	if c.shards[shard.ID()] != shard || c.fleetAt.IsZero() || !c.sure(now) {
+	if c.shards[shard.ID()] != shard || !c.machines.Loaded() || !c.sure(now) {
 		c.mu.Unlock()
 		return
 	}
@@ -212,7 +212,7 @@
 		Input: drain.Input{Now: now, Settings: d.settings, View: d.view, Shard: shard.ID(), Bytes: c.limits().Bytes()},
 		Owner: wire.Cond{Key: record.ShardKey(shard.ID()), Version: shard.Token()},
 		MachineGone: func(id string) bool {
-			v, ok := c.fleet.Machine(id)
+			v, ok := c.machines.Machine(id)
 			return !ok || v.Phase == record.Gone
 		},
 	}
@@ -230,7 +230,7 @@
 // machinesByZone counts the machines in service. The lock is held.
 func (c *Controller) machinesByZone() map[string]int {
 	zones := map[string]int{}
-	c.fleet.Each(func(_ string, v record.View) {
+	c.machines.Each(func(_ string, v record.View) {
 		if v.Phase == record.InUse {
 			zones[v.Zone]++
 		}
@@ -293,7 +293,7 @@
 	now := time.Now()
 	var t wire.Txn
 	due := false
-	if c.isLeader(now) && c.drainsReady() && !c.fleetAt.IsZero() {
+	if c.isLeader(now) && c.drainsReady() && c.machines.Loaded() {
 		t, due = drain.FinishOrPurge(c.drains.view, c.drainHasMachines, c.limits().TxnOps, now)
 	}
 	c.mu.Unlock()
@@ -305,7 +305,7 @@
 // drainHasMachines reports whether a machine that a drain selects is not gone yet. The lock is held.
 func (c *Controller) drainHasMachines(p *drain.Plan) bool {
 	left := false
-	c.fleet.Each(func(id string, v record.View) {
+	c.machines.Each(func(id string, v record.View) {
 		left = left || (v.Phase != record.Gone && p.Selects(id, v.Type, v.Zone, time.UnixMilli(v.Born)))
 	})
 	return left
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -18,7 +18,8 @@
 
 func (c *Controller) isLeader(now time.Time) bool {
 	lease := c.lease.Current()
-	return c.leader.rec.Label == c.cfg.Label && c.leader.rec.Incarnation == lease.Incarnation && lease.Incarnation != 0 && lease.Certain(now)
+	leader := c.cluster.Leader().Rec
+	return leader.Label == c.cfg.Label && leader.Incarnation == lease.Incarnation && lease.Incarnation != 0 && lease.Certain(now)
 }
 
 // pingPeers learns which controllers answer, and whether they reach the state
@@ -42,11 +43,11 @@
 	return c.sure(time.Now())
 }
 
-func (c *Controller) campaign(ctx context.Context, cur versioned[record.Leader]) {
+func (c *Controller) campaign(ctx context.Context, cur record.Versioned[record.Leader]) {
 	lease := c.lease.Current()
 	head := record.Leader{Label: c.cfg.Label, Incarnation: lease.Incarnation}
 	rev, err := c.store.Txn(ctx, statestore.Urgent("lead"), wire.Txn{
-		If:   []wire.Cond{{Key: record.LeaderKey, Version: cur.version}},
+		If:   []wire.Cond{{Key: record.LeaderKey, Version: cur.Version}},
 		Then: []wire.Op{{Put: record.LeaderKey, Value: record.Encode(head), Lease: lease.ID}},
 	})
 	if err != nil {
@@ -55,22 +56,20 @@
 	c.log.Info("elected leader")
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if rev > c.leader.version {
-		c.leader = versioned[record.Leader]{head, rev}
-	}
+	c.cluster.SetLeader(head, rev)
 }
 
 // transferBack gives a part back to its home: whoever writes the record loses the
 // token with it, so the core is dropped first. The lock is held.
 func (c *Controller) transferBack(ctx context.Context, id int) {
-	r := c.shardRecords[id]
+	r, _ := c.cluster.Shard(id)
 	home := c.preferredOwner(id)
 	if c.shards[id] == nil || home == c.cfg.Label {
 		return
 	}
 	go func() {
 		_, err := c.store.Txn(ctx, statestore.Urgent("claim"), wire.Txn{
-			If:   []wire.Cond{{Key: record.ShardKey(id), Version: r.version}},
+			If:   []wire.Cond{{Key: record.ShardKey(id), Version: r.Version}},
 			Then: []wire.Op{{Put: record.ShardKey(id), Value: record.Encode(record.Shard{TransferTo: home})}},
 		})
 		c.log.Info("shard transferred back", "shard", id, "to", home, "err", err)
@@ -81,7 +80,7 @@
 // stepDown gives the lead up: nobody can be reached from here.
 func (c *Controller) stepDown(ctx context.Context) {
 	c.mu.Lock()
-	version := c.leader.version
+	version := c.cluster.Leader().Version
 	c.quietUntil = time.Now().Add(quietAfter)
 	c.duties.EndTermLocked()
 	c.mu.Unlock()
--- a/internal/controller/leader/addresses.go
+++ b/internal/controller/leader/addresses.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 
+	"bramblespur/internal/controller/clusterview"
 	"bramblespur/internal/fleet"
 	"bramblespur/internal/record"
 	"bramblespur/internal/statestore"
@@ -55,7 +56,7 @@
 
 // addressesOf returns the addresses of machines, empty for those that never came up. It
 // returns false as long as one may yet come up, or if none did.
-func (p *provisions) addressesOf(machines *record.Fleet, ids []string) ([]string, bool) {
+func (p *provisions) addressesOf(machines *clusterview.Machines, ids []string) ([]string, bool) {
 	addresses, some := make([]string, len(ids)), false
 	for i, id := range ids {
 		addresses[i] = p.addresses[id]
--- a/internal/controller/leader/harness_test.go
+++ b/internal/controller/leader/harness_test.go
@@ -9,6 +9,7 @@
 
 	"bramblespur/internal/cloud"
 	"bramblespur/internal/config"
+	"bramblespur/internal/controller/clusterview"
 	"bramblespur/internal/fleet"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/policy"
@@ -24,7 +25,7 @@
 	t        *testing.T
 	store    statestore.Store
 	cloud    testkit.Cloud
-	machines *record.Fleet
+	machines *clusterview.Machines
 }
 
 var _ Host = (*fakeHost)(nil)
@@ -38,7 +39,7 @@
 	}
 	cfg := &config.Settings{Label: "c-0", Params: config.Params{Count: 1, Zones: []string{"z"},
 		State: config.State{ValueKB: 16, TxnOps: 16}}}
-	host := &fakeHost{t: t, store: store, machines: record.NewFleet()}
+	host := &fakeHost{t: t, store: store, machines: clusterview.NewMachines()}
 	return host, New(host, cfg, pol, slog.New(slog.DiscardHandler))
 }
 
@@ -54,8 +55,8 @@
 }
 
 func (h *fakeHost) change(e wire.Change) {
-	if _, err := h.machines.Change(e); err != nil {
-		h.t.Error(err)
+	if _, errs := h.machines.Apply([]wire.Change{e}); len(errs) > 0 {
+		h.t.Error(errs)
 	}
 }
 
@@ -78,7 +79,7 @@
 func (h *fakeHost) MayPlanLocked(time.Time) bool                           { return false }
 func (h *fakeHost) AcquireLocked(context.Context, int)                     {}
 func (h *fakeHost) TransferBackLocked(context.Context, int)                {}
-func (h *fakeHost) FleetLocked() *record.Fleet                             { return h.machines }
+func (h *fakeHost) FleetLocked() *clusterview.Machines                     { return h.machines }
 func (h *fakeHost) FleetSeenLocked() bool                                  { return true }
 func (h *fakeHost) MachineTypesLocked() []wire.MachineType                 { return nil }
 func (h *fakeHost) AllowCloudCallLocked(time.Time) bool                    { return true }
@@ -97,5 +98,11 @@
 func (h *fakeHost) PingPeers()                                             {}
 func (h *fakeHost) AfterTurn(context.Context)                              {}
 func (h *fakeHost) ReadFleet(context.Context, statestore.Purpose) (*record.Fleet, error) {
-	return h.machines, nil
+	machines := record.NewFleet()
+	for _, e := range h.machines.Entries() {
+		if _, err := machines.Change(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}); err != nil {
+			return nil, err
+		}
+	}
+	return machines, nil
 }
--- a/internal/controller/leader/host.go
+++ b/internal/controller/leader/host.go
@@ -7,6 +7,7 @@
 
 	"bramblespur/internal/cloud"
 	"bramblespur/internal/config"
+	"bramblespur/internal/controller/clusterview"
 	"bramblespur/internal/fleet"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/record"
@@ -65,7 +66,7 @@
 // Machines is the records of machines and what may be done with them.
 type Machines interface {
 	// FleetLocked returns the view of the records.
-	FleetLocked() *record.Fleet
+	FleetLocked() *clusterview.Machines
 	// FleetSeenLocked reports whether there is such a view yet.
 	FleetSeenLocked() bool
 	// ReadFleet reads the records themselves.
--- a/internal/controller/leader/inventory.go
+++ b/internal/controller/leader/inventory.go
@@ -6,6 +6,7 @@
 
 	"bramblespur/internal/cloud"
 	"bramblespur/internal/config"
+	"bramblespur/internal/controller/clusterview"
 	"bramblespur/internal/reconcile"
 	"bramblespur/internal/record"
 	"bramblespur/internal/statestore"
@@ -39,7 +40,7 @@
 
 // track notes which machines are recorded, so that those that are gone don't seem
 // unrecorded while the list still has them. Of those it forgets it drops the addresses.
-func (v *inventory) track(machines *record.Fleet, params config.Cloud, now time.Time, addresses map[string]string) {
+func (v *inventory) track(machines *clusterview.Machines, params config.Cloud, now time.Time, addresses map[string]string) {
 	machines.Each(func(id string, _ record.View) { v.known[id] = now })
 	for id, at := range v.known {
 		if now.Sub(at) > time.Duration(knownLags)*config.Seconds(params.ListLagS) {
@@ -51,7 +52,7 @@
 
 // suspects returns those of a list that no record seems to name, with in how many lists
 // they were.
-func (v *inventory) suspects(list []wire.Listed, machines *record.Fleet, provisioning bool) map[string]int {
+func (v *inventory) suspects(list []wire.Listed, machines *clusterview.Machines, provisioning bool) map[string]int {
 	suspects := map[string]int{}
 	for _, m := range list {
 		_, recorded := machines.Machine(m.ID)
--- a/internal/controller/leader/planning.go
+++ b/internal/controller/leader/planning.go
@@ -115,7 +115,7 @@
 		unanswered[name] = r.Rec
 	}
 	for name, r := range underWay {
-		if rec, ok := machines.Rental(name); !ok || len(rec.IDs) == 0 {
+		if rec, ok := machines.Provision(name); !ok || len(rec.IDs) == 0 {
 			unanswered[name] = r // those whose machines are known were counted above
 		}
 	}
--- a/internal/controller/leader/release.go
+++ b/internal/controller/leader/release.go
@@ -71,7 +71,7 @@
 func (l *Leader) takeBatches(t *term, now time.Time) (batches map[string]record.Versioned[record.Release], ids []string) {
 	l.host.Lock()
 	defer l.host.Unlock()
-	pending := l.host.FleetLocked().Pending()
+	pending := l.host.FleetLocked().PendingReleases()
 	if l.host.SafeModeLocked() || len(pending) > 0 && !l.host.AllowCloudCallLocked(now) {
 		return nil, nil
 	}
@@ -107,7 +107,7 @@
 		return // before there is a view it may lack provisions
 	}
 	ops := l.writeLimits().TxnOps
-	txn, ok := l.host.FleetLocked().Clear(ops)
+	txn, ok := l.host.FleetLocked().ClearGone(ops)
 	if !ok {
 		return
 	}
--- a/internal/controller/leader/standalone.go
+++ b/internal/controller/leader/standalone.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"time"
 
+	"bramblespur/internal/controller/clusterview"
 	"bramblespur/internal/fleet"
 	"bramblespur/internal/record"
 	"bramblespur/internal/statestore"
@@ -61,9 +62,9 @@
 }
 
 // applyAnswers tells the planner which of the requests the leader has granted or refused.
-func (s *standalone) applyAnswers(machines *record.Fleet, now time.Time) {
+func (s *standalone) applyAnswers(machines *clusterview.Machines, now time.Time) {
 	for name, r := range s.requested {
-		rec, ok := machines.Rental(name)
+		rec, ok := machines.Provision(name)
 		switch {
 		case ok && len(rec.IDs) == 0:
 			continue // not answered yet
--- a/internal/controller/leader_host.go
+++ b/internal/controller/leader_host.go
@@ -6,6 +6,7 @@
 
 	"bramblespur/internal/cloud"
 	"bramblespur/internal/config"
+	"bramblespur/internal/controller/clusterview"
 	"bramblespur/internal/controller/leader"
 	"bramblespur/internal/fleet"
 	"bramblespur/internal/peer"
@@ -34,9 +35,9 @@
 
 // CandidacyLocked implements leader.Election.
 func (h leaderHost) CandidacyLocked(now time.Time) func(context.Context) {
-	c, seen := h.c, h.c.leader
-	vacant := seen.version == 0 || seen.rec.Label == c.cfg.Label
-	if !vacant || !c.sure(now) || c.machineTypes == nil || !now.After(c.quietUntil) || c.viewAt.IsZero() {
+	c, seen := h.c, h.c.cluster.Leader()
+	vacant := seen.Version == 0 || seen.Rec.Label == c.cfg.Label
+	if !vacant || !c.sure(now) || c.machineTypes == nil || !now.After(c.quietUntil) || !c.cluster.Loaded() {
 		return nil
 	}
 	return func(ctx context.Context) { c.campaign(ctx, seen) }
@@ -44,7 +45,8 @@
 
 // LeaderLocked implements leader.Election.
 func (h leaderHost) LeaderLocked() (label string, version uint64) {
-	return h.c.leader.rec.Label, h.c.leader.version
+	r := h.c.cluster.Leader()
+	return r.Rec.Label, r.Version
 }
 
 // ClusterLocked implements leader.Election.
@@ -52,12 +54,9 @@
 	c := h.c
 	cluster := leader.Cluster{
 		Self: c.cfg.Label, Isolated: c.status.cutFromAll, Behind: c.overload.Behind(),
-		Owners: map[int]string{}, Preferred: c.preferredOwner, Members: map[string]leader.Member{}, Now: now,
+		Owners: c.cluster.Owners(), Preferred: c.preferredOwner, Members: map[string]leader.Member{}, Now: now,
 	}
-	for id, r := range c.shardRecords {
-		cluster.Owners[id] = r.rec.Owner
-	}
-	for label, m := range c.members {
+	for label, m := range c.cluster.Members() {
 		contact := c.peerHealth.Contact(label)
 		cluster.Members[label] = leader.Member{
 			Registered: m.Incarnation != 0, Isolated: m.Isolated, WithoutPeers: m.WithoutPeers, Overloaded: m.Overloaded,
@@ -103,7 +102,7 @@
 }
 
 // OwnerLocked implements leader.Shards.
-func (h leaderHost) OwnerLocked(shard int) string { return h.c.shardRecords[shard].rec.Owner }
+func (h leaderHost) OwnerLocked(shard int) string { return h.c.cluster.Owner(shard) }
 
 // MayPlanLocked implements leader.Shards.
 func (h leaderHost) MayPlanLocked(now time.Time) bool {
@@ -121,10 +120,10 @@
 func (h leaderHost) TransferBackLocked(ctx context.Context, shard int) { h.c.transferBack(ctx, shard) }
 
 // FleetLocked implements leader.Machines.
-func (h leaderHost) FleetLocked() *record.Fleet { return h.c.fleet }
+func (h leaderHost) FleetLocked() *clusterview.Machines { return h.c.machines }
 
 // FleetSeenLocked implements leader.Machines.
-func (h leaderHost) FleetSeenLocked() bool { return !h.c.fleetAt.IsZero() }
+func (h leaderHost) FleetSeenLocked() bool { return !h.c.machines.Loaded() }
 
 // ReadFleet implements leader.Machines.
 func (h leaderHost) ReadFleet(ctx context.Context, purpose statestore.Purpose) (*record.Fleet, error) {
@@ -152,7 +151,7 @@
 
 // MemberLocked implements leader.Limits.
 func (h leaderHost) MemberLocked(label string) bool {
-	_, alive := h.c.members[label]
+	_, alive := h.c.cluster.Member(label)
 	return alive
 }
 
@@ -173,7 +172,7 @@
 	if !r.enabled {
 		return 0, false
 	}
-	return r.limiter.Settings().ClusterRate(h.c.fleet.Len()), true
+	return r.limiter.Settings().ClusterRate(h.c.machines.Len()), true
 }
 
 // SetOrderShareLocked implements leader.Limits.
--- a/internal/controller/lean_test.go
+++ b/internal/controller/lean_test.go
@@ -70,7 +70,7 @@
 	all := make([]*Check, polls) // as those that come within confirmGather
 	for i := range all {
 		ref := "run-00000" + strconv.Itoa(i)
-		all[i] = NewCheck(wire.Cond{Key: record.ActiveJobKey(ref), Version: c.activeJobs[ref].version})
+		all[i] = NewCheck(wire.Cond{Key: record.ActiveJobKey(ref), Version: activeJob(c, ref).Version})
 	}
 	c.linearizableReads.waiting = all
 	c.flushLinearizableReads()
@@ -155,7 +155,7 @@
 	c, state, _ := fleetController(t, 200, 0)
 	c.submit(body(t, nil))
 	c.mu.Lock()
-	held := c.shardRecords[0]
+	held, _ := c.cluster.Shard(0)
 	delete(c.shards, 0)
 	c.mu.Unlock()
 	state.reset()
@@ -195,7 +195,7 @@
 		c.changeOpen(wire.Change{Delete: record.ActiveJobKey(ref), Version: uint64(2*i + 2)}, c.startedAt)
 	}
 	got := (heap() - before) / jobs
-	if n := len(c.activeJobs); n != 0 {
+	if n := len(c.activeJobs.Jobs()); n != 0 {
 		t.Fatalf("%d jobs open", n)
 	}
 	runtime.KeepAlive(c)
@@ -229,7 +229,7 @@
 		c.submit(body(t, nil))
 		state := &countingState{State: inner}
 		c.store = state
-		c.jobsAt = time.Now()
+		c.activeJobs.SetAsOf(time.Now())
 		if got := c.cancel("run-000412"); got.Status != 503 || state.gets.Load() != 1 || state.txns.Load() != 1 {
 			t.Fatalf("first: %+v with %d readings and %d changes", got, state.gets.Load(), state.txns.Load())
 		}
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -40,7 +40,7 @@
 // on its format, and so none of the first version is left. The lock is held.
 func (c *Controller) upgraded() bool {
 	for _, l := range c.cfg.Labels() {
-		if c.formats[l].N < record.SizedRanges {
+		if c.cluster.Format(l) < record.SizedRanges {
 			return false
 		}
 	}
@@ -55,7 +55,7 @@
 func (c *Controller) formatLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.mu.Lock()
-		known, viewed := c.formats[c.cfg.Label].N >= record.SizedRanges, !c.viewAt.IsZero()
+		known, viewed := c.cluster.Format(c.cfg.Label) >= record.SizedRanges, c.cluster.Loaded()
 		c.mu.Unlock()
 		if known || (viewed && c.recordFormat(ctx, c.cfg.Label, c.Format())) {
 			return
@@ -86,7 +86,7 @@
 func (c *Controller) askFormats(ctx context.Context) {
 	for label, p := range c.peers {
 		c.mu.Lock()
-		known := c.formats[label].N >= record.SizedRanges || c.viewAt.IsZero() || !c.sure(time.Now())
+		known := c.cluster.Format(label) >= record.SizedRanges || !c.cluster.Loaded() || !c.sure(time.Now())
 		c.mu.Unlock()
 		if known {
 			continue
--- a/internal/controller/linearizable_reads.go
+++ b/internal/controller/linearizable_reads.go
@@ -62,12 +62,12 @@
 // only that the records must be read.
 func (c *Controller) confirmActive(ctx context.Context, ref string) bool {
 	c.mu.Lock()
-	j, ok := c.activeJobs[ref]
+	j, ok := c.activeJobs.Job(ref)
 	c.mu.Unlock()
-	if !ok || j.cancelled {
+	if !ok || j.Cancelled {
 		return false
 	}
-	q := NewCheck(wire.Cond{Key: record.ActiveJobKey(ref), Version: j.version})
+	q := NewCheck(wire.Cond{Key: record.ActiveJobKey(ref), Version: j.Version})
 	c.linearizableReads.Add(q)
 	select {
 	case ok := <-q.Confirmed:
--- a/internal/controller/loans_test.go
+++ b/internal/controller/loans_test.go
@@ -17,7 +17,7 @@
 	c.cfg.Params.Count = n
 	c.cfg.Params.State.RPS, c.cfg.Params.State.WriteRPS = 200, 25
 	c.lease.Grant(membership.LeaseState{ID: 1, Incarnation: 5, RenewedAt: time.Now()})
-	c.leader = versioned[record.Leader]{rec: record.Leader{Label: c.cfg.Label, Incarnation: 5}, version: 1}
+	c.cluster.SetLeader(record.Leader{Label: c.cfg.Label, Incarnation: 5}, 1)
 	c.cfg.Params.Cloud = config.Cloud{RPS: 2, ListLagS: 5}
 	c.cloud = &testkit.Cloud{}
 }
@@ -67,7 +67,7 @@
 		if !c.Lend(peer.LendArgs{From: "c-1", Changes: 12}) {
 			t.Error("after a calm minute it lends too few for a pipeline")
 		}
-		c.leader.rec.Incarnation++
+		c.cluster.SetLeader(record.Leader{Label: c.cfg.Label, Incarnation: 6}, 2)
 		if c.Lend(peer.LendArgs{From: "c-1", Changes: 1}) {
 			t.Error("it lends though another leads")
 		}
@@ -92,7 +92,7 @@
 		}
 		c := k.process(k.labels[0]).c
 		c.mu.Lock()
-		c.leader.rec.Label = "gone"
+		c.cluster.SetLeader(record.Leader{Label: "gone"}, c.cluster.Leader().Version+1)
 		c.mu.Unlock()
 		if c.borrow(1, false) {
 			t.Error("lent without a leader")
--- a/internal/controller/member_status.go
+++ b/internal/controller/member_status.go
@@ -37,7 +37,7 @@
 		}
 	}
 	silent := config.Seconds(c.cfg.Params.Workers.ReportS)*2 + time.Second
-	s.cutFromAll = s.cutFromPeers && c.fleet.Len() > 0 && now.Sub(c.lastHeartbeatAt) > silent
+	s.cutFromAll = s.cutFromPeers && c.machines.Len() > 0 && now.Sub(c.lastHeartbeatAt) > silent
 	return s
 }
 
@@ -51,7 +51,8 @@
 	status := c.statusNow(now)
 	lease := c.lease.Current()
 	rec := status.member(lease.Incarnation)
-	lost := c.members[c.cfg.Label] != rec && c.viewAt.Sub(c.memberPut) > 0 && now.Sub(c.memberPut) > memberSeen
+	seen, _ := c.cluster.Member(c.cfg.Label)
+	lost := seen != rec && c.cluster.AsOf().Sub(c.memberPut) > 0 && now.Sub(c.memberPut) > memberSeen
 	change := (status != c.status || lost) && lease.Certain(now)
 	c.mu.Unlock()
 	if !change {
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -33,10 +33,11 @@
 		c := newTest(t, testkit.NewState())
 		now := time.Now()
 		setIncarnation(c, 2)
-		c.viewAt, c.startedAt = now, now.Add(-x.up)
-		c.shardRecords[0] = versioned[record.Shard]{x.rec, 5}
+		c.startedAt = now.Add(-x.up)
+		c.cluster.SetAsOf(now)
+		c.cluster.SetShard(0, x.rec, 5)
 		for _, m := range x.members {
-			c.members[m] = record.Member{Incarnation: 1}
+			setMember(c, m, record.Member{Incarnation: 1})
 		}
 		c.mu.Lock()
 		c.considerAcquisitions(context.Background(), now)
@@ -48,9 +49,9 @@
 	}
 	// Without a lease that certainly stands, nothing is claimed.
 	c := newTest(t, testkit.NewState())
-	c.viewAt = time.Now()
-	setLeaseRenewed(c, c.viewAt.Add(-time.Minute))
-	c.shardRecords[0] = versioned[record.Shard]{record.Shard{Owner: "c-0"}, 5}
+	c.cluster.SetAsOf(time.Now())
+	setLeaseRenewed(c, c.cluster.AsOf().Add(-time.Minute))
+	c.cluster.SetShard(0, record.Shard{Owner: "c-0"}, 5)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.considerAcquisitions(context.Background(), time.Now()); c.acquiring[0] {
@@ -64,7 +65,7 @@
 	state := testkit.NewState()
 	c := newTest(t, state)
 	c.submit(body(t, nil))
-	if err := c.failOver(context.Background(), 0, versioned[record.Shard]{}, 1); err != nil {
+	if err := c.failOver(context.Background(), 0, record.Versioned[record.Shard]{}, 1); err != nil {
 		t.Fatal(err)
 	}
 	shard := c.shards[0]
@@ -77,7 +78,7 @@
 		t.Fatal("still owner after another's claim")
 	}
 	// A claim on an outdated view fails.
-	if err := c.failOver(context.Background(), 0, versioned[record.Shard]{}, 1); err == nil {
+	if err := c.failOver(context.Background(), 0, record.Versioned[record.Shard]{}, 1); err == nil {
 		t.Fatal("claimed under a version that is gone")
 	}
 	if got, err := state.Get(context.Background(), statestore.Urgent("test"), record.ShardKey(0)); err != nil || got.Version != e.Version {
@@ -93,26 +94,27 @@
 	before, after := newTest(t, state), newTest(t, state)
 	setIncarnation(before, 1)
 	setIncarnation(after, 2)
-	before.campaign(ctx, versioned[record.Leader]{})
+	before.campaign(ctx, record.Versioned[record.Leader]{})
 	now := time.Now()
 	if !before.isLeader(now) {
 		t.Fatal("does not lead")
 	}
-	after.leader = before.leader // as the watch tells the next life
+	elected := before.cluster.Leader()
+	after.cluster.SetLeader(elected.Rec, elected.Version) // as the watch tells the next life
 	if after.isLeader(now) {
 		t.Fatal("leads by its label")
 	}
-	after.campaign(ctx, after.leader)
+	after.campaign(ctx, after.cluster.Leader())
 	if !after.isLeader(now) {
 		t.Fatal("the next life can't lead")
 	}
-	stale := before.leader
+	stale := before.cluster.Leader()
 	before.campaign(ctx, stale) // late
-	if e, err := state.Get(ctx, statestore.Urgent("test"), record.LeaderKey); err != nil || e.Version != after.leader.version {
+	if e, err := state.Get(ctx, statestore.Urgent("test"), record.LeaderKey); err != nil || e.Version != after.cluster.Leader().Version {
 		t.Fatalf("record %+v, %v: the earlier life took the lead back", e, err)
 	}
 	if _, err := state.Txn(ctx, statestore.Urgent("test"), wire.Txn{
-		If:   []wire.Cond{{Key: record.ProvisionKey("x")}, {Key: record.LeaderKey, Version: stale.version}},
+		If:   []wire.Cond{{Key: record.ProvisionKey("x")}, {Key: record.LeaderKey, Version: stale.Version}},
 		Then: []wire.Op{{Put: record.ProvisionKey("x"), Value: record.Encode(record.Provision{})}},
 	}); err == nil {
 		t.Fatal("a rental decided under the earlier lead was recorded")
@@ -126,8 +128,8 @@
 	ctx := context.Background()
 	state := testkit.NewState()
 	c := newTest(t, state)
-	c.viewAt, c.jobsAt, c.fleetAt = time.Now(), time.Now(), time.Now()
-	if err := c.failOver(ctx, 0, versioned[record.Shard]{}, 1); err != nil {
+	setViewsAsOf(c, time.Now())
+	if err := c.failOver(ctx, 0, record.Versioned[record.Shard]{}, 1); err != nil {
 		t.Fatal(err)
 	}
 	e := state.Put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"m"}})
--- a/internal/controller/messages_test.go
+++ b/internal/controller/messages_test.go
@@ -38,8 +38,8 @@
 	t.Helper()
 	c := newTest(t, state)
 	c.store = store
-	c.viewAt, c.jobsAt, c.fleetAt = time.Now(), time.Now(), time.Now()
-	if err := c.failOver(context.Background(), 0, versioned[record.Shard]{}, 1); err != nil {
+	setViewsAsOf(c, time.Now())
+	if err := c.failOver(context.Background(), 0, record.Versioned[record.Shard]{}, 1); err != nil {
 		t.Fatal(err)
 	}
 	return c
@@ -187,7 +187,8 @@
 // remembered of them is bounded.
 func TestUnknownMachinesAreBounded(t *testing.T) {
 	c := newTest(t, testkit.NewState())
-	c.startedAt, c.jobsAt = time.Now().Add(-time.Hour), time.Time{} // blind
+	c.startedAt = time.Now().Add(-time.Hour)
+	c.activeJobs.SetAsOf(time.Time{}) // blind
 	setLeaseRenewed(c, time.Time{})
 	c.cfg.Peers = []config.Peer{{Label: "c-1", Zone: "z"}}
 	for i := range maxRemembered + 100 {
--- a/internal/controller/nudges.go
+++ b/internal/controller/nudges.go
@@ -15,7 +15,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.applyOwnWrites(t, rev, time.Now())
-	owner := c.peers[c.shardRecords[part].rec.Owner]
+	owner := c.peers[c.cluster.Owner(part)]
 	if c.shards[part] != nil || owner == nil {
 		return
 	}
--- a/internal/controller/parts.go
+++ b/internal/controller/parts.go
@@ -317,14 +317,14 @@
 				return
 			}
 			c.mu.Lock()
-			c.reportIfStale(record.ShardKey(id), c.shardRecords[id].version, e.Version, time.Now())
+			c.reportIfStale(record.ShardKey(id), c.cluster.ShardVersion(id), e.Version, time.Now())
 			c.setShardRecord(id, r, e.Version)
 			c.mu.Unlock()
 			return
 		}
 		if errors.Is(err, statestore.ErrNotFound) {
 			c.mu.Lock()
-			c.reportIfStale(record.ShardKey(id), c.shardRecords[id].version, 0, time.Now())
+			c.reportIfStale(record.ShardKey(id), c.cluster.ShardVersion(id), 0, time.Now())
 			c.mu.Unlock()
 		}
 		sleep(ctx, jitter(400*time.Millisecond))
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -77,8 +77,8 @@
 		if got := c.submitPipeline(x.body); got.Status != x.want {
 			t.Errorf("%s: status %d, want %d", name, got.Status, x.want)
 		}
-		if x.want != 201 && len(c.activeJobs) != 0 {
-			t.Errorf("%s: refused, but %d jobs are known", name, len(c.activeJobs))
+		if x.want != 201 && len(c.activeJobs.Jobs()) != 0 {
+			t.Errorf("%s: refused, but %d jobs are known", name, len(c.activeJobs.Jobs()))
 		}
 	}
 	c := newTest(t, testkit.NewState())
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -22,7 +22,7 @@
 // One that reaches neither the state service nor any other controller is rather
 // cut off itself. The lock is held.
 func (c *Controller) serves(now time.Time) bool {
-	if c.schedulerConfig == nil || c.lease.Current().ID == 0 || c.jobsAt.IsZero() {
+	if c.schedulerConfig == nil || c.lease.Current().ID == 0 || !c.activeJobs.Loaded() {
 		return false
 	}
 	if c.sure(now) {
--- a/internal/controller/redirects.go
+++ b/internal/controller/redirects.go
@@ -113,7 +113,7 @@
 // servesZone reports whether a controller lives, hears others and is in a zone. The
 // lock is held.
 func (c *Controller) servesZone(label, controllerZone, zone string) bool {
-	m, lives := c.members[label]
+	m, lives := c.cluster.Member(label)
 	return lives && !m.Isolated && controllerZone == zone
 }
 
--- a/internal/controller/renewals.go
+++ b/internal/controller/renewals.go
@@ -101,8 +101,8 @@
 		sleep(c.life, keepLook)
 		c.mu.Lock()
 		token = 0
-		if m, known := c.fleet.Machine(r.Machine); known {
-			token = max(c.shardRecords[m.Shard].version, m.Version)
+		if m, known := c.machines.Machine(r.Machine); known {
+			token = max(c.cluster.ShardVersion(m.Shard), m.Version)
 		}
 		c.mu.Unlock()
 		if rep = c.renewForOwner(r, token); rep.Status != 503 {
@@ -125,7 +125,7 @@
 func (c *Controller) mustEnd(r *wire.Heartbeat) bool {
 	for _, t := range r.Tasks {
 		ref, _, ok := scheduler.SplitTask(t.Task)
-		if j, open := c.activeJobs[ref]; ok && t.State != wire.Exited && (!open || j.cancelled) {
+		if j, open := c.activeJobs.Job(ref); ok && t.State != wire.Exited && (!open || j.Cancelled) {
 			return true
 		}
 	}
--- a/internal/controller/restarts.go
+++ b/internal/controller/restarts.go
@@ -93,7 +93,7 @@
 
 // equalCommandRate is this controller's equal share of the orders of all. The lock is held.
 func (c *Controller) equalCommandRate() float64 {
-	return c.restarts.limiter.Settings().ClusterRate(c.fleet.Len()) / float64(c.cfg.Params.Count)
+	return c.restarts.limiter.Settings().ClusterRate(c.machines.Len()) / float64(c.cfg.Params.Count)
 }
 
 // setCommandRate takes in the leader's word on this controller's share. The lock is held.
--- a/internal/controller/safe_mode.go
+++ b/internal/controller/safe_mode.go
@@ -119,7 +119,7 @@
 	m.guard.SetReadOnly(true)
 	go c.safeModeLoop(c.life)
 	m.frozenShards, m.heartbeats = c.shards, recovery.Heartbeats{}
-	m.activeJobsRevision, m.heldRecords = c.viewRevisions[record.ActiveJobPrefix], nil
+	m.activeJobsRevision, m.heldRecords = c.activeJobs.Revision(), nil
 	c.shards = map[int]*scheduler.Shard{}
 	for machine := range c.held {
 		c.release(machine, now)
@@ -134,13 +134,12 @@
 	m.guard.ForgetRevision()
 	m.guard.SetReadOnly(false)
 	m.viewResets++
-	c.shardRecords = map[int]versioned[record.Shard]{}
-	c.fleet = record.NewFleet()
-	for ref := range c.activeJobs {
+	c.cluster.ForgetShards()
+	c.machines.Forget()
+	c.activeJobs.Forget()
+	for ref := range c.activeJobs.Jobs() {
 		c.removeActiveJob(ref)
 	}
-	c.viewRevisions = map[string]uint64{}
-	c.viewAt, c.jobsAt, c.fleetAt = time.Time{}, time.Time{}, time.Time{}
 	c.startedAt = time.Now()
 }
 
--- a/internal/controller/server_test.go
+++ b/internal/controller/server_test.go
@@ -13,7 +13,7 @@
 func TestServes(t *testing.T) {
 	c := newTest(t, testkit.NewState())
 	now := time.Now()
-	c.jobsAt = now
+	c.activeJobs.SetAsOf(now)
 	if !c.serves(now) {
 		t.Fatal("not ready in good times")
 	}
--- a/internal/controller/stale_reads.go
+++ b/internal/controller/stale_reads.go
@@ -29,7 +29,8 @@
 func (c *Controller) activeJobBaseline(ref string) activeJobBaseline {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return activeJobBaseline{c.activeJobs[ref].version, c.viewRevisions[record.ActiveJobPrefix]}
+	j, _ := c.activeJobs.Job(ref)
+	return activeJobBaseline{j.Version, c.activeJobs.Revision()}
 }
 
 // checkActiveRecord compares a job's open record with what was known before it was read. It must not
--- a/internal/controller/status_queries.go
+++ b/internal/controller/status_queries.go
@@ -89,14 +89,15 @@
 // its part, this controller or another. It reports false if the owner does not answer.
 func (c *Controller) ownerStatus(ref string) (wire.Status, bool) {
 	c.mu.Lock()
-	part := c.activeJobs[ref].part
+	j, _ := c.activeJobs.Job(ref)
+	part := j.Shard
 	shard := c.shards[part]
 	if shard != nil {
 		status, ok := shard.Status(ref)
 		c.mu.Unlock()
 		return status, ok
 	}
-	owner := c.peers[c.shardRecords[part].rec.Owner]
+	owner := c.peers[c.cluster.Owner(part)]
 	c.mu.Unlock()
 	if owner == nil {
 		return wire.Status{}, false
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -79,7 +79,7 @@
 func (c *Controller) isActive(ref string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, open := c.activeJobs[ref]
+	_, open := c.activeJobs.Job(ref)
 	return open
 }
 
--- a/internal/controller/users_test.go
+++ b/internal/controller/users_test.go
@@ -245,7 +245,7 @@
 		},
 		"restart": func(s *testkit.State, c *Controller) *Controller { return newTest(t, s) },
 		"take over": func(s *testkit.State, c *Controller) *Controller {
-			if err := c.failOver(ctx, 0, c.shardRecords[0], 2); err != nil {
+			if err := c.failOver(ctx, 0, shardRecord(c, 0), 2); err != nil {
 				t.Error(err)
 			}
 			return c
@@ -296,7 +296,7 @@
 	var batch []*Check
 	for _, ref := range []string{"run-000001", "run-000002", "run-000003"} {
 		c.submit(body(t, set("ref", ref)))
-		batch = append(batch, NewCheck(wire.Cond{Key: record.ActiveJobKey(ref), Version: c.activeJobs[ref].version}))
+		batch = append(batch, NewCheck(wire.Cond{Key: record.ActiveJobKey(ref), Version: activeJob(c, ref).Version}))
 	}
 	owned(state, other, func() transport.Response { return other.cancel("run-000002") })
 	c.checkUnchanged(ctx, batch)
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -5,15 +5,16 @@
 	"encoding/json"
 	"errors"
 	"maps"
-	"strconv"
 	"strings"
 	"time"
 
 	"bramblespur/internal/config"
+	"bramblespur/internal/controller/clusterview"
 	"bramblespur/internal/drain"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/record"
 	"bramblespur/internal/recovery"
+	"bramblespur/internal/scheduler"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
 )
@@ -28,10 +29,10 @@
 			sleep(ctx, jitter(400*time.Millisecond))
 			continue
 		}
-		relists := c.viewResets()
+		resets := c.viewResets()
 		reset(entries, rev, at)
-		c.viewReached(prefix, rev, relists)
-		for ctx.Err() == nil && c.viewResets() == relists {
+		c.viewReached(prefix, rev, resets)
+		for ctx.Err() == nil && c.viewResets() == resets {
 			at := time.Now()
 			ch, err := c.store.Watch(ctx, prefix, rev, c.watchWait())
 			if errors.Is(err, statestore.ErrTooOld) || errors.Is(err, httpwire.ErrTooLarge) {
@@ -46,7 +47,7 @@
 			}
 			rev = max(rev, ch.Revision)
 			c.viewed(prefix, at)
-			c.viewReached(prefix, rev, relists)
+			c.viewReached(prefix, rev, resets)
 			if len(ch.Events) > 0 {
 				sleep(ctx, watchPause)
 			}
@@ -54,25 +55,40 @@
 	}
 }
 
-func (c *Controller) viewed(prefix string, at time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// recordView is what all views of records have in common.
+type recordView interface {
+	SetAsOf(at time.Time)
+	Revision() uint64
+	SetRevision(revision uint64)
+	// Versions returns the versions of the records that it holds, by key.
+	Versions() map[string]uint64
+}
+
+// view returns the view of the records with a prefix.
+func (c *Controller) view(prefix string) recordView {
 	switch prefix {
-	case record.ClusterPrefix:
-		c.viewAt = at
-	case record.ActiveJobPrefix:
-		c.jobsAt = at
 	case record.FleetPrefix:
-		c.fleetAt = at
+		return c.machines
+	case record.ActiveJobPrefix:
+		return c.activeJobs
+	default:
+		return c.cluster
 	}
 }
 
+// viewed takes in that a view was true at a time or later.
+func (c *Controller) viewed(prefix string, at time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.view(prefix).SetAsOf(at)
+}
+
 // viewReached takes in the revision that a view has come to, unless it is to be read anew.
-func (c *Controller) viewReached(prefix string, revision uint64, relists int) {
+func (c *Controller) viewReached(prefix string, revision uint64, resets int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.safeMode.viewResets == relists {
-		c.viewRevisions[prefix] = revision
+	if c.safeMode.viewResets == resets {
+		c.view(prefix).SetRevision(revision)
 	}
 }
 
@@ -80,10 +96,7 @@
 	c.mu.Lock()
 	c.checkShards(entries, rev, at)
 	c.resetDrains(entries, rev)
-	c.shardRecords = map[int]versioned[record.Shard]{}
-	c.members = map[string]record.Member{}
-	c.leader = versioned[record.Leader]{}
-	// Formats are never taken back, so those known stay.
+	c.cluster.Clear()
 	c.mu.Unlock()
 	for _, e := range entries {
 		c.changeCluster(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, at)
@@ -94,79 +107,58 @@
 func (c *Controller) changeCluster(e wire.Change, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
+	if err := c.applyCluster(e, at); err != nil {
+		c.log.Error("cluster record", "key", e.Put+e.Delete, "err", err)
+	}
+}
+
+// applyCluster brings a record under record.ClusterPrefix to whose it is. The lock is held.
+func (c *Controller) applyCluster(e wire.Change, at time.Time) error {
 	key := e.Put + e.Delete
-	gone := e.Put == ""
-	var err error
+	deleted := e.Put == ""
 	switch {
-	case key == record.LeaderKey:
-		c.leader = versioned[record.Leader]{version: e.Version}
-		if gone {
-			c.leader = versioned[record.Leader]{}
-		} else {
-			err = json.Unmarshal(e.Value, &c.leader.rec)
-		}
 	case key == record.MachineTypesKey:
-		if !gone && !c.machineTypesKnown {
-			var t []wire.MachineType
-			if err = json.Unmarshal(e.Value, &t); err == nil {
-				c.setMachineTypes(t)
-			}
-		}
-	case strings.HasPrefix(key, record.MemberPrefix):
-		label := record.Last(key)
-		if gone {
-			delete(c.members, label)
-		} else {
-			var m record.Member
-			if err = json.Unmarshal(e.Value, &m); err == nil {
-				c.members[label] = m
-			}
+		if deleted || c.machineTypesKnown {
+			return nil
 		}
-	case strings.HasPrefix(key, record.FormatPrefix):
-		var f record.Format
-		if !gone {
-			if err = json.Unmarshal(e.Value, &f); err == nil {
-				c.formats[record.Last(key)] = f
-			}
+		var t []wire.MachineType
+		if err := json.Unmarshal(e.Value, &t); err != nil {
+			return err
 		}
+		c.setMachineTypes(t)
+		return nil
 	case key == recovery.SafeModeKey:
+		if deleted {
+			return nil
+		}
 		var m recovery.SafeMode
-		if !gone {
-			if err = json.Unmarshal(e.Value, &m); err == nil {
-				c.applySafeModeRecord(&m, at)
-			}
+		if err := json.Unmarshal(e.Value, &m); err != nil {
+			return err
 		}
+		c.applySafeModeRecord(&m, at)
+		return nil
 	case strings.HasPrefix(key, drain.Prefix):
-		err = c.drains.view.Apply(e)
-	case strings.HasPrefix(key, record.ShardPrefix):
-		id, ok := shardID(key)
-		if !ok || gone {
-			break
-		}
-		var r record.Shard
-		if err = json.Unmarshal(e.Value, &r); err == nil {
-			c.setShardRecord(id, r, e.Version)
-		}
+		return c.drains.view.Apply(e)
 	}
-	if err != nil {
-		c.log.Error("cluster record", "key", key, "err", err)
+	changed, err := c.cluster.Apply(e)
+	for _, r := range changed {
+		c.dropLostShard(r.ID, r.Rec.Owner, r.Version)
 	}
+	return err
 }
 
-// shardID returns the part that a key under record.PartPrefix names.
-func shardID(key string) (int, bool) {
-	n, err := strconv.Atoi(record.Last(key))
-	return n, err == nil && n >= 0
-}
-
-// setShardRecord takes in who owns a part. A claim by somebody else ends ours.
+// setShardRecord takes in who owns a shard. The lock is held.
 func (c *Controller) setShardRecord(id int, r record.Shard, version uint64) {
-	if old := c.shardRecords[id]; version < old.version {
-		return
+	if c.cluster.SetShard(id, r, version) {
+		c.dropLostShard(id, r.Owner, version)
 	}
-	c.shardRecords[id] = versioned[record.Shard]{r, version}
+}
+
+// dropLostShard ends serving a shard if its record is newer than this controller's token: it
+// was acquired by another. The lock is held.
+func (c *Controller) dropLostShard(id int, owner string, version uint64) {
 	if shard := c.shards[id]; shard != nil && version > shard.Token() {
-		c.log.Info("shard lost", "shard", id, "to", r.Owner)
+		c.log.Info("shard lost", "shard", id, "to", owner)
 		delete(c.shards, id)
 	}
 }
@@ -184,7 +176,7 @@
 	}
 	c.mu.Lock()
 	missing := map[string]uint64{}
-	for key, version := range c.fleet.Versions() {
+	for key, version := range c.machines.Versions() {
 		if !keep[key] && version <= rev {
 			missing[key] = version
 		}
@@ -233,7 +225,7 @@
 		return
 	}
 	listed := entryVersions(entries)
-	for key, held := range c.heldVersions(record.ClusterPrefix) {
+	for key, held := range c.cluster.Versions() {
 		if held <= rev {
 			c.reportIfStale(key, held, listed[key], now)
 		}
@@ -249,33 +241,13 @@
 // takeFleet takes in records of machines, all of them before the parts are told.
 // The lock is held.
 func (c *Controller) takeFleet(changes []wire.Change, now time.Time) {
-	gone, changed := map[string]bool{}, map[string]bool{}
-	for _, e := range changes {
-		ids, err := c.fleet.Change(e)
-		if err != nil {
-			c.log.Error("fleet record", "err", err)
-			continue
-		}
-		for _, id := range ids {
-			changed[id] = true
-			// Only a rental's end proves a machine gone; that the rental is not
-			// known here proves nothing.
-			if strings.HasPrefix(e.Delete, record.ProvisionPrefix) {
-				gone[id] = true
-			}
-		}
+	changed, errs := c.machines.Apply(changes)
+	for _, err := range errs {
+		c.log.Error("fleet record", "err", err)
 	}
-	for id := range changed {
-		v, ok := c.fleet.Machine(id)
+	for _, m := range changed {
 		for _, shard := range c.shards {
-			switch {
-			case !ok && gone[id]:
-				shard.DropMachine(id, now)
-			case ok && (v.Shard == shard.ID() || shard.HasMachine(id)):
-				if err := shard.SetMachine(id, v, now); err != nil {
-					c.log.Error("machine record", "machine", id, "err", err)
-				}
-			}
+			c.setMachine(shard, m, now)
 		}
 	}
 	for _, shard := range c.shards {
@@ -283,6 +255,18 @@
 	}
 }
 
+// setMachine tells a shard of a machine whose records changed. The lock is held.
+func (c *Controller) setMachine(shard *scheduler.Shard, m clusterview.MachineChange, now time.Time) {
+	switch {
+	case !m.Known && m.Released:
+		shard.DropMachine(m.ID, now)
+	case m.Known && (m.View.Shard == shard.ID() || shard.HasMachine(m.ID)):
+		if err := shard.SetMachine(m.ID, m.View, now); err != nil {
+			c.log.Error("machine record", "machine", m.ID, "err", err)
+		}
+	}
+}
+
 // resetOpen takes in all open jobs as of a revision; what is not there has
 // ended, unless it was accepted here since.
 func (c *Controller) resetOpen(entries []wire.Entry, rev uint64, at time.Time) {
@@ -293,11 +277,9 @@
 	}
 	missing := map[string]uint64{}
 	c.mu.Lock()
-	for ref, j := range c.activeJobs {
-		if !keep[ref] && j.version <= rev {
-			missing[record.ActiveJobKey(ref)] = j.version
-			c.removeActiveJob(ref)
-		}
+	for ref, version := range c.activeJobs.Missing(keep, rev) {
+		missing[record.ActiveJobKey(ref)] = version
+		c.removeActiveJob(ref)
 	}
 	c.mu.Unlock()
 	if c.safeMode.enabled {
@@ -314,41 +296,51 @@
 
 // openChange takes in an open job's record and tells its part. The lock is held.
 func (c *Controller) openChange(e wire.Change, now time.Time) {
-	ref := record.Last(e.Put + e.Delete)
-	if held := c.activeJobs[ref].version; held > e.Version || (held == e.Version && e.Put != "") {
-		return // older, or known: what was written here comes once more with the watch
+	change, applied, err := c.activeJobs.Apply(e)
+	if err != nil {
+		c.log.Error("job record", "err", err)
 	}
-	if e.Put == "" {
-		c.removeActiveJob(ref) // the owner ends jobs itself, but those that only waited
-		for _, shard := range c.shards {
-			if shard.HasJob(ref) {
-				shard.JobRecordGone(ref, now)
-				c.step(shard, now)
-			}
-		}
-		if len(c.dependencies.After(ref)) > 0 {
-			c.lookUpDependencies(c.life, now)
-		}
+	if !applied {
 		return
 	}
-	var o record.ActiveJob
-	if err := json.Unmarshal(e.Value, &o); err != nil {
-		c.log.Error("job record", "key", e.Put, "err", err)
+	if change.Ended {
+		c.jobEnded(&change, now)
 		return
 	}
-	c.activeJobs[ref] = activeJob{version: e.Version, part: o.Shard, cancelled: o.Cancelled, service: o.Spec.Kind == wire.Service}
-	changed := c.dependencies.Set(ref, dependencyStep(&o))
-	shard := c.shards[o.Shard]
-	if shard != nil {
-		shard.SetJob(ref, o, e.Version, now)
+	c.jobChanged(&change, now)
+}
+
+// jobEnded tells the shards of a job that is not active any more: its owner ends jobs
+// itself, but those that only waited. The lock is held.
+func (c *Controller) jobEnded(change *clusterview.JobChange, now time.Time) {
+	ref := change.Ref
+	c.passDemandOn(change.Reclaimed)
+	for _, shard := range c.shards {
+		if shard.HasJob(ref) {
+			shard.JobRecordGone(ref, now)
+			c.step(shard, now)
+		}
+	}
+	if c.activeJobs.HasDependents(ref) {
+		c.lookUpDependencies(c.life, now)
 	}
-	c.passDemandOn(changed)
+}
+
+// jobChanged tells the shards of a new or changed active job. The lock is held.
+func (c *Controller) jobChanged(change *clusterview.JobChange, now time.Time) {
+	job := &change.Record
+	shard := c.shards[job.Shard]
 	if shard != nil {
-		if len(o.Spec.DependsOn) > 0 {
-			c.lookUpDependencies(c.life, now)
-		}
-		c.step(shard, now)
+		shard.SetJob(change.Ref, *job, change.Version, now)
+	}
+	c.passDemandOn(change.Reclaimed)
+	if shard == nil {
+		return
+	}
+	if len(job.Spec.DependsOn) > 0 {
+		c.lookUpDependencies(c.life, now)
 	}
+	c.step(shard, now)
 }
 
 // watchWait is how long a watch may be silent: short where cancellations must
@@ -361,10 +353,10 @@
 // blind reports whether what others wrote, such as cancellations, may have been
 // unknown here for some turns of the watch. The lock is held.
 func (c *Controller) blind(now time.Time) bool {
-	if c.jobsAt.IsZero() {
+	if !c.activeJobs.Loaded() {
 		return now.Sub(c.startedAt) > firstView
 	}
-	return now.Sub(c.jobsAt) > 2*c.watchWait()+callSlack
+	return now.Sub(c.activeJobs.AsOf()) > 2*c.watchWait()+callSlack
 }
 
 // firstView is how long a controller waits for its first view: workers that find
--- a/internal/controller/views_test.go
+++ b/internal/controller/views_test.go
@@ -20,16 +20,16 @@
 	c.submit(body(t, nil))
 	e := state.Put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"m"}})
 	c.resetFleet([]wire.Entry{e}, e.Version, now)
-	if _, ok := c.fleet.Machine("m"); !ok || len(c.activeJobs) != 1 {
+	if _, ok := c.machines.Machine("m"); !ok || len(c.activeJobs.Jobs()) != 1 {
 		t.Fatal("views are empty")
 	}
 	c.resetFleet(nil, math.MaxUint64, now)
 	c.resetOpen(nil, math.MaxUint64, now)
-	if _, ok := c.fleet.Machine("m"); ok || len(c.activeJobs) != 0 {
+	if _, ok := c.machines.Machine("m"); ok || len(c.activeJobs.Jobs()) != 0 {
 		t.Fatal("views keep what is gone")
 	}
 	c.resetFleet([]wire.Entry{state.Put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"m"}})}, math.MaxUint64, now)
-	if _, ok := c.fleet.Machine("m"); !ok {
+	if _, ok := c.machines.Machine("m"); !ok {
 		t.Fatal("what comes again is not taken in")
 	}
 }
@@ -48,7 +48,7 @@
 	rental("r", "m")
 	state.Put(record.OverrideKey("m"), record.Machine{Type: "big", Zone: "z"})
 	state.Put(record.ReleaseKey(9, 9, 9), record.Release{IDs: []string{"x"}})
-	if err := c.failOver(ctx, 0, versioned[record.Shard]{}, 1); err != nil {
+	if err := c.failOver(ctx, 0, record.Versioned[record.Shard]{}, 1); err != nil {
 		t.Fatal(err)
 	}
 	entries, rev, err := state.List(ctx, statestore.Urgent("test"), record.FleetPrefix)
@@ -112,7 +112,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, ok := c.fleet.Machine("m"); ok {
+	if _, ok := c.machines.Machine("m"); ok {
 		t.Fatal("the view keeps what went while it missed changes")
 	}
 }
--- a/internal/controller/withheld_test.go
+++ b/internal/controller/withheld_test.go
@@ -108,7 +108,7 @@
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			setLeaseRenewed(c, time.Now())
-			c.jobsAt = time.Now().Add(-ago)
+			c.activeJobs.SetAsOf(time.Now().Add(-ago))
 		}
 		seen(2*c.watchWait() + callSlack + time.Second)
 		if n := starts(); n != 0 {
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -32,7 +32,7 @@
 		return c.renewInSafeMode(&r), true
 	}
 	c.checkHeartbeatToken(&r)
-	m, known := c.fleet.Machine(r.Machine)
+	m, known := c.machines.Machine(r.Machine)
 	if !known {
 		c.log.Debug("report of an unknown machine", "machine", r.Machine)
 		c.investigateUnrecordedMachine(&r)
@@ -56,11 +56,11 @@
 		}
 		return rep, true
 	}
-	part := c.shardRecords[m.Shard]
-	owner := part.rec.Owner
+	part, _ := c.cluster.Shard(m.Shard)
+	owner := part.Rec.Owner
 	peerc := c.peers[owner]
-	token := max(part.version, m.Version)
-	_, lives := c.members[owner]
+	token := max(part.Version, m.Version)
+	_, lives := c.cluster.Member(owner)
 	if peerc != nil && lives && c.mayLeave(&r, owner, now) {
 		if to := c.redirectTo(m.Zone, r.Machine, owner, now); to != "" {
 			return transport.Response{Status: 421, Body: wire.Redirect{Label: to}}, true
@@ -185,7 +185,7 @@
 func (c *Controller) Report(r wire.Heartbeat) peer.ReportReply {
 	c.mu.Lock()
 	now := time.Now()
-	m, known := c.fleet.Machine(r.Machine)
+	m, known := c.machines.Machine(r.Machine)
 	shard := c.shards[m.Shard]
 	if !known || shard == nil {
 		c.mu.Unlock()
--- a/internal/controller/workers_test.go
+++ b/internal/controller/workers_test.go
@@ -34,9 +34,9 @@
 	} {
 		c := newTest(t, testkit.NewState())
 		now := time.Now()
-		c.jobsAt = now.Add(-time.Hour)
+		c.activeJobs.SetAsOf(now.Add(-time.Hour))
 		if !x.sure {
-			setLeaseRenewed(c, c.jobsAt)
+			setLeaseRenewed(c, c.activeJobs.AsOf())
 		}
 		c.cfg.Zone = "z"
 		for label, heard := range x.peers {
@@ -76,7 +76,7 @@
 	c.cfg.Peers = []config.Peer{{Label: "c-1", Zone: "y"}, {Label: "c-2", Zone: "y"}, {Label: "c-3", Zone: "x"}}
 	labels := []string{"c-0", "c-1", "c-2", "c-3"}
 	for _, l := range labels {
-		c.members[l] = record.Member{Incarnation: 1}
+		setMember(c, l, record.Member{Incarnation: 1})
 	}
 	allAnswer := func() {
 		c.peerHealth = membership.NewPeerHealth()
@@ -104,7 +104,7 @@
 		t.Errorf("with the owner refusing connections from here the machine reports to %s, want the owner", got)
 	}
 	allAnswer()
-	delete(c.members, "c-3")
+	deleteMember(c, "c-3")
 	if got := c.reportsTo("x", "m", "c-0", now); got != "c-0" {
 		t.Errorf("without a live controller in its zone it reports to %s, want the owner", got)
 	}
@@ -112,11 +112,11 @@
 	if got := c.reportsTo("y", "m", "c-0", now); got != "c-0" {
 		t.Errorf("a search that the lease outlasts: reports to %s, want the owner", got)
 	}
-	delete(c.members, "c-2")
+	deleteMember(c, "c-2")
 	if got := c.reportsTo("y", "m", "c-0", now); got != "c-1" {
 		t.Errorf("with one controller less in its zone the search is longer: reports to %s, want c-1", got)
 	}
-	c.members["c-2"] = record.Member{Incarnation: 1}
+	setMember(c, "c-2", record.Member{Incarnation: 1})
 	c.cfg.Params.Workers.LeaseS = shorterLease
 	if to := c.redirectTo("y", "m", "c-0", now); to != "c-1" && to != "c-2" {
 		t.Errorf("sent on to %q", to)
@@ -133,15 +133,14 @@
 func TestKeepAlive(t *testing.T) {
 	c := newTest(t, testkit.NewState())
 	seen := func(ago time.Duration) {
-		c.viewAt = time.Now().Add(-ago)
-		c.jobsAt, c.fleetAt = c.viewAt, c.viewAt
+		setViewsAsOf(c, time.Now().Add(-ago))
 	}
 	long := func() {
 		r := c.renewals["m"]
 		r.blockedSince = time.Now().Add(-time.Hour)
 		c.renewals["m"] = r
 	}
-	c.activeJobs["run-000001"] = activeJob{version: 1}
+	setActiveJob(c, "run-000001", record.ActiveJob{}, 1)
 	r := &wire.Heartbeat{Machine: "m", Token: 5, Tasks: []wire.HeartbeatTask{{Task: "run-000001/0", State: wire.Running}}}
 	answered := func(r *wire.Heartbeat, known, want uint64, what string) {
 		t.Helper()
@@ -157,7 +156,7 @@
 	answered(r, 7, 7, "a live job, for long")
 	answered(&wire.Heartbeat{Machine: "n", Token: 9}, 7, 0, "a worker that has seen a higher token")
 	answered(&wire.Heartbeat{Machine: "n", Token: 9}, 0, 0, "a machine that nobody knows")
-	c.activeJobs["run-000001"] = activeJob{version: 2, cancelled: true}
+	setActiveJob(c, "run-000001", record.ActiveJob{Cancelled: true}, 2)
 	answered(r, 7, 7, "a cancelled job, at first")
 	long()
 	answered(r, 7, 0, "a cancelled job, for long")
--- a/internal/controller/zones_apart_test.go
+++ b/internal/controller/zones_apart_test.go
@@ -60,7 +60,7 @@
 			continue
 		}
 		process.c.mu.Lock()
-		view, known := process.c.fleet.Machine(id)
+		view, known := process.c.machines.Machine(id)
 		process.c.mu.Unlock()
 		if known {
 			return k.owner(view.Shard)
