--- a/internal/controller/claim.go
+++ b/internal/controller/claim.go
@@ -11,6 +11,7 @@
 	"bramblespur/internal/controller/membership"
 	"bramblespur/internal/fleet"
 	"bramblespur/internal/record"
+	"bramblespur/internal/retry"
 	"bramblespur/internal/scheduler"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
@@ -101,7 +102,7 @@
 			return c.installShard(ctx, shard)
 		}
 		c.log.Info("shard not loaded yet", "shard", id, "err", err)
-		if !sleep(ctx, jitter(300*time.Millisecond)) {
+		if !retry.Sleep(ctx, retry.Jitter(300*time.Millisecond)) {
 			break
 		}
 		c.mu.Lock()
@@ -231,7 +232,7 @@
 	for ctx.Err() == nil {
 		open, _, err := c.store.List(ctx, statestore.Urgent("take over"), record.ActiveJobPrefix)
 		if err != nil {
-			sleep(ctx, jitter(300*time.Millisecond))
+			retry.Sleep(ctx, retry.Jitter(300*time.Millisecond))
 			continue
 		}
 		now := time.Now()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -10,7 +10,6 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"math/rand/v2"
 	"net"
 	"sort"
 	"sync"
@@ -32,6 +31,7 @@
 	"bramblespur/internal/peer"
 	"bramblespur/internal/policy"
 	"bramblespur/internal/record"
+	"bramblespur/internal/retry"
 	"bramblespur/internal/scheduler"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
@@ -62,6 +62,7 @@
 	// Each of these has a lock of its own, which may be taken under mu, never the other
 	// way round.
 	lease             membership.Lease
+	member            *membership.Member
 	terminalStates    *terminal.Cache
 	linearizableReads *Batcher
 	peerHealth        *membership.PeerHealth
@@ -88,8 +89,6 @@
 	consideringSince  time.Time
 	startedAt         time.Time               // when this process began
 	searches          map[string]workerSearch // by machine, while this controller has lost the state service
-	status            memberStatus            // as the member record says
-	memberPut         time.Time               // when that was last written
 	renewals          renewals
 	drains            drains
 	restarts          restarts
@@ -138,8 +137,8 @@
 // start begins all that a controller does by itself, until its life ends.
 func (c *Controller) start() {
 	ctx := c.life
-	go c.leaseLoop(ctx)
-	go c.formatLoop(ctx)
+	go c.member.KeepLease(ctx)
+	go c.member.RecordOwnFormat(ctx)
 	go c.watchLoop(ctx, record.ClusterPrefix, c.resetCluster, c.changeCluster)
 	go c.watchLoop(ctx, record.FleetPrefix, c.resetFleet, c.changeFleet)
 	go c.watchLoop(ctx, record.ActiveJobPrefix, c.resetOpen, c.changeOpen)
@@ -179,6 +178,7 @@
 	c.renewals = renewals{}
 	c.held = map[string]*held{}
 	c.peerHealth = membership.NewPeerHealth()
+	c.member = c.newMember()
 	c.rejections = rejectlog.New(c.log)
 	c.overload = overload.NewDetector(c.log, c.cfg.Params.Resources.CPUShare, membership.LeaseTTL)
 	c.admission = admission.NewLimiter(c.cfg.Params.Resources, c.overload.Behind)
@@ -186,22 +186,6 @@
 	c.drains = newDrains()
 }
 
-func sleep(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-		return false
-	case <-t.C:
-		return true
-	}
-}
-
-// jitter spreads retries of several controllers.
-func jitter(d time.Duration) time.Duration {
-	return d/2 + time.Duration(rand.Int64N(int64(d)))
-}
-
 // machineTypesLoop learns the machine types: from the state service, where the first
 // controller to hear from the cloud put them, or from the cloud. Prices move,
 // so they are asked again now and then by the leader.
@@ -219,7 +203,7 @@
 		t, err := c.cloud.Types(ctx)
 		if err != nil || len(t) == 0 {
 			c.log.Debug("machine types", "err", err)
-			sleep(ctx, jitter(time.Second))
+			retry.Sleep(ctx, retry.Jitter(time.Second))
 			continue
 		}
 		c.mu.Lock()
@@ -237,7 +221,7 @@
 			if err == nil || errors.As(err, &conflict) {
 				return
 			}
-			sleep(ctx, jitter(time.Second))
+			retry.Sleep(ctx, retry.Jitter(time.Second))
 		}
 		return
 	}
@@ -254,7 +238,7 @@
 
 // tickLoop drives the timers of the cores and the claims.
 func (c *Controller) tickLoop(ctx context.Context) {
-	for due := time.Now().Add(tickEvery); sleep(ctx, tickEvery); due = time.Now().Add(tickEvery) {
+	for due := time.Now().Add(tickEvery); retry.Sleep(ctx, tickEvery); due = time.Now().Add(tickEvery) {
 		now := time.Now()
 		c.mu.Lock()
 		c.overload.Observe(now.Sub(due), now)
--- a/internal/controller/data_loss_audit.go
+++ b/internal/controller/data_loss_audit.go
@@ -8,6 +8,7 @@
 
 	"bramblespur/internal/record"
 	"bramblespur/internal/recovery"
+	"bramblespur/internal/retry"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
 )
@@ -39,7 +40,7 @@
 // loses silently, no watch tells. The views are the same everywhere, so that the leader alone
 // compares them; of final states each controller knows others.
 func (c *Controller) auditLoop(ctx context.Context) {
-	for sleep(ctx, jitter(c.safeMode.auditInterval)) {
+	for retry.Sleep(ctx, retry.Jitter(c.safeMode.auditInterval)) {
 		c.mu.Lock()
 		safe, leads := c.safeMode.state.Active(), c.isLeader(time.Now())
 		c.mu.Unlock()
@@ -105,7 +106,7 @@
 		if reached {
 			return true
 		}
-		if !sleep(ctx, viewPollInterval) {
+		if !retry.Sleep(ctx, viewPollInterval) {
 			return false
 		}
 	}
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -260,8 +260,8 @@
 		c.changeCluster(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
 	}
 	c.cluster.SetAsOf(time.Now())
-	c.formatLoop(context.Background()) // gives its own word, once
-	c.formatLoop(context.Background())
+	c.member.RecordOwnFormat(context.Background()) // gives its own word, once
+	c.member.RecordOwnFormat(context.Background())
 	word("c-1")
 	word("c-9") // of no concern
 	if c.allStated() || c.rates().WriteRPS != 40 {
@@ -369,7 +369,7 @@
 	if err := c.peers["c-1"].Call("Format", "c-0", &n, time.Minute); err == nil {
 		t.Fatal("the old peer has a format")
 	}
-	c.askFormats(context.Background())
+	c.member.RecordPeerFormats(context.Background(), c.peers)
 	for {
 		c.mu.Lock()
 		old, new := c.cluster.Format("c-1"), c.cluster.Format("c-2")
--- a/internal/controller/dependency_tracking.go
+++ b/internal/controller/dependency_tracking.go
@@ -9,6 +9,7 @@
 	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/record"
+	"bramblespur/internal/retry"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
 )
@@ -134,7 +135,7 @@
 		if !noted {
 			at = now
 			if !mine[r] {
-				at = now.Add(jitter(cancelDependentsAfter))
+				at = now.Add(retry.Jitter(cancelDependentsAfter))
 			}
 			c.dependencyReads[r] = at
 		}
@@ -144,7 +145,7 @@
 		if now.Before(at) {
 			continue
 		}
-		c.dependencyReads[r] = now.Add(jitter(cancelDependentsAfter))
+		c.dependencyReads[r] = now.Add(retry.Jitter(cancelDependentsAfter))
 		j, known := c.terminalStates.Get(r)
 		if known && j.State == wire.Done {
 			continue
--- a/internal/controller/drainer.go
+++ b/internal/controller/drainer.go
@@ -12,6 +12,7 @@
 	"bramblespur/internal/config"
 	"bramblespur/internal/drain"
 	"bramblespur/internal/record"
+	"bramblespur/internal/retry"
 	"bramblespur/internal/scheduler"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
@@ -126,7 +127,7 @@
 
 // drainLoop drives the drains of the parts held here, one write at a time.
 func (c *Controller) drainLoop(ctx context.Context) {
-	for sleep(ctx, drainInterval) {
+	for retry.Sleep(ctx, drainInterval) {
 		c.announceDrainSupport(ctx)
 		c.mu.Lock()
 		var parts []*scheduler.Shard
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"sync"
 	"time"
 
 	"bramblespur/internal/record"
@@ -11,10 +10,7 @@
 )
 
 // Defaults of who leads and who is heard.
-const (
-	pingTimeout = 900 * time.Millisecond
-	quietAfter  = 15 * time.Second // and does not lead for this long
-)
+const quietAfter = 15 * time.Second // and does not lead for this long
 
 func (c *Controller) isLeader(now time.Time) bool {
 	lease := c.lease.Current()
@@ -22,27 +18,6 @@
 	return leader.Label == c.cfg.Label && leader.Incarnation == lease.Incarnation && lease.Incarnation != 0 && lease.Certain(now)
 }
 
-// pingPeers learns which controllers answer, and whether they reach the state
-// service.
-func (c *Controller) pingPeers() {
-	var wg sync.WaitGroup
-	for label, p := range c.peers {
-		wg.Go(func() {
-			var ok bool
-			err := p.Call("Ping", c.cfg.Label, &ok, pingTimeout)
-			c.peerHealth.RecordCall(label, err, ok, time.Now())
-		})
-	}
-	wg.Wait()
-}
-
-// Ping implements peer.Handler.
-func (c *Controller) Ping() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.sure(time.Now())
-}
-
 func (c *Controller) campaign(ctx context.Context, cur record.Versioned[record.Leader]) {
 	lease := c.lease.Current()
 	head := record.Leader{Label: c.cfg.Label, Incarnation: lease.Incarnation}
--- a/internal/controller/leader/leader.go
+++ b/internal/controller/leader/leader.go
@@ -19,6 +19,7 @@
 	"bramblespur/internal/fleet"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/policy"
+	"bramblespur/internal/retry"
 )
 
 const (
@@ -81,7 +82,7 @@
 // campaign if there were none.
 func (l *Leader) Run(ctx context.Context) {
 	leaderless := 0 // turns
-	for sleep(ctx, syncInterval) {
+	for retry.Sleep(ctx, syncInterval) {
 		leads, campaign := l.role(time.Now(), &leaderless)
 		switch {
 		case leads:
--- a/internal/controller/leader/provision.go
+++ b/internal/controller/leader/provision.go
@@ -12,6 +12,7 @@
 	"bramblespur/internal/cloud"
 	"bramblespur/internal/fleet"
 	"bramblespur/internal/record"
+	"bramblespur/internal/retry"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
 )
@@ -123,7 +124,7 @@
 		if !leads {
 			return nil, false
 		}
-		sleep(ctx, jitter(cloudRetryDelay))
+		retry.Sleep(ctx, retry.Jitter(cloudRetryDelay))
 	}
 	return nil, false
 }
@@ -154,7 +155,7 @@
 		if errors.As(err, &conflict) {
 			return
 		}
-		sleep(ctx, jitter(recordRetryDelay))
+		retry.Sleep(ctx, retry.Jitter(recordRetryDelay))
 	}
 }
 
--- a/internal/controller/leader_host.go
+++ b/internal/controller/leader_host.go
@@ -53,7 +53,7 @@
 func (h leaderHost) ClusterLocked(now time.Time) leader.Cluster {
 	c := h.c
 	cluster := leader.Cluster{
-		Self: c.cfg.Label, Isolated: c.status.cutFromAll, Behind: c.overload.Behind(),
+		Self: c.cfg.Label, Isolated: c.member.Published().Isolated, Behind: c.overload.Behind(),
 		Owners: c.cluster.Owners(), Preferred: c.preferredOwner, Members: map[string]leader.Member{}, Now: now,
 	}
 	for label, m := range c.cluster.Members() {
@@ -195,11 +195,11 @@
 }
 
 // PingPeers implements leader.Services.
-func (h leaderHost) PingPeers() { h.c.pingPeers() }
+func (h leaderHost) PingPeers() { h.c.peerHealth.Ping(h.c.cfg.Label, h.c.peers) }
 
 // AfterTurn implements leader.Services.
 func (h leaderHost) AfterTurn(ctx context.Context) {
-	h.c.publishStatus(ctx)
-	h.c.askFormats(ctx)
+	h.c.member.PublishStatus(ctx)
+	h.c.member.RecordPeerFormats(ctx, h.c.peers)
 	h.c.retractDrainSupport(ctx)
 }
--- a/internal/controller/lease_strained_test.go
+++ b/internal/controller/member_strained_test.go
@@ -58,8 +58,9 @@
 		c := newTest(t, state.State)
 		ctx, cancel := context.WithCancel(t.Context())
 		c.store = state
+		c.member = c.newMember()
 		c.lease.Grant(membership.LeaseState{})
-		go c.leaseLoop(ctx)
+		go c.member.KeepLease(ctx)
 		time.Sleep(2 * membership.LeaseTTL)
 		c.mu.Lock()
 		for !c.overload.Strained() {
@@ -79,7 +80,7 @@
 			c.mu.Unlock()
 		}
 		state.mu.Lock()
-		if state.most > maxPendingRenewals+1 {
+		if state.most > membership.MaxConcurrentRenewals+1 {
 			t.Errorf("%d renewals at once", state.most)
 		}
 		state.mu.Unlock()
--- a/internal/controller/membership/peer_health.go
+++ b/internal/controller/membership/peer_health.go
@@ -5,6 +5,8 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"bramblespur/internal/peer"
 )
 
 const (
@@ -13,6 +15,8 @@
 	// unreachableAfter is how long another controller may leave calls unanswered before
 	// it counts as out of reach.
 	unreachableAfter = 6 * time.Second
+	// PingTimeout is how long a short call to another controller may take.
+	PingTimeout = 900 * time.Millisecond
 )
 
 // PeerContact is what calls to another controller have shown of it. The zero value is a
@@ -119,3 +123,16 @@
 		p.stateServiceReachedAt = now
 	}
 }
+
+// Ping asks each peer whether it reaches the state service and records who answers.
+func (h *PeerHealth) Ping(from string, peers map[string]peer.Caller) {
+	var wg sync.WaitGroup
+	for label, caller := range peers {
+		wg.Go(func() {
+			var reachesStateService bool
+			err := caller.Call("Ping", from, &reachesStateService, PingTimeout)
+			h.RecordCall(label, err, reachesStateService, time.Now())
+		})
+	}
+	wg.Wait()
+}
--- /dev/null
+++ b/internal/controller/membership_process.go
@@ -0,0 +1,84 @@
+package controller
+
+import (
+	"time"
+
+	"bramblespur/internal/config"
+	"bramblespur/internal/controller/membership"
+	"bramblespur/internal/record"
+	"bramblespur/internal/wire"
+)
+
+// memberProcess is what a membership.Member sees of its Controller.
+type memberProcess struct{ c *Controller }
+
+var _ membership.Process = memberProcess{}
+
+// newMember returns the member that stands for this controller.
+func (c *Controller) newMember() *membership.Member {
+	return membership.NewMember(c.cfg.Label, c.store, &c.lease, memberProcess{c}, c.log)
+}
+
+// Strained implements membership.Process.
+func (p memberProcess) Strained() bool {
+	return p.c.overload.Strained()
+}
+
+// Observe implements membership.Process.
+func (p memberProcess) Observe() membership.Observation {
+	p.c.mu.Lock()
+	defer p.c.mu.Unlock()
+	now := time.Now()
+	recorded, _ := p.c.cluster.Member(p.c.cfg.Label)
+	return membership.Observation{
+		At:       now,
+		Status:   p.statusLocked(now),
+		Recorded: recorded,
+		ViewAt:   p.c.cluster.AsOf(),
+	}
+}
+
+// statusLocked returns how the controller serves. The shards' lock is held.
+func (p memberProcess) statusLocked(now time.Time) membership.Status {
+	c := p.c
+	withoutPeers := len(c.peers) > 0
+	for label := range c.peers {
+		if c.peerHealth.Contact(label).AnsweredWithin(membership.IsolatedAfter, now) {
+			withoutPeers = false
+		}
+	}
+	silence := config.Seconds(c.cfg.Params.Workers.ReportS)*2 + time.Second
+	withoutWorkers := c.machines.Len() > 0 && now.Sub(c.lastHeartbeatAt) > silence
+	return membership.Status{
+		WithoutPeers: withoutPeers,
+		Isolated:     withoutPeers && withoutWorkers,
+		Overloaded:   c.overload.Overloaded(),
+	}
+}
+
+// FormatView implements membership.Process.
+func (p memberProcess) FormatView(label string) membership.FormatView {
+	p.c.mu.Lock()
+	defer p.c.mu.Unlock()
+	return membership.FormatView{Loaded: p.c.cluster.Loaded(), Format: p.c.cluster.Format(label)}
+}
+
+// ApplyClusterChange implements membership.Process.
+func (p memberProcess) ApplyClusterChange(change wire.Change, now time.Time) {
+	p.c.changeCluster(change, now)
+}
+
+// Format implements peer.Handler.
+func (c *Controller) Format() int { return record.SizedRanges }
+
+// Ping implements peer.Handler: whether this controller reaches the state service.
+func (c *Controller) Ping() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.sure(time.Now())
+}
+
+// sure reports whether the lease certainly stands.
+func (c *Controller) sure(now time.Time) bool {
+	return c.lease.Current().Certain(now)
+}
--- a/internal/controller/parts.go
+++ b/internal/controller/parts.go
@@ -13,6 +13,7 @@
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/policy"
 	"bramblespur/internal/record"
+	"bramblespur/internal/retry"
 	"bramblespur/internal/scheduler"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
@@ -198,7 +199,7 @@
 		if err := read(ctx); err == nil {
 			return true
 		}
-		if !sleep(ctx, jitter(400*time.Millisecond)) {
+		if !retry.Sleep(ctx, retry.Jitter(400*time.Millisecond)) {
 			return false
 		}
 		c.mu.Lock()
@@ -327,7 +328,7 @@
 			c.reportIfStale(record.ShardKey(id), c.cluster.ShardVersion(id), 0, time.Now())
 			c.mu.Unlock()
 		}
-		sleep(ctx, jitter(400*time.Millisecond))
+		retry.Sleep(ctx, retry.Jitter(400*time.Millisecond))
 	}
 }
 
--- a/internal/controller/renewals.go
+++ b/internal/controller/renewals.go
@@ -5,6 +5,7 @@
 
 	"bramblespur/internal/config"
 	"bramblespur/internal/controller/transport"
+	"bramblespur/internal/retry"
 	"bramblespur/internal/scheduler"
 	"bramblespur/internal/wire"
 )
@@ -98,7 +99,7 @@
 		return
 	}
 	for range int(keepHold / keepLook) {
-		sleep(c.life, keepLook)
+		retry.Sleep(c.life, keepLook)
 		c.mu.Lock()
 		token = 0
 		if m, known := c.machines.Machine(r.Machine); known {
--- a/internal/controller/restarts.go
+++ b/internal/controller/restarts.go
@@ -12,6 +12,7 @@
 	"bramblespur/internal/ratelimit"
 	"bramblespur/internal/reconcile"
 	"bramblespur/internal/restart"
+	"bramblespur/internal/retry"
 	"bramblespur/internal/scheduler"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
@@ -130,7 +131,7 @@
 // restartLoop follows what has to settle, and records it.
 func (c *Controller) restartLoop(ctx context.Context) {
 	var record restartRecord
-	for sleep(ctx, restartInterval) {
+	for retry.Sleep(ctx, restartInterval) {
 		c.mu.Lock()
 		now := time.Now()
 		c.expireCommandRate(now)
--- a/internal/controller/safe_mode.go
+++ b/internal/controller/safe_mode.go
@@ -10,6 +10,7 @@
 	"bramblespur/internal/operations"
 	"bramblespur/internal/record"
 	"bramblespur/internal/recovery"
+	"bramblespur/internal/retry"
 	"bramblespur/internal/scheduler"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
@@ -75,7 +76,7 @@
 	for ctx.Err() == nil {
 		_, revision, err := m.guard.Store.List(ctx, statestore.Urgent("recovery"), recovery.Prefix)
 		if err != nil {
-			sleep(ctx, jitter(400*time.Millisecond))
+			retry.Sleep(ctx, retry.Jitter(400*time.Millisecond))
 			continue
 		}
 		c.mu.Lock()
@@ -146,7 +147,7 @@
 // safeModeLoop compares what is held with the record, and brings each up to the other, until
 // the safe mode is over.
 func (c *Controller) safeModeLoop(ctx context.Context) {
-	for c.inSafeMode() && sleep(ctx, safeModeInterval) {
+	for c.inSafeMode() && retry.Sleep(ctx, safeModeInterval) {
 		if err := c.syncSafeModeRecord(ctx); err != nil {
 			c.log.Debug("safe mode record", "err", err)
 		}
--- a/internal/controller/usage_log.go
+++ b/internal/controller/usage_log.go
@@ -5,12 +5,13 @@
 	"runtime"
 
 	"bramblespur/internal/controller/overload"
+	"bramblespur/internal/retry"
 )
 
 // logUsageLoop logs what was used of the state service, by purpose, and of the memory.
 func (c *Controller) logUsageLoop(ctx context.Context) {
 	short := false
-	for sleep(ctx, countsEvery) {
+	for retry.Sleep(ctx, countsEvery) {
 		args := []any{}
 		for purpose, n := range c.store.TakeUsage() {
 			args = append(args, purpose, n)
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -14,6 +14,7 @@
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/record"
 	"bramblespur/internal/recovery"
+	"bramblespur/internal/retry"
 	"bramblespur/internal/scheduler"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
@@ -26,7 +27,7 @@
 		at := time.Now()
 		entries, rev, err := c.store.List(ctx, statestore.Urgent("view"), prefix)
 		if err != nil {
-			sleep(ctx, jitter(400*time.Millisecond))
+			retry.Sleep(ctx, retry.Jitter(400*time.Millisecond))
 			continue
 		}
 		resets := c.viewResets()
@@ -39,7 +40,7 @@
 				break // what is there is smaller than all that happened since
 			}
 			if err != nil {
-				sleep(ctx, jitter(400*time.Millisecond))
+				retry.Sleep(ctx, retry.Jitter(400*time.Millisecond))
 				continue
 			}
 			for _, e := range ch.Events {
@@ -49,7 +50,7 @@
 			c.viewed(prefix, at)
 			c.viewReached(prefix, rev, resets)
 			if len(ch.Events) > 0 {
-				sleep(ctx, watchPause)
+				retry.Sleep(ctx, watchPause)
 			}
 		}
 	}
@@ -209,7 +210,7 @@
 		if err := c.confirmMissing(c.life, record.FleetPrefix, missing); err == nil {
 			break
 		}
-		sleep(c.life, jitter(400*time.Millisecond))
+		retry.Sleep(c.life, retry.Jitter(400*time.Millisecond))
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
