--- a/internal/controller/membership/member.go
+++ b/internal/controller/membership/member.go
@@ -43,7 +43,7 @@
 
 // Observation is what a Member is told of its process and of the view.
 type Observation struct {
-	At     time.Time
+	At       time.Time
 	Status   Status
 	Recorded record.Member // this process's member record in the view
 	ViewAt   time.Time     // the view was true at this time or later
