--- a/cmd/bramblespur/loopback_bench_test.go
+++ b/cmd/bramblespur/loopback_bench_test.go
@@ -28,9 +28,9 @@
 	api := l.world.Rentals(l.t.Context(), testkit.TestEnd)
 	const batch = 50
 	for n := 0; n < machines; n += batch {
-		r := record.Provision{Type: "big", Zone: []string{"a", "b"}[n/batch%2], Born: time.Now().UnixMilli()}
+		r := record.Provision{Type: "big", Zone: []string{"a", "b"}[n/batch%2], CreatedAt: time.Now().UnixMilli()}
 		count := min(batch, machines-n)
-		ids, err := api.Rent(l.t.Context(), wire.ProvisionRequest{Request: fmt.Sprint("fleet-", n), Type: r.Type, Zone: r.Zone, Count: count})
+		ids, err := api.Provision(l.t.Context(), wire.ProvisionRequest{Request: fmt.Sprint("fleet-", n), Type: r.Type, Zone: r.Zone, Count: count})
 		if err != nil {
 			l.t.Fatal(err)
 		}
--- a/cmd/bramblespurctl/main_test.go
+++ b/cmd/bramblespurctl/main_test.go
@@ -29,12 +29,12 @@
 	server := httptest.NewServer(s.service.HTTP("operator"))
 	t.Cleanup(server.Close)
 	s.addr = strings.TrimPrefix(server.URL, "http://")
-	s.put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "a", Shards: make([]int, 4), IDs: []string{"i-1", "i-2", "i-3", "i-4"}, Born: 1000})
-	s.put(record.ProvisionKey("others"), record.Provision{Type: "small", Zone: "a", Shards: make([]int, 4), IDs: []string{"i-5", "i-6", "i-7", "i-8"}, Born: 1000})
+	s.put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "a", Shards: make([]int, 4), IDs: []string{"i-1", "i-2", "i-3", "i-4"}, CreatedAt: 1000})
+	s.put(record.ProvisionKey("others"), record.Provision{Type: "small", Zone: "a", Shards: make([]int, 4), IDs: []string{"i-5", "i-6", "i-7", "i-8"}, CreatedAt: 1000})
 	gang := wire.Spec{Ref: "run-000001", Team: "vision", Kind: wire.Gang, Tasks: 2}
 	s.put(record.ActiveJobKey(gang.Ref), record.ActiveJob{Spec: gang})
 	s.put(record.PlacementsKey(0, 0), record.Placements{Ranges: map[string]record.TaskRange{
-		record.RangeName(gang.Ref, 0): {On: map[int]record.TaskPlacement{0: {Machine: "i-2", Attempt: 1}, 1: {Machine: "i-4", Attempt: 1}}},
+		record.RangeName(gang.Ref, 0): {Placed: map[int]record.TaskPlacement{0: {Machine: "i-2", Attempt: 1}, 1: {Machine: "i-4", Attempt: 1}}},
 	}})
 	return s
 }
--- a/cmd/bramblespurctl/recover.go
+++ b/cmd/bramblespurctl/recover.go
@@ -113,7 +113,7 @@
 		if err != nil {
 			return nil, err
 		}
-		usable := slices.DeleteFunc(all, func(l snapshot.Listed) bool { return l.Manifest == nil })
+		usable := slices.DeleteFunc(all, func(l snapshot.Listing) bool { return l.Manifest == nil })
 		if len(usable) == 0 {
 			return nil, fmt.Errorf("%w in %s", snapshot.ErrUnknown, s.directory)
 		}
--- a/cmd/bramblespurctl/snapshot.go
+++ b/cmd/bramblespurctl/snapshot.go
@@ -129,7 +129,7 @@
 }
 
 func (t *tool) snapshotListCommand(f *snapshotFlags) *cobra.Command {
-	list := func(context.Context, []string) ([]snapshot.Listed, error) {
+	list := func(context.Context, []string) ([]snapshot.Listing, error) {
 		if err := f.check(); err != nil {
 			return nil, err
 		}
@@ -138,7 +138,7 @@
 	return reading(t, "list", "List the snapshots in a directory", cobra.NoArgs, list, writeSnapshots)
 }
 
-func writeSnapshots(out io.Writer, all []snapshot.Listed) {
+func writeSnapshots(out io.Writer, all []snapshot.Listing) {
 	table(out, func(w io.Writer) {
 		fmt.Fprintln(w, "NAME\tRECORDS\tBYTES\tREVISION\tCLUSTER")
 		for _, l := range all {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -11,15 +11,15 @@
 	"bramblespur/internal/wire"
 )
 
-// callTimeout bounds one command.
-const callTimeout = 3 * time.Second
+// commandTimeout bounds one command.
+const commandTimeout = 3 * time.Second
 
-// probeTimeout bounds the asking for a report: an answer takes milliseconds.
-const probeTimeout = 1500 * time.Millisecond
+// heartbeatTimeout bounds the asking for a report: an answer takes milliseconds.
+const heartbeatTimeout = 1500 * time.Millisecond
 
-// maxReport bounds a worker's answer: it is a report, which a controller takes no
+// maxHeartbeat bounds a worker's answer: it is a report, which a controller takes no
 // larger when it comes by itself.
-const maxReport = httpwire.MaxBody
+const maxHeartbeat = httpwire.MaxBody
 
 // API is what controllers ask of workers directly.
 type API interface {
@@ -42,20 +42,20 @@
 	if err != nil {
 		return r, false, fmt.Errorf("encode: %w", err)
 	}
-	status, err := call(ctx, addr, callTimeout, "POST", wire.CommandPath, body, &r)
+	status, err := call(ctx, addr, commandTimeout, "POST", wire.CommandPath, body, &r)
 	return r, status == 200, err
 }
 
 // Show implements API.
 func (Client) Show(ctx context.Context, addr string) (r wire.Heartbeat, err error) {
-	_, err = call(ctx, addr, probeTimeout, "GET", wire.ShowPath, nil, &r)
+	_, err = call(ctx, addr, heartbeatTimeout, "GET", wire.ShowPath, nil, &r)
 	return r, err
 }
 
 func call(ctx context.Context, addr string, timeout time.Duration, method, path string, body []byte, r *wire.Heartbeat) (status int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	resp, err := httpwire.NewClient(addr, 0).WithMaxBody(maxReport).Do(ctx, method, path, body)
+	resp, err := httpwire.NewClient(addr, 0).WithMaxBody(maxHeartbeat).Do(ctx, method, path, body)
 	if err != nil {
 		return 0, fmt.Errorf("worker %s: %w", addr, err)
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -24,7 +24,7 @@
 			return
 		}
 		defer c.Close()
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxReport+1)
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxHeartbeat+1)
 		_, _ = c.Read(make([]byte, 1<<10)) // the request
 		_, _ = c.Read(make([]byte, 1))     // until the other end closes
 	}()
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -21,11 +21,11 @@
 // API is what controllers need of the cloud.
 type API interface {
 	Types(ctx context.Context) ([]wire.MachineType, error)
-	Rent(ctx context.Context, r wire.ProvisionRequest) ([]string, error)
-	Return(ctx context.Context, ids []string) error
-	List(ctx context.Context) ([]wire.Listed, error)
-	// Budget sets this controller's part of the cloud's calls a second.
-	Budget(rps float64)
+	Provision(ctx context.Context, r wire.ProvisionRequest) ([]string, error)
+	Release(ctx context.Context, ids []string) error
+	List(ctx context.Context) ([]wire.ListedMachine, error)
+	// SetRate sets this controller's part of the cloud's calls a second.
+	SetRate(rps float64)
 }
 
 // Client is an API over HTTP.
@@ -45,8 +45,8 @@
 // burst is two seconds' worth, which the cloud allows.
 func burst(rps float64) int { return max(1, int(2*rps)) }
 
-// Budget implements API.
-func (c *Client) Budget(rps float64) {
+// SetRate implements API.
+func (c *Client) SetRate(rps float64) {
 	if c.limit.Limit() != rate.Limit(rps) {
 		c.limit.SetLimit(rate.Limit(rps))
 		c.limit.SetBurst(burst(rps))
@@ -55,7 +55,7 @@
 
 var _ API = (*Client)(nil)
 
-func (c *Client) do(ctx context.Context, method, target string, in, out any) error {
+func (c *Client) call(ctx context.Context, method, target string, in, out any) error {
 	if err := c.limit.Wait(ctx); err != nil {
 		return fmt.Errorf("cloud: %w", err)
 	}
@@ -92,37 +92,37 @@
 // Types returns the machine types on offer, with current prices.
 func (c *Client) Types(ctx context.Context) ([]wire.MachineType, error) {
 	var t wire.MachineTypes
-	if err := c.do(ctx, "GET", "/machine_types", nil, &t); err != nil {
+	if err := c.call(ctx, "GET", "/machine_types", nil, &t); err != nil {
 		return nil, err
 	}
 	return t.Types, nil
 }
 
-// Rent rents machines; repeating a request name rents nothing twice.
-func (c *Client) Rent(ctx context.Context, r wire.ProvisionRequest) ([]string, error) {
-	var n wire.Names
-	if err := c.do(ctx, "POST", "/rentals", r, &n); err != nil {
+// Provision rents machines; repeating a request name rents nothing twice.
+func (c *Client) Provision(ctx context.Context, r wire.ProvisionRequest) ([]string, error) {
+	var n wire.MachineNames
+	if err := c.call(ctx, "POST", "/rentals", r, &n); err != nil {
 		return nil, err
 	}
 	return n.Machines, nil
 }
 
-// Return gives machines back. When it succeeds they are gone.
-func (c *Client) Return(ctx context.Context, ids []string) error {
-	return c.do(ctx, "POST", "/rentals/return", wire.Names{Machines: ids}, nil)
+// Release gives machines back. When it succeeds they are gone.
+func (c *Client) Release(ctx context.Context, ids []string) error {
+	return c.call(ctx, "POST", "/rentals/return", wire.MachineNames{Machines: ids}, nil)
 }
 
-// ListPage is the most machines that one call of the list returns.
-const ListPage = 500
+// MaxPage is the most machines that one call of the list returns.
+const MaxPage = 500
 
 // List returns the cloud's (lagging) list of machines.
-func (c *Client) List(ctx context.Context) ([]wire.Listed, error) {
-	var all []wire.Listed
-	first := fmt.Sprintf("/rentals?page=%d", ListPage)
+func (c *Client) List(ctx context.Context) ([]wire.ListedMachine, error) {
+	var all []wire.ListedMachine
+	first := fmt.Sprintf("/rentals?page=%d", MaxPage)
 	target := first
 	for {
 		var p wire.MachineList
-		if err := c.do(ctx, "GET", target, nil, &p); err != nil {
+		if err := c.call(ctx, "GET", target, nil, &p); err != nil {
 			return nil, err
 		}
 		all = append(all, p.Machines...)
--- a/internal/contract/json_test.go
+++ b/internal/contract/json_test.go
@@ -58,7 +58,7 @@
 	{"worker redirect", wire.Redirect{}},
 	{"cloud types", wire.MachineTypes{}},
 	{"cloud request", wire.ProvisionRequest{}},
-	{"cloud names", wire.Names{}},
+	{"cloud names", wire.MachineNames{}},
 	{"cloud list", wire.MachineList{}},
 	{"state entry page", wire.EntryPage{}},
 	{"state transaction", wire.Txn{}},
@@ -73,7 +73,7 @@
 	{"operators drain budget", drain.Budget{}},
 	{"operators restart", restartctl.Episode{}},
 	{"operators recovery plan", recovery.Plan{}},
-	{"operators snapshot", snapshot.Listed{}},
+	{"operators snapshot", snapshot.Listing{}},
 	{"snapshot manifest", snapshot.Manifest{}},
 }
 
@@ -127,12 +127,12 @@
 		"fleet/back/b": layouts["record fleet/back/NAME"],
 	} {
 		f := record.NewFleet()
-		if _, err := f.Change(wire.Change{Put: key, Value: []byte(layout), Version: 1}); err != nil {
+		if _, err := f.Apply(wire.Change{Put: key, Value: []byte(layout), Version: 1}); err != nil {
 			t.Fatalf("%s: %v", key, err)
 		}
 		held := f.Entries()
 		for _, bad := range badValues(layout) {
-			if _, err := f.Change(wire.Change{Put: key, Value: bad, Version: 2}); err == nil || !strings.Contains(err.Error(), key) {
+			if _, err := f.Apply(wire.Change{Put: key, Value: bad, Version: 2}); err == nil || !strings.Contains(err.Error(), key) {
 				t.Errorf("%s: %s: error %v", key, bad, err)
 			}
 			if got := f.Entries(); !reflect.DeepEqual(got, held) {
--- a/internal/contract/names_test.go
+++ b/internal/contract/names_test.go
@@ -52,12 +52,12 @@
 func TestShardsOfNames(t *testing.T) {
 	teams := []string{"a", "b", "c"}
 	for team, want := range map[string]int{"a": 0, "b": 1, "c": 0} {
-		if got := record.ShardOf(teams, team, "run-000001", 2); got != want {
+		if got := record.ShardForJob(teams, team, "run-000001", 2); got != want {
 			t.Errorf("team %s: shard %d, want %d", team, got, want)
 		}
 	}
 	for ref, want := range map[string]int{"run-000001": 5, "run-000002": 0, "pipe-000001": 3} {
-		if got := record.ShardOf(nil, "", ref, 7); got != want {
+		if got := record.ShardForJob(nil, "", ref, 7); got != want {
 			t.Errorf("%s: shard %d, want %d", ref, got, want)
 		}
 	}
@@ -68,9 +68,9 @@
 	for want, got := range map[string]string{
 		"batch": wire.Array, "ensemble": wire.Gang, "standing": wire.Service,
 		"pending": wire.Pending, "running": wire.Running, "done": wire.Done, "aborted": wire.Cancelled,
-		"fetching": wire.Fetching, "gathering": wire.Gathering, "saving": wire.Saving, "exited": wire.Exited,
-		"halted": wire.WhyStopped, "mates_gone": wire.WhyPeers, "incomplete": wire.WhyIncomplete, "error": wire.WhyError,
-		"no_room": wire.WhyNoRoom, "in_use": wire.WhyBusy, "no_such": wire.WhyUnknown,
+		"fetching": wire.Fetching, "gathering": wire.AwaitingGang, "saving": wire.Checkpointing, "exited": wire.Exited,
+		"halted": wire.ExitStopped, "mates_gone": wire.ExitGangPeersLost, "incomplete": wire.ExitGangIncomplete, "error": wire.ExitError,
+		"no_room": wire.ExitNoRoom, "in_use": wire.ExitInUse, "no_such": wire.ExitUnknownTask,
 		"run": wire.Start, "halt": wire.Stop, "forget": wire.Forget,
 		"/work": wire.JobsPath, "withdraw": wire.CancelWord, "/ready": wire.ReadyPath, "/agent/beat": wire.HeartbeatPath,
 		"/commands": wire.CommandPath, "/show": wire.ShowPath, "/pipelines": wire.PipelinesPath,
--- a/internal/controller/account_test.go
+++ b/internal/controller/account_test.go
@@ -37,7 +37,7 @@
 func putRentals(put func(key string, v any), machines int) []*testkit.Worker {
 	var workers []*testkit.Worker
 	for at := 0; at < machines; at += machinesOfOne {
-		r := record.Provision{Type: "big", Zone: "z", Born: time.Now().UnixMilli()}
+		r := record.Provision{Type: "big", Zone: "z", CreatedAt: time.Now().UnixMilli()}
 		for i := at; i < min(at+machinesOfOne, machines); i++ {
 			r.IDs, r.Shards = append(r.IDs, machineName(i)), append(r.Shards, 0)
 			workers = append(workers, testkit.NewWorker(machineName(i), "big", "z", false))
@@ -53,11 +53,11 @@
 	for i := range jobs {
 		name := ref(i)
 		spec := mustSpec(t, body(t, set("ref", name)))
-		state.Put(record.ActiveJobKey(name), record.ActiveJob{Spec: *spec, At: time.Now().UnixMilli()})
+		state.Put(record.ActiveJobKey(name), record.ActiveJob{Spec: *spec, AcceptedAt: time.Now().UnixMilli()})
 		w := workers[i%len(workers)]
-		run := record.TaskRange{Attempt: 1, On: map[int]record.TaskPlacement{}}
+		run := record.TaskRange{Attempt: 1, Placed: map[int]record.TaskPlacement{}}
 		for n := range tasksOfJob {
-			run.On[n] = record.TaskPlacement{Machine: w.ID, Attempt: 1}
+			run.Placed[n] = record.TaskPlacement{Machine: w.ID, Attempt: 1}
 			w.Tasks[name+"/"+strconv.Itoa(n)] = &testkit.WorkerTask{Attempt: 1, State: wire.Running}
 		}
 		slot.Ranges[record.RangeName(name, 0)] = run
@@ -314,7 +314,7 @@
 	for b.Loop() {
 		var all []*Check
 		for range together {
-			all = append(all, NewCheck(wire.Cond{Key: record.ActiveJobKey(ref(7)), Version: version}))
+			all = append(all, NewCheck(wire.Condition{Key: record.ActiveJobKey(ref(7)), Version: version}))
 		}
 		c.linearizableReads.waiting = all
 		c.flushLinearizableReads()
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -65,7 +65,7 @@
 			return retryReply()
 		}
 		if !o.Cancelled {
-			t := wire.Txn{If: []wire.Cond{{Key: key, Version: e.Version}}, Then: []wire.Op{{Put: key, Value: c.cancelledRecord(o)}}}
+			t := wire.Txn{If: []wire.Condition{{Key: key, Version: e.Version}}, Then: []wire.Op{{Put: key, Value: c.cancelledRecord(o)}}}
 			rev, err := c.store.Txn(ctx, use, t)
 			var conflict *statestore.ConflictError
 			if errors.As(err, &conflict) {
--- a/internal/controller/claim.go
+++ b/internal/controller/claim.go
@@ -121,7 +121,7 @@
 	key := record.ShardKey(id)
 	rec := record.Shard{Owner: c.cfg.Label, Incarnation: incarnation}
 	token, err = c.store.Txn(ctx, statestore.Urgent("claim"), wire.Txn{
-		If:   []wire.Cond{{Key: key, Version: r.Version}},
+		If:   []wire.Condition{{Key: key, Version: r.Version}},
 		Then: []wire.Op{{Put: key, Value: record.Encode(rec)}},
 	})
 	if err == nil {
@@ -155,7 +155,7 @@
 	c.shards[id] = shard
 	now := time.Now()
 	// Views may have moved on while the records were read.
-	c.machines.Each(func(machine string, v record.View) {
+	c.machines.Each(func(machine string, v record.MachineView) {
 		if v.Shard != id {
 			return
 		}
@@ -181,7 +181,7 @@
 	}
 	fl := record.NewFleet()
 	for _, e := range entries {
-		if _, err := fl.Change(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}); err != nil {
+		if _, err := fl.Apply(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}); err != nil {
 			return nil, err
 		}
 	}
@@ -222,7 +222,7 @@
 // belongsToOtherShard reports whether an open job's record is one that the view holds, and
 // another part's: it need not be decoded to tell. The lock is held.
 func (c *Controller) belongsToOtherShard(e wire.Entry, part int) bool {
-	j, open := c.activeJobs.Job(record.Last(e.Key))
+	j, open := c.activeJobs.Job(record.LastElement(e.Key))
 	return open && j.Version == e.Version && j.Shard != part
 }
 
@@ -242,7 +242,7 @@
 			return
 		}
 		for _, e := range open {
-			if shard.KnowsJob(record.Last(e.Key), e.Version) || c.belongsToOtherShard(e, shard.ID()) {
+			if shard.KnowsJob(record.LastElement(e.Key), e.Version) || c.belongsToOtherShard(e, shard.ID()) {
 				continue
 			}
 			var o record.ActiveJob
@@ -250,7 +250,7 @@
 				c.log.Error("job record", "key", e.Key, "err", err)
 				continue
 			}
-			shard.SetJob(record.Last(e.Key), o, e.Version, now)
+			shard.SetJob(record.LastElement(e.Key), o, e.Version, now)
 		}
 		c.step(shard, now)
 		return
--- a/internal/controller/cluster_process_test.go
+++ b/internal/controller/cluster_process_test.go
@@ -89,11 +89,11 @@
 		r := h.Sync(args.(peer.SyncArgs))
 		return func() { *result.(*peer.SyncReply) = r }, nil
 	case "Nudge":
-		h.Nudge(args.(peer.NudgeArgs))
+		h.Nudge(args.(peer.NotifyArgs))
 		return func() {}, nil
 	case "Report":
 		r := h.Report(args.(wire.Heartbeat))
-		return func() { *result.(*peer.ReportReply) = r }, nil
+		return func() { *result.(*peer.HeartbeatReply) = r }, nil
 	case "User":
 		r := h.User(args.(peer.UserArgs))
 		return func() { *result.(*peer.UserReply) = r }, nil
@@ -104,7 +104,7 @@
 		r := h.Format()
 		return func() { *result.(*int) = r }, nil
 	case "Lend":
-		r := h.Lend(args.(peer.LendArgs))
+		r := h.Lend(args.(peer.LoanArgs))
 		return func() { *result.(*bool) = r }, nil
 	case "Evidence":
 		r := h.Evidence(args.(peer.EvidenceArgs))
@@ -112,7 +112,7 @@
 	case "Status":
 		r, ok := h.Status(args.(string))
 		if !ok {
-			return nil, peer.ErrNotHere
+			return nil, peer.ErrJobNotHeld
 		}
 		return func() { *result.(*wire.Status) = r }, nil
 	}
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -152,7 +152,7 @@
 		teams = append(teams, t.Name)
 	}
 	slices.Sort(teams)
-	return record.ShardOf(teams, team, "", k.params.Count)
+	return record.ShardForJob(teams, team, "", k.params.Count)
 }
 
 // others returns the labels of the controllers but those named.
--- a/internal/controller/clusterview/activejobs.go
+++ b/internal/controller/clusterview/activejobs.go
@@ -56,7 +56,7 @@
 // change that is older than the record held or is that record: what a controller
 // writes itself comes once more with the watch.
 func (v *ActiveJobs) Apply(change wire.Change) (JobChange, bool, error) {
-	ref := record.Last(change.Put + change.Delete)
+	ref := record.LastElement(change.Put + change.Delete)
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	held := v.jobs[ref].Version
@@ -83,7 +83,7 @@
 		Length:    wire.Seconds(r.Spec.EstimateS),
 	}
 	if r.Spec.DeadlineS != nil {
-		s.Due = time.UnixMilli(r.At).Add(wire.Seconds(*r.Spec.DeadlineS))
+		s.Due = time.UnixMilli(r.AcceptedAt).Add(wire.Seconds(*r.Spec.DeadlineS))
 	}
 	if r.Cancelled {
 		s.Claim = fragment.Claim{} // it asks for nothing any more
--- a/internal/controller/clusterview/cluster.go
+++ b/internal/controller/clusterview/cluster.go
@@ -70,9 +70,9 @@
 	case key == record.LeaderKey:
 		return nil, v.applyLeader(change, deleted)
 	case strings.HasPrefix(key, record.MemberPrefix):
-		return nil, v.applyMember(record.Last(key), change, deleted)
+		return nil, v.applyMember(record.LastElement(key), change, deleted)
 	case strings.HasPrefix(key, record.FormatPrefix):
-		return nil, v.applyFormat(record.Last(key), change, deleted)
+		return nil, v.applyFormat(record.LastElement(key), change, deleted)
 	case strings.HasPrefix(key, record.ShardPrefix):
 		return v.applyShard(key, change, deleted)
 	}
@@ -131,7 +131,7 @@
 
 // shardID returns the shard that a key under record.ShardPrefix names.
 func shardID(key string) (int, bool) {
-	n, err := strconv.Atoi(record.Last(key))
+	n, err := strconv.Atoi(record.LastElement(key))
 	return n, err == nil && n >= 0
 }
 
@@ -237,5 +237,5 @@
 func (v *Cluster) Format(label string) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.formats[label].N
+	return v.formats[label].Version
 }
--- a/internal/controller/clusterview/machines.go
+++ b/internal/controller/clusterview/machines.go
@@ -21,7 +21,7 @@
 type MachineChange struct {
 	ID string
 	// View is the machine as its records tell it, if Known.
-	View  record.View
+	View  record.MachineView
 	Known bool
 	// Released says that the record that provisioned the machine was deleted. Only
 	// that proves a machine gone: that no such record is known here proves nothing.
@@ -49,7 +49,7 @@
 	released := map[string]bool{} // by the machine that changed
 	var errs []error
 	for _, change := range changes {
-		ids, err := v.fleet.Change(change)
+		ids, err := v.fleet.Apply(change)
 		if err != nil {
 			errs = append(errs, err)
 			continue
@@ -68,17 +68,17 @@
 }
 
 // Machine returns a machine; there is none without a record that provisioned it.
-func (v *Machines) Machine(id string) (record.View, bool) {
+func (v *Machines) Machine(id string) (record.MachineView, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet.Machine(id)
 }
 
 // Each calls fn for every machine under the view's lock: fn must not use the view.
-func (v *Machines) Each(fn func(id string, m record.View)) {
+func (v *Machines) Each(fn func(id string, m record.MachineView)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.fleet.Each(fn)
+	v.fleet.ForEach(fn)
 }
 
 // Len returns the number of machines, those gone but not yet cleared away included.
@@ -106,35 +106,35 @@
 func (v *Machines) IDs(provisionKey string) []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.fleet.IDs(provisionKey)
+	return v.fleet.MachineIDs(provisionKey)
 }
 
 // Provision returns a provision record by its name.
 func (v *Machines) Provision(name string) (record.Provision, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.fleet.Rental(name)
+	return v.fleet.Provision(name)
 }
 
 // Unaddressed returns the provision records that lack their machines' addresses, by name.
 func (v *Machines) Unaddressed() map[string]record.Versioned[record.Provision] {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.fleet.Unaddressed()
+	return v.fleet.ProvisionsWithoutAddresses()
 }
 
 // Unfinished returns the provision records that the cloud has not answered yet, by name.
 func (v *Machines) Unfinished() map[string]record.Versioned[record.Provision] {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.fleet.Unfinished()
+	return v.fleet.UnfulfilledProvisions()
 }
 
 // PendingReleases returns the releases that the cloud has not carried out yet, by key.
 func (v *Machines) PendingReleases() map[string]record.Versioned[record.Release] {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.fleet.Pending()
+	return v.fleet.PendingReleases()
 }
 
 // ClearGone proposes a transaction of at most so many operations that deletes records of
@@ -142,5 +142,5 @@
 func (v *Machines) ClearGone(maxOps int) (wire.Txn, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.fleet.Clear(maxOps)
+	return v.fleet.CleanupTxn(maxOps)
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -214,7 +214,7 @@
 		}
 		for range 5 {
 			_, err := c.store.Txn(ctx, statestore.Routine("types"), wire.Txn{
-				If:   []wire.Cond{{Key: record.MachineTypesKey}},
+				If:   []wire.Condition{{Key: record.MachineTypesKey}},
 				Then: []wire.Op{{Put: record.MachineTypesKey, Value: record.Encode(t)}},
 			})
 			var conflict *statestore.ConflictError
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -101,8 +101,8 @@
 			continue
 		}
 		rev, err := state.Txn(context.Background(), statestore.Urgent("test"), wire.Txn{
-			If: []wire.Cond{{Key: e.Key, Version: e.Version}},
-			Then: []wire.Op{{Put: record.FinishedJobKey(record.Last(e.Key)), Value: record.Encode(record.FinishedJob{State: wire.Cancelled})},
+			If: []wire.Condition{{Key: e.Key, Version: e.Version}},
+			Then: []wire.Op{{Put: record.FinishedJobKey(record.LastElement(e.Key)), Value: record.Encode(record.FinishedJob{State: wire.Cancelled})},
 				{Delete: e.Key}},
 		})
 		if err == nil {
@@ -144,7 +144,7 @@
 		if len(entries) == 0 {
 			t.Fatal("no provision recorded")
 		}
-		name := record.Last(entries[0].Key)
+		name := record.LastElement(entries[0].Key)
 		leading.resetFleet(entries, math.MaxUint64, now)
 		leaderOf(leading, 1)
 		leading.cloud = cl
--- a/internal/controller/data_loss_audit.go
+++ b/internal/controller/data_loss_audit.go
@@ -155,7 +155,7 @@
 			lost = c.anyMachineAlive(key)
 		case prefix == record.ActiveJobPrefix && looked < missingJobsChecked:
 			looked++
-			over, err := c.hasFinishedRecord(ctx, record.Last(key))
+			over, err := c.hasFinishedRecord(ctx, record.LastElement(key))
 			if err != nil {
 				return err
 			}
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -160,7 +160,7 @@
 	}
 	// One end is told by its owner, the other only by the state service.
 	endedAs(t, state, "run-000001", wire.Done)
-	c.Nudge(peer.NudgeArgs{Key: record.FinishedJobKey("run-000001"), Value: record.Encode(record.FinishedJob{State: wire.Done})})
+	c.Nudge(peer.NotifyArgs{Key: record.FinishedJobKey("run-000001"), Value: record.Encode(record.FinishedJob{State: wire.Done})})
 	if got := shard.Dependencies(); len(got) != 1 || got[0] != "run-000002" {
 		t.Fatalf("waits for %v after it was told of the first", got)
 	}
@@ -172,7 +172,7 @@
 	}
 	// What is not known yet is asked for again, not taken for done.
 	other.submit(body(t, set("ref", "run-000004")))
-	c.Nudge(peer.NudgeArgs{Key: record.ActiveJobKey("run-000005"), Version: 99,
+	c.Nudge(peer.NotifyArgs{Key: record.ActiveJobKey("run-000005"), Version: 99,
 		Value: record.Encode(record.ActiveJob{Spec: wire.Spec{Ref: "run-000005", Tasks: 1, DependsOn: []string{"run-000004"}}, AwaitsDependencies: true})})
 	c.lookUpDependency(context.Background(), "run-000004", nil)
 	if got := shard.Dependencies(); len(got) != 1 {
@@ -256,7 +256,7 @@
 		t.Fatalf("writes by %+v", l)
 	}
 	word := func(label string) {
-		e := state.Put(record.FormatKey(label), record.Format{N: record.SizedRanges})
+		e := state.Put(record.FormatKey(label), record.Format{Version: record.SizedRanges})
 		c.changeCluster(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
 	}
 	c.cluster.SetAsOf(time.Now())
@@ -302,7 +302,7 @@
 	if n < 30 {
 		t.Errorf("only %d machines a rental", n)
 	}
-	rental := record.Provision{Type: strings.Repeat("t", 32), Zone: strings.Repeat("z", 32), Spot: true, Born: time.Now().UnixMilli()}
+	rental := record.Provision{Type: strings.Repeat("t", 32), Zone: strings.Repeat("z", 32), Spot: true, CreatedAt: time.Now().UnixMilli()}
 	for i := range n {
 		rental.Shards = append(rental.Shards, 6)
 		rental.IDs = append(rental.IDs, fmt.Sprintf("i-%08d", i))
--- a/internal/controller/dependency_tracking.go
+++ b/internal/controller/dependency_tracking.go
@@ -104,7 +104,7 @@
 	}
 	for owner := range owners {
 		go func() {
-			a := peer.NudgeArgs{Key: op.Put, Value: op.Value}
+			a := peer.NotifyArgs{Key: op.Put, Value: op.Value}
 			if err := owner.Call("Nudge", a, new(struct{}), statusTimeout); err != nil {
 				c.log.Debug("nudge", "key", a.Key, "err", err) // its view tells it as well
 			}
@@ -215,9 +215,9 @@
 	}
 	key := record.ActiveJobKey(ref)
 	t := wire.Txn{
-		If: []wire.Cond{{Key: key, Version: j.Version}},
+		If: []wire.Condition{{Key: key, Version: j.Version}},
 		Then: []wire.Op{
-			{Put: record.FinishedJobKey(ref), Value: record.Encode(record.FinishedJob{State: wire.Cancelled, At: time.Now().UnixMilli()})},
+			{Put: record.FinishedJobKey(ref), Value: record.Encode(record.FinishedJob{State: wire.Cancelled, FinishedAt: time.Now().UnixMilli()})},
 			{Delete: key},
 		},
 	}
--- a/internal/controller/drainer.go
+++ b/internal/controller/drainer.go
@@ -211,10 +211,10 @@
 	ledgers.CloseRecovered(shard.ID(), shard.FateOf, now)
 	a := &drain.TxnBuilder{
 		Input: drain.Input{Now: now, Settings: d.settings, View: d.view, Shard: shard.ID(), Bytes: c.limits().Bytes()},
-		Owner: wire.Cond{Key: record.ShardKey(shard.ID()), Version: shard.Token()},
+		Owner: wire.Condition{Key: record.ShardKey(shard.ID()), Version: shard.Token()},
 		MachineGone: func(id string) bool {
 			v, ok := c.machines.Machine(id)
-			return !ok || v.Phase == record.Gone
+			return !ok || v.Phase == record.Released
 		},
 	}
 	var steps drain.Steps
@@ -231,7 +231,7 @@
 // machinesByZone counts the machines in service. The lock is held.
 func (c *Controller) machinesByZone() map[string]int {
 	zones := map[string]int{}
-	c.machines.Each(func(_ string, v record.View) {
+	c.machines.Each(func(_ string, v record.MachineView) {
 		if v.Phase == record.InUse {
 			zones[v.Zone]++
 		}
@@ -306,8 +306,8 @@
 // drainHasMachines reports whether a machine that a drain selects is not gone yet. The lock is held.
 func (c *Controller) drainHasMachines(p *drain.Plan) bool {
 	left := false
-	c.machines.Each(func(id string, v record.View) {
-		left = left || (v.Phase != record.Gone && p.Selects(id, v.Type, v.Zone, time.UnixMilli(v.Born)))
+	c.machines.Each(func(id string, v record.MachineView) {
+		left = left || (v.Phase != record.Released && p.Selects(id, v.Type, v.Zone, time.UnixMilli(v.CreatedAt)))
 	})
 	return left
 }
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -22,7 +22,7 @@
 	lease := c.lease.Current()
 	head := record.Leader{Label: c.cfg.Label, Incarnation: lease.Incarnation}
 	rev, err := c.store.Txn(ctx, statestore.Urgent("lead"), wire.Txn{
-		If:   []wire.Cond{{Key: record.LeaderKey, Version: cur.Version}},
+		If:   []wire.Condition{{Key: record.LeaderKey, Version: cur.Version}},
 		Then: []wire.Op{{Put: record.LeaderKey, Value: record.Encode(head), Lease: lease.ID}},
 	})
 	if err != nil {
@@ -44,7 +44,7 @@
 	}
 	go func() {
 		_, err := c.store.Txn(ctx, statestore.Urgent("claim"), wire.Txn{
-			If:   []wire.Cond{{Key: record.ShardKey(id), Version: r.Version}},
+			If:   []wire.Condition{{Key: record.ShardKey(id), Version: r.Version}},
 			Then: []wire.Op{{Put: record.ShardKey(id), Value: record.Encode(record.Shard{TransferTo: home})}},
 		})
 		c.log.Info("shard transferred back", "shard", id, "to", home, "err", err)
@@ -61,7 +61,7 @@
 	c.mu.Unlock()
 	c.log.Info("stepping down as leader")
 	if _, err := c.store.Txn(ctx, statestore.Urgent("lead"), wire.Txn{
-		If: []wire.Cond{{Key: record.LeaderKey, Version: version}}, Then: []wire.Op{{Delete: record.LeaderKey}},
+		If: []wire.Condition{{Key: record.LeaderKey, Version: version}}, Then: []wire.Op{{Delete: record.LeaderKey}},
 	}); err != nil {
 		c.log.Info("leader record not deleted", "err", err)
 	}
--- a/internal/controller/leader/addresses.go
+++ b/internal/controller/leader/addresses.go
@@ -77,13 +77,13 @@
 		copy(rec.Addrs, addresses[:n])
 		return rec
 	}
-	rec = some(record.Within(bytes, 0, len(addresses), some)).(record.Provision)
+	rec = some(record.LargestFitting(bytes, 0, len(addresses), some)).(record.Provision)
 	return rec, len(record.Encode(rec)) <= bytes
 }
 
 func (l *Leader) writeAddressesLocked(ctx context.Context, p *provisions, name string, rec record.Provision, version uint64) {
 	t := wire.Txn{
-		If:   []wire.Cond{{Key: record.ProvisionKey(name), Version: version}},
+		If:   []wire.Condition{{Key: record.ProvisionKey(name), Version: version}},
 		Then: []wire.Op{{Put: record.ProvisionKey(name), Value: record.Encode(rec)}},
 	}
 	p.recordingAddresses[name] = true
--- a/internal/controller/leader/harness_test.go
+++ b/internal/controller/leader/harness_test.go
@@ -100,7 +100,7 @@
 func (h *fakeHost) ReadFleet(context.Context, statestore.Purpose) (*record.Fleet, error) {
 	machines := record.NewFleet()
 	for _, e := range h.machines.Entries() {
-		if _, err := machines.Change(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}); err != nil {
+		if _, err := machines.Apply(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/controller/leader/inventory.go
+++ b/internal/controller/leader/inventory.go
@@ -41,7 +41,7 @@
 // track notes which machines are recorded, so that those that are gone don't seem
 // unrecorded while the list still has them. Of those it forgets it drops the addresses.
 func (v *inventory) track(machines *clusterview.Machines, params config.Cloud, now time.Time, addresses map[string]string) {
-	machines.Each(func(id string, _ record.View) { v.known[id] = now })
+	machines.Each(func(id string, _ record.MachineView) { v.known[id] = now })
 	for id, at := range v.known {
 		if now.Sub(at) > time.Duration(knownLags)*config.Seconds(params.ListLagS) {
 			delete(v.known, id)
@@ -52,7 +52,7 @@
 
 // suspects returns those of a list that no record seems to name, with in how many lists
 // they were.
-func (v *inventory) suspects(list []wire.Listed, machines *clusterview.Machines, provisioning bool) map[string]int {
+func (v *inventory) suspects(list []wire.ListedMachine, machines *clusterview.Machines, provisioning bool) map[string]int {
 	suspects := map[string]int{}
 	for _, m := range list {
 		_, recorded := machines.Machine(m.ID)
@@ -62,8 +62,8 @@
 		} else {
 			v.unrecorded[m.ID]++
 		}
-		evidence := reconcile.MachineEvidence{Recorded: recorded, Lately: lately, Listed: v.unrecorded[m.ID], Renting: provisioning}
-		if reconcile.Machine(evidence).Action == reconcile.GiveBack && len(suspects) < protocolMaxRelease {
+		evidence := reconcile.ListedMachine{Recorded: recorded, RecordedRecently: lately, TimesListed: v.unrecorded[m.ID], ProvisionPending: provisioning}
+		if reconcile.ClassifyMachine(evidence).Action == reconcile.ReleaseMachine && len(suspects) < protocolMaxRelease {
 			suspects[m.ID] = v.unrecorded[m.ID]
 		}
 	}
@@ -73,12 +73,12 @@
 // confirm returns the suspects that the records themselves don't name, either: the view
 // may be behind.
 func confirm(suspects map[string]int, machines *record.Fleet) []string {
-	provisioning := len(machines.Unfinished()) > 0
+	provisioning := len(machines.UnfulfilledProvisions()) > 0
 	var unrecorded []string
 	for id, listed := range suspects {
 		_, recorded := machines.Machine(id)
-		evidence := reconcile.MachineEvidence{Recorded: recorded, Listed: listed, Renting: provisioning}
-		if reconcile.Machine(evidence).Action == reconcile.GiveBack {
+		evidence := reconcile.ListedMachine{Recorded: recorded, TimesListed: listed, ProvisionPending: provisioning}
+		if reconcile.ClassifyMachine(evidence).Action == reconcile.ReleaseMachine {
 			unrecorded = append(unrecorded, id)
 		}
 	}
@@ -89,7 +89,7 @@
 // fleet, the more calls that takes, of which provisions and releases need most.
 func (l *Leader) listInterval() time.Duration {
 	l.host.Lock()
-	pages := 1 + l.host.FleetLocked().Len()/cloud.ListPage
+	pages := 1 + l.host.FleetLocked().Len()/cloud.MaxPage
 	l.host.Unlock()
 	byLag := listLags * l.cfg.Params.Cloud.ListLagS
 	byCalls := float64(pages) / (listCallShare * l.cfg.Params.Cloud.RPS)
@@ -119,13 +119,13 @@
 	}
 	unrecorded := confirm(suspects, machines)
 	if len(unrecorded) > 0 && !l.host.LostRecords(ctx, addressesOf(list, unrecorded)) {
-		err := l.host.Cloud().Return(ctx, unrecorded)
+		err := l.host.Cloud().Release(ctx, unrecorded)
 		l.log.Info("unrecorded machines released", "machines", unrecorded, "err", err)
 	}
 }
 
 // addressesOf returns the addresses of some machines of a list.
-func addressesOf(list []wire.Listed, ids []string) map[string]string {
+func addressesOf(list []wire.ListedMachine, ids []string) map[string]string {
 	listed := map[string]string{}
 	for _, m := range list {
 		listed[m.ID] = m.Addr
--- a/internal/controller/leader/leader.go
+++ b/internal/controller/leader/leader.go
@@ -96,7 +96,7 @@
 			l.host.PingPeers()
 			l.PlanStandalone(ctx, time.Now())
 		}
-		l.host.Cloud().Budget(l.cfg.Params.Cloud.RPS * share)
+		l.host.Cloud().SetRate(l.cfg.Params.Cloud.RPS * share)
 		l.host.AfterTurn(ctx)
 	}
 }
--- a/internal/controller/leader/planning.go
+++ b/internal/controller/leader/planning.go
@@ -105,7 +105,7 @@
 func (l *Leader) addPendingMachinesLocked(summaries []fleet.Summary, underWay map[string]record.Provision) {
 	p := newPendingMachines(summaries, l.host.MachineTypesLocked())
 	machines := l.host.FleetLocked()
-	machines.Each(func(id string, v record.View) {
+	machines.Each(func(id string, v record.MachineView) {
 		if !p.reported[id] && v.Phase == record.InUse {
 			p.add(id, v.Type, v.Zone, v.Spot, v.Shard)
 		}
--- a/internal/controller/leader/provision.go
+++ b/internal/controller/leader/provision.go
@@ -43,8 +43,8 @@
 // bytes has room for their names and addresses, of the size they usually have.
 func MaxProvision(recordBytes int) int {
 	id, addr := "i-"+strings.Repeat("0", 8), "255.255.255.255:65535"
-	return record.Within(recordBytes, 1, protocolMaxProvision, func(n int) any {
-		return record.Provision{Type: strings.Repeat("t", 32), Zone: strings.Repeat("z", 32), Spot: true, Born: math.MaxInt64,
+	return record.LargestFitting(recordBytes, 1, protocolMaxProvision, func(n int) any {
+		return record.Provision{Type: strings.Repeat("t", 32), Zone: strings.Repeat("z", 32), Spot: true, CreatedAt: math.MaxInt64,
 			Shards: make([]int, n), IDs: slices.Repeat([]string{id}, n), Addrs: slices.Repeat([]string{addr}, n)}
 	})
 }
@@ -59,7 +59,7 @@
 	t.provisions.underWay[name] = rec
 	go func() {
 		rev, err := l.host.Store().Txn(ctx, statestore.Urgent("rental"), wire.Txn{
-			If:   []wire.Cond{{Key: record.ProvisionKey(name)}, {Key: record.LeaderKey, Version: leadership}},
+			If:   []wire.Condition{{Key: record.ProvisionKey(name)}, {Key: record.LeaderKey, Version: leadership}},
 			Then: []wire.Op{{Put: record.ProvisionKey(name), Value: record.Encode(rec)}},
 		})
 		if err != nil {
@@ -103,17 +103,17 @@
 	key := record.ProvisionKey(name)
 	op := wire.Op{Delete: key}
 	if len(ids) > 0 {
-		rec.Shards, rec.IDs, rec.Born = rec.Shards[:len(ids)], ids, now.UnixMilli()
+		rec.Shards, rec.IDs, rec.CreatedAt = rec.Shards[:len(ids)], ids, now.UnixMilli()
 		op = wire.Op{Put: key, Value: record.Encode(rec)}
 	}
-	l.commit(ctx, statestore.Urgent("rental"), wire.Txn{If: []wire.Cond{{Key: key, Version: version}}, Then: []wire.Op{op}}, now)
+	l.commit(ctx, statestore.Urgent("rental"), wire.Txn{If: []wire.Condition{{Key: key, Version: version}}, Then: []wire.Op{op}}, now)
 }
 
 // callCloud asks the cloud until it answers, or until the term ends.
 func (l *Leader) callCloud(ctx context.Context, t *term, name string, rec record.Provision) (ids []string, ok bool) {
 	request := wire.ProvisionRequest{Request: name, Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot, Count: len(rec.Shards)}
 	for ctx.Err() == nil {
-		ids, err := l.host.Cloud().Rent(ctx, request)
+		ids, err := l.host.Cloud().Provision(ctx, request)
 		if err == nil || errors.Is(err, cloud.ErrNoCapacity) {
 			return ids, true
 		}
--- a/internal/controller/leader/quota.go
+++ b/internal/controller/leader/quota.go
@@ -127,7 +127,7 @@
 }
 
 // Lend reports whether another controller may make changes beyond its grant.
-func (l *Leader) Lend(a peer.LendArgs) bool {
+func (l *Leader) Lend(a peer.LoanArgs) bool {
 	l.host.Lock()
 	defer l.host.Unlock()
 	now := time.Now()
@@ -136,7 +136,7 @@
 
 // Borrow asks the leader for changes beyond this controller's grant.
 func (l *Leader) Borrow(changes int, modest bool) bool {
-	a := peer.LendArgs{From: l.cfg.Label, Changes: changes, Modest: modest}
+	a := peer.LoanArgs{From: l.cfg.Label, Changes: changes, Modest: modest}
 	l.host.Lock()
 	leader, _ := l.host.LeaderLocked()
 	l.host.Unlock()
--- a/internal/controller/leader/release.go
+++ b/internal/controller/leader/release.go
@@ -52,7 +52,7 @@
 		defer l.dropBatches(t, batches)
 		ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 		defer cancel()
-		err := l.host.Cloud().Return(ctx, ids)
+		err := l.host.Cloud().Release(ctx, ids)
 		l.log.Info("machines released", "machines", ids, "err", err)
 		if err != nil {
 			return // asked again with the next turn
@@ -60,7 +60,7 @@
 		for key, b := range batches {
 			done := record.Release{IDs: b.Rec.IDs, Done: true}
 			l.commit(ctx, statestore.Urgent("back"), wire.Txn{
-				If:   []wire.Cond{{Key: key, Version: b.Version}},
+				If:   []wire.Condition{{Key: key, Version: b.Version}},
 				Then: []wire.Op{{Put: key, Value: record.Encode(done)}},
 			}, time.Time{})
 		}
--- a/internal/controller/leader/standalone.go
+++ b/internal/controller/leader/standalone.go
@@ -89,7 +89,7 @@
 	name := fmt.Sprintf("%s-%d-alone-%d", l.cfg.Label, token, l.standalone.sequence)
 	rec := record.Provision{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Shards: r.Shards}
 	t := wire.Txn{
-		If:   []wire.Cond{{Key: record.ProvisionKey(name)}, {Key: record.ShardKey(shard), Version: token}},
+		If:   []wire.Condition{{Key: record.ProvisionKey(name)}, {Key: record.ShardKey(shard), Version: token}},
 		Then: []wire.Op{{Put: record.ProvisionKey(name), Value: record.Encode(rec)}},
 	}
 	requested := l.standalone.requested
--- a/internal/controller/leader_calls.go
+++ b/internal/controller/leader_calls.go
@@ -42,7 +42,7 @@
 
 // Lend implements peer.Handler: whether another controller may make changes beyond its
 // grant.
-func (c *Controller) Lend(a peer.LendArgs) bool { return c.duties.Lend(a) }
+func (c *Controller) Lend(a peer.LoanArgs) bool { return c.duties.Lend(a) }
 
 // borrow asks the leader for changes beyond this controller's grant.
 func (c *Controller) borrow(changes int, modest bool) bool { return c.duties.Borrow(changes, modest) }
--- a/internal/controller/lean_test.go
+++ b/internal/controller/lean_test.go
@@ -70,7 +70,7 @@
 	all := make([]*Check, polls) // as those that come within confirmGather
 	for i := range all {
 		ref := "run-00000" + strconv.Itoa(i)
-		all[i] = NewCheck(wire.Cond{Key: record.ActiveJobKey(ref), Version: activeJob(c, ref).Version})
+		all[i] = NewCheck(wire.Condition{Key: record.ActiveJobKey(ref), Version: activeJob(c, ref).Version})
 	}
 	c.linearizableReads.waiting = all
 	c.flushLinearizableReads()
@@ -191,7 +191,7 @@
 		value := body(t, set("ref", ref))
 		rec := record.Encode(record.ActiveJob{Spec: *mustSpec(t, value), Shard: 0})
 		c.changeOpen(wire.Change{Put: record.ActiveJobKey(ref), Value: rec, Version: uint64(2*i + 1)}, c.startedAt)
-		c.terminalStates.Put(ref, record.FinishedJob{State: wire.Done, Tasks: 2, At: int64(i)})
+		c.terminalStates.Put(ref, record.FinishedJob{State: wire.Done, Tasks: 2, FinishedAt: int64(i)})
 		c.changeOpen(wire.Change{Delete: record.ActiveJobKey(ref), Version: uint64(2*i + 2)}, c.startedAt)
 	}
 	got := (heap() - before) / jobs
--- a/internal/controller/linearizable_reads.go
+++ b/internal/controller/linearizable_reads.go
@@ -18,11 +18,11 @@
 
 // Check asks whether an open job's record is still as the watch told.
 type Check struct {
-	Cond      wire.Cond
+	Cond      wire.Condition
 	Confirmed chan bool // receives one answer; buffered, so that nobody waits for a poll that gave up
 }
 
-func NewCheck(cond wire.Cond) *Check {
+func NewCheck(cond wire.Condition) *Check {
 	return &Check{Cond: cond, Confirmed: make(chan bool, 1)}
 }
 
@@ -67,7 +67,7 @@
 	if !ok || j.Cancelled {
 		return false
 	}
-	q := NewCheck(wire.Cond{Key: record.ActiveJobKey(ref), Version: j.Version})
+	q := NewCheck(wire.Condition{Key: record.ActiveJobKey(ref), Version: j.Version})
 	c.linearizableReads.Add(q)
 	select {
 	case ok := <-q.Confirmed:
--- a/internal/controller/loans_test.go
+++ b/internal/controller/loans_test.go
@@ -60,15 +60,15 @@
 			t.Errorf("lent %d in 10 s, shared out %.1f a second", lent, shared)
 		}
 		time.Sleep(time.Minute)
-		if c.Lend(peer.LendArgs{From: "c-1", Changes: 1}) {
+		if c.Lend(peer.LoanArgs{From: "c-1", Changes: 1}) {
 			t.Error("it lends though its lease is over")
 		}
 		setLeaseRenewed(c, time.Now())
-		if !c.Lend(peer.LendArgs{From: "c-1", Changes: 12}) {
+		if !c.Lend(peer.LoanArgs{From: "c-1", Changes: 12}) {
 			t.Error("after a calm minute it lends too few for a pipeline")
 		}
 		c.cluster.SetLeader(record.Leader{Label: c.cfg.Label, Incarnation: 6}, 2)
-		if c.Lend(peer.LendArgs{From: "c-1", Changes: 1}) {
+		if c.Lend(peer.LoanArgs{From: "c-1", Changes: 1}) {
 			t.Error("it lends though another leads")
 		}
 	})
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -114,7 +114,7 @@
 		t.Fatalf("record %+v, %v: the earlier life took the lead back", e, err)
 	}
 	if _, err := state.Txn(ctx, statestore.Urgent("test"), wire.Txn{
-		If:   []wire.Cond{{Key: record.ProvisionKey("x")}, {Key: record.LeaderKey, Version: stale.Version}},
+		If:   []wire.Condition{{Key: record.ProvisionKey("x")}, {Key: record.LeaderKey, Version: stale.Version}},
 		Then: []wire.Op{{Put: record.ProvisionKey("x"), Value: record.Encode(record.Provision{})}},
 	}); err == nil {
 		t.Fatal("a rental decided under the earlier lead was recorded")
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -20,7 +20,7 @@
 
 // errSenseless makes the refusal of a message.
 func errSenseless(format string, args ...any) error {
-	return fmt.Errorf("%w: %s", wire.ErrSenseless, fmt.Sprintf(format, args...))
+	return fmt.Errorf("%w: %s", wire.ErrInvalidMessage, fmt.Sprintf(format, args...))
 }
 
 // Check implements peer.Handler.
@@ -30,9 +30,9 @@
 	switch a := args.(type) {
 	case peer.SyncArgs:
 		kind, from, err = "orders of the leader", a.From, c.checkSync(&a)
-	case peer.NudgeArgs:
+	case peer.NotifyArgs:
 		kind, from, err = "record of another controller", "a controller", c.checkNudge(&a)
-	case peer.LendArgs:
+	case peer.LoanArgs:
 		kind, from = "question for changes", a.From
 		if most := c.cfg.Params.State.TxnOps; a.Changes <= 0 || a.Changes > most {
 			err = errSenseless("%d changes, of %d at most", a.Changes, most)
@@ -77,11 +77,11 @@
 }
 
 // checkNudge refuses records that no controller writes.
-func (c *Controller) checkNudge(a *peer.NudgeArgs) error {
+func (c *Controller) checkNudge(a *peer.NotifyArgs) error {
 	if len(a.Value) > c.cfg.Params.State.Bytes() {
 		return errSenseless("a record of %d bytes", len(a.Value))
 	}
-	ref := record.Last(a.Key)
+	ref := record.LastElement(a.Key)
 	if !jobspec.ValidJobReference(ref) {
 		return errSenseless("a record of %.64q", a.Key)
 	}
@@ -102,7 +102,7 @@
 }
 
 // checkOpen refuses an open job's record that could not have been accepted.
-func (c *Controller) checkOpen(ref string, a *peer.NudgeArgs) error {
+func (c *Controller) checkOpen(ref string, a *peer.NotifyArgs) error {
 	var o record.ActiveJob
 	if err := json.Unmarshal(a.Value, &o); err != nil {
 		return errSenseless("open record: %v", err)
@@ -159,7 +159,7 @@
 }
 
 // checkReportReply refuses an answer to a relayed report that no worker understands.
-func checkReportReply(r *peer.ReportReply) error {
+func checkReportReply(r *peer.HeartbeatReply) error {
 	if !slices.Contains([]int{200, 421, 503}, r.Status) {
 		return errSenseless("a report answered with %d", r.Status)
 	}
@@ -187,7 +187,7 @@
 	if err != nil {
 		return err
 	}
-	if err = check(); errors.Is(err, wire.ErrSenseless) {
+	if err = check(); errors.Is(err, wire.ErrInvalidMessage) {
 		c.rejections.Reject(kind, from, err)
 	}
 	return err
--- a/internal/controller/messages_test.go
+++ b/internal/controller/messages_test.go
@@ -74,23 +74,23 @@
 		"a negative budget":            peer.SyncArgs{Requests: -1, Changes: 1},
 		"an endless budget":            peer.SyncArgs{Requests: 1, Changes: math.Inf(1)},
 		"a budget that is no number":   peer.SyncArgs{Requests: math.NaN(), Changes: 1},
-		"no changes to be lent":        peer.LendArgs{From: "c-1"},
-		"negative changes to be lent":  peer.LendArgs{From: "c-1", Changes: -2},
-		"too many changes to be lent":  peer.LendArgs{From: "c-1", Changes: 1 << 40},
-		"negative tasks":               peer.NudgeArgs{Key: key, Version: 9, Value: openOf(func(o *record.ActiveJob) { o.Spec.Tasks = -5 })},
-		"too many tasks":               peer.NudgeArgs{Key: key, Version: 9, Value: openOf(func(o *record.ActiveJob) { o.Spec.Tasks = 1 << 40 })},
-		"no tasks":                     peer.NudgeArgs{Key: key, Version: 9, Value: openOf(func(o *record.ActiveJob) { o.Spec.Tasks = 0 })},
-		"negative cards":               peer.NudgeArgs{Key: key, Version: 9, Value: openOf(func(o *record.ActiveJob) { o.Spec.GPUs = -1 })},
-		"a job of an unknown part":     peer.NudgeArgs{Key: key, Version: 9, Value: openOf(func(o *record.ActiveJob) { o.Shard = 3 })},
-		"another job's record":         peer.NudgeArgs{Key: record.ActiveJobKey("run-000002"), Version: 9, Value: openOf(func(*record.ActiveJob) {})},
-		"a record without a version":   peer.NudgeArgs{Key: key, Value: openOf(func(*record.ActiveJob) {})},
-		"a record of the wrong type":   peer.NudgeArgs{Key: key, Version: 9, Value: []byte(`{"spec":"x"}`)},
-		"a record that is null":        peer.NudgeArgs{Key: key, Version: 9, Value: []byte("null")},
-		"a record that is nothing":     peer.NudgeArgs{Key: key, Version: 9},
-		"a record of no job":           peer.NudgeArgs{Key: "open/", Version: 9, Value: openOf(func(*record.ActiveJob) {})},
-		"a record of another kind":     peer.NudgeArgs{Key: record.ShardKey(0), Version: 9, Value: []byte("{}")},
-		"a final state that is none":   peer.NudgeArgs{Key: record.FinishedJobKey("run-000001"), Value: []byte(`{"state":"perhaps"}`)},
-		"a large record":               peer.NudgeArgs{Key: key, Version: 9, Value: bytes.Repeat([]byte(" "), 1<<20)},
+		"no changes to be lent":        peer.LoanArgs{From: "c-1"},
+		"negative changes to be lent":  peer.LoanArgs{From: "c-1", Changes: -2},
+		"too many changes to be lent":  peer.LoanArgs{From: "c-1", Changes: 1 << 40},
+		"negative tasks":               peer.NotifyArgs{Key: key, Version: 9, Value: openOf(func(o *record.ActiveJob) { o.Spec.Tasks = -5 })},
+		"too many tasks":               peer.NotifyArgs{Key: key, Version: 9, Value: openOf(func(o *record.ActiveJob) { o.Spec.Tasks = 1 << 40 })},
+		"no tasks":                     peer.NotifyArgs{Key: key, Version: 9, Value: openOf(func(o *record.ActiveJob) { o.Spec.Tasks = 0 })},
+		"negative cards":               peer.NotifyArgs{Key: key, Version: 9, Value: openOf(func(o *record.ActiveJob) { o.Spec.GPUs = -1 })},
+		"a job of an unknown part":     peer.NotifyArgs{Key: key, Version: 9, Value: openOf(func(o *record.ActiveJob) { o.Shard = 3 })},
+		"another job's record":         peer.NotifyArgs{Key: record.ActiveJobKey("run-000002"), Version: 9, Value: openOf(func(*record.ActiveJob) {})},
+		"a record without a version":   peer.NotifyArgs{Key: key, Value: openOf(func(*record.ActiveJob) {})},
+		"a record of the wrong type":   peer.NotifyArgs{Key: key, Version: 9, Value: []byte(`{"spec":"x"}`)},
+		"a record that is null":        peer.NotifyArgs{Key: key, Version: 9, Value: []byte("null")},
+		"a record that is nothing":     peer.NotifyArgs{Key: key, Version: 9},
+		"a record of no job":           peer.NotifyArgs{Key: "open/", Version: 9, Value: openOf(func(*record.ActiveJob) {})},
+		"a record of another kind":     peer.NotifyArgs{Key: record.ShardKey(0), Version: 9, Value: []byte("{}")},
+		"a final state that is none":   peer.NotifyArgs{Key: record.FinishedJobKey("run-000001"), Value: []byte(`{"state":"perhaps"}`)},
+		"a large record":               peer.NotifyArgs{Key: key, Version: 9, Value: bytes.Repeat([]byte(" "), 1<<20)},
 		"a report of no machine":       wire.Heartbeat{Session: 1, Seq: 1},
 		"a large request passed on":    peer.UserArgs{Method: "POST", Path: wire.JobsPath, Body: make([]byte, httpwire.MaxBody+1)},
 		"a request with an endless id": peer.UserArgs{Method: "GET", Path: strings.Repeat("x", httpwire.MaxHead+1)},
@@ -98,7 +98,7 @@
 		c := newOwner(t)
 		out := logged(c)
 		for range 3 {
-			if err := c.Check(args); !errors.Is(err, wire.ErrSenseless) {
+			if err := c.Check(args); !errors.Is(err, wire.ErrInvalidMessage) {
 				t.Errorf("%s: err %v", name, err)
 			}
 		}
@@ -114,9 +114,9 @@
 	for _, args := range []any{
 		peer.SyncArgs{}, peer.SyncArgs{From: "c-1", Claim: []int{0}, HandHome: []int{0}, Requests: 1, Changes: 2},
 		peer.SyncArgs{Orders: []fleet.Order{{Machine: "m", To: fleet.ReleaseToCloud}}},
-		peer.NudgeArgs{Key: record.ActiveJobKey("run-000001"), Version: 9, Value: openOf(func(*record.ActiveJob) {})},
-		peer.NudgeArgs{Key: record.FinishedJobKey("run-000001"), Value: record.Encode(record.FinishedJob{State: wire.Done, Tasks: 3})},
-		peer.LendArgs{From: "c-1", Changes: 2}, wire.Heartbeat{Machine: "m", Session: 1, Seq: 1}, peer.UserArgs{Method: "GET", Path: wire.JobsPath + "/run-000001"},
+		peer.NotifyArgs{Key: record.ActiveJobKey("run-000001"), Version: 9, Value: openOf(func(*record.ActiveJob) {})},
+		peer.NotifyArgs{Key: record.FinishedJobKey("run-000001"), Value: record.Encode(record.FinishedJob{State: wire.Done, Tasks: 3})},
+		peer.LoanArgs{From: "c-1", Changes: 2}, wire.Heartbeat{Machine: "m", Session: 1, Seq: 1}, peer.UserArgs{Method: "GET", Path: wire.JobsPath + "/run-000001"},
 	} {
 		if err := c.Check(args); err != nil {
 			t.Errorf("%+v: %v", args, err)
@@ -145,15 +145,15 @@
 		"need of no number":   c.checkSyncReply(summary(func(s *fleet.Summary) { s.Needs[0].CPUs = math.NaN() })),
 		"negative tasks":      c.checkSyncReply(summary(func(s *fleet.Summary) { s.Machines[0].Tasks = -1 })),
 		"negative requests":   c.checkSyncReply(&peer.SyncReply{Requests: -1}),
-		"a report's status":   checkReportReply(&peer.ReportReply{Status: 999}),
-		"no status":           checkReportReply(&peer.ReportReply{}),
+		"a report's status":   checkReportReply(&peer.HeartbeatReply{Status: 999}),
+		"no status":           checkReportReply(&peer.HeartbeatReply{}),
 		"a request's status":  checkUserReply(&peer.UserReply{Status: 7}),
 		"a body that is not":  checkUserReply(&peer.UserReply{Status: 200, Body: []byte("{")}),
 		"a negative pause":    checkUserReply(&peer.UserReply{Status: 503, RetryAfter: -1}),
 		"another job's state": checkStatus(&wire.Status{Ref: "run-000002"}, "run-000001"),
 		"a negative count":    checkStatus(&wire.Status{Ref: "run-000001", Done: -1}, "run-000001"),
 	} {
-		if !errors.Is(err, wire.ErrSenseless) {
+		if !errors.Is(err, wire.ErrInvalidMessage) {
 			t.Errorf("%s: err %v", name, err)
 		}
 	}
@@ -225,7 +225,7 @@
 		}
 		c.handleHeartbeat(httpwire.Request{Body: body}, func(transport.Response) {})
 		for _, key := range []string{record.ActiveJobKey("run-000001"), record.FinishedJobKey("run-000001")} {
-			a := peer.NudgeArgs{Key: key, Value: body, Version: 1}
+			a := peer.NotifyArgs{Key: key, Value: body, Version: 1}
 			if c.Check(a) == nil {
 				c.Nudge(a)
 			}
--- a/internal/controller/nudges.go
+++ b/internal/controller/nudges.go
@@ -24,7 +24,7 @@
 			if !strings.HasPrefix(op.Put, record.ActiveJobPrefix) {
 				continue
 			}
-			a := peer.NudgeArgs{Key: op.Put, Value: op.Value, Version: rev}
+			a := peer.NotifyArgs{Key: op.Put, Value: op.Value, Version: rev}
 			if err := owner.Call("Nudge", a, new(struct{}), statusTimeout); err != nil {
 				c.log.Debug("nudge", "key", a.Key, "err", err) // the watch tells it as well
 			}
@@ -36,7 +36,7 @@
 // just written it.
 //
 // Upgrade: the first version takes open records only and passes over others.
-func (c *Controller) Nudge(a peer.NudgeArgs) {
+func (c *Controller) Nudge(a peer.NotifyArgs) {
 	switch {
 	case strings.HasPrefix(a.Key, record.ActiveJobPrefix):
 		c.changeOpen(wire.Change{Put: a.Key, Value: a.Value, Version: a.Version}, time.Now())
@@ -48,6 +48,6 @@
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.dependencyEnded(record.Last(a.Key), j, time.Now())
+		c.dependencyEnded(record.LastElement(a.Key), j, time.Now())
 	}
 }
--- a/internal/controller/parts.go
+++ b/internal/controller/parts.go
@@ -186,8 +186,8 @@
 				c.log.Error("final record", "key", key, "err", err)
 				continue
 			}
-			c.notifyDependents(record.Last(key), op)
-			c.dependencyEnded(record.Last(key), j, now)
+			c.notifyDependents(record.LastElement(key), op)
+			c.dependencyEnded(record.LastElement(key), j, now)
 		}
 	}
 }
@@ -287,7 +287,7 @@
 // Those named are known to be open.
 func (c *Controller) missingPipelineEnds(ctx context.Context, purpose statestore.Purpose, rec *record.Pipeline, open []string) ([]record.PipelineJobEnd, error) {
 	var ends []record.PipelineJobEnd
-	for _, ref := range rec.Untold() {
+	for _, ref := range rec.MissingEnds() {
 		if slices.Contains(open, ref) {
 			continue
 		}
--- a/internal/controller/pipelines.go
+++ b/internal/controller/pipelines.go
@@ -39,7 +39,7 @@
 	if slices.ContainsFunc(specs, func(spec *wire.Spec) bool { return jobspec.CheckFeasible(spec, types, c.cfg.Params.Teams) != nil }) {
 		return transport.Response{Status: 422}
 	}
-	rec.Shard = record.ShardOf(c.teams, specs[0].Team, ref, c.cfg.Params.Count)
+	rec.Shard = record.ShardForJob(c.teams, specs[0].Team, ref, c.cfg.Params.Count)
 	t, ok := c.pipelineTxn(ref, rec, specs)
 	if !ok {
 		return transport.Response{Status: 422}
@@ -64,9 +64,9 @@
 // reports false if a record would be too large, or a step that follows.
 func (c *Controller) pipelineTxn(ref string, rec record.Pipeline, specs []*wire.Spec) (wire.Txn, bool) {
 	p := c.limits()
-	fits := !rec.InPieces(p.Bytes(), p.TxnOps)
+	fits := !rec.NeedsSplitCommits(p.Bytes(), p.TxnOps)
 	t := wire.Txn{
-		If:   []wire.Cond{{Key: record.PipelineKey(ref)}},
+		If:   []wire.Condition{{Key: record.PipelineKey(ref)}},
 		Then: []wire.Op{{Put: record.PipelineKey(ref), Value: record.Encode(rec)}},
 	}
 	follows := map[string]bool{}
@@ -77,10 +77,10 @@
 	}
 	size := 0
 	for _, spec := range specs {
-		open := record.Encode(record.ActiveJob{Spec: *spec, Shard: rec.Shard, At: time.Now().UnixMilli(), Pipeline: ref, AwaitsDependencies: follows[spec.Ref]})
+		open := record.Encode(record.ActiveJob{Spec: *spec, Shard: rec.Shard, AcceptedAt: time.Now().UnixMilli(), Pipeline: ref, AwaitsDependencies: follows[spec.Ref]})
 		size += len(open)
 		fits = fits && len(open) <= p.Bytes()
-		t.If = append(t.If, wire.Cond{Key: record.FinishedJobKey(spec.Ref)}, wire.Cond{Key: record.ActiveJobKey(spec.Ref)})
+		t.If = append(t.If, wire.Condition{Key: record.FinishedJobKey(spec.Ref)}, wire.Condition{Key: record.ActiveJobKey(spec.Ref)})
 		t.Then = append(t.Then, wire.Op{Put: record.ActiveJobKey(spec.Ref), Value: open})
 	}
 	return t, fits && size <= maxTxnBytes && len(t.Then) <= p.TxnOps && len(t.If) <= 4*p.TxnOps
@@ -127,7 +127,7 @@
 	for refs := range slices.Chunk(rec.Jobs, 4*c.limits().TxnOps) {
 		t := wire.Txn{Then: []wire.Op{}}
 		for _, ref := range refs {
-			t.If = append(t.If, wire.Cond{Key: record.ActiveJobKey(ref)})
+			t.If = append(t.If, wire.Condition{Key: record.ActiveJobKey(ref)})
 		}
 		_, err := c.store.Txn(ctx, purpose, t)
 		var conflict *statestore.ConflictError
@@ -176,7 +176,7 @@
 		return retryReply()
 	}
 	ends := rec.Ended
-	if limits := c.limits(); rec.InPieces(limits.Bytes(), limits.TxnOps) {
+	if limits := c.limits(); rec.NeedsSplitCommits(limits.Bytes(), limits.TxnOps) {
 		more, err := c.missingPipelineEnds(ctx, statestore.Routine("poll"), &rec, nil)
 		if err != nil {
 			return retryReply()
@@ -224,9 +224,9 @@
 		}
 		if rec.State == "" {
 			rec.State = wire.Cancelled
-			rec = rec.Over(c.limits().Bytes())
+			rec = rec.Compacted(c.limits().Bytes())
 			t := wire.Txn{
-				If:   []wire.Cond{{Key: record.PipelineKey(ref), Version: version}},
+				If:   []wire.Condition{{Key: record.PipelineKey(ref), Version: version}},
 				Then: []wire.Op{{Put: record.PipelineKey(ref), Value: record.Encode(rec)}},
 			}
 			_, err := c.store.Txn(ctx, use, t)
@@ -293,7 +293,7 @@
 		if o.Cancelled {
 			continue
 		}
-		t.If = append(t.If, wire.Cond{Key: key, Version: e.Version})
+		t.If = append(t.If, wire.Condition{Key: key, Version: e.Version})
 		t.Then = append(t.Then, wire.Op{Put: key, Value: c.cancelledRecord(o)})
 	}
 	return t, nil
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -42,7 +42,7 @@
 // decision is what an operator decides who knows what became of a job.
 func decision(key string, truth testkit.Image) recovery.Decision {
 	var j record.FinishedJob
-	e, over := truth.Entries[record.FinishedJobKey(record.Last(key))]
+	e, over := truth.Entries[record.FinishedJobKey(record.LastElement(key))]
 	switch {
 	case !over || json.Unmarshal(e.Value, &j) != nil:
 		return recovery.DecideRerun
--- a/internal/controller/restarts.go
+++ b/internal/controller/restarts.go
@@ -42,10 +42,10 @@
 	// lastPendingAt is when something last was awaited, or an order had to wait.
 	lastPendingAt time.Time
 
-	episode           *restart.Episode // nil: everything has settled
-	hadEpisode        bool             // an episode has begun since the process has
-	reconcilingShards map[int]bool     // that are settling
-	reconciledTally   reconcile.Tally  // of parts that have settled
+	episode           *restart.Episode        // nil: everything has settled
+	hadEpisode        bool                    // an episode has begun since the process has
+	reconcilingShards map[int]bool            // that are settling
+	reconciledTally   reconcile.OutcomeCounts // of parts that have settled
 }
 
 // restartRecord is the record of this controller's episodes. Only restartLoop uses it.
@@ -81,7 +81,7 @@
 		}
 		r.hadEpisode = true
 		r.episode = &restart.Episode{Incarnation: c.lease.Current().Incarnation, Cause: cause, BeganAt: now.UnixMilli()}
-		r.reconciledTally, r.quietSince, r.lastPendingAt = reconcile.Tally{}, now, now
+		r.reconciledTally, r.quietSince, r.lastPendingAt = reconcile.OutcomeCounts{}, now, now
 		c.log.Info("restart: settling begins", "cause", cause)
 	}
 	r.episode.Malformed += len(malformed)
@@ -181,17 +181,17 @@
 			continue
 		}
 		progress, settling := shard.ReconciliationProgress()
-		tally.Plus(progress.Tally)
+		tally.Merge(progress.Tally)
 		e.PendingTasks += progress.Pending
 		e.SilentMachines += progress.Unheard
 		e.PendingNames = append(e.PendingNames, progress.UnheardNames...)
 		if !settling || progress.Pending+progress.Unheard == 0 {
-			r.reconciledTally.Plus(progress.Tally)
+			r.reconciledTally.Merge(progress.Tally)
 			shard.EndReconciliation()
 			delete(r.reconcilingShards, id)
 		}
 	}
-	e.Outcomes = tally.Named()
+	e.Outcomes = tally.ByName()
 	e.CommandsPerSecond, e.CommandLimit = slices.Clone(r.limiter.ReleasedPerSecond(time.UnixMilli(e.BeganAt))), c.equalCommandRate()
 	if len(r.reconcilingShards) > 0 {
 		r.lastPendingAt = now
@@ -215,7 +215,7 @@
 	}
 	log.history.Put(e)
 	rev, err := c.store.Txn(ctx, use, wire.Txn{
-		If:   []wire.Cond{{Key: key, Version: log.version}},
+		If:   []wire.Condition{{Key: key, Version: log.version}},
 		Then: []wire.Op{{Put: key, Value: log.history.Encode(c.limits().Bytes())}},
 	})
 	if err != nil {
--- a/internal/controller/restarts_test.go
+++ b/internal/controller/restarts_test.go
@@ -255,12 +255,12 @@
 		on := k.world.On(ref(arrayJob))
 		others := slices.DeleteFunc(k.world.Machines(), func(m *testkit.Agent) bool { return slices.Contains(on, m) })
 		k.happened(len(others) > 2, "there are machines without the job")
-		others[0].Inject("run-999999", 0, 1, wire.Running, "")              // never known
-		others[0].Inject(ref(arrayJob), 0, 77, wire.Running, "")            // another attempt
-		others[1].Inject(ref(arrayJob), 1, 1, wire.Running, "")             // the same, elsewhere
-		others[1].Inject(ref(limitJob), 0, 1, wire.Running, "")             // cancelled
-		others[2].Inject(ref(firstOwn+busyJobs), 0, 9, wire.Running, "")    // done
-		others[2].Inject(ref(serviceJob), 0, 9, wire.Exited, wire.WhyError) // exited in vain
+		others[0].Inject("run-999999", 0, 1, wire.Running, "")               // never known
+		others[0].Inject(ref(arrayJob), 0, 77, wire.Running, "")             // another attempt
+		others[1].Inject(ref(arrayJob), 1, 1, wire.Running, "")              // the same, elsewhere
+		others[1].Inject(ref(limitJob), 0, 1, wire.Running, "")              // cancelled
+		others[2].Inject(ref(firstOwn+busyJobs), 0, 9, wire.Running, "")     // done
+		others[2].Inject(ref(serviceJob), 0, 9, wire.Exited, wire.ExitError) // exited in vain
 		k.comeBack(r)
 		k.await(2*time.Minute, "the strays gone", func() bool {
 			for _, m := range others[:3] {
@@ -298,11 +298,11 @@
 func TestRestartFindsMachines(t *testing.T) {
 	restarting(t, func(k *cluster, r *rand.Rand) {
 		stranger := wire.ProvisionRequest{Request: "late", Type: "big", Zone: "a", Count: 1}
-		names, err := k.world.Rentals(t.Context(), "late").Rent(t.Context(), stranger)
+		names, err := k.world.Rentals(t.Context(), "late").Provision(t.Context(), stranger)
 		if err != nil {
 			k.t.Fatal(err)
 		}
-		ghost := record.Provision{Type: "big", Zone: "a", Shards: []int{0}, IDs: []string{"i-999999"}, Born: time.Now().UnixMilli()}
+		ghost := record.Provision{Type: "big", Zone: "a", Shards: []int{0}, IDs: []string{"i-999999"}, CreatedAt: time.Now().UnixMilli()}
 		if err := k.world.State.Put(wire.Txn{Then: []wire.Op{{Put: record.ProvisionKey("ghost"), Value: record.Encode(ghost)}}}); err != nil {
 			k.t.Fatal(err)
 		}
--- a/internal/controller/stale_reads.go
+++ b/internal/controller/stale_reads.go
@@ -121,7 +121,7 @@
 		found = e.Version
 	}
 	if e == nil && strings.HasPrefix(key, record.ActiveJobPrefix) {
-		over, err := c.hasFinishedRecord(ctx, record.Last(key))
+		over, err := c.hasFinishedRecord(ctx, record.LastElement(key))
 		if err != nil || over {
 			return over, err
 		}
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -47,8 +47,8 @@
 	if jobspec.CheckFeasible(spec, types, c.cfg.Params.Teams) != nil {
 		return c.refuseUnlessAccepted(ctx, spec.Ref, 422)
 	}
-	part := record.ShardOf(c.teams, spec.Team, spec.Ref, c.cfg.Params.Count)
-	open := record.Encode(record.ActiveJob{Spec: *spec, Shard: part, At: time.Now().UnixMilli(), AwaitsDependencies: len(spec.DependsOn) > 0})
+	part := record.ShardForJob(c.teams, spec.Team, spec.Ref, c.cfg.Params.Count)
+	open := record.Encode(record.ActiveJob{Spec: *spec, Shard: part, AcceptedAt: time.Now().UnixMilli(), AwaitsDependencies: len(spec.DependsOn) > 0})
 	if len(open) > c.limits().Bytes() {
 		return c.refuseUnlessAccepted(ctx, spec.Ref, 422)
 	}
@@ -56,7 +56,7 @@
 		return no
 	}
 	t := wire.Txn{
-		If:   []wire.Cond{{Key: record.FinishedJobKey(spec.Ref)}, {Key: record.ActiveJobKey(spec.Ref)}},
+		If:   []wire.Condition{{Key: record.FinishedJobKey(spec.Ref)}, {Key: record.ActiveJobKey(spec.Ref)}},
 		Then: []wire.Op{{Put: record.ActiveJobKey(spec.Ref), Value: open}},
 	}
 	rev, err := c.store.Txn(ctx, statestore.Urgent("accept"), t)
--- a/internal/controller/users_test.go
+++ b/internal/controller/users_test.go
@@ -296,7 +296,7 @@
 	var batch []*Check
 	for _, ref := range []string{"run-000001", "run-000002", "run-000003"} {
 		c.submit(body(t, set("ref", ref)))
-		batch = append(batch, NewCheck(wire.Cond{Key: record.ActiveJobKey(ref), Version: activeJob(c, ref).Version}))
+		batch = append(batch, NewCheck(wire.Condition{Key: record.ActiveJobKey(ref), Version: activeJob(c, ref).Version}))
 	}
 	owned(state, other, func() transport.Response { return other.cancel("run-000002") })
 	c.checkUnchanged(ctx, batch)
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -273,7 +273,7 @@
 func (c *Controller) resetOpen(entries []wire.Entry, rev uint64, at time.Time) {
 	keep := map[string]bool{}
 	for _, e := range entries {
-		keep[record.Last(e.Key)] = true
+		keep[record.LastElement(e.Key)] = true
 		c.changeOpen(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, at)
 	}
 	missing := map[string]uint64{}
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -76,8 +76,8 @@
 }
 
 // relay answers a report with what its machine's owner says.
-func (c *Controller) relay(r *wire.Heartbeat, m record.View, owner string, token uint64, answer func(transport.Response)) {
-	var rr peer.ReportReply
+func (c *Controller) relay(r *wire.Heartbeat, m record.MachineView, owner string, token uint64, answer func(transport.Response)) {
+	var rr peer.HeartbeatReply
 	err := c.peers[owner].Call("Report", *r, &rr, relayTimeout)
 	err = c.sensible("answer to a relayed report", owner, err, func() error { return checkReportReply(&rr) })
 	if err == nil {
@@ -182,14 +182,14 @@
 }
 
 // Report implements peer.Handler: a report relayed by another controller.
-func (c *Controller) Report(r wire.Heartbeat) peer.ReportReply {
+func (c *Controller) Report(r wire.Heartbeat) peer.HeartbeatReply {
 	c.mu.Lock()
 	now := time.Now()
 	m, known := c.machines.Machine(r.Machine)
 	shard := c.shards[m.Shard]
 	if !known || shard == nil {
 		c.mu.Unlock()
-		return peer.ReportReply{Status: 503}
+		return peer.HeartbeatReply{Status: 503}
 	}
 	rep := c.ownReport(shard, &r, now)
 	if o, ok := rep.Body.(wire.Orders); ok && len(o.Commands) == 0 {
@@ -204,8 +204,8 @@
 	return relayed(rep)
 }
 
-func relayed(rep transport.Response) peer.ReportReply {
-	out := peer.ReportReply{Status: rep.Status}
+func relayed(rep transport.Response) peer.HeartbeatReply {
+	out := peer.HeartbeatReply{Status: rep.Status}
 	if o, ok := rep.Body.(wire.Orders); ok {
 		out.Orders = o
 	}
--- a/internal/drain/ledger_test.go
+++ b/internal/drain/ledger_test.go
@@ -128,7 +128,7 @@
 			owner := state.Put([]string{"ctl/parts/0", "ctl/parts/1"}[part], part)
 			in := Input{Now: start, Settings: testSettings(1), View: view, Shard: part, Bytes: 1 << 14,
 				Machines: []*Machine{testMachine("m", task(part))}}
-			a := TxnBuilder{Input: in, Owner: wire.Cond{Key: owner.Key, Version: owner.Version}, MachineGone: func(string) bool { return false }}
+			a := TxnBuilder{Input: in, Owner: wire.Condition{Key: owner.Key, Version: owner.Version}, MachineGone: func(string) bool { return false }}
 			ledgers := NewLedgers(view)
 			writes := a.Writes(PlanSteps(&in, ledgers), ledgers)
 			if len(writes) == 0 || writes[0].Team != "team" {
--- a/internal/drain/operator_txns.go
+++ b/internal/drain/operator_txns.go
@@ -13,7 +13,7 @@
 func StartTxn(p Plan) wire.Txn {
 	key := PlanKey(p.Name)
 	return wire.Txn{
-		If:   []wire.Cond{{Key: key}},
+		If:   []wire.Condition{{Key: key}},
 		Then: []wire.Op{{Put: key, Value: record.Encode(p)}},
 	}
 }
@@ -33,7 +33,7 @@
 	}
 	key := PlanKey(p.Rec.Name)
 	return wire.Txn{
-		If:   []wire.Cond{{Key: key, Version: p.Version}},
+		If:   []wire.Condition{{Key: key, Version: p.Version}},
 		Then: []wire.Op{{Put: key, Value: record.Encode(changed)}},
 	}, nil
 }
--- a/internal/drain/txn_builder.go
+++ b/internal/drain/txn_builder.go
@@ -15,7 +15,7 @@
 // controllers that decide at the same moment one fails.
 type TxnBuilder struct {
 	Input
-	Owner wire.Cond // the part's record
+	Owner wire.Condition // the part's record
 	// MachineGone tells whether a machine has been given back or is lost.
 	MachineGone func(machine string) bool
 	// HoldTimes is how long machines were held since the last write, by drain and reason.
@@ -56,7 +56,7 @@
 	if !l.ShrinkTo(func(l *Ledger) int { return encodedSize(l) }, b.Bytes) {
 		return Write{}, false
 	}
-	w := Write{Txn: wire.Txn{If: []wire.Cond{b.Owner}}, Team: team}
+	w := Write{Txn: wire.Txn{If: []wire.Condition{b.Owner}}, Team: team}
 	b.putIfVersion(&w, LedgerKey(team), b.View.Ledger(team).Version, l)
 	var granted []Eviction
 	for _, e := range steps.Evictions {
@@ -91,7 +91,7 @@
 	if gone+lifted+added == 0 {
 		return Write{}, false
 	}
-	w := Write{Txn: wire.Txn{If: []wire.Cond{b.Owner}}}
+	w := Write{Txn: wire.Txn{If: []wire.Condition{b.Owner}}}
 	b.putIfVersion(&w, CordonsKey, held.Version, next)
 	b.requireUnchanged(&w, name)
 	b.putProgress(&w, name, ledgers, func(c *Progress) {
@@ -148,7 +148,7 @@
 		if n := len(c.Samples); n > 0 && b.Now.Sub(time.UnixMilli(c.Samples[n-1].At)) < progressInterval {
 			continue
 		}
-		w := Write{Txn: wire.Txn{If: []wire.Cond{b.Owner}}}
+		w := Write{Txn: wire.Txn{If: []wire.Condition{b.Owner}}}
 		b.putProgress(&w, name, ledgers, func(*Progress) {})
 		return []Write{w}
 	}
@@ -157,14 +157,14 @@
 
 // putIfVersion adds a record that replaces one of a version.
 func (b *TxnBuilder) putIfVersion(w *Write, key string, version uint64, rec any) {
-	w.Txn.If = append(w.Txn.If, wire.Cond{Key: key, Version: version})
+	w.Txn.If = append(w.Txn.If, wire.Condition{Key: key, Version: version})
 	w.Txn.Then = append(w.Txn.Then, wire.Op{Put: key, Value: record.Encode(rec)})
 }
 
 // requireUnchanged makes a write fail if a drain's record is not what it is taken for.
 func (b *TxnBuilder) requireUnchanged(w *Write, name string) {
 	p, _ := b.View.Plan(name)
-	w.Txn.If = append(w.Txn.If, wire.Cond{Key: PlanKey(name), Version: p.Version})
+	w.Txn.If = append(w.Txn.If, wire.Condition{Key: PlanKey(name), Version: p.Version})
 }
 
 // putProgress adds the course of a drain, changed and with a new point.
@@ -214,7 +214,7 @@
 	ended := p.Rec
 	ended.State, ended.Ended = Finished, now.UnixMilli()
 	return wire.Txn{
-		If:   []wire.Cond{{Key: key, Version: p.Version}, {Key: CordonsKey, Version: v.cordons.Version}},
+		If:   []wire.Condition{{Key: key, Version: p.Version}, {Key: CordonsKey, Version: v.cordons.Version}},
 		Then: []wire.Op{{Put: key, Value: record.Encode(ended)}},
 	}
 }
@@ -234,7 +234,7 @@
 func (v *View) purge(p Versioned[Plan], ops int) wire.Txn {
 	var t wire.Txn
 	remove := func(key string, version uint64) {
-		t.If = append(t.If, wire.Cond{Key: key, Version: version})
+		t.If = append(t.If, wire.Condition{Key: key, Version: version})
 		t.Then = append(t.Then, wire.Op{Delete: key})
 	}
 	for _, key := range slices.Sorted(maps.Keys(v.progress)) {
--- a/internal/drainctl/drainctl.go
+++ b/internal/drainctl/drainctl.go
@@ -45,7 +45,7 @@
 	}
 	fleet := record.NewFleet()
 	for _, e := range entries {
-		if _, err := fleet.Change(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}); err != nil {
+		if _, err := fleet.Apply(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}); err != nil {
 			return nil, fmt.Errorf("read the machines: %w", err)
 		}
 	}
@@ -53,9 +53,9 @@
 }
 
 // inService returns the machines that have not been given back, as a selector sees them.
-func inService(fleet *record.Fleet) map[string]record.View {
-	out := map[string]record.View{}
-	fleet.Each(func(id string, v record.View) {
+func inService(fleet *record.Fleet) map[string]record.MachineView {
+	out := map[string]record.MachineView{}
+	fleet.ForEach(func(id string, v record.MachineView) {
 		if v.Phase == record.InUse {
 			out[id] = v
 		}
@@ -64,8 +64,8 @@
 }
 
 // selects reports whether a drain is about a machine.
-func selects(p *drain.Plan, id string, v record.View) bool {
-	return p.Selects(id, v.Type, v.Zone, time.UnixMilli(v.Born))
+func selects(p *drain.Plan, id string, v record.MachineView) bool {
+	return p.Selects(id, v.Type, v.Zone, time.UnixMilli(v.CreatedAt))
 }
 
 // Start asks for a drain.
--- a/internal/drainctl/dryrun.go
+++ b/internal/drainctl/dryrun.go
@@ -38,7 +38,7 @@
 	for id, v := range inService(fleet) {
 		zones[v.Zone]++
 		if selects(&p, id, v) {
-			selected = append(selected, &drain.Machine{ID: id, Type: v.Type, Zone: v.Zone, Rented: time.UnixMilli(v.Born), Units: work[id]})
+			selected = append(selected, &drain.Machine{ID: id, Type: v.Type, Zone: v.Zone, Rented: time.UnixMilli(v.CreatedAt), Units: work[id]})
 		}
 	}
 	var steps []Step
@@ -80,7 +80,7 @@
 		if err := json.Unmarshal(e.Value, &o); err != nil {
 			return nil, fmt.Errorf("record %s: %w", e.Key, err)
 		}
-		specs[record.Last(e.Key)] = &o.Spec
+		specs[record.LastElement(e.Key)] = &o.Spec
 	}
 	w := workReader{specs: specs, units: map[drain.UnitID]*drain.Unit{}, on: map[string]map[drain.UnitID]*drain.Unit{}}
 	for _, e := range slots {
@@ -107,7 +107,7 @@
 		if !ok || spec == nil {
 			continue // its end is recorded
 		}
-		for i, place := range run.On {
+		for i, place := range run.Placed {
 			w.place(spec, i, place.Machine)
 		}
 	}
--- a/internal/peer/layout_test.go
+++ b/internal/peer/layout_test.go
@@ -43,7 +43,7 @@
 				Needs: []fleet.Need{{Job: "run-000002", Image: "img", CPUs: 1, GPUs: 2, MemoryGB: 3, Types: []string{"big"}, Zone: "z1",
 					Spot: true, OneZone: true, Gang: true, Count: 4, Rank: 2, Waited: 7 * time.Second}}}}}},
 		{"Nf+XAwEBCU51ZGdlQXJncwH/mAABAwEDS2V5AQwAAQVWYWx1ZQEKAAEHVmVyc2lvbgEGAAAAC/+YAQFrAQF2AQUA",
-			NudgeArgs{Key: "k", Value: []byte("v"), Version: 5}},
+			NotifyArgs{Key: "k", Value: []byte("v"), Version: 5}},
 		{"ef+ZAwEBBlJlcG9ydAH/mgABCgEHTWFjaGluZQEMAAEEQWRkcgEMAAEEVHlwZQEMAAEEWm9uZQEMAAEEU3BvdAECAAEHU2Vzc2lv" +
 			"bgEGAAEDU2VxAQYAAQVUb2tlbgEGAAEHTm90aWNlUwEIAAEFVGFza3MB/54AAAAg/50CAQERW113aXJlLlJlcG9ydFRhc2sB/54A" +
 			"Af+cAABJ/5sDAQEKUmVwb3J0VGFzawH/nAABBQEEVGFzawEMAAEHQXR0ZW1wdAEGAAEFU3RhdGUBDAABA1doeQEMAAEFU2F2ZWQB" +
@@ -53,7 +53,7 @@
 		{"MP+fAwEBC1JlcG9ydFJlcGx5Af+gAAECAQZTdGF0dXMBBAABBk9yZGVycwH/ogAAACz/oQMBAQZPcmRlcnMB/6IAAQIBBVRva2Vu" +
 			"AQYAAQhDb21tYW5kcwH/pgAAAB3/pQIBAQ5bXXdpcmUuQ29tbWFuZAH/pgAB/6QAADz/owMBAQdDb21tYW5kAf+kAAEEAQJPcAEM" +
 			"AAEEVGFzawEMAAEHQXR0ZW1wdAEGAAEGR3JhY2VTAQgAAAAn/6AB/gGQAQEFAQEBA3J1bgEMcnVuLTAwMDAwMS8wAQIB/ihAAAAA",
-			ReportReply{Status: 200, Orders: wire.Orders{Token: 5,
+			HeartbeatReply{Status: 200, Orders: wire.Orders{Token: 5,
 				Commands: []wire.Command{{Op: wire.Start, Task: "run-000001/0", Attempt: 2, GraceS: &notice}}}}},
 		{"M/+nAwEBCFVzZXJBcmdzAf+oAAEDAQZNZXRob2QBDAABBFBhdGgBDAABBEJvZHkBCgAAAA//qAEDR0VUAQIvcAEBYgA=",
 			UserArgs{Method: "GET", Path: "/p", Body: []byte("b")}},
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -46,15 +46,15 @@
 	OrdersWaiting int
 }
 
-// NudgeArgs tells an owner a job's record as it was just written.
-type NudgeArgs struct {
+// NotifyArgs tells an owner a job's record as it was just written.
+type NotifyArgs struct {
 	Key     string
 	Value   []byte
 	Version uint64
 }
 
-// ReportReply answers a relayed report.
-type ReportReply struct {
+// HeartbeatReply answers a relayed report.
+type HeartbeatReply struct {
 	Status int
 	Orders wire.Orders
 }
@@ -73,9 +73,9 @@
 	RetryAfter int
 }
 
-// LendArgs asks the leader for changes beyond the sender's part of the state
+// LoanArgs asks the leader for changes beyond the sender's part of the state
 // service's limit.
-type LendArgs struct {
+type LoanArgs struct {
 	From    string
 	Changes int
 	Modest  bool // leave a part to those that need many at once
@@ -101,58 +101,58 @@
 	// Malformed takes in that a call could not be read, or not be taken.
 	Malformed(from string, err error)
 	Sync(SyncArgs) SyncReply
-	Nudge(NudgeArgs)
-	Report(wire.Heartbeat) ReportReply
+	Nudge(NotifyArgs)
+	Report(wire.Heartbeat) HeartbeatReply
 	Status(ref string) (wire.Status, bool)
 	User(UserArgs) UserReply
 	Ping() bool
 	Format() int
-	Lend(LendArgs) bool
+	Lend(LoanArgs) bool
 	Evidence(EvidenceArgs) EvidenceReply
 }
 
 // Service is the net/rpc side of a Handler.
-type Service struct{ h Handler }
+type Service struct{ handler Handler }
 
 // Sync serves Handler.Sync.
 func (s *Service) Sync(a SyncArgs, r *SyncReply) error {
-	if err := s.h.Check(a); err != nil {
+	if err := s.handler.Check(a); err != nil {
 		return err
 	}
-	*r = s.h.Sync(a)
+	*r = s.handler.Sync(a)
 	return nil
 }
 
 // Nudge serves Handler.Nudge.
-func (s *Service) Nudge(a NudgeArgs, _ *struct{}) error {
-	if err := s.h.Check(a); err != nil {
+func (s *Service) Nudge(a NotifyArgs, _ *struct{}) error {
+	if err := s.handler.Check(a); err != nil {
 		return err
 	}
-	s.h.Nudge(a)
+	s.handler.Nudge(a)
 	return nil
 }
 
 // Report serves Handler.Report.
-func (s *Service) Report(a wire.Heartbeat, r *ReportReply) error {
-	if err := s.h.Check(a); err != nil {
+func (s *Service) Report(a wire.Heartbeat, r *HeartbeatReply) error {
+	if err := s.handler.Check(a); err != nil {
 		return err
 	}
-	*r = s.h.Report(a)
+	*r = s.handler.Report(a)
 	return nil
 }
 
 // User serves Handler.User.
 func (s *Service) User(a UserArgs, r *UserReply) error {
-	if err := s.h.Check(a); err != nil {
+	if err := s.handler.Check(a); err != nil {
 		return err
 	}
-	*r = s.h.User(a)
+	*r = s.handler.User(a)
 	return nil
 }
 
 // Ping serves Handler.Ping: whether this controller reaches the state service.
 func (s *Service) Ping(_ string, r *bool) error {
-	*r = s.h.Ping()
+	*r = s.handler.Ping()
 	return nil
 }
 
@@ -160,18 +160,18 @@
 //
 // Upgrade: the first version has no such method.
 func (s *Service) Format(_ string, r *int) error {
-	*r = s.h.Format()
+	*r = s.handler.Format()
 	return nil
 }
 
 // Lend serves Handler.Lend: whether the sender may make the changes it asks for.
 //
 // Upgrade: the first version has no such method, and lends nothing.
-func (s *Service) Lend(a LendArgs, r *bool) error {
-	if err := s.h.Check(a); err != nil {
+func (s *Service) Lend(a LoanArgs, r *bool) error {
+	if err := s.handler.Check(a); err != nil {
 		return err
 	}
-	*r = s.h.Lend(a)
+	*r = s.handler.Lend(a)
 	return nil
 }
 
@@ -179,18 +179,18 @@
 //
 // Upgrade: the first version has no such method, and holds no safe mode.
 func (s *Service) Evidence(a EvidenceArgs, r *EvidenceReply) error {
-	*r = s.h.Evidence(a)
+	*r = s.handler.Evidence(a)
 	return nil
 }
 
-// ErrNotHere says that a controller does not hold a job.
-var ErrNotHere = errors.New("peer: job not held here")
+// ErrJobNotHeld says that a controller does not hold a job.
+var ErrJobNotHeld = errors.New("peer: job not held here")
 
 // Status serves Handler.Status.
 func (s *Service) Status(ref string, r *wire.Status) error {
-	st, ok := s.h.Status(ref)
+	st, ok := s.handler.Status(ref)
 	if !ok {
-		return ErrNotHere
+		return ErrJobNotHeld
 	}
 	*r = st
 	return nil
@@ -219,9 +219,9 @@
 // NewClient returns a client; it connects when it is first used.
 func NewClient(addr string) *Client { return &Client{addr: addr} }
 
-// maxReplies is how many bytes may come between two calls: the largest answer tells of
+// maxReplyBytes is how many bytes may come between two calls: the largest answer tells of
 // all machines, some hundred bytes for each.
-const maxReplies = 8 << 20
+const maxReplyBytes = 8 << 20
 
 // boundedConn is a connection of which no more is read after one call and before the next.
 type boundedConn struct {
@@ -229,8 +229,8 @@
 	read atomic.Int64 // bytes since the last call
 }
 
-// errReplies is why nothing more is read.
-var errReplies = errors.New("peer: answers are too large")
+// errReplyTooLarge is why nothing more is read.
+var errReplyTooLarge = errors.New("peer: answers are too large")
 
 // Write implements net.Conn.
 func (b *boundedConn) Write(p []byte) (int, error) {
@@ -241,8 +241,8 @@
 // Read implements net.Conn.
 func (b *boundedConn) Read(p []byte) (int, error) {
 	n, err := b.Conn.Read(p)
-	if b.read.Add(int64(n)) > maxReplies {
-		return n, errReplies
+	if b.read.Add(int64(n)) > maxReplyBytes {
+		return n, errReplyTooLarge
 	}
 	return n, err
 }
--- a/internal/peer/serve.go
+++ b/internal/peer/serve.go
@@ -14,20 +14,20 @@
 
 // Bounds of what other controllers may send. Each is several times what they do.
 const (
-	// maxMessage is the bytes of one call. The largest is the leader's orders, some
+	// maxRequestBytes is the bytes of one call. The largest is the leader's orders, some
 	// hundred bytes for each machine.
-	maxMessage = 1 << 20
-	// maxCalls is how many calls of one connection are answered at a time: reports
+	maxRequestBytes = 1 << 20
+	// maxConcurrentCalls is how many calls of one connection are answered at a time: reports
 	// relayed by one controller are answered within 1.2 s each.
-	maxCalls = 1024
-	// connsPerPeer is how many connections each of the others may have open: one is
+	maxConcurrentCalls = 1024
+	// maxConnsPerPeer is how many connections each of the others may have open: one is
 	// used, and those that hang in silence go after idlePeer.
-	connsPerPeer = 8
-	// idlePeer is how long a connection may say nothing: calls come every second.
-	idlePeer = 30 * time.Second
-	// slowPeer is how long a call may take to arrive once it has begun, or an answer
+	maxConnsPerPeer = 8
+	// idleTimeout is how long a connection may say nothing: calls come every second.
+	idleTimeout = 30 * time.Second
+	// transferTimeout is how long a call may take to arrive once it has begun, or an answer
 	// to leave.
-	slowPeer = 5 * time.Second
+	transferTimeout = 5 * time.Second
 )
 
 // Serve answers so many other controllers until the listener fails.
@@ -36,7 +36,7 @@
 	if err := srv.RegisterName("Controller", &Service{h}); err != nil {
 		return fmt.Errorf("register peer service: %w", err)
 	}
-	open := make(chan struct{}, max(1, others)*connsPerPeer)
+	open := make(chan struct{}, max(1, others)*maxConnsPerPeer)
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -49,14 +49,14 @@
 				srv.ServeCodec(newCodec(c, h))
 			}()
 		default:
-			h.Malformed(hostOf(c), errCrowd)
+			h.Malformed(hostOf(c), errTooManyConnections)
 			c.Close() // its sender tries again
 		}
 	}
 }
 
-// errCrowd is why a connection is refused.
-var errCrowd = errors.New("peer: more connections than controllers need")
+// errTooManyConnections is why a connection is refused.
+var errTooManyConnections = errors.New("peer: more connections than controllers need")
 
 // hostOf names who is at the other end of a connection.
 func hostOf(c net.Conn) string {
@@ -70,59 +70,59 @@
 // codec is net/rpc's usual encoding with bounds on the bytes of a call, on the time it
 // may take and on the calls under way. It implements rpc.ServerCodec.
 type codec struct {
-	h     Handler
-	conn  net.Conn
-	limit *io.LimitedReader
-	in    *bufio.Reader
-	dec   *gob.Decoder
-	out   *bufio.Writer
-	enc   *gob.Encoder
-	calls chan struct{} // under way
-	over  chan struct{} // closed with the connection
-	close sync.Once
+	handler  Handler
+	conn     net.Conn
+	limit    *io.LimitedReader
+	in       *bufio.Reader
+	dec      *gob.Decoder
+	out      *bufio.Writer
+	enc      *gob.Encoder
+	inFlight chan struct{} // under way
+	closed   chan struct{} // closed with the connection
+	close    sync.Once
 }
 
 func newCodec(c net.Conn, h Handler) *codec {
 	limit := &io.LimitedReader{R: c}
 	in, out := bufio.NewReader(limit), bufio.NewWriter(c)
 	return &codec{
-		h: h, conn: c, limit: limit, in: in, dec: gob.NewDecoder(in), out: out, enc: gob.NewEncoder(out),
-		calls: make(chan struct{}, maxCalls), over: make(chan struct{}),
+		handler: h, conn: c, limit: limit, in: in, dec: gob.NewDecoder(in), out: out, enc: gob.NewEncoder(out),
+		inFlight: make(chan struct{}, maxConcurrentCalls), closed: make(chan struct{}),
 	}
 }
 
 // ReadRequestHeader implements rpc.ServerCodec.
 func (c *codec) ReadRequestHeader(r *rpc.Request) error {
 	select {
-	case c.calls <- struct{}{}:
-	case <-c.over:
+	case c.inFlight <- struct{}{}:
+	case <-c.closed:
 		return net.ErrClosed
 	}
-	c.limit.N = maxMessage
-	if err := c.conn.SetReadDeadline(time.Now().Add(idlePeer)); err != nil {
+	c.limit.N = maxRequestBytes
+	if err := c.conn.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
 		return err
 	}
 	if _, err := c.in.Peek(1); err != nil {
 		return err
 	}
-	if err := c.conn.SetReadDeadline(time.Now().Add(slowPeer)); err != nil {
+	if err := c.conn.SetReadDeadline(time.Now().Add(transferTimeout)); err != nil {
 		return err
 	}
-	return c.told(c.dec.Decode(r))
+	return c.reportReadError(c.dec.Decode(r))
 }
 
 // ReadRequestBody implements rpc.ServerCodec.
-func (c *codec) ReadRequestBody(body any) error { return c.told(c.dec.Decode(body)) }
+func (c *codec) ReadRequestBody(body any) error { return c.reportReadError(c.dec.Decode(body)) }
 
-// told passes on why a call can't be read. After one that is too large or too slow
+// reportReadError passes on why a call can't be read. After one that is too large or too slow
 // nothing else can be.
-func (c *codec) told(err error) error {
+func (c *codec) reportReadError(err error) error {
 	if err == nil {
 		return nil
 	}
 	whole := c.limit.N > 0
 	if gone := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF); !gone || !whole {
-		c.h.Malformed(hostOf(c.conn), err)
+		c.handler.Malformed(hostOf(c.conn), err)
 	}
 	var late net.Error
 	if !whole || errors.As(err, &late) {
@@ -133,8 +133,8 @@
 
 // WriteResponse implements rpc.ServerCodec.
 func (c *codec) WriteResponse(r *rpc.Response, body any) error {
-	defer func() { <-c.calls }()
-	err := c.conn.SetWriteDeadline(time.Now().Add(slowPeer))
+	defer func() { <-c.inFlight }()
+	err := c.conn.SetWriteDeadline(time.Now().Add(transferTimeout))
 	if err == nil {
 		err = c.enc.Encode(r)
 	}
@@ -152,6 +152,6 @@
 
 // Close implements rpc.ServerCodec.
 func (c *codec) Close() error {
-	c.close.Do(func() { close(c.over) })
+	c.close.Do(func() { close(c.closed) })
 	return c.conn.Close()
 }
--- a/internal/peer/serve_test.go
+++ b/internal/peer/serve_test.go
@@ -21,8 +21,8 @@
 }
 
 func (s *scripted) Check(args any) error {
-	if a, ok := args.(NudgeArgs); ok && a.Key == "" {
-		return wire.ErrSenseless
+	if a, ok := args.(NotifyArgs); ok && a.Key == "" {
+		return wire.ErrInvalidMessage
 	}
 	return nil
 }
@@ -35,7 +35,7 @@
 	s.malformed++
 }
 
-func (s *scripted) Nudge(NudgeArgs) {
+func (s *scripted) Nudge(NotifyArgs) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nudges++
@@ -47,13 +47,13 @@
 	return s.nudges, s.malformed
 }
 
-func (s *scripted) Sync(SyncArgs) SyncReply           { return SyncReply{} }
-func (s *scripted) Report(wire.Heartbeat) ReportReply { return ReportReply{} }
-func (s *scripted) Status(string) (wire.Status, bool) { return wire.Status{}, false }
-func (s *scripted) User(UserArgs) UserReply           { return UserReply{} }
-func (s *scripted) Ping() bool                        { return true }
-func (s *scripted) Format() int                       { return 0 }
-func (s *scripted) Lend(LendArgs) bool                { return false }
+func (s *scripted) Sync(SyncArgs) SyncReply              { return SyncReply{} }
+func (s *scripted) Report(wire.Heartbeat) HeartbeatReply { return HeartbeatReply{} }
+func (s *scripted) Status(string) (wire.Status, bool)    { return wire.Status{}, false }
+func (s *scripted) User(UserArgs) UserReply              { return UserReply{} }
+func (s *scripted) Ping() bool                           { return true }
+func (s *scripted) Format() int                          { return 0 }
+func (s *scripted) Lend(LoanArgs) bool                   { return false }
 
 // pipes is a listener in memory.
 type pipes struct{ calls chan net.Conn }
@@ -111,7 +111,7 @@
 		if !ping(t, other) {
 			t.Error("another controller is not answered")
 		}
-		if !closedWithin(half, slowPeer+time.Second) {
+		if !closedWithin(half, transferTimeout+time.Second) {
 			t.Error("a half-sent call keeps its connection")
 		}
 		if !ping(t, other) {
@@ -126,7 +126,7 @@
 func TestSilentPeerIsClosed(t *testing.T) {
 	serve(t, func(t *testing.T, p *pipes, _ *scripted) {
 		c := p.dial(t)
-		if closedWithin(c, idlePeer-time.Second) {
+		if closedWithin(c, idleTimeout-time.Second) {
 			t.Error("closed too early")
 		}
 		if !closedWithin(c, 2*time.Second) {
@@ -139,7 +139,7 @@
 func TestOversizedCallIsRefused(t *testing.T) {
 	serve(t, func(t *testing.T, p *pipes, h *scripted) {
 		c := rpc.NewClient(p.dial(t))
-		if err := c.Call("Controller.Nudge", NudgeArgs{Key: "k", Value: make([]byte, 4*maxMessage)}, new(struct{})); err == nil {
+		if err := c.Call("Controller.Nudge", NotifyArgs{Key: "k", Value: make([]byte, 4*maxRequestBytes)}, new(struct{})); err == nil {
 			t.Error("taken")
 		}
 		if nudges, malformed := h.counts(); nudges != 0 || malformed != 1 {
@@ -157,13 +157,13 @@
 	serve(t, func(t *testing.T, p *pipes, h *scripted) {
 		c := rpc.NewClient(p.dial(t))
 		for method, args := range map[string]any{
-			"Controller.Nudge": "text", "Controller.Sync": []int{1}, "Controller.None": 1, "Controller.Report": NudgeArgs{Key: "k"},
+			"Controller.Nudge": "text", "Controller.Sync": []int{1}, "Controller.None": 1, "Controller.Report": NotifyArgs{Key: "k"},
 		} {
 			if err := c.Call(method, args, new(struct{})); err == nil {
 				t.Errorf("%s(%v): taken", method, args)
 			}
 		}
-		if err := c.Call("Controller.Nudge", NudgeArgs{Version: 1}, new(struct{})); err == nil {
+		if err := c.Call("Controller.Nudge", NotifyArgs{Version: 1}, new(struct{})); err == nil {
 			t.Error("a senseless call is taken")
 		}
 		if nudges, _ := h.counts(); nudges != 0 {
@@ -180,7 +180,7 @@
 func TestPeersConnectionsAreBounded(t *testing.T) {
 	serve(t, func(t *testing.T, p *pipes, _ *scripted) {
 		var all []net.Conn
-		for range connsPerPeer {
+		for range maxConnsPerPeer {
 			all = append(all, p.dial(t))
 		}
 		if !closedWithin(p.dial(t), time.Second) {
@@ -206,7 +206,7 @@
 		}
 	}()
 	n, err := io.Copy(io.Discard, &boundedConn{Conn: near})
-	if !errors.Is(err, errReplies) || n > maxReplies+64<<10 {
+	if !errors.Is(err, errReplyTooLarge) || n > maxReplyBytes+64<<10 {
 		t.Errorf("%d bytes, err %v", n, err)
 	}
 }
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -10,23 +10,23 @@
 func TestClaimed(t *testing.T) {
 	for _, x := range []struct {
 		name  string
-		claim Claim
-		want  Finding
+		claim ReportedTask
+		want  Result
 	}{
-		{"as recorded", Claim{State: wire.Running, KnownJob: true, Placed: true}, Finding{Adopted, Keep}},
-		{"fetches as recorded", Claim{State: wire.Fetching, KnownJob: true, Placed: true}, Finding{Adopted, Keep}},
-		{"completed while away", Claim{State: wire.Exited, Why: wire.Done, KnownJob: true, Placed: true}, Finding{Finished, Complete}},
-		{"failed while away", Claim{State: wire.Exited, Why: wire.WhyError, KnownJob: true, Placed: true}, Finding{Finished, Free}},
-		{"of no job known", Claim{State: wire.Running}, Finding{Unknown, Stop}},
-		{"exited, of no job known", Claim{State: wire.Exited, Why: wire.Done, MayForget: true}, Finding{Unknown, Forget}},
-		{"exited, but may start anew", Claim{State: wire.Exited, Why: wire.Done}, Finding{Unknown, Retain}},
-		{"another attempt", Claim{State: wire.Running, KnownJob: true}, Finding{ToStop, Stop}},
-		{"the same attempt elsewhere", Claim{State: wire.Running, KnownJob: true, Elsewhere: true}, Finding{Contradictory, Stop}},
-		{"another attempt completed", Claim{State: wire.Exited, Why: wire.Done, KnownJob: true}, Finding{Finished, Complete}},
-		{"its completion is on record", Claim{State: wire.Exited, Why: wire.Done, KnownJob: true, Done: true, Durable: true, MayForget: true}, Finding{ToStop, Forget}},
-		{"failed, but is known to be done", Claim{State: wire.Exited, Why: wire.WhyError, KnownJob: true, Done: true, MayForget: true}, Finding{Contradictory, Forget}},
+		{"as recorded", ReportedTask{State: wire.Running, JobKnown: true, Placed: true}, Result{Adopted, NoAction}},
+		{"fetches as recorded", ReportedTask{State: wire.Fetching, JobKnown: true, Placed: true}, Result{Adopted, NoAction}},
+		{"completed while away", ReportedTask{State: wire.Exited, Why: wire.Done, JobKnown: true, Placed: true}, Result{Finished, RecordCompletion}},
+		{"failed while away", ReportedTask{State: wire.Exited, Why: wire.ExitError, JobKnown: true, Placed: true}, Result{Finished, FreePlacement}},
+		{"of no job known", ReportedTask{State: wire.Running}, Result{Unrecorded, Stop}},
+		{"exited, of no job known", ReportedTask{State: wire.Exited, Why: wire.Done, CannotRestart: true}, Result{Unrecorded, Forget}},
+		{"exited, but may start anew", ReportedTask{State: wire.Exited, Why: wire.Done}, Result{Unrecorded, RetainResult}},
+		{"another attempt", ReportedTask{State: wire.Running, JobKnown: true}, Result{MustStop, Stop}},
+		{"the same attempt elsewhere", ReportedTask{State: wire.Running, JobKnown: true, PlacedElsewhere: true}, Result{Conflicting, Stop}},
+		{"another attempt completed", ReportedTask{State: wire.Exited, Why: wire.Done, JobKnown: true}, Result{Finished, RecordCompletion}},
+		{"its completion is on record", ReportedTask{State: wire.Exited, Why: wire.Done, JobKnown: true, Completed: true, CompletionRecorded: true, CannotRestart: true}, Result{MustStop, Forget}},
+		{"failed, but is known to be done", ReportedTask{State: wire.Exited, Why: wire.ExitError, JobKnown: true, Completed: true, CannotRestart: true}, Result{Conflicting, Forget}},
 	} {
-		if got := Claimed(x.claim); got != x.want {
+		if got := ClassifyReported(x.claim); got != x.want {
 			t.Errorf("%s: %v, want %v", x.name, got, x.want)
 		}
 	}
@@ -35,20 +35,20 @@
 func TestAbsent(t *testing.T) {
 	for _, x := range []struct {
 		name    string
-		absence Absence
-		want    Finding
+		absence AbsentTask
+		want    Result
 	}{
-		{"not recorded yet", Absence{}, Finding{Awaited, Wait}},
-		{"of an earlier owner", Absence{Told: true, Inherited: true}, Finding{Missing, Free}},
-		{"was there", Absence{Told: true, Seen: true}, Finding{Missing, Free}},
-		{"sent in an earlier session", Absence{Told: true, Sent: true, EarlierSession: true}, Finding{Missing, Free}},
-		{"its start may be on its way", Absence{Told: true, Sent: true, Direct: true}, Finding{Awaited, Wait}},
-		{"its start did not arrive", Absence{Told: true, Sent: true}, Finding{Awaited, Repeat}},
-		{"its start can't come any more", Absence{Told: true, Sent: true, Stopping: true}, Finding{Missing, Free}},
-		{"its start may still come", Absence{Told: true, Sent: true, Stopping: true, MayCome: true}, Finding{Awaited, Repeat}},
-		{"not sent", Absence{Told: true}, Finding{Awaited, Wait}},
+		{"not recorded yet", AbsentTask{}, Result{Pending, AwaitEvidence}},
+		{"of an earlier owner", AbsentTask{PlacementRecorded: true, PlacedByPredecessor: true}, Result{Missing, FreePlacement}},
+		{"was there", AbsentTask{PlacementRecorded: true, SeenBefore: true}, Result{Missing, FreePlacement}},
+		{"sent in an earlier session", AbsentTask{PlacementRecorded: true, StartSent: true, SentToEarlierIncarnation: true}, Result{Missing, FreePlacement}},
+		{"its start may be on its way", AbsentTask{PlacementRecorded: true, StartSent: true, AnswersDirectCommand: true}, Result{Pending, AwaitEvidence}},
+		{"its start did not arrive", AbsentTask{PlacementRecorded: true, StartSent: true}, Result{Pending, ResendStart}},
+		{"its start can't come any more", AbsentTask{PlacementRecorded: true, StartSent: true, Stopping: true}, Result{Missing, FreePlacement}},
+		{"its start may still come", AbsentTask{PlacementRecorded: true, StartSent: true, Stopping: true, StartMayArrive: true}, Result{Pending, ResendStart}},
+		{"not sent", AbsentTask{PlacementRecorded: true}, Result{Pending, AwaitEvidence}},
 	} {
-		if got := Absent(x.absence); got != x.want {
+		if got := ClassifyAbsent(x.absence); got != x.want {
 			t.Errorf("%s: %v, want %v", x.name, got, x.want)
 		}
 	}
@@ -57,16 +57,16 @@
 func TestMachine(t *testing.T) {
 	for _, x := range []struct {
 		name     string
-		evidence MachineEvidence
-		want     Finding
+		evidence ListedMachine
+		want     Result
 	}{
-		{"recorded", MachineEvidence{Recorded: true, Listed: 9}, Finding{Adopted, Keep}},
-		{"gone a moment ago", MachineEvidence{Lately: true, Listed: 9}, Finding{Finished, Keep}},
-		{"listed once", MachineEvidence{Listed: 1}, Finding{Awaited, Wait}},
-		{"perhaps of a rental under way", MachineEvidence{Listed: 9, Renting: true}, Finding{Awaited, Wait}},
-		{"nobody's", MachineEvidence{Listed: 2}, Finding{Unknown, GiveBack}},
+		{"recorded", ListedMachine{Recorded: true, TimesListed: 9}, Result{Adopted, NoAction}},
+		{"gone a moment ago", ListedMachine{RecordedRecently: true, TimesListed: 9}, Result{Finished, NoAction}},
+		{"listed once", ListedMachine{TimesListed: 1}, Result{Pending, AwaitEvidence}},
+		{"perhaps of a rental under way", ListedMachine{TimesListed: 9, ProvisionPending: true}, Result{Pending, AwaitEvidence}},
+		{"nobody's", ListedMachine{TimesListed: 2}, Result{Unrecorded, ReleaseMachine}},
 	} {
-		if got := Machine(x.evidence); got != x.want {
+		if got := ClassifyMachine(x.evidence); got != x.want {
 			t.Errorf("%s: %v, want %v", x.name, got, x.want)
 		}
 	}
@@ -74,12 +74,12 @@
 
 // Whichever of two reports comes first, the newer one is the last that counts.
 func TestFreshInAnyOrder(t *testing.T) {
-	reports := []Order{{1, 1}, {1, 2}, {2, 1}, {2, 9}, {3, 1}}
+	reports := []Position{{1, 1}, {1, 2}, {2, 1}, {2, 9}, {3, 1}}
 	for _, a := range reports {
 		for _, b := range reports {
-			held := Order{}
-			for _, r := range []Order{a, b} {
-				if Fresh(r, held, 5, 5) == Current {
+			held := Position{}
+			for _, r := range []Position{a, b} {
+				if ClassifyHeartbeat(r, held, 5, 5) == Current {
 					held = r
 				}
 			}
@@ -91,12 +91,12 @@
 	for _, x := range []struct {
 		token, ours uint64
 		want        Freshness
-	}{{6, 5, Deposed}, {5, 5, Current}, {4, 5, Unfenced}} {
-		if got := Fresh(Order{1, 2}, Order{1, 1}, x.token, x.ours); got != x.want {
+	}{{6, 5, Superseded}, {5, 5, Current}, {4, 5, UnderLowerToken}} {
+		if got := ClassifyHeartbeat(Position{1, 2}, Position{1, 1}, x.token, x.ours); got != x.want {
 			t.Errorf("token %d of %d: %v", x.token, x.ours, got)
 		}
 	}
-	if got := Fresh(Order{1, 1}, Order{1, 1}, 5, 5); got != Late {
+	if got := ClassifyHeartbeat(Position{1, 1}, Position{1, 1}, 5, 5); got != Stale {
 		t.Errorf("a copy is %v", got)
 	}
 }
--- a/internal/record/fleet_test.go
+++ b/internal/record/fleet_test.go
@@ -16,7 +16,7 @@
 	f := NewFleet()
 	change := func(e wire.Change, want ...string) {
 		t.Helper()
-		got, err := f.Change(e)
+		got, err := f.Apply(e)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -32,7 +32,7 @@
 	}
 	rental := Provision{Type: "big", Zone: "z", Shards: []int{0, 0, 1}}
 	change(put(ProvisionKey("r"), rental, 1))
-	if len(f.Unfinished()) != 1 {
+	if len(f.UnfulfilledProvisions()) != 1 {
 		t.Fatal("a rental without machines is under way")
 	}
 	rental.IDs = []string{"a", "b", "c"}
@@ -42,7 +42,7 @@
 	}
 	rental.Addrs = []string{"x:1", "", "z:1"} // one never came up
 	change(put(ProvisionKey("r"), rental, 3), "a", "b", "c")
-	if v, _ := f.Machine("c"); v.Addr != "z:1" || len(f.Unaddressed()) != 0 {
+	if v, _ := f.Machine("c"); v.Addr != "z:1" || len(f.ProvisionsWithoutAddresses()) != 0 {
 		t.Fatalf("got %+v", v)
 	}
 	change(put(OverrideKey("a"), Machine{Type: "big", Zone: "z", Shard: 1}, 5), "a")
@@ -54,17 +54,17 @@
 	}
 	back := ReleaseKey(1, 7, 1)
 	change(put(back, Release{IDs: []string{"a", "b"}}, 8), "a", "b")
-	if v, _ := f.Machine("b"); v.Phase != Returning || len(f.Pending()) != 1 {
+	if v, _ := f.Machine("b"); v.Phase != Releasing || len(f.PendingReleases()) != 1 {
 		t.Fatalf("got %+v", v)
 	}
 	change(put(back, Release{IDs: []string{"a", "b"}, Done: true}, 9), "a", "b")
-	if _, ok := f.Clear(16); ok {
+	if _, ok := f.CleanupTxn(16); ok {
 		t.Fatal("cleared while one of the rental's machines is in use")
 	}
 	change(put(ReleaseKey(1, 7, 2), Release{IDs: []string{"c"}, Done: true}, 10), "c")
 	// A machine's own record goes before its rental, the batches last.
 	for range 4 {
-		txn, ok := f.Clear(2)
+		txn, ok := f.CleanupTxn(2)
 		if !ok {
 			break
 		}
@@ -72,10 +72,10 @@
 			t.Fatalf("clears with %+v", txn)
 		}
 		for _, op := range txn.Then {
-			if _, ok := f.own["a"]; ok && op.Delete == ProvisionKey("r") {
+			if _, ok := f.overrides["a"]; ok && op.Delete == ProvisionKey("r") {
 				t.Fatal("the rental goes before a machine's own record")
 			}
-			if _, ok := f.rentals["r"]; ok && strings.HasPrefix(op.Delete, ReleasePrefix) {
+			if _, ok := f.provisions["r"]; ok && strings.HasPrefix(op.Delete, ReleasePrefix) {
 				t.Fatal("a batch goes before the rental of its machines")
 			}
 			change(wire.Change{Delete: op.Delete, Version: 11})
@@ -95,7 +95,7 @@
 		{Put: OverrideKey("a"), Value: []byte(`[]`), Version: 1},
 		{Put: ReleasePrefix + "x", Value: []byte(`3`), Version: 1},
 	} {
-		if _, err := f.Change(e); err == nil {
+		if _, err := f.Apply(e); err == nil {
 			t.Errorf("took in %s", e.Put)
 		}
 	}
--- a/internal/record/layout_test.go
+++ b/internal/record/layout_test.go
@@ -31,12 +31,12 @@
 		{`{"inc":7,"deaf":true,"alone":true}`, Member{Incarnation: 7, Isolated: true, WithoutPeers: true}},
 		{`{"owner":"c-1","inc":9,"to":"c-2"}`, Shard{Owner: "c-1", Incarnation: 9, TransferTo: "c-2"}},
 		{`{"type":"big","zone":"z1","spot":true,"part":2,"born":1700,"images":[{"name":"img","gb":6.2}]}`,
-			Machine{Type: "big", Zone: "z1", Spot: true, Shard: 2, Born: 1700, Images: []Image{{Name: "img", GB: 6.2}}}},
+			Machine{Type: "big", Zone: "z1", Spot: true, Shard: 2, CreatedAt: 1700, Images: []Image{{Name: "img", GB: 6.2}}}},
 		{`{"type":"big","zone":"z1","spot":true,"parts":[0,2],"ids":["m1","m2"],"born":1700,"addrs":["a1","a2"]}`,
-			Provision{Type: "big", Zone: "z1", Spot: true, Shards: []int{0, 2}, IDs: []string{"m1", "m2"}, Born: 1700, Addrs: []string{"a1", "a2"}}},
+			Provision{Type: "big", Zone: "z1", Spot: true, Shards: []int{0, 2}, IDs: []string{"m1", "m2"}, CreatedAt: 1700, Addrs: []string{"a1", "a2"}}},
 		{`{"ids":["m1"],"done":true}`, Release{IDs: []string{"m1"}, Done: true}},
 		{`{"spec":` + specLayout + `,"part":1,"at":1701,"cancelled":true,"pipe":"pipe-000001","held":true}`,
-			ActiveJob{Spec: layoutSpec(), Shard: 1, At: 1701, Cancelled: true, Pipeline: "pipe-000001", AwaitsDependencies: true}},
+			ActiveJob{Spec: layoutSpec(), Shard: 1, AcceptedAt: 1701, Cancelled: true, Pipeline: "pipe-000001", AwaitsDependencies: true}},
 		{`{"part":1,"jobs":["run-000001","run-000002"],"links":[{"from":["run-000001"],"to":["run-000002"]}],` +
 			`"choices":[{"at":"run-000001","done":"run-000002","aborted":"run-000003"}],` +
 			`"ended":[{"ref":"run-000001","state":"done"}],"state":"aborted"}`,
@@ -45,7 +45,7 @@
 				Ended:   []PipelineJobEnd{{Ref: "run-000001", State: wire.Done}}, State: wire.Cancelled}},
 		{`{"state":"done","n":3}`, FinishedJob{State: wire.Done, Tasks: 3}},
 		{`{"r":{"run-000001:0":{"a":2,"on":{"1":["m1",2]},"done":[[0,0],[2,5]]}}}`,
-			Placements{Ranges: map[string]TaskRange{"run-000001:0": {Attempt: 2, On: map[int]TaskPlacement{1: {Machine: "m1", Attempt: 2}}, Done: [][2]int{{0, 0}, {2, 5}}}}}},
+			Placements{Ranges: map[string]TaskRange{"run-000001:0": {Attempt: 2, Placed: map[int]TaskPlacement{1: {Machine: "m1", Attempt: 2}}, Completed: [][2]int{{0, 0}, {2, 5}}}}}},
 	} {
 		read := reflect.New(reflect.TypeOf(x.value))
 		if err := json.Unmarshal([]byte(x.layout), read.Interface()); err != nil {
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -88,8 +88,8 @@
 	return ref, n, err == nil && n >= 0
 }
 
-// Last returns the last element of a key.
-func Last(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
+// LastElement returns the last element of a key.
+func LastElement(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
 
 // Leader is who leads, and Member a live controller; both go with their lease.
 type Leader struct {
@@ -114,7 +114,7 @@
 // every configured controller has given its word, none of the first version owns
 // a part again: a process that dies comes back as what it was last.
 type Format struct {
-	N int `json:"n"`
+	Version int `json:"n"`
 }
 
 // SizedRanges is the format of records whose ranges of tasks state their own size.
@@ -136,11 +136,11 @@
 // Machine is a rented machine. Most need no record of their own: their rental
 // says it all until they change parts.
 type Machine struct {
-	Type  string `json:"type"`
-	Zone  string `json:"zone"`
-	Spot  bool   `json:"spot,omitempty"`
-	Shard int    `json:"part"`
-	Born  int64  `json:"born"` // milliseconds, when it was rented
+	Type      string `json:"type"`
+	Zone      string `json:"zone"`
+	Spot      bool   `json:"spot,omitempty"`
+	Shard     int    `json:"part"`
+	CreatedAt int64  `json:"born"` // milliseconds, when it was rented
 	// Images are those it was seen to have when this was written.
 	Images []Image `json:"images,omitempty"`
 }
@@ -148,12 +148,12 @@
 // Provision is a request to the cloud, written before it is made. The machines
 // are added once the cloud has answered; the record stands for all of them.
 type Provision struct {
-	Type   string   `json:"type"`
-	Zone   string   `json:"zone"`
-	Spot   bool     `json:"spot,omitempty"`
-	Shards []int    `json:"parts"` // whom each machine is for
-	IDs    []string `json:"ids,omitempty"`
-	Born   int64    `json:"born,omitempty"`
+	Type      string   `json:"type"`
+	Zone      string   `json:"zone"`
+	Spot      bool     `json:"spot,omitempty"`
+	Shards    []int    `json:"parts"` // whom each machine is for
+	IDs       []string `json:"ids,omitempty"`
+	CreatedAt int64    `json:"born,omitempty"`
 	// Addrs are the machines' addresses, in the order of IDs, once they have
 	// reported: who takes a part over can ask its machines at once.
 	Addrs []string `json:"addrs,omitempty"`
@@ -168,10 +168,10 @@
 
 // ActiveJob is an unfinished job.
 type ActiveJob struct {
-	Spec      wire.Spec `json:"spec"`
-	Shard     int       `json:"part"`
-	At        int64     `json:"at"` // milliseconds, when it was accepted
-	Cancelled bool      `json:"cancelled,omitempty"`
+	Spec       wire.Spec `json:"spec"`
+	Shard      int       `json:"part"`
+	AcceptedAt int64     `json:"at"` // milliseconds, when it was accepted
+	Cancelled  bool      `json:"cancelled,omitempty"`
 	// Pipeline is the pipeline it belongs to, if it was submitted with one, and
 	// Held says that it has not been released yet.
 	Pipeline           string `json:"pipe,omitempty"`
@@ -209,13 +209,13 @@
 // step that was too large to be recorded in one piece left them there alone.
 func (p *Pipeline) Replay(run *fragment.Pipeline, others []PipelineJobEnd) {
 	for _, e := range p.Ended {
-		p.Finish(run, e)
+		p.ApplyEnd(run, e)
 	}
 	left := slices.Clone(others)
 	take := func(want func(PipelineJobEnd) bool) bool {
 		i := slices.IndexFunc(left, want)
 		if i >= 0 {
-			p.Finish(run, left[i])
+			p.ApplyEnd(run, left[i])
 			left = slices.Delete(left, i, i+1)
 		}
 		return i >= 0
@@ -229,10 +229,10 @@
 	}
 }
 
-// InPieces reports whether steps of a pipeline may be too large to be recorded
+// NeedsSplitCommits reports whether steps of a pipeline may be too large to be recorded
 // whole: its record grows by each job's end, and such a step takes two changes for
 // the job, one for the pipeline, and one for each job that it releases.
-func (p *Pipeline) InPieces(bytes, ops int) bool {
+func (p *Pipeline) NeedsSplitCommits(bytes, ops int) bool {
 	whole := *p
 	whole.Ended = nil
 	widest := 0
@@ -251,16 +251,16 @@
 	return len(Encode(whole)) > bytes || widest+endOps > ops
 }
 
-// Untold returns the jobs whose ends a pipeline's record does not tell.
-func (p *Pipeline) Untold() []string {
+// MissingEnds returns the jobs whose ends a pipeline's record does not tell.
+func (p *Pipeline) MissingEnds() []string {
 	return slices.DeleteFunc(slices.Clone(p.Jobs), func(ref string) bool {
 		return slices.ContainsFunc(p.Ended, func(e PipelineJobEnd) bool { return e.Ref == ref })
 	})
 }
 
-// Over is the record of a pipeline that has come to its end: with all it told if
+// Compacted is the record of a pipeline that has come to its end: with all it told if
 // that has room in so many bytes, else without what nobody needs any more.
-func (p Pipeline) Over(bytes int) Pipeline {
+func (p Pipeline) Compacted(bytes int) Pipeline {
 	if len(Encode(p)) > bytes {
 		p.Links, p.Choices = nil, nil
 	}
@@ -270,8 +270,8 @@
 	return p
 }
 
-// Finish takes a job's end into a running pipeline.
-func (p *Pipeline) Finish(run *fragment.Pipeline, e PipelineJobEnd) {
+// ApplyEnd takes a job's end into a running pipeline.
+func (p *Pipeline) ApplyEnd(run *fragment.Pipeline, e PipelineJobEnd) {
 	pick, cancelled := "", ""
 	for _, c := range p.Choices {
 		if c.At == e.Ref {
@@ -288,9 +288,9 @@
 
 // FinishedJob is a finished job's durable state.
 type FinishedJob struct {
-	State string `json:"state"`
-	Tasks int    `json:"n,omitempty"`
-	At    int64  `json:"at,omitempty"` // milliseconds, when that was; 0: not told
+	State      string `json:"state"`
+	Tasks      int    `json:"n,omitempty"`
+	FinishedAt int64  `json:"at,omitempty"` // milliseconds, when that was; 0: not told
 }
 
 // TaskPlacement is where an attempt of a task was recorded.
@@ -318,14 +318,14 @@
 
 // TaskRange holds the placements and completions of a range of tasks.
 type TaskRange struct {
-	Attempt uint64                `json:"a"` // highest attempt ever recorded here
-	On      map[int]TaskPlacement `json:"on,omitempty"`
-	Done    [][2]int              `json:"done,omitempty"` // first and last of each span
-	// Tasks is the range's size and Turn how often it was entered in a slot: of
+	Attempt   uint64                `json:"a"` // highest attempt ever recorded here
+	Placed    map[int]TaskPlacement `json:"on,omitempty"`
+	Completed [][2]int              `json:"done,omitempty"` // first and last of each span
+	// Size is the range's size and Turn how often it was entered in a slot: of
 	// ranges that overlap the one with the highest counts. Both are 0 in a plain
 	// slot.
-	Tasks int `json:"n,omitempty"`
-	Turn  int `json:"g,omitempty"`
+	Size       int `json:"n,omitempty"`
+	Generation int `json:"g,omitempty"`
 }
 
 // Placements holds the placements of several jobs of one part, so that one write
@@ -341,10 +341,10 @@
 	Ranges map[string]TaskRange `json:"r"`
 }
 
-// Within returns the largest n up to most for which a record of n elements keeps to
+// LargestFitting returns the largest n up to most for which a record of n elements keeps to
 // so many bytes, and at least one that no record can be without. Its size must
 // grow with n.
-func Within(bytes, least, most int, rec func(n int) any) int {
+func LargestFitting(bytes, least, most int, rec func(n int) any) int {
 	if most <= least {
 		return most
 	}
@@ -360,9 +360,9 @@
 	return b
 }
 
-// ShardOf deals teams to parts in the order of their names; without teams, jobs
+// ShardForJob deals teams to parts in the order of their names; without teams, jobs
 // go by a hash of their reference.
-func ShardOf(teams []string, team, ref string, parts int) int {
+func ShardForJob(teams []string, team, ref string, parts int) int {
 	if len(teams) == 0 {
 		return int(Hash(ref) % uint32(parts))
 	}
--- a/internal/recoverctl/measure_test.go
+++ b/internal/recoverctl/measure_test.go
@@ -24,10 +24,10 @@
 )
 
 // fleetListed is the cloud's list of a fleet.
-func fleetListed(machines int) map[string]wire.Listed {
-	out := map[string]wire.Listed{}
+func fleetListed(machines int) map[string]wire.ListedMachine {
+	out := map[string]wire.ListedMachine{}
 	for i := range machines {
-		out[testkit.FleetMachine(i)] = wire.Listed{ID: testkit.FleetMachine(i)}
+		out[testkit.FleetMachine(i)] = wire.ListedMachine{ID: testkit.FleetMachine(i)}
 	}
 	return out
 }
--- a/internal/recoverctl/recoverctl.go
+++ b/internal/recoverctl/recoverctl.go
@@ -102,11 +102,11 @@
 			g.Silent = append(g.Silent, label)
 		}
 	}
-	list, err := again(ctx, c, func() ([]wire.Listed, error) { return c.Cloud.List(ctx) })
+	list, err := again(ctx, c, func() ([]wire.ListedMachine, error) { return c.Cloud.List(ctx) })
 	if err != nil {
 		return nil, fmt.Errorf("the cloud's list: %w", err)
 	}
-	g.Listed = map[string]wire.Listed{}
+	g.Listed = map[string]wire.ListedMachine{}
 	for _, m := range list {
 		g.Listed[m.ID] = m
 	}
--- a/internal/recovery/apply.go
+++ b/internal/recovery/apply.go
@@ -71,7 +71,7 @@
 		if i.Delete {
 			op = wire.Op{Delete: i.Key}
 		}
-		t.If = append(t.If, wire.Cond{Key: i.Key, Version: i.Version})
+		t.If = append(t.If, wire.Condition{Key: i.Key, Version: i.Version})
 		t.Then = append(t.Then, op)
 		size += len(i.Put) + len(i.Key)
 	}
@@ -111,7 +111,7 @@
 		}
 		return wire.Txn{}, false, nil
 	}
-	return wire.Txn{If: []wire.Cond{{Key: ApplyKey, Version: version}},
+	return wire.Txn{If: []wire.Condition{{Key: ApplyKey, Version: version}},
 		Then: []wire.Op{{Put: ApplyKey, Value: record.Encode(claim)}}}, true, nil
 }
 
@@ -123,7 +123,7 @@
 // EndSafeModeTxn is the one transaction that ends a safe mode.
 func EndSafeModeTxn(mode SafeMode, version uint64, nowMillis int64) wire.Txn {
 	mode.Active, mode.Ended = false, nowMillis
-	return wire.Txn{If: []wire.Cond{{Key: SafeModeKey, Version: version}},
+	return wire.Txn{If: []wire.Condition{{Key: SafeModeKey, Version: version}},
 		Then: []wire.Op{{Put: SafeModeKey, Value: record.Encode(mode)}}}
 }
 
@@ -136,6 +136,6 @@
 		}
 	}
 	d.Chosen[key] = c
-	return wire.Txn{If: []wire.Cond{{Key: DecisionsKey, Version: version}},
+	return wire.Txn{If: []wire.Condition{{Key: DecisionsKey, Version: version}},
 		Then: []wire.Op{{Put: DecisionsKey, Value: record.Encode(d)}}}
 }
--- a/internal/recovery/evidence.go
+++ b/internal/recovery/evidence.go
@@ -24,7 +24,7 @@
 
 // Add takes in a report; late and doubled ones come in any order.
 func (rs Heartbeats) Add(r *wire.Heartbeat) {
-	if old, ok := rs[r.Machine]; !ok || reconcile.OrderOf(r).After(reconcile.OrderOf(&old)) {
+	if old, ok := rs[r.Machine]; !ok || reconcile.PositionOf(r).After(reconcile.PositionOf(&old)) {
 		rs[r.Machine] = *r
 	}
 }
@@ -53,8 +53,8 @@
 	Snapshot         map[string]wire.Entry
 	SnapshotRevision uint64
 	Reports          Heartbeats
-	Listed           map[string]wire.Listed // the cloud's machines
-	Decisions        map[string]Decision    // by key
+	Listed           map[string]wire.ListedMachine // the cloud's machines
+	Decisions        map[string]Decision           // by key
 }
 
 // AddHeld takes in the records that a controller holds; version 0 is not known, of one that never
--- a/internal/recovery/plan_jobs.go
+++ b/internal/recovery/plan_jobs.go
@@ -36,7 +36,7 @@
 	}
 	for _, s := range states {
 		if s != states[0] {
-			p.undecided(key, record.Last(key), fmt.Sprintf("sources differ: %s", strings.Join(states, ", ")), DecideDone, DecideCancelled)
+			p.undecided(key, record.LastElement(key), fmt.Sprintf("sources differ: %s", strings.Join(states, ", ")), DecideDone, DecideCancelled)
 			return
 		}
 	}
@@ -51,7 +51,7 @@
 
 // planActiveJob restores an unfinished job, unless it has ended.
 func (p *planner) planActiveJob(key string) {
-	ref := record.Last(key)
+	ref := record.LastElement(key)
 	_, stored := p.Store[key]
 	if p.hasFinished(ref) {
 		i := p.item(key, Finished, p.items[record.FinishedJobKey(ref)].From, "its final state is known")
--- a/internal/recovery/plan_machines.go
+++ b/internal/recovery/plan_machines.go
@@ -36,7 +36,7 @@
 // machinesOf returns the machines that a record is about.
 func machinesOf(e wire.Entry) ([]string, error) {
 	if strings.HasPrefix(e.Key, record.OverridePrefix) {
-		return []string{record.Last(e.Key)}, nil
+		return []string{record.LastElement(e.Key)}, nil
 	}
 	var r struct { // a rental's and a batch's alike
 		IDs []string `json:"ids"`
@@ -58,7 +58,7 @@
 			value = p.Store[key].Value
 		}
 		// What makes no sense was told as lost already.
-		_, _ = f.Change(wire.Change{Put: key, Value: value, Version: 1})
+		_, _ = f.Apply(wire.Change{Put: key, Value: value, Version: 1})
 	}
 	return f
 }
@@ -73,7 +73,7 @@
 		if _, known := f.Machine(id); known || !listed || r.Token == 0 {
 			continue
 		}
-		rental := record.Provision{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Shards: []int{p.shardFor(&r)}, IDs: []string{id}, Addrs: []string{r.Addr}, Born: p.Mode.Since}
+		rental := record.Provision{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Shards: []int{p.shardFor(&r)}, IDs: []string{id}, Addrs: []string{r.Addr}, CreatedAt: p.Mode.Since}
 		i := p.item(record.ProvisionKey("recovered-"+id), Recovered, FromHeartbeat, "its worker and the cloud tell it")
 		i.Put = record.Encode(rental)
 	}
--- a/internal/recovery/plan_placements.go
+++ b/internal/recovery/plan_placements.go
@@ -77,15 +77,15 @@
 			continue
 		}
 		k.jobs[ref] = true
-		for i, place := range run.On {
-			if task := scheduler.TaskName(ref, i); k.latest(task, run.Turn) {
+		for i, place := range run.Placed {
+			if task := scheduler.TaskName(ref, i); k.latest(task, run.Generation) {
 				k.running[task] = place
 				delete(k.done, task)
 			}
 		}
-		for _, span := range run.Done {
+		for _, span := range run.Completed {
 			for i := span[0]; i <= span[1]; i++ {
-				if task := scheduler.TaskName(ref, i); k.latest(task, run.Turn) {
+				if task := scheduler.TaskName(ref, i); k.latest(task, run.Generation) {
 					k.done[task] = true
 					delete(k.running, task)
 				}
@@ -152,13 +152,13 @@
 	w := placementsWriter{p: p, shard: part, next: k.nextSlot[part]}
 	turn := int(p.Mode.Floor) + 1
 	for _, t := range tasks {
-		w.add(record.RangeName(t.ref, t.index), record.TaskRange{Attempt: p.Mode.Floor, On: map[int]record.TaskPlacement{t.index: t.place}, Tasks: 1, Turn: turn + 1})
+		w.add(record.RangeName(t.ref, t.index), record.TaskRange{Attempt: p.Mode.Floor, Placed: map[int]record.TaskPlacement{t.index: t.place}, Size: 1, Generation: turn + 1})
 	}
 	if !k.complete[part] {
 		w.flush() // a range of all tasks may have the name of one of a single task
 		for _, ref := range jobs {
 			if !k.jobs[ref] {
-				w.add(record.RangeName(ref, 0), record.TaskRange{Attempt: p.Mode.Floor, Tasks: p.activeJobs[ref].Spec.Tasks, Turn: turn})
+				w.add(record.RangeName(ref, 0), record.TaskRange{Attempt: p.Mode.Floor, Size: p.activeJobs[ref].Spec.Tasks, Generation: turn})
 			}
 		}
 	}
--- a/internal/recovery/plan_test.go
+++ b/internal/recovery/plan_test.go
@@ -79,10 +79,10 @@
 		"open: the snapshot is older than what is held": {Evidence{Held: entries(12, is(openJob(true))), Snapshot: entries(9, is(openJob(false)))},
 			open, Recovered, FromController, openJob(true)},
 		"rental: held": {Evidence{Held: entries(4, map[string]any{"fleet/rent/r": record.Provision{Type: "big"}})}, "fleet/rent/r", Recovered, FromController, record.Provision{Type: "big"}},
-		"rental: in the snapshot, listed": {Evidence{Snapshot: entries(4, map[string]any{"fleet/rent/r": record.Provision{IDs: []string{"m"}}}), Listed: map[string]wire.Listed{"m": {ID: "m"}}},
+		"rental: in the snapshot, listed": {Evidence{Snapshot: entries(4, map[string]any{"fleet/rent/r": record.Provision{IDs: []string{"m"}}}), Listed: map[string]wire.ListedMachine{"m": {ID: "m"}}},
 			"fleet/rent/r", Recovered, FromSnapshot, record.Provision{IDs: []string{"m"}}},
 		"rental: in the snapshot, not listed": {Evidence{Snapshot: entries(4, map[string]any{"fleet/rent/r": record.Provision{IDs: []string{"m"}}})}, "fleet/rent/r", Finished, FromSnapshot, nil},
-		"machine: without a record": {Evidence{Reports: report("m"), Listed: map[string]wire.Listed{"m": {ID: "m"}}}, "fleet/rent/recovered-m", Recovered, FromHeartbeat,
+		"machine: without a record": {Evidence{Reports: report("m"), Listed: map[string]wire.ListedMachine{"m": {ID: "m"}}}, "fleet/rent/recovered-m", Recovered, FromHeartbeat,
 			record.Provision{Type: "big", Zone: "a", Shards: []int{0}, IDs: []string{"m"}, Addrs: []string{"a"}}},
 		"budget: in the snapshot": {Evidence{Snapshot: entries(4, map[string]any{"ctl/drain/ledger": 3})}, "ctl/drain/ledger", Recovered, FromSnapshot, 3},
 	} {
@@ -137,9 +137,9 @@
 		for name, run := range s.Ranges {
 			least = min(least, run.Attempt)
 			ref, _, _ := record.SplitRangeName(name)
-			for n, place := range run.On {
-				if task := ref + "/" + string(rune('0'+n)); run.Turn >= turns[task] {
-					on[task], turns[task] = place, run.Turn
+			for n, place := range run.Placed {
+				if task := ref + "/" + string(rune('0'+n)); run.Generation >= turns[task] {
+					on[task], turns[task] = place, run.Generation
 				}
 			}
 		}
@@ -151,7 +151,7 @@
 // been used is used again.
 func TestReportsCountBeforeOlderPlacements(t *testing.T) {
 	old := record.Placements{Format: record.SizedRanges, Ranges: map[string]record.TaskRange{
-		record.RangeName(testJob, 0): {Attempt: 2, Tasks: 3, Turn: 1, On: map[int]record.TaskPlacement{0: {Machine: "m1", Attempt: 1}, 1: {Machine: "m2", Attempt: 2}}}}}
+		record.RangeName(testJob, 0): {Attempt: 2, Size: 3, Generation: 1, Placed: map[int]record.TaskPlacement{0: {Machine: "m1", Attempt: 1}, 1: {Machine: "m2", Attempt: 2}}}}}
 	e := Evidence{Mode: SafeMode{Active: true, Floor: 60}, Store: entries(9, map[string]any{record.ActiveJobKey(testJob): openJob(false)}),
 		Snapshot: entries(5, map[string]any{record.PlacementsKey(0, 0): old}), Reports: report("m3", running("0", 4), running("2", 3))}
 	on, least := slots(t, NewPlan(e, testLimits), nil)
@@ -169,7 +169,7 @@
 // An owner's own records of placements stay as they are.
 func TestOwnersPlacementsStay(t *testing.T) {
 	held := record.Placements{Format: record.SizedRanges, Ranges: map[string]record.TaskRange{
-		record.RangeName(testJob, 0): {Attempt: 2, Tasks: 3, Turn: 1, On: map[int]record.TaskPlacement{0: {Machine: "m3", Attempt: 2}}}}}
+		record.RangeName(testJob, 0): {Attempt: 2, Size: 3, Generation: 1, Placed: map[int]record.TaskPlacement{0: {Machine: "m3", Attempt: 2}}}}}
 	e := Evidence{Mode: SafeMode{Active: true, Floor: 60}, Store: entries(9, map[string]any{record.ActiveJobKey(testJob): openJob(false)}),
 		Held: entries(12, map[string]any{record.PlacementsKey(0, 0): held}), Reports: report("m3", running("0", 2))}
 	on, least := slots(t, NewPlan(e, testLimits), nil)
--- a/internal/recovery/safe_mode.go
+++ b/internal/recovery/safe_mode.go
@@ -125,6 +125,6 @@
 	if r != nil && r.Epoch >= h.mode.Epoch && (!r.Active || r.Floor >= h.mode.Floor) {
 		return wire.Txn{}, false
 	}
-	return wire.Txn{If: []wire.Cond{{Key: SafeModeKey, Version: version}},
+	return wire.Txn{If: []wire.Condition{{Key: SafeModeKey, Version: version}},
 		Then: []wire.Op{{Put: SafeModeKey, Value: record.Encode(h.mode)}}}, true
 }
--- a/internal/scheduler/allocations_test.go
+++ b/internal/scheduler/allocations_test.go
@@ -28,7 +28,7 @@
 	r.cfg.PlacementsPerRecord, r.cfg.ValueBytes, r.cfg.TxnOps = PlacementsPerRecord(16), 16<<10, 24
 	r.failOver()
 	for at := 0; at < machines; at += 50 {
-		rental := record.Provision{Type: "big", Zone: "z1", Born: r.clock.Now().UnixMilli()}
+		rental := record.Provision{Type: "big", Zone: "z1", CreatedAt: r.clock.Now().UnixMilli()}
 		for i := at; i < min(at+50, machines); i++ {
 			id := fmt.Sprintf("i-%06d", i)
 			rental.IDs, rental.Shards = append(rental.IDs, id), append(rental.Shards, 0)
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -102,7 +102,7 @@
 	case !t.recorded:
 		return false
 	case t.stopping:
-		return w == startsAndStops && !(t.phase == wire.Saving && t.grace > 0)
+		return w == startsAndStops && !(t.phase == wire.Checkpointing && t.grace > 0)
 	case t.reported || t.inherited || s.ownershipLost || s.cancellationsUnknown || m.Phase != record.InUse || k.job.cancelled || !k.job.wholeRecorded():
 		return false
 	}
--- a/internal/scheduler/data_loss.go
+++ b/internal/scheduler/data_loss.go
@@ -121,7 +121,7 @@
 	}
 	highest := -1
 	for _, e := range slots {
-		if n, err := strconv.Atoi(record.Last(e.Key)); err == nil {
+		if n, err := strconv.Atoi(record.LastElement(e.Key)); err == nil {
 			highest = max(highest, n)
 		}
 	}
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -19,7 +19,7 @@
 func (r *harness) after(ref string, roots ...string) wire.Spec {
 	s := spec(ref, "b", wire.Array, "normal", 1, 0)
 	s.CPUs, s.MemoryGB, s.DependsOn = 1, 1, roots
-	r.open(record.ActiveJob{Spec: s, At: r.clock.Now().UnixMilli(), AwaitsDependencies: len(roots) > 0})()
+	r.open(record.ActiveJob{Spec: s, AcceptedAt: r.clock.Now().UnixMilli(), AwaitsDependencies: len(roots) > 0})()
 	return s
 }
 
@@ -111,7 +111,7 @@
 	r.after(jobB, jobA)
 	e := r.get(record.ActiveJobKey(jobB))
 	_, err := r.state.Txn(t.Context(), statestore.Urgent("test"), wire.Txn{
-		If:   []wire.Cond{{Key: e.Key, Version: e.Version}},
+		If:   []wire.Condition{{Key: e.Key, Version: e.Version}},
 		Then: []wire.Op{{Put: record.FinishedJobKey(jobB), Value: record.Encode(record.FinishedJob{State: wire.Cancelled})}, {Delete: e.Key}},
 	})
 	if err != nil {
--- a/internal/scheduler/direct_commands.go
+++ b/internal/scheduler/direct_commands.go
@@ -135,7 +135,7 @@
 	}
 	at := record.OverrideKey(m.ID)
 	t := &Txn{machine: m, raisesToken: true, Purpose: purposeRaiseToken, Routine: true}
-	t.Body.If = []wire.Cond{s.ownershipCondition(), {Key: at, Version: m.record.version}}
+	t.Body.If = []wire.Condition{s.ownershipCondition(), {Key: at, Version: m.record.version}}
 	t.Body.Then = []wire.Op{{Put: at, Value: record.Encode(s.overrideRecord(m, s.id))}}
 	m.record.txn = t
 	s.effects.Txns = append(s.effects.Txns, t)
--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain.go
@@ -285,7 +285,7 @@
 // recordInterruption tells that a running task is proven gone without having ended.
 func (s *Shard) recordInterruption(k taskKey) {
 	t := &k.job.tasks[k.index]
-	if !s.drains.watchInterruptions || k.job.cancelled || (t.phase != wire.Running && t.phase != wire.Saving) {
+	if !s.drains.watchInterruptions || k.job.cancelled || (t.phase != wire.Running && t.phase != wire.Checkpointing) {
 		return
 	}
 	spec := k.job.spec
--- a/internal/scheduler/gang_start_delay_test.go
+++ b/internal/scheduler/gang_start_delay_test.go
@@ -33,11 +33,11 @@
 				t.State = wire.Fetching
 			}
 			if t.State == wire.Fetching && (id == g.cached || now.Sub(g.started[t]) >= g.fetch) {
-				t.State = wire.Gathering
+				t.State = wire.AwaitingGang
 				g.has[t] = now
 			}
-			if t.State == wire.Gathering && now.Sub(g.has[t]) > g.r.cfg.GangWait {
-				t.State, t.Why = wire.Exited, wire.WhyIncomplete
+			if t.State == wire.AwaitingGang && now.Sub(g.has[t]) > g.r.cfg.GangWait {
+				t.State, t.Why = wire.Exited, wire.ExitGangIncomplete
 			}
 		}
 	}
@@ -48,7 +48,7 @@
 	n := map[uint64]int{}
 	for _, w := range g.r.workers {
 		for name, t := range w.Tasks {
-			if ref, _, _ := SplitTask(name); ref == g.ref && t.State == wire.Gathering {
+			if ref, _, _ := SplitTask(name); ref == g.ref && t.State == wire.AwaitingGang {
 				n[t.Attempt]++
 			}
 		}
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -59,12 +59,12 @@
 	if a == "" || b == "" {
 		t.Fatal("gang not started")
 	}
-	r.workers[a].Tasks["run-000001/0"].State = wire.Gathering
+	r.workers[a].Tasks["run-000001/0"].State = wire.AwaitingGang
 	r.workers[b].Tasks["run-000001/1"].State = wire.Fetching
 	r.heartbeat()
 	r.expire(r.workers[b])
 	r.heartbeats(4)
-	if got := r.workers[a].Tasks["run-000001/0"]; got == nil || got.Attempt != 1 || got.State != wire.Gathering {
+	if got := r.workers[a].Tasks["run-000001/0"]; got == nil || got.Attempt != 1 || got.State != wire.AwaitingGang {
 		t.Fatalf("the waiting task was disturbed: %+v", got)
 	}
 	if got := r.workers[b].Tasks["run-000001/1"]; got == nil || got.Attempt != 1 {
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -90,7 +90,7 @@
 
 func (r *harness) fleetChange(e wire.Entry) []string {
 	r.t.Helper()
-	ids, err := r.fleet.Change(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version})
+	ids, err := r.fleet.Apply(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version})
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -118,8 +118,8 @@
 	for _, e := range r.list(record.ReleasePrefix) {
 		r.fleetChange(e)
 	}
-	for key, b := range r.fleet.Pending() {
-		if err := r.cloud.Return(context.Background(), b.Rec.IDs); err != nil {
+	for key, b := range r.fleet.PendingReleases() {
+		if err := r.cloud.Release(context.Background(), b.Rec.IDs); err != nil {
 			r.t.Fatal(err)
 		}
 		r.sync(r.state.Put(key, record.Release{IDs: b.Rec.IDs, Done: true}))
@@ -128,7 +128,7 @@
 
 func (r *harness) machine(id, zone string, spot bool) *testkit.Worker {
 	r.t.Helper()
-	r.sync(r.state.Put(record.ProvisionKey(id), record.Provision{Type: "big", Zone: zone, Spot: spot, Shards: []int{r.id}, IDs: []string{id}, Born: r.clock.Now().UnixMilli()}))
+	r.sync(r.state.Put(record.ProvisionKey(id), record.Provision{Type: "big", Zone: zone, Spot: spot, Shards: []int{r.id}, IDs: []string{id}, CreatedAt: r.clock.Now().UnixMilli()}))
 	w := testkit.NewWorker(id, "big", zone, spot)
 	r.workers[id] = w
 	return w
@@ -140,7 +140,7 @@
 }
 
 func (r *harness) submit(spec wire.Spec) {
-	r.open(record.ActiveJob{Spec: spec, At: r.clock.Now().UnixMilli()})()
+	r.open(record.ActiveJob{Spec: spec, AcceptedAt: r.clock.Now().UnixMilli()})()
 }
 
 func (r *harness) open(o record.ActiveJob) (tell func()) {
@@ -233,7 +233,7 @@
 		r.t.Fatal(err)
 	}
 	var out []record.PipelineJobEnd
-	for _, ref := range rec.Untold() {
+	for _, ref := range rec.MissingEnds() {
 		if f := r.get(record.FinishedJobKey(ref)); f != nil {
 			j, err := decode[record.FinishedJob](*f)
 			if err != nil {
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -25,13 +25,13 @@
 		return wire.Orders{}, NotMine
 	}
 	token := m.fencingToken(s)
-	freshness := reconcile.Fresh(reconcile.OrderOf(r),
-		reconcile.Order{Session: m.contact.epoch, Seq: m.contact.seq}, r.Token, token)
-	if freshness == reconcile.Deposed {
+	freshness := reconcile.ClassifyHeartbeat(reconcile.PositionOf(r),
+		reconcile.Position{Incarnation: m.contact.epoch, Seq: m.contact.seq}, r.Token, token)
+	if freshness == reconcile.Superseded {
 		return wire.Orders{}, Deposed
 	}
 	orders := wire.Orders{Token: token, Commands: []wire.Command{}}
-	if freshness == reconcile.Late {
+	if freshness == reconcile.Stale {
 		return orders, Answered // it settles, starts and renews nothing
 	}
 	defer s.inventory.update(m)
@@ -49,7 +49,7 @@
 		m.contact.answeredAt = now
 	}
 	s.applyReclaimNotice(m, r, now)
-	if freshness == reconcile.Unfenced {
+	if freshness == reconcile.UnderLowerToken {
 		// What earlier owners recorded here is settled only by a report under
 		// our token. Our own starts need not wait for it on a machine that was
 		// rented or moved to us: an earlier owner can have sent nothing that is
--- a/internal/scheduler/load_records.go
+++ b/internal/scheduler/load_records.go
@@ -15,7 +15,7 @@
 // can't be decoded is passed over; what one of placements may tell of is withheld.
 func (s *Shard) Load(fleet *record.Fleet, open, slots []wire.Entry, now time.Time) error {
 	var err error
-	fleet.Each(func(id string, v record.View) {
+	fleet.ForEach(func(id string, v record.MachineView) {
 		if e := s.SetMachine(id, v, now); e != nil {
 			err = e
 		}
@@ -32,7 +32,7 @@
 			s.reconciliation.malformed = append(s.reconciliation.malformed, err)
 			continue // that job waits for who mends its record; the others go on
 		}
-		s.SetJob(record.Last(e.Key), o, e.Version, now)
+		s.SetJob(record.LastElement(e.Key), o, e.Version, now)
 	}
 	runs, err := s.loadPlacements(slots)
 	if err != nil {
@@ -52,12 +52,12 @@
 	j, r := l.job, l.recorded
 	fresh := j.uncovered(l.first, l.end, l.end-l.first)
 	if len(fresh) == 1 && fresh[0] == [2]int{l.first, l.end} {
-		c := &taskRange{job: j, first: l.first, end: l.end, turn: r.Turn}
+		c := &taskRange{job: j, first: l.first, end: l.end, turn: r.Generation}
 		s.ledger.assign(c, l.record)
-		c.turn = r.Turn
+		c.turn = r.Generation
 	} else {
 		for _, span := range fresh {
-			c := &taskRange{job: j, first: span[0], end: span[1], turn: r.Turn, previous: l.record}
+			c := &taskRange{job: j, first: span[0], end: span[1], turn: r.Generation, previous: l.record}
 			// A slot that waits for what leaves it must not be where that goes.
 			s.ledger.assign(c, s.ledger.recordWithRoom(s.ledger.rangeBytes(c, s.ledger.sized), l.record))
 			l.record.departed[c] = struct{}{}
@@ -74,7 +74,7 @@
 	mine := func(i int) bool {
 		return slices.ContainsFunc(fresh, func(within [2]int) bool { return within[0] <= i && i < within[1] })
 	}
-	for _, span := range r.Done {
+	for _, span := range r.Completed {
 		for i := max(0, span[0]); i <= span[1] && i < len(j.tasks); i++ {
 			if mine(i) {
 				s.markCompleted(taskKey{j, i}, now)
@@ -82,7 +82,7 @@
 			}
 		}
 	}
-	for i, pl := range r.On {
+	for i, pl := range r.Placed {
 		if !mine(i) || j.tasks[i].state != pending {
 			continue
 		}
--- a/internal/scheduler/machine_health_test.go
+++ b/internal/scheduler/machine_health_test.go
@@ -90,7 +90,7 @@
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	for range 30 {
 		for _, w := range r.workers {
-			w.End("run-000001/0", wire.WhyError)
+			w.End("run-000001/0", wire.ExitError)
 		}
 		r.heartbeat()
 	}
@@ -112,7 +112,7 @@
 	}
 	for range 8 {
 		for name := range bad.Tasks {
-			bad.End(name, wire.WhyError)
+			bad.End(name, wire.ExitError)
 		}
 		r.heartbeat()
 	}
--- a/internal/scheduler/pipeline.go
+++ b/internal/scheduler/pipeline.go
@@ -58,8 +58,8 @@
 		}
 		j.pipeline.run.Finish(ref, "")
 		at := now
-		if end.At > 0 && end.At < now.UnixMilli() {
-			at = time.UnixMilli(end.At)
+		if end.FinishedAt > 0 && end.FinishedAt < now.UnixMilli() {
+			at = time.UnixMilli(end.FinishedAt)
 		}
 		if j.dependenciesEndedAt = later(j.dependenciesEndedAt, at); slices.Contains(j.pipeline.run.Ready(), j.ref) {
 			s.releaseJob(j, j.dependenciesEndedAt, now)
@@ -195,7 +195,7 @@
 	}
 	next := &pipeline{ref: l.ref, record: l.record, run: l.run.Clone(), untoldEnds: l.untoldEnds}
 	next.record.Ended = append(l.record.Ended[:len(l.record.Ended):len(l.record.Ended)], end)
-	l.record.Finish(next.run, end)
+	l.record.ApplyEnd(next.run, end)
 	if next.run.Over() {
 		next.record.State = wire.Done
 		for _, e := range slices.Concat(next.record.Ended, l.untoldEnds) {
@@ -225,16 +225,16 @@
 	}
 	next, free := l.after(j, s)
 	at := record.PipelineKey(l.ref)
-	t.Body.If = append(t.Body.If, wire.Cond{Key: at, Version: l.version})
+	t.Body.If = append(t.Body.If, wire.Condition{Key: at, Version: l.version})
 	t.pipelineAfter, t.releasedJobs = next, map[*Job]record.ActiveJob{}
 	l.writing = true
-	if over := next.record.Over(s.ledger.valueBytes); over.State != "" {
+	if over := next.record.Compacted(s.ledger.valueBytes); over.State != "" {
 		next.record = over
 	}
 	ops := []wire.Op{{Put: at, Value: record.Encode(next.record)}}
 	opens := make([]record.ActiveJob, len(free))
 	for i, released := range free {
-		opens[i] = record.ActiveJob{Spec: *released.spec, Shard: s.id, At: now.UnixMilli(), Pipeline: l.ref}
+		opens[i] = record.ActiveJob{Spec: *released.spec, Shard: s.id, AcceptedAt: now.UnixMilli(), Pipeline: l.ref}
 		ops = append(ops, wire.Op{Put: record.ActiveJobKey(released.ref), Value: record.Encode(opens[i])})
 	}
 	large := func(op wire.Op) bool { return len(op.Value) > s.ledger.valueBytes }
@@ -250,7 +250,7 @@
 	}
 	t.Body.Then = append(t.Body.Then, ops...)
 	for i, released := range free {
-		t.Body.If = append(t.Body.If, wire.Cond{Key: record.ActiveJobKey(released.ref), Version: released.record.version})
+		t.Body.If = append(t.Body.If, wire.Condition{Key: record.ActiveJobKey(released.ref), Version: released.record.version})
 		t.releasedJobs[released] = opens[i]
 	}
 	return true
--- a/internal/scheduler/pipeline_test.go
+++ b/internal/scheduler/pipeline_test.go
@@ -38,7 +38,7 @@
 func (r *harness) pipeline(p record.Pipeline) {
 	r.state.Put(record.PipelineKey("pipe-000001"), p)
 	for i, ref := range p.Jobs {
-		r.open(record.ActiveJob{Spec: spec(ref, "b", wire.Array, "normal", 1, 1), At: r.clock.Now().UnixMilli(), Pipeline: "pipe-000001", AwaitsDependencies: i > 0})()
+		r.open(record.ActiveJob{Spec: spec(ref, "b", wire.Array, "normal", 1, 1), AcceptedAt: r.clock.Now().UnixMilli(), Pipeline: "pipe-000001", AwaitsDependencies: i > 0})()
 	}
 }
 
@@ -216,7 +216,7 @@
 		r.shard.UseSizedRanges()
 		w := r.machine("m1", "z1", false)
 		p := wide(13)
-		if size := len(record.Encode(p)); size < 1024 || !p.InPieces(1024, 5) {
+		if size := len(record.Encode(p)); size < 1024 || !p.NeedsSplitCommits(1024, 5) {
 			t.Fatalf("a record of %d bytes is not too large", size)
 		}
 		r.pipeline(p)
@@ -275,7 +275,7 @@
 		if withdrawn {
 			over := p
 			over.State = wire.Cancelled
-			r.state.Put(record.PipelineKey("pipe-000001"), over.Over(1024))
+			r.state.Put(record.PipelineKey("pipe-000001"), over.Compacted(1024))
 		} else {
 			r.open(record.ActiveJob{Spec: spec(p.Jobs[3], "b", wire.Array, "normal", 1, 1), Pipeline: "pipe-000001", AwaitsDependencies: true, Cancelled: true})()
 		}
--- a/internal/scheduler/placement_records.go
+++ b/internal/scheduler/placement_records.go
@@ -347,7 +347,7 @@
 			}
 			continue
 		}
-		n, err := strconv.Atoi(record.Last(e.Key))
+		n, err := strconv.Atoi(record.LastElement(e.Key))
 		if err != nil {
 			return nil, fmt.Errorf("record %s: %w", e.Key, err)
 		}
@@ -365,7 +365,7 @@
 			if !ok || j == nil {
 				continue // left over from a finished job
 			}
-			l := loadedRange{job: j, record: rec, first: n, end: n + run.Tasks, recorded: run}
+			l := loadedRange{job: j, record: rec, first: n, end: n + run.Size, recorded: run}
 			if !rec.sized {
 				per := s.cfg.unsizedRangeTasks()
 				l.first, l.end = n*per, (n+1)*per
@@ -377,7 +377,7 @@
 	}
 	// Of two that tell the same tasks the one entered later counts.
 	sort.Slice(out, func(a, b int) bool {
-		if x, y := out[a].recorded.Turn, out[b].recorded.Turn; x != y {
+		if x, y := out[a].recorded.Generation, out[b].recorded.Generation; x != y {
 			return x > y
 		}
 		return out[a].first < out[b].first
--- a/internal/scheduler/probe_test.go
+++ b/internal/scheduler/probe_test.go
@@ -89,7 +89,7 @@
 		for _, id := range ids {
 			r.machine(id, "z1", false)
 			r.sync(r.state.Put(record.ProvisionKey(id), record.Provision{Type: "big", Zone: "z1", Shards: []int{0}, IDs: []string{id},
-				Addrs: []string{"10.1.0.1:9000"}, Born: r.clock.Now().UnixMilli()}))
+				Addrs: []string{"10.1.0.1:9000"}, CreatedAt: r.clock.Now().UnixMilli()}))
 		}
 		r.submit(spec("run-000001", "b", wire.Service, "prod", 8, 1))
 		r.heartbeats(4)
@@ -166,7 +166,7 @@
 	r.machine("m2", "z1", false)
 	for _, id := range []string{"m1", "m2"} {
 		r.sync(r.state.Put(record.ProvisionKey(id), record.Provision{Type: "big", Zone: "z1", Shards: []int{0}, IDs: []string{id},
-			Addrs: []string{"10.1.0.1:9000"}, Born: r.clock.Now().UnixMilli()}))
+			Addrs: []string{"10.1.0.1:9000"}, CreatedAt: r.clock.Now().UnixMilli()}))
 	}
 	r.submit(spec("run-000001", "b", wire.Service, "prod", 3, 1))
 	r.heartbeats(4)
--- a/internal/scheduler/random_history_test.go
+++ b/internal/scheduler/random_history_test.go
@@ -41,7 +41,7 @@
 	func(h *history) { h.submitOne() }, func(h *history) { h.submitOne() },
 	func(h *history) { h.reportOne() }, func(h *history) { h.reportOne() }, func(h *history) { h.reportOne() }, func(h *history) { h.reportOne() },
 	func(h *history) { h.endOne(wire.Done) }, func(h *history) { h.endOne(wire.Done) },
-	func(h *history) { h.endOne(wire.WhyError) },
+	func(h *history) { h.endOne(wire.ExitError) },
 	func(h *history) { h.takeOver() },
 	func(h *history) { h.replay() }, func(h *history) { h.replay() },
 	func(h *history) { h.answerLate() },
@@ -163,7 +163,7 @@
 		for name, t := range w.Tasks {
 			ref, _, _ := strings.Cut(name, "/")
 			if spec := h.jobs[ref]; spec.Kind == wire.Gang && t.State == wire.Running && h.running(ref, t.Attempt) < spec.Tasks {
-				w.End(name, wire.WhyPeers)
+				w.End(name, wire.ExitGangPeersLost)
 			}
 		}
 	}
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -32,21 +32,21 @@
 			kept++
 			continue
 		}
-		claim := reconcile.Claim{State: rt.State, Why: rt.Why, KnownJob: known}
+		claim := reconcile.ReportedTask{State: rt.State, Why: rt.Why, JobKnown: known}
 		if known {
 			t := &j.tasks[n]
-			claim.Elsewhere = t.state == placed && t.attempt == rt.Attempt
-			claim.Done, claim.Durable = t.state == completed, t.completionRecorded
+			claim.PlacedElsewhere = t.state == placed && t.attempt == rt.Attempt
+			claim.Completed, claim.CompletionRecorded = t.state == completed, t.completionRecorded
 		} else {
 			j = nil
 		}
-		if claim.State == wire.Exited && !(claim.Why == wire.Done && known && !claim.Durable) {
-			claim.MayForget = s.mayForget(m, rt, j)
+		if claim.State == wire.Exited && !(claim.Why == wire.Done && known && !claim.CompletionRecorded) {
+			claim.CannotRestart = s.mayForget(m, rt, j)
 		}
-		f := reconcile.Claimed(claim)
-		s.recordOrphanOutcome(m, rt, f.Verdict)
+		f := reconcile.ClassifyReported(claim)
+		s.recordOrphanOutcome(m, rt, f.Outcome)
 		switch f.Action {
-		case reconcile.Complete:
+		case reconcile.RecordCompletion:
 			if j.tasks[n].state == pending {
 				s.completeTask(taskKey{j, n}, now) // of whatever attempt: the result is kept
 			}
@@ -55,7 +55,7 @@
 			commands = append(commands, stopCommand(rt.Task, rt.Attempt, 0))
 		case reconcile.Forget:
 			commands = append(commands, wire.Command{Op: wire.Forget, Task: rt.Task, Attempt: rt.Attempt})
-		case reconcile.Retain:
+		case reconcile.RetainResult:
 			kept++
 		}
 	}
@@ -94,15 +94,15 @@
 // reconcileAbsent takes in that a report lacks a placed task. It reports whether the task's start was
 // sent and did not arrive.
 func (s *Shard) reconcileAbsent(k taskKey, t *task, m *Machine, direct bool, now time.Time) bool {
-	f := reconcile.Absent(reconcile.Absence{
-		Told: t.recorded && !t.recording, Inherited: t.inherited, Seen: t.reported, Sent: t.sent,
-		EarlierSession: t.sentEpoch != m.contact.epoch, Direct: direct, Stopping: t.stopping,
-		MayCome: t.sent && !direct && m.mayStartLate(k.name(), t.attempt),
+	f := reconcile.ClassifyAbsent(reconcile.AbsentTask{
+		PlacementRecorded: t.recorded && !t.recording, PlacedByPredecessor: t.inherited, SeenBefore: t.reported, StartSent: t.sent,
+		SentToEarlierIncarnation: t.sentEpoch != m.contact.epoch, AnswersDirectCommand: direct, Stopping: t.stopping,
+		StartMayArrive: t.sent && !direct && m.mayStartLate(k.name(), t.attempt),
 	})
-	if f.Action == reconcile.Free {
+	if f.Action == reconcile.FreePlacement {
 		s.taskLost(k, now)
 	}
-	return f.Action == reconcile.Repeat
+	return f.Action == reconcile.ResendStart
 }
 
 // reconcilePresent takes in what a report says of a task that is where the records say.
@@ -120,20 +120,20 @@
 		t.runningSince = now
 		s.reportTaskStart(k, t, now)
 	}
-	if (rt.State == wire.Running || rt.State == wire.Gathering) && t.phase != rt.State {
+	if (rt.State == wire.Running || rt.State == wire.AwaitingGang) && t.phase != rt.State {
 		s.inventory.recordCachedImage(m, j.spec.Image, j.spec.ImageGB)
 	}
 	t.setPhase(j, rt.State)
-	f := reconcile.Claimed(reconcile.Claim{State: rt.State, Why: rt.Why, KnownJob: true, Placed: true})
-	s.recordOutcome(t, f.Verdict)
+	f := reconcile.ClassifyReported(reconcile.ReportedTask{State: rt.State, Why: rt.Why, JobKnown: true, Placed: true})
+	s.recordOutcome(t, f.Outcome)
 	switch f.Action {
-	case reconcile.Complete:
+	case reconcile.RecordCompletion:
 		m.failed = nil
 		s.completeTask(k, now)
 		if t.state == placed { // a service's task that ended all the same
 			s.taskLost(k, now)
 		}
-	case reconcile.Free:
+	case reconcile.FreePlacement:
 		s.exitedIncomplete(k, rt, m, now)
 	}
 }
@@ -142,15 +142,15 @@
 func (s *Shard) exitedIncomplete(k taskKey, rt *wire.HeartbeatTask, m *Machine, now time.Time) {
 	j := k.job
 	switch rt.Why {
-	case wire.WhyError:
+	case wire.ExitError:
 		s.countFailure(j, m, now)
-	case wire.WhyUnknown:
+	case wire.ExitUnknownTask:
 		j.notBefore = now.Add(s.backoff(j))
-	case wire.WhyNoRoom, wire.WhyBusy:
+	case wire.ExitNoRoom, wire.ExitInUse:
 		j.notBefore = now.Add(s.cfg.HeartbeatInterval)
 	}
 	s.taskLost(k, now)
-	if j.spec.Kind == wire.Gang && (rt.Why == wire.WhyStopped || rt.Why == wire.WhyPeers || rt.Why == wire.WhyIncomplete) {
+	if j.spec.Kind == wire.Gang && (rt.Why == wire.ExitStopped || rt.Why == wire.ExitGangPeersLost || rt.Why == wire.ExitGangIncomplete) {
 		s.stopAttempt(j, now) // the attempt is over for all of them
 	}
 }
--- a/internal/scheduler/reconciliation_progress.go
+++ b/internal/scheduler/reconciliation_progress.go
@@ -13,7 +13,7 @@
 type reconciliation struct {
 	since   time.Time // zero: it has settled
 	pending int       // placements of earlier owners without a verdict
-	tally   reconcile.Tally
+	tally   reconcile.OutcomeCounts
 	orphans map[string]bool // tasks in reports that are not on record, each counted once
 	// malformed is what is wrong with records that were passed over.
 	malformed []error
@@ -31,7 +31,7 @@
 	Pending      int      // tasks of which nothing is proven yet
 	Unheard      int      // machines that have not reported under the part's token
 	UnheardNames []string // some of them
-	Tally        reconcile.Tally
+	Tally        reconcile.OutcomeCounts
 }
 
 // beginReconciliation counts what is to be found out about.
@@ -76,7 +76,7 @@
 func (s *Shard) EndReconciliation() { s.reconciliation = reconciliation{} }
 
 // recordOutcome counts the verdict on a placement of an earlier owner, once.
-func (s *Shard) recordOutcome(t *task, v reconcile.Verdict) {
+func (s *Shard) recordOutcome(t *task, v reconcile.Outcome) {
 	if s.reconciliation.since.IsZero() || !t.inherited || t.reconciled {
 		return
 	}
@@ -87,13 +87,13 @@
 
 // recordOrphanOutcome counts the verdict on a task in a report that is not on record there, once, and
 // tells of a contradiction.
-func (s *Shard) recordOrphanOutcome(m *Machine, rt *wire.HeartbeatTask, v reconcile.Verdict) {
+func (s *Shard) recordOrphanOutcome(m *Machine, rt *wire.HeartbeatTask, v reconcile.Outcome) {
 	if s.reconciliation.since.IsZero() || s.reconciliation.orphans[rt.Task] || len(s.reconciliation.orphans) >= maxOrphans {
 		return
 	}
 	s.reconciliation.orphans[rt.Task] = true
 	s.reconciliation.tally.Add(v)
-	if v == reconcile.Contradictory {
+	if v == reconcile.Conflicting {
 		s.effects.Contradictions = append(s.effects.Contradictions, Contradiction{
 			Task: rt.Task, Machine: m.ID, Claimed: rt.State + " " + rt.Why, Known: s.describeTask(rt.Task)})
 	}
--- a/internal/scheduler/record_writes.go
+++ b/internal/scheduler/record_writes.go
@@ -74,7 +74,7 @@
 		}
 		at := record.PlacementsKey(s.id, rec.number)
 		t := &Txn{placements: rec, deletesRecord: true, Purpose: purposeSplit, Routine: true}
-		t.Body.If = []wire.Cond{s.ownershipCondition(), {Key: at, Version: rec.version}}
+		t.Body.If = []wire.Condition{s.ownershipCondition(), {Key: at, Version: rec.version}}
 		t.Body.Then = []wire.Op{{Delete: at}}
 		rec.txn = t
 		s.effects.Txns = append(s.effects.Txns, t)
@@ -87,12 +87,12 @@
 // job a Load passes over them.
 func (s *Shard) recordJobEnd(j *Job, now time.Time) {
 	open := record.ActiveJobKey(j.ref)
-	rec := record.FinishedJob{State: wire.Done, Tasks: len(j.tasks), At: now.UnixMilli()}
+	rec := record.FinishedJob{State: wire.Done, Tasks: len(j.tasks), FinishedAt: now.UnixMilli()}
 	if j.cancelled {
 		rec.State, rec.Tasks = wire.Cancelled, 0
 	}
 	t := &Txn{job: j, Purpose: purposeJobEnd, Routine: !j.cancelled && !j.hasDependents} // a user waits for a cancellation
-	t.Body.If = []wire.Cond{s.ownershipCondition(), {Key: open, Version: j.record.version}}
+	t.Body.If = []wire.Condition{s.ownershipCondition(), {Key: open, Version: j.record.version}}
 	t.Body.Then = []wire.Op{{Put: record.FinishedJobKey(j.ref), Value: record.Encode(rec)}, {Delete: open}}
 	if !s.addPipelineStep(t, j, now) {
 		return // when its pipeline's record is there
@@ -128,14 +128,14 @@
 		t.Purpose, t.Routine = purposeStart, false
 	}
 	at := record.PlacementsKey(s.id, placements.number)
-	t.Body.If = []wire.Cond{s.ownershipCondition(), {Key: at, Version: placements.version}}
+	t.Body.If = []wire.Condition{s.ownershipCondition(), {Key: at, Version: placements.version}}
 	keys := make([]string, 0, len(conds))
 	for k := range conds {
 		keys = append(keys, k)
 	}
 	sort.Strings(keys)
 	for _, k := range keys {
-		t.Body.If = append(t.Body.If, wire.Cond{Key: k, Version: conds[k]})
+		t.Body.If = append(t.Body.If, wire.Condition{Key: k, Version: conds[k]})
 	}
 	t.Body.Then = []wire.Op{{Put: at, Value: value}}
 	for _, k := range t.starts {
@@ -155,7 +155,7 @@
 		j := c.job
 		run := record.TaskRange{Attempt: c.attempt}
 		if placements.sized {
-			run.Tasks, run.Turn = c.end-c.first, c.turn
+			run.Size, run.Generation = c.end-c.first, c.turn
 		}
 		for i := c.first; i < c.end; i++ {
 			k := taskKey{j, i}
@@ -171,15 +171,15 @@
 				if !task.recorded {
 					t.starts = append(t.starts, k)
 				}
-				if run.On == nil {
-					run.On = map[int]record.TaskPlacement{}
+				if run.Placed == nil {
+					run.Placed = map[int]record.TaskPlacement{}
 				}
-				run.On[i] = record.TaskPlacement{Machine: task.machine.ID, Attempt: task.attempt}
+				run.Placed[i] = record.TaskPlacement{Machine: task.machine.ID, Attempt: task.attempt}
 			case completed:
 				if !task.completionRecorded {
 					t.completions = append(t.completions, k)
 				}
-				run.Done = withDone(run.Done, i)
+				run.Completed = withDone(run.Completed, i)
 			}
 		}
 		t.ranges = append(t.ranges, c)
@@ -220,7 +220,7 @@
 func (s *Shard) recordTransfer(m *Machine) {
 	at := record.OverrideKey(m.ID)
 	t := &Txn{machine: m, Purpose: purposeTransfer, Routine: true}
-	t.Body.If = []wire.Cond{s.ownershipCondition(), {Key: at, Version: m.record.version}}
+	t.Body.If = []wire.Condition{s.ownershipCondition(), {Key: at, Version: m.record.version}}
 	t.Body.Then = []wire.Op{{Put: at, Value: record.Encode(s.overrideRecord(m, m.transferTo))}}
 	m.record.txn = t
 	s.effects.Txns = append(s.effects.Txns, t)
@@ -228,20 +228,20 @@
 
 // overrideRecord is a machine's own record, with as many of its latest images as it holds.
 func (s *Shard) overrideRecord(m *Machine, part int) record.Machine {
-	rec := record.Machine{Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot, Shard: part, Born: m.provisionedAt.UnixMilli()}
+	rec := record.Machine{Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot, Shard: part, CreatedAt: m.provisionedAt.UnixMilli()}
 	last := func(n int) any {
 		r := rec
 		r.Images = m.images[len(m.images)-n:]
 		return r
 	}
-	return last(record.Within(s.ledger.valueBytes, 0, len(m.images), last)).(record.Machine)
+	return last(record.LargestFitting(s.ledger.valueBytes, 0, len(m.images), last)).(record.Machine)
 }
 
 // releaseMachine makes a machine leave for good. Only the answered return, as its
 // batch's record tells, proves gone what may run on it.
 func (s *Shard) releaseMachine(m *Machine, why string, now time.Time) {
 	s.effects.Released = append(s.effects.Released, MachineRelease{Machine: m.ID, Why: why, Tasks: len(m.tasks), Silent: now.Sub(m.contact.heardAt)})
-	m.Phase = record.Returning
+	m.Phase = record.Releasing
 	s.inventory.update(m)
 	if len(s.releases.waiting) == 0 {
 		s.releases.dueAt = now.Add(s.cfg.ReleaseBatchDelay)
@@ -259,7 +259,7 @@
 // cloud; the batch's name is never used again.
 func (s *Shard) writeReleases(now time.Time) {
 	if s.releases.batch == nil && len(s.releases.waiting) > 0 && !now.Before(s.releases.dueAt) {
-		n := record.Within(s.ledger.valueBytes, 1, min(len(s.releases.waiting), maxReleaseBatch), func(n int) any {
+		n := record.LargestFitting(s.ledger.valueBytes, 1, min(len(s.releases.waiting), maxReleaseBatch), func(n int) any {
 			return record.Release{IDs: s.releases.waiting[:n], Done: true}
 		})
 		s.releases.batches++
@@ -271,7 +271,7 @@
 		return
 	}
 	t := &Txn{release: b, Purpose: purposeRelease, Routine: true}
-	t.Body.If = []wire.Cond{s.ownershipCondition(), {Key: b.key}}
+	t.Body.If = []wire.Condition{s.ownershipCondition(), {Key: b.key}}
 	t.Body.Then = []wire.Op{{Put: b.key, Value: record.Encode(record.Release{IDs: b.ids})}}
 	b.txn = t
 	s.effects.Txns = append(s.effects.Txns, t)
--- a/internal/scheduler/recorded_state.go
+++ b/internal/scheduler/recorded_state.go
@@ -15,7 +15,7 @@
 		out = append(out, wire.Entry{Key: key, Version: version, Value: json.RawMessage(record.Encode(v))})
 	}
 	for ref, j := range s.jobs {
-		o := record.ActiveJob{Spec: *j.spec, Shard: s.id, At: j.accepted.UnixMilli(), Cancelled: j.cancelled, AwaitsDependencies: j.awaitsDependencies}
+		o := record.ActiveJob{Spec: *j.spec, Shard: s.id, AcceptedAt: j.accepted.UnixMilli(), Cancelled: j.cancelled, AwaitsDependencies: j.awaitsDependencies}
 		if j.pipeline != singleJob {
 			o.Pipeline = j.pipeline.ref
 		}
@@ -43,17 +43,17 @@
 func (c *taskRange) asRecorded() record.TaskRange {
 	run := record.TaskRange{Attempt: c.attempt}
 	if c.record.sized {
-		run.Tasks, run.Turn = c.end-c.first, c.turn
+		run.Size, run.Generation = c.end-c.first, c.turn
 	}
 	for i := c.first; i < c.end; i++ {
 		switch t := &c.job.tasks[i]; {
 		case t.state == placed && t.recorded:
-			if run.On == nil {
-				run.On = map[int]record.TaskPlacement{}
+			if run.Placed == nil {
+				run.Placed = map[int]record.TaskPlacement{}
 			}
-			run.On[i] = record.TaskPlacement{Machine: t.machine.ID, Attempt: t.attempt}
+			run.Placed[i] = record.TaskPlacement{Machine: t.machine.ID, Attempt: t.attempt}
 		case t.state == completed:
-			run.Done = withDone(run.Done, i)
+			run.Completed = withDone(run.Completed, i)
 		}
 	}
 	return run
--- a/internal/scheduler/rereads.go
+++ b/internal/scheduler/rereads.go
@@ -89,7 +89,7 @@
 		return nil
 	}
 	for _, c := range t.ranges {
-		if run, ok := rec.Ranges[s.ledger.rangeName(c)]; ok && run.Turn == c.turn {
+		if run, ok := rec.Ranges[s.ledger.rangeName(c)]; ok && run.Generation == c.turn {
 			s.ledger.confirm(c)
 		}
 	}
@@ -98,7 +98,7 @@
 		if c == nil || c.record != placements {
 			return false
 		}
-		pl, ok := rec.Ranges[s.ledger.rangeName(c)].On[k.index]
+		pl, ok := rec.Ranges[s.ledger.rangeName(c)].Placed[k.index]
 		task := &k.job.tasks[k.index]
 		return changed && ok && task.machine != nil && pl.Attempt == task.attempt && pl.Machine == task.machine.ID
 	}
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -24,7 +24,7 @@
 	delete(r.cfg.Teams, "a")
 	for at := 0; at < machines; at += 50 {
 		zone := []string{"z1", "z2"}[at/50%2]
-		rental := record.Provision{Type: "big", Zone: zone, Born: r.clock.Now().UnixMilli()}
+		rental := record.Provision{Type: "big", Zone: zone, CreatedAt: r.clock.Now().UnixMilli()}
 		for i := at; i < min(at+50, machines); i++ {
 			id := fmt.Sprintf("i-%06d", i)
 			rental.IDs, rental.Shards = append(rental.IDs, id), append(rental.Shards, 0)
--- a/internal/scheduler/task_ledger.go
+++ b/internal/scheduler/task_ledger.go
@@ -133,7 +133,7 @@
 	if j == nil {
 		spec := o.Spec
 		j = &Job{
-			ref: ref, spec: &spec, accepted: time.UnixMilli(o.At), tasks: make([]task, spec.Tasks),
+			ref: ref, spec: &spec, accepted: time.UnixMilli(o.AcceptedAt), tasks: make([]task, spec.Tasks),
 			progress: jobProgress{pending: spec.Tasks, placedByZone: map[string]int{}}, rank: Rank(spec.Priority), awaitsDependencies: true,
 		}
 		s.jobs[ref] = j
@@ -152,7 +152,7 @@
 	}
 	j.record.version = version
 	if !o.AwaitsDependencies {
-		s.releaseJob(j, time.UnixMilli(o.At), now)
+		s.releaseJob(j, time.UnixMilli(o.AcceptedAt), now)
 	}
 	if o.Cancelled {
 		s.cancelJob(j, now)
@@ -190,7 +190,7 @@
 }
 
 // SetMachine takes in what the records say of a machine, new or changed.
-func (s *Shard) SetMachine(id string, v record.View, now time.Time) error {
+func (s *Shard) SetMachine(id string, v record.MachineView, now time.Time) error {
 	m := s.inventory.byID[id]
 	if v.Shard != s.id {
 		if m != nil && v.Version > m.record.version && len(m.tasks) == 0 {
@@ -199,7 +199,7 @@
 		return nil
 	}
 	if m == nil {
-		if v.Phase == record.Gone {
+		if v.Phase == record.Released {
 			return nil
 		}
 		typ, ok := s.cfg.Types[v.Type]
@@ -207,7 +207,7 @@
 			return fmt.Errorf("machine %s: unknown type %q", id, v.Type)
 		}
 		m = &Machine{
-			ID: id, Type: typ, Zone: v.Zone, Spot: v.Spot, provisionedAt: time.UnixMilli(v.Born), tasks: map[taskKey]*task{},
+			ID: id, Type: typ, Zone: v.Zone, Spot: v.Spot, provisionedAt: time.UnixMilli(v.CreatedAt), tasks: map[taskKey]*task{},
 			images: v.Images, transferTo: -1, idleSince: now, contact: contact{heardAt: now},
 		}
 		s.inventory.byID[id] = m
@@ -225,7 +225,7 @@
 	}
 	m.Phase = max(m.Phase, v.Phase)
 	s.inventory.update(m)
-	if m.Phase == record.Gone {
+	if m.Phase == record.Released {
 		s.removeMachine(m, now)
 	}
 	s.placementDue = true
@@ -337,7 +337,7 @@
 		if t.state != placed {
 			continue
 		}
-		waits := t.phase == wire.Fetching || t.phase == wire.Gathering || (t.phase == "" && !t.inherited)
+		waits := t.phase == wire.Fetching || t.phase == wire.AwaitingGang || (t.phase == "" && !t.inherited)
 		if t.stopping || !waits {
 			return false
 		}
--- a/internal/scheduler/types.go
+++ b/internal/scheduler/types.go
@@ -333,8 +333,8 @@
 	return slices.ContainsFunc(m.images, func(i record.Image) bool { return i.Name == name })
 }
 
-func (s *Shard) ownershipCondition() wire.Cond {
-	return wire.Cond{Key: record.ShardKey(s.id), Version: s.token}
+func (s *Shard) ownershipCondition() wire.Condition {
+	return wire.Condition{Key: record.ShardKey(s.id), Version: s.token}
 }
 
 // highestRank is that of the highest priority: nothing goes before it.
--- a/internal/scheduler/unreadable_records.go
+++ b/internal/scheduler/unreadable_records.go
@@ -45,7 +45,7 @@
 	}
 	s.UseSizedRanges()
 	s.reconciliation.malformed = append(s.reconciliation.malformed, err)
-	n, keyErr := strconv.Atoi(record.Last(e.Key))
+	n, keyErr := strconv.Atoi(record.LastElement(e.Key))
 	if keyErr != nil {
 		return keyErr
 	}
--- a/internal/scheduler/unreadable_records_test.go
+++ b/internal/scheduler/unreadable_records_test.go
@@ -38,7 +38,7 @@
 	r.submit(u.half)
 	r.heartbeats(3)
 	w.End("run-000002/0", wire.Done)
-	w.End("run-000002/1", wire.WhyError)
+	w.End("run-000002/1", wire.ExitError)
 	r.heartbeats(1)
 	u.intact = slices.Clone(r.get(u.key).Value)
 	u.state.Put(u.key, "nonsense")
--- a/internal/scheduler/versions.go
+++ b/internal/scheduler/versions.go
@@ -11,7 +11,7 @@
 // Version returns the version of a record as the part knows it: of a job, a machine or a slot
 // of its own; 0 if it knows none.
 func (s *Shard) Version(key string) uint64 {
-	last := record.Last(key)
+	last := record.LastElement(key)
 	switch {
 	case strings.HasPrefix(key, record.ActiveJobPrefix):
 		if j := s.jobs[last]; j != nil {
--- a/internal/snapshot/directory.go
+++ b/internal/snapshot/directory.go
@@ -31,8 +31,8 @@
 	return func() { file.Close() }, nil
 }
 
-// Listed is a snapshot in a directory.
-type Listed struct {
+// Listing is a snapshot in a directory.
+type Listing struct {
 	Name     string    `json:"name"`
 	Manifest *Manifest `json:"manifest,omitempty"`
 	// Invalid says why its manifest can't be used.
@@ -40,17 +40,17 @@
 }
 
 // List returns the snapshots in a directory, the oldest first.
-func List(directory string) ([]Listed, error) {
+func List(directory string) ([]Listing, error) {
 	entries, err := os.ReadDir(directory)
 	if err != nil {
 		return nil, err
 	}
-	out := []Listed{}
+	out := []Listing{}
 	for _, e := range entries {
 		if !e.IsDir() || strings.HasPrefix(e.Name(), ".") {
 			continue
 		}
-		l := Listed{Name: e.Name()}
+		l := Listing{Name: e.Name()}
 		if l.Manifest, err = ReadManifest(directory, e.Name()); err != nil {
 			l.Invalid = err.Error()
 		}
@@ -80,8 +80,8 @@
 
 // Expired returns the names of the snapshots that a rule does not keep. Those whose manifests
 // can't be used are left alone.
-func (r Retention) Expired(all []Listed, now time.Time) []string {
-	usable := slices.DeleteFunc(slices.Clone(all), func(l Listed) bool { return l.Manifest == nil })
+func (r Retention) Expired(all []Listing, now time.Time) []string {
+	usable := slices.DeleteFunc(slices.Clone(all), func(l Listing) bool { return l.Manifest == nil })
 	keep := map[string]bool{}
 	for _, l := range usable[max(0, len(usable)-r.Latest):] {
 		keep[l.Name] = true
--- a/internal/snapshot/files.go
+++ b/internal/snapshot/files.go
@@ -84,14 +84,14 @@
 	return syncDirectory(t.Directory)
 }
 
-// counted passes on what is written, and counts and sums it.
-type counted struct {
+// countingWriter passes on what is written, and counts and sums it.
+type countingWriter struct {
 	io.Writer
 	n int64
 }
 
 // Write implements io.Writer.
-func (c *counted) Write(b []byte) (int, error) {
+func (c *countingWriter) Write(b []byte) (int, error) {
 	n, err := c.Writer.Write(b)
 	c.n += int64(n)
 	return n, err
@@ -104,7 +104,7 @@
 		return out, err
 	}
 	sum := sha256.New()
-	to := &counted{Writer: io.MultiWriter(file, sum)}
+	to := &countingWriter{Writer: io.MultiWriter(file, sum)}
 	w := parquet.NewGenericWriter[row](to, parquet.Compression(&parquet.Zstd))
 	for _, key := range slices.Sorted(maps.Keys(sec.entries)) {
 		e := sec.entries[key]
@@ -219,14 +219,14 @@
 		return nil, err
 	}
 	defer file.Close()
-	if err := check(file, sec); err != nil {
+	if err := verifyFile(file, sec); err != nil {
 		return nil, err
 	}
 	return decodeSection(file, sec)
 }
 
-// check compares a file with what the manifest says of it.
-func check(file *os.File, sec Section) error {
+// verifyFile compares a file with what the manifest says of it.
+func verifyFile(file *os.File, sec Section) error {
 	info, err := file.Stat()
 	if err != nil {
 		return err
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -141,7 +141,7 @@
 	r.src.before = func(n int) error {
 		r.src.Put(fmt.Sprintf("%s%02d", record.FinishedJobPrefix, n%9), n)
 		r.src.Put(fmt.Sprintf("%snew%02d", record.ActiveJobPrefix, n), n)
-		if _, err := r.src.Txn(t.Context(), use, wire.Txn{Then: []wire.Op{{Delete: fmt.Sprintf("%s%02d", record.ActiveJobPrefix, n)}}}); err != nil {
+		if _, err := r.src.Txn(t.Context(), purpose, wire.Txn{Then: []wire.Op{{Delete: fmt.Sprintf("%s%02d", record.ActiveJobPrefix, n)}}}); err != nil {
 			return err
 		}
 		return nil
@@ -201,7 +201,7 @@
 func TestSnapshotBeginsAnew(t *testing.T) {
 	for name, change := range map[string]func(r *rig){
 		"other cluster": func(r *rig) { r.src.Put(record.ClusterKey, Cluster{"other"}) },
-		"too old":       func(r *rig) { r.clock.Advance(2 * resumeWithin) },
+		"too old":       func(r *rig) { r.clock.Advance(2 * maxResumeAge) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
@@ -210,7 +210,7 @@
 				t.Fatal(err)
 			}
 			stale := wire.EntryPage{Items: []wire.Entry{{Key: record.FinishedJobPrefix + "stale", Value: json.RawMessage("1"), Version: 1}}, Revision: 1}
-			if err := s.add(record.FinishedJobPrefix, stale); err != nil {
+			if err := s.appendPage(record.FinishedJobPrefix, stale); err != nil {
 				t.Fatal(err)
 			}
 			r.src.Put(record.ClusterKey, Cluster{"this"})
@@ -415,12 +415,12 @@
 // The newest are kept, and of some days the last one each.
 func TestRetention(t *testing.T) {
 	now := time.Date(2026, 3, 9, 12, 0, 0, 0, time.UTC)
-	var all []Listed
+	var all []Listing
 	for hours := 240; hours >= 0; hours -= 6 {
 		m := &Manifest{Taken: now.Add(-time.Duration(hours) * time.Hour), Revision: uint64(300 - hours)}
-		all = append(all, Listed{Name: m.Name(), Manifest: m})
+		all = append(all, Listing{Name: m.Name(), Manifest: m})
 	}
-	all = append(all, Listed{Name: "broken", Invalid: "no manifest"})
+	all = append(all, Listing{Name: "broken", Invalid: "no manifest"})
 	kept := len(all) - 1 - len(Retention{Latest: 3, Days: 4}.Expired(all, now))
 	if kept != 3+4 { // today's last is among the newest, and of the fifth day a part counts
 		t.Errorf("%d are kept, want 7", kept)
--- a/internal/snapshot/spool.go
+++ b/internal/snapshot/spool.go
@@ -19,9 +19,9 @@
 // ones, and whoever takes the next one goes on with it.
 const partialName = ".partial"
 
-// resumeWithin is how old a partial snapshot may be: the state service keeps its changes for
+// maxResumeAge is how old a partial snapshot may be: the state service keeps its changes for
 // a while only, and those since then have to be read, too.
-const resumeWithin = time.Hour
+const maxResumeAge = time.Hour
 
 // spool is what was read so far: a file of pages for each section, one page a line.
 type spool struct {
@@ -44,7 +44,7 @@
 	header := filepath.Join(s.dir, spoolHeaderName)
 	var h spoolHeader
 	if b, err := os.ReadFile(header); err == nil && json.Unmarshal(b, &h) == nil &&
-		h.Cluster == cluster && now.Sub(h.Began) < resumeWithin {
+		h.Cluster == cluster && now.Sub(h.Began) < maxResumeAge {
 		s.began = h.Began
 		return s, nil
 	}
@@ -81,8 +81,8 @@
 	return err
 }
 
-// add appends a page of a section.
-func (s *spool) add(prefix string, p wire.EntryPage) error {
+// appendPage appends a page of a section.
+func (s *spool) appendPage(prefix string, p wire.EntryPage) error {
 	b, err := json.Marshal(p)
 	if err != nil {
 		return err
@@ -97,30 +97,30 @@
 
 // section is what was read of the records with one prefix.
 type section struct {
-	prefix   string
-	revision uint64 // of the first page
-	latest   uint64 // of the last page
-	last     string // the last key that was read
-	whole    bool   // all pages were read
-	entries  map[string]wire.Entry
+	prefix        string
+	firstRevision uint64 // of the first page
+	lastRevision  uint64 // of the last page
+	lastKey       string // the last key that was read
+	complete      bool   // all pages were read
+	entries       map[string]wire.Entry
 }
 
-// take adds a page.
-func (s *section) take(p wire.EntryPage) {
-	if s.revision == 0 {
-		s.revision = p.Revision
+// addPage adds a page.
+func (s *section) addPage(p wire.EntryPage) {
+	if s.firstRevision == 0 {
+		s.firstRevision = p.Revision
 	}
-	s.latest = max(s.latest, p.Revision)
+	s.lastRevision = max(s.lastRevision, p.Revision)
 	for _, e := range p.Items {
 		s.entries[e.Key] = e
-		s.last = e.Key
+		s.lastKey = e.Key
 	}
-	s.whole = !p.More || len(p.Items) == 0
+	s.complete = !p.More || len(p.Items) == 0
 }
 
-// change takes in a change that came after the section was begun. One that a later page has
+// apply takes in a change that came after the section was begun. One that a later page has
 // told already is passed over.
-func (s *section) change(c wire.Change) {
+func (s *section) apply(c wire.Change) {
 	key := c.Put + c.Delete
 	if held, ok := s.entries[key]; ok && held.Version >= c.Version {
 		return
@@ -158,7 +158,7 @@
 		if err := json.Unmarshal(bytes.TrimSpace(line), &p); err != nil {
 			return &section{prefix: prefix, entries: map[string]wire.Entry{}}, s.restart(prefix)
 		}
-		out.take(p)
+		out.addPage(p)
 		read += int64(len(line))
 	}
 	if err := file.Truncate(read); err != nil {
--- a/internal/snapshot/take.go
+++ b/internal/snapshot/take.go
@@ -13,8 +13,8 @@
 	"bramblespur/internal/wire"
 )
 
-// use is the purpose of a snapshot's requests: they leave room for what users wait for.
-var use = statestore.Routine("snapshot")
+// purpose is the purpose of a snapshot's requests: they leave room for what users wait for.
+var purpose = statestore.Routine("snapshot")
 
 // Source is the state service as far as snapshots need it.
 type Source interface {
@@ -45,8 +45,8 @@
 	pageKeys = 250
 	// retryPause is between two requests of which the first failed.
 	retryPause = 400 * time.Millisecond
-	// sectionTries is how often a section is read whose changes can't be followed any more.
-	sectionTries = 3
+	// maxSectionReads is how often a section is read whose changes can't be followed any more.
+	maxSectionReads = 3
 )
 
 // Cluster tells one cluster from another.
@@ -85,8 +85,8 @@
 	return m, s.remove()
 }
 
-// ask makes a request until it is answered, or until nothing was for too long.
-func ask[T any](ctx context.Context, t *Taker, request func() (T, error)) (T, error) {
+// retry makes a request until it is answered, or until nothing was for too long.
+func retry[T any](ctx context.Context, t *Taker, request func() (T, error)) (T, error) {
 	for {
 		t.requests++
 		v, err := request()
@@ -106,7 +106,7 @@
 // cluster returns the cluster's id, and gives it one if it has none yet.
 func (t *Taker) cluster(ctx context.Context) (string, error) {
 	for {
-		e, err := ask(ctx, t, func() (wire.Entry, error) { return t.Source.Get(ctx, use, record.ClusterKey) })
+		e, err := retry(ctx, t, func() (wire.Entry, error) { return t.Source.Get(ctx, purpose, record.ClusterKey) })
 		if err == nil {
 			var c Cluster
 			if err := json.Unmarshal(e.Value, &c); err != nil || c.ID == "" {
@@ -117,9 +117,9 @@
 		if !errors.Is(err, statestore.ErrNotFound) {
 			return "", err
 		}
-		first := wire.Txn{If: []wire.Cond{{Key: record.ClusterKey}},
+		first := wire.Txn{If: []wire.Condition{{Key: record.ClusterKey}},
 			Then: []wire.Op{{Put: record.ClusterKey, Value: record.Encode(Cluster{rand.Text()})}}}
-		_, err = ask(ctx, t, func() (uint64, error) { return t.Source.Txn(ctx, use, first) })
+		_, err = retry(ctx, t, func() (uint64, error) { return t.Source.Txn(ctx, purpose, first) })
 		if err != nil && !errors.As(err, new(*statestore.ConflictError)) {
 			return "", err
 		}
@@ -145,17 +145,17 @@
 	if err != nil {
 		return nil, err
 	}
-	for !sec.whole {
-		p, err := ask(ctx, t, func() (wire.EntryPage, error) {
-			return t.Source.ListPage(ctx, use, prefix, sec.last, pageKeys)
+	for !sec.complete {
+		p, err := retry(ctx, t, func() (wire.EntryPage, error) {
+			return t.Source.ListPage(ctx, purpose, prefix, sec.lastKey, pageKeys)
 		})
 		if err != nil {
 			return nil, err
 		}
-		if err := s.add(prefix, p); err != nil {
+		if err := s.appendPage(prefix, p); err != nil {
 			return nil, err
 		}
-		sec.take(p)
+		sec.addPage(p)
 	}
 	return sec, nil
 }
@@ -170,12 +170,12 @@
 		if err != nil || len(stale) == 0 {
 			return err
 		}
-		if try == sectionTries {
+		if try == maxSectionReads {
 			first := sections[stale[0]]
 			for _, sec := range sections {
-				m.Revision = max(m.Revision, sec.latest)
+				m.Revision = max(m.Revision, sec.lastRevision)
 			}
-			m.Span = &Span{From: first.revision, To: m.Revision, Reason: "changes of " + first.prefix + " come faster than they can be read"}
+			m.Span = &Span{From: first.firstRevision, To: m.Revision, Reason: "changes of " + first.prefix + " come faster than they can be read"}
 			return nil
 		}
 		for _, i := range stale {
@@ -195,7 +195,7 @@
 func (t *Taker) follow(ctx context.Context, sections []*section, m *Manifest) (stale []int, err error) {
 	m.Revision = 0
 	for i, sec := range sections {
-		changes, err := ask(ctx, t, func() (wire.Changes, error) { return t.Source.Watch(ctx, sec.prefix, sec.revision, 0) })
+		changes, err := retry(ctx, t, func() (wire.Changes, error) { return t.Source.Watch(ctx, sec.prefix, sec.firstRevision, 0) })
 		if errors.Is(err, statestore.ErrTooOld) {
 			stale = append(stale, i)
 			continue
@@ -208,7 +208,7 @@
 		}
 		for _, c := range changes.Events {
 			if c.Version <= m.Revision {
-				sec.change(c)
+				sec.apply(c)
 			}
 		}
 	}
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -269,7 +269,7 @@
 // Txn applies a transaction and returns its revision.
 func (c *Client) Txn(ctx context.Context, purpose Purpose, t wire.Txn) (uint64, error) {
 	if t.If == nil {
-		t.If = []wire.Cond{}
+		t.If = []wire.Condition{}
 	}
 	var used Usage
 	for _, op := range t.Then {
--- a/internal/testkit/agent_tasks.go
+++ b/internal/testkit/agent_tasks.go
@@ -71,9 +71,9 @@
 	case old != nil && old.on():
 		return // in use: the other attempt stays, which its reports tell
 	case !known || i >= spec.Tasks:
-		t.why = wire.WhyUnknown
+		t.why = wire.ExitUnknownTask
 	case cpus+spec.CPUs > a.typ.CPUs+slack || gpus+spec.GPUs > a.typ.GPUs+slack || mem+spec.MemoryGB > a.typ.MemoryGB+slack:
-		t.why = wire.WhyNoRoom
+		t.why = wire.ExitNoRoom
 	default:
 		t.state = wire.Fetching
 		a.w.check.On(name, a.Place)
@@ -87,14 +87,14 @@
 	spec, _ := a.w.spec(t.ref)
 	save := time.Duration(spec.SaveS * float64(time.Second))
 	if t.state == wire.Running && !t.stopped && spec.CheckpointS > 0 && grace >= save {
-		t.stopped, t.state, t.since, t.saveEnd = true, wire.Saving, time.Now(), time.Now().Add(save)
+		t.stopped, t.state, t.since, t.saveEnd = true, wire.Checkpointing, time.Now(), time.Now().Add(save)
 		a.note()
 		return
 	}
-	if t.state == wire.Saving && grace > 0 {
+	if t.state == wire.Checkpointing && grace > 0 {
 		return
 	}
-	a.exit(t, wire.WhyStopped, false)
+	a.exit(t, wire.ExitStopped, false)
 }
 
 // exit ends a task. The lock is held.
@@ -153,20 +153,20 @@
 			}
 			t.state, t.since = wire.Running, now
 			if spec.Kind == wire.Gang {
-				t.state = wire.Gathering
+				t.state = wire.AwaitingGang
 			}
 			a.note()
-		case wire.Gathering:
+		case wire.AwaitingGang:
 			if now.Sub(t.since) > a.w.timing.GangWait {
-				a.exit(t, wire.WhyIncomplete, false)
+				a.exit(t, wire.ExitGangIncomplete, false)
 			}
 		case wire.Running:
 			if spec.Kind == wire.Array && now.Sub(t.since) >= length.Run {
 				a.exit(t, wire.Done, false)
 			}
-		case wire.Saving:
+		case wire.Checkpointing:
 			if !now.Before(t.saveEnd) {
-				a.exit(t, wire.WhyStopped, true)
+				a.exit(t, wire.ExitStopped, true)
 			}
 		}
 	}
--- a/internal/testkit/cloud.go
+++ b/internal/testkit/cloud.go
@@ -30,8 +30,8 @@
 	return Call(c.w.Net, c.from, CloudEnd, cloudTimeout, func() ([]wire.MachineType, error) { return c.w.types, c.life.Err() })
 }
 
-// Rent implements cloud.API: a repeated name gives the same machines.
-func (c *Rentals) Rent(_ context.Context, r wire.ProvisionRequest) ([]string, error) {
+// Provision implements cloud.API: a repeated name gives the same machines.
+func (c *Rentals) Provision(_ context.Context, r wire.ProvisionRequest) ([]string, error) {
 	return Call(c.w.Net, c.from, CloudEnd, cloudTimeout, func() ([]string, error) {
 		if err := c.life.Err(); err != nil {
 			return nil, err
@@ -95,8 +95,8 @@
 	w.boot, w.full = d, full
 }
 
-// Return implements cloud.API: the machines are gone before it answers.
-func (c *Rentals) Return(_ context.Context, ids []string) error {
+// Release implements cloud.API: the machines are gone before it answers.
+func (c *Rentals) Release(_ context.Context, ids []string) error {
 	_, err := Call(c.w.Net, c.from, CloudEnd, cloudTimeout, func() (struct{}, error) {
 		if err := c.life.Err(); err != nil {
 			return struct{}{}, err
@@ -119,18 +119,18 @@
 }
 
 // List implements cloud.API.
-func (c *Rentals) List(context.Context) ([]wire.Listed, error) {
-	return Call(c.w.Net, c.from, CloudEnd, cloudTimeout, func() ([]wire.Listed, error) {
+func (c *Rentals) List(context.Context) ([]wire.ListedMachine, error) {
+	return Call(c.w.Net, c.from, CloudEnd, cloudTimeout, func() ([]wire.ListedMachine, error) {
 		c.w.mu.Lock()
 		defer c.w.mu.Unlock()
-		var out []wire.Listed
+		var out []wire.ListedMachine
 		for _, a := range c.w.agents {
-			out = append(out, wire.Listed{ID: a.ID, Addr: a.addr, Type: a.Type, Zone: a.Zone, Spot: a.Spot, State: wire.Running})
+			out = append(out, wire.ListedMachine{ID: a.ID, Addr: a.addr, Type: a.Type, Zone: a.Zone, Spot: a.Spot, State: wire.Running})
 		}
-		slices.SortFunc(out, func(a, b wire.Listed) int { return strings.Compare(a.ID, b.ID) })
+		slices.SortFunc(out, func(a, b wire.ListedMachine) int { return strings.Compare(a.ID, b.ID) })
 		return out, c.life.Err()
 	})
 }
 
-// Budget implements cloud.API.
-func (c *Rentals) Budget(float64) {}
+// SetRate implements cloud.API.
+func (c *Rentals) SetRate(float64) {}
--- a/internal/testkit/gangs.go
+++ b/internal/testkit/gangs.go
@@ -43,9 +43,9 @@
 			since = later(since, m.t.since)
 			m.a.mu.Unlock()
 		}
-		active := count[wire.Running] + count[wire.Saving]
+		active := count[wire.Running] + count[wire.Checkpointing]
 		switch {
-		case count[wire.Gathering] == spec.Tasks:
+		case count[wire.AwaitingGang] == spec.Tasks:
 			w.each(ms, func(m member) { m.t.state, m.t.since = wire.Running, now; m.a.note() })
 		case count[wire.Running] == spec.Tasks && now.Sub(since) >= w.length(spec.Ref).Run:
 			w.each(ms, func(m member) { m.a.exit(m.t, wire.Done, false) })
@@ -58,7 +58,7 @@
 					m.t.alone = now
 				}
 				if now.Sub(m.t.alone) >= w.timing.GangPeer {
-					m.a.exit(m.t, wire.WhyPeers, false)
+					m.a.exit(m.t, wire.ExitGangPeersLost, false)
 				}
 			})
 		}
--- a/internal/testkit/loopback.go
+++ b/internal/testkit/loopback.go
@@ -101,14 +101,14 @@
 	mux.HandleFunc("POST /rentals", func(rw http.ResponseWriter, r *http.Request) {
 		var q wire.ProvisionRequest
 		if decodeBody(rw, r, &q) {
-			ids, err := api.Rent(r.Context(), q)
-			answer(rw, wire.Names{Machines: ids}, err)
+			ids, err := api.Provision(r.Context(), q)
+			answer(rw, wire.MachineNames{Machines: ids}, err)
 		}
 	})
 	mux.HandleFunc("POST /rentals/return", func(rw http.ResponseWriter, r *http.Request) {
-		var q wire.Names
+		var q wire.MachineNames
 		if decodeBody(rw, r, &q) {
-			answer(rw, struct{}{}, api.Return(r.Context(), q.Machines))
+			answer(rw, struct{}{}, api.Release(r.Context(), q.Machines))
 		}
 	})
 	mux.HandleFunc("GET /rentals", func(rw http.ResponseWriter, r *http.Request) {
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -265,8 +265,8 @@
 // Types implements cloud.API.
 func (c *Cloud) Types(context.Context) ([]wire.MachineType, error) { return c.Offer, nil }
 
-// Rent implements cloud.API: a repeated name gives the same machines.
-func (c *Cloud) Rent(_ context.Context, r wire.ProvisionRequest) ([]string, error) {
+// Provision implements cloud.API: a repeated name gives the same machines.
+func (c *Cloud) Provision(_ context.Context, r wire.ProvisionRequest) ([]string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if ids, ok := c.Rentals[r.Request]; ok {
@@ -287,8 +287,8 @@
 	return ids, nil
 }
 
-// Return implements cloud.API.
-func (c *Cloud) Return(_ context.Context, ids []string) error {
+// Release implements cloud.API.
+func (c *Cloud) Release(_ context.Context, ids []string) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.Returned = append(c.Returned, ids...)
@@ -296,10 +296,10 @@
 }
 
 // List implements cloud.API.
-func (c *Cloud) List(context.Context) ([]wire.Listed, error) { return nil, nil }
+func (c *Cloud) List(context.Context) ([]wire.ListedMachine, error) { return nil, nil }
 
-// Budget implements cloud.API.
-func (c *Cloud) Budget(float64) {}
+// SetRate implements cloud.API.
+func (c *Cloud) SetRate(float64) {}
 
 // WorkerTask is a task on a scripted worker.
 type WorkerTask struct {
@@ -357,7 +357,7 @@
 			w.Started = append(w.Started, fmt.Sprintf("%s#%d", c.Task, c.Attempt))
 		case wire.Stop:
 			if t != nil && t.Attempt == c.Attempt && t.State != wire.Exited {
-				t.State, t.Why, t.Saved = wire.Exited, wire.WhyStopped, c.GraceS != nil && *c.GraceS > 0
+				t.State, t.Why, t.Saved = wire.Exited, wire.ExitStopped, c.GraceS != nil && *c.GraceS > 0
 			}
 		case wire.Forget:
 			if t != nil && t.Attempt == c.Attempt && t.State == wire.Exited {
--- a/internal/wire/check_test.go
+++ b/internal/wire/check_test.go
@@ -24,13 +24,13 @@
 		"no session":        func(r *Heartbeat) { r.Session = 0 },
 		"an endless notice": notice(1e300),
 		"a notice of NaN":   notice(math.NaN()),
-		"too many tasks":    func(r *Heartbeat) { r.Tasks = make([]HeartbeatTask, maxOnOne+1) },
+		"too many tasks":    func(r *Heartbeat) { r.Tasks = make([]HeartbeatTask, maxTasksPerMachine+1) },
 		"an unknown state":  func(r *Heartbeat) { r.Tasks[0].State = "dreaming" },
 		"an attempt twice":  func(r *Heartbeat) { r.Tasks[1] = r.Tasks[0] },
 		"one twice of many": func(r *Heartbeat) {
 			r.Tasks = nil
-			for i := range 2 * fewTasks {
-				r.Tasks = append(r.Tasks, HeartbeatTask{Task: "run-000412/3", Attempt: uint64(i%(2*fewTasks-1) + 1), State: Exited, Why: WhyBusy})
+			for i := range 2 * pairwiseLimit {
+				r.Tasks = append(r.Tasks, HeartbeatTask{Task: "run-000412/3", Attempt: uint64(i%(2*pairwiseLimit-1) + 1), State: Exited, Why: ExitInUse})
 			}
 		},
 		"a task by no name":  func(r *Heartbeat) { r.Tasks[0].Task = "" },
@@ -38,7 +38,7 @@
 	} {
 		r := good()
 		change(r)
-		if err := r.Check(); !errors.Is(err, ErrSenseless) {
+		if err := r.Check(); !errors.Is(err, ErrInvalidMessage) {
 			t.Errorf("%s: err %v", name, err)
 		}
 	}
@@ -57,7 +57,7 @@
 
 // Amounts of seconds beyond what a time can hold do not come out negative.
 func TestSecondsKeepTheirSign(t *testing.T) {
-	for s, want := range map[float64]time.Duration{0: 0, 1.5: 1500 * time.Millisecond, 1e300: longest, -1e300: -longest, 1e12: longest} {
+	for s, want := range map[float64]time.Duration{0: 0, 1.5: 1500 * time.Millisecond, 1e300: maxDuration, -1e300: -maxDuration, 1e12: maxDuration} {
 		if got := Seconds(s); got != want {
 			t.Errorf("%g s: %v, want %v", s, got, want)
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -22,21 +22,21 @@
 
 // Task states in reports. Running and Done above are used too.
 const (
-	Fetching  = "fetching"
-	Gathering = "gathering"
-	Saving    = "saving"
-	Exited    = "exited"
+	Fetching      = "fetching"
+	AwaitingGang  = "gathering"
+	Checkpointing = "saving"
+	Exited        = "exited"
 )
 
 // Why a task exited. Done above is used too.
 const (
-	WhyStopped    = "halted"
-	WhyPeers      = "mates_gone"
-	WhyIncomplete = "incomplete"
-	WhyError      = "error"
-	WhyNoRoom     = "no_room"
-	WhyBusy       = "in_use"
-	WhyUnknown    = "no_such"
+	ExitStopped        = "halted"
+	ExitGangPeersLost  = "mates_gone"
+	ExitGangIncomplete = "incomplete"
+	ExitError          = "error"
+	ExitNoRoom         = "no_room"
+	ExitInUse          = "in_use"
+	ExitUnknownTask    = "no_such"
 )
 
 // Commands to workers.
@@ -204,13 +204,13 @@
 	Count   int    `json:"number"`
 }
 
-// Names lists machines by name.
-type Names struct {
+// MachineNames lists machines by name.
+type MachineNames struct {
 	Machines []string `json:"bushes"`
 }
 
-// Listed is a machine in the cloud's list.
-type Listed struct {
+// ListedMachine is a machine in the cloud's list.
+type ListedMachine struct {
 	ID    string  `json:"ref"`
 	Addr  string  `json:"address"`
 	Type  string  `json:"stock"`
@@ -222,8 +222,8 @@
 
 // MachineList is one page of the cloud's list.
 type MachineList struct {
-	Machines []Listed `json:"bushes"`
-	More     bool     `json:"truncated"`
+	Machines []ListedMachine `json:"bushes"`
+	More     bool            `json:"truncated"`
 }
 
 // Entry is a record of the state service.
@@ -241,8 +241,8 @@
 	Revision uint64  `json:"ring"`
 }
 
-// Cond is a condition of a transaction.
-type Cond struct {
+// Condition is a condition of a transaction.
+type Condition struct {
 	Key     string `json:"path"`
 	Version uint64 `json:"notch"`
 }
@@ -257,8 +257,8 @@
 
 // Txn is a transaction.
 type Txn struct {
-	If   []Cond `json:"when"`
-	Then []Op   `json:"then"`
+	If   []Condition `json:"when"`
+	Then []Op        `json:"then"`
 }
 
 // TxnResult answers a transaction.
