--- a/internal/controller/leader_host.go
+++ b/internal/controller/leader_host.go
@@ -123,7 +123,7 @@
 func (h leaderHost) FleetLocked() *clusterview.Machines { return h.c.machines }
 
 // FleetSeenLocked implements leader.Machines.
-func (h leaderHost) FleetSeenLocked() bool { return !h.c.machines.Loaded() }
+func (h leaderHost) FleetSeenLocked() bool { return h.c.machines.Loaded() }
 
 // ReadFleet implements leader.Machines.
 func (h leaderHost) ReadFleet(ctx context.Context, purpose statestore.Purpose) (*record.Fleet, error) {
