--- a/internal/statestore/guard.go
+++ b/internal/statestore/guard.go
@@ -11,11 +11,12 @@
 	"bramblespur/internal/wire"
 )
 
-// ErrRevisionRegressed says that an answer is of an older revision than one that was given before its
-// request was made: the state service has lost data, or another one answers.
+// ErrRevisionRegressed says that a response is of an older revision than one that was seen before
+// its request was made: the store has lost data, or it is another store.
 var ErrRevisionRegressed = errors.New("statestore: revision went back")
 
-// Guard is a Store that notices when revisions fall, and that can be closed for changes.
+// Guard is a Store that detects revisions that went back, and that can be made read-only. It is
+// safe for concurrent use.
 type Guard struct {
 	Store
 	highestRevision  atomic.Uint64
@@ -24,10 +25,10 @@
 	onRegression     func(held, found uint64)
 }
 
-// NewGuard returns a guard of a store. While it is closed it refuses changes but of keys with
-// the allowed prefixes. It tells of each answer whose revision fell.
-func NewGuard(s Store, allowed []string, fell func(held, found uint64)) *Guard {
-	return &Guard{Store: s, writablePrefixes: allowed, onRegression: fell}
+// NewGuard returns a guard of a store. While it is read-only it refuses writes but of keys with
+// the writable prefixes. It calls onRegression for each response whose revision went back.
+func NewGuard(s Store, writablePrefixes []string, onRegression func(held, found uint64)) *Guard {
+	return &Guard{Store: s, writablePrefixes: writablePrefixes, onRegression: onRegression}
 }
 
 // HighestRevision returns the highest revision that was seen.
@@ -36,10 +37,10 @@
 // ForgetRevision forgets the highest revision.
 func (g *Guard) ForgetRevision() { g.highestRevision.Store(0) }
 
-// SetReadOnly refuses changes from now on, or no longer.
-func (g *Guard) SetReadOnly(closed bool) { g.readOnly.Store(closed) }
+// SetReadOnly makes the store read-only, or writable again.
+func (g *Guard) SetReadOnly(readOnly bool) { g.readOnly.Store(readOnly) }
 
-// observe takes in a revision that was seen.
+// observe raises the highest revision that was seen.
 func (g *Guard) observe(revision uint64) {
 	for {
 		held := g.highestRevision.Load()
@@ -49,8 +50,8 @@
 	}
 }
 
-// checkRevision takes in the revision of an answer to a request that was made when the highest one
-// was as given. Answers may come in any order, so only that counts.
+// checkRevision checks the revision of a response against the highest one that was seen before
+// its request. Responses may come in any order, so it isn't compared with what was seen since.
 func (g *Guard) checkRevision(before, revision uint64) error {
 	if revision < before {
 		g.onRegression(before, revision)
@@ -86,13 +87,13 @@
 	}
 	before := g.highestRevision.Load()
 	revision, err := g.Store.Txn(ctx, purpose, t)
-	if err == nil && len(t.Then) > 0 { // one without changes only compares
+	if err == nil && len(t.Then) > 0 { // one without writes only compares
 		err = g.checkRevision(before, revision)
 	}
 	return revision, err
 }
 
-// permits reports whether a transaction may be made while the guard is closed.
+// permits reports whether a transaction may be made while the store is read-only.
 func (g *Guard) permits(t wire.Txn) bool {
 	for _, op := range t.Then {
 		if !hasAnyPrefix(op.Put+op.Delete, g.writablePrefixes) {
@@ -111,7 +112,7 @@
 	return false
 }
 
-// Watch implements Store. A watch may wait long, so that its answer is compared only with the
+// Watch implements Store. A watch may wait long, so that its response is compared only with the
 // revision that it began at.
 func (g *Guard) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (wire.Changes, error) {
 	ch, err := g.Store.Watch(ctx, prefix, since, wait)
--- a/internal/statestore/lending.go
+++ b/internal/statestore/loans.go
@@ -7,20 +7,20 @@
 	"golang.org/x/time/rate"
 )
 
-// canBorrow reports whether a waiter's changes may come from the lender, so that its
-// place does not tell how long it waits.
+// canBorrow reports whether a request's writes may come from the lender, so that its place in
+// the queue does not tell how long it waits.
 func (s *requestScheduler) canBorrow(w *waitingRequest, now time.Time) bool {
 	return s.lender != nil && w.writes > 0 && !now.Before(s.nextLoanAt)
 }
 
-// awaitsLoan reports whether a waiter needs more than can be saved up here, and the
-// lender's answer may spare it the time that taking the rest in advance costs.
+// awaitsLoan reports whether a request needs more than this controller's burst while a loan may
+// still spare it the time that reserving the rest in advance takes.
 func (s *requestScheduler) awaitsLoan(w *waitingRequest, now time.Time) bool {
 	return !w.routine && w.writes > s.writeTokens.Burst() && (s.loanRequested || s.canBorrow(w, now))
 }
 
-// borrow asks the lender for the changes of the next write, if these are what it
-// waits for. The lock is held.
+// borrow asks the lender, on a goroutine of its own, for the writes of the next write request if
+// it waits for these. The lock is held.
 func (s *requestScheduler) borrow(now time.Time) {
 	w := s.writes.next(now)
 	if w == nil || s.loanRequested || w.keepsReserve(now) || !s.canBorrow(w, now) || s.writeDelay(w, now) <= minTimer {
@@ -44,17 +44,18 @@
 	}()
 }
 
-// useLoan lets the first write through that needs no more than the changes lent.
+// useLoan admits the next write request if it needs no more than the writes lent.
 func (s *requestScheduler) useLoan(writes int, now time.Time) {
 	w := s.writes.next(now)
-	if w == nil || w.writes > writes { // which were for one that has left since
+	if w == nil || w.writes > writes { // the loan was for one that has left since
 		return
 	}
 	s.writes.admit(w)
 	s.send(w, []*rate.Reservation{s.requestTokens.ReserveN(now, 1)}, now)
 }
 
-// rejectLate refuses the writes that can't be in time at their places.
+// rejectLate rejects the write requests that can't be admitted before their deadlines at their
+// places.
 func (s *requestScheduler) rejectLate(now time.Time) {
 	unitsAhead := 0
 	s.writes.waiting = slices.DeleteFunc(s.writes.waiting, func(w *waitingRequest) bool {
--- a/internal/statestore/lane.go
+++ b/internal/statestore/queue.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// waitingRequest is a request that waits.
+// waitingRequest is a request that waits for tokens.
 type waitingRequest struct {
 	priority priority
 	routine  bool
 	writes   int
 	enqueued time.Time
-	deadline time.Time // it is of no use after this
+	deadline time.Time // it is rejected after this
 	decided  chan decision
 }
 
-// decision tells a waiter whether it may be sent, and after which further delay.
+// decision says whether a request may be sent, and after which further delay.
 type decision struct {
 	admitted bool
 	delay    time.Duration
 }
 
-// units is what a waiter counts in its lane.
+// units is what a request counts in its queue.
 func (w *waitingRequest) units() int { return max(1, w.writes) }
 
-// keepsReserve reports whether a waiter still leaves a part of the budget free.
+// keepsReserve reports whether a request still leaves a part of the burst free.
 func (w *waitingRequest) keepsReserve(now time.Time) bool {
 	return w.routine && now.Sub(w.enqueued) < reserveTimeout
 }
 
-// queue holds waiters by class, and by arrival within one.
+// queue holds requests by priority, and by arrival within one.
 type queue struct {
 	waiting             []*waitingRequest
-	admittedSinceOldest int // units since the longest waiting had its turn
+	admittedSinceOldest int // units since the oldest request was admitted
 }
 
-// insert puts a waiter at its place and returns the units that go before it.
+// insert adds a request at its place and returns the units ahead of it.
 func (q *queue) insert(w *waitingRequest) (unitsAhead int) {
 	at := len(q.waiting)
 	for at > 0 && q.waiting[at-1].priority > w.priority {
@@ -48,7 +48,7 @@
 	return unitsAhead
 }
 
-// remove takes a waiter out and reports whether it was there.
+// remove removes a request and reports whether it was there.
 func (q *queue) remove(w *waitingRequest) bool {
 	at := slices.Index(q.waiting, w)
 	if at < 0 {
@@ -58,12 +58,13 @@
 	return true
 }
 
-// oldest returns the waiter that came first.
+// oldest returns the request that came first.
 func (q *queue) oldest() *waitingRequest {
 	return slices.MinFunc(q.waiting, func(a, b *waitingRequest) int { return a.enqueued.Compare(b.enqueued) })
 }
 
-// next returns the waiter whose turn it is, nil if there is none.
+// next returns the request whose turn it is, nil if there is none: that of the highest
+// priority, or after agingUnits the oldest one.
 func (q *queue) next(now time.Time) *waitingRequest {
 	if len(q.waiting) == 0 {
 		return nil
@@ -78,7 +79,7 @@
 	return first
 }
 
-// admit takes a waiter out that is let through.
+// admit removes a request that is admitted.
 func (q *queue) admit(w *waitingRequest) {
 	if q.oldest() == w {
 		q.admittedSinceOldest = 0
@@ -88,7 +89,7 @@
 	q.remove(w)
 }
 
-// units is what all that wait count.
+// units is the sum over all requests.
 func (q *queue) units() (sum int) {
 	for _, w := range q.waiting {
 		sum += w.units()
@@ -96,13 +97,13 @@
 	return sum
 }
 
-// rejectExpired refuses what is too late.
+// rejectExpired rejects requests past their deadlines.
 func (q *queue) rejectExpired(now time.Time) {
 	q.waiting = slices.DeleteFunc(q.waiting, func(w *waitingRequest) bool {
-		late := now.After(w.deadline)
-		if late {
+		expired := now.After(w.deadline)
+		if expired {
 			w.decided <- decision{}
 		}
-		return late
+		return expired
 	})
 }
--- a/internal/statestore/admission.go
+++ b/internal/statestore/scheduler.go
@@ -10,56 +10,57 @@
 )
 
 const (
-	// reservedShare is the share of a burst that routine work leaves free.
+	// reservedShare is the share of a burst that routine requests leave free.
 	reservedShare = 0.3
-	// reserveTimeout is how long routine work leaves that free.
+	// reserveTimeout is how long a routine request leaves it free.
 	reserveTimeout = time.Second
-	// agingUnits is how many units (changes or requests) others take before the request
-	// that waits longest has its turn, whatever it is for: so no class starves. Ends of
-	// jobs, of two changes, get a third so, which is what they need where all jobs
-	// are of one task.
+	// agingUnits is how many units (writes or requests) are admitted before the request
+	// that has waited longest gets a turn, whatever its priority. Completions of jobs, of
+	// two writes each, get a third so, which is what they need where all jobs are of one
+	// task.
 	agingUnits = 4
-	// agingDelay is how long a request has waited before it may have that turn.
+	// agingDelay is how long a request has waited before it may get that turn.
 	agingDelay = reserveTimeout
-	// maxQueueLength bounds the requests that wait in a lane.
+	// maxQueueLength bounds the requests that wait in a queue.
 	maxQueueLength = 200
-	// responseTime is left of a caller's deadline for the service's answer.
+	// responseTime is what is left of a caller's deadline for the store's response.
 	responseTime = 100 * time.Millisecond
-	// loanRetryDelay is how long no changes are asked for after they were denied.
+	// loanRetryDelay is how long no loan is requested after one was denied.
 	loanRetryDelay = 200 * time.Millisecond
-	// minTimer keeps rounding from waking the process twice.
+	// minTimer is the shortest timer: rounding would else wake the process twice.
 	minTimer = time.Millisecond
 )
 
-// requestScheduler keeps requests to this controller's part of the service's limits. The
-// limiters hold the tokens; what finds none waits here, ordered by class. No timer
-// runs and nothing is woken while nothing waits.
+// requestScheduler keeps requests to this controller's share of the store's limits. The
+// limiters are the token buckets; requests that lack tokens queue here by priority. While
+// nothing waits no timer runs and nothing wakes the process. It is safe for concurrent use;
+// its lock is not held while the lender or the store is called.
 type requestScheduler struct {
 	requestTokens *rate.Limiter
 	writeTokens   *rate.Limiter
 
 	mu       sync.Mutex
-	reads    queue // need a request each
-	writes   queue // need changes as well
+	reads    queue // need a request token each
+	writes   queue // need write tokens as well
 	timer    *time.Timer
-	admitted [2]int // requests and changes let through since last asked
+	admitted [2]int // request and write units since the last takeDemand
 
 	lender        Lender
-	loanRequested bool      // it is being asked
-	nextLoanAt    time.Time // it denied changes, and is not asked again before
+	loanRequested bool      // a call of it is under way
+	nextLoanAt    time.Time // a loan was denied, and none is requested before
 }
 
-// Lender lets a controller make changes beyond its own part of the limit, if there
-// are any left. Where it asks modestly, some must be left to those that need more.
+// Lender reports whether a controller may make so many writes beyond its own share. A modest
+// request leaves some to those that need more.
 type Lender func(changes int, modest bool) bool
 
-// The kinds of budget.
+// Kinds of units.
 const (
 	requestUnits = iota
 	writeUnits
 )
 
-// queueFor returns the lane of requests that make so many changes.
+// queueFor returns the queue of requests that make so many writes.
 func (s *requestScheduler) queueFor(writes int) *queue {
 	if writes > 0 {
 		return &s.writes
@@ -67,8 +68,8 @@
 	return &s.reads
 }
 
-// admit waits until the limits let a request with so many changes through. It
-// reports false, with nothing used, as soon as it can't be let through in time.
+// admit waits for tokens for a request with so many writes. It reports false, with no token
+// used, as soon as the request can't be admitted before its deadline.
 func (s *requestScheduler) admit(ctx context.Context, writes int, purpose Purpose) bool {
 	if ctx.Err() != nil {
 		return false
@@ -78,40 +79,47 @@
 		return false
 	}
 	select {
-	case v := <-w.decided:
-		return v.admitted && sleep(ctx, v.delay)
+	case d := <-w.decided:
+		return d.admitted && sleep(ctx, d.delay)
 	case <-ctx.Done():
 		s.abandon(w)
 		return false
 	}
 }
 
-// enqueue queues a request up, unless it could not be let through in time.
+// enqueue puts a request into its queue. It returns nil if the request can't be admitted before
+// its deadline.
 func (s *requestScheduler) enqueue(ctx context.Context, writes int, purpose Purpose) *waitingRequest {
 	now := time.Now()
-	c := purpose.priority()
-	w := &waitingRequest{priority: c, routine: purpose.Routine, writes: writes, enqueued: now, deadline: now.Add(maxWaits[c]),
-		decided: make(chan decision, 1)}
+	level := purpose.priority()
+	w := &waitingRequest{
+		priority: level,
+		routine:  purpose.Routine,
+		writes:   writes,
+		enqueued: now,
+		deadline: now.Add(maxWaits[level]),
+		decided:  make(chan decision, 1),
+	}
 	if deadline, ok := ctx.Deadline(); ok && deadline.Add(-responseTime).Before(w.deadline) {
 		w.deadline = deadline.Add(-responseTime)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.queueFor(writes)
-	if len(l.waiting) >= maxQueueLength {
+	q := s.queueFor(writes)
+	if len(q.waiting) >= maxQueueLength {
 		return nil
 	}
-	unitsAhead := l.insert(w)
+	unitsAhead := q.insert(w)
 	if !s.canBorrow(w, now) && now.Add(s.estimate(w, unitsAhead, now)).After(w.deadline) {
-		l.remove(w)
+		q.remove(w)
 		return nil
 	}
 	s.dispatch(now)
 	return w
 }
 
-// estimate is how long a waiter waits behind so many units if nothing comes that
-// goes before it.
+// estimate is how long a request waits behind so many units if none comes that goes before
+// it.
 func (s *requestScheduler) estimate(w *waitingRequest, unitsAhead int, now time.Time) time.Duration {
 	if w.writes > 0 {
 		return max(timeUntilTokens(s.writeTokens, float64(unitsAhead+w.writes), now), timeUntilTokens(s.requestTokens, 1, now))
@@ -119,7 +127,7 @@
 	return timeUntilTokens(s.requestTokens, float64(unitsAhead+1), now)
 }
 
-// abandon takes a request out whose caller waits no more.
+// abandon removes a request whose caller has given up.
 func (s *requestScheduler) abandon(w *waitingRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,8 +136,9 @@
 	}
 }
 
-// dispatch lets through what the limits allow, refuses what is too late, and sets
-// the timer for the next of either. The lock is held.
+// dispatch rejects expired requests, admits what the buckets allow, requests a loan if one
+// helps, and sets the timer for the next of these. The lock is held, as by all below that it
+// calls.
 func (s *requestScheduler) dispatch(now time.Time) {
 	s.reads.rejectExpired(now)
 	s.writes.rejectExpired(now)
@@ -144,8 +153,8 @@
 	s.setTimer(now)
 }
 
-// next returns the waiter to be let through next: of the two lanes' the one of the
-// smaller class. A write that lacks changes keeps no read waiting.
+// next returns the request to be admitted next: of the two queues' first ones that of the
+// higher priority. A write that lacks write tokens delays no read.
 func (s *requestScheduler) next(now time.Time) *waitingRequest {
 	write, read := s.writes.next(now), s.reads.next(now)
 	if write == nil || (read != nil && (read.priority < write.priority || s.writeDelay(write, now) > 0)) {
@@ -154,7 +163,7 @@
 	return write
 }
 
-// delay is how long a waiter must wait for the limits if it is its turn.
+// delay is how long a request whose turn it is has to wait for tokens.
 func (s *requestScheduler) delay(w *waitingRequest, now time.Time) time.Duration {
 	requests := 1.0
 	if w.keepsReserve(now) {
@@ -163,8 +172,8 @@
 	return max(s.tokenDelay(w, s.requestTokens, requests, 1, now), s.writeDelay(w, now))
 }
 
-// writeDelay is the same for its changes alone. Of more than a burst the rest is
-// taken in advance, and the request sent when that has come.
+// writeDelay is how long it has to wait for write tokens alone. Of more than a burst the rest is
+// reserved in advance, and the request sent when the bucket has filled up again.
 func (s *requestScheduler) writeDelay(w *waitingRequest, now time.Time) time.Duration {
 	switch {
 	case w.writes == 0:
@@ -181,18 +190,18 @@
 	return s.tokenDelay(w, s.writeTokens, tokens, least, now)
 }
 
-// tokenDelay is how long it takes until a limiter holds so many tokens, or until the
-// waiter's patience ends and it holds the least that is needed.
-func (s *requestScheduler) tokenDelay(w *waitingRequest, l *rate.Limiter, tokens, least float64, now time.Time) time.Duration {
-	d := timeUntilTokens(l, tokens, now)
+// tokenDelay is how long it takes until a bucket holds so many tokens, or until the request
+// need no longer leave a reserve and the bucket holds the least that it needs.
+func (s *requestScheduler) tokenDelay(w *waitingRequest, limiter *rate.Limiter, tokens, least float64, now time.Time) time.Duration {
+	delay := timeUntilTokens(limiter, tokens, now)
 	if tokens <= least {
-		return d
+		return delay
 	}
-	patience := w.enqueued.Add(reserveTimeout).Sub(now)
-	return min(d, max(patience, timeUntilTokens(l, least, now)))
+	reserveEnds := w.enqueued.Add(reserveTimeout).Sub(now)
+	return min(delay, max(reserveEnds, timeUntilTokens(limiter, least, now)))
 }
 
-// timeUntilTokens is how long it takes a limiter to hold so many tokens.
+// timeUntilTokens is how long it takes until a bucket holds so many tokens.
 func timeUntilTokens(limiter *rate.Limiter, tokens float64, now time.Time) time.Duration {
 	const roundingError = 1e-6
 	missing := tokens - limiter.TokensAt(now)
@@ -205,27 +214,27 @@
 	return time.Duration(missing / float64(limiter.Limit()) * float64(time.Second))
 }
 
-// reserveAndSend lets a waiter through.
+// reserveAndSend admits a request with tokens of its own.
 func (s *requestScheduler) reserveAndSend(w *waitingRequest, now time.Time) {
 	s.queueFor(w.writes).admit(w)
-	taken := []*rate.Reservation{s.requestTokens.ReserveN(now, 1)}
+	reserved := []*rate.Reservation{s.requestTokens.ReserveN(now, 1)}
 	for left := w.writes; left > 0; {
 		n := min(left, s.writeTokens.Burst())
-		taken = append(taken, s.writeTokens.ReserveN(now, n))
+		reserved = append(reserved, s.writeTokens.ReserveN(now, n))
 		left -= n
 	}
-	s.send(w, taken, now)
+	s.send(w, reserved, now)
 }
 
-// send lets a waiter through once what was taken for it has come, unless that is too
-// late.
-func (s *requestScheduler) send(w *waitingRequest, taken []*rate.Reservation, now time.Time) {
+// send tells a request to go once its reserved tokens have come, or rejects it and gives them
+// back if that is after its deadline.
+func (s *requestScheduler) send(w *waitingRequest, reserved []*rate.Reservation, now time.Time) {
 	var delay time.Duration
-	for _, r := range taken {
+	for _, r := range reserved {
 		delay = max(delay, r.DelayFrom(now))
 	}
 	if delay > minTimer && now.Add(delay).After(w.deadline) {
-		for _, r := range slices.Backward(taken) {
+		for _, r := range slices.Backward(reserved) {
 			r.CancelAt(now)
 		}
 		w.decided <- decision{}
@@ -236,8 +245,8 @@
 	w.decided <- decision{admitted: true, delay: delay}
 }
 
-// setTimer sets the timer for the next moment at which something may be let through
-// or is too late.
+// setTimer sets the timer for the next moment at which a request may be admitted, expires or
+// may ask for a loan, and stops it if there is none.
 func (s *requestScheduler) setTimer(now time.Time) {
 	var next time.Time
 	earliest := func(at time.Time) {
@@ -245,11 +254,11 @@
 			next = at
 		}
 	}
-	for _, l := range []*queue{&s.reads, &s.writes} {
-		for _, w := range l.waiting {
+	for _, q := range []*queue{&s.reads, &s.writes} {
+		for _, w := range q.waiting {
 			earliest(w.deadline)
 		}
-		if w := l.next(now); w != nil {
+		if w := q.next(now); w != nil {
 			earliest(now.Add(s.delay(w, now)))
 		}
 	}
@@ -267,40 +276,41 @@
 	}
 }
 
-// wake is the timer's turn.
+// wake runs when the timer expires.
 func (s *requestScheduler) wake() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dispatch(time.Now())
 }
 
-// takeDemand returns what was let through since the last call and what waits.
-func (s *requestScheduler) takeDemand() (reqs, writes int) {
+// takeDemand returns the units that were admitted since the last call or wait now.
+func (s *requestScheduler) takeDemand() (requests, writes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	reqs = s.admitted[requestUnits] + len(s.reads.waiting) + len(s.writes.waiting)
+	requests = s.admitted[requestUnits] + len(s.reads.waiting) + len(s.writes.waiting)
 	writes = s.admitted[writeUnits] + s.writes.units()
 	s.admitted = [2]int{}
-	return reqs, writes
+	return requests, writes
 }
 
-// backlog is how long the changes that wait now will take.
+// backlog is how long the writes that wait now will take.
 func (s *requestScheduler) backlog() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Duration(float64(s.writes.units()) / float64(s.writeTokens.Limit()) * float64(time.Second))
 }
 
-// setLimit sets the limits. The lock is taken, as what waits may go on at once.
-func (s *requestScheduler) setLimit(l *rate.Limiter, r float64, burst int) {
+// setLimit sets the rate and burst of one of the buckets. Requests that wait may then be
+// admitted at once.
+func (s *requestScheduler) setLimit(limiter *rate.Limiter, perSecond float64, burst int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l.Limit() == rate.Limit(r) && l.Burst() == burst {
+	if limiter.Limit() == rate.Limit(perSecond) && limiter.Burst() == burst {
 		return
 	}
 	now := time.Now()
-	l.SetLimitAt(now, rate.Limit(r))
-	l.SetBurstAt(now, burst)
+	limiter.SetLimitAt(now, rate.Limit(perSecond))
+	limiter.SetBurstAt(now, burst)
 	if len(s.reads.waiting)+len(s.writes.waiting) > 0 {
 		s.dispatch(now)
 	}
