--- a/internal/controller/account_test.go
+++ b/internal/controller/account_test.go
@@ -100,7 +100,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.resetOpen(entries, rev, c.startedAt)
+	c.resetActiveJobs(entries, rev, c.startedAt)
 }
 
 // takeOverPart claims part 0 and waits until all that it reads has come.
@@ -221,7 +221,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		c.resetFleet(entries, rev, time.Now())
+		c.resetMachines(entries, rev, time.Now())
 	}
 }
 
@@ -330,6 +330,6 @@
 func fleetPut(state *testkit.State, c *Controller) func(key string, v any) {
 	return func(key string, v any) {
 		e := state.Put(key, v)
-		c.changeFleet(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
+		c.applyMachineChange(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
 	}
 }
--- a/internal/controller/bounds_test.go
+++ b/internal/controller/bounds_test.go
@@ -165,8 +165,8 @@
 		t.Fatal(err)
 	}
 	got := testing.AllocsPerRun(5, func() {
-		c.resetOpen(open, rev, time.Now())
-		c.resetFleet(machines, rev, time.Now())
+		c.resetActiveJobs(open, rev, time.Now())
+		c.resetMachines(machines, rev, time.Now())
 	}) / size
 	if got > knownAllocs {
 		t.Errorf("%.2f allocations for a known machine and job, want %g at most", got, knownAllocs)
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -89,7 +89,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j, _ := c.activeJobs.Job(ref)
-	return j.Cancelled && !c.blind(time.Now())
+	return j.Cancelled && !c.activeJobsStale(time.Now())
 }
 
 // notYetTerminal answers a cancellation whose tasks are not all proven gone yet, which
@@ -119,7 +119,7 @@
 	return true
 }
 
-// removeActiveJob takes in that a job is not open any more. The lock is held.
-func (c *Controller) removeActiveJob(ref string) {
+// removeActiveJobLocked takes in that a job is not open any more. The lock is held.
+func (c *Controller) removeActiveJobLocked(ref string) {
 	c.passDemandOn(c.activeJobs.Remove(ref))
 }
--- a/internal/controller/claim.go
+++ b/internal/controller/claim.go
@@ -127,7 +127,7 @@
 	if err == nil {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.setShardRecord(id, rec, token)
+		c.setShardRecordLocked(id, rec, token)
 		return token, nil
 	}
 	e, readErr := c.store.Get(ctx, statestore.Urgent("claim"), key)
@@ -135,7 +135,7 @@
 	if readErr == nil && json.Unmarshal(e.Value, &cur) == nil {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.setShardRecord(id, cur, e.Version)
+		c.setShardRecordLocked(id, cur, e.Version)
 	}
 	return 0, err
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -106,7 +106,7 @@
 				{Delete: e.Key}},
 		})
 		if err == nil {
-			c.changeOpen(wire.Change{Delete: e.Key, Version: rev}, time.Now())
+			c.applyActiveJobChange(wire.Change{Delete: e.Key, Version: rev}, time.Now())
 		}
 	}
 }
@@ -145,7 +145,7 @@
 			t.Fatal("no provision recorded")
 		}
 		name := record.LastElement(entries[0].Key)
-		leading.resetFleet(entries, math.MaxUint64, now)
+		leading.resetMachines(entries, math.MaxUint64, now)
 		leaderOf(leading, 1)
 		leading.cloud = cl
 		for range 2 { // the second finds it done
--- a/internal/controller/data_loss_audit.go
+++ b/internal/controller/data_loss_audit.go
@@ -29,11 +29,11 @@
 // auditedPrefixes are the prefixes whose records all controllers hold.
 var auditedPrefixes = []string{record.ClusterPrefix, record.FleetPrefix, record.ActiveJobPrefix}
 
-// viewResets is how often all views were to be read anew.
-func (c *Controller) viewResets() int {
+// viewGeneration is how often all views were to be read anew.
+func (c *Controller) viewGeneration() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.safeMode.viewResets
+	return c.safeMode.viewGeneration
 }
 
 // auditLoop compares what is known here with the records themselves: what the state service
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -124,7 +124,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.resetOpen(open, rev, time.Now())
+	c.resetActiveJobs(open, rev, time.Now())
 }
 
 func finalState(t *testing.T, state *testkit.State, ref string) string {
@@ -257,7 +257,7 @@
 	}
 	word := func(label string) {
 		e := state.Put(record.FormatKey(label), record.Format{Version: record.SizedRanges})
-		c.changeCluster(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
+		c.applyClusterChange(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
 	}
 	c.cluster.SetAsOf(time.Now())
 	c.member.RecordOwnFormat(context.Background()) // gives its own word, once
--- a/internal/controller/drainer.go
+++ b/internal/controller/drainer.go
@@ -283,7 +283,7 @@
 	}
 	now := time.Now()
 	for _, op := range t.Then {
-		c.changeCluster(wire.Change{Put: op.Put, Value: op.Value, Delete: op.Delete, Version: rev}, now)
+		c.applyClusterChange(wire.Change{Put: op.Put, Value: op.Value, Delete: op.Delete, Version: rev}, now)
 	}
 	return true
 }
--- a/internal/controller/drains_bench_test.go
+++ b/internal/controller/drains_bench_test.go
@@ -21,7 +21,7 @@
 			version := uint64(1 << 40)
 			put := func(key string, v any) {
 				version++
-				c.changeCluster(wire.Change{Put: key, Value: record.Encode(v), Version: version}, now)
+				c.applyClusterChange(wire.Change{Put: key, Value: record.Encode(v), Version: version}, now)
 			}
 			for _, label := range c.cfg.Labels() {
 				put(drain.ParticipantKey(label), drain.Participant{Budgets: c.drains.budgetFingerprint})
--- a/internal/controller/lean_test.go
+++ b/internal/controller/lean_test.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.resetOpen(entries, rev, c.startedAt)
+	c.resetActiveJobs(entries, rev, c.startedAt)
 	state := &countingState{State: inner}
 	c.store = state
 	all := make([]*Check, polls) // as those that come within confirmGather
@@ -190,9 +190,9 @@
 		ref := fmt.Sprintf("run-%06d", i)
 		value := body(t, set("ref", ref))
 		rec := record.Encode(record.ActiveJob{Spec: *mustSpec(t, value), Shard: 0})
-		c.changeOpen(wire.Change{Put: record.ActiveJobKey(ref), Value: rec, Version: uint64(2*i + 1)}, c.startedAt)
+		c.applyActiveJobChange(wire.Change{Put: record.ActiveJobKey(ref), Value: rec, Version: uint64(2*i + 1)}, c.startedAt)
 		c.terminalStates.Put(ref, record.FinishedJob{State: wire.Done, Tasks: 2, FinishedAt: int64(i)})
-		c.changeOpen(wire.Change{Delete: record.ActiveJobKey(ref), Version: uint64(2*i + 2)}, c.startedAt)
+		c.applyActiveJobChange(wire.Change{Delete: record.ActiveJobKey(ref), Version: uint64(2*i + 2)}, c.startedAt)
 	}
 	got := (heap() - before) / jobs
 	if n := len(c.activeJobs.Jobs()); n != 0 {
--- a/internal/controller/membership_process.go
+++ b/internal/controller/membership_process.go
@@ -65,7 +65,7 @@
 
 // ApplyClusterChange implements membership.Process.
 func (p memberProcess) ApplyClusterChange(change wire.Change, now time.Time) {
-	p.c.changeCluster(change, now)
+	p.c.applyClusterChange(change, now)
 }
 
 // Format implements peer.Handler.
--- a/internal/controller/messages_test.go
+++ b/internal/controller/messages_test.go
@@ -188,7 +188,7 @@
 func TestUnknownMachinesAreBounded(t *testing.T) {
 	c := newTest(t, testkit.NewState())
 	c.startedAt = time.Now().Add(-time.Hour)
-	c.activeJobs.SetAsOf(time.Time{}) // blind
+	c.activeJobs.SetAsOf(time.Time{}) // its view is stale
 	setLeaseRenewed(c, time.Time{})
 	c.cfg.Peers = []config.Peer{{Label: "c-1", Zone: "z"}}
 	for i := range maxRemembered + 100 {
--- a/internal/controller/nudges.go
+++ b/internal/controller/nudges.go
@@ -39,7 +39,7 @@
 func (c *Controller) Nudge(a peer.NotifyArgs) {
 	switch {
 	case strings.HasPrefix(a.Key, record.ActiveJobPrefix):
-		c.changeOpen(wire.Change{Put: a.Key, Value: a.Value, Version: a.Version}, time.Now())
+		c.applyActiveJobChange(wire.Change{Put: a.Key, Value: a.Value, Version: a.Version}, time.Now())
 	case strings.HasPrefix(a.Key, record.FinishedJobPrefix):
 		var j record.FinishedJob
 		if err := json.Unmarshal(a.Value, &j); err != nil {
--- a/internal/controller/parts.go
+++ b/internal/controller/parts.go
@@ -135,7 +135,7 @@
 // still finds its lease ended, and its timers and answers due, before any of its
 // loops has run again: it must not send what was recorded before.
 func (c *Controller) refreshAuthority(shard *scheduler.Shard, now time.Time) {
-	shard.SetCancellationsUnknown(c.blind(now) || !c.sure(now))
+	shard.SetCancellationsUnknown(c.activeJobsStale(now) || !c.sure(now))
 }
 
 // updateShard runs f on a part under the lock, then pumps it.
@@ -177,9 +177,9 @@
 		e := wire.Change{Put: op.Put, Value: op.Value, Delete: op.Delete, Version: rev}
 		switch key := op.Put + op.Delete; {
 		case strings.HasPrefix(key, record.FleetPrefix):
-			c.takeFleet([]wire.Change{e}, now)
+			c.applyMachineChangesLocked([]wire.Change{e}, now)
 		case strings.HasPrefix(key, record.ActiveJobPrefix):
-			c.openChange(e, now)
+			c.applyActiveJobChangeLocked(e, now)
 		case strings.HasPrefix(key, record.FinishedJobPrefix):
 			var j record.FinishedJob
 			if err := json.Unmarshal(op.Value, &j); err != nil {
@@ -319,7 +319,7 @@
 			}
 			c.mu.Lock()
 			c.reportIfStale(record.ShardKey(id), c.cluster.ShardVersion(id), e.Version, time.Now())
-			c.setShardRecord(id, r, e.Version)
+			c.setShardRecordLocked(id, r, e.Version)
 			c.mu.Unlock()
 			return
 		}
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -121,7 +121,7 @@
 	if got := owned(state, other, work); got.Status != 200 || got.Body.(wire.Brief).State != wire.Cancelled {
 		t.Fatalf("withdraw: %+v", got)
 	}
-	c.resetOpen(nil, math.MaxUint64, time.Now())
+	c.resetActiveJobs(nil, math.MaxUint64, time.Now())
 	for i := 1; i <= 3; i++ {
 		if got := c.statusQuery(fmt.Sprintf("run-%06d", i)); got.Body.(wire.Status).State != wire.Cancelled {
 			t.Errorf("job %d after the withdrawal: %+v", i, got)
--- a/internal/controller/redirects.go
+++ b/internal/controller/redirects.go
@@ -142,7 +142,7 @@
 // stays if it comes back. In an outage for all no place is better, nor in a zone
 // cut off with several controllers. The lock is held.
 func (c *Controller) betterController(machine string, now time.Time) (to string, look bool) {
-	if !c.blind(now) || c.sure(now) {
+	if !c.activeJobsStale(now) || c.sure(now) {
 		return "", false
 	}
 	var near []string // in this zone
--- a/internal/controller/renewals.go
+++ b/internal/controller/renewals.go
@@ -59,12 +59,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	blind := c.blind(now)
+	stale := c.activeJobsStale(now)
 	if to, look := c.betterController(r.Machine, now); look {
 		return transport.Response{Status: 421, Body: wire.Redirect{Label: to}}
 	}
 	if r.Token > token {
-		if !blind {
+		if !stale {
 			return transport.Response{Status: 503, RetryAfter: 1}
 		}
 		token = r.Token // given by an owner that this controller can't know of yet
@@ -76,7 +76,7 @@
 		return transport.Response{Status: 503, RetryAfter: transport.RetryAfter}
 	}
 	lease := config.Seconds(c.cfg.Params.Workers.LeaseS)
-	if c.renewals.note(r.Machine, !blind && c.mustEnd(r), lease, now) > c.mustEndFor() {
+	if c.renewals.note(r.Machine, !stale && c.mustEnd(r), lease, now) > c.mustEndFor() {
 		return transport.Response{Status: 503, RetryAfter: 1}
 	}
 	return transport.Response{Status: 200, Body: wire.Orders{Token: token, Commands: []wire.Command{}}}
--- a/internal/controller/safe_mode.go
+++ b/internal/controller/safe_mode.go
@@ -37,7 +37,7 @@
 	heartbeats           recovery.Heartbeats
 	investigatingMachine bool // a machine without a record is being asked
 	confirmingRevision   bool // a suspicion is being looked into
-	viewResets           int  // how often all views were to be read anew
+	viewGeneration       int  // how often all views were to be read anew
 }
 
 // enableSafeMode sets the operators' settings; nil leaves it off. The way to the state service
@@ -134,12 +134,12 @@
 	m.frozenShards, m.heartbeats, m.heldRecords = nil, nil, nil
 	m.guard.ForgetRevision()
 	m.guard.SetReadOnly(false)
-	m.viewResets++
+	m.viewGeneration++
 	c.cluster.ForgetShards()
 	c.machines.Forget()
 	c.activeJobs.Forget()
 	for ref := range c.activeJobs.Jobs() {
-		c.removeActiveJob(ref)
+		c.removeActiveJobLocked(ref)
 	}
 	c.startedAt = time.Now()
 }
--- a/internal/controller/users_test.go
+++ b/internal/controller/users_test.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other.changeOpen(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
+	other.applyActiveJobChange(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
 	state.HoldTxns = 2 // none may be asked for
 	for name, at := range map[string]*Controller{"where it was accepted": c, "elsewhere": other} {
 		if got := at.submit(body(t, nil)); got.Status != 200 || got.Body.(wire.Brief).State != wire.Pending {
@@ -161,7 +161,7 @@
 	}
 	o.Cancelled = true
 	e = state.Put(e.Key, o) // asked for by a user; the tasks still run
-	c.changeOpen(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
+	c.applyActiveJobChange(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
 	for name, x := range map[string]*Controller{"owner": c, "other": other} {
 		if got := x.statusQuery("run-000412"); got.Status != 200 || got.Body.(wire.Status).State != wire.Pending {
 			t.Errorf("%s: poll answers %+v", name, got)
@@ -213,7 +213,7 @@
 	if got := c.serveUserRequest(req); got.Status != 201 {
 		t.Fatalf("passed on: %+v", got)
 	}
-	far.resetOpen(nil, math.MaxUint64, time.Now()) // no watched copy: the record is read
+	far.resetActiveJobs(nil, math.MaxUint64, time.Now()) // no watched copy: the record is read
 	poll := httpwire.Request{Method: "GET", Path: wire.JobsPath + "/run-000412"}
 	if got := c.serveUserRequest(poll); got.Status != 200 {
 		t.Fatalf("poll passed on: %+v", got)
@@ -236,7 +236,7 @@
 	events := map[string]func(*testkit.State, *Controller) *Controller{
 		"outage": func(s *testkit.State, c *Controller) *Controller {
 			s.Outage(true)
-			c.resetOpen(nil, math.MaxUint64, time.Now())
+			c.resetActiveJobs(nil, math.MaxUint64, time.Now())
 			if got := c.statusQuery("run-000001"); got.Status == 404 {
 				t.Error("forgotten in an outage")
 			}
@@ -251,7 +251,7 @@
 			return c
 		},
 		"views lost": func(s *testkit.State, c *Controller) *Controller {
-			c.resetOpen(nil, math.MaxUint64, time.Now())
+			c.resetActiveJobs(nil, math.MaxUint64, time.Now())
 			return c
 		},
 		"views read anew": func(s *testkit.State, c *Controller) *Controller {
@@ -259,7 +259,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.resetOpen(open, math.MaxUint64, time.Now())
+			c.resetActiveJobs(open, math.MaxUint64, time.Now())
 			return c
 		},
 	}
@@ -276,7 +276,7 @@
 				}
 			}
 			c = second(state, first(state, c))
-			c.resetOpen(nil, math.MaxUint64, time.Now()) // without watched copies the records are read
+			c.resetActiveJobs(nil, math.MaxUint64, time.Now()) // without watched copies the records are read
 			for ref, want := range map[string]string{"run-000001": wire.Pending, "run-000002": wire.Cancelled, "run-000003": wire.Pending} {
 				got := c.statusQuery(ref)
 				if st, ok := got.Body.(wire.Status); got.Status != 200 || !ok || st.State != want {
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -30,10 +30,10 @@
 			retry.Sleep(ctx, retry.Jitter(400*time.Millisecond))
 			continue
 		}
-		resets := c.viewResets()
+		resets := c.viewGeneration()
 		reset(entries, rev, at)
-		c.viewReached(prefix, rev, resets)
-		for ctx.Err() == nil && c.viewResets() == resets {
+		c.setViewRevision(prefix, rev, resets)
+		for ctx.Err() == nil && c.viewGeneration() == resets {
 			at := time.Now()
 			ch, err := c.store.Watch(ctx, prefix, rev, c.watchWait())
 			if errors.Is(err, statestore.ErrTooOld) || errors.Is(err, httpwire.ErrTooLarge) {
@@ -47,10 +47,10 @@
 				change(e, at)
 			}
 			rev = max(rev, ch.Revision)
-			c.viewed(prefix, at)
-			c.viewReached(prefix, rev, resets)
+			c.setViewAsOf(prefix, at)
+			c.setViewRevision(prefix, rev, resets)
 			if len(ch.Events) > 0 {
-				retry.Sleep(ctx, watchPause)
+				retry.Sleep(ctx, watchBatchDelay)
 			}
 		}
 	}
@@ -77,44 +77,44 @@
 	}
 }
 
-// viewed takes in that a view was true at a time or later.
-func (c *Controller) viewed(prefix string, at time.Time) {
+// setViewAsOf takes in that a view was true at a time or later.
+func (c *Controller) setViewAsOf(prefix string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.view(prefix).SetAsOf(at)
 }
 
-// viewReached takes in the revision that a view has come to, unless it is to be read anew.
-func (c *Controller) viewReached(prefix string, revision uint64, resets int) {
+// setViewRevision takes in the revision that a view has come to, unless it is to be read anew.
+func (c *Controller) setViewRevision(prefix string, revision uint64, resets int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.safeMode.viewResets == resets {
+	if c.safeMode.viewGeneration == resets {
 		c.view(prefix).SetRevision(revision)
 	}
 }
 
 func (c *Controller) resetCluster(entries []wire.Entry, rev uint64, at time.Time) {
 	c.mu.Lock()
-	c.checkShards(entries, rev, at)
+	c.checkListedShardsLocked(entries, rev, at)
 	c.resetDrains(entries, rev)
 	c.cluster.Clear()
 	c.mu.Unlock()
 	for _, e := range entries {
-		c.changeCluster(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, at)
+		c.applyClusterChange(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, at)
 	}
-	c.viewed(record.ClusterPrefix, at)
+	c.setViewAsOf(record.ClusterPrefix, at)
 }
 
-func (c *Controller) changeCluster(e wire.Change, at time.Time) {
+func (c *Controller) applyClusterChange(e wire.Change, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err := c.applyCluster(e, at); err != nil {
+	if err := c.applyClusterChangeLocked(e, at); err != nil {
 		c.log.Error("cluster record", "key", e.Put+e.Delete, "err", err)
 	}
 }
 
-// applyCluster brings a record under record.ClusterPrefix to whose it is. The lock is held.
-func (c *Controller) applyCluster(e wire.Change, at time.Time) error {
+// applyClusterChangeLocked brings a record under record.ClusterPrefix to whose it is. The lock is held.
+func (c *Controller) applyClusterChangeLocked(e wire.Change, at time.Time) error {
 	key := e.Put + e.Delete
 	deleted := e.Put == ""
 	switch {
@@ -143,32 +143,32 @@
 	}
 	changed, err := c.cluster.Apply(e)
 	for _, r := range changed {
-		c.dropLostShard(r.ID, r.Rec.Owner, r.Version)
+		c.dropLostShardLocked(r.ID, r.Rec.Owner, r.Version)
 	}
 	return err
 }
 
-// setShardRecord takes in who owns a shard. The lock is held.
-func (c *Controller) setShardRecord(id int, r record.Shard, version uint64) {
+// setShardRecordLocked takes in who owns a shard. The lock is held.
+func (c *Controller) setShardRecordLocked(id int, r record.Shard, version uint64) {
 	if c.cluster.SetShard(id, r, version) {
-		c.dropLostShard(id, r.Owner, version)
+		c.dropLostShardLocked(id, r.Owner, version)
 	}
 }
 
-// dropLostShard ends serving a shard if its record is newer than this controller's token: it
+// dropLostShardLocked ends serving a shard if its record is newer than this controller's token: it
 // was acquired by another. The lock is held.
-func (c *Controller) dropLostShard(id int, owner string, version uint64) {
+func (c *Controller) dropLostShardLocked(id int, owner string, version uint64) {
 	if shard := c.shards[id]; shard != nil && version > shard.Token() {
 		c.log.Info("shard lost", "shard", id, "to", owner)
 		delete(c.shards, id)
 	}
 }
 
-// resetFleet takes in all records of machines as of a revision; what is not
+// resetMachines takes in all records of machines as of a revision; what is not
 // there is gone, unless this controller has written it since. All of it counts
 // at once: of a machine's records the first without the others would tell that
 // there is no such machine, and so that its tasks are gone.
-func (c *Controller) resetFleet(entries []wire.Entry, rev uint64, at time.Time) {
+func (c *Controller) resetMachines(entries []wire.Entry, rev uint64, at time.Time) {
 	keep := map[string]bool{}
 	var changes []wire.Change
 	for _, e := range entries {
@@ -185,12 +185,12 @@
 	if !c.safeMode.enabled {
 		changes = append(changes, deletions(missing, rev)...)
 	}
-	c.takeFleet(changes, time.Now())
+	c.applyMachineChangesLocked(changes, time.Now())
 	c.mu.Unlock()
 	if c.safeMode.enabled {
-		c.dropMissing(missing, rev)
+		c.dropUnlessLost(missing, rev)
 	}
-	c.viewed(record.FleetPrefix, at)
+	c.setViewAsOf(record.FleetPrefix, at)
 }
 
 // deletions are the changes that end records as of a revision.
@@ -202,9 +202,9 @@
 	return out
 }
 
-// dropMissing takes in that records of machines were missing from a list, unless it turns out
+// dropUnlessLost takes in that records of machines were missing from a list, unless it turns out
 // that they were lost.
-func (c *Controller) dropMissing(missing map[string]uint64, rev uint64) {
+func (c *Controller) dropUnlessLost(missing map[string]uint64, rev uint64) {
 	keys := maps.Clone(missing) // of which those that were not deleted are left
 	for len(missing) > 0 && c.life.Err() == nil {
 		if err := c.confirmMissing(c.life, record.FleetPrefix, missing); err == nil {
@@ -215,13 +215,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(keys) > 0 && !c.safeMode.state.Active() {
-		c.takeFleet(deletions(keys, rev), time.Now())
+		c.applyMachineChangesLocked(deletions(keys, rev), time.Now())
 	}
 }
 
-// checkShards compares the records of parts in a list with those held: they are never deleted.
+// checkListedShardsLocked compares the records of parts in a list with those held: they are never deleted.
 // The lock is held.
-func (c *Controller) checkShards(entries []wire.Entry, rev uint64, now time.Time) {
+func (c *Controller) checkListedShardsLocked(entries []wire.Entry, rev uint64, now time.Time) {
 	if !c.safeMode.enabled {
 		return
 	}
@@ -233,22 +233,22 @@
 	}
 }
 
-func (c *Controller) changeFleet(e wire.Change, _ time.Time) {
+func (c *Controller) applyMachineChange(e wire.Change, _ time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.takeFleet([]wire.Change{e}, time.Now())
+	c.applyMachineChangesLocked([]wire.Change{e}, time.Now())
 }
 
-// takeFleet takes in records of machines, all of them before the parts are told.
+// applyMachineChangesLocked takes in records of machines, all of them before the parts are told.
 // The lock is held.
-func (c *Controller) takeFleet(changes []wire.Change, now time.Time) {
+func (c *Controller) applyMachineChangesLocked(changes []wire.Change, now time.Time) {
 	changed, errs := c.machines.Apply(changes)
 	for _, err := range errs {
 		c.log.Error("fleet record", "err", err)
 	}
 	for _, m := range changed {
 		for _, shard := range c.shards {
-			c.setMachine(shard, m, now)
+			c.notifyMachineLocked(shard, m, now)
 		}
 	}
 	for _, shard := range c.shards {
@@ -256,8 +256,8 @@
 	}
 }
 
-// setMachine tells a shard of a machine whose records changed. The lock is held.
-func (c *Controller) setMachine(shard *scheduler.Shard, m clusterview.MachineChange, now time.Time) {
+// notifyMachineLocked tells a shard of a machine whose records changed. The lock is held.
+func (c *Controller) notifyMachineLocked(shard *scheduler.Shard, m clusterview.MachineChange, now time.Time) {
 	switch {
 	case !m.Known && m.Released:
 		shard.DropMachine(m.ID, now)
@@ -268,35 +268,35 @@
 	}
 }
 
-// resetOpen takes in all open jobs as of a revision; what is not there has
+// resetActiveJobs takes in all open jobs as of a revision; what is not there has
 // ended, unless it was accepted here since.
-func (c *Controller) resetOpen(entries []wire.Entry, rev uint64, at time.Time) {
+func (c *Controller) resetActiveJobs(entries []wire.Entry, rev uint64, at time.Time) {
 	keep := map[string]bool{}
 	for _, e := range entries {
 		keep[record.LastElement(e.Key)] = true
-		c.changeOpen(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, at)
+		c.applyActiveJobChange(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, at)
 	}
 	missing := map[string]uint64{}
 	c.mu.Lock()
 	for ref, version := range c.activeJobs.Missing(keep, rev) {
 		missing[record.ActiveJobKey(ref)] = version
-		c.removeActiveJob(ref)
+		c.removeActiveJobLocked(ref)
 	}
 	c.mu.Unlock()
 	if c.safeMode.enabled {
 		go c.confirmMissing(c.life, record.ActiveJobPrefix, missing)
 	}
-	c.viewed(record.ActiveJobPrefix, at)
+	c.setViewAsOf(record.ActiveJobPrefix, at)
 }
 
-func (c *Controller) changeOpen(e wire.Change, _ time.Time) {
+func (c *Controller) applyActiveJobChange(e wire.Change, _ time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.openChange(e, time.Now())
+	c.applyActiveJobChangeLocked(e, time.Now())
 }
 
-// openChange takes in an open job's record and tells its part. The lock is held.
-func (c *Controller) openChange(e wire.Change, now time.Time) {
+// applyActiveJobChangeLocked takes in an open job's record and tells its part. The lock is held.
+func (c *Controller) applyActiveJobChangeLocked(e wire.Change, now time.Time) {
 	change, applied, err := c.activeJobs.Apply(e)
 	if err != nil {
 		c.log.Error("job record", "err", err)
@@ -305,15 +305,15 @@
 		return
 	}
 	if change.Ended {
-		c.jobEnded(&change, now)
+		c.notifyJobEndedLocked(&change, now)
 		return
 	}
-	c.jobChanged(&change, now)
+	c.notifyJobChangedLocked(&change, now)
 }
 
-// jobEnded tells the shards of a job that is not active any more: its owner ends jobs
+// notifyJobEndedLocked tells the shards of a job that is not active any more: its owner ends jobs
 // itself, but those that only waited. The lock is held.
-func (c *Controller) jobEnded(change *clusterview.JobChange, now time.Time) {
+func (c *Controller) notifyJobEndedLocked(change *clusterview.JobChange, now time.Time) {
 	ref := change.Ref
 	c.passDemandOn(change.Reclaimed)
 	for _, shard := range c.shards {
@@ -327,8 +327,8 @@
 	}
 }
 
-// jobChanged tells the shards of a new or changed active job. The lock is held.
-func (c *Controller) jobChanged(change *clusterview.JobChange, now time.Time) {
+// notifyJobChangedLocked tells the shards of a new or changed active job. The lock is held.
+func (c *Controller) notifyJobChangedLocked(change *clusterview.JobChange, now time.Time) {
 	job := &change.Record
 	shard := c.shards[job.Shard]
 	if shard != nil {
@@ -348,21 +348,21 @@
 // be known soon.
 func (c *Controller) watchWait() time.Duration {
 	spare := config.Seconds(c.cfg.Params.Workers.CancelS - c.cfg.Params.Workers.LeaseS)
-	return max(min(spare/4, longestWatch), shortestWatch)
+	return max(min(spare/4, maxWatchWait), minWatchWait)
 }
 
-// blind reports whether what others wrote, such as cancellations, may have been
+// activeJobsStale reports whether what others wrote, such as cancellations, may have been
 // unknown here for some turns of the watch. The lock is held.
-func (c *Controller) blind(now time.Time) bool {
+func (c *Controller) activeJobsStale(now time.Time) bool {
 	if !c.activeJobs.Loaded() {
-		return now.Sub(c.startedAt) > firstView
+		return now.Sub(c.startedAt) > firstViewWait
 	}
-	return now.Sub(c.activeJobs.AsOf()) > 2*c.watchWait()+callSlack
+	return now.Sub(c.activeJobs.AsOf()) > 2*c.watchWait()+watchSlack
 }
 
-// firstView is how long a controller waits for its first view: workers that find
+// firstViewWait is how long a controller waits for its first view: workers that find
 // it restarted while the state service is out of reach keep their leases.
-const firstView = keepHold - keepLook
+const firstViewWait = keepHold - keepLook
 
-// callSlack is what a watch may be late besides its wait.
-const callSlack = 2 * time.Second
+// watchSlack is what a watch may be late besides its wait.
+const watchSlack = 2 * time.Second
--- a/internal/controller/views_test.go
+++ b/internal/controller/views_test.go
@@ -19,16 +19,16 @@
 	now := time.Now()
 	c.submit(body(t, nil))
 	e := state.Put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"m"}})
-	c.resetFleet([]wire.Entry{e}, e.Version, now)
+	c.resetMachines([]wire.Entry{e}, e.Version, now)
 	if _, ok := c.machines.Machine("m"); !ok || len(c.activeJobs.Jobs()) != 1 {
 		t.Fatal("views are empty")
 	}
-	c.resetFleet(nil, math.MaxUint64, now)
-	c.resetOpen(nil, math.MaxUint64, now)
+	c.resetMachines(nil, math.MaxUint64, now)
+	c.resetActiveJobs(nil, math.MaxUint64, now)
 	if _, ok := c.machines.Machine("m"); ok || len(c.activeJobs.Jobs()) != 0 {
 		t.Fatal("views keep what is gone")
 	}
-	c.resetFleet([]wire.Entry{state.Put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"m"}})}, math.MaxUint64, now)
+	c.resetMachines([]wire.Entry{state.Put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"m"}})}, math.MaxUint64, now)
 	if _, ok := c.machines.Machine("m"); !ok {
 		t.Fatal("what comes again is not taken in")
 	}
@@ -57,14 +57,14 @@
 	}
 	// Recorded here after the list was read.
 	e := rental("s", "n")
-	c.changeFleet(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, now)
+	c.applyMachineChange(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, now)
 	for _, e := range entries { // one by one, as a watch could tell them
-		c.changeFleet(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, now)
+		c.applyMachineChange(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, now)
 		if shard := c.shards[0]; !shard.HasMachine("m") || !shard.HasMachine("n") {
 			t.Fatalf("a machine is gone after %s", e.Key)
 		}
 	}
-	c.resetFleet(entries, rev, now)
+	c.resetMachines(entries, rev, now)
 	if shard := c.shards[0]; !shard.HasMachine("m") || !shard.HasMachine("n") {
 		t.Fatal("a machine is gone after the views were read anew")
 	}
@@ -96,7 +96,7 @@
 	resets := make(chan int)
 	gone := wire.Txn{Then: []wire.Op{{Delete: record.ProvisionKey("r")}}}
 	go c.watchLoop(ctx, record.FleetPrefix, func(entries []wire.Entry, rev uint64, at time.Time) {
-		c.resetFleet(entries, rev, at)
+		c.resetMachines(entries, rev, at)
 		if _, err := state.Txn(ctx, statestore.Urgent("test"), gone); err != nil { // unseen
 			t.Error(err)
 		}
@@ -104,7 +104,7 @@
 		case resets <- len(entries):
 		case <-ctx.Done():
 		}
-	}, c.changeFleet)
+	}, c.applyMachineChange)
 	for i, want := range []int{1, 0, 0} {
 		if got := <-resets; got != want {
 			t.Fatalf("reading %d: %d records, want %d", i, got, want)
--- a/internal/controller/withheld_test.go
+++ b/internal/controller/withheld_test.go
@@ -51,7 +51,7 @@
 	t.Helper()
 	c = ownerForTest(t, state, store)
 	e := state.Put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"m"}})
-	c.changeFleet(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
+	c.applyMachineChange(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
 	w := testkit.NewWorker("m", "big", "z", false)
 	starts = func() int {
 		r := w.Report()
@@ -110,7 +110,7 @@
 			setLeaseRenewed(c, time.Now())
 			c.activeJobs.SetAsOf(time.Now().Add(-ago))
 		}
-		seen(2*c.watchWait() + callSlack + time.Second)
+		seen(2*c.watchWait() + watchSlack + time.Second)
 		if n := starts(); n != 0 {
 			t.Errorf("%d starts without a view of cancellations", n)
 		}
