--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -20,6 +20,7 @@
 	"bramblespur/internal/config"
 	"bramblespur/internal/controller/admission"
 	"bramblespur/internal/controller/clusterview"
+	"bramblespur/internal/controller/drainer"
 	"bramblespur/internal/controller/leader"
 	"bramblespur/internal/controller/membership"
 	"bramblespur/internal/controller/overload"
@@ -90,7 +91,7 @@
 	startedAt         time.Time               // when this process began
 	searches          map[string]workerSearch // by machine, while this controller has lost the state service
 	renewals          renewals
-	drains            drains
+	drainer           *drainer.Drainer
 	restarts          restarts
 	safeMode          safeMode
 	held              map[string]*held
@@ -111,7 +112,7 @@
 	tight := p.State.Tight() // bursts are for good, the rates follow at once
 	c.store = statestore.New(cfg.Outside.State, p.Count, tight.RPS, tight.WriteRPS, c.borrow)
 	c.init()
-	c.drains.enable(ops.Drains, &p)
+	c.drainer.Enable(ops.Drains, &p)
 	c.restarts.enable(ops.Restart)
 	c.enableSafeMode(ops.Recovery)
 	for _, q := range cfg.Peers {
@@ -146,8 +147,8 @@
 	go c.tickLoop(ctx)
 	go c.duties.Run(ctx)
 	go c.logUsageLoop(ctx)
-	if c.drains.settings != nil {
-		go c.drainLoop(ctx)
+	if c.drainer.Enabled() {
+		go c.drainer.Run(ctx)
 	}
 	if c.restarts.enabled {
 		go c.restartLoop(ctx)
@@ -183,7 +184,7 @@
 	c.overload = overload.NewDetector(c.log, c.cfg.Params.Resources.CPUShare, membership.LeaseTTL)
 	c.admission = admission.NewLimiter(c.cfg.Params.Resources, c.overload.Behind)
 	c.duties = leader.New(leaderHost{c}, c.cfg, c.policy, c.log)
-	c.drains = newDrains()
+	c.drainer = drainer.New(drainerHost{c}, c.cluster, c.machines, c.cfg, c.log)
 }
 
 // machineTypesLoop learns the machine types: from the state service, where the first
--- /dev/null
+++ b/internal/controller/drainer/shard_turn.go
@@ -0,0 +1,169 @@
+package drainer
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"bramblespur/internal/drain"
+	"bramblespur/internal/record"
+	"bramblespur/internal/scheduler"
+	"bramblespur/internal/wire"
+)
+
+// shardHoldTimes is how long a shard's machines were held up since that was last recorded.
+type shardHoldTimes struct {
+	updatedAt time.Time
+	byDrain   map[string]map[drain.HoldReason]time.Duration
+}
+
+// drainShard takes one turn of a shard's drains and writes what it planned.
+func (d *Drainer) drainShard(ctx context.Context, shard *scheduler.Shard) {
+	writes, now := d.planShard(shard)
+	for _, w := range writes {
+		if d.writeLimiter.AllowN(now, len(w.Txn.Then)) && d.commit(ctx, w.Txn) {
+			d.writeApplied(shard.ID(), w, now)
+		}
+	}
+}
+
+// planShard takes a shard's turn if this controller still owns it. All of it is one critical
+// section: the plan holds for the machines and records that it was made by.
+func (d *Drainer) planShard(shard *scheduler.Shard) ([]drain.Write, time.Time) {
+	d.host.Lock()
+	defer d.host.Unlock()
+	now := time.Now()
+	owned := d.host.OwnedShardsLocked()[shard.ID()] == shard
+	if !owned || !d.machines.Loaded() || !d.host.HoldsLease(now) {
+		return nil, now
+	}
+	writes := d.TurnLocked(shard, now)
+	d.host.StepLocked(shard, now)
+	return writes, now
+}
+
+// TurnLocked hands the granted evictions to a shard, plans its next steps and returns what is to
+// be recorded for them.
+func (d *Drainer) TurnLocked(shard *scheduler.Shard, now time.Time) []drain.Write {
+	d.setCordonsLocked(shard)
+	for _, eviction := range d.view.PendingEvictions(shard.ID()) {
+		shard.Evict(eviction, now)
+	}
+	return d.planWritesLocked(shard, now)
+}
+
+// RefreshCordonsLocked tells a shard which machines are cordoned, if that may have changed.
+func (d *Drainer) RefreshCordonsLocked(shard *scheduler.Shard) {
+	if d.Enabled() && shard.CordonsAsOf() != d.view.Generation() {
+		d.setCordonsLocked(shard)
+	}
+}
+
+func (d *Drainer) setCordonsLocked(shard *scheduler.Shard) {
+	shard.WatchInterruptions(true)
+	ready := d.readyLocked()
+	active := d.activePlansLocked()
+	cordons := d.view.Cordons().Rec.Machines
+	shard.SetCordons(d.view.Generation(), func(m *scheduler.Machine) (scheduler.Cordon, bool) {
+		cordon, cordoned := cordons[m.ID]
+		plan, known := d.view.Plan(cordon.Drain)
+		if cordoned && known && !plan.Rec.State.Terminal() {
+			if ready && plan.Rec.State == drain.Active {
+				return scheduler.CordonedForReturn, false
+			}
+			return scheduler.Cordoned, false
+		}
+		return scheduler.NotCordoned, slices.ContainsFunc(active, func(p drain.Plan) bool {
+			return p.Selects(m.ID, m.Type.Name, m.Zone, m.ProvisionedAt())
+		})
+	})
+}
+
+func (d *Drainer) activePlansLocked() []drain.Plan {
+	var active []drain.Plan
+	for _, plan := range d.view.Plans() {
+		if plan.Rec.State == drain.Active {
+			active = append(active, plan.Rec)
+		}
+	}
+	return active
+}
+
+// planWritesLocked plans a shard's next steps and returns what is to be recorded for them.
+func (d *Drainer) planWritesLocked(shard *scheduler.Shard, now time.Time) []drain.Write {
+	ledgers := d.currentLedgersLocked(shard, now)
+	builder := &drain.TxnBuilder{
+		Input: drain.Input{Now: now, Settings: d.settings, View: d.view, Shard: shard.ID(), Bytes: d.cfg.Params.State.Tight().Bytes()},
+		Owner: wire.Condition{Key: record.ShardKey(shard.ID()), Version: shard.Token()},
+		MachineGone: func(id string) bool {
+			v, ok := d.machines.Machine(id)
+			return !ok || v.Phase == record.Released
+		},
+	}
+	var steps drain.Steps
+	if d.readyLocked() {
+		builder.Machines = shard.DrainMachines(d.view.MayCordonMore(), now)
+		builder.Zones = d.machinesByZone()
+		steps = drain.PlanSteps(&builder.Input, ledgers)
+	}
+	shard.SetReplacements(steps.NeedCapacity)
+	builder.HoldTimes = d.addHoldTimesLocked(shard.ID(), steps.Held, now)
+	return builder.Writes(steps, ledgers)
+}
+
+// currentLedgersLocked returns the teams' ledgers with a shard's unrecorded losses, and without
+// its disruptions that are over.
+func (d *Drainer) currentLedgersLocked(shard *scheduler.Shard, now time.Time) *drain.Ledgers {
+	var losses []drain.Loss
+	for _, l := range d.losses {
+		if l.Shard == shard.ID() {
+			losses = append(losses, l)
+		}
+	}
+	ledgers := drain.NewLedgers(d.view)
+	ledgers.AddLosses(losses)
+	ledgers.CloseRecovered(shard.ID(), shard.FateOf, now)
+	return ledgers
+}
+
+// machinesByZone counts the machines in service.
+func (d *Drainer) machinesByZone() map[string]int {
+	zones := map[string]int{}
+	d.machines.Each(func(_ string, v record.MachineView) {
+		if v.Phase == record.InUse {
+			zones[v.Zone]++
+		}
+	})
+	return zones
+}
+
+// addHoldTimesLocked adds how long machines were held up since the last turn, and returns what a
+// shard has not recorded yet, by drain.
+func (d *Drainer) addHoldTimesLocked(shard int, held []drain.HeldMachine, now time.Time) map[string]map[drain.HoldReason]time.Duration {
+	times := d.holdTimes[shard]
+	if times == nil {
+		times = &shardHoldTimes{updatedAt: now, byDrain: map[string]map[drain.HoldReason]time.Duration{}}
+		d.holdTimes[shard] = times
+	}
+	passed := min(now.Sub(times.updatedAt), 2*turnInterval)
+	times.updatedAt = now
+	for _, h := range held {
+		if times.byDrain[h.Drain] == nil {
+			times.byDrain[h.Drain] = map[drain.HoldReason]time.Duration{}
+		}
+		times.byDrain[h.Drain][h.Reason] += passed
+	}
+	return times.byDrain
+}
+
+// writeApplied drops what a committed write of a turn at some time has recorded.
+func (d *Drainer) writeApplied(shard int, w drain.Write, turn time.Time) {
+	d.host.Lock()
+	defer d.host.Unlock()
+	if w.Progress != "" {
+		delete(d.holdTimes[shard].byDrain, w.Progress)
+	}
+	d.losses = slices.DeleteFunc(d.losses, func(l drain.Loss) bool {
+		return w.Team != "" && l.Team == w.Team && l.Shard == shard && l.At <= turn.UnixMilli()
+	})
+}
--- /dev/null
+++ b/internal/controller/drainer_host.go
@@ -0,0 +1,39 @@
+package controller
+
+import (
+	"context"
+	"time"
+
+	"bramblespur/internal/scheduler"
+	"bramblespur/internal/statestore"
+	"bramblespur/internal/wire"
+)
+
+// drainerHost lets the drainer see its controller; it implements drainer.Host.
+type drainerHost struct{ c *Controller }
+
+// Lock takes the shards' lock.
+func (h drainerHost) Lock() { h.c.mu.Lock() }
+
+// Unlock releases it.
+func (h drainerHost) Unlock() { h.c.mu.Unlock() }
+
+func (h drainerHost) OwnedShardsLocked() map[int]*scheduler.Shard { return h.c.shards }
+
+func (h drainerHost) StepLocked(shard *scheduler.Shard, now time.Time) { h.c.step(shard, now) }
+
+func (h drainerHost) IsLeaderLocked(now time.Time) bool { return h.c.isLeader(now) }
+
+func (h drainerHost) HoldsLease(now time.Time) bool { return h.c.sure(now) }
+
+func (h drainerHost) Commit(ctx context.Context, t wire.Txn) error {
+	revision, err := h.c.store.Txn(ctx, statestore.Routine("drain"), t)
+	if err != nil {
+		return err
+	}
+	now := time.Now()
+	for _, op := range t.Then {
+		h.c.applyClusterChange(wire.Change{Put: op.Put, Value: op.Value, Delete: op.Delete, Version: revision}, now)
+	}
+	return nil
+}
--- a/internal/controller/drains_bench_test.go
+++ b/internal/controller/drains_bench_test.go
@@ -17,14 +17,15 @@
 			c, _, workers := fleetController(b, accountMachines, accountJobs)
 			met(b, c, workers)
 			now := time.Now()
-			c.drains.enable(drainSettings(drainBudget), &c.cfg.Params)
+			c.drainer.Enable(drainSettings(drainBudget), &c.cfg.Params)
+			budgets := drainSettings(drainBudget).Fingerprint()
 			version := uint64(1 << 40)
 			put := func(key string, v any) {
 				version++
 				c.applyClusterChange(wire.Change{Put: key, Value: record.Encode(v), Version: version}, now)
 			}
 			for _, label := range c.cfg.Labels() {
-				put(drain.ParticipantKey(label), drain.Participant{Budgets: c.drains.budgetFingerprint})
+				put(drain.ParticipantKey(label), drain.Participant{Budgets: budgets})
 			}
 			if atOnce > 0 {
 				plan := drain.Plan{Name: "all", MaxConcurrent: atOnce, State: drain.Active, Created: now.Add(time.Hour).UnixMilli()}
@@ -42,9 +43,8 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				c.mu.Lock()
-				if c.drains.view.InUse() {
-					c.setCordons(shard)
-					c.planDrainWrites(shard, now)
+				if c.drainer.InUseLocked() {
+					c.drainer.TurnLocked(shard, now)
 				}
 				c.mu.Unlock()
 			}
--- a/internal/controller/drains_harness_test.go
+++ b/internal/controller/drains_harness_test.go
@@ -51,7 +51,7 @@
 		}
 		k.prepare = func(label string, c *Controller) {
 			if !k.off[label] {
-				c.drains.enable(k.settings, &k.params)
+				c.drainer.Enable(k.settings, &k.params)
 			}
 		}
 		k.counted = k.world.CountInterruptions(l.limit.MaxConcurrent, l.limit.MaxInWindow, l.limit.Window)
--- a/internal/controller/leader_host.go
+++ b/internal/controller/leader_host.go
@@ -201,5 +201,5 @@
 func (h leaderHost) AfterTurn(ctx context.Context) {
 	h.c.member.PublishStatus(ctx)
 	h.c.member.RecordPeerFormats(ctx, h.c.peers)
-	h.c.retractDrainSupport(ctx)
+	h.c.drainer.Retract(ctx)
 }
--- a/internal/controller/parts.go
+++ b/internal/controller/parts.go
@@ -79,9 +79,9 @@
 		return
 	}
 	c.refreshAuthority(shard, now)
-	c.refreshCordons(shard)
+	c.drainer.RefreshCordonsLocked(shard)
 	eff := shard.Step(now)
-	c.recordInterruptions(eff.Interrupted, now)
+	c.drainer.RecordInterruptionsLocked(eff.Interrupted, now)
 	c.recordContradictions(eff.Contradictions)
 	if shard.OwnershipLost() {
 		delete(c.shards, shard.ID())
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -96,7 +96,7 @@
 func (c *Controller) resetCluster(entries []wire.Entry, rev uint64, at time.Time) {
 	c.mu.Lock()
 	c.checkListedShardsLocked(entries, rev, at)
-	c.resetDrains(entries, rev)
+	c.drainer.ResetLocked(entries, rev)
 	c.cluster.Clear()
 	c.mu.Unlock()
 	for _, e := range entries {
@@ -139,7 +139,7 @@
 		c.applySafeModeRecord(&m, at)
 		return nil
 	case strings.HasPrefix(key, drain.Prefix):
-		return c.drains.view.Apply(e)
+		return c.drainer.ApplyLocked(e)
 	}
 	changed, err := c.cluster.Apply(e)
 	for _, r := range changed {
