--- a/internal/controller/leader/harness_test.go
+++ b/internal/controller/leader/harness_test.go
@@ -24,12 +24,25 @@
 	sync.Mutex
 	t        *testing.T
 	store    statestore.Store
-	cloud    testkit.Cloud
+	cloud    listingCloud
 	machines *clusterview.Machines
 }
 
 var _ Host = (*fakeHost)(nil)
 
+// listingCloud lists all machines that it ever provisioned.
+type listingCloud struct{ testkit.Cloud }
+
+func (c *listingCloud) List(context.Context) ([]wire.Listed, error) {
+	var list []wire.Listed
+	for _, ids := range c.Rentals {
+		for _, id := range ids {
+			list = append(list, wire.Listed{ID: id})
+		}
+	}
+	return list, nil
+}
+
 // newTestLeader returns the duties of the controller c-0, which is the only one.
 func newTestLeader(t *testing.T, store statestore.Store) (*fakeHost, *Leader) {
 	t.Helper()
--- /dev/null
+++ b/internal/controller/leader/inventory_test.go
@@ -0,0 +1,101 @@
+package leader
+
+import (
+	"testing"
+	"time"
+
+	"bramblespur/internal/config"
+	"bramblespur/internal/controller/clusterview"
+	"bramblespur/internal/record"
+	"bramblespur/internal/testkit"
+	"bramblespur/internal/wire"
+)
+
+// A machine in the cloud's list is released only if nobody records it, did so lately or is
+// provisioning, and it is in two lists in a row: the list lags.
+func TestUnrecordedMachinesOfTheList(t *testing.T) {
+	list := []wire.Listed{{ID: "m", Addr: "m:1"}}
+	for name, x := range map[string]struct {
+		recorded     bool
+		goneFor      time.Duration // since a record named it; 0: none ever did
+		provisioning bool
+		lists        int
+		want         bool
+	}{
+		"in one list":              {lists: 1},
+		"in two lists":             {lists: 2, want: true},
+		"in three lists":           {lists: 3, want: true},
+		"recorded":                 {recorded: true, lists: 3},
+		"provisions are under way": {provisioning: true, lists: 3},
+		"released a moment ago":    {goneFor: time.Second, lists: 3},
+		"released long ago":        {goneFor: knownLags*5*time.Second + 1, lists: 2, want: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			machines, now := clusterview.NewMachines(), time.Now()
+			v := newInventory()
+			if x.recorded {
+				rec := record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"m"}}
+				machines.Apply([]wire.Change{{Put: record.ProvisionKey("p"), Value: record.Encode(rec), Version: 1}})
+			}
+			if x.goneFor > 0 {
+				v.known["m"] = now.Add(-x.goneFor)
+			}
+			v.track(machines, config.Cloud{ListLagS: 5}, now, map[string]string{})
+			got := false
+			for range x.lists {
+				_, got = v.suspects(list, machines, x.provisioning)["m"]
+			}
+			if got != x.want {
+				t.Errorf("suspected: %t, want %t", got, x.want)
+			}
+		})
+	}
+}
+
+// The view may be behind: the records themselves decide.
+func TestRecordsDecideOnSuspects(t *testing.T) {
+	suspects := map[string]int{"m": 2}
+	if got := confirm(suspects, record.NewFleet()); len(got) != 1 {
+		t.Errorf("%v unrecorded, want m", got)
+	}
+	recorded := record.NewFleet()
+	put(t, recorded, record.ProvisionKey("p"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"m"}})
+	if got := confirm(suspects, recorded); len(got) != 0 {
+		t.Errorf("%v unrecorded, though its provision is there", got)
+	}
+	unanswered := record.NewFleet()
+	put(t, unanswered, record.ProvisionKey("p"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}})
+	if got := confirm(suspects, unanswered); len(got) != 0 {
+		t.Errorf("%v unrecorded, though a provision has not been answered", got)
+	}
+}
+
+// The leader releases what nobody recorded, and nothing else.
+func TestCompareCloudList(t *testing.T) {
+	state := testkit.NewState()
+	host, l := newTestLeader(t, state)
+	term := l.ensureTerm(time.Now())
+	ids, err := host.cloud.Rent(t.Context(), wire.ProvisionRequest{Request: "late", Type: "big", Zone: "z", Count: 1})
+	if err != nil {
+		t.Fatal(err)
+	}
+	own, err := host.cloud.Rent(t.Context(), wire.ProvisionRequest{Request: "own", Type: "big", Zone: "z", Count: 1})
+	if err != nil {
+		t.Fatal(err)
+	}
+	host.put(state)(record.ProvisionKey("own"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: own})
+	for range 2 {
+		l.compareCloudList(t.Context(), term)
+	}
+	if len(host.cloud.Returned) != 1 || host.cloud.Returned[0] != ids[0] {
+		t.Errorf("released %v, want %v", host.cloud.Returned, ids)
+	}
+}
+
+// put adds a record to those that were read.
+func put(t *testing.T, machines *record.Fleet, key string, v any) {
+	t.Helper()
+	if _, err := machines.Change(wire.Change{Put: key, Value: record.Encode(v), Version: 1}); err != nil {
+		t.Fatal(err)
+	}
+}
