--- /dev/null
+++ b/internal/controller/leader_test.go
@@ -0,0 +1,40 @@
+package controller
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"bramblespur/internal/record"
+	"bramblespur/internal/testkit"
+)
+
+// A leader clears records of machines long gone, but not before it has a view of all
+// records: that may lack provisions.
+func TestOldRecordsAreClearedOnceThereIsAView(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		state := testkit.NewState()
+		c := newTest(t, state)
+		leaderOf(c, 1)
+		put := fleetPut(state, c)
+		put(record.ProvisionKey("gone"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"b"}, Addrs: []string{"b:1"}})
+		put(record.ReleaseKey(0, 1, 1), record.Release{IDs: []string{"b"}, Done: true})
+		turn := func() (left int) {
+			setLeaseRenewed(c, time.Now())
+			c.duties.Turn(t.Context())
+			synctest.Wait()
+			time.Sleep(10 * time.Second)
+			return len(c.machines.Entries())
+		}
+		if left := turn(); left != 2 {
+			t.Fatalf("%d records left without a view of them, want 2", left)
+		}
+		c.machines.SetAsOf(time.Now())
+		for range 3 {
+			turn()
+		}
+		if left := len(c.machines.Entries()); left != 0 {
+			t.Errorf("%d records left", left)
+		}
+	})
+}
