--- a/internal/controller/leader/harness_test.go
+++ b/internal/controller/leader/harness_test.go
@@ -33,11 +33,11 @@
 // listingCloud lists all machines that it ever provisioned.
 type listingCloud struct{ testkit.Cloud }
 
-func (c *listingCloud) List(context.Context) ([]wire.Listed, error) {
-	var list []wire.Listed
+func (c *listingCloud) List(context.Context) ([]wire.ListedMachine, error) {
+	var list []wire.ListedMachine
 	for _, ids := range c.Rentals {
 		for _, id := range ids {
-			list = append(list, wire.Listed{ID: id})
+			list = append(list, wire.ListedMachine{ID: id})
 		}
 	}
 	return list, nil
--- a/internal/controller/leader/inventory_test.go
+++ b/internal/controller/leader/inventory_test.go
@@ -14,7 +14,7 @@
 // A machine in the cloud's list is released only if nobody records it, did so lately or is
 // provisioning, and it is in two lists in a row: the list lags.
 func TestUnrecordedMachinesOfTheList(t *testing.T) {
-	list := []wire.Listed{{ID: "m", Addr: "m:1"}}
+	list := []wire.ListedMachine{{ID: "m", Addr: "m:1"}}
 	for name, x := range map[string]struct {
 		recorded     bool
 		goneFor      time.Duration // since a record named it; 0: none ever did
@@ -75,11 +75,11 @@
 	state := testkit.NewState()
 	host, l := newTestLeader(t, state)
 	term := l.ensureTerm(time.Now())
-	ids, err := host.cloud.Rent(t.Context(), wire.ProvisionRequest{Request: "late", Type: "big", Zone: "z", Count: 1})
+	ids, err := host.cloud.Provision(t.Context(), wire.ProvisionRequest{Request: "late", Type: "big", Zone: "z", Count: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	own, err := host.cloud.Rent(t.Context(), wire.ProvisionRequest{Request: "own", Type: "big", Zone: "z", Count: 1})
+	own, err := host.cloud.Provision(t.Context(), wire.ProvisionRequest{Request: "own", Type: "big", Zone: "z", Count: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,7 +95,7 @@
 // put adds a record to those that were read.
 func put(t *testing.T, machines *record.Fleet, key string, v any) {
 	t.Helper()
-	if _, err := machines.Change(wire.Change{Put: key, Value: record.Encode(v), Version: 1}); err != nil {
+	if _, err := machines.Apply(wire.Change{Put: key, Value: record.Encode(v), Version: 1}); err != nil {
 		t.Fatal(err)
 	}
 }
