--- a/internal/contract/json_test.go
+++ b/internal/contract/json_test.go
@@ -6,6 +6,7 @@
 	"encoding/json"
 	"os"
 	"reflect"
+	"regexp"
 	"strings"
 	"testing"
 
@@ -102,6 +103,31 @@
 	}
 }
 
+// Every record is in the table of package record with its Go type, its writer, its readers and
+// when it goes.
+func TestEveryRecordIsListed(t *testing.T) {
+	text, err := os.ReadFile("../record/doc.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	listed := map[string]string{}
+	for _, row := range regexp.MustCompile(`(?m)^//\t(\S+)\s+(\S+)\s+(.+)$`).FindAllStringSubmatch(string(text), -1) {
+		listed["record "+row[1]] = row[2]
+		if !regexp.MustCompile(`^\S.*: .+\. Read by .+\. (Stays|Goes|Deleted).*\.$`).MatchString(row[3]) {
+			t.Errorf("%s: %s", row[1], row[3])
+		}
+	}
+	want := map[string]string{}
+	for _, x := range jsonLayouts {
+		if strings.HasPrefix(x.name, "record ") {
+			want[x.name] = reflect.TypeOf(x.value).String()
+		}
+	}
+	if !reflect.DeepEqual(listed, want) {
+		t.Errorf("listed are\n%v, want\n%v", listed, want)
+	}
+}
+
 // readLayouts reads the layouts of a golden file by their names.
 func readLayouts(t *testing.T, path string) map[string]string {
 	t.Helper()
--- /dev/null
+++ b/internal/record/sharding.go
@@ -0,0 +1,23 @@
+package record
+
+import (
+	"hash/fnv"
+	"sort"
+)
+
+// ShardForJob returns the shard of a job. Teams are assigned to shards in the order of their names;
+// without teams jobs are assigned by a hash of their reference. Every version gives the same
+// answer.
+func ShardForJob(teams []string, team, ref string, shards int) int {
+	if len(teams) == 0 {
+		return int(Hash(ref) % uint32(shards))
+	}
+	return sort.SearchStrings(teams, team) % shards
+}
+
+// Hash spreads names evenly, in the same way on every controller.
+func Hash(name string) uint32 {
+	h := fnv.New32a()
+	h.Write([]byte(name))
+	return h.Sum32()
+}
