--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -23,6 +23,7 @@
 	"bramblespur/internal/controller/drainer"
 	"bramblespur/internal/controller/leader"
 	"bramblespur/internal/controller/membership"
+	"bramblespur/internal/controller/messagecheck"
 	"bramblespur/internal/controller/overload"
 	"bramblespur/internal/controller/rejectlog"
 	"bramblespur/internal/controller/terminal"
@@ -69,6 +70,7 @@
 	peerHealth        *membership.PeerHealth
 	overload          *overload.Detector
 	admission         *admission.Limiter // of users' requests
+	messages          *messagecheck.Checker
 	rejections        *rejectlog.Log
 	cluster           *clusterview.Cluster
 	machines          *clusterview.Machines
@@ -181,6 +183,7 @@
 	c.peerHealth = membership.NewPeerHealth()
 	c.member = c.newMember()
 	c.rejections = rejectlog.New(c.log)
+	c.messages = messagecheck.New(&c.cfg.Params, c.rejections)
 	c.overload = overload.NewDetector(c.log, c.cfg.Params.Resources.CPUShare, membership.LeaseTTL)
 	c.admission = admission.NewLimiter(c.cfg.Params.Resources, c.overload.Behind)
 	c.duties = leader.New(leaderHost{c}, c.cfg, c.policy, c.log)
--- a/internal/controller/leader_host.go
+++ b/internal/controller/leader_host.go
@@ -189,7 +189,7 @@
 
 // CheckSync implements leader.Services.
 func (h leaderHost) CheckSync(label string, r *peer.SyncReply, err error) error {
-	err = h.c.sensible("controller's word on its shards", label, err, func() error { return h.c.checkSyncReply(r) })
+	err = h.c.messages.Reply("reply to the leader's sync", label, err, func() error { return h.c.messages.SyncReply(r) })
 	h.c.peerHealth.RecordCall(label, err, r.StateOK, time.Now())
 	return err
 }
--- a/internal/controller/messages_test.go
+++ b/internal/controller/messages_test.go
@@ -3,10 +3,8 @@
 import (
 	"bytes"
 	"context"
-	"errors"
 	"fmt"
 	"log/slog"
-	"math"
 	"net/http"
 	"slices"
 	"strings"
@@ -14,9 +12,9 @@
 	"time"
 
 	"bramblespur/internal/config"
+	"bramblespur/internal/controller/messagecheck"
 	"bramblespur/internal/controller/rejectlog"
 	"bramblespur/internal/controller/transport"
-	"bramblespur/internal/fleet"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/record"
@@ -30,6 +28,7 @@
 	var out bytes.Buffer
 	c.log = slog.New(slog.NewTextHandler(&out, nil))
 	c.rejections = rejectlog.New(c.log)
+	c.messages = messagecheck.New(&c.cfg.Params, c.rejections)
 	return &out
 }
 
@@ -59,106 +58,6 @@
 	return record.Encode(o)
 }
 
-// What no controller says is refused before it is taken in, and logged once. Without
-// that a negative number of tasks or a negative part ends the process, and a machine
-// moved to a part that there is not is lost for ever.
-func TestSenselessMessagesOfControllersAreRefused(t *testing.T) {
-	key := record.ActiveJobKey("run-000001")
-	for name, args := range map[string]any{
-		"a claim of a negative part":   peer.SyncArgs{Claim: []int{-1}},
-		"a claim of an unknown part":   peer.SyncArgs{Claim: []int{1 << 40}},
-		"a part handed home":           peer.SyncArgs{HandHome: []int{-1}},
-		"an order of an unknown part":  peer.SyncArgs{Orders: []fleet.Order{{Part: 7, Machine: "m", To: 0}}},
-		"a move to an unknown part":    peer.SyncArgs{Orders: []fleet.Order{{Part: 0, Machine: "m", To: 7}}},
-		"a move to a negative part":    peer.SyncArgs{Orders: []fleet.Order{{Part: 0, Machine: "m", To: -2}}},
-		"a negative budget":            peer.SyncArgs{Requests: -1, Changes: 1},
-		"an endless budget":            peer.SyncArgs{Requests: 1, Changes: math.Inf(1)},
-		"a budget that is no number":   peer.SyncArgs{Requests: math.NaN(), Changes: 1},
-		"no changes to be lent":        peer.LoanArgs{From: "c-1"},
-		"negative changes to be lent":  peer.LoanArgs{From: "c-1", Changes: -2},
-		"too many changes to be lent":  peer.LoanArgs{From: "c-1", Changes: 1 << 40},
-		"negative tasks":               peer.NotifyArgs{Key: key, Version: 9, Value: openOf(func(o *record.ActiveJob) { o.Spec.Tasks = -5 })},
-		"too many tasks":               peer.NotifyArgs{Key: key, Version: 9, Value: openOf(func(o *record.ActiveJob) { o.Spec.Tasks = 1 << 40 })},
-		"no tasks":                     peer.NotifyArgs{Key: key, Version: 9, Value: openOf(func(o *record.ActiveJob) { o.Spec.Tasks = 0 })},
-		"negative cards":               peer.NotifyArgs{Key: key, Version: 9, Value: openOf(func(o *record.ActiveJob) { o.Spec.GPUs = -1 })},
-		"a job of an unknown part":     peer.NotifyArgs{Key: key, Version: 9, Value: openOf(func(o *record.ActiveJob) { o.Shard = 3 })},
-		"another job's record":         peer.NotifyArgs{Key: record.ActiveJobKey("run-000002"), Version: 9, Value: openOf(func(*record.ActiveJob) {})},
-		"a record without a version":   peer.NotifyArgs{Key: key, Value: openOf(func(*record.ActiveJob) {})},
-		"a record of the wrong type":   peer.NotifyArgs{Key: key, Version: 9, Value: []byte(`{"spec":"x"}`)},
-		"a record that is null":        peer.NotifyArgs{Key: key, Version: 9, Value: []byte("null")},
-		"a record that is nothing":     peer.NotifyArgs{Key: key, Version: 9},
-		"a record of no job":           peer.NotifyArgs{Key: "open/", Version: 9, Value: openOf(func(*record.ActiveJob) {})},
-		"a record of another kind":     peer.NotifyArgs{Key: record.ShardKey(0), Version: 9, Value: []byte("{}")},
-		"a final state that is none":   peer.NotifyArgs{Key: record.FinishedJobKey("run-000001"), Value: []byte(`{"state":"perhaps"}`)},
-		"a large record":               peer.NotifyArgs{Key: key, Version: 9, Value: bytes.Repeat([]byte(" "), 1<<20)},
-		"a report of no machine":       wire.Heartbeat{Session: 1, Seq: 1},
-		"a large request passed on":    peer.UserArgs{Method: "POST", Path: wire.JobsPath, Body: make([]byte, httpwire.MaxBody+1)},
-		"a request with an endless id": peer.UserArgs{Method: "GET", Path: strings.Repeat("x", httpwire.MaxHead+1)},
-	} {
-		c := newOwner(t)
-		out := logged(c)
-		for range 3 {
-			if err := c.Check(args); !errors.Is(err, wire.ErrInvalidMessage) {
-				t.Errorf("%s: err %v", name, err)
-			}
-		}
-		if got := strings.Count(out.String(), "\n"); got != 1 {
-			t.Errorf("%s: %d lines: %s", name, got, out.String())
-		}
-	}
-}
-
-// What controllers do say is taken.
-func TestMessagesOfControllersAreTaken(t *testing.T) {
-	c := newOwner(t)
-	for _, args := range []any{
-		peer.SyncArgs{}, peer.SyncArgs{From: "c-1", Claim: []int{0}, HandHome: []int{0}, Requests: 1, Changes: 2},
-		peer.SyncArgs{Orders: []fleet.Order{{Machine: "m", To: fleet.ReleaseToCloud}}},
-		peer.NotifyArgs{Key: record.ActiveJobKey("run-000001"), Version: 9, Value: openOf(func(*record.ActiveJob) {})},
-		peer.NotifyArgs{Key: record.FinishedJobKey("run-000001"), Value: record.Encode(record.FinishedJob{State: wire.Done, Tasks: 3})},
-		peer.LoanArgs{From: "c-1", Changes: 2}, wire.Heartbeat{Machine: "m", Session: 1, Seq: 1}, peer.UserArgs{Method: "GET", Path: wire.JobsPath + "/run-000001"},
-	} {
-		if err := c.Check(args); err != nil {
-			t.Errorf("%+v: %v", args, err)
-		}
-	}
-}
-
-// Answers of controllers that can't be true count as none.
-func TestSenselessAnswersOfControllersAreRefused(t *testing.T) {
-	c := newTest(t, testkit.NewState())
-	summary := func(change func(*fleet.Summary)) *peer.SyncReply {
-		s := fleet.Summary{Needs: []fleet.Need{{Job: "run-000001", Count: 1}}, Machines: []fleet.Machine{{ID: "m"}}}
-		change(&s)
-		return &peer.SyncReply{Summaries: []fleet.Summary{s}}
-	}
-	// Clocks of controllers differ, and sums are rounded.
-	if err := c.checkSyncReply(summary(func(s *fleet.Summary) { s.Needs[0].Waited, s.Arriving = -time.Second, -1e-12 })); err != nil {
-		t.Error(err)
-	}
-	for name, err := range map[string]error{
-		"an unknown part":     c.checkSyncReply(summary(func(s *fleet.Summary) { s.Part = 9 })),
-		"a negative part":     c.checkSyncReply(summary(func(s *fleet.Summary) { s.Part = -1 })),
-		"endless arrivals":    c.checkSyncReply(summary(func(s *fleet.Summary) { s.Arriving = math.Inf(1) })),
-		"a negative need":     c.checkSyncReply(summary(func(s *fleet.Summary) { s.Needs[0].Count = -1 })),
-		"need of negative":    c.checkSyncReply(summary(func(s *fleet.Summary) { s.Needs[0].GPUs = -4 })),
-		"need of no number":   c.checkSyncReply(summary(func(s *fleet.Summary) { s.Needs[0].CPUs = math.NaN() })),
-		"negative tasks":      c.checkSyncReply(summary(func(s *fleet.Summary) { s.Machines[0].Tasks = -1 })),
-		"negative requests":   c.checkSyncReply(&peer.SyncReply{Requests: -1}),
-		"a report's status":   checkReportReply(&peer.HeartbeatReply{Status: 999}),
-		"no status":           checkReportReply(&peer.HeartbeatReply{}),
-		"a request's status":  checkUserReply(&peer.UserReply{Status: 7}),
-		"a body that is not":  checkUserReply(&peer.UserReply{Status: 200, Body: []byte("{")}),
-		"a negative pause":    checkUserReply(&peer.UserReply{Status: 503, RetryAfter: -1}),
-		"another job's state": checkStatus(&wire.Status{Ref: "run-000002"}, "run-000001"),
-		"a negative count":    checkStatus(&wire.Status{Ref: "run-000001", Done: -1}, "run-000001"),
-	} {
-		if !errors.Is(err, wire.ErrInvalidMessage) {
-			t.Errorf("%s: err %v", name, err)
-		}
-	}
-}
-
 // Reports that make no sense are answered 400 at once and logged once for each machine;
 // they change nothing that is remembered.
 func TestSenselessReportsAreAnswered(t *testing.T) {
--- a/internal/controller/parts.go
+++ b/internal/controller/parts.go
@@ -335,7 +335,7 @@
 // probeMachine asks a worker for its report and tells the part.
 func (c *Controller) probeMachine(shard *scheduler.Shard, q scheduler.Probe) {
 	r, err := c.agents.Show(c.life, q.Addr)
-	err = c.sensible("worker's answer", q.Machine, err, r.Check)
+	err = c.messages.Reply("reply of a worker", q.Machine, err, r.Check)
 	if err == nil && r.Machine != q.Machine {
 		err = fmt.Errorf("%s answers for %s", r.Machine, q.Machine) // another has its address by now
 	}
@@ -356,7 +356,7 @@
 	c.commands <- struct{}{}
 	r, ok, err := c.agents.Command(c.life, d.Addr, d.Orders)
 	<-c.commands
-	err = c.sensible("worker's answer", d.Machine, err, r.Check)
+	err = c.messages.Reply("reply of a worker", d.Machine, err, r.Check)
 	if err == nil && r.Machine != d.Machine {
 		err = fmt.Errorf("%s answers for %s", r.Machine, d.Machine) // another has its address by now
 	}
--- a/internal/controller/status_queries.go
+++ b/internal/controller/status_queries.go
@@ -5,6 +5,7 @@
 	"errors"
 
 	"bramblespur/internal/controller/jobspec"
+	"bramblespur/internal/controller/messagecheck"
 	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/record"
 	"bramblespur/internal/statestore"
@@ -104,7 +105,7 @@
 	}
 	status := new(wire.Status)
 	err := owner.Call("Status", ref, status, statusTimeout)
-	err = c.sensible("job's state", "a controller", err, func() error { return checkStatus(status, ref) })
+	err = c.messages.Reply("reply to a status query", "a controller", err, func() error { return messagecheck.Status(status, ref) })
 	return *status, err == nil
 }
 
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -5,6 +5,7 @@
 	"strings"
 	"time"
 
+	"bramblespur/internal/controller/messagecheck"
 	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/peer"
@@ -114,7 +115,7 @@
 	}
 	var r peer.UserReply
 	err := best.Call("User", peer.UserArgs{Method: req.Method, Path: req.Path, Body: req.Body}, &r, userTimeout)
-	if err = c.sensible("answer to a request passed on", "a controller", err, func() error { return checkUserReply(&r) }); err != nil {
+	if err = c.messages.Reply("reply to a forwarded request", "a controller", err, func() error { return messagecheck.UserReply(&r) }); err != nil {
 		c.log.Debug("request passed on", "path", req.Path, "err", err)
 		return transport.Response{}, false
 	}
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -6,6 +6,7 @@
 	"syscall"
 	"time"
 
+	"bramblespur/internal/controller/messagecheck"
 	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/peer"
@@ -21,7 +22,7 @@
 		err = r.Check()
 	}
 	if err != nil {
-		c.rejections.Reject("report", r.Machine, err)
+		c.rejections.Reject("heartbeat", r.Machine, err)
 		return transport.Response{Status: 400}, true
 	}
 	c.mu.Lock()
@@ -79,7 +80,7 @@
 func (c *Controller) relay(r *wire.Heartbeat, m record.MachineView, owner string, token uint64, answer func(transport.Response)) {
 	var rr peer.HeartbeatReply
 	err := c.peers[owner].Call("Report", *r, &rr, relayTimeout)
-	err = c.sensible("answer to a relayed report", owner, err, func() error { return checkReportReply(&rr) })
+	err = c.messages.Reply("reply to a relayed heartbeat", owner, err, func() error { return messagecheck.HeartbeatReply(&rr) })
 	if err == nil {
 		rep := transport.Response{Status: rr.Status, RetryAfter: 1}
 		if rr.Status == 200 {
