--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -41,12 +41,11 @@
 
 // Defaults of the shell, each a compromise named here.
 const (
-	tickEvery       = 250 * time.Millisecond // timers of the cores, which look at machines as often
-	maxWatchWait    = 4 * time.Second        // how long a watch may be silent
-	minWatchWait    = 500 * time.Millisecond
-	watchBatchDelay = 300 * time.Millisecond // changes this close together share one answer
-	countsEvery     = 15 * time.Second       // requests and changes are logged this often
-	relayTimeout    = 2200 * time.Millisecond
+	tickEvery    = 250 * time.Millisecond // timers of the cores, which look at machines as often
+	maxWatchWait = 4 * time.Second        // how long a watch may be silent
+	minWatchWait = 500 * time.Millisecond
+	countsEvery  = 15 * time.Second // requests and changes are logged this often
+	relayTimeout = 2200 * time.Millisecond
 )
 
 // Controller is one process of the service.
@@ -142,9 +141,7 @@
 	ctx := c.life
 	go c.member.KeepLease(ctx)
 	go c.member.RecordOwnFormat(ctx)
-	go c.watchLoop(ctx, record.ClusterPrefix, c.resetCluster, c.applyClusterChange)
-	go c.watchLoop(ctx, record.FleetPrefix, c.resetMachines, c.applyMachineChange)
-	go c.watchLoop(ctx, record.ActiveJobPrefix, c.resetActiveJobs, c.applyActiveJobChange)
+	c.startWatches(ctx)
 	go c.machineTypesLoop(ctx)
 	go c.tickLoop(ctx)
 	go c.duties.Run(ctx)
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"maps"
 	"strings"
 	"time"
@@ -11,48 +10,55 @@
 	"bramblespur/internal/config"
 	"bramblespur/internal/controller/clusterview"
 	"bramblespur/internal/drain"
-	"bramblespur/internal/httpwire"
 	"bramblespur/internal/record"
 	"bramblespur/internal/recovery"
 	"bramblespur/internal/retry"
 	"bramblespur/internal/scheduler"
-	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
 )
 
-// watchLoop keeps a view of the keys with a prefix: all of them first, then
-// each change.
-func (c *Controller) watchLoop(ctx context.Context, prefix string, reset func([]wire.Entry, uint64, time.Time), change func(wire.Change, time.Time)) {
-	for ctx.Err() == nil {
-		at := time.Now()
-		entries, rev, err := c.store.List(ctx, statestore.Urgent("view"), prefix)
-		if err != nil {
-			retry.Sleep(ctx, retry.Jitter(400*time.Millisecond))
-			continue
-		}
-		resets := c.viewGeneration()
-		reset(entries, rev, at)
-		c.setViewRevision(prefix, rev, resets)
-		for ctx.Err() == nil && c.viewGeneration() == resets {
-			at := time.Now()
-			ch, err := c.store.Watch(ctx, prefix, rev, c.watchWait())
-			if errors.Is(err, statestore.ErrTooOld) || errors.Is(err, httpwire.ErrTooLarge) {
-				break // what is there is smaller than all that happened since
-			}
-			if err != nil {
-				retry.Sleep(ctx, retry.Jitter(400*time.Millisecond))
-				continue
-			}
-			for _, e := range ch.Events {
-				change(e, at)
-			}
-			rev = max(rev, ch.Revision)
-			c.setViewAsOf(prefix, at)
-			c.setViewRevision(prefix, rev, resets)
-			if len(ch.Events) > 0 {
-				retry.Sleep(ctx, watchBatchDelay)
-			}
-		}
+// watchHandler brings what a watch learns of one prefix to the controller. It implements
+// clusterview.Handler.
+type watchHandler struct {
+	c      *Controller
+	prefix string
+	reset  func(entries []wire.Entry, revision uint64, at time.Time)
+	apply  func(change wire.Change, at time.Time)
+}
+
+// Reset implements clusterview.Handler.
+func (h *watchHandler) Reset(entries []wire.Entry, revision uint64, at time.Time) {
+	h.reset(entries, revision, at)
+}
+
+// Apply implements clusterview.Handler.
+func (h *watchHandler) Apply(change wire.Change, at time.Time) { h.apply(change, at) }
+
+// Current implements clusterview.Handler.
+func (h *watchHandler) Current(at time.Time) { h.c.setViewAsOf(h.prefix, at) }
+
+// Reached implements clusterview.Handler.
+func (h *watchHandler) Reached(revision uint64, generation int) {
+	h.c.setViewRevision(h.prefix, revision, generation)
+}
+
+// Generation implements clusterview.Handler.
+func (h *watchHandler) Generation() int { return h.c.viewGeneration() }
+
+// watch returns the watch of the records that a handler is for.
+func (c *Controller) watch(h *watchHandler) *clusterview.Watch {
+	h.c = c
+	return &clusterview.Watch{Store: c.store, Prefix: h.prefix, Wait: c.watchWait(), Handler: h}
+}
+
+// startWatches begins to keep all views up to date.
+func (c *Controller) startWatches(ctx context.Context) {
+	for _, h := range []*watchHandler{
+		{prefix: record.ClusterPrefix, reset: c.resetCluster, apply: c.applyClusterChange},
+		{prefix: record.FleetPrefix, reset: c.resetMachines, apply: c.applyMachineChange},
+		{prefix: record.ActiveJobPrefix, reset: c.resetActiveJobs, apply: c.applyActiveJobChange},
+	} {
+		go c.watch(h).Run(ctx)
 	}
 }
 
@@ -85,10 +91,10 @@
 }
 
 // setViewRevision takes in the revision that a view has come to, unless it is to be read anew.
-func (c *Controller) setViewRevision(prefix string, revision uint64, resets int) {
+func (c *Controller) setViewRevision(prefix string, revision uint64, generation int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.safeMode.viewGeneration == resets {
+	if c.safeMode.viewGeneration == generation {
 		c.view(prefix).SetRevision(revision)
 	}
 }
--- a/internal/controller/views_test.go
+++ b/internal/controller/views_test.go
@@ -95,7 +95,7 @@
 	defer cancel()
 	resets := make(chan int)
 	gone := wire.Txn{Then: []wire.Op{{Delete: record.ProvisionKey("r")}}}
-	go c.watchLoop(ctx, record.FleetPrefix, func(entries []wire.Entry, rev uint64, at time.Time) {
+	reset := func(entries []wire.Entry, rev uint64, at time.Time) {
 		c.resetMachines(entries, rev, at)
 		if _, err := state.Txn(ctx, statestore.Urgent("test"), gone); err != nil { // unseen
 			t.Error(err)
@@ -104,7 +104,8 @@
 		case resets <- len(entries):
 		case <-ctx.Done():
 		}
-	}, c.applyMachineChange)
+	}
+	go c.watch(&watchHandler{prefix: record.FleetPrefix, reset: reset, apply: c.applyMachineChange}).Run(ctx)
 	for i, want := range []int{1, 0, 0} {
 		if got := <-resets; got != want {
 			t.Fatalf("reading %d: %d records, want %d", i, got, want)
