--- a/internal/controller/claim.go
+++ b/internal/controller/claim.go
@@ -167,7 +167,7 @@
 		shard.SetInheritedClaim(ref, c.activeJobs.Claim(ref))
 	}
 	c.log.Info("shard acquired", "shard", id, "token", shard.Token())
-	c.beginEpisode(shard, now)
+	c.reconciliation.BeginLocked(shard, now)
 	c.step(shard, now)
 	go c.rereadActiveJobs(ctx, shard)
 	return nil
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -25,6 +25,7 @@
 	"bramblespur/internal/controller/membership"
 	"bramblespur/internal/controller/messagecheck"
 	"bramblespur/internal/controller/overload"
+	"bramblespur/internal/controller/reconciliation"
 	"bramblespur/internal/controller/rejectlog"
 	"bramblespur/internal/controller/terminal"
 	"bramblespur/internal/controller/transport"
@@ -93,7 +94,7 @@
 	searches          map[string]workerSearch // by machine, while this controller has lost the state service
 	renewals          renewals
 	drainer           *drainer.Drainer
-	restarts          restarts
+	reconciliation    *reconciliation.Tracker
 	safeMode          safeMode
 	held              map[string]*held
 	readiness         membership.Readiness
@@ -114,7 +115,7 @@
 	c.store = statestore.New(cfg.Outside.State, p.Count, tight.RPS, tight.WriteRPS, c.borrow)
 	c.init()
 	c.drainer.Enable(ops.Drains, &p)
-	c.restarts.enable(ops.Restart)
+	c.reconciliation.Enable(ops.Restart)
 	c.enableSafeMode(ops.Recovery)
 	for _, q := range cfg.Peers {
 		c.peers[q.Label] = peer.NewClient(q.Addr)
@@ -149,8 +150,8 @@
 	if c.drainer.Enabled() {
 		go c.drainer.Run(ctx)
 	}
-	if c.restarts.enabled {
-		go c.restartLoop(ctx)
+	if c.reconciliation.Enabled() {
+		go c.reconciliation.Run(ctx)
 	}
 	if c.safeMode.enabled {
 		go c.auditLoop(ctx)
@@ -185,6 +186,7 @@
 	c.admission = admission.NewLimiter(c.cfg.Params.Resources, c.overload.Behind)
 	c.duties = leader.New(leaderHost{c}, c.cfg, c.policy, c.log)
 	c.drainer = drainer.New(drainerHost{c}, c.cluster, c.machines, c.cfg, c.log)
+	c.reconciliation = reconciliation.NewTracker(reconciliationHost{c}, c.machines, c.cfg, c.log)
 }
 
 // machineTypesLoop learns the machine types: from the state service, where the first
--- a/internal/controller/leader_calls.go
+++ b/internal/controller/leader_calls.go
@@ -29,13 +29,13 @@
 	}
 	c.duties.LeaderAskedLocked(now)
 	c.duties.Grant.SetLocked(c.store, a.Requests, a.Changes, now)
-	c.setCommandRate(a.OrderRate, now)
+	c.reconciliation.SetShareLocked(a.OrderRate, now)
 	load := host.LoadLocked(now)
 	r := peer.SyncReply{Summaries: host.SummariesLocked(now), StateOK: c.sure(now),
 		Recovering: load.Recovering, HasRoom: load.HasRoom}
 	if len(a.Orders) == 0 { // orders alone come between the leader's turns
 		r.Requests, r.Changes = c.store.TakeDemand()
-		r.OrdersWaiting = c.delayedCommands()
+		r.OrdersWaiting = c.reconciliation.TakeDelayedLocked()
 	}
 	return r
 }
--- a/internal/controller/leader_host.go
+++ b/internal/controller/leader_host.go
@@ -139,7 +139,9 @@
 }
 
 // AllowCloudCallLocked implements leader.Machines.
-func (h leaderHost) AllowCloudCallLocked(now time.Time) bool { return h.c.allowCloudCall(now) }
+func (h leaderHost) AllowCloudCallLocked(now time.Time) bool {
+	return h.c.reconciliation.AllowCloudCallLocked(now)
+}
 
 // LostRecords implements leader.Machines.
 func (h leaderHost) LostRecords(ctx context.Context, addresses map[string]string) bool {
@@ -164,19 +166,17 @@
 func (h leaderHost) BehindLocked() bool { return h.c.overload.Behind() }
 
 // OrdersWaitingLocked implements leader.Limits.
-func (h leaderHost) OrdersWaitingLocked() int { return h.c.delayedCommands() }
+func (h leaderHost) OrdersWaitingLocked() int { return h.c.reconciliation.TakeDelayedLocked() }
 
 // OrderLimitLocked implements leader.Limits.
 func (h leaderHost) OrderLimitLocked() (total float64, limited bool) {
-	r := &h.c.restarts
-	if !r.enabled {
-		return 0, false
-	}
-	return r.limiter.Settings().ClusterRate(h.c.machines.Len()), true
+	return h.c.reconciliation.ClusterRateLocked()
 }
 
 // SetOrderShareLocked implements leader.Limits.
-func (h leaderHost) SetOrderShareLocked(share float64, now time.Time) { h.c.setCommandRate(share, now) }
+func (h leaderHost) SetOrderShareLocked(share float64, now time.Time) {
+	h.c.reconciliation.SetShareLocked(share, now)
+}
 
 // Store implements leader.Services.
 func (h leaderHost) Store() statestore.Store { return h.c.store }
--- a/internal/controller/parts.go
+++ b/internal/controller/parts.go
@@ -53,7 +53,7 @@
 		CompletionBatchDelay: gatherEnds,
 		StartBatchDelay:      gatherStarts,
 		ReleaseBatchDelay:    gatherBacks,
-		Pace:                 c.restarts.limiter,
+		Pace:                 c.reconciliation.Limiter(),
 		Urgency: func(spec *wire.Spec, waited time.Duration, deadline *float64) float64 {
 			j := policy.Job{Class: spec.Class, Team: spec.Team, Kind: kinds[spec.Kind], Tasks: spec.Tasks, WaitedS: waited.Seconds(), EstimateS: spec.EstimateS}
 			if deadline != nil {
@@ -82,7 +82,7 @@
 	c.drainer.RefreshCordonsLocked(shard)
 	eff := shard.Step(now)
 	c.drainer.RecordInterruptionsLocked(eff.Interrupted, now)
-	c.recordContradictions(eff.Contradictions)
+	c.reconciliation.RecordContradictionsLocked(eff.Contradictions)
 	if shard.OwnershipLost() {
 		delete(c.shards, shard.ID())
 		go c.rereadShardRecord(shard.ID())
--- /dev/null
+++ b/internal/controller/reconciliation/rate.go
@@ -0,0 +1,63 @@
+package reconciliation
+
+import (
+	"time"
+
+	"bramblespur/internal/ratelimit"
+)
+
+// ClusterRateLocked returns how many commands all controllers together may release in a second,
+// and false if they are not limited.
+func (t *Tracker) ClusterRateLocked() (rate float64, limited bool) {
+	if !t.enabled {
+		return 0, false
+	}
+	return t.limiter.Settings().ClusterRate(t.machines.Len()), true
+}
+
+// equalRate is this controller's equal share of all commands.
+func (t *Tracker) equalRate() float64 {
+	return t.limiter.Settings().ClusterRate(t.machines.Len()) / float64(t.cfg.Params.Count)
+}
+
+// SetShareLocked sets this controller's share of all commands, as the leader gave it.
+func (t *Tracker) SetShareLocked(share float64, now time.Time) {
+	if !t.enabled || share <= 0 {
+		return
+	}
+	t.shareReceivedAt, t.aboveEqualShare = now, share > t.equalRate()
+	t.limiter.SetShare(share, now)
+}
+
+// TakeDelayedLocked returns how many commands were delayed since the last call.
+func (t *Tracker) TakeDelayedLocked() int {
+	if !t.enabled {
+		return 0
+	}
+	return t.limiter.TakeDelayed()
+}
+
+// AllowCloudCallLocked reports whether the leader may provision or release machines now: such
+// calls count as commands.
+func (t *Tracker) AllowCloudCallLocked(now time.Time) bool {
+	return t.limiter.Allow(ratelimit.Routine, now)
+}
+
+// endLimitLocked ends the limit once all should have been reconciled, here and elsewhere, and no
+// command has been delayed for a while.
+func (t *Tracker) endLimitLocked(now time.Time) {
+	if !t.limiter.Active() {
+		return
+	}
+	delayed := t.limiter.TakeAnyDelayed()
+	if delayed {
+		t.lastPendingAt = now
+	}
+	if delayed || !t.limiter.Overdue(now) {
+		t.quietSince = now // other controllers may not be done yet
+	}
+	if now.Sub(t.quietSince) > quietPeriod {
+		t.limiter.Stop()
+		t.log.Info("rate limit of commands ends")
+	}
+}
--- /dev/null
+++ b/internal/controller/reconciliation/record.go
@@ -0,0 +1,61 @@
+package reconciliation
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"time"
+
+	"bramblespur/internal/restart"
+	"bramblespur/internal/statestore"
+	"bramblespur/internal/wire"
+)
+
+// episodeRecord writes this controller's episodes to the state service. Only Run uses it.
+type episodeRecord struct {
+	tracker   *Tracker
+	key       string
+	history   restart.History
+	loaded    bool   // the record as it stands was read
+	version   uint64 // of the record
+	writtenAt time.Time
+}
+
+// write brings an episode to the record. One that is not written is written with the next.
+func (r *episodeRecord) write(ctx context.Context, e restart.Episode, now time.Time) {
+	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
+	defer cancel()
+	if !r.loaded && r.load(ctx) != nil {
+		return
+	}
+	r.history.Put(e)
+	revision, err := r.tracker.host.Store().Txn(ctx, statestore.Routine("restart"), wire.Txn{
+		If:   []wire.Condition{{Key: r.key, Version: r.version}},
+		Then: []wire.Op{{Put: r.key, Value: r.history.Encode(r.tracker.cfg.Params.State.Tight().Bytes())}},
+	})
+	if err != nil {
+		r.loaded = false // it may have been written all the same
+		r.tracker.log.Debug("restart record", "err", err)
+		return
+	}
+	r.version, r.writtenAt = revision, now
+}
+
+// load reads the record as it stands, which the label's last process may have written.
+func (r *episodeRecord) load(ctx context.Context) error {
+	entry, err := r.tracker.host.Store().Get(ctx, statestore.Routine("restart"), r.key)
+	if err != nil && !errors.Is(err, statestore.ErrNotFound) {
+		return fmt.Errorf("read %s: %w", r.key, err)
+	}
+	var stored restart.History
+	if err == nil && json.Unmarshal(entry.Value, &stored) != nil {
+		r.tracker.log.Error("malformed restart record is replaced", "key", r.key)
+		stored = restart.History{}
+	}
+	for _, e := range r.history.Episodes {
+		stored.Put(e)
+	}
+	r.history, r.version, r.loaded = stored, entry.Version, true
+	return nil
+}
--- /dev/null
+++ b/internal/controller/reconciliation_host.go
@@ -0,0 +1,22 @@
+package controller
+
+import (
+	"bramblespur/internal/scheduler"
+	"bramblespur/internal/statestore"
+)
+
+// reconciliationHost lets the tracker of reconciliation see its controller; it implements
+// reconciliation.Host.
+type reconciliationHost struct{ c *Controller }
+
+// Lock takes the shards' lock.
+func (h reconciliationHost) Lock() { h.c.mu.Lock() }
+
+// Unlock releases it.
+func (h reconciliationHost) Unlock() { h.c.mu.Unlock() }
+
+func (h reconciliationHost) OwnedShardsLocked() map[int]*scheduler.Shard { return h.c.shards }
+
+func (h reconciliationHost) Incarnation() uint64 { return h.c.lease.Current().Incarnation }
+
+func (h reconciliationHost) Store() statestore.Store { return h.c.store }
--- a/internal/controller/restarts_test.go
+++ b/internal/controller/restarts_test.go
@@ -75,7 +75,7 @@
 }
 
 func quietly(_ string, c *Controller) {
-	c.restarts.enable(&operations.Restart{Settings: ratelimit.Settings{CommandsPerSecond: restartOrders}})
+	c.reconciliation.Enable(&operations.Restart{Settings: ratelimit.Settings{CommandsPerSecond: restartOrders}})
 }
 
 // episodes returns what a controller recorded.
@@ -100,7 +100,7 @@
 			return false
 		}
 		p.c.mu.Lock()
-		under := p.c.restarts.episode != nil
+		under := p.c.reconciliation.PendingLocked()
 		p.c.mu.Unlock()
 		if under {
 			return false
