--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -21,6 +21,7 @@
 	"bramblespur/internal/controller/admission"
 	"bramblespur/internal/controller/clusterview"
 	"bramblespur/internal/controller/drainer"
+	"bramblespur/internal/controller/election"
 	"bramblespur/internal/controller/leader"
 	"bramblespur/internal/controller/membership"
 	"bramblespur/internal/controller/messagecheck"
@@ -65,6 +66,7 @@
 	// way round.
 	lease             membership.Lease
 	member            *membership.Member
+	election          *election.Election
 	terminalStates    *terminal.Cache
 	linearizableReads *Batcher
 	peerHealth        *membership.PeerHealth
@@ -88,7 +90,6 @@
 	machineTypesKnown bool
 	redirects         workerRedirects
 	lastHeartbeatAt   time.Time // of any worker, to this controller itself
-	quietUntil        time.Time // not to lead before
 	consideringSince  time.Time
 	startedAt         time.Time               // when this process began
 	searches          map[string]workerSearch // by machine, while this controller has lost the state service
@@ -180,6 +181,7 @@
 	c.held = map[string]*held{}
 	c.peerHealth = membership.NewPeerHealth()
 	c.member = c.newMember()
+	c.election = election.New(c.cfg.Label, c.store, &c.lease, c.cluster, &c.mu, c.log)
 	c.rejections = rejectlog.New(c.log)
 	c.messages = messagecheck.New(&c.cfg.Params, c.rejections)
 	c.overload = overload.NewDetector(c.log, c.cfg.Params.Resources.CPUShare, membership.LeaseTTL)
--- a/internal/controller/data_loss_audit.go
+++ b/internal/controller/data_loss_audit.go
@@ -42,7 +42,7 @@
 func (c *Controller) auditLoop(ctx context.Context) {
 	for retry.Sleep(ctx, retry.Jitter(c.safeMode.auditInterval)) {
 		c.mu.Lock()
-		safe, leads := c.safeMode.state.Active(), c.isLeader(time.Now())
+		safe, leads := c.safeMode.state.Active(), c.election.IsLeader(time.Now())
 		c.mu.Unlock()
 		if safe {
 			continue
--- a/internal/controller/drainer_host.go
+++ b/internal/controller/drainer_host.go
@@ -22,7 +22,7 @@
 
 func (h drainerHost) StepLocked(shard *scheduler.Shard, now time.Time) { h.c.step(shard, now) }
 
-func (h drainerHost) IsLeaderLocked(now time.Time) bool { return h.c.isLeader(now) }
+func (h drainerHost) IsLeaderLocked(now time.Time) bool { return h.c.election.IsLeader(now) }
 
 func (h drainerHost) HoldsLease(now time.Time) bool { return h.c.sure(now) }
 
--- a/internal/controller/leader_host.go
+++ b/internal/controller/leader_host.go
@@ -28,19 +28,19 @@
 func (h leaderHost) Unlock() { h.c.mu.Unlock() }
 
 // IsLeaderLocked implements leader.Election.
-func (h leaderHost) IsLeaderLocked(now time.Time) bool { return h.c.isLeader(now) }
+func (h leaderHost) IsLeaderLocked(now time.Time) bool { return h.c.election.IsLeader(now) }
 
 // SafeModeLocked implements leader.Election.
 func (h leaderHost) SafeModeLocked() bool { return h.c.safeMode.state.Active() }
 
 // CandidacyLocked implements leader.Election.
 func (h leaderHost) CandidacyLocked(now time.Time) func(context.Context) {
-	c, seen := h.c, h.c.cluster.Leader()
-	vacant := seen.Version == 0 || seen.Rec.Label == c.cfg.Label
-	if !vacant || !c.sure(now) || c.machineTypes == nil || !now.After(c.quietUntil) || !c.cluster.Loaded() {
+	c := h.c
+	incumbent, may := c.election.MayCampaign(now)
+	if !may || c.machineTypes == nil {
 		return nil
 	}
-	return func(ctx context.Context) { c.campaign(ctx, seen) }
+	return func(ctx context.Context) { c.election.Campaign(ctx, incumbent) }
 }
 
 // LeaderLocked implements leader.Election.
@@ -67,7 +67,9 @@
 }
 
 // StepDown implements leader.Election.
-func (h leaderHost) StepDown(ctx context.Context) { h.c.stepDown(ctx) }
+func (h leaderHost) StepDown(ctx context.Context) {
+	h.c.election.StepDown(ctx, h.c.duties.EndTermLocked)
+}
 
 // SummariesLocked implements leader.Shards.
 func (h leaderHost) SummariesLocked(now time.Time) []fleet.Summary {
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -86,41 +86,6 @@
 	}
 }
 
-// A leader is one incarnation: after a restart the label alone does not lead,
-// and what the earlier life asks late fails.
-func TestLeaderIsAnIncarnation(t *testing.T) {
-	ctx := context.Background()
-	state := testkit.NewState()
-	before, after := newTest(t, state), newTest(t, state)
-	setIncarnation(before, 1)
-	setIncarnation(after, 2)
-	before.campaign(ctx, record.Versioned[record.Leader]{})
-	now := time.Now()
-	if !before.isLeader(now) {
-		t.Fatal("does not lead")
-	}
-	elected := before.cluster.Leader()
-	after.cluster.SetLeader(elected.Rec, elected.Version) // as the watch tells the next life
-	if after.isLeader(now) {
-		t.Fatal("leads by its label")
-	}
-	after.campaign(ctx, after.cluster.Leader())
-	if !after.isLeader(now) {
-		t.Fatal("the next life can't lead")
-	}
-	stale := before.cluster.Leader()
-	before.campaign(ctx, stale) // late
-	if e, err := state.Get(ctx, statestore.Urgent("test"), record.LeaderKey); err != nil || e.Version != after.cluster.Leader().Version {
-		t.Fatalf("record %+v, %v: the earlier life took the lead back", e, err)
-	}
-	if _, err := state.Txn(ctx, statestore.Urgent("test"), wire.Txn{
-		If:   []wire.Condition{{Key: record.ProvisionKey("x")}, {Key: record.LeaderKey, Version: stale.Version}},
-		Then: []wire.Op{{Put: record.ProvisionKey("x"), Value: record.Encode(record.Provision{})}},
-	}); err == nil {
-		t.Fatal("a rental decided under the earlier lead was recorded")
-	}
-}
-
 // A controller that stood still while its clocks ran on sends nothing that was
 // recorded before: it looks at what it still is before it answers, though none of
 // its loops has run again.
--- /dev/null
+++ b/internal/controller/shard_transfer.go
@@ -0,0 +1,27 @@
+package controller
+
+import (
+	"context"
+
+	"bramblespur/internal/record"
+	"bramblespur/internal/statestore"
+	"bramblespur/internal/wire"
+)
+
+// transferBack gives a shard back to its preferred owner: whoever writes the record loses
+// the token with it, so the shard is dropped first. The shards' lock is held.
+func (c *Controller) transferBack(ctx context.Context, id int) {
+	r, _ := c.cluster.Shard(id)
+	home := c.preferredOwner(id)
+	if c.shards[id] == nil || home == c.cfg.Label {
+		return
+	}
+	go func() {
+		_, err := c.store.Txn(ctx, statestore.Urgent("claim"), wire.Txn{
+			If:   []wire.Condition{{Key: record.ShardKey(id), Version: r.Version}},
+			Then: []wire.Op{{Put: record.ShardKey(id), Value: record.Encode(record.Shard{TransferTo: home})}},
+		})
+		c.log.Info("shard transferred back", "shard", id, "to", home, "err", err)
+		c.rereadShardRecord(id)
+	}()
+}
