--- /dev/null
+++ b/internal/controller/active_job_records.go
@@ -0,0 +1,93 @@
+package controller
+
+import (
+	"time"
+
+	"bramblespur/internal/controller/clusterview"
+	"bramblespur/internal/record"
+	"bramblespur/internal/wire"
+)
+
+// resetActiveJobs applies the records of all active jobs, listed as of a revision. A job that
+// is not listed has ended, unless this controller has accepted it since.
+func (c *Controller) resetActiveJobs(entries []wire.Entry, rev uint64, at time.Time) {
+	listed := map[string]bool{}
+	for _, e := range entries {
+		listed[record.LastElement(e.Key)] = true
+		c.applyActiveJobChange(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, at)
+	}
+	missing := map[string]uint64{}
+	c.mu.Lock()
+	for ref, version := range c.activeJobs.Missing(listed, rev) {
+		missing[record.ActiveJobKey(ref)] = version
+		c.removeActiveJobLocked(ref)
+	}
+	c.mu.Unlock()
+	if c.safeMode.enabled {
+		go c.confirmMissing(c.life, record.ActiveJobPrefix, missing)
+	}
+	c.setViewAsOf(record.ActiveJobPrefix, at)
+}
+
+// applyActiveJobChange applies a change of an active job's record.
+func (c *Controller) applyActiveJobChange(e wire.Change, _ time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.applyActiveJobChangeLocked(e, time.Now())
+}
+
+// applyActiveJobChangeLocked applies a change of an active job's record and notifies the
+// shards. The shards' lock is held.
+func (c *Controller) applyActiveJobChangeLocked(e wire.Change, now time.Time) {
+	change, applied, err := c.activeJobs.Apply(e)
+	if err != nil {
+		c.log.Error("job record", "err", err)
+	}
+	if !applied {
+		return
+	}
+	if change.Ended {
+		c.notifyJobEndedLocked(&change, now)
+		return
+	}
+	c.notifyJobChangedLocked(&change, now)
+}
+
+// notifyJobEndedLocked notifies the shards of a job that is not active any more: the owner
+// ends jobs itself, except those that only waited. The shards' lock is held.
+func (c *Controller) notifyJobEndedLocked(change *clusterview.JobChange, now time.Time) {
+	ref := change.Ref
+	c.passDemandOn(change.Reclaimed)
+	for _, shard := range c.shards {
+		if shard.HasJob(ref) {
+			shard.JobRecordGone(ref, now)
+			c.step(shard, now)
+		}
+	}
+	if c.activeJobs.HasDependents(ref) {
+		c.lookUpDependencies(c.life, now)
+	}
+}
+
+// notifyJobChangedLocked notifies the shards of a new or changed active job. The shards' lock
+// is held.
+func (c *Controller) notifyJobChangedLocked(change *clusterview.JobChange, now time.Time) {
+	job := &change.Record
+	shard := c.shards[job.Shard]
+	if shard != nil {
+		shard.SetJob(change.Ref, *job, change.Version, now)
+	}
+	c.passDemandOn(change.Reclaimed)
+	if shard == nil {
+		return
+	}
+	if len(job.Spec.DependsOn) > 0 {
+		c.lookUpDependencies(c.life, now)
+	}
+	c.step(shard, now)
+}
+
+// removeActiveJobLocked drops a job that is not active any more. The shards' lock is held.
+func (c *Controller) removeActiveJobLocked(ref string) {
+	c.passDemandOn(c.activeJobs.Remove(ref))
+}
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -118,8 +118,3 @@
 	}
 	return true
 }
-
-// removeActiveJobLocked takes in that a job is not open any more. The lock is held.
-func (c *Controller) removeActiveJobLocked(ref string) {
-	c.passDemandOn(c.activeJobs.Remove(ref))
-}
--- /dev/null
+++ b/internal/controller/cluster_records.go
@@ -0,0 +1,110 @@
+package controller
+
+import (
+	"encoding/json"
+	"strings"
+	"time"
+
+	"bramblespur/internal/drain"
+	"bramblespur/internal/record"
+	"bramblespur/internal/recovery"
+	"bramblespur/internal/wire"
+)
+
+// resetCluster applies all records under record.ClusterPrefix, listed as of a revision.
+func (c *Controller) resetCluster(entries []wire.Entry, rev uint64, at time.Time) {
+	c.mu.Lock()
+	c.checkListedShardsLocked(entries, rev, at)
+	c.drainer.ResetLocked(entries, rev)
+	c.cluster.Clear()
+	c.mu.Unlock()
+	for _, e := range entries {
+		c.applyClusterChange(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, at)
+	}
+	c.setViewAsOf(record.ClusterPrefix, at)
+}
+
+// applyClusterChange applies a change under record.ClusterPrefix.
+func (c *Controller) applyClusterChange(e wire.Change, at time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if err := c.applyClusterChangeLocked(e, at); err != nil {
+		c.log.Error("cluster record", "key", e.Put+e.Delete, "err", err)
+	}
+}
+
+// applyClusterChangeLocked hands a changed record to the component that it belongs to. The
+// shards' lock is held.
+func (c *Controller) applyClusterChangeLocked(e wire.Change, at time.Time) error {
+	key := e.Put + e.Delete
+	switch {
+	case key == record.MachineTypesKey:
+		return c.applyMachineTypesLocked(e)
+	case key == recovery.SafeModeKey:
+		return c.applySafeModeChangeLocked(e, at)
+	case strings.HasPrefix(key, drain.Prefix):
+		return c.drainer.ApplyLocked(e)
+	}
+	changed, err := c.cluster.Apply(e)
+	for _, r := range changed {
+		c.dropLostShardLocked(r.ID, r.Rec.Owner, r.Version)
+	}
+	return err
+}
+
+// applyMachineTypesLocked applies the record of the machine types, of which the first that is
+// known stays. The shards' lock is held.
+func (c *Controller) applyMachineTypesLocked(e wire.Change) error {
+	if e.Put == "" || c.machineTypesKnown {
+		return nil
+	}
+	var types []wire.MachineType
+	if err := json.Unmarshal(e.Value, &types); err != nil {
+		return err
+	}
+	c.setMachineTypes(types)
+	return nil
+}
+
+// applySafeModeChangeLocked applies the record of the safe mode. The shards' lock is held.
+func (c *Controller) applySafeModeChangeLocked(e wire.Change, at time.Time) error {
+	if e.Put == "" {
+		return nil
+	}
+	var m recovery.SafeMode
+	if err := json.Unmarshal(e.Value, &m); err != nil {
+		return err
+	}
+	c.applySafeModeRecord(&m, at)
+	return nil
+}
+
+// setShardRecordLocked records who owns a shard. The shards' lock is held.
+func (c *Controller) setShardRecordLocked(id int, r record.Shard, version uint64) {
+	if c.cluster.SetShard(id, r, version) {
+		c.dropLostShardLocked(id, r.Owner, version)
+	}
+}
+
+// dropLostShardLocked stops serving a shard if its record is newer than this controller's
+// fencing token: another has acquired it. The shards' lock is held.
+func (c *Controller) dropLostShardLocked(id int, owner string, version uint64) {
+	if shard := c.shards[id]; shard != nil && version > shard.Token() {
+		c.log.Info("shard lost", "shard", id, "to", owner)
+		delete(c.shards, id)
+	}
+}
+
+// checkListedShardsLocked compares the shard records in a list with those held: shards are
+// never deleted, so one that is missing or older was lost. The shards' lock is held.
+func (c *Controller) checkListedShardsLocked(entries []wire.Entry, rev uint64, now time.Time) {
+	if !c.safeMode.enabled {
+		return
+	}
+	listed := entryVersions(entries)
+	for key, held := range c.cluster.Versions() {
+		if held <= rev {
+			c.reportIfStale(key, held, listed[key], now)
+		}
+	}
+}
--- a/internal/controller/clusterview/machines.go
+++ b/internal/controller/clusterview/machines.go
@@ -95,6 +95,18 @@
 	return v.fleet.Versions()
 }
 
+// Missing returns the keys of records, with their versions, that a list of all
+// records as of a revision lacks, although the view has them from then or earlier.
+func (v *Machines) Missing(listed map[string]bool, revision uint64) map[string]uint64 {
+	missing := map[string]uint64{}
+	for key, version := range v.Versions() {
+		if !listed[key] && version <= revision {
+			missing[key] = version
+		}
+	}
+	return missing
+}
+
 // Entries returns all records.
 func (v *Machines) Entries() []wire.Entry {
 	v.mu.Lock()
--- /dev/null
+++ b/internal/controller/machine_records.go
@@ -0,0 +1,102 @@
+package controller
+
+import (
+	"maps"
+	"time"
+
+	"bramblespur/internal/controller/clusterview"
+	"bramblespur/internal/record"
+	"bramblespur/internal/retry"
+	"bramblespur/internal/scheduler"
+	"bramblespur/internal/wire"
+)
+
+// confirmRetryDelay is about how long a check of missing records waits after it failed.
+const confirmRetryDelay = 400 * time.Millisecond
+
+// resetMachines applies all records of machines, listed as of a revision. A record that is
+// not listed was deleted, unless this controller has written it since. All records are
+// applied at once: the first of a machine's records without the others would tell that there
+// is no such machine, and so that its tasks are gone.
+func (c *Controller) resetMachines(entries []wire.Entry, rev uint64, at time.Time) {
+	listed := map[string]bool{}
+	var changes []wire.Change
+	for _, e := range entries {
+		listed[e.Key] = true
+		changes = append(changes, wire.Change{Put: e.Key, Value: e.Value, Version: e.Version})
+	}
+	c.mu.Lock()
+	missing := c.machines.Missing(listed, rev)
+	if !c.safeMode.enabled {
+		changes = append(changes, deletions(missing, rev)...)
+	}
+	c.applyMachineChangesLocked(changes, time.Now())
+	c.mu.Unlock()
+	if c.safeMode.enabled {
+		c.dropUnlessLost(missing, rev)
+	}
+	c.setViewAsOf(record.FleetPrefix, at)
+}
+
+// deletions returns the changes that delete records as of a revision.
+func deletions(keys map[string]uint64, rev uint64) []wire.Change {
+	var out []wire.Change
+	for key := range keys {
+		out = append(out, wire.Change{Delete: key, Version: rev})
+	}
+	return out
+}
+
+// dropUnlessLost applies that records of machines were missing from a list, unless it turns
+// out that the state service lost them.
+func (c *Controller) dropUnlessLost(missing map[string]uint64, rev uint64) {
+	keys := maps.Clone(missing) // of which those that were not deleted are left
+	for len(missing) > 0 && c.life.Err() == nil {
+		if err := c.confirmMissing(c.life, record.FleetPrefix, missing); err == nil {
+			break
+		}
+		retry.Sleep(c.life, retry.Jitter(confirmRetryDelay))
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(keys) > 0 && !c.safeMode.state.Active() {
+		c.applyMachineChangesLocked(deletions(keys, rev), time.Now())
+	}
+}
+
+// applyMachineChange applies a change of a machine's record.
+func (c *Controller) applyMachineChange(e wire.Change, _ time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.applyMachineChangesLocked([]wire.Change{e}, time.Now())
+}
+
+// applyMachineChangesLocked applies records of machines, all of them before the shards are
+// notified. The shards' lock is held.
+func (c *Controller) applyMachineChangesLocked(changes []wire.Change, now time.Time) {
+	changed, errs := c.machines.Apply(changes)
+	for _, err := range errs {
+		c.log.Error("machine record", "err", err)
+	}
+	for _, m := range changed {
+		for _, shard := range c.shards {
+			c.notifyMachineLocked(shard, m, now)
+		}
+	}
+	for _, shard := range c.shards {
+		c.step(shard, now)
+	}
+}
+
+// notifyMachineLocked notifies a shard of a machine whose records changed. The shards' lock is
+// held.
+func (c *Controller) notifyMachineLocked(shard *scheduler.Shard, m clusterview.MachineChange, now time.Time) {
+	switch {
+	case !m.Known && m.Released:
+		shard.DropMachine(m.ID, now)
+	case m.Known && (m.View.Shard == shard.ID() || shard.HasMachine(m.ID)):
+		if err := shard.SetMachine(m.ID, m.View, now); err != nil {
+			c.log.Error("machine record", "machine", m.ID, "err", err)
+		}
+	}
+}
