--- /dev/null
+++ b/internal/controller/clusterview/clusterview_test.go
@@ -0,0 +1,266 @@
+package clusterview
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"bramblespur/internal/record"
+	"bramblespur/internal/wire"
+)
+
+// put is the change that writes a record.
+func put(key string, value any, version uint64) wire.Change {
+	return wire.Change{Put: key, Value: record.Encode(value), Version: version}
+}
+
+// applyCluster applies a change that must be valid.
+func applyCluster(t *testing.T, v *Cluster, change wire.Change) []ShardRecord {
+	t.Helper()
+	changed, err := v.Apply(change)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return changed
+}
+
+// A shard's record never goes back to an older version, whichever way it comes.
+func TestShardRecordNeverGoesBack(t *testing.T) {
+	v := NewCluster()
+	changed := applyCluster(t, v, put(record.ShardKey(3), record.Shard{Owner: "c-1"}, 7))
+	if len(changed) != 1 || changed[0].ID != 3 || changed[0].Version != 7 {
+		t.Fatalf("changed %+v", changed)
+	}
+	if v.SetShard(3, record.Shard{Owner: "c-0"}, 6) {
+		t.Error("an older record was set")
+	}
+	if changed := applyCluster(t, v, put(record.ShardKey(3), record.Shard{Owner: "c-0"}, 6)); len(changed) != 0 {
+		t.Errorf("an older record changed %+v", changed)
+	}
+	if changed := applyCluster(t, v, wire.Change{Delete: record.ShardKey(3), Version: 8}); len(changed) != 0 {
+		t.Errorf("a deletion changed %+v", changed)
+	}
+	if v.Owner(3) != "c-1" || v.ShardVersion(3) != 7 || v.Owners()[3] != "c-1" {
+		t.Errorf("owner %q at %d", v.Owner(3), v.ShardVersion(3))
+	}
+}
+
+// A list replaces members, leader and shards, but not the formats: they are never taken back.
+func TestClearKeepsFormatsOnly(t *testing.T) {
+	v := NewCluster()
+	applyCluster(t, v, put(record.MemberPrefix+"c-1", record.Member{Incarnation: 2}, 1))
+	applyCluster(t, v, put(record.LeaderKey, record.Leader{Label: "c-1"}, 2))
+	applyCluster(t, v, put(record.ShardKey(0), record.Shard{Owner: "c-1"}, 3))
+	applyCluster(t, v, put(record.FormatKey("c-1"), record.Format{Version: record.SizedRanges}, 4))
+	if m, lives := v.Member("c-1"); !lives || m.Incarnation != 2 || v.Leader().Rec.Label != "c-1" {
+		t.Fatalf("member %+v %t, leader %+v", m, lives, v.Leader())
+	}
+	v.Clear()
+	if _, known := v.Shard(0); known || len(v.LiveMembers()) != 0 || v.Leader().Version != 0 {
+		t.Error("members, leader or shards are left")
+	}
+	if v.Format("c-1") != record.SizedRanges {
+		t.Error("a format was forgotten")
+	}
+}
+
+// An election is recorded unless a later one is known.
+func TestLeaderIsTheLatestElected(t *testing.T) {
+	v := NewCluster()
+	v.SetLeader(record.Leader{Label: "c-1"}, 5)
+	v.SetLeader(record.Leader{Label: "c-0"}, 4)
+	if l := v.Leader(); l.Rec.Label != "c-1" || l.Version != 5 {
+		t.Errorf("leader %+v", l)
+	}
+	applyCluster(t, v, wire.Change{Delete: record.LeaderKey, Version: 6})
+	if l := v.Leader(); l.Version != 0 || l.Rec.Label != "" {
+		t.Errorf("leader %+v after it has stepped down", l)
+	}
+}
+
+// A record that can't be read is reported and changes nothing.
+func TestUnreadableRecordsChangeNothing(t *testing.T) {
+	v := NewCluster()
+	applyCluster(t, v, put(record.ShardKey(0), record.Shard{Owner: "c-1"}, 1))
+	applyCluster(t, v, put(record.MemberPrefix+"c-1", record.Member{Incarnation: 2}, 1))
+	for _, key := range []string{record.ShardKey(0), record.MemberPrefix + "c-1", record.FormatKey("c-1")} {
+		if _, err := v.Apply(put(key, "text", 2)); err == nil {
+			t.Errorf("%s: no error", key)
+		}
+	}
+	if m, _ := v.Member("c-1"); m.Incarnation != 2 || v.Owner(0) != "c-1" || v.Format("c-1") != 0 {
+		t.Error("an unreadable record changed the view")
+	}
+	jobs := NewActiveJobs()
+	if _, applied, err := jobs.Apply(put(record.ActiveJobKey("run-000001"), "text", 2)); applied || err == nil {
+		t.Errorf("job: applied %t, %v", applied, err)
+	}
+}
+
+func provisioned(ids ...string) record.Provision {
+	return record.Provision{Type: "big", Zone: "z", Shards: make([]int, len(ids)), IDs: ids}
+}
+
+// Only the end of the record that provisioned a machine proves it gone: its other records may
+// come first, or go.
+func TestMachineIsReleasedWithItsProvisionOnly(t *testing.T) {
+	v := NewMachines()
+	apply := func(changes ...wire.Change) map[string]MachineChange {
+		t.Helper()
+		changed, errs := v.Apply(changes)
+		if len(errs) > 0 {
+			t.Fatal(errs)
+		}
+		byID := map[string]MachineChange{}
+		for _, m := range changed {
+			byID[m.ID] = m
+		}
+		return byID
+	}
+	override := record.Machine{Type: "big", Zone: "z", Shard: 4}
+	if m := apply(put(record.OverrideKey("a"), override, 2))["a"]; m.Known || m.Released {
+		t.Errorf("before its provision: %+v", m)
+	}
+	if m := apply(put(record.ProvisionKey("p"), provisioned("a", "b"), 1))["a"]; !m.Known || m.View.Shard != 4 {
+		t.Errorf("with its provision: %+v", m)
+	}
+	if m := apply(wire.Change{Delete: record.OverrideKey("a"), Version: 3})["a"]; !m.Known || m.Released || m.View.Shard != 0 {
+		t.Errorf("without its override: %+v", m)
+	}
+	if m := apply(wire.Change{Delete: record.ProvisionKey("p"), Version: 4})["b"]; m.Known || !m.Released {
+		t.Errorf("after its provision: %+v", m)
+	}
+}
+
+// Changes that come together are applied before any machine is looked at.
+func TestChangesOfMachinesAreAppliedTogether(t *testing.T) {
+	v := NewMachines()
+	changed, errs := v.Apply([]wire.Change{
+		put(record.OverrideKey("a"), record.Machine{Type: "big", Shard: 4}, 2),
+		put(record.ProvisionKey("bad"), "text", 3),
+		put(record.ProvisionKey("p"), provisioned("a"), 1),
+	})
+	if len(errs) != 1 || len(changed) != 1 || !changed[0].Known || changed[0].View.Shard != 4 {
+		t.Errorf("changed %+v, errors %v", changed, errs)
+	}
+}
+
+// What a list lacks is missing unless it was written after it.
+func TestMissingRecords(t *testing.T) {
+	machines := NewMachines()
+	machines.Apply([]wire.Change{put(record.ProvisionKey("p"), provisioned("a"), 3), put(record.ProvisionKey("q"), provisioned("b"), 6)})
+	if got := machines.Missing(nil, 5); len(got) != 1 || got[record.ProvisionKey("p")] != 3 {
+		t.Errorf("machines: %v", got)
+	}
+	if got := machines.Missing(map[string]bool{record.ProvisionKey("p"): true}, 5); len(got) != 0 {
+		t.Errorf("machines: %v although it is listed", got)
+	}
+	jobs := NewActiveJobs()
+	applyJob(t, jobs, "run-000001", record.ActiveJob{}, 3)
+	applyJob(t, jobs, "run-000002", record.ActiveJob{}, 6)
+	if got := jobs.Missing(nil, 5); len(got) != 1 || got["run-000001"] != 3 {
+		t.Errorf("jobs: %v", got)
+	}
+}
+
+func applyJob(t *testing.T, v *ActiveJobs, ref string, r record.ActiveJob, version uint64) JobChange {
+	t.Helper()
+	change, applied, err := v.Apply(put(record.ActiveJobKey(ref), r, version))
+	if err != nil || !applied {
+		t.Fatalf("%s: applied %t, %v", ref, applied, err)
+	}
+	return change
+}
+
+// What a controller wrote itself, or is older, is passed over when the watch brings it.
+func TestKnownJobRecordsArePassedOver(t *testing.T) {
+	v := NewActiveJobs()
+	applyJob(t, v, "run-000001", record.ActiveJob{Shard: 2, Cancelled: true}, 5)
+	for _, version := range []uint64{4, 5} {
+		if _, applied, err := v.Apply(put(record.ActiveJobKey("run-000001"), record.ActiveJob{}, version)); applied || err != nil {
+			t.Errorf("version %d: applied %t, %v", version, applied, err)
+		}
+	}
+	if _, applied, _ := v.Apply(wire.Change{Delete: record.ActiveJobKey("run-000001"), Version: 4}); applied {
+		t.Error("an older deletion was applied")
+	}
+	if j, active := v.Job("run-000001"); !active || j.Shard != 2 || !j.Cancelled || j.Version != 5 {
+		t.Errorf("job %+v, %t", j, active)
+	}
+	if got := v.OfShard(2); !slices.Equal(got, []string{"run-000001"}) || len(v.OfShard(0)) != 0 {
+		t.Errorf("jobs of the shard: %v", got)
+	}
+}
+
+// Who waits for a job's end is woken by it, and needs not wait for one that is not active.
+func TestEndWakesWhoWaits(t *testing.T) {
+	v := NewActiveJobs()
+	if v.Ended("run-000001") != nil {
+		t.Error("waits for a job that is not active")
+	}
+	applyJob(t, v, "run-000001", record.ActiveJob{}, 1)
+	first, second := v.Ended("run-000001"), v.Ended("run-000001")
+	select {
+	case <-first:
+		t.Fatal("woken before the end")
+	default:
+	}
+	if change, applied, err := v.Apply(wire.Change{Delete: record.ActiveJobKey("run-000001"), Version: 2}); !applied || !change.Ended || err != nil {
+		t.Fatalf("change %+v, %t, %v", change, applied, err)
+	}
+	<-first
+	<-second
+}
+
+// Jobs that active ones depend on are known while these are active; a dependent's priority is
+// inherited, until it ends or is cancelled.
+func TestDependenciesOfActiveJobs(t *testing.T) {
+	v := NewActiveJobs()
+	spec := func(priority string, on ...string) record.ActiveJob {
+		return record.ActiveJob{Spec: wire.Spec{Priority: priority, DependsOn: on}}
+	}
+	applyJob(t, v, "run-000001", spec("normal"), 1)
+	before := v.Claim("run-000001")
+	change := applyJob(t, v, "run-000002", spec("urgent", "run-000001", "run-000009"), 2)
+	if !slices.Contains(change.Reclaimed, "run-000001") || v.Claim("run-000001").Rank <= before.Rank {
+		t.Errorf("reclaimed %v, claim %+v", change.Reclaimed, v.Claim("run-000001"))
+	}
+	if got := v.EndedDependencies(); !slices.Equal(got, []string{"run-000009"}) {
+		t.Errorf("ended dependencies %v", got)
+	}
+	if got := v.Dependents("run-000001"); !slices.Equal(got, []string{"run-000002"}) || v.HasDependents("run-000002") {
+		t.Errorf("dependents %v", got)
+	}
+	cancelled := spec("urgent", "run-000001", "run-000009")
+	cancelled.Cancelled = true
+	applyJob(t, v, "run-000002", cancelled, 3)
+	if got := v.Claim("run-000001"); got.Rank != before.Rank || !got.Needed {
+		t.Errorf("claim %+v although the dependent is cancelled", got)
+	}
+	v.Remove("run-000002")
+	if v.HasDependents("run-000001") || len(v.EndedDependencies()) != 0 || v.Claim("run-000001") != before {
+		t.Errorf("claim %+v after the dependent's end", v.Claim("run-000001"))
+	}
+}
+
+// A view that is forgotten counts as one that was never listed.
+func TestForgottenViewIsNotLoaded(t *testing.T) {
+	cluster, machines, jobs := NewCluster(), NewMachines(), NewActiveJobs()
+	for name, v := range map[string]struct {
+		*freshness
+		forget func()
+	}{
+		"cluster":  {&cluster.freshness, cluster.ForgetShards},
+		"machines": {&machines.freshness, machines.Forget},
+		"jobs":     {&jobs.freshness, jobs.Forget},
+	} {
+		v.SetAsOf(time.Now())
+		v.SetRevision(9)
+		if !v.Loaded() || v.Revision() != 9 {
+			t.Errorf("%s: loaded %t at %d", name, v.Loaded(), v.Revision())
+		}
+		if v.forget(); v.Loaded() || v.Revision() != 0 {
+			t.Errorf("%s: loaded %t at %d after it was forgotten", name, v.Loaded(), v.Revision())
+		}
+	}
+}
