--- a/internal/controller/cluster_records.go
+++ b/internal/controller/cluster_records.go
@@ -55,7 +55,7 @@
 // applyMachineTypesLocked applies the record of the machine types, of which the first that is
 // known stays. The shards' lock is held.
 func (c *Controller) applyMachineTypesLocked(e wire.Change) error {
-	if e.Put == "" || c.machineTypesKnown {
+	if e.Put == "" || c.machineTypes != nil {
 		return nil
 	}
 	var types []wire.MachineType
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -6,8 +6,6 @@
 
 import (
 	"context"
-	"encoding/json"
-	"errors"
 	"fmt"
 	"log/slog"
 	"net"
@@ -34,7 +32,6 @@
 	"bramblespur/internal/operations"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/policy"
-	"bramblespur/internal/record"
 	"bramblespur/internal/retry"
 	"bramblespur/internal/scheduler"
 	"bramblespur/internal/statestore"
@@ -81,25 +78,24 @@
 	duties *leader.Leader // its state is guarded by mu
 
 	// mu guards all that follows. It is never held across input or output.
-	mu                sync.Mutex
-	schedulerConfig   *scheduler.Config // nil until the machine types are known
-	machineTypes      []wire.MachineType
-	shards            map[int]*scheduler.Shard
-	acquiring         map[int]bool
-	dependencyReads   map[string]time.Time // when final records are read again, or for the first time
-	machineTypesKnown bool
-	redirects         workerRedirects
-	lastHeartbeatAt   time.Time // of any worker, to this controller itself
-	consideringSince  time.Time
-	startedAt         time.Time               // when this process began
-	searches          map[string]workerSearch // by machine, while this controller has lost the state service
-	renewals          renewals
-	drainer           *drainer.Drainer
-	reconciliation    *reconciliation.Tracker
-	safeMode          safeMode
-	held              map[string]*held
-	readiness         membership.Readiness
-	commands          chan struct{} // direct commands under way, each on a socket of its own
+	mu               sync.Mutex
+	schedulerConfig  *scheduler.Config  // nil until the machine types are known
+	machineTypes     []wire.MachineType // nil until they are known
+	shards           map[int]*scheduler.Shard
+	acquiring        map[int]bool
+	dependencyReads  map[string]time.Time // when final records are read again, or for the first time
+	redirects        workerRedirects
+	lastHeartbeatAt  time.Time // of any worker, to this controller itself
+	consideringSince time.Time
+	startedAt        time.Time               // when this process began
+	searches         map[string]workerSearch // by machine, while this controller has lost the state service
+	renewals         renewals
+	drainer          *drainer.Drainer
+	reconciliation   *reconciliation.Tracker
+	safeMode         safeMode
+	held             map[string]*held
+	readiness        membership.Readiness
+	commands         chan struct{} // direct commands under way, each on a socket of its own
 }
 
 // Run runs a controller until its server fails.
@@ -191,56 +187,6 @@
 	c.reconciliation = reconciliation.NewTracker(reconciliationHost{c}, c.machines, c.cfg, c.log)
 }
 
-// machineTypesLoop learns the machine types: from the state service, where the first
-// controller to hear from the cloud put them, or from the cloud. Prices move,
-// so they are asked again now and then by the leader.
-func (c *Controller) machineTypesLoop(ctx context.Context) {
-	for ctx.Err() == nil {
-		if e, err := c.store.Get(ctx, statestore.Urgent("types"), record.MachineTypesKey); err == nil {
-			var t []wire.MachineType
-			if json.Unmarshal(e.Value, &t) == nil && len(t) > 0 {
-				c.mu.Lock()
-				c.setMachineTypes(t)
-				c.mu.Unlock()
-				return
-			}
-		}
-		t, err := c.cloud.Types(ctx)
-		if err != nil || len(t) == 0 {
-			c.log.Debug("machine types", "err", err)
-			retry.Sleep(ctx, retry.Jitter(time.Second))
-			continue
-		}
-		c.mu.Lock()
-		c.setMachineTypes(t)
-		c.mu.Unlock()
-		if len(record.Encode(t)) > c.limits().Bytes() {
-			return // each controller asks the cloud itself
-		}
-		for range 5 {
-			_, err := c.store.Txn(ctx, statestore.Routine("types"), wire.Txn{
-				If:   []wire.Condition{{Key: record.MachineTypesKey}},
-				Then: []wire.Op{{Put: record.MachineTypesKey, Value: record.Encode(t)}},
-			})
-			var conflict *statestore.ConflictError
-			if err == nil || errors.As(err, &conflict) {
-				return
-			}
-			retry.Sleep(ctx, retry.Jitter(time.Second))
-		}
-		return
-	}
-}
-
-func (c *Controller) setMachineTypes(t []wire.MachineType) {
-	if c.machineTypesKnown || len(t) == 0 {
-		return
-	}
-	c.machineTypesKnown = true
-	c.machineTypes = t
-	c.schedulerConfig = c.newSchedulerConfig(t)
-}
-
 // tickLoop drives the timers of the cores and the claims.
 func (c *Controller) tickLoop(ctx context.Context) {
 	for due := time.Now().Add(tickEvery); retry.Sleep(ctx, tickEvery); due = time.Now().Add(tickEvery) {
