--- a/internal/controller/account_test.go
+++ b/internal/controller/account_test.go
@@ -131,7 +131,7 @@
 	r, now := c.handle(httpwire.Request{Method: "POST", Path: wire.HeartbeatPath, Body: report}, func(r transport.Response) { later <- r })
 	if !now {
 		c.mu.Lock()
-		c.release(machine, time.Now())
+		c.longPolls.ReleaseLocked(machine, time.Now())
 		c.mu.Unlock()
 		r = <-later
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -28,6 +28,7 @@
 	"bramblespur/internal/controller/rejectlog"
 	"bramblespur/internal/controller/terminal"
 	"bramblespur/internal/controller/transport"
+	"bramblespur/internal/controller/workerapi"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/operations"
 	"bramblespur/internal/peer"
@@ -93,7 +94,7 @@
 	drainer          *drainer.Drainer
 	reconciliation   *reconciliation.Tracker
 	safeMode         safeMode
-	held             map[string]*held
+	longPolls        *workerapi.LongPolls
 	readiness        membership.Readiness
 	commands         chan struct{} // direct commands under way, each on a socket of its own
 }
@@ -174,7 +175,7 @@
 	c.linearizableReads = &Batcher{flush: c.flushLinearizableReads}
 	c.redirects = workerRedirects{}
 	c.renewals = renewals{}
-	c.held = map[string]*held{}
+	c.longPolls = workerapi.NewLongPolls(workerHost{c}, &c.mu)
 	c.peerHealth = membership.NewPeerHealth()
 	c.member = c.newMember()
 	c.election = election.New(c.cfg.Label, c.store, &c.lease, c.cluster, &c.mu, c.log)
--- a/internal/controller/lean_test.go
+++ b/internal/controller/lean_test.go
@@ -85,25 +85,6 @@
 	}
 }
 
-// Held answers go out at common times, never later than they are due.
-func TestHeldAnswersGoTogether(t *testing.T) {
-	const d = 1200 * time.Millisecond
-	ends := map[time.Duration]bool{}
-	for since := time.Duration(0); since < time.Second; since += 7 * time.Millisecond {
-		got := together(since, d)
-		if got > d || got <= d-holdTogether {
-			t.Errorf("held at %v: %v of %v", since, got, d)
-		}
-		ends[since+got] = true
-	}
-	if len(ends) > 11 {
-		t.Errorf("%d turns in a second, want 11 at most", len(ends))
-	}
-	if got := together(time.Second, 60*time.Millisecond); got != 60*time.Millisecond {
-		t.Errorf("a short wait became %v", got)
-	}
-}
-
 // takeOverLists is how many lists a take-over reads: machines, open jobs twice, slots.
 const takeOverLists = 4
 
@@ -122,7 +103,7 @@
 			r, now := c.handle(httpwire.Request{Method: "POST", Path: wire.HeartbeatPath, Body: b}, func(r transport.Response) { later <- r })
 			if !now {
 				c.mu.Lock()
-				c.release(w.ID, time.Now())
+				c.longPolls.ReleaseLocked(w.ID, time.Now())
 				c.mu.Unlock()
 				r = <-later
 			}
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -174,7 +174,7 @@
 	c := k.process(label).c
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.held)
+	return c.longPolls.LenLocked()
 }
 
 func (k *cluster) homeOf(label string) int {
--- a/internal/controller/parts.go
+++ b/internal/controller/parts.go
@@ -112,8 +112,8 @@
 		go c.lookUpMissingRecords(shard, u)
 	}
 	for _, id := range eff.StartsReady {
-		if c.held[id] != nil {
-			c.release(id, now)
+		if c.longPolls.ParkedLocked(id) {
+			c.longPolls.ReleaseLocked(id, now)
 		} else if d, ok := shard.DirectStarts(id, now); ok {
 			go c.sendCommands(shard, d)
 		}
--- a/internal/controller/safe_mode.go
+++ b/internal/controller/safe_mode.go
@@ -122,9 +122,7 @@
 	m.frozenShards, m.heartbeats = c.shards, recovery.Heartbeats{}
 	m.activeJobsRevision, m.heldRecords = c.activeJobs.Revision(), nil
 	c.shards = map[int]*scheduler.Shard{}
-	for machine := range c.held {
-		c.release(machine, now)
-	}
+	c.longPolls.ReleaseAllLocked(now)
 }
 
 // leaveSafeMode begins anew with what is on record. The lock is held.
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -8,6 +8,7 @@
 
 	"bramblespur/internal/controller/messagecheck"
 	"bramblespur/internal/controller/transport"
+	"bramblespur/internal/controller/workerapi"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/record"
@@ -15,6 +16,11 @@
 	"bramblespur/internal/wire"
 )
 
+// workerHost is the controller as the parts that serve workers see it.
+type workerHost struct{ c *Controller }
+
+var _ workerapi.ParkedResponder = workerHost{}
+
 func (c *Controller) handleHeartbeat(req httpwire.Request, answer func(transport.Response)) (transport.Response, bool) {
 	var r wire.Heartbeat
 	err := json.Unmarshal(req.Body, &r)
@@ -50,8 +56,8 @@
 		}
 		rep := c.ownReport(shard, &r, now)
 		if o, ok := rep.Body.(wire.Orders); ok && len(o.Commands) == 0 {
-			if d := c.mayHold(shard, r.Machine, now); d > 0 {
-				c.hold(shard, r.Machine, d, answer)
+			if d := c.longPollTimeout(shard, r.Machine, now); d > 0 {
+				c.longPolls.ParkLocked(shard, r.Machine, d, answer)
 				return transport.Response{}, false
 			}
 		}
@@ -103,64 +109,26 @@
 	c.answerForOwner(r, token, answer)
 }
 
-// held is a report's answer kept back in case a start comes for its machine.
-type held struct {
-	part   *scheduler.Shard
-	answer func(transport.Response)
-	timer  *time.Timer
-}
-
-// holdTogether makes held answers that are due one shortly after the other go out in
-// one turn: each turn costs a small machine more than the answer does.
-const holdTogether = 100 * time.Millisecond
-
-// together shortens a wait so that it ends with those of others.
-func together(since, d time.Duration) time.Duration {
-	if d <= holdTogether {
-		return d
-	}
-	return d - (since+d)%holdTogether
-}
-
-// mayHold returns how long an answer may be held. A strained controller holds none: a held answer costs it a timer and another turn, while a start only waits for
-// the machine's next report. The lock is held.
-func (c *Controller) mayHold(shard *scheduler.Shard, machine string, now time.Time) time.Duration {
+// longPollTimeout returns how long the response to a machine's heartbeat may be parked. A
+// strained controller parks none: each costs it a timer and another wake-up, while a start
+// only waits for the machine's next heartbeat. The shards' lock is held.
+func (c *Controller) longPollTimeout(shard *scheduler.Shard, machine string, now time.Time) time.Duration {
 	if c.overload.Strained() {
 		return 0
 	}
 	return shard.LongPollTimeout(machine, now)
 }
 
-// hold keeps an answer back for at most d. The lock is held.
-func (c *Controller) hold(shard *scheduler.Shard, machine string, d time.Duration, answer func(transport.Response)) {
-	c.release(machine, time.Now()) // an older one: its worker has gone on
-	h := &held{part: shard, answer: answer}
-	h.timer = time.AfterFunc(together(time.Since(c.startedAt), d), func() {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		if c.held[machine] == h {
-			c.release(machine, time.Now())
+// ParkedResponseLocked implements workerapi.ParkedResponder.
+func (h workerHost) ParkedResponseLocked(shard *scheduler.Shard, machine string, now time.Time) transport.Response {
+	c := h.c
+	if c.shards[shard.ID()] == shard {
+		c.refreshAuthority(shard, now)
+		if orders, ok := shard.ParkedOrders(machine, now); ok {
+			return transport.Response{Status: 200, Body: orders}
 		}
-	})
-	c.held[machine] = h
-}
-
-// release gives a held answer. The lock is held.
-func (c *Controller) release(machine string, now time.Time) {
-	h := c.held[machine]
-	if h == nil {
-		return
 	}
-	delete(c.held, machine)
-	h.timer.Stop()
-	rep := transport.Response{Status: 503, RetryAfter: 1}
-	if c.shards[h.part.ID()] == h.part {
-		c.refreshAuthority(h.part, now)
-		if o, ok := h.part.ParkedOrders(machine, now); ok {
-			rep = transport.Response{Status: 200, Body: o}
-		}
-	}
-	go h.answer(rep)
+	return transport.Response{Status: 503, RetryAfter: 1}
 }
 
 // ownReport answers a report of one of our machines. The lock is held.
@@ -194,9 +162,9 @@
 	}
 	rep := c.ownReport(shard, &r, now)
 	if o, ok := rep.Body.(wire.Orders); ok && len(o.Commands) == 0 {
-		if d := min(c.mayHold(shard, r.Machine, now), relayHold); d > 0 {
+		if d := min(c.longPollTimeout(shard, r.Machine, now), relayHold); d > 0 {
 			done := make(chan transport.Response, 1)
-			c.hold(shard, r.Machine, d, func(r transport.Response) { done <- r })
+			c.longPolls.ParkLocked(shard, r.Machine, d, func(r transport.Response) { done <- r })
 			c.mu.Unlock()
 			return relayed(<-done)
 		}
