--- a/internal/controller/clusterview/cluster.go
+++ b/internal/controller/clusterview/cluster.go
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// applyShard takes in a shard's record. Shards are never deleted.
+// applyShard applies a shard's record. Shards are never deleted.
 func (v *Cluster) applyShard(key string, change wire.Change, deleted bool) ([]ShardRecord, error) {
 	id, ok := shardID(key)
 	if !ok || deleted {
--- a/internal/controller/views_test.go
+++ b/internal/controller/view_watches_test.go
@@ -12,8 +12,8 @@
 	"bramblespur/internal/wire"
 )
 
-// When changes were missed, the views are read anew: what is gone is dropped.
-func TestViewsReadAnew(t *testing.T) {
+// A reset applies a list: what it lacks is dropped, and may come again.
+func TestResetDropsWhatIsGone(t *testing.T) {
 	state := testkit.NewState()
 	c := newTest(t, state)
 	now := time.Now()
@@ -26,26 +26,26 @@
 	c.resetMachines(nil, math.MaxUint64, now)
 	c.resetActiveJobs(nil, math.MaxUint64, now)
 	if _, ok := c.machines.Machine("m"); ok || len(c.activeJobs.Jobs()) != 0 {
-		t.Fatal("views keep what is gone")
+		t.Fatal("the views retain what is gone")
 	}
 	c.resetMachines([]wire.Entry{state.Put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"m"}})}, math.MaxUint64, now)
 	if _, ok := c.machines.Machine("m"); !ok {
-		t.Fatal("what comes again is not taken in")
+		t.Fatal("a machine that comes again is not known")
 	}
 }
 
-// A part may be taken over before the views are there. Read anew, they must not
-// make its machines gone: not while a machine's own record is known and its
-// rental is not yet, nor for a rental recorded after the list was read.
-func TestViewsReadAnewKeepMachines(t *testing.T) {
+// A shard may be acquired before the views are loaded. A reset must not drop the shard's
+// machines: neither while a machine's override record is known and the record that
+// provisioned it is not yet, nor where that was written after the list was read.
+func TestResetKeepsMachinesOfAcquiredShard(t *testing.T) {
 	ctx := context.Background()
 	state := testkit.NewState()
 	c := newTest(t, state)
 	now := time.Now()
-	rental := func(name, id string) wire.Entry {
+	provision := func(name, id string) wire.Entry {
 		return state.Put(record.ProvisionKey(name), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{id}})
 	}
-	rental("r", "m")
+	provision("r", "m")
 	state.Put(record.OverrideKey("m"), record.Machine{Type: "big", Zone: "z"})
 	state.Put(record.ReleaseKey(9, 9, 9), record.Release{IDs: []string{"x"}})
 	if err := c.failOver(ctx, 0, record.Versioned[record.Shard]{}, 1); err != nil {
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	// Recorded here after the list was read.
-	e := rental("s", "n")
+	e := provision("s", "n")
 	c.applyMachineChange(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, now)
 	for _, e := range entries { // one by one, as a watch could tell them
 		c.applyMachineChange(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, now)
@@ -66,12 +66,12 @@
 	}
 	c.resetMachines(entries, rev, now)
 	if shard := c.shards[0]; !shard.HasMachine("m") || !shard.HasMachine("n") {
-		t.Fatal("a machine is gone after the views were read anew")
+		t.Fatal("a machine is gone after the reset")
 	}
 }
 
-// forgetful is a state service that has forgotten the changes a watch asks for,
-// so many times.
+// forgetful is a state service that has forgotten the changes that a watch asks for, so many
+// times.
 type forgetful struct {
 	*testkit.State
 	times int
@@ -85,8 +85,8 @@
 	return wire.Changes{}, ctx.Err()
 }
 
-// A watch that asks for changes no longer kept leads to reading all anew.
-func TestMissedChangesAreReadAnew(t *testing.T) {
+// Where a watch has missed changes, its view is reset from a new list.
+func TestMissedChangesResetTheView(t *testing.T) {
 	state := testkit.NewState()
 	c := newTest(t, state)
 	c.store = &forgetful{state, 2}
@@ -108,12 +108,12 @@
 	go c.watch(&watchHandler{prefix: record.FleetPrefix, reset: reset, apply: c.applyMachineChange}).Run(ctx)
 	for i, want := range []int{1, 0, 0} {
 		if got := <-resets; got != want {
-			t.Fatalf("reading %d: %d records, want %d", i, got, want)
+			t.Fatalf("list %d: %d records, want %d", i, got, want)
 		}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if _, ok := c.machines.Machine("m"); ok {
-		t.Fatal("the view keeps what went while it missed changes")
+		t.Fatal("the view retains what was deleted while it missed changes")
 	}
 }
