--- a/internal/controller/active_job_records.go
+++ b/internal/controller/active_job_records.go
@@ -23,8 +23,8 @@
 		c.removeActiveJobLocked(ref)
 	}
 	c.mu.Unlock()
-	if c.safeMode.enabled {
-		go c.confirmMissing(c.life, record.ActiveJobPrefix, missing)
+	if c.dataLoss.Enabled() {
+		go c.audit.ConfirmMissing(c.life, record.ActiveJobPrefix, missing)
 	}
 	c.setViewAsOf(record.ActiveJobPrefix, at)
 }
--- a/internal/controller/bounds_test.go
+++ b/internal/controller/bounds_test.go
@@ -302,7 +302,7 @@
 		k.prepare = func(label string, c *Controller) {
 			n := &tally{did: map[string]int{}}
 			tallies[label] = n
-			c.safeMode.auditInterval = time.Minute
+			c.dataLoss.SetAuditInterval(time.Minute)
 			c.life, c.store = countingLife{c.life, n}, countingStore{c.store, n}
 			for l, p := range c.peers {
 				c.peers[l] = countingPeer{p, n}
--- a/internal/controller/claim.go
+++ b/internal/controller/claim.go
@@ -146,7 +146,7 @@
 	id := shard.ID()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.safeMode.state.Active() {
+	if c.dataLoss.ActiveLocked() {
 		return errors.New("claim: safe mode began meanwhile")
 	}
 	if cur, _ := c.cluster.Shard(id); cur.Version > shard.Token() {
@@ -204,7 +204,7 @@
 		return nil, err
 	}
 	shard := scheduler.New(cfg, id, token)
-	if c.safeMode.enabled {
+	if c.dataLoss.Enabled() {
 		shard.DetectDataLoss()
 	}
 	c.mu.Lock()
--- a/internal/controller/cluster_records.go
+++ b/internal/controller/cluster_records.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"bramblespur/internal/controller/dataloss"
 	"encoding/json"
 	"strings"
 	"time"
@@ -75,7 +76,7 @@
 	if err := json.Unmarshal(e.Value, &m); err != nil {
 		return err
 	}
-	c.applySafeModeRecord(&m, at)
+	c.dataLoss.ApplyRecordLocked(&m, at)
 	return nil
 }
 
@@ -98,13 +99,13 @@
 // checkListedShardsLocked compares the shard records in a list with those held: shards are
 // never deleted, so one that is missing or older was lost. The shards' lock is held.
 func (c *Controller) checkListedShardsLocked(entries []wire.Entry, rev uint64, now time.Time) {
-	if !c.safeMode.enabled {
+	if !c.dataLoss.Enabled() {
 		return
 	}
-	listed := entryVersions(entries)
+	listed := dataloss.EntryVersions(entries)
 	for key, held := range c.cluster.Versions() {
 		if held <= rev {
-			c.reportIfStale(key, held, listed[key], now)
+			c.dataLoss.ReportIfStaleLocked(key, held, listed[key], now)
 		}
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -5,6 +5,7 @@
 package controller
 
 import (
+	"bramblespur/internal/controller/dataloss"
 	"context"
 	"fmt"
 	"log/slog"
@@ -93,7 +94,9 @@
 	renewals         renewals
 	drainer          *drainer.Drainer
 	reconciliation   *reconciliation.Tracker
-	safeMode         safeMode
+	dataLoss         *dataloss.Detector
+	audit            dataloss.Audit
+	staleReads       dataloss.StaleReads
 	longPolls        *workerapi.LongPolls
 	readiness        membership.Readiness
 	commands         chan struct{} // direct commands under way, each on a socket of its own
@@ -114,7 +117,7 @@
 	c.init()
 	c.drainer.Enable(ops.Drains, &p)
 	c.reconciliation.Enable(ops.Restart)
-	c.enableSafeMode(ops.Recovery)
+	c.store = c.dataLoss.Enable(ops.Recovery, c.store)
 	for _, q := range cfg.Peers {
 		c.peers[q.Label] = peer.NewClient(q.Addr)
 	}
@@ -151,8 +154,8 @@
 	if c.reconciliation.Enabled() {
 		go c.reconciliation.Run(ctx)
 	}
-	if c.safeMode.enabled {
-		go c.auditLoop(ctx)
+	if c.dataLoss.Enabled() {
+		go c.audit.Run(ctx)
 	}
 }
 
@@ -186,6 +189,9 @@
 	c.duties = leader.New(leaderHost{c}, c.cfg, c.policy, c.log)
 	c.drainer = drainer.New(drainerHost{c}, c.cluster, c.machines, c.cfg, c.log)
 	c.reconciliation = reconciliation.NewTracker(reconciliationHost{c}, c.machines, c.cfg, c.log)
+	c.dataLoss = dataloss.NewDetector(dataLossHost{c}, dataloss.Views{Cluster: c.cluster, Machines: c.machines,
+		ActiveJobs: c.activeJobs, Terminal: c.terminalStates}, c.cfg, c.log)
+	c.audit, c.staleReads = dataloss.Audit{Detector: c.dataLoss}, dataloss.StaleReads{Detector: c.dataLoss}
 }
 
 // tickLoop drives the timers of the cores and the claims.
@@ -205,7 +211,7 @@
 			shard.SetBacklog(backlog)
 			c.step(shard, now)
 		}
-		if !c.safeMode.state.Active() {
+		if !c.dataLoss.ActiveLocked() {
 			c.lookUpDependencies(ctx, now)
 			c.considerAcquisitions(ctx, now)
 		}
--- /dev/null
+++ b/internal/controller/dataloss_host.go
@@ -0,0 +1,72 @@
+package controller
+
+import (
+	"context"
+	"time"
+
+	"bramblespur/internal/agent"
+	"bramblespur/internal/peer"
+	"bramblespur/internal/record"
+	"bramblespur/internal/scheduler"
+	"bramblespur/internal/statestore"
+	"bramblespur/internal/wire"
+)
+
+// Evidence implements peer.Handler.
+func (c *Controller) Evidence(a peer.EvidenceArgs) peer.EvidenceReply { return c.dataLoss.Evidence(a) }
+
+// dataLossHost lets the detection of lost data see its controller; it implements dataloss.Host.
+type dataLossHost struct{ c *Controller }
+
+// Lock takes the shards' lock.
+func (h dataLossHost) Lock() { h.c.mu.Lock() }
+
+// Unlock releases it.
+func (h dataLossHost) Unlock() { h.c.mu.Unlock() }
+
+func (h dataLossHost) Context() context.Context { return h.c.life }
+
+func (h dataLossHost) Store() statestore.Store { return h.c.store }
+
+func (h dataLossHost) Agents() agent.API { return h.c.agents }
+
+func (h dataLossHost) WatchInterval() time.Duration { return h.c.watchWait() }
+
+func (h dataLossHost) StartedAtLocked() time.Time { return h.c.startedAt }
+
+func (h dataLossHost) IsLeaderLocked(now time.Time) bool { return h.c.election.IsLeader(now) }
+
+func (h dataLossHost) AllFormatsKnownLocked() bool { return h.c.upgraded() }
+
+func (h dataLossHost) OwnedShardsLocked() map[int]*scheduler.Shard { return h.c.shards }
+
+func (h dataLossHost) ReleaseShardsLocked(now time.Time) {
+	h.c.shards = map[int]*scheduler.Shard{}
+	h.c.longPolls.ReleaseAllLocked(now)
+}
+
+func (h dataLossHost) ForgetViewsLocked() {
+	h.c.cluster.ForgetShards()
+	h.c.machines.Forget()
+	h.c.activeJobs.Forget()
+	for ref := range h.c.activeJobs.Jobs() {
+		h.c.removeActiveJobLocked(ref)
+	}
+	h.c.startedAt = time.Now()
+}
+
+func (h dataLossHost) ReadFleet(ctx context.Context, purpose statestore.Purpose) (*record.Fleet, error) {
+	return h.c.readFleet(ctx, purpose)
+}
+
+func (h dataLossHost) GetIfPresent(ctx context.Context, key string) (*wire.Entry, error) {
+	return h.c.getIfPresent(ctx, key)
+}
+
+func (h dataLossHost) RetryWhileOwned(shard *scheduler.Shard, read func(context.Context) error) bool {
+	return h.c.retryWhileOwned(shard, read)
+}
+
+func (h dataLossHost) UpdateShard(shard *scheduler.Shard, change func(now time.Time)) {
+	h.c.updateShard(shard, change)
+}
--- a/internal/controller/leader_host.go
+++ b/internal/controller/leader_host.go
@@ -31,7 +31,7 @@
 func (h leaderHost) IsLeaderLocked(now time.Time) bool { return h.c.election.IsLeader(now) }
 
 // SafeModeLocked implements leader.Election.
-func (h leaderHost) SafeModeLocked() bool { return h.c.safeMode.state.Active() }
+func (h leaderHost) SafeModeLocked() bool { return h.c.dataLoss.ActiveLocked() }
 
 // CandidacyLocked implements leader.Election.
 func (h leaderHost) CandidacyLocked(now time.Time) func(context.Context) {
@@ -147,7 +147,7 @@
 
 // LostRecords implements leader.Machines.
 func (h leaderHost) LostRecords(ctx context.Context, addresses map[string]string) bool {
-	return h.c.queryUnrecordedMachines(ctx, addresses)
+	return h.c.staleReads.AskUnrecordedMachines(ctx, addresses)
 }
 
 // RatesLocked implements leader.Limits.
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -27,12 +27,12 @@
 	}
 	c.mu.Lock()
 	missing := c.machines.Missing(listed, rev)
-	if !c.safeMode.enabled {
+	if !c.dataLoss.Enabled() {
 		changes = append(changes, deletions(missing, rev)...)
 	}
 	c.applyMachineChangesLocked(changes, time.Now())
 	c.mu.Unlock()
-	if c.safeMode.enabled {
+	if c.dataLoss.Enabled() {
 		c.dropUnlessLost(missing, rev)
 	}
 	c.setViewAsOf(record.FleetPrefix, at)
@@ -52,14 +52,14 @@
 func (c *Controller) dropUnlessLost(missing map[string]uint64, rev uint64) {
 	keys := maps.Clone(missing) // of which those that were not deleted are left
 	for len(missing) > 0 && c.life.Err() == nil {
-		if err := c.confirmMissing(c.life, record.FleetPrefix, missing); err == nil {
+		if err := c.audit.ConfirmMissing(c.life, record.FleetPrefix, missing); err == nil {
 			break
 		}
 		retry.Sleep(c.life, retry.Jitter(confirmRetryDelay))
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(keys) > 0 && !c.safeMode.state.Active() {
+	if len(keys) > 0 && !c.dataLoss.ActiveLocked() {
 		c.applyMachineChangesLocked(deletions(keys, rev), time.Now())
 	}
 }
--- a/internal/controller/parts.go
+++ b/internal/controller/parts.go
@@ -109,7 +109,7 @@
 		go c.probeMachine(shard, q)
 	}
 	for _, u := range eff.Unrecorded {
-		go c.lookUpMissingRecords(shard, u)
+		go c.staleReads.LookUpMissing(shard, u)
 	}
 	for _, id := range eff.StartsReady {
 		if c.longPolls.ParkedLocked(id) {
@@ -230,7 +230,7 @@
 		if e, err = c.getIfPresent(ctx, key); err != nil {
 			return err
 		}
-		intact, err = c.checkReread(ctx, shard, key, e)
+		intact, err = c.staleReads.CheckReread(ctx, shard, key, e)
 		return err
 	})
 	if !ok || !intact {
@@ -318,14 +318,14 @@
 				return
 			}
 			c.mu.Lock()
-			c.reportIfStale(record.ShardKey(id), c.cluster.ShardVersion(id), e.Version, time.Now())
+			c.dataLoss.ReportIfStaleLocked(record.ShardKey(id), c.cluster.ShardVersion(id), e.Version, time.Now())
 			c.setShardRecordLocked(id, r, e.Version)
 			c.mu.Unlock()
 			return
 		}
 		if errors.Is(err, statestore.ErrNotFound) {
 			c.mu.Lock()
-			c.reportIfStale(record.ShardKey(id), c.cluster.ShardVersion(id), 0, time.Now())
+			c.dataLoss.ReportIfStaleLocked(record.ShardKey(id), c.cluster.ShardVersion(id), 0, time.Now())
 			c.mu.Unlock()
 		}
 		retry.Sleep(ctx, retry.Jitter(400*time.Millisecond))
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -177,11 +177,11 @@
 				}
 				k.await(time.Minute, "safe mode", func() bool {
 					for _, label := range k.others(owner) {
-						if !k.process(label).c.inSafeMode() {
+						if !k.process(label).c.dataLoss.Active() {
 							return false
 						}
 					}
-					return late || k.process(owner).c.inSafeMode()
+					return late || k.process(owner).c.dataLoss.Active()
 				})
 				time.Sleep(2 * k.timing.Report)
 				k.recover(snapshotOf(truth), truth)
--- a/internal/controller/safe_mode_test.go
+++ b/internal/controller/safe_mode_test.go
@@ -21,13 +21,13 @@
 func (c *Controller) everLost() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.safeMode.state.Mode().Epoch > 0
+	return c.dataLoss.ModeLocked().Epoch > 0
 }
 
 // allInSafeMode reports whether every controller does nothing.
 func (k *cluster) allInSafeMode() bool {
 	for _, label := range k.labels {
-		if p := k.process(label); p == nil || !p.c.inSafeMode() {
+		if p := k.process(label); p == nil || !p.c.dataLoss.Active() {
 			return false
 		}
 	}
@@ -63,7 +63,7 @@
 	for _, label := range k.labels {
 		p := k.process(label)
 		p.c.mu.Lock()
-		if m := p.c.safeMode.state.Mode(); m.Epoch >= mode.Epoch {
+		if m := p.c.dataLoss.ModeLocked(); m.Epoch >= mode.Epoch {
 			mode = m
 		}
 		p.c.mu.Unlock()
--- a/internal/controller/status_queries.go
+++ b/internal/controller/status_queries.go
@@ -18,8 +18,8 @@
 // poll that is refused would come again. Else the open record comes first, since a
 // job that has none any more is in the other by then.
 func (c *Controller) jobState(ctx context.Context, purpose statestore.Purpose, ref string) (string, error) {
-	known := c.activeJobBaseline(ref)
-	if known.version == 0 {
+	known := c.staleReads.BaselineOf(ref)
+	if !known.Active() {
 		if state, err := c.terminalState(ctx, purpose, ref); !errors.Is(err, statestore.ErrNotFound) {
 			return state, err
 		}
@@ -28,14 +28,14 @@
 	e, err := c.store.Get(ctx, purpose, record.ActiveJobKey(ref))
 	if err == nil {
 		// Also of one that is being cancelled: see cancel.
-		return wire.Pending, c.checkActiveRecord(ref, known, e.Version)
+		return wire.Pending, c.staleReads.CheckActiveJob(ref, known, e.Version)
 	}
 	if !errors.Is(err, statestore.ErrNotFound) {
 		return "", err
 	}
 	state, err := c.terminalState(ctx, statestore.Urgent(purpose.Name), ref)
 	if errors.Is(err, statestore.ErrNotFound) {
-		err = c.checkMissingRecords(ref, known)
+		err = c.staleReads.CheckMissingJob(ref, known)
 	}
 	return state, err
 }
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -35,7 +35,7 @@
 	if !no.IsZero() {
 		return no
 	}
-	if c.inSafeMode() {
+	if c.dataLoss.Active() {
 		return work()
 	}
 	if c.leaseOverdue() {
@@ -149,5 +149,5 @@
 // leaseLost reports whether the state service could not be reached for a while, or has lost
 // data: what needs it is refused at once then.
 func (c *Controller) leaseLost() bool {
-	return c.lease.Current().Lost(time.Now()) || c.inSafeMode()
+	return c.lease.Current().Lost(time.Now()) || c.dataLoss.Active()
 }
--- a/internal/controller/view_watches.go
+++ b/internal/controller/view_watches.go
@@ -36,7 +36,7 @@
 }
 
 // Generation implements clusterview.Handler.
-func (h *watchHandler) Generation() int { return h.c.viewGeneration() }
+func (h *watchHandler) Generation() int { return h.c.dataLoss.ViewGeneration() }
 
 // watch returns the watch of the records that a handler is for.
 func (c *Controller) watch(h *watchHandler) *clusterview.Watch {
@@ -87,7 +87,7 @@
 func (c *Controller) setViewRevision(prefix string, revision uint64, generation int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.safeMode.viewGeneration == generation {
+	if c.dataLoss.ViewGenerationLocked() == generation {
 		c.view(prefix).SetRevision(revision)
 	}
 }
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -35,16 +35,16 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	c.lastHeartbeatAt = now
-	if c.safeMode.state.Active() {
-		return c.renewInSafeMode(&r), true
+	if c.dataLoss.ActiveLocked() {
+		return c.dataLoss.RenewLocked(&r), true
 	}
-	c.checkHeartbeatToken(&r)
+	c.dataLoss.CheckTokenLocked(&r)
 	m, known := c.machines.Machine(r.Machine)
 	if !known {
 		c.log.Debug("report of an unknown machine", "machine", r.Machine)
-		c.investigateUnrecordedMachine(&r)
+		c.staleReads.InvestigateMachineLocked(&r)
 		token := uint64(0) // restarted while the state service is out of reach
-		if c.safeMode.enabled {
+		if c.dataLoss.Enabled() {
 			token = r.Token // its record may be lost: its tasks live until that is known
 		}
 		go c.answerForOwner(&r, token, answer)
