--- a/internal/reconcile/task.go
+++ b/internal/reconcile/task.go
@@ -2,86 +2,90 @@
 
 import "bramblespur/internal/wire"
 
-// ReportedTask is a task in a current report, beside what is on record.
+// ReportedTask is a task in a current heartbeat, beside what is recorded of it.
 type ReportedTask struct {
 	State, Why         string // as reported
-	JobKnown           bool   // the part holds the job, and it has such a task
+	JobKnown           bool   // the shard has the job, and that has such a task
 	Placed             bool   // the task is recorded on this machine under this attempt
 	PlacedElsewhere    bool   // it is recorded on another machine under this attempt
 	Completed          bool   // its completion is known
-	CompletionRecorded bool   // and on record
+	CompletionRecorded bool   // and recorded
 	CannotRestart      bool   // no late start can begin the attempt anew
 }
 
-// ClassifyReported gives the verdict on a task that a current report has.
-func ClassifyReported(c ReportedTask) Result {
+// ClassifyReported classifies a task that a current heartbeat has.
+func ClassifyReported(t ReportedTask) Result {
+	exited := t.State == wire.Exited
 	switch {
-	case c.Placed:
-		return c.classifyPlaced()
-	case !c.JobKnown:
-		return c.classifyOrphan(Unrecorded)
-	case c.State == wire.Exited && c.Why == wire.Done && !c.CompletionRecorded:
-		// The result is kept, whatever the attempt, until its record is written.
-		return Result{Finished, RecordCompletion}
-	case c.PlacedElsewhere:
-		return c.classifyOrphan(Conflicting)
-	case c.State == wire.Exited && c.Why != wire.Done && c.Completed:
-		return c.classifyOrphan(Conflicting)
+	case t.Placed:
+		return t.classifyPlaced()
+	case !t.JobKnown:
+		return t.classifyOrphan(Unrecorded, JobUnknown)
+	case exited && t.Why == wire.Done && !t.CompletionRecorded:
+		// The result counts, whatever the attempt, until its record is written.
+		return Result{Finished, RecordCompletion, CompletionNotRecorded}
+	case t.PlacedElsewhere:
+		return t.classifyOrphan(Conflicting, RecordedElsewhere)
+	case exited && t.Why != wire.Done && t.Completed:
+		return t.classifyOrphan(Conflicting, AlreadyCompleted)
 	}
-	return c.classifyOrphan(MustStop)
+	return t.classifyOrphan(MustStop, NotRecorded)
 }
 
-// classifyPlaced is a task that is where the records say.
-func (c ReportedTask) classifyPlaced() Result {
+// classifyPlaced classifies a task that is where the records say.
+func (t ReportedTask) classifyPlaced() Result {
 	switch {
-	case c.State != wire.Exited:
-		return Result{Adopted, NoAction}
-	case c.Why == wire.Done:
-		return Result{Finished, RecordCompletion}
+	case t.State != wire.Exited:
+		return Result{Adopted, NoAction, AsRecorded}
+	case t.Why == wire.Done:
+		return Result{Finished, RecordCompletion, AsRecorded}
 	}
-	return Result{Finished, FreePlacement}
+	return Result{Finished, FreePlacement, AsRecorded}
 }
 
-// classifyOrphan is a task that has no place on this machine: what runs is stopped, and what has
-// exited may be forgotten once it can't be started anew.
-func (c ReportedTask) classifyOrphan(v Outcome) Result {
+// classifyOrphan classifies a task that is not recorded on this machine: if it runs it is stopped,
+// and if it has exited the worker may forget it once it can't be started anew.
+func (t ReportedTask) classifyOrphan(outcome Outcome, reason Reason) Result {
 	switch {
-	case c.State != wire.Exited:
-		return Result{v, Stop}
-	case !c.CannotRestart:
-		return Result{v, RetainResult}
+	case t.State != wire.Exited:
+		return Result{outcome, Stop, reason}
+	case !t.CannotRestart:
+		return Result{outcome, RetainResult, reason}
 	}
-	return Result{v, Forget}
+	return Result{outcome, Forget, reason}
 }
 
-// AbsentTask is a task that is recorded on a machine and not in its current report.
+// AbsentTask is a task that is recorded on a machine and not in its current heartbeat.
 type AbsentTask struct {
-	PlacementRecorded        bool // the placement is on record, so that its start may have been sent
+	PlacementRecorded        bool // the placement is recorded, so that its start may have been sent
 	PlacedByPredecessor      bool // an earlier owner placed it
-	SeenBefore               bool // an earlier report under our token had it
+	SeenBefore               bool // an earlier heartbeat under our token had it
 	StartSent                bool // we sent its start
-	SentToEarlierIncarnation bool // in a session of the worker that is over
-	AnswersDirectCommand     bool // the report answers a command; the start may be on its way
+	SentToEarlierIncarnation bool // to an incarnation of the worker that has ended
+	AnswersDirectCommand     bool // the heartbeat answers a command; the start may be under way
 	StartMayArrive           bool // a start that was sent straight to the worker may still be carried out
 	Stopping                 bool // it is to be stopped
 }
 
-// ClassifyAbsent gives the verdict on a task that a current report lacks. Time proves nothing: only
-// a report that must have had it does.
-func ClassifyAbsent(a AbsentTask) Result {
-	gone, waits, again := Result{Missing, FreePlacement}, Result{Pending, AwaitEvidence}, Result{Pending, ResendStart}
+// ClassifyAbsent classifies a task that a current heartbeat lacks. Only a heartbeat that must have
+// had it proves that it is gone.
+func ClassifyAbsent(t AbsentTask) Result {
 	switch {
-	case !a.PlacementRecorded:
-		return waits
-	case a.PlacedByPredecessor, a.SeenBefore, a.StartSent && a.SentToEarlierIncarnation:
-		return gone
-	case a.AnswersDirectCommand:
-		return waits
-	case a.Stopping && !a.StartMayArrive:
-		// The report is newer than the answer that had the start: it was dropped.
-		return gone
-	case a.StartSent:
-		return again
+	case !t.PlacementRecorded:
+		return Result{Pending, AwaitEvidence, PlacementNotRecorded}
+	case t.PlacedByPredecessor:
+		return Result{Missing, FreePlacement, PlacedByPredecessor}
+	case t.SeenBefore:
+		return Result{Missing, FreePlacement, ReportedBefore}
+	case t.StartSent && t.SentToEarlierIncarnation:
+		return Result{Missing, FreePlacement, IncarnationEnded}
+	case t.AnswersDirectCommand:
+		return Result{Pending, AwaitEvidence, StartMayBeUnderWay}
+	case t.Stopping && !t.StartMayArrive:
+		// The heartbeat is newer than the response that had the start, which was dropped.
+		return Result{Missing, FreePlacement, StartDropped}
+	case t.StartSent:
+		return Result{Pending, ResendStart, StartNotReceived}
 	}
-	return waits
+	return Result{Pending, AwaitEvidence, StartNotSent}
 }
