--- a/internal/controller/active_job_records.go
+++ b/internal/controller/active_job_records.go
@@ -41,7 +41,7 @@
 func (c *Controller) applyActiveJobChangeLocked(e wire.Change, now time.Time) {
 	change, applied, err := c.activeJobs.Apply(e)
 	if err != nil {
-		c.log.Error("job record", "err", err)
+		c.log.Error("record not applied", "key", e.Put+e.Delete, "err", err)
 	}
 	if !applied {
 		return
--- a/internal/controller/cluster_records.go
+++ b/internal/controller/cluster_records.go
@@ -30,7 +30,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err := c.applyClusterChangeLocked(e, at); err != nil {
-		c.log.Error("cluster record", "key", e.Put+e.Delete, "err", err)
+		c.log.Error("record not applied", "key", e.Put+e.Delete, "err", err)
 	}
 }
 
--- a/internal/controller/clusterview/activejobs.go
+++ b/internal/controller/clusterview/activejobs.go
@@ -1,8 +1,6 @@
 package clusterview
 
 import (
-	"encoding/json"
-	"fmt"
 	"maps"
 	"slices"
 	"sync"
@@ -66,9 +64,9 @@
 	if change.Put == "" {
 		return JobChange{Ref: ref, Ended: true, Reclaimed: v.remove(ref)}, true, nil
 	}
-	var r record.ActiveJob
-	if err := json.Unmarshal(change.Value, &r); err != nil {
-		return JobChange{}, false, fmt.Errorf("%s: %w", change.Put, err)
+	r, err := decode[record.ActiveJob](change)
+	if err != nil {
+		return JobChange{}, false, err
 	}
 	v.jobs[ref] = ActiveJob{Version: change.Version, Shard: r.Shard, Cancelled: r.Cancelled, Service: r.Spec.Kind == wire.Service}
 	reclaimed := v.dependencies.Set(ref, dependencyStep(&r))
--- a/internal/controller/clusterview/cluster.go
+++ b/internal/controller/clusterview/cluster.go
@@ -1,7 +1,6 @@
 package clusterview
 
 import (
-	"encoding/json"
 	"maps"
 	"slices"
 	"strconv"
@@ -84,8 +83,10 @@
 		v.leader = record.Versioned[record.Leader]{}
 		return nil
 	}
-	v.leader = record.Versioned[record.Leader]{Version: change.Version}
-	return json.Unmarshal(change.Value, &v.leader.Rec)
+	r, err := decode[record.Leader](change)
+	// The version counts also where the rest cannot be decoded: a campaign replaces that record.
+	v.leader = record.Versioned[record.Leader]{Rec: r, Version: change.Version}
+	return err
 }
 
 func (v *Cluster) applyMember(label string, change wire.Change, deleted bool) error {
@@ -93,8 +94,8 @@
 		delete(v.members, label)
 		return nil
 	}
-	var m record.Member
-	if err := json.Unmarshal(change.Value, &m); err != nil {
+	m, err := decode[record.Member](change)
+	if err != nil {
 		return err
 	}
 	v.members[label] = m
@@ -105,8 +106,8 @@
 	if deleted {
 		return nil
 	}
-	var f record.Format
-	if err := json.Unmarshal(change.Value, &f); err != nil {
+	f, err := decode[record.Format](change)
+	if err != nil {
 		return err
 	}
 	v.formats[label] = f
@@ -119,8 +120,8 @@
 	if !ok || deleted {
 		return nil, nil
 	}
-	var r record.Shard
-	if err := json.Unmarshal(change.Value, &r); err != nil {
+	r, err := decode[record.Shard](change)
+	if err != nil {
 		return nil, err
 	}
 	if !v.setShard(id, r, change.Version) {
--- a/internal/controller/clusterview/clusterview_test.go
+++ b/internal/controller/clusterview/clusterview_test.go
@@ -1,6 +1,7 @@
 package clusterview
 
 import (
+	"errors"
 	"slices"
 	"testing"
 	"time"
@@ -84,8 +85,9 @@
 	applyCluster(t, v, put(record.ShardKey(0), record.Shard{Owner: "c-1"}, 1))
 	applyCluster(t, v, put(record.MemberPrefix+"c-1", record.Member{Incarnation: 2}, 1))
 	for _, key := range []string{record.ShardKey(0), record.MemberPrefix + "c-1", record.FormatKey("c-1")} {
-		if _, err := v.Apply(put(key, "text", 2)); err == nil {
-			t.Errorf("%s: no error", key)
+		var unreadable *RecordError
+		if _, err := v.Apply(put(key, "text", 2)); !errors.As(err, &unreadable) || unreadable.Key != key {
+			t.Errorf("%s: error %v", key, err)
 		}
 	}
 	if m, _ := v.Member("c-1"); m.Incarnation != 2 || v.Owner(0) != "c-1" || v.Format("c-1") != 0 {
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -76,7 +76,7 @@
 func (c *Controller) applyMachineChangesLocked(changes []wire.Change, now time.Time) {
 	changed, errs := c.machines.Apply(changes)
 	for _, err := range errs {
-		c.log.Error("machine record", "err", err)
+		c.log.Error("record not applied", "err", err)
 	}
 	for _, m := range changed {
 		for _, shard := range c.shards {
@@ -96,7 +96,7 @@
 		shard.DropMachine(m.ID, now)
 	case m.Known && (m.View.Shard == shard.ID() || shard.HasMachine(m.ID)):
 		if err := shard.SetMachine(m.ID, m.View, now); err != nil {
-			c.log.Error("machine record", "machine", m.ID, "err", err)
+			c.log.Error("machine not applied", "shard", shard.ID(), "machine", m.ID, "err", err)
 		}
 	}
 }
