--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -43,9 +43,7 @@
 // Defaults of the shell, each a compromise named here.
 const (
 	tickEvery    = 250 * time.Millisecond // timers of the cores, which look at machines as often
-	maxWatchWait = 4 * time.Second        // how long a watch may be silent
-	minWatchWait = 500 * time.Millisecond
-	countsEvery  = 15 * time.Second // requests and changes are logged this often
+	countsEvery  = 15 * time.Second       // requests and changes are logged this often
 	relayTimeout = 2200 * time.Millisecond
 )
 
--- a/internal/controller/view_watches.go
+++ b/internal/controller/view_watches.go
@@ -10,6 +10,20 @@
 	"bramblespur/internal/wire"
 )
 
+const (
+	// maxWatchWait and minWatchWait bound how long the state service may hold a request of
+	// a watch.
+	maxWatchWait = 4 * time.Second
+	minWatchWait = 500 * time.Millisecond
+	// watchSlack is what a response to a watch may be late besides its wait.
+	watchSlack = 2 * time.Second
+	// staleAfterWaits is for how many waits without a response a view is not stale yet.
+	staleAfterWaits = 2
+	// firstViewWait is how long a controller waits for its first view: workers that find
+	// it restarted while the state service is out of reach keep their leases.
+	firstViewWait = keepHold - keepLook
+)
+
 // watchHandler brings what a watch learns of one prefix to the controller. It implements
 // clusterview.Handler.
 type watchHandler struct {
@@ -92,8 +106,8 @@
 	}
 }
 
-// watchWait is how long a watch may be silent: short where cancellations must
-// be known soon.
+// watchWait is how long the state service may hold a request of a watch: short where
+// cancellations must be known soon.
 func (c *Controller) watchWait() time.Duration {
 	spare := config.Seconds(c.cfg.Params.Workers.CancelS - c.cfg.Params.Workers.LeaseS)
 	return max(min(spare/4, maxWatchWait), minWatchWait)
@@ -105,12 +119,5 @@
 	if !c.activeJobs.Loaded() {
 		return now.Sub(c.startedAt) > firstViewWait
 	}
-	return now.Sub(c.activeJobs.AsOf()) > 2*c.watchWait()+watchSlack
+	return now.Sub(c.activeJobs.AsOf()) > staleAfterWaits*c.watchWait()+watchSlack
 }
-
-// firstViewWait is how long a controller waits for its first view: workers that find
-// it restarted while the state service is out of reach keep their leases.
-const firstViewWait = keepHold - keepLook
-
-// watchSlack is what a watch may be late besides its wait.
-const watchSlack = 2 * time.Second
