--- a/internal/peer/serve.go
+++ b/internal/peer/server.go
@@ -12,28 +12,28 @@
 	"time"
 )
 
-// Bounds of what other controllers may send. Each is several times what they do.
+// Limits on what other controllers may send. Each is several times what they need.
 const (
-	// maxRequestBytes is the bytes of one call. The largest is the leader's orders, some
-	// hundred bytes for each machine.
+	// maxRequestBytes is the size of one call. The largest is a Sync, some hundred bytes for
+	// each machine.
 	maxRequestBytes = 1 << 20
-	// maxConcurrentCalls is how many calls of one connection are answered at a time: reports
-	// relayed by one controller are answered within 1.2 s each.
+	// maxConcurrentCalls is how many calls of one connection are answered at a time: relayed
+	// heartbeats are answered within 1.2 s each.
 	maxConcurrentCalls = 1024
 	// maxConnsPerPeer is how many connections each of the others may have open: one is
 	// used, and those that hang in silence go after idlePeer.
 	maxConnsPerPeer = 8
-	// idleTimeout is how long a connection may say nothing: calls come every second.
+	// idleTimeout is how long a connection may be idle: calls come every second.
 	idleTimeout = 30 * time.Second
-	// transferTimeout is how long a call may take to arrive once it has begun, or an answer
-	// to leave.
+	// transferTimeout is how long a call may take to arrive once it has begun, or a reply to be
+	// sent.
 	transferTimeout = 5 * time.Second
 )
 
-// Serve answers so many other controllers until the listener fails.
+// Serve answers so many other controllers until the listener is closed or fails.
 func Serve(l net.Listener, h Handler, others int) error {
 	srv := rpc.NewServer()
-	if err := srv.RegisterName("Controller", &Service{h}); err != nil {
+	if err := srv.RegisterName(serviceName, &Service{h}); err != nil {
 		return fmt.Errorf("register peer service: %w", err)
 	}
 	open := make(chan struct{}, max(1, others)*maxConnsPerPeer)
@@ -50,15 +50,15 @@
 			}()
 		default:
 			h.Malformed(hostOf(c), errTooManyConnections)
-			c.Close() // its sender tries again
+			c.Close() // its sender retries
 		}
 	}
 }
 
-// errTooManyConnections is why a connection is refused.
+// errTooManyConnections is told to the handler of a refused connection.
 var errTooManyConnections = errors.New("peer: more connections than controllers need")
 
-// hostOf names who is at the other end of a connection.
+// hostOf returns the address at the other end of a connection.
 func hostOf(c net.Conn) string {
 	host, _, err := net.SplitHostPort(c.RemoteAddr().String())
 	if err != nil {
@@ -67,8 +67,8 @@
 	return host
 }
 
-// codec is net/rpc's usual encoding with bounds on the bytes of a call, on the time it
-// may take and on the calls under way. It implements rpc.ServerCodec.
+// codec is net/rpc's usual encoding with limits on the size of a call, on the time that it may take
+// and on the calls in flight. It implements rpc.ServerCodec.
 type codec struct {
 	handler  Handler
 	conn     net.Conn
@@ -77,7 +77,7 @@
 	dec      *gob.Decoder
 	out      *bufio.Writer
 	enc      *gob.Encoder
-	inFlight chan struct{} // under way
+	inFlight chan struct{} // one element for each
 	closed   chan struct{} // closed with the connection
 	close    sync.Once
 }
@@ -114,8 +114,8 @@
 // ReadRequestBody implements rpc.ServerCodec.
 func (c *codec) ReadRequestBody(body any) error { return c.reportReadError(c.dec.Decode(body)) }
 
-// reportReadError passes on why a call can't be read. After one that is too large or too slow
-// nothing else can be.
+// reportReadError tells the handler of a call that can't be read, and returns the error. After one
+// that is too large or too slow the connection is of no more use.
 func (c *codec) reportReadError(err error) error {
 	if err == nil {
 		return nil
@@ -145,7 +145,7 @@
 		err = c.out.Flush()
 	}
 	if err != nil {
-		c.Close() // what was written in part can't be gone on with
+		c.Close() // a reply that was written in part can't be continued
 	}
 	return err
 }
