--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -179,7 +179,7 @@
 	c.longPolls = workerapi.NewLongPolls(workerHost{c}, &c.mu)
 	c.peerHealth = membership.NewPeerHealth()
 	c.member = c.newMember()
-	c.election = election.New(c.cfg.Label, c.store, &c.lease, c.cluster, &c.mu, c.log)
+	c.election = election.New(c.cfg.Label, currentStore{c}, &c.lease, c.cluster, &c.mu, c.log)
 	c.rejections = rejectlog.New(c.log)
 	c.messages = messagecheck.New(&c.cfg.Params, c.rejections)
 	c.overload = overload.NewDetector(c.log, c.cfg.Params.Resources.CPUShare, membership.LeaseTTL)
