--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -84,11 +84,10 @@
 	shards           map[int]*scheduler.Shard
 	acquiring        map[int]bool
 	dependencyReads  map[string]time.Time // when final records are read again, or for the first time
-	redirects        workerRedirects
+	router           *workerapi.Router
 	lastHeartbeatAt  time.Time // of any worker, to this controller itself
 	consideringSince time.Time
-	startedAt        time.Time               // when this process began
-	searches         map[string]workerSearch // by machine, while this controller has lost the state service
+	startedAt        time.Time // when this process began
 	renewals         renewals
 	drainer          *drainer.Drainer
 	reconciliation   *reconciliation.Tracker
@@ -171,13 +170,12 @@
 	c.dependencyReads = map[string]time.Time{}
 	c.commands = make(chan struct{}, max(1, c.cfg.Params.Resources.MaxSockets/commandSockets))
 	c.startedAt = time.Now()
-	c.searches = map[string]workerSearch{}
 	c.terminalStates = terminal.NewCache()
 	c.linearizableReads = &Batcher{flush: c.flushLinearizableReads}
-	c.redirects = workerRedirects{}
 	c.renewals = renewals{}
-	c.longPolls = workerapi.NewLongPolls(workerHost{c}, &c.mu)
 	c.peerHealth = membership.NewPeerHealth()
+	c.router = workerapi.NewRouter(c.cfg, c.cluster, c.peerHealth, &c.lease, workerHost{c}, c.log)
+	c.longPolls = workerapi.NewLongPolls(workerHost{c}, &c.mu)
 	c.member = c.newMember()
 	c.election = election.New(c.cfg.Label, currentStore{c}, &c.lease, c.cluster, &c.mu, c.log)
 	c.rejections = rejectlog.New(c.log)
@@ -214,10 +212,7 @@
 			c.considerAcquisitions(ctx, now)
 		}
 		c.duties.Grant.ExpireLocked(c.store, c.rates(), c.cfg.Params.Count, now)
-		c.redirects.expire(now)
-		if !c.activeJobsStale(now) {
-			clear(c.searches)
-		}
+		c.router.ExpireLocked(now)
 		c.renewals.expire(config.Seconds(c.cfg.Params.Workers.LeaseS), now)
 		c.mu.Unlock()
 	}
--- a/internal/controller/messages_test.go
+++ b/internal/controller/messages_test.go
@@ -15,6 +15,7 @@
 	"bramblespur/internal/controller/messagecheck"
 	"bramblespur/internal/controller/rejectlog"
 	"bramblespur/internal/controller/transport"
+	"bramblespur/internal/controller/workerapi"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/record"
@@ -90,12 +91,12 @@
 	c.activeJobs.SetAsOf(time.Time{}) // its view is stale
 	setLeaseRenewed(c, time.Time{})
 	c.cfg.Peers = []config.Peer{{Label: "c-1", Zone: "z"}}
-	for i := range maxRemembered + 100 {
+	for i := range workerapi.MaxRemembered + 100 {
 		r := wire.Heartbeat{Machine: fmt.Sprint("i-", i), Session: 1, Seq: 1, Token: 5}
 		c.renewForOwner(&r, 0)
 	}
-	if len(c.searches) > maxRemembered || len(c.renewals) > maxRemembered || len(c.renewals) == 0 {
-		t.Errorf("%d searches and %d machines are remembered", len(c.searches), len(c.renewals))
+	if c.router.SearchesLocked() > workerapi.MaxRemembered || len(c.renewals) > workerapi.MaxRemembered || len(c.renewals) == 0 {
+		t.Errorf("%d searches and %d machines are remembered", c.router.SearchesLocked(), len(c.renewals))
 	}
 }
 
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -103,14 +103,14 @@
 	c := newTest(t, testkit.NewState())
 	r := &wire.Heartbeat{Tasks: []wire.HeartbeatTask{{}}}
 	now := time.Now()
-	if c.mayLeave(r, "c-1", now) {
+	if c.router.MayRedirectLocked(r, "c-1", now) {
 		t.Error("sent to an owner that does not answer")
 	}
 	for !c.overload.Behind() {
 		now = now.Add(tickEvery + time.Second)
 		c.overload.Observe(time.Second, now)
 	}
-	if !c.mayLeave(r, "c-1", now) {
+	if !c.router.MayRedirectLocked(r, "c-1", now) {
 		t.Error("kept by a controller that falls behind")
 	}
 }
--- a/internal/controller/renewals.go
+++ b/internal/controller/renewals.go
@@ -5,6 +5,7 @@
 
 	"bramblespur/internal/config"
 	"bramblespur/internal/controller/transport"
+	"bramblespur/internal/controller/workerapi"
 	"bramblespur/internal/retry"
 	"bramblespur/internal/scheduler"
 	"bramblespur/internal/wire"
@@ -26,7 +27,7 @@
 // full reports whether there is no room to remember one more machine.
 func (rs renewals) full(machine string) bool {
 	_, here := rs[machine]
-	return !here && len(rs) >= maxRemembered
+	return !here && len(rs) >= workerapi.MaxRemembered
 }
 
 // note takes in a request for a renewal, and whether anything speaks against it, and
@@ -60,7 +61,7 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	stale := c.activeJobsStale(now)
-	if to, look := c.betterController(r.Machine, now); look {
+	if to, look := c.router.BetterControllerLocked(r.Machine, now); look {
 		return transport.Response{Status: 421, Body: wire.Redirect{Label: to}}
 	}
 	if r.Token > token {
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -19,7 +19,16 @@
 // workerHost is the controller as the parts that serve workers see it.
 type workerHost struct{ c *Controller }
 
-var _ workerapi.ParkedResponder = workerHost{}
+var (
+	_ workerapi.ParkedResponder = workerHost{}
+	_ workerapi.Process         = workerHost{}
+)
+
+// Behind implements workerapi.Process.
+func (h workerHost) Behind() bool { return h.c.overload.Behind() }
+
+// ActiveJobsStaleLocked implements workerapi.Process.
+func (h workerHost) ActiveJobsStaleLocked(now time.Time) bool { return h.c.activeJobsStale(now) }
 
 func (c *Controller) handleHeartbeat(req httpwire.Request, answer func(transport.Response)) (transport.Response, bool) {
 	var r wire.Heartbeat
@@ -51,7 +60,7 @@
 		return transport.Response{}, false
 	}
 	if shard := c.shards[m.Shard]; shard != nil {
-		if to := c.redirectTo(m.Zone, r.Machine, c.cfg.Label, now); to != "" {
+		if to := c.router.RedirectLocked(m.Zone, r.Machine, c.cfg.Label, now); to != "" {
 			return transport.Response{Status: 421, Body: wire.Redirect{Label: to}}, true
 		}
 		rep := c.ownReport(shard, &r, now)
@@ -68,8 +77,8 @@
 	peerc := c.peers[owner]
 	token := max(part.Version, m.Version)
 	_, lives := c.cluster.Member(owner)
-	if peerc != nil && lives && c.mayLeave(&r, owner, now) {
-		if to := c.redirectTo(m.Zone, r.Machine, owner, now); to != "" {
+	if peerc != nil && lives && c.router.MayRedirectLocked(&r, owner, now) {
+		if to := c.router.RedirectLocked(m.Zone, r.Machine, owner, now); to != "" {
 			return transport.Response{Status: 421, Body: wire.Redirect{Label: to}}, true
 		}
 	}
@@ -99,7 +108,7 @@
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		c.peerHealth.RecordRefusal(owner, time.Now())
 		c.mu.Lock()
-		to := c.redirectTo(m.Zone, r.Machine, owner, time.Now())
+		to := c.router.RedirectLocked(m.Zone, r.Machine, owner, time.Now())
 		c.mu.Unlock()
 		if to != "" {
 			answer(transport.Response{Status: 421, Body: wire.Redirect{Label: to}})
@@ -133,7 +142,7 @@
 
 // ownReport answers a report of one of our machines. The lock is held.
 func (c *Controller) ownReport(shard *scheduler.Shard, r *wire.Heartbeat, now time.Time) transport.Response {
-	if to, look := c.betterController(r.Machine, now); look {
+	if to, look := c.router.BetterControllerLocked(r.Machine, now); look {
 		return transport.Response{Status: 421, Body: wire.Redirect{Label: to}}
 	}
 	c.refreshAuthority(shard, now)
