--- a/internal/controller/claim.go
+++ b/internal/controller/claim.go
@@ -155,14 +155,11 @@
 	c.shards[id] = shard
 	now := time.Now()
 	// Views may have moved on while the records were read.
-	c.machines.Each(func(machine string, v record.MachineView) {
-		if v.Shard != id {
-			return
-		}
-		if err := shard.SetMachine(machine, v, now); err != nil {
-			c.log.Error("machine record", "machine", machine, "err", err)
+	for _, m := range c.machines.OfShard(id) {
+		if err := shard.SetMachine(m.ID, m.View, now); err != nil {
+			c.log.Error("machine not applied", "shard", id, "machine", m.ID, "err", err)
 		}
-	})
+	}
 	for _, ref := range c.activeJobs.OfShard(id) {
 		shard.SetInheritedClaim(ref, c.activeJobs.Claim(ref))
 	}
--- a/internal/controller/clusterview/clusterview_test.go
+++ b/internal/controller/clusterview/clusterview_test.go
@@ -266,3 +266,17 @@
 		}
 	}
 }
+
+// Each shard has the machines that their records name for it.
+func TestMachinesOfAShard(t *testing.T) {
+	v := NewMachines()
+	v.Apply([]wire.Change{
+		put(record.ProvisionKey("p"), provisioned("a", "b"), 1),
+		put(record.OverrideKey("b"), record.Machine{Type: "big", Zone: "z", Shard: 4}, 2),
+	})
+	for shard, want := range map[int]string{0: "a", 4: "b"} {
+		if got := v.OfShard(shard); len(got) != 1 || got[0].ID != want || got[0].View.Shard != shard {
+			t.Errorf("shard %d: %+v, want %s", shard, got, want)
+		}
+	}
+}
--- a/internal/controller/clusterview/machines.go
+++ b/internal/controller/clusterview/machines.go
@@ -74,7 +74,27 @@
 	return v.fleet.Machine(id)
 }
 
-// Each calls fn for every machine under the view's lock: fn must not use the view.
+// Machine is a machine with its ID.
+type Machine struct {
+	ID   string
+	View record.MachineView
+}
+
+// OfShard returns the machines of a shard.
+func (v *Machines) OfShard(id int) []Machine {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	var machines []Machine
+	v.fleet.ForEach(func(machine string, view record.MachineView) {
+		if view.Shard == id {
+			machines = append(machines, Machine{ID: machine, View: view})
+		}
+	})
+	return machines
+}
+
+// Each calls fn for every machine under the view's lock: fn must not use the
+// view, take locks or do I/O.
 func (v *Machines) Each(fn func(id string, m record.MachineView)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
