--- a/internal/wire/check.go
+++ b/internal/wire/heartbeat_check.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Bounds of what a report may tell. What is beyond them is no machine's.
+// Limits of a valid heartbeat: no machine has more.
 const (
 	maxName            = 128 // bytes of a name or an address
 	maxTasksPerMachine = 4096
 	maxNoticeS         = 1e6
 )
 
-// ErrInvalidMessage is what the refusal of a message that makes no sense wraps.
+// ErrInvalidMessage is wrapped by the errors of invalid messages.
 var ErrInvalidMessage = errors.New("message makes no sense")
 
-// Check refuses a report that no worker sends.
+// Check returns an error for a heartbeat that no worker sends.
 func (r *Heartbeat) Check() error {
 	for _, name := range []string{r.Machine, r.Addr, r.Type, r.Zone} {
 		if len(name) > maxName {
@@ -28,7 +28,7 @@
 	switch {
 	case r.Machine == "":
 		return fmt.Errorf("%w: no machine", ErrInvalidMessage)
-	case r.Session == 0: // they begin at 1; the number of the first report is not said
+	case r.Session == 0: // they begin at 1; the protocol does not say where Seq begins
 		return fmt.Errorf("%w: session 0", ErrInvalidMessage)
 	case r.NoticeS != nil && !(math.Abs(*r.NoticeS) <= maxNoticeS):
 		return fmt.Errorf("%w: notice of %g s", ErrInvalidMessage, *r.NoticeS)
@@ -46,11 +46,11 @@
 	return nil
 }
 
-// pairwiseLimit is up to how many tasks each is compared with each: that takes no memory.
+// pairwiseLimit is up to how many tasks are compared in pairs, which allocates nothing.
 const pairwiseLimit = 64
 
-// duplicateAttempt returns a task of which the report has one attempt twice. Two attempts of a
-// task may well be there: a start is refused where another attempt runs.
+// duplicateAttempt returns a task of which the heartbeat has one attempt twice. Two attempts of a
+// task are valid: a start is refused where another attempt runs.
 func (r *Heartbeat) duplicateAttempt() (name string, twice bool) {
 	type attempt struct {
 		task string
@@ -77,7 +77,7 @@
 	return "", false
 }
 
-// taskStates are the states of tasks in reports.
+// taskStates are the states of tasks in heartbeats.
 var taskStates = []string{Fetching, AwaitingGang, Running, Checkpointing, Exited}
 
 func (t *HeartbeatTask) check() error {
@@ -90,11 +90,11 @@
 	return nil
 }
 
-// maxDuration is what an amount of seconds counts at most: times a hundred years on can
-// still be told from each other, which larger ones can't.
+// maxDuration is the longest duration of a message: times that are a hundred years ahead can still
+// be compared, while larger ones overflow.
 const maxDuration = 100 * 365 * 24 * time.Hour
 
-// Seconds converts an amount of seconds of a message.
+// Seconds converts the seconds of a message to a duration of at most maxDuration.
 func Seconds(s float64) time.Duration {
 	return time.Duration(min(max(s, -maxDuration.Seconds()), maxDuration.Seconds()) * float64(time.Second))
 }
--- a/internal/wire/check_test.go
+++ b/internal/wire/heartbeat_check_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestSenselessReportsAreRefused(t *testing.T) {
+func TestInvalidHeartbeatsAreRefused(t *testing.T) {
 	good := func() *Heartbeat {
 		return &Heartbeat{Machine: "i-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Session: 1, Seq: 88, Token: 41,
 			Tasks: []HeartbeatTask{{Task: "run-000412/3", Attempt: 2, State: Running}, {Task: "run-000398/0", Attempt: 1, State: Exited, Why: Done}}}
@@ -56,7 +56,7 @@
 }
 
 // Amounts of seconds beyond what a time can hold do not come out negative.
-func TestSecondsKeepTheirSign(t *testing.T) {
+func TestSecondsDoNotOverflow(t *testing.T) {
 	for s, want := range map[float64]time.Duration{0: 0, 1.5: 1500 * time.Millisecond, 1e300: maxDuration, -1e300: -maxDuration, 1e12: maxDuration} {
 		if got := Seconds(s); got != want {
 			t.Errorf("%g s: %v, want %v", s, got, want)
