--- a/internal/controller/clusterview/doc.go
+++ b/internal/controller/clusterview/doc.go
@@ -9,7 +9,7 @@
 //
 // Lock order: the locks of this package are leaves. They may be taken while the
 // lock of the shards is held, never the other way round, and no method calls out
-// or does I/O while it holds one, but for Machines.Each, which says so. A caller
+// or does I/O while it holds one, but for Machines.ForEach, which says so. A caller
 // that needs a view and a shard to agree holds the lock of the shards while it
 // changes the view and notifies the shards of the returned changes.
 package clusterview
--- a/internal/controller/clusterview/machines.go
+++ b/internal/controller/clusterview/machines.go
@@ -93,9 +93,9 @@
 	return machines
 }
 
-// Each calls fn for every machine under the view's lock: fn must not use the
+// ForEach calls fn for every machine under the view's lock: fn must not use the
 // view, take locks or do I/O.
-func (v *Machines) Each(fn func(id string, m record.MachineView)) {
+func (v *Machines) ForEach(fn func(id string, m record.MachineView)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.fleet.ForEach(fn)
@@ -134,8 +134,8 @@
 	return v.fleet.Entries()
 }
 
-// IDs returns the machines that a provision record, by its key, brought.
-func (v *Machines) IDs(provisionKey string) []string {
+// MachineIDs returns the machines that a provision record, by its key, brought.
+func (v *Machines) MachineIDs(provisionKey string) []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet.MachineIDs(provisionKey)
@@ -148,15 +148,15 @@
 	return v.fleet.Provision(name)
 }
 
-// Unaddressed returns the provision records that lack their machines' addresses, by name.
-func (v *Machines) Unaddressed() map[string]record.Versioned[record.Provision] {
+// ProvisionsWithoutAddresses returns the provision records that lack their machines' addresses, by name.
+func (v *Machines) ProvisionsWithoutAddresses() map[string]record.Versioned[record.Provision] {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet.ProvisionsWithoutAddresses()
 }
 
-// Unfinished returns the provision records that the cloud has not answered yet, by name.
-func (v *Machines) Unfinished() map[string]record.Versioned[record.Provision] {
+// UnfulfilledProvisions returns the provision records that the cloud has not answered yet, by name.
+func (v *Machines) UnfulfilledProvisions() map[string]record.Versioned[record.Provision] {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet.UnfulfilledProvisions()
@@ -169,9 +169,9 @@
 	return v.fleet.PendingReleases()
 }
 
-// ClearGone proposes a transaction of at most so many operations that deletes records of
+// CleanupTxn proposes a transaction of at most so many operations that deletes records of
 // machines that are gone. It reports false if there are none.
-func (v *Machines) ClearGone(maxOps int) (wire.Txn, bool) {
+func (v *Machines) CleanupTxn(maxOps int) (wire.Txn, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet.CleanupTxn(maxOps)
--- a/internal/controller/dataloss/audit.go
+++ b/internal/controller/dataloss/audit.go
@@ -174,7 +174,7 @@
 func (a Audit) anyMachineAlive(provisionKey string) bool {
 	a.host.Lock()
 	defer a.host.Unlock()
-	for _, id := range a.views.Machines.IDs(provisionKey) {
+	for _, id := range a.views.Machines.MachineIDs(provisionKey) {
 		v, _ := a.views.Machines.Machine(id)
 		shard := a.host.OwnedShardsLocked()[v.Shard]
 		if shard != nil && shard.HeardWithin(id, shard.Lease(), time.Now()) {
--- a/internal/controller/drainer/records.go
+++ b/internal/controller/drainer/records.go
@@ -72,7 +72,7 @@
 // selectsAny reports whether a machine that a drain selects is not gone yet.
 func (d *Drainer) selectsAny(p *drain.Plan) bool {
 	found := false
-	d.machines.Each(func(id string, v record.MachineView) {
+	d.machines.ForEach(func(id string, v record.MachineView) {
 		found = found || (v.Phase != record.Released && p.Selects(id, v.Type, v.Zone, time.UnixMilli(v.CreatedAt)))
 	})
 	return found
--- a/internal/controller/drainer/shard_turn.go
+++ b/internal/controller/drainer/shard_turn.go
@@ -129,7 +129,7 @@
 // machinesByZone counts the machines in service.
 func (d *Drainer) machinesByZone() map[string]int {
 	zones := map[string]int{}
-	d.machines.Each(func(_ string, v record.MachineView) {
+	d.machines.ForEach(func(_ string, v record.MachineView) {
 		if v.Phase == record.InUse {
 			zones[v.Zone]++
 		}
--- a/internal/controller/leader/addresses.go
+++ b/internal/controller/leader/addresses.go
@@ -21,7 +21,7 @@
 	p.learnAddresses(summaries)
 	machines := l.host.FleetLocked()
 	left := concurrentAddressRecords
-	for name, r := range machines.Unaddressed() {
+	for name, r := range machines.ProvisionsWithoutAddresses() {
 		if p.recordingAddresses[name] {
 			continue // a second write would only find that the first came
 		}
--- a/internal/controller/leader/inventory.go
+++ b/internal/controller/leader/inventory.go
@@ -41,7 +41,7 @@
 // track notes which machines are recorded, so that those that are gone don't seem
 // unrecorded while the list still has them. Of those it forgets it drops the addresses.
 func (v *inventory) track(machines *clusterview.Machines, params config.Cloud, now time.Time, addresses map[string]string) {
-	machines.Each(func(id string, _ record.MachineView) { v.known[id] = now })
+	machines.ForEach(func(id string, _ record.MachineView) { v.known[id] = now })
 	for id, at := range v.known {
 		if now.Sub(at) > time.Duration(knownLags)*config.Seconds(params.ListLagS) {
 			delete(v.known, id)
--- a/internal/controller/leader/planning.go
+++ b/internal/controller/leader/planning.go
@@ -105,13 +105,13 @@
 func (l *Leader) addPendingMachinesLocked(summaries []fleet.Summary, underWay map[string]record.Provision) {
 	p := newPendingMachines(summaries, l.host.MachineTypesLocked())
 	machines := l.host.FleetLocked()
-	machines.Each(func(id string, v record.MachineView) {
+	machines.ForEach(func(id string, v record.MachineView) {
 		if !p.reported[id] && v.Phase == record.InUse {
 			p.add(id, v.Type, v.Zone, v.Spot, v.Shard)
 		}
 	})
 	unanswered := map[string]record.Provision{}
-	for name, r := range machines.Unfinished() {
+	for name, r := range machines.UnfulfilledProvisions() {
 		unanswered[name] = r.Rec
 	}
 	for name, r := range underWay {
--- a/internal/controller/leader/provision.go
+++ b/internal/controller/leader/provision.go
@@ -74,7 +74,7 @@
 // adoptProvisionsLocked carries out provisions that others recorded: an earlier leader, or
 // owners that this one does not reach.
 func (l *Leader) adoptProvisionsLocked(ctx context.Context, t *term) {
-	for name, r := range l.host.FleetLocked().Unfinished() {
+	for name, r := range l.host.FleetLocked().UnfulfilledProvisions() {
 		if _, ok := t.provisions.underWay[name]; !ok {
 			t.provisions.underWay[name] = r.Rec
 			go l.finishProvision(ctx, t, name, r.Rec, r.Version)
--- a/internal/controller/leader/provision_test.go
+++ b/internal/controller/leader/provision_test.go
@@ -106,14 +106,14 @@
 	}
 	tell("a", "a:1")
 	tell("b", "b:1")
-	if len(host.machines.Unaddressed()) != 1 || len(term.provisions.addresses) != 2 {
+	if len(host.machines.ProvisionsWithoutAddresses()) != 1 || len(term.provisions.addresses) != 2 {
 		t.Fatal("recorded though a machine may yet come up")
 	}
 	put(record.ReleaseKey(0, 1, 1), record.Release{IDs: []string{"c"}}) // it never did
 	tell("b", "b:1")
 	for { // the write is another goroutine's
 		host.Lock()
-		left := len(host.machines.Unaddressed())
+		left := len(host.machines.ProvisionsWithoutAddresses())
 		v, _ := host.machines.Machine("a")
 		host.Unlock()
 		if left == 0 {
--- a/internal/controller/leader/release.go
+++ b/internal/controller/leader/release.go
@@ -107,7 +107,7 @@
 		return // before there is a view it may lack provisions
 	}
 	ops := l.writeLimits().TxnOps
-	txn, ok := l.host.FleetLocked().ClearGone(ops)
+	txn, ok := l.host.FleetLocked().CleanupTxn(ops)
 	if !ok {
 		return
 	}
