--- a/internal/controller/view_harness_test.go
+++ b/internal/controller/view_harness_test.go
@@ -20,11 +20,6 @@
 	applyToCluster(c, wire.Change{Put: record.MemberPrefix + label, Value: record.Encode(m)})
 }
 
-// deleteMember takes a controller's member record out of the view.
-func deleteMember(c *Controller, label string) {
-	applyToCluster(c, wire.Change{Delete: record.MemberPrefix + label})
-}
-
 func applyToCluster(c *Controller, change wire.Change) {
 	if _, err := c.cluster.Apply(change); err != nil {
 		panic(err)
