--- a/internal/drain/ledger.go
+++ b/internal/drain/ledger.go
@@ -146,7 +146,7 @@
 	l.Spent = slices.DeleteFunc(l.Spent, func(s Spent) bool { return !s.within(b.longestWindow(), now) })
 }
 
-// ShrinkTo makes a ledger keep to a number of bytes, as size tells, and reports whether that
+// ShrinkTo makes a ledger keep to a number of bytes, by the given size function, and reports whether that
 // was possible. Counts are merged, each as of the latest of them, so that what is left of
 // the budget only shrinks. Only if that is not enough are losses, which can't be refused,
 // counted in the window instead of listed as open.
--- a/internal/drain/ledgers.go
+++ b/internal/drain/ledgers.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// CloseRecovered closes what has recovered of a part's disruptions, and takes back grants of drains
+// CloseRecovered closes what has recovered of a shard's disruptions, and takes back grants of drains
 // that are over which have stopped nothing.
 func (l *Ledgers) CloseRecovered(part int, fate func(Disruption) Outcome, now time.Time) {
 	for _, team := range l.teams() {
@@ -90,7 +90,7 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// closeUnaffected takes in that a unit runs on. A loss that turns out to be none is over; a grant
+// closeUnaffected handles a unit that runs on. A loss that turns out to be none is over; a grant
 // is taken back only if nobody is to carry it out any more.
 func (l *Ledgers) closeUnaffected(team string, d Disruption, now time.Time) {
 	switch {
@@ -110,7 +110,7 @@
 	return ok && !p.Rec.State.Terminal()
 }
 
-// PendingEvictions returns the grants of a part that its owner has to carry out.
+// PendingEvictions returns the grants of a shard that its owner has to carry out.
 func (v *View) PendingEvictions(part int) []Disruption {
 	var out []Disruption
 	for _, d := range v.openDisruptions(part) {
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -47,7 +47,7 @@
 	// Force lets evictions pass the budgets once FinishBy is past.
 	Force bool  `json:"force,omitempty"`
 	State State `json:"state"`
-	// Created and Ended are times in milliseconds. Machines rented after Created are
+	// Created and Ended are times in milliseconds. Machines provisioned after Created are
 	// never selected, else a drain by type would drain its own replacements.
 	Created int64 `json:"created"`
 	Ended   int64 `json:"ended,omitempty"`
--- a/internal/drain/progress.go
+++ b/internal/drain/progress.go
@@ -27,10 +27,10 @@
 	InWindow   int `json:"w"`
 }
 
-// Sample is a moment of a drain's course.
+// Sample is a moment of a drain's progress.
 type Sample struct {
 	At       int64                `json:"at"` // milliseconds
-	Cordoned int                  `json:"c"`  // machines of the part that were cordoned so far
+	Cordoned int                  `json:"c"`  // machines of the shard that were cordoned so far
 	Returned int                  `json:"r"`  // and those of them that are gone
 	Teams    map[string]BudgetUse `json:"u,omitempty"`
 }
@@ -42,7 +42,7 @@
 	LostS   float64 `json:"lost"`        // seconds of work that were not saved, for all tasks
 }
 
-// Progress is what a part did for a drain, for the report. It is bounded: points are thinned
+// Progress is what a shard did for a drain, for the report. It is bounded: samples are thinned
 // out as they become many.
 type Progress struct {
 	Cordoned    int                    `json:"c"`
@@ -52,7 +52,7 @@
 	Samples     []Sample               `json:"points,omitempty"`
 }
 
-// maxSamples bounds the points of a course.
+// maxSamples bounds the samples of a progress record.
 const maxSamples = 96
 
 // Clone returns a copy that shares nothing that is changed.
@@ -80,7 +80,7 @@
 	p.Teams[team] = t
 }
 
-// AddSample adds a point.
+// AddSample adds a sample.
 func (p *Progress) AddSample(now time.Time, teams map[string]BudgetUse) {
 	p.Samples = append(p.Samples, Sample{At: now.UnixMilli(), Cordoned: p.Cordoned, Returned: p.Returned, Teams: teams})
 	if len(p.Samples) > maxSamples {
@@ -88,7 +88,7 @@
 	}
 }
 
-// ShrinkTo thins a course out until it keeps to a number of bytes, as size tells, and reports
+// ShrinkTo thins the samples out until it keeps to a number of bytes, by the given size function, and reports
 // whether it does.
 func (p *Progress) ShrinkTo(size func(*Progress) int, bytes int) bool {
 	for size(p) > bytes {
@@ -100,7 +100,7 @@
 	return true
 }
 
-// thinSamples drops every second point but the last.
+// thinSamples drops every second sample but the last.
 func (p *Progress) thinSamples() {
 	var kept []Sample
 	for i, sample := range p.Samples {
--- a/internal/drain/steps.go
+++ b/internal/drain/steps.go
@@ -15,7 +15,7 @@
 	Tasks       int // that stop together
 	// TasksOnCordoned is how many of them are on machines that are cordoned.
 	TasksOnCordoned int
-	Running         bool          // as far as reports tell
+	Running         bool          // as far as heartbeats tell
 	RunTime         time.Duration // since it began to run
 	Estimate        time.Duration // of its run time; 0: it has no end of its own
 	Checkpoint      time.Duration // interval of its checkpoints; 0: it never saves
@@ -28,11 +28,11 @@
 	OtherReplicasUp               bool // all other replicas of its service run
 }
 
-// Machine is a machine of a part, with the work that is on it.
+// Machine is a machine of a shard, with the work that is on it.
 type Machine struct {
 	ID, Type, Zone string
 	Rented         time.Time
-	Reachable      bool // its reports arrive and answers reach it
+	Reachable      bool // its heartbeats arrive and responses reach it
 	Units          []*Unit
 }
 
@@ -42,8 +42,8 @@
 	Settings *Settings
 	View     *View
 	Shard    int
-	Machines []*Machine     // of the part
-	Zones    map[string]int // machines in service, of all parts, by zone
+	Machines []*Machine     // of the shard
+	Zones    map[string]int // machines in service, of all shards, by zone
 	// Bytes is the largest record that may be written.
 	Bytes int
 }
@@ -61,13 +61,13 @@
 	LostWork time.Duration
 }
 
-// Steps are the next steps of a part.
+// Steps are the next steps of a shard.
 type Steps struct {
 	Cordon    []string // of one drain, Drain
 	Drain     string
 	Evictions []Eviction // within the budgets
 	Held      []HeldMachine
-	// NeedCapacity are units that wait for room: machines are to be brought or rented ahead.
+	// NeedCapacity are units that wait for room: machines are to be moved here or provisioned ahead.
 	NeedCapacity []*Unit
 }
 
@@ -82,7 +82,7 @@
 	checkpointWait = 2
 )
 
-// PlanSteps decides a part's next steps. Ledgers are the teams' as they are to be written; what
+// PlanSteps decides a shard's next steps. Ledgers are the teams' as they are to be written; what
 // is granted is added to them.
 func PlanSteps(in *Input, ledgers *Ledgers) Steps {
 	var s Steps
--- a/internal/drain/txn_builder.go
+++ b/internal/drain/txn_builder.go
@@ -10,13 +10,13 @@
 	"bramblespur/internal/wire"
 )
 
-// TxnBuilder makes the transactions of one turn of a part's owner. Each is conditioned on the
-// part's token and on the version of every record that it relies on, so that of two
+// TxnBuilder makes the transactions of one turn of a shard's owner. Each is conditioned on the
+// shard's fencing token and on the version of every record that it relies on, so that of two
 // controllers that decide at the same moment one fails.
 type TxnBuilder struct {
 	Input
-	Owner wire.Condition // the part's record
-	// MachineGone tells whether a machine has been given back or is lost.
+	Owner wire.Condition // the shard's record
+	// MachineGone tells whether a machine was released or is lost.
 	MachineGone func(machine string) bool
 	// HoldTimes is how long machines were held since the last write, by drain and reason.
 	HoldTimes map[string]map[HoldReason]time.Duration
@@ -25,11 +25,11 @@
 // Write is a transaction to carry out.
 type Write struct {
 	Txn      wire.Txn
-	Progress string // the drain whose course it brings up to date, if any
+	Progress string // the drain whose progress it brings up to date, if any
 	Team     string // the team whose ledger it writes, if any
 }
 
-// progressInterval is how often the course of a drain is written if nothing else is.
+// progressInterval is how often the progress of a drain is written if nothing else is.
 const progressInterval = 30 * time.Second
 
 // Writes returns the transactions that bring the records up to the steps.
@@ -141,7 +141,7 @@
 	return added
 }
 
-// progressWrites brings courses up to date that have not been for a while.
+// progressWrites brings progress records up to date that have not been for a while.
 func (b *TxnBuilder) progressWrites(ledgers *Ledgers) []Write {
 	for _, name := range slices.Sorted(maps.Keys(b.HoldTimes)) {
 		c := b.View.Progress(name, b.Shard).Rec
@@ -167,7 +167,7 @@
 	w.Txn.If = append(w.Txn.If, wire.Condition{Key: PlanKey(name), Version: p.Version})
 }
 
-// putProgress adds the course of a drain, changed and with a new point.
+// putProgress adds the progress of a drain, changed and with a new sample.
 func (b *TxnBuilder) putProgress(w *Write, name string, ledgers *Ledgers, change func(*Progress)) {
 	held := b.View.Progress(name, b.Shard)
 	c := held.Rec.Clone()
@@ -229,7 +229,7 @@
 	return false
 }
 
-// purge removes the records of a drain that is over: what its parts did first, a few at a
+// purge removes the records of a drain that is over: what its shards did first, a few at a
 // time, and the drain itself last.
 func (v *View) purge(p Versioned[Plan], ops int) wire.Txn {
 	var t wire.Txn
--- a/internal/drain/view.go
+++ b/internal/drain/view.go
@@ -50,7 +50,7 @@
 // ParticipantKey names the record by which a controller tells that it knows of drains.
 func ParticipantKey(label string) string { return ParticipantPrefix + label }
 
-// ProgressKey names the record of what a part did for a drain.
+// ProgressKey names the record of what a shard did for a drain.
 func ProgressKey(name string, part int) string {
 	return ProgressPrefix + name + "/" + strconv.Itoa(part)
 }
@@ -78,7 +78,7 @@
 	return Cordons{m}
 }
 
-// Participant is a controller's word that it takes part in drains, and by which budgets.
+// Participant is a controller's statement that it takes part in drains, and by which budgets.
 type Participant struct {
 	Budgets string `json:"budgets"`
 }
@@ -110,7 +110,7 @@
 // ErrMalformed says that a record makes no sense. It is passed over.
 var ErrMalformed = errors.New("malformed drain record")
 
-// Apply takes in a record's change. What is older than what is held is passed over.
+// Apply applies a record's change. What is older than what is held is passed over.
 func (v *View) Apply(e wire.Change) error {
 	key := e.Put + e.Delete
 	if !strings.HasPrefix(key, Prefix) || e.Version <= v.versions[key] {
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// Reset takes in all records as of a revision. What is not among them is gone, unless it
+// Reset replaces all records as of a revision. What is not among them is gone, unless it
 // was written since.
 func (v *View) Reset(entries []wire.Entry, revision uint64) error {
 	var errs []error
@@ -150,7 +150,7 @@
 	return errors.Join(errs...)
 }
 
-// drop drops what a key's record told.
+// drop forgets what a key's record told.
 func (v *View) drop(key string) {
 	switch {
 	case key == CordonsKey:
@@ -248,7 +248,7 @@
 // Ledger returns a team's ledger.
 func (v *View) Ledger(team string) Versioned[Ledger] { return v.ledgers[ledgerName(team)] }
 
-// openDisruptions returns the open disruptions of a part.
+// openDisruptions returns the open disruptions of a shard.
 func (v *View) openDisruptions(part int) []Disruption {
 	var out []Disruption
 	for _, name := range slices.Sorted(maps.Keys(v.ledgers)) {
@@ -261,12 +261,12 @@
 	return out
 }
 
-// Progress returns what a part did for a drain.
+// Progress returns what a shard did for a drain.
 func (v *View) Progress(name string, part int) Versioned[Progress] {
 	return v.progress[ProgressKey(name, part)]
 }
 
-// AllProgress returns what all parts did for a drain, in the order of their keys.
+// AllProgress returns what all shards did for a drain, in the order of their keys.
 func (v *View) AllProgress(name string) []Progress {
 	var out []Progress
 	for _, key := range slices.Sorted(maps.Keys(v.progress)) {
--- a/internal/ratelimit/cluster_shares.go
+++ b/internal/ratelimit/cluster_shares.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// ClusterShares is the leader's account of what it has given out of the orders of all. A share is
+// ClusterShares is the leader's account of what it has given out of the commands of all. A share is
 // raised only by what is certainly free: whoever has not confirmed a smaller share may still
 // be using the one before, and who is silent may be back at an equal share.
 type ClusterShares struct {
@@ -48,10 +48,10 @@
 // they are wanted, and none is raised before that is confirmed.
 func (s *ClusterShares) SetTotal(total float64) { s.total = total }
 
-// Confirm takes in that a controller goes by a share now.
+// Confirm records that a controller goes by a share now.
 func (s *ClusterShares) Confirm(label string, share float64) { s.maxInUse[label] = share }
 
-// MarkSilent takes in that a controller has not answered: it may be back at an equal share soon,
+// MarkSilent records that a controller has not answered: it may be back at an equal share soon,
 // and be using the one before until then.
 func (s *ClusterShares) MarkSilent(label string) {
 	s.maxInUse[label] = max(s.maxInUse[label], s.total/float64(len(s.maxInUse)))
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -1,4 +1,4 @@
-// Package ratelimit is pure: it releases orders to workers after a restart no faster than a
+// Package ratelimit is pure: it releases commands to workers after a restart no faster than a
 // bound that all controllers share, slowly at first and faster as answers arrive.
 package ratelimit
 
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Priority orders what waits for the pace.
+// Priority ranks what waits for the limiter.
 type Priority uint8
 
-// Classes of orders, the most urgent first.
+// Priorities of commands, the most urgent first.
 const (
 	// Exempt are stops that a rule has a time limit for. They are never held back; what
 	// they take, the others lack.
@@ -22,9 +22,9 @@
 	Routine
 )
 
-// Settings bound the pace.
+// Settings bound the rate.
 type Settings struct {
-	// CommandsPerSecond is how many orders all controllers together may release in any second; 0:
+	// CommandsPerSecond is how many commands all controllers together may release in any second; 0:
 	// by the fleet's size.
 	CommandsPerSecond float64
 	// CommandsPerWorker is how many starts one answer to a worker may carry.
@@ -38,13 +38,13 @@
 const (
 	DefaultCommandsPerWorker = 16
 	DefaultLimitFor          = 30 * time.Second
-	// A fleet may be told all that it has to do in a few seconds: one order for each two
+	// A fleet may be told all that it has to do in a few seconds: one command for each two
 	// machines a second, and no fewer than so many.
 	commandsPerMachine   = 0.5
 	minCommandsPerSecond = 30.0
 )
 
-// ClusterRate is how many orders all controllers may release in a second.
+// ClusterRate is how many commands all controllers may release in a second.
 func (s *Settings) ClusterRate(machines int) float64 {
 	return cmp.Or(s.CommandsPerSecond, max(minCommandsPerSecond, commandsPerMachine*float64(machines)))
 }
@@ -54,28 +54,28 @@
 	initialFactor = 0.25
 	// acksToDouble is how many answers in a row let it release twice as much.
 	acksToDouble = 8
-	// urgentReserve is the part of what has been saved up that is left to urgent orders.
+	// urgentReserve is the part of what has been saved up that is left to urgent commands.
 	urgentReserve = 0.25
 )
 
-// Limiter is one controller's. It holds from a restart until that has settled; before and
+// Limiter is one controller's token bucket of commands to workers. It holds from a restart until reconciliation is over; before and
 // after, everything is released, and so it is by a nil one. It is not safe for concurrent use.
 type Limiter struct {
 	settings   Settings
 	active     bool
-	share      float64 // of the orders of all controllers, a second
+	share      float64 // of the commands of all controllers, a second
 	factor     float64 // of that, by the answers so far
 	acks       int
 	commands   tokenBucket
 	probes     tokenBucket // questions to workers, which count apart
-	delayed    int         // orders that waited since the last call of Waiting
-	anyDelayed bool        // one waited since the last call of Held
+	delayed    int         // commands that waited since the last call of TakeDelayed
+	anyDelayed bool        // one waited since the last call of TakeAnyDelayed
 	perSecond  []int
-	startedAt  time.Time // when the first of seconds did
-	extendedAt time.Time // when it was last begun
+	startedAt  time.Time // when the first second of perSecond began
+	extendedAt time.Time // when it was last started or extended
 }
 
-// New returns a pace that releases everything.
+// New returns a limiter that releases everything.
 func New(s Settings) *Limiter {
 	s.CommandsPerWorker = cmp.Or(s.CommandsPerWorker, DefaultCommandsPerWorker)
 	s.LimitFor = cmp.Or(s.LimitFor, DefaultLimitFor)
@@ -85,7 +85,7 @@
 // Settings returns the bounds.
 func (l *Limiter) Settings() *Settings { return &l.settings }
 
-// Start starts to hold orders back, with nothing saved up, or goes on doing so for as long
+// Start starts to hold commands back, with nothing saved up, or goes on doing so for as long
 // again.
 func (l *Limiter) Start(share float64, now time.Time) {
 	if l.active {
@@ -99,17 +99,17 @@
 // Stop releases everything from now on.
 func (l *Limiter) Stop() { l.active = false }
 
-// Active reports whether orders are held back.
+// Active reports whether commands are held back.
 func (l *Limiter) Active() bool { return l != nil && l.active }
 
-// SetShare sets this controller's part of the orders of all.
+// SetShare sets this controller's part of the commands of all.
 func (l *Limiter) SetShare(share float64, now time.Time) {
 	l.refillCommands(now)
 	l.probes.refill(l.share, max(1, l.share), now)
 	l.share = share
 }
 
-// Acknowledge takes in that a worker has carried out an order.
+// Acknowledge counts that a worker has carried out a command.
 func (l *Limiter) Acknowledge() {
 	if !l.Active() || l.factor >= 1 {
 		return
@@ -119,7 +119,7 @@
 	}
 }
 
-// burstFraction is the part of a second's orders that may be saved up; the rest comes within a
+// burstFraction is the part of a second's commands that may be saved up; the rest comes within a
 // second, so that no second has more than the share.
 const burstFraction = 0.25
 
@@ -135,12 +135,12 @@
 	b.filledAt = now
 }
 
-// refillCommands saves up orders with time.
+// refillCommands saves up commands with time.
 func (l *Limiter) refillCommands(now time.Time) {
 	l.commands.refill((1-burstFraction)*l.rate(now), l.capacity(now), now)
 }
 
-// AllowProbe reports whether a worker may be asked for its report now, and counts it if so.
+// AllowProbe reports whether a worker may be asked for its heartbeat now, and counts it if so.
 // Calls go at the full share from the beginning: they are what answers come from.
 func (l *Limiter) AllowProbe(now time.Time) bool {
 	if !l.Active() {
@@ -154,7 +154,7 @@
 	return true
 }
 
-// rate is how many orders may be released in a second. What still waits after SettleWithin
+// rate is how many commands may be released in a second. What still waits after LimitFor
 // would come too late by the rules: from then on the rate doubles each second.
 func (l *Limiter) rate(now time.Time) float64 {
 	late := (now.Sub(l.extendedAt) - l.settings.LimitFor).Seconds()
@@ -164,10 +164,10 @@
 // maxDoublings bounds the exponent; by then nothing waits.
 const maxDoublings = 20
 
-// capacity is what may be saved up: one order at least, else none would ever be released.
+// capacity is what may be saved up: one command at least, else none would ever be released.
 func (l *Limiter) capacity(now time.Time) float64 { return max(1, burstFraction*l.rate(now)) }
 
-// Allow reports whether an order may be released now, and counts it if so.
+// Allow reports whether a command may be released now, and counts it if so.
 func (l *Limiter) Allow(c Priority, now time.Time) bool {
 	if !l.Active() {
 		return true
@@ -187,7 +187,7 @@
 	return true
 }
 
-// maxCountedSeconds bounds the seconds of which orders are counted.
+// maxCountedSeconds bounds the seconds of which commands are counted.
 const maxCountedSeconds = 120
 
 func (l *Limiter) countReleased(now time.Time) {
@@ -198,23 +198,23 @@
 	l.perSecond[max(n, 0)]++
 }
 
-// ReleasedPerSecond returns the orders that were released in each second from some moment on.
+// ReleasedPerSecond returns the commands that were released in each second from some moment on.
 func (l *Limiter) ReleasedPerSecond(from time.Time) []int {
 	first := max(0, int(from.Sub(l.startedAt)/time.Second))
 	return l.perSecond[min(first, len(l.perSecond)):]
 }
 
-// TakeDelayed returns how many times an order had to wait since the last call.
+// TakeDelayed returns how many times a command had to wait since the last call.
 func (l *Limiter) TakeDelayed() int {
 	n := l.delayed
 	l.delayed = 0
 	return n
 }
 
-// Overdue reports whether the time is over within which all should have settled.
+// Overdue reports whether the time is over within which all should have been reconciled.
 func (l *Limiter) Overdue(now time.Time) bool { return now.Sub(l.extendedAt) > l.settings.LimitFor }
 
-// TakeAnyDelayed reports whether an order had to wait since the last call.
+// TakeAnyDelayed reports whether a command had to wait since the last call.
 func (l *Limiter) TakeAnyDelayed() bool {
 	held := l.anyDelayed
 	l.anyDelayed = false
@@ -224,7 +224,7 @@
 // minRate keeps waits finite.
 const minRate = 0.1
 
-// NextAllowedAt returns when the next order may be released.
+// NextAllowedAt returns when the next command may be released.
 func (l *Limiter) NextAllowedAt(now time.Time) time.Time {
 	wait := max(0, 1-l.commands.tokens) / max((1-burstFraction)*l.rate(now), minRate)
 	return now.Add(time.Duration(wait * float64(time.Second)))
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -14,7 +14,7 @@
 	return p
 }
 
-// However orders ask and whatever is answered, no second has more than the share.
+// However commands are requested and whatever is answered, no second has more than the share.
 func TestNoSecondAboveTheShare(t *testing.T) {
 	for seed := range uint64(50) {
 		r := rand.New(rand.NewPCG(seed, 1))
@@ -72,7 +72,7 @@
 	}
 }
 
-// Questions to workers keep to the same rate, and take nothing from the orders.
+// Questions to workers keep to the same rate, and take nothing from the commands.
 func TestCallsCountApart(t *testing.T) {
 	p := begun(64)
 	calls := 0
--- a/internal/recovery/evidence.go
+++ b/internal/recovery/evidence.go
@@ -19,10 +19,10 @@
 	FromOperator   Source = "operator"
 )
 
-// Heartbeats are the newest reports of workers, by machine.
+// Heartbeats are the newest heartbeats of workers, by machine.
 type Heartbeats map[string]wire.Heartbeat
 
-// Add takes in a report; late and doubled ones come in any order.
+// Add keeps a heartbeat if it is newer; late and doubled ones come in any order.
 func (rs Heartbeats) Add(r *wire.Heartbeat) {
 	if old, ok := rs[r.Machine]; !ok || reconcile.PositionOf(r).After(reconcile.PositionOf(&old)) {
 		rs[r.Machine] = *r
@@ -57,7 +57,7 @@
 	Decisions        map[string]Decision           // by key
 }
 
-// AddHeld takes in the records that a controller holds; version 0 is not known, of one that never
+// AddHeld adds the records that a controller holds; version 0 is not known, of one that never
 // changes.
 func (e *Evidence) AddHeld(all []wire.Entry) {
 	if e.Held == nil {
--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -17,7 +17,7 @@
 // Outcome is what becomes of a record.
 type Outcome string
 
-// Verdicts.
+// Outcomes.
 const (
 	Intact    Outcome = "intact"
 	Recovered Outcome = "recovered"
@@ -29,7 +29,7 @@
 // Decision is what an operator may decide about a job whose end is not known.
 type Decision string
 
-// Choices.
+// Decisions.
 const (
 	DecideDone      Decision = "done"
 	DecideCancelled Decision = "cancelled"
@@ -38,7 +38,7 @@
 	DecideForget Decision = "forget"
 )
 
-// Item is the verdict on one record, with its evidence.
+// Item is the outcome for one record, with its evidence.
 type Item struct {
 	Key     string     `json:"key"`
 	Outcome Outcome    `json:"verdict"`
@@ -55,7 +55,7 @@
 // writes reports whether an item is to be written.
 func (i *Item) writes() bool { return i.Put != nil || i.Delete }
 
-// Plan is the verdict on everything that is known.
+// Plan is the outcome for everything that is known.
 type Plan struct {
 	Epoch    int    `json:"epoch"`
 	Revision uint64 `json:"revision"` // of the store, when it was read
@@ -64,7 +64,7 @@
 	Items    []Item `json:"items"`
 }
 
-// Count returns the number of items by verdict.
+// Count returns the number of items by outcome.
 func (p *Plan) Count() map[Outcome]int {
 	out := map[Outcome]int{}
 	for _, i := range p.Items {
@@ -100,7 +100,7 @@
 	TxnBytes   int
 }
 
-// NewPlan gives each record its verdict, by the table in docs/design-recovery.md.
+// NewPlan gives each record its outcome, by the table in docs/design-recovery.md.
 func NewPlan(e Evidence, limits Limits) *Plan {
 	p := &planner{Evidence: e, limits: limits, items: map[string]*Item{}, activeJobs: map[string]record.ActiveJob{}, undecidedJobs: map[string]bool{}}
 	keys := slices.Sorted(maps.Keys(e.keys()))
@@ -158,7 +158,7 @@
 func describeVersion(e wire.Entry) string { return fmt.Sprintf("version %d", e.Version) }
 
 // rewrittenByControllers are records that controllers write anew by themselves: they go with a lease, or
-// are claimed under a new token.
+// are acquired under a new fencing token.
 var rewrittenByControllers = []string{record.MemberPrefix, record.ShardPrefix, record.LeaderKey, Prefix, record.ClusterPrefix + "restart/"}
 
 // planClusterRecord restores what controllers do not write anew.
--- a/internal/recovery/plan_machines.go
+++ b/internal/recovery/plan_machines.go
@@ -38,7 +38,7 @@
 	if strings.HasPrefix(e.Key, record.OverridePrefix) {
 		return []string{record.LastElement(e.Key)}, nil
 	}
-	var r struct { // a rental's and a batch's alike
+	var r struct { // a provision's and a batch's alike
 		IDs []string `json:"ids"`
 	}
 	err := json.Unmarshal(e.Value, &r)
@@ -57,7 +57,7 @@
 		if value == nil {
 			value = p.Store[key].Value
 		}
-		// What makes no sense was told as lost already.
+		// What makes no sense was reported as lost already.
 		_, _ = f.Apply(wire.Change{Put: key, Value: value, Version: 1})
 	}
 	return f
@@ -79,8 +79,8 @@
 	}
 }
 
-// shardFor returns the part of the first unfinished job of which a worker has a task, or else the
-// first part: what is not needed there moves on.
+// shardFor returns the shard of the first unfinished job of which a worker has a task, or else the
+// first shard: what is not needed there moves on.
 func (p *planner) shardFor(r *wire.Heartbeat) int {
 	for _, t := range r.Tasks {
 		ref, _, _ := scheduler.SplitTask(t.Task)
--- a/internal/recovery/plan_placements.go
+++ b/internal/recovery/plan_placements.go
@@ -14,12 +14,12 @@
 
 // placementIndex is what the planned records of placements tell.
 type placementIndex struct {
-	nextSlot map[int]int // by part, the number of the next record
+	nextSlot map[int]int // by shard, the number of the next record
 	jobs     map[string]bool
 	running  map[string]record.TaskPlacement // by task
 	done     map[string]bool
 	turnOf   map[string]int // of the range that tells a task
-	complete map[int]bool   // parts whose owner told all of its records
+	complete map[int]bool   // shards whose owner told all of its records
 }
 
 // indexPlacements reads the planned records of placements.
@@ -69,7 +69,7 @@
 	}
 }
 
-// add takes in a record: of ranges that tell the same task the one entered later counts.
+// add indexes a record: of ranges that tell the same task the one entered later counts.
 func (k *placementIndex) add(s *record.Placements) {
 	for name, run := range s.Ranges {
 		ref, _, ok := record.SplitRangeName(name)
@@ -120,7 +120,7 @@
 }
 
 // planPlacements records what workers have beyond the records, each task in a range of its own
-// that counts before older ones; and of jobs without any range in a part whose owner is not
+// that counts before older ones; and of jobs without any range in a shard whose owner is not
 // heard one with an attempt above all that were used.
 func (p *planner) planPlacements() {
 	k := p.indexPlacements()
@@ -147,7 +147,7 @@
 	}
 }
 
-// planShardPlacements writes the additional records of a part.
+// planShardPlacements writes the additional records of a shard.
 func (p *planner) planShardPlacements(part int, tasks []unrecordedTask, jobs []string, k *placementIndex) {
 	w := placementsWriter{p: p, shard: part, next: k.nextSlot[part]}
 	turn := int(p.Mode.Floor) + 1
--- a/internal/recovery/safe_mode.go
+++ b/internal/recovery/safe_mode.go
@@ -15,10 +15,10 @@
 	SafeModeKey = Prefix + "safe-mode"
 )
 
-// FindingKind is a kind of sign of loss.
+// FindingKind is a kind of finding.
 type FindingKind string
 
-// Signs that the state service has lost data. None of them comes about while it keeps what it
+// Findings that tell of lost data. None of them comes about while it keeps what it
 // has confirmed.
 const (
 	RevisionRegressed FindingKind = "revision fell"
@@ -27,7 +27,7 @@
 	RecordStale       FindingKind = "record older"
 )
 
-// Finding is a sign of loss with its evidence.
+// Finding is evidence that the state service has lost data.
 type Finding struct {
 	Kind FindingKind `json:"kind"`
 	// Key is the record that tells it, if one does, or the machine with the token.
@@ -37,7 +37,7 @@
 	Found uint64 `json:"found"`
 }
 
-// String tells a sign in a line.
+// String describes a finding in a line.
 func (s Finding) String() string {
 	if s.Key == "" {
 		return fmt.Sprintf("%s: %d, was %d", s.Kind, s.Found, s.Held)
@@ -45,7 +45,7 @@
 	return fmt.Sprintf("%s: %s is at %d, was %d", s.Kind, s.Key, s.Found, s.Held)
 }
 
-// CompareVersions gives the sign that a record's version tells, if any: what was held of it can only
+// CompareVersions returns the finding that a record's version gives, if any: what was held of it can only
 // have become newer.
 func CompareVersions(key string, held, found uint64) (Finding, bool) {
 	switch {
--- a/internal/restart/episode.go
+++ b/internal/restart/episode.go
@@ -1,5 +1,5 @@
 // Package restart is pure: the record of what a controller found and did after it started
-// or took parts over, until all had settled.
+// or took shards over, until reconciliation was over.
 package restart
 
 import (
@@ -15,28 +15,28 @@
 // Key names a controller's record.
 func Key(label string) string { return Prefix + label }
 
-// Cause says why parts had to settle.
+// Cause says why shards had to be reconciled.
 type Cause string
 
 // Causes.
 const (
 	Started    Cause = "started"   // the process began
-	FailedOver Cause = "took over" // it claimed parts later
+	FailedOver Cause = "took over" // it acquired shards later
 )
 
-// Episode is the time from a start or a take-over until all of it had settled.
+// Episode is the time from a start or a failover until reconciliation was over.
 type Episode struct {
 	Incarnation uint64 `json:"inc"`
 	Cause       Cause  `json:"cause"`
 	BeganAt     int64  `json:"began"`             // milliseconds
-	CompletedAt int64  `json:"settled,omitempty"` // 0: it has not
+	CompletedAt int64  `json:"settled,omitempty"` // 0: it is not over
 	Shards      []int  `json:"parts"`
-	// Outcomes counts what was found, by the verdicts' names.
+	// Outcomes counts what was found, by the outcomes' names.
 	Outcomes       map[string]int `json:"verdicts,omitempty"`
 	PendingTasks   int            `json:"awaited,omitempty"` // tasks of which nothing is proven yet
-	SilentMachines int            `json:"unheard,omitempty"` // machines that have not reported yet
+	SilentMachines int            `json:"unheard,omitempty"` // machines that have not sent a heartbeat yet
 	PendingNames   []string       `json:"names,omitempty"`   // some of them
-	// CommandsPerSecond are those to workers, by second, and Bound how many were allowed to this
+	// CommandsPerSecond are those to workers, by second, and CommandLimit how many were allowed to this
 	// controller in one.
 	CommandsPerSecond []int   `json:"orders,omitempty"`
 	CommandLimit      float64 `json:"bound,omitempty"`
@@ -46,7 +46,7 @@
 	Malformed int `json:"malformed,omitempty"`
 }
 
-// Duration returns how long it took to settle, or has taken so far.
+// Duration returns how long reconciliation took, or has taken so far.
 func (e *Episode) Duration(now time.Time) time.Duration {
 	end := now
 	if e.CompletedAt != 0 {
@@ -66,7 +66,7 @@
 // maxEpisodes bounds the episodes that are kept.
 const maxEpisodes = 8
 
-// Put takes in an episode as it stands, in place of what was kept of it.
+// Put adds an episode as it stands, in place of what was kept of it.
 func (h *History) Put(e Episode) {
 	h.Episodes = slices.DeleteFunc(h.Episodes, func(o Episode) bool { return o.BeganAt == e.BeganAt })
 	h.Episodes = append(h.Episodes, e)
@@ -76,7 +76,7 @@
 }
 
 // Encode returns the record, with as many of the latest episodes as it has room for. One
-// that has no room alone goes without its orders and names.
+// that has no room alone goes without its commands and names.
 func (h *History) Encode(bytes int) json.RawMessage {
 	kept := History{Episodes: slices.Clone(h.Episodes)}
 	for {
