--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,37 +1,40 @@
-// Package agent is the client for direct commands to workers.
+// Package agent is the client of the agents on workers: it sends them direct commands, and asks for
+// heartbeats out of turn. Commands usually go out with the responses to heartbeats; direct ones are
+// for those that can't wait.
 package agent
 
 import (
 	"context"
 	"encoding/json"
 	"fmt"
+	"net/http"
 	"time"
 
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/wire"
 )
 
-// commandTimeout bounds one command.
+// commandTimeout bounds a request with direct commands.
 const commandTimeout = 3 * time.Second
 
-// heartbeatTimeout bounds the asking for a report: an answer takes milliseconds.
+// heartbeatTimeout bounds a request for a heartbeat: a response takes milliseconds.
 const heartbeatTimeout = 1500 * time.Millisecond
 
-// maxHeartbeat bounds a worker's answer: it is a report, which a controller takes no
-// larger when it comes by itself.
+// maxHeartbeat bounds a response: it is a heartbeat, which controllers accept up to the same size
+// when the worker sends it itself.
 const maxHeartbeat = httpwire.MaxBody
 
 // API is what controllers ask of workers directly.
 type API interface {
-	// Command sends orders straight to a worker and returns its report, given both
-	// when they were carried out (ok) and when they were refused.
+	// Command sends direct commands to a worker and returns its heartbeat, both when they were
+	// carried out (ok) and when they were refused.
 	Command(ctx context.Context, addr string, o wire.DirectOrders) (r wire.Heartbeat, ok bool, err error)
-	// Show asks a worker for its report.
+	// Show asks a worker for its heartbeat.
 	Show(ctx context.Context, addr string) (wire.Heartbeat, error)
 }
 
-// Client is an API over HTTP. Connections are not kept: direct commands are rare
-// and sockets few.
+// Client is an API over HTTP. It keeps no connections: direct commands are rare, and the number of
+// sockets is limited. It is safe for concurrent use.
 type Client struct{}
 
 var _ API = Client{}
@@ -43,7 +46,7 @@
 		return r, false, fmt.Errorf("encode: %w", err)
 	}
 	status, err := call(ctx, addr, commandTimeout, "POST", wire.CommandPath, body, &r)
-	return r, status == 200, err
+	return r, status == http.StatusOK, err
 }
 
 // Show implements API.
@@ -59,7 +62,7 @@
 	if err != nil {
 		return 0, fmt.Errorf("worker %s: %w", addr, err)
 	}
-	if resp.Status != 200 && resp.Status != 409 {
+	if resp.Status != http.StatusOK && resp.Status != http.StatusConflict {
 		return 0, fmt.Errorf("worker %s: status %d", addr, resp.Status)
 	}
 	if err := json.Unmarshal(resp.Body, r); err != nil {
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,4 +1,5 @@
-// Package cloud is the client of the cloud that rents machines.
+// Package cloud is the client of the cloud's API, which provisions and releases machines. A call waits
+// for this controller's share of the cloud's rate limit.
 package cloud
 
 import (
@@ -6,6 +7,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"net/http"
 	"net/url"
 	"time"
 
@@ -15,7 +17,7 @@
 	"bramblespur/internal/wire"
 )
 
-// ErrNoCapacity says that nothing of this type, zone and kind is to be had.
+// ErrNoCapacity says that the cloud has no machine of this type, zone and price model.
 var ErrNoCapacity = errors.New("cloud: no capacity")
 
 // API is what controllers need of the cloud.
@@ -24,11 +26,11 @@
 	Provision(ctx context.Context, r wire.ProvisionRequest) ([]string, error)
 	Release(ctx context.Context, ids []string) error
 	List(ctx context.Context) ([]wire.ListedMachine, error)
-	// SetRate sets this controller's part of the cloud's calls a second.
+	// SetRate sets this controller's share of the cloud's limit of calls per second.
 	SetRate(rps float64)
 }
 
-// Client is an API over HTTP.
+// Client is an API over HTTP. It is safe for concurrent use.
 type Client struct {
 	http  *httpwire.Client
 	limit *rate.Limiter
@@ -37,7 +39,7 @@
 // callTimeout bounds one call; connections can hang in silence.
 const callTimeout = 5 * time.Second
 
-// New returns a client keeping to rps calls a second.
+// New returns a client that makes at most rps calls per second.
 func New(addr string, rps float64) *Client {
 	return &Client{http: httpwire.NewClient(addr, 2), limit: rate.NewLimiter(rate.Limit(rps), burst(rps))}
 }
@@ -72,11 +74,8 @@
 	if err != nil {
 		return fmt.Errorf("cloud: %w", err)
 	}
-	if resp.Status != 200 {
-		var e struct {
-			Error string `json:"error"`
-		}
-		if json.Unmarshal(resp.Body, &e) == nil && resp.Status == 503 && e.Error == "no capacity" {
+	if resp.Status != http.StatusOK {
+		if lacksCapacity(resp) {
 			return ErrNoCapacity
 		}
 		return fmt.Errorf("cloud: %s %s: status %d", method, target, resp.Status)
@@ -89,7 +88,16 @@
 	return nil
 }
 
-// Types returns the machine types on offer, with current prices.
+// lacksCapacity reports whether a response says that there is no such machine.
+func lacksCapacity(resp httpwire.Response) bool {
+	const noCapacity = "no capacity"
+	var e struct {
+		Error string `json:"error"`
+	}
+	return json.Unmarshal(resp.Body, &e) == nil && resp.Status == http.StatusServiceUnavailable && e.Error == noCapacity
+}
+
+// Types returns the machine types with their current prices.
 func (c *Client) Types(ctx context.Context) ([]wire.MachineType, error) {
 	var t wire.MachineTypes
 	if err := c.call(ctx, "GET", "/machine_types", nil, &t); err != nil {
@@ -98,7 +106,7 @@
 	return t.Types, nil
 }
 
-// Provision rents machines; repeating a request name rents nothing twice.
+// Provision provisions machines and returns their names. It is idempotent by the name of the request.
 func (c *Client) Provision(ctx context.Context, r wire.ProvisionRequest) ([]string, error) {
 	var n wire.MachineNames
 	if err := c.call(ctx, "POST", "/rentals", r, &n); err != nil {
@@ -107,7 +115,7 @@
 	return n.Machines, nil
 }
 
-// Release gives machines back. When it succeeds they are gone.
+// Release releases machines. Once it has succeeded nothing runs on them.
 func (c *Client) Release(ctx context.Context, ids []string) error {
 	return c.call(ctx, "POST", "/rentals/return", wire.MachineNames{Machines: ids}, nil)
 }
@@ -115,7 +123,7 @@
 // MaxPage is the most machines that one call of the list returns.
 const MaxPage = 500
 
-// List returns the cloud's (lagging) list of machines.
+// List returns all machines; the cloud's list lags behind its other answers.
 func (c *Client) List(ctx context.Context) ([]wire.ListedMachine, error) {
 	var all []wire.ListedMachine
 	first := fmt.Sprintf("/rentals?page=%d", MaxPage)
--- a/internal/snapshot/directory.go
+++ b/internal/snapshot/directory.go
@@ -31,7 +31,7 @@
 	return func() { file.Close() }, nil
 }
 
-// Listing is a snapshot in a directory.
+// Listing is a snapshot in the list of a directory.
 type Listing struct {
 	Name     string    `json:"name"`
 	Manifest *Manifest `json:"manifest,omitempty"`
@@ -59,15 +59,15 @@
 	return out, nil // ReadDir sorts by name, and names begin with their time
 }
 
-// Retention tells which snapshots are kept.
+// Retention says which snapshots are kept.
 type Retention struct {
 	// Latest is how many of the newest are kept.
 	Latest int
-	// Days is of how many days the last one of each is kept, too.
+	// Days is the number of days of which the last one each is kept, too.
 	Days int
 }
 
-// Check refuses what would keep nothing.
+// Check returns an error for a Retention that would keep nothing.
 func (r Retention) Check() error {
 	if r.Latest < 1 {
 		return fmt.Errorf("keep is %d, want 1 at least", r.Latest)
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// Expired returns the names of the snapshots that a rule does not keep. Those whose manifests
-// can't be used are left alone.
+// Expired returns the names of the snapshots that are not kept. Those with invalid manifests are left
+// alone.
 func (r Retention) Expired(all []Listing, now time.Time) []string {
 	usable := slices.DeleteFunc(slices.Clone(all), func(l Listing) bool { return l.Manifest == nil })
 	keep := map[string]bool{}
@@ -104,7 +104,7 @@
 	return out
 }
 
-// Prune deletes the snapshots that a rule does not keep, and returns their names.
+// Prune deletes the snapshots that are not kept, and returns their names.
 func Prune(directory string, r Retention, now time.Time) ([]string, error) {
 	if err := r.Check(); err != nil {
 		return nil, err
--- a/internal/snapshot/files.go
+++ b/internal/snapshot/read.go
@@ -7,143 +7,14 @@
 	"errors"
 	"fmt"
 	"io"
-	"maps"
 	"os"
 	"path/filepath"
-	"slices"
 
 	"github.com/parquet-go/parquet-go"
 
 	"bramblespur/internal/wire"
 )
 
-// row is a record as a section's file has it.
-type row struct {
-	Key     string `parquet:"key"`
-	Value   []byte `parquet:"value"`
-	Version uint64 `parquet:"version"`
-	Lease   uint64 `parquet:"lease"`
-}
-
-const (
-	manifestName = "manifest.json"
-	// writingName is the directory of a snapshot whose files are being written.
-	writingName = ".writing"
-)
-
-// sectionFile is what a section is written to.
-type sectionFile interface {
-	io.Writer
-	Sync() error
-	Close() error
-}
-
-func createSection(path string) (sectionFile, error) {
-	return os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640)
-}
-
-// write writes all files and then gives the snapshot its name. Nothing is left of it if that
-// fails.
-func (t *Taker) write(m *Manifest, sections []*section) (err error) {
-	create := t.writer
-	if create == nil {
-		create = createSection
-	}
-	writing := filepath.Join(t.Directory, writingName)
-	if err := os.RemoveAll(writing); err != nil {
-		return err
-	}
-	if err := os.Mkdir(writing, 0o750); err != nil {
-		return err
-	}
-	defer func() {
-		if err != nil {
-			err = errors.Join(err, os.RemoveAll(writing))
-		}
-	}()
-	for _, sec := range sections {
-		written, err := writeSection(create, writing, sec)
-		if err != nil {
-			return fmt.Errorf("write section %s: %w", sec.prefix, err)
-		}
-		m.Sections = append(m.Sections, written)
-	}
-	if err := writeManifest(create, writing, m); err != nil {
-		return fmt.Errorf("write manifest: %w", err)
-	}
-	whole := filepath.Join(t.Directory, m.Name())
-	if _, err := os.Lstat(whole); err == nil {
-		return fmt.Errorf("%w: %s", ErrExists, m.Name())
-	}
-	if err := syncDirectory(writing); err != nil {
-		return err
-	}
-	if err := os.Rename(writing, whole); err != nil {
-		return err
-	}
-	return syncDirectory(t.Directory)
-}
-
-// countingWriter passes on what is written, and counts and sums it.
-type countingWriter struct {
-	io.Writer
-	n int64
-}
-
-// Write implements io.Writer.
-func (c *countingWriter) Write(b []byte) (int, error) {
-	n, err := c.Writer.Write(b)
-	c.n += int64(n)
-	return n, err
-}
-
-func writeSection(create func(string) (sectionFile, error), dir string, sec *section) (Section, error) {
-	out := Section{Prefix: sec.prefix, File: sectionName(sec.prefix) + ".parquet", Records: len(sec.entries)}
-	file, err := create(filepath.Join(dir, out.File))
-	if err != nil {
-		return out, err
-	}
-	sum := sha256.New()
-	to := &countingWriter{Writer: io.MultiWriter(file, sum)}
-	w := parquet.NewGenericWriter[row](to, parquet.Compression(&parquet.Zstd))
-	for _, key := range slices.Sorted(maps.Keys(sec.entries)) {
-		e := sec.entries[key]
-		if _, err := w.Write([]row{{Key: key, Value: e.Value, Version: e.Version, Lease: e.Lease}}); err != nil {
-			return out, errors.Join(err, file.Close())
-		}
-	}
-	err = w.Close()
-	if err == nil {
-		err = file.Sync()
-	}
-	out.Bytes, out.SHA256 = to.n, hex.EncodeToString(sum.Sum(nil))
-	return out, errors.Join(err, file.Close())
-}
-
-func writeManifest(create func(string) (sectionFile, error), dir string, m *Manifest) error {
-	b, err := json.MarshalIndent(m, "", "  ")
-	if err != nil {
-		return err
-	}
-	file, err := create(filepath.Join(dir, manifestName))
-	if err != nil {
-		return err
-	}
-	_, err = file.Write(append(b, '\n'))
-	if err == nil {
-		err = file.Sync()
-	}
-	return errors.Join(err, file.Close())
-}
-
-func syncDirectory(path string) error {
-	dir, err := os.Open(path)
-	if err != nil {
-		return err
-	}
-	return errors.Join(dir.Sync(), dir.Close())
-}
-
 // maxManifest is the size of the largest manifest that is read.
 const maxManifest = 1 << 20
 
@@ -185,7 +56,7 @@
 	Damaged []*DamageError
 }
 
-// Read reads a snapshot and checks all of it. Damaged sections are told in the contents, with
+// Read reads a snapshot and verifies it. Damaged sections are named in the contents, with
 // what is left of the others.
 func Read(directory, name string) (*Contents, error) {
 	m, err := ReadManifest(directory, name)
@@ -225,7 +96,7 @@
 	return decodeSection(file, sec)
 }
 
-// verifyFile compares a file with what the manifest says of it.
+// verifyFile compares the size and checksum of a file with the manifest.
 func verifyFile(file *os.File, sec Section) error {
 	info, err := file.Stat()
 	if err != nil {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,8 +1,12 @@
-// Package snapshot copies all records of the state service into files, and reads them back.
+// Package snapshot copies all records of the key-value store into files, and reads them back.
 //
 // A snapshot is a directory with one Parquet file for each section, which holds the records
 // with one prefix, and a manifest that names the files with their checksums. It appears under
-// its name only once it is whole and on disk.
+// its name only once it is complete and on disk.
+//
+// A [Taker] reads the prefixes page by page into a spool beside the snapshots, so that it can resume
+// after a crash, and then applies the changes since, up to one revision. The layouts of manifest,
+// sections and spool are a contract with other versions, which tests hold by golden files.
 package snapshot
 
 import (
@@ -14,13 +18,13 @@
 // Layout is the version of the files' layout that this package writes. It reads no later one.
 const Layout = 1
 
-// Manifest tells what a snapshot holds.
+// Manifest describes a snapshot.
 type Manifest struct {
 	Layout  int       `json:"layout"`
 	Cluster string    `json:"cluster"` // whose records these are
 	Began   time.Time `json:"began"`
 	Taken   time.Time `json:"taken"`
-	// Revision is the state service's revision as of which the records are.
+	// Revision is the store's revision as of which the records are.
 	Revision uint64 `json:"revision"`
 	// Span is set if the records are not all as of one revision.
 	Span     *Span     `json:"span,omitempty"`
@@ -28,7 +32,7 @@
 	Sections []Section `json:"sections"`
 }
 
-// Span tells that the records of a section are each as of some revision between two.
+// Span says that the records of a section are each as of some revision between two.
 type Span struct {
 	From   uint64 `json:"from"`
 	To     uint64 `json:"to"`
@@ -53,7 +57,7 @@
 	ErrNewer   = errors.New("the snapshot's layout is newer than this version")
 )
 
-// DamageError tells which part of a snapshot can't be read, and why.
+// DamageError says which section of a snapshot can't be read, and why.
 type DamageError struct {
 	Section string // a prefix, or the manifest
 	Reason  error
@@ -70,7 +74,7 @@
 // ManifestSection stands for the manifest in a DamageError.
 const ManifestSection = "manifest"
 
-// nameLayout is how a snapshot's name tells its time.
+// nameLayout is the layout of the time in a snapshot's name.
 const nameLayout = "20060102T150405Z"
 
 // Name returns the name of a snapshot's directory, by which snapshots sort by time.
--- a/internal/snapshot/spool.go
+++ b/internal/snapshot/spool.go
@@ -15,21 +15,21 @@
 	"bramblespur/internal/wire"
 )
 
-// partialName is the directory of a snapshot that is being taken. It lies beside the whole
-// ones, and whoever takes the next one goes on with it.
+// partialName is the directory of an incomplete snapshot. It lies beside the complete ones, and the
+// next Take resumes it.
 const partialName = ".partial"
 
-// maxResumeAge is how old a partial snapshot may be: the state service keeps its changes for
-// a while only, and those since then have to be read, too.
+// maxResumeAge is how old an incomplete snapshot may be to be resumed: the changes since then have
+// to be read, too, and the store keeps them for a while only.
 const maxResumeAge = time.Hour
 
-// spool is what was read so far: a file of pages for each section, one page a line.
+// spool holds what was read so far: a file for each section, with a page on each line.
 type spool struct {
 	dir   string
 	began time.Time
 }
 
-// spoolHeader tells whose partial snapshot a spool is.
+// spoolHeader says of which cluster a spool is, and since when.
 type spoolHeader struct {
 	Cluster string    `json:"cluster"`
 	Began   time.Time `json:"began"`
@@ -37,8 +37,8 @@
 
 const spoolHeaderName = "begun.json"
 
-// openSpool goes on with the partial snapshot in a directory, if it is of the same cluster and
-// not too old, and else begins a new one.
+// openSpool resumes the spool in a directory if it is of the same cluster and not too old, and begins
+// a new one otherwise.
 func openSpool(directory, cluster string, now time.Time) (*spool, error) {
 	s := &spool{dir: filepath.Join(directory, partialName)}
 	header := filepath.Join(s.dir, spoolHeaderName)
@@ -72,7 +72,7 @@
 	return strings.ReplaceAll(strings.TrimSuffix(prefix, "/"), "/", "-")
 }
 
-// restart forgets the pages of a section.
+// restart deletes the pages of a section.
 func (s *spool) restart(prefix string) error {
 	err := os.Remove(s.path(prefix))
 	if errors.Is(err, os.ErrNotExist) {
@@ -105,7 +105,7 @@
 	entries       map[string]wire.Entry
 }
 
-// addPage adds a page.
+// addPage adds the records of a page.
 func (s *section) addPage(p wire.EntryPage) {
 	if s.firstRevision == 0 {
 		s.firstRevision = p.Revision
@@ -118,8 +118,8 @@
 	s.complete = !p.More || len(p.Items) == 0
 }
 
-// apply takes in a change that came after the section was begun. One that a later page has
-// told already is passed over.
+// apply applies a change that was made after the section was begun, unless a later page has it
+// already.
 func (s *section) apply(c wire.Change) {
 	key := c.Put + c.Delete
 	if held, ok := s.entries[key]; ok && held.Version >= c.Version {
@@ -132,8 +132,8 @@
 	s.entries[key] = wire.Entry{Key: key, Value: c.Value, Version: c.Version, Lease: s.entries[key].Lease}
 }
 
-// load reads the pages of a section. What was cut off while it was written is forgotten, and
-// if the file makes no sense the section begins anew.
+// load reads the pages of a section. A line that was cut off is dropped; a malformed file is deleted
+// and the section begins anew.
 func (s *spool) load(prefix string) (*section, error) {
 	out := &section{prefix: prefix, entries: map[string]wire.Entry{}}
 	file, err := os.OpenFile(s.path(prefix), os.O_RDWR, 0)
--- a/internal/snapshot/take.go
+++ b/internal/snapshot/take.go
@@ -13,10 +13,10 @@
 	"bramblespur/internal/wire"
 )
 
-// purpose is the purpose of a snapshot's requests: they leave room for what users wait for.
+// purpose is that of a snapshot's requests: they give way to urgent ones.
 var purpose = statestore.Routine("snapshot")
 
-// Source is the state service as far as snapshots need it.
+// Source is what a Taker needs of the key-value store.
 type Source interface {
 	Get(ctx context.Context, u statestore.Purpose, key string) (wire.Entry, error)
 	ListPage(ctx context.Context, u statestore.Purpose, prefix, after string, limit int) (wire.EntryPage, error)
@@ -28,7 +28,7 @@
 type Taker struct {
 	Source    Source
 	Directory string
-	// Patience is how long the state service may leave all requests without an answer.
+	// Patience is how long the store may leave all requests without a response.
 	Patience time.Duration
 	Now      func() time.Time
 	// Sleep waits, or returns an error if the context ends first.
@@ -39,22 +39,22 @@
 	writer   func(path string) (sectionFile, error) // opens a section's file; tests replace it
 }
 
-// Bounds of taking a snapshot.
+// Limits of a Take.
 const (
 	// pageKeys is the most keys in a page.
 	pageKeys = 250
-	// retryPause is between two requests of which the first failed.
+	// retryPause is the time between a failed request and the next one.
 	retryPause = 400 * time.Millisecond
-	// maxSectionReads is how often a section is read whose changes can't be followed any more.
+	// maxSectionReads is how often a section is read if the store no longer keeps its changes.
 	maxSectionReads = 3
 )
 
-// Cluster tells one cluster from another.
+// Cluster is the record of the identity of a cluster.
 type Cluster struct {
 	ID string `json:"id"`
 }
 
-// Take takes a snapshot, or goes on with one that was cut off, and returns its manifest.
+// Take takes a snapshot, or resumes an incomplete one, and returns its manifest.
 func (t *Taker) Take(ctx context.Context) (*Manifest, error) {
 	unlock, err := lock(t.Directory)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return m, s.remove()
 }
 
-// retry makes a request until it is answered, or until nothing was for too long.
+// retry makes a request until it is answered, or until no request was for too long.
 func retry[T any](ctx context.Context, t *Taker, request func() (T, error)) (T, error) {
 	for {
 		t.requests++
@@ -103,7 +103,7 @@
 	}
 }
 
-// cluster returns the cluster's id, and gives it one if it has none yet.
+// cluster returns the cluster's id, and assigns one if it has none yet.
 func (t *Taker) cluster(ctx context.Context) (string, error) {
 	for {
 		e, err := retry(ctx, t, func() (wire.Entry, error) { return t.Source.Get(ctx, purpose, record.ClusterKey) })
@@ -126,7 +126,7 @@
 	}
 }
 
-// readAll reads all sections, as far as the spool does not have them.
+// readAll reads what the spool lacks of all sections.
 func (t *Taker) readAll(ctx context.Context, s *spool) ([]*section, error) {
 	var out []*section
 	for _, prefix := range record.Prefixes() {
@@ -160,10 +160,9 @@
 	return sec, nil
 }
 
-// align brings all sections to one revision: that of the first answer to a watch after all
-// were read. Where changes since a section was begun are no longer kept, it is read again and
-// all are aligned anew; if they never are, the manifest says which revisions its records are
-// of.
+// align brings all sections to one revision: that of the first response to a watch after all were
+// read. If the store no longer keeps the changes of a section, that is read again and all are aligned
+// anew; after maxSectionReads the manifest has a Span instead.
 func (t *Taker) align(ctx context.Context, s *spool, sections []*section, m *Manifest) error {
 	for try := 1; ; try++ {
 		stale, err := t.follow(ctx, sections, m)
@@ -190,8 +189,8 @@
 	}
 }
 
-// follow takes in the changes of all sections up to one revision, and returns those sections
-// whose changes are no longer kept.
+// follow applies the changes of all sections up to one revision, and returns the sections whose
+// changes the store no longer keeps.
 func (t *Taker) follow(ctx context.Context, sections []*section, m *Manifest) (stale []int, err error) {
 	m.Revision = 0
 	for i, sec := range sections {
