--- a/internal/statestore/client_test.go
+++ b/internal/statestore/client_test.go
@@ -10,9 +10,9 @@
 	"bramblespur/internal/wire"
 )
 
-// A transaction that gets no request in time must leave its changes to the others:
-// each that takes them for nothing keeps a start, an end or a cancellation waiting.
-func TestRefusedTransactionUsesNoChanges(t *testing.T) {
+// A transaction that gets no request token in time must leave its write tokens to the others: each one
+// taken for nothing delays a start, a completion or a cancellation.
+func TestRefusedTransactionUsesNoWriteTokens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New("127.0.0.1:1", 1, 10, 10, nil)
 		time.Sleep(time.Second)                  // fills both budgets
@@ -38,8 +38,8 @@
 	})
 }
 
-// Nor does it use a request when it gets no changes.
-func TestRefusedTransactionUsesNoRequest(t *testing.T) {
+// Nor does it use a request token when it gets no write tokens.
+func TestRefusedTransactionUsesNoRequestToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New("127.0.0.1:1", 1, 10, 10, nil)
 		time.Sleep(time.Second)
@@ -58,8 +58,8 @@
 	})
 }
 
-// What waits is let through as both budgets allow it, in turn.
-func TestBudgetsAreKeptTo(t *testing.T) {
+// Waiting requests are admitted as both buckets allow it, in turn.
+func TestLimitsAreKeptTo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New("127.0.0.1:1", 1, 10, 4, nil)
 		begun, done := time.Now(), make(chan time.Duration, 30)
--- a/internal/statestore/guard_test.go
+++ b/internal/statestore/guard_test.go
@@ -29,8 +29,8 @@
 	return wire.Changes{Revision: s.revision}, nil
 }
 
-// An answer of an older revision than one before is told, and is not passed on.
-func TestGuardNoticesFallingRevisions(t *testing.T) {
+// A response of an older revision than one before is reported, and not passed on.
+func TestGuardDetectsRegressedRevision(t *testing.T) {
 	put := wire.Txn{Then: []wire.Op{{Put: "k"}}}
 	for name, ask := range map[string]func(g *Guard) error{
 		"list":  func(g *Guard) error { _, _, err := g.List(t.Context(), Purpose{}, ""); return err },
@@ -59,8 +59,8 @@
 	}
 }
 
-// A watch is compared with where it began: it may wait while other answers come.
-func TestGuardComparesWatchWithItsBeginning(t *testing.T) {
+// A watch is compared with the revision that it began at: it may wait while others are answered.
+func TestGuardComparesWatchWithItsStart(t *testing.T) {
 	s := &scriptedStore{revision: 9}
 	g := NewGuard(s, nil, func(uint64, uint64) { t.Error("told of a loss") })
 	if _, _, err := g.List(t.Context(), Purpose{}, ""); err != nil {
@@ -72,8 +72,8 @@
 	}
 }
 
-// While it is closed only the allowed keys may be changed.
-func TestClosedGuard(t *testing.T) {
+// While it is read-only only keys with the writable prefixes may be written.
+func TestReadOnlyGuard(t *testing.T) {
 	s := &scriptedStore{revision: 9}
 	g := NewGuard(s, []string{"allowed/"}, nil)
 	g.SetReadOnly(true)
--- a/internal/statestore/loan_pool_test.go
+++ b/internal/statestore/loan_pool_test.go
@@ -10,7 +10,7 @@
 	"golang.org/x/time/rate"
 )
 
-// service counts changes as the state service does.
+// service counts writes as the store does.
 type service struct {
 	mu      sync.Mutex
 	limit   *rate.Limiter
@@ -38,9 +38,9 @@
 	}
 }
 
-// Seven controllers that all need changes at once keep within the limit together: at
-// the start, after they have saved up what they may, and without a leader. Each
-// change beyond the limit is refused, and keeps a start or a user waiting.
+// Seven controllers that all need writes at once keep within the limit together: at the start, with
+// full buckets, and without a leader. Each write beyond the limit is refused, and delays a start or a
+// user.
 func TestSumKeepsWithinTheLimit(t *testing.T) {
 	const controllers, writeRPS = 7, 25.0
 	for name, x := range map[string]struct {
@@ -92,8 +92,8 @@
 	}
 }
 
-// A new leader lends nothing at first, and who asks modestly leaves a part to others.
-func TestPool(t *testing.T) {
+// A new leader lends nothing at first, and a modest request leaves a part to others.
+func TestLoanPool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := NewLoanPool()
 		if p.Lend(1, false, time.Now()) {
--- a/internal/statestore/scheduler_test.go
+++ b/internal/statestore/scheduler_test.go
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// admitted is a request's outcome.
-type admitted struct {
+// admission says whether a request was admitted, and after which wait.
+type admission struct {
 	ok   bool
 	took time.Duration
 }
 
-// ask starts a request with so many changes and returns where its outcome will be.
-func ask(ctx context.Context, c *Client, n int, purpose Purpose) <-chan admitted {
-	out := make(chan admitted, 1)
+// request queues a request with so many writes and returns the channel of its admission.
+func request(ctx context.Context, c *Client, writes int, purpose Purpose) <-chan admission {
+	out := make(chan admission, 1)
 	begun := time.Now()
 	go func() {
-		err := c.admit(ctx, n, purpose)
-		out <- admitted{err == nil, time.Since(begun)}
+		err := c.admit(ctx, writes, purpose)
+		out <- admission{err == nil, time.Since(begun)}
 	}()
 	synctest.Wait()
 	return out
 }
 
-// spend uses up the burst of changes that a client has saved.
+// spend uses up the burst of writes of a client.
 func spend(t *testing.T, c *Client) {
 	t.Helper()
 	time.Sleep(time.Minute)
@@ -36,36 +36,34 @@
 	}
 }
 
-// Ends of jobs queue up by the dozen after an outage, whether anybody waits for them
-// or not. A user's submission, which is given up after a while, must not wait behind
-// them.
-func TestAcceptanceGoesBeforeBacklog(t *testing.T) {
+// Completions of jobs queue up by the dozen after an outage, whether anybody waits for them or not.
+// A submission, which the user gives up after a while, must not wait behind them.
+func TestSubmissionGoesBeforeBacklogOfCompletions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New("127.0.0.1:1", 1, 100, 4, nil)
 		spend(t, c)
 		for range 20 {
-			ask(t.Context(), c, 2, Routine("job end"))
-			ask(t.Context(), c, 2, Urgent("job end"))
+			request(t.Context(), c, 2, Routine("job end"))
+			request(t.Context(), c, 2, Urgent("job end"))
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 1500*time.Millisecond)
 		defer cancel()
-		if got := <-ask(ctx, c, 1, Urgent("accept")); !got.ok || got.took > time.Second {
+		if got := <-request(ctx, c, 1, Urgent("accept")); !got.ok || got.took > time.Second {
 			t.Errorf("acceptance: %+v, want it let through within a second", got)
 		}
 		time.Sleep(time.Minute)
 	})
 }
 
-// Requests are let through in the order of what they are for, whatever order they
-// came in.
-func TestClassesGoInOrder(t *testing.T) {
+// Requests are admitted in the order of their priorities, whatever order they came in.
+func TestPrioritiesGoInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New("127.0.0.1:1", 1, 100, 4, nil)
 		spend(t, c)
 		uses := []Purpose{Routine("completions"), Routine("job end"), Urgent("job end"), Urgent("cancel"), Urgent("start"), Urgent("member")}
-		var outcomes []<-chan admitted
+		var outcomes []<-chan admission
 		for _, purpose := range uses {
-			outcomes = append(outcomes, ask(t.Context(), c, 1, purpose))
+			outcomes = append(outcomes, request(t.Context(), c, 1, purpose))
 		}
 		last := time.Hour
 		for i, out := range outcomes {
@@ -78,9 +76,9 @@
 	})
 }
 
-// Where more acceptances come than the limits allow, jobs must go on ending: the
-// longest wait of each class is bounded.
-func TestEndsGoOnWhileAcceptancesCome(t *testing.T) {
+// Where more submissions come than the limits allow, completions must go on being recorded: the
+// longest wait of each priority is bounded.
+func TestSubmissionsDoNotStarveCompletions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New("127.0.0.1:1", 1, 100, 4, nil)
 		spend(t, c)
@@ -99,9 +97,9 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 		}()
-		var ends []<-chan admitted
+		var ends []<-chan admission
 		for range 4 {
-			ends = append(ends, ask(t.Context(), c, 2, Routine("job end")))
+			ends = append(ends, request(t.Context(), c, 2, Routine("job end")))
 		}
 		for i, end := range ends {
 			// Of each five changes two are an end's, which are 1.25 s at 4 a second.
@@ -117,16 +115,15 @@
 	})
 }
 
-// A write whose caller sets no deadline has that of its class: what would wait longer
-// than it was expected to, as more and more goes before it, is refused then, and made
-// anew by its owner.
-func TestWriterWithoutDeadlineIsRefusedInTime(t *testing.T) {
+// A write whose caller sets no deadline has that of its priority: one that waits longer than
+// estimated, as more and more goes before it, is refused then, and made anew by its owner.
+func TestWriteWithoutDeadlineIsRefusedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New("127.0.0.1:1", 1, 100, 4, nil)
 		spend(t, c)
-		var ends []<-chan admitted
+		var ends []<-chan admission
 		for range 40 {
-			ends = append(ends, ask(t.Context(), c, 2, Routine("job end")))
+			ends = append(ends, request(t.Context(), c, 2, Routine("job end")))
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		var others sync.WaitGroup
@@ -155,34 +152,34 @@
 	})
 }
 
-// A request that can't be let through before its caller gives up is refused at once:
-// the user is told to come again instead of waiting in vain.
-func TestRefusedAtOnceWhatCannotBeInTime(t *testing.T) {
+// A request that can't be admitted before its deadline is refused at once: the user is told to retry
+// instead of waiting in vain.
+func TestRequestThatWouldBeLateIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New("127.0.0.1:1", 1, 100, 4, nil)
 		spend(t, c)
 		for range 8 {
-			ask(t.Context(), c, 1, Urgent("accept"))
+			request(t.Context(), c, 1, Urgent("accept"))
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 1500*time.Millisecond)
 		defer cancel()
-		if got := <-ask(ctx, c, 1, Urgent("accept")); got.ok || got.took > 0 {
+		if got := <-request(ctx, c, 1, Urgent("accept")); got.ok || got.took > 0 {
 			t.Errorf("%+v, want it refused at once", got)
 		}
 		time.Sleep(time.Minute)
 	})
 }
 
-// A writer without a deadline of its own has one here, and no queue grows for ever.
+// Requests without deadlines of their own get one, and no queue grows without bound.
 func TestQueueIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New("127.0.0.1:1", 1, 100, 4, nil)
 		spend(t, c)
 		refused := 0
 		var longest time.Duration
-		var outcomes []<-chan admitted
+		var outcomes []<-chan admission
 		for range 200 {
-			outcomes = append(outcomes, ask(t.Context(), c, 2, Routine("job end")))
+			outcomes = append(outcomes, request(t.Context(), c, 2, Routine("job end")))
 		}
 		if waiting := c.backlog(); waiting > maxWaits[priorityCompletion] {
 			t.Errorf("%v of changes wait, more than the longest wait", waiting)
@@ -203,23 +200,23 @@
 	})
 }
 
-// Questions must not wait for changes, nor behind those who do.
-func TestReadsDoNotWaitForChanges(t *testing.T) {
+// Reads must not wait for write tokens, nor behind requests that do.
+func TestReadsDoNotWaitForWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New("127.0.0.1:1", 1, 100, 4, nil)
 		spend(t, c)
 		for range 10 {
-			ask(t.Context(), c, 1, Urgent("accept"))
+			request(t.Context(), c, 1, Urgent("accept"))
 		}
-		if got := <-ask(t.Context(), c, 0, Routine("poll")); !got.ok || got.took > 0 {
+		if got := <-request(t.Context(), c, 0, Routine("poll")); !got.ok || got.took > 0 {
 			t.Errorf("poll: %+v, want it let through at once", got)
 		}
 		time.Sleep(time.Minute)
 	})
 }
 
-// Routine work leaves a part of the burst to what may come, for a while.
-func TestRoutineLeavesAPartFree(t *testing.T) {
+// Routine requests leave a part of the burst to urgent ones for a while.
+func TestRoutineRequestsLeaveAReserve(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New("127.0.0.1:1", 1, 100, 10, nil)
 		time.Sleep(time.Minute)
@@ -227,7 +224,7 @@
 		if err := c.admit(t.Context(), c.writeTokens.Burst()-1, Urgent("start")); err != nil {
 			t.Fatal(err)
 		}
-		if got := <-ask(t.Context(), c, 1, Routine("completions")); !got.ok || got.took != reserveTimeout {
+		if got := <-request(t.Context(), c, 1, Routine("completions")); !got.ok || got.took != reserveTimeout {
 			t.Errorf("completions: %+v, want %v", got, reserveTimeout)
 		}
 	})
@@ -259,14 +256,14 @@
 	})
 }
 
-// A caller that gives up leaves its place, and its changes, to the others.
+// A caller that gives up leaves its place, and its tokens, to the others.
 func TestAbandonedRequestLeavesItsPlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New("127.0.0.1:1", 1, 100, 4, nil)
 		spend(t, c)
 		ctx, cancel := context.WithCancel(t.Context())
-		first := ask(ctx, c, 8, Urgent("accept"))
-		second := ask(t.Context(), c, 1, Urgent("start"))
+		first := request(ctx, c, 8, Urgent("accept"))
+		second := request(t.Context(), c, 1, Urgent("start"))
 		cancel()
 		if got := <-first; got.ok {
 			t.Errorf("given up: %+v", got)
@@ -277,9 +274,9 @@
 	})
 }
 
-// Several changes at once are lent: a client that waited for its own part would be
-// seconds late with a pipeline.
-func TestLentChangesAreUsedAtOnce(t *testing.T) {
+// Several writes at once are lent: a client that waited for its own share would be seconds late with
+// a pipeline.
+func TestLentWritesAreUsedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		asked := 0
 		c := New("127.0.0.1:1", 7, 200, 25, func(changes int, _ bool) bool {
@@ -288,10 +285,10 @@
 			return true
 		})
 		time.Sleep(time.Minute)
-		if got := <-ask(t.Context(), c, 8, Urgent("accept")); !got.ok || got.took > 20*time.Millisecond {
+		if got := <-request(t.Context(), c, 8, Urgent("accept")); !got.ok || got.took > 20*time.Millisecond {
 			t.Errorf("%+v, want it let through once they are lent", got)
 		}
-		if got := <-ask(t.Context(), c, 1, Urgent("start")); !got.ok || got.took > 0 {
+		if got := <-request(t.Context(), c, 1, Urgent("start")); !got.ok || got.took > 0 {
 			t.Errorf("%+v: its own changes were used", got)
 		}
 		if asked != 8 {
@@ -300,9 +297,9 @@
 	})
 }
 
-// Where nothing is lent, as without a leader or with one of the first version, a
-// client keeps to its own part, asks seldom, and refuses at once what would be late.
-func TestNothingLent(t *testing.T) {
+// Where nothing is lent, as without a leader or with one of the first version, a client keeps to its
+// own share, asks seldom, and refuses at once what would be late.
+func TestNoLoans(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		asked := 0
 		c := New("127.0.0.1:1", 7, 200, 28, func(int, bool) bool {
@@ -312,12 +309,12 @@
 		time.Sleep(time.Minute)
 		ctx, cancel := context.WithTimeout(t.Context(), 1500*time.Millisecond)
 		defer cancel()
-		if got := <-ask(ctx, c, 10, Urgent("accept")); got.ok || got.took > 0 {
+		if got := <-request(ctx, c, 10, Urgent("accept")); got.ok || got.took > 0 {
 			t.Errorf("%+v, want it refused at once", got)
 		}
 		begun := time.Now()
 		for range 20 { // one is there already
-			if got := <-ask(t.Context(), c, 1, Urgent("start")); !got.ok {
+			if got := <-request(t.Context(), c, 1, Urgent("start")); !got.ok {
 				t.Error(got)
 			}
 		}
@@ -330,9 +327,9 @@
 	})
 }
 
-// All clients together keep within the service's burst, also when each is new, and
-// when each has saved up what it may.
-func TestBurstsSumUp(t *testing.T) {
+// All clients together keep within the store's burst, when all are new and when all buckets are
+// full.
+func TestSumOfLocalBursts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, x := range []struct {
 			n     int
