--- a/internal/controller/account_test.go
+++ b/internal/controller/account_test.go
@@ -330,6 +330,6 @@
 func fleetPut(state *testkit.State, c *Controller) func(key string, v any) {
 	return func(key string, v any) {
 		e := state.Put(key, v)
-		c.applyMachineChange(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
+		c.applyMachineChange(e.Change(), time.Now())
 	}
 }
--- a/internal/controller/active_job_records.go
+++ b/internal/controller/active_job_records.go
@@ -14,7 +14,7 @@
 	listed := map[string]bool{}
 	for _, e := range entries {
 		listed[record.LastElement(e.Key)] = true
-		c.applyActiveJobChange(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, at)
+		c.applyActiveJobChange(e.Change(), at)
 	}
 	missing := map[string]uint64{}
 	c.mu.Lock()
--- a/internal/controller/claim.go
+++ b/internal/controller/claim.go
@@ -178,7 +178,7 @@
 	}
 	fl := record.NewFleet()
 	for _, e := range entries {
-		if _, err := fl.Apply(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}); err != nil {
+		if _, err := fl.Apply(e.Change()); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/controller/cluster_records.go
+++ b/internal/controller/cluster_records.go
@@ -20,7 +20,7 @@
 	c.cluster.Clear()
 	c.mu.Unlock()
 	for _, e := range entries {
-		c.applyClusterChange(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, at)
+		c.applyClusterChange(e.Change(), at)
 	}
 	c.setViewAsOf(record.ClusterPrefix, at)
 }
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -257,7 +257,7 @@
 	}
 	word := func(label string) {
 		e := state.Put(record.FormatKey(label), record.Format{Version: record.SizedRanges})
-		c.applyClusterChange(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
+		c.applyClusterChange(e.Change(), time.Now())
 	}
 	c.cluster.SetAsOf(time.Now())
 	c.member.RecordOwnFormat(context.Background()) // gives its own word, once
--- a/internal/controller/leader/harness_test.go
+++ b/internal/controller/leader/harness_test.go
@@ -63,7 +63,7 @@
 		e := state.Put(key, v)
 		h.Lock()
 		defer h.Unlock()
-		h.change(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version})
+		h.change(e.Change())
 	}
 }
 
@@ -113,7 +113,7 @@
 func (h *fakeHost) ReadFleet(context.Context, statestore.Purpose) (*record.Fleet, error) {
 	machines := record.NewFleet()
 	for _, e := range h.machines.Entries() {
-		if _, err := machines.Apply(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}); err != nil {
+		if _, err := machines.Apply(e.Change()); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -23,7 +23,7 @@
 	var changes []wire.Change
 	for _, e := range entries {
 		listed[e.Key] = true
-		changes = append(changes, wire.Change{Put: e.Key, Value: e.Value, Version: e.Version})
+		changes = append(changes, e.Change())
 	}
 	c.mu.Lock()
 	missing := c.machines.Missing(listed, rev)
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -73,7 +73,7 @@
 		t.Fatal("part not loaded")
 	}
 	e := state.Put(record.ShardKey(0), record.Shard{Owner: "c-1"})
-	c.applyClusterChange(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
+	c.applyClusterChange(e.Change(), time.Now())
 	if c.shards[0] != nil {
 		t.Fatal("still owner after another's claim")
 	}
@@ -98,7 +98,7 @@
 		t.Fatal(err)
 	}
 	e := state.Put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"m"}})
-	c.applyMachineChange(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
+	c.applyMachineChange(e.Change(), time.Now())
 	w := testkit.NewWorker("m", "big", "z", false)
 	r := w.Report()
 	r.Addr = "" // nothing is sent straight to it
--- a/internal/controller/users_test.go
+++ b/internal/controller/users_test.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other.applyActiveJobChange(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
+	other.applyActiveJobChange(e.Change(), time.Now())
 	state.HoldTxns = 2 // none may be asked for
 	for name, at := range map[string]*Controller{"where it was accepted": c, "elsewhere": other} {
 		if got := at.submit(body(t, nil)); got.Status != 200 || got.Body.(wire.Brief).State != wire.Pending {
@@ -161,7 +161,7 @@
 	}
 	o.Cancelled = true
 	e = state.Put(e.Key, o) // asked for by a user; the tasks still run
-	c.applyActiveJobChange(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
+	c.applyActiveJobChange(e.Change(), time.Now())
 	for name, x := range map[string]*Controller{"owner": c, "other": other} {
 		if got := x.statusQuery("run-000412"); got.Status != 200 || got.Body.(wire.Status).State != wire.Pending {
 			t.Errorf("%s: poll answers %+v", name, got)
--- a/internal/controller/view_watches_test.go
+++ b/internal/controller/view_watches_test.go
@@ -57,9 +57,9 @@
 	}
 	// Recorded here after the list was read.
 	e := provision("s", "n")
-	c.applyMachineChange(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, now)
+	c.applyMachineChange(e.Change(), now)
 	for _, e := range entries { // one by one, as a watch could tell them
-		c.applyMachineChange(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, now)
+		c.applyMachineChange(e.Change(), now)
 		if shard := c.shards[0]; !shard.HasMachine("m") || !shard.HasMachine("n") {
 			t.Fatalf("a machine is gone after %s", e.Key)
 		}
--- a/internal/controller/withheld_test.go
+++ b/internal/controller/withheld_test.go
@@ -51,7 +51,7 @@
 	t.Helper()
 	c = ownerForTest(t, state, store)
 	e := state.Put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"m"}})
-	c.applyMachineChange(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}, time.Now())
+	c.applyMachineChange(e.Change(), time.Now())
 	w := testkit.NewWorker("m", "big", "z", false)
 	starts = func() int {
 		r := w.Report()
--- a/internal/drain/view.go
+++ b/internal/drain/view.go
@@ -137,7 +137,7 @@
 	there := map[string]bool{}
 	for _, e := range entries {
 		there[e.Key] = true
-		errs = append(errs, v.Apply(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}))
+		errs = append(errs, v.Apply(e.Change()))
 	}
 	for key, version := range v.versions {
 		if !there[key] && version <= revision {
--- a/internal/drainctl/drainctl.go
+++ b/internal/drainctl/drainctl.go
@@ -11,7 +11,6 @@
 	"bramblespur/internal/drain"
 	"bramblespur/internal/record"
 	"bramblespur/internal/statestore"
-	"bramblespur/internal/wire"
 )
 
 // ErrUnknown says that something an operator named is not there.
@@ -45,7 +44,7 @@
 	}
 	fleet := record.NewFleet()
 	for _, e := range entries {
-		if _, err := fleet.Apply(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}); err != nil {
+		if _, err := fleet.Apply(e.Change()); err != nil {
 			return nil, fmt.Errorf("read the machines: %w", err)
 		}
 	}
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -90,7 +90,7 @@
 
 func (r *harness) fleetChange(e wire.Entry) []string {
 	r.t.Helper()
-	ids, err := r.fleet.Apply(wire.Change{Put: e.Key, Value: e.Value, Version: e.Version})
+	ids, err := r.fleet.Apply(e.Change())
 	if err != nil {
 		r.t.Fatal(err)
 	}
--- a/internal/wire/store.go
+++ b/internal/wire/store.go
@@ -12,6 +12,11 @@
 	Lease   uint64          `json:"tether,omitempty"`
 }
 
+// Change returns the change that wrote the entry.
+func (e Entry) Change() Change {
+	return Change{Put: e.Key, Value: e.Value, Version: e.Version}
+}
+
 // EntryPage is one page of entries.
 type EntryPage struct {
 	Items    []Entry `json:"entries"`
