--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -10,9 +10,9 @@
 	"bramblespur/internal/httpwire"
 )
 
-// A worker's answer that is larger than any report is given up at its head: many are
+// A response that is larger than any heartbeat is dropped after its head: many workers are
 // asked at a time, and memory is small.
-func TestOversizedAnswerIsGivenUp(t *testing.T) {
+func TestOversizedResponseIsDropped(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/record/fleet_test.go
+++ b/internal/record/fleet_test.go
@@ -11,7 +11,7 @@
 	return wire.Change{Put: key, Value: Encode(v), Version: version}
 }
 
-// A machine's life in the records: rented, moved, given back, cleared away.
+// A machine's life in the records: provisioned, transferred, released, cleaned up.
 func TestFleet(t *testing.T) {
 	f := NewFleet()
 	change := func(e wire.Change, want ...string) {
@@ -59,10 +59,10 @@
 	}
 	change(put(back, Release{IDs: []string{"a", "b"}, Done: true}, 9), "a", "b")
 	if _, ok := f.CleanupTxn(16); ok {
-		t.Fatal("cleared while one of the rental's machines is in use")
+		t.Fatal("cleaned up while one of the machines is in use")
 	}
 	change(put(ReleaseKey(1, 7, 2), Release{IDs: []string{"c"}, Done: true}, 10), "c")
-	// A machine's own record goes before its rental, the batches last.
+	// A machine's override goes before its Provision, the Releases last.
 	for range 4 {
 		txn, ok := f.CleanupTxn(2)
 		if !ok {
@@ -73,10 +73,10 @@
 		}
 		for _, op := range txn.Then {
 			if _, ok := f.overrides["a"]; ok && op.Delete == ProvisionKey("r") {
-				t.Fatal("the rental goes before a machine's own record")
+				t.Fatal("the Provision goes before an override")
 			}
 			if _, ok := f.provisions["r"]; ok && strings.HasPrefix(op.Delete, ReleasePrefix) {
-				t.Fatal("a batch goes before the rental of its machines")
+				t.Fatal("a Release goes before the Provision of its machines")
 			}
 			change(wire.Change{Delete: op.Delete, Version: 11})
 		}
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestFleetRefusesNonsense(t *testing.T) {
+func TestFleetRefusesMalformedRecords(t *testing.T) {
 	f := NewFleet()
 	for _, e := range []wire.Change{
 		{Put: ProvisionKey("r"), Value: []byte(`"x"`), Version: 1},
@@ -96,7 +96,7 @@
 		{Put: ReleasePrefix + "x", Value: []byte(`3`), Version: 1},
 	} {
 		if _, err := f.Apply(e); err == nil {
-			t.Errorf("took in %s", e.Put)
+			t.Errorf("%s was applied", e.Put)
 		}
 	}
 	if f.Len() != 0 {
--- a/internal/record/placement_test.go
+++ b/internal/record/placement_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A place is a pair of a name and a whole number, and nothing else.
-func TestPlaceIsAPair(t *testing.T) {
+// A placement is a pair of a name and a whole number, and nothing else.
+func TestTaskPlacementIsAPair(t *testing.T) {
 	want := TaskPlacement{Machine: "i-000001", Attempt: 1<<63 + 1} // more than a float holds
 	var got TaskPlacement
 	if err := json.Unmarshal(Encode(want), &got); err != nil || got != want {
@@ -14,7 +14,7 @@
 	}
 	for _, text := range []string{`[]`, `["a"]`, `["a",1,2]`, `[1,"a"]`, `["a",-1]`, `["a",1.5]`, `{}`, `"a"`, `7`} {
 		if err := json.Unmarshal([]byte(text), new(TaskPlacement)); err == nil {
-			t.Errorf("%s was taken for a place", text)
+			t.Errorf("%s was taken for a placement", text)
 		}
 	}
 }
