--- a/internal/controller/account_test.go
+++ b/internal/controller/account_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"bramblespur/internal/controller/linearizable"
 	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/fleet"
 	"bramblespur/internal/httpwire"
@@ -310,17 +311,17 @@
 	version := activeJob(c, ref(7)).Version
 	c.mu.Unlock()
 	srv := transport.New(transport.Config{Log: c.log})
+	reads := linearizable.NewBatcher(userCluster{c})
 	b.ReportAllocs()
 	for b.Loop() {
-		var all []*Check
+		var all []*linearizable.Check
 		for range together {
-			all = append(all, NewCheck(wire.Condition{Key: record.ActiveJobKey(ref(7)), Version: version}))
+			all = append(all, linearizable.NewCheck(wire.Condition{Key: record.ActiveJobKey(ref(7)), Version: version}))
 		}
-		c.linearizableReads.waiting = all
-		c.flushLinearizableReads()
+		reads.Resolve(all)
 		for _, q := range all {
-			<-q.Confirmed
-			own, _ := c.ownerStatus(ref(7))
+			<-q.Current
+			own, _ := userCluster{c}.OwnerStatus(ref(7))
 			srv.Encode(transport.Response{Status: 200, Body: own}, false)
 		}
 	}
--- a/internal/controller/cluster_records.go
+++ b/internal/controller/cluster_records.go
@@ -1,11 +1,11 @@
 package controller
 
 import (
-	"bramblespur/internal/controller/dataloss"
 	"encoding/json"
 	"strings"
 	"time"
 
+	"bramblespur/internal/controller/dataloss"
 	"bramblespur/internal/drain"
 	"bramblespur/internal/record"
 	"bramblespur/internal/recovery"
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -5,7 +5,6 @@
 package controller
 
 import (
-	"bramblespur/internal/controller/dataloss"
 	"context"
 	"fmt"
 	"log/slog"
@@ -19,6 +18,7 @@
 	"bramblespur/internal/config"
 	"bramblespur/internal/controller/admission"
 	"bramblespur/internal/controller/clusterview"
+	"bramblespur/internal/controller/dataloss"
 	"bramblespur/internal/controller/drainer"
 	"bramblespur/internal/controller/election"
 	"bramblespur/internal/controller/leader"
@@ -29,6 +29,7 @@
 	"bramblespur/internal/controller/rejectlog"
 	"bramblespur/internal/controller/terminal"
 	"bramblespur/internal/controller/transport"
+	"bramblespur/internal/controller/userapi"
 	"bramblespur/internal/controller/workerapi"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/operations"
@@ -49,31 +50,31 @@
 
 // Controller is one process of the service.
 type Controller struct {
-	cfg    *config.Settings
-	policy *policy.Policy
-	log    *slog.Logger
-	life   context.Context // ends with the controller
-	store  statestore.Store
-	cloud  cloud.API
-	agents agent.API
-	peers  map[string]peer.Caller
-	teams  []string // names in order
+	cfg     *config.Settings
+	policy  *policy.Policy
+	log     *slog.Logger
+	life    context.Context // ends with the controller
+	store   statestore.Store
+	cloud   cloud.API
+	agents  agent.API
+	peers   map[string]peer.Caller
+	teams   []string // names in order
+	userAPI *userapi.API
 
 	// Each of these has a lock of its own, which may be taken under mu, never the other
 	// way round.
-	lease             membership.Lease
-	member            *membership.Member
-	election          *election.Election
-	terminalStates    *terminal.Cache
-	linearizableReads *Batcher
-	peerHealth        *membership.PeerHealth
-	overload          *overload.Detector
-	admission         *admission.Limiter // of users' requests
-	messages          *messagecheck.Checker
-	rejections        *rejectlog.Log
-	cluster           *clusterview.Cluster
-	machines          *clusterview.Machines
-	activeJobs        *clusterview.ActiveJobs
+	lease          membership.Lease
+	member         *membership.Member
+	election       *election.Election
+	terminalStates *terminal.Cache
+	peerHealth     *membership.PeerHealth
+	overload       *overload.Detector
+	admission      *admission.Limiter // of users' requests
+	messages       *messagecheck.Checker
+	rejections     *rejectlog.Log
+	cluster        *clusterview.Cluster
+	machines       *clusterview.Machines
+	activeJobs     *clusterview.ActiveJobs
 
 	duties *leader.Leader // its state is guarded by mu
 
@@ -171,7 +172,7 @@
 	c.commands = make(chan struct{}, max(1, c.cfg.Params.Resources.MaxSockets/commandSockets))
 	c.startedAt = time.Now()
 	c.terminalStates = terminal.NewCache()
-	c.linearizableReads = &Batcher{flush: c.flushLinearizableReads}
+	c.userAPI = userapi.New(userCluster{c}, c.cfg, c.teams, c.terminalStates, c.log)
 	c.renewals = renewals{}
 	c.peerHealth = membership.NewPeerHealth()
 	c.router = workerapi.NewRouter(c.cfg, c.cluster, c.peerHealth, &c.lease, workerHost{c}, c.log)
@@ -244,10 +245,10 @@
 		return transport.Response{Status: 405}, true
 	}
 	if !c.admission.Admit(req) {
-		return retryReply(), true
+		return userapi.RetryLater(), true
 	}
 	go func() {
-		r := c.serveUserRequest(req)
+		r := c.userAPI.Serve(req)
 		c.admission.Release(req)
 		answer(r)
 	}()
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -155,8 +155,8 @@
 	if got := shard.Dependencies(); len(got) != 2 {
 		t.Fatalf("waits for %v, want both", got)
 	}
-	if got, err := c.jobState(context.Background(), statestore.Urgent("test"), "run-000003"); err != nil || got != wire.Pending {
-		t.Fatalf("state %q, %v", got, err)
+	if got := c.submit(dependent(t, "run-000003", []string{"run-000001", "run-000002"})); got.Status != 200 || got.Body.(wire.Brief).State != wire.Pending {
+		t.Fatalf("repeated submission: %+v, want pending", got)
 	}
 	// One end is told by its owner, the other only by the state service.
 	endedAs(t, state, "run-000001", wire.Done)
@@ -316,11 +316,17 @@
 	}
 	// One accepted under the wider limits can still be cancelled.
 	o := record.ActiveJob{Spec: wire.Spec{Ref: "run-000778", Team: "a", Tasks: 2, Image: strings.Repeat("i", 3000), Types: []string{"big"}}}
+	state.Put(record.ActiveJobKey(o.Spec.Ref), o)
+	c.cancel(o.Spec.Ref)
+	e, err := state.Get(context.Background(), statestore.Urgent("test"), record.ActiveJobKey(o.Spec.Ref))
+	if err != nil {
+		t.Fatal(err)
+	}
 	var short record.ActiveJob
-	if err := json.Unmarshal(c.cancelledRecord(o), &short); err != nil || !short.Cancelled || short.Spec.Team != "a" || short.Spec.Tasks != 2 {
+	if err := json.Unmarshal(e.Value, &short); err != nil || !short.Cancelled || short.Spec.Team != "a" || short.Spec.Tasks != 2 {
 		t.Errorf("cancelled: %+v, %v", short, err)
 	}
-	if n := len(c.cancelledRecord(o)); n > most {
+	if n := len(e.Value); n > most {
 		t.Errorf("its record takes %d bytes", n)
 	}
 }
--- a/internal/controller/dependency_tracking.go
+++ b/internal/controller/dependency_tracking.go
@@ -2,11 +2,10 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"time"
 
-	"bramblespur/internal/controller/transport"
+	"bramblespur/internal/controller/userapi"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/record"
 	"bramblespur/internal/retry"
@@ -28,57 +27,6 @@
 	cancelDependentsAfter = 4 * time.Second
 )
 
-// checkDependencies refuses a submission that names what was never accepted, or a
-// service. What this controller does not know is asked of the state service.
-func (c *Controller) checkDependencies(ctx context.Context, spec *wire.Spec) transport.Response {
-	use := statestore.Urgent("dependencies")
-	for _, root := range spec.DependsOn {
-		c.mu.Lock()
-		j, open := c.activeJobs.Job(root)
-		_, over := c.terminalStates.Get(root)
-		c.mu.Unlock()
-		switch {
-		case over || (open && !j.Service):
-			continue
-		case open:
-			return c.refuseUnlessAccepted(ctx, spec.Ref, 422)
-		}
-		// The open record first: a job that has none any more is in the other.
-		e, err := c.store.Get(ctx, use, record.ActiveJobKey(root))
-		var o record.ActiveJob
-		switch {
-		case err == nil && json.Unmarshal(e.Value, &o) == nil:
-			if o.Spec.Kind == wire.Service {
-				return c.refuseUnlessAccepted(ctx, spec.Ref, 422)
-			}
-			continue
-		case !errors.Is(err, statestore.ErrNotFound):
-			return retryReply()
-		}
-		switch _, err := c.readTerminal(ctx, use, root); {
-		case errors.Is(err, statestore.ErrNotFound):
-			return c.refuseUnlessAccepted(ctx, spec.Ref, 422)
-		case err != nil:
-			return retryReply()
-		}
-	}
-	return transport.Response{}
-}
-
-// readTerminal reads a job's final record.
-func (c *Controller) readTerminal(ctx context.Context, purpose statestore.Purpose, ref string) (record.FinishedJob, error) {
-	var j record.FinishedJob
-	e, err := c.store.Get(ctx, purpose, record.FinishedJobKey(ref))
-	if err != nil {
-		return j, err
-	}
-	if err := json.Unmarshal(e.Value, &j); err != nil {
-		return j, err
-	}
-	c.terminalStates.Put(ref, j)
-	return j, nil
-}
-
 // dependencyEnded takes in a job's final record and tells the parts. The lock is held.
 func (c *Controller) dependencyEnded(ref string, j record.FinishedJob, now time.Time) {
 	c.terminalStates.Put(ref, j)
@@ -105,7 +53,7 @@
 	for owner := range owners {
 		go func() {
 			a := peer.NotifyArgs{Key: op.Put, Value: op.Value}
-			if err := owner.Call("Nudge", a, new(struct{}), statusTimeout); err != nil {
+			if err := owner.Call("Nudge", a, new(struct{}), peerNoticeTimeout); err != nil {
 				c.log.Debug("nudge", "key", a.Key, "err", err) // its view tells it as well
 			}
 		}()
@@ -178,12 +126,12 @@
 // lookUpDependency reads a root's final record and, where it was cancelled, ends jobs of
 // others that need it.
 func (c *Controller) lookUpDependency(ctx context.Context, root string, others []string) {
-	ctx, cancel := context.WithTimeout(ctx, userTimeout)
+	ctx, cancel := context.WithTimeout(ctx, userapi.RequestTimeout)
 	defer cancel()
 	j, ok := c.terminalStates.Get(root)
 	if !ok {
 		var err error
-		if j, err = c.readTerminal(ctx, statestore.Urgent("dependencies"), root); err != nil {
+		if j, err = c.terminalStates.Read(ctx, c.store, statestore.Urgent("dependencies"), root); err != nil {
 			c.mu.Lock()
 			c.dependencyReads[root] = time.Now().Add(readDependencyAgain)
 			c.mu.Unlock()
--- a/internal/controller/lean_test.go
+++ b/internal/controller/lean_test.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"fmt"
 	"runtime"
-	"strconv"
 	"sync/atomic"
 	"testing"
 	"testing/synctest"
@@ -50,41 +49,6 @@
 	return s.State.Txn(ctx, purpose, t)
 }
 
-// Polls that wait together cost one request, and a time without polls none.
-func TestPollsShareOneComparison(t *testing.T) {
-	const polls = 20
-	inner := testkit.NewState()
-	c := newTest(t, inner)
-	for i := range polls {
-		if got := c.submit(body(t, set("ref", "run-00000"+strconv.Itoa(i)))); got.Status != 201 {
-			t.Fatalf("submission %d: %+v", i, got)
-		}
-	}
-	entries, rev, err := inner.List(context.Background(), statestore.Urgent("test"), "open/")
-	if err != nil {
-		t.Fatal(err)
-	}
-	c.resetActiveJobs(entries, rev, c.startedAt)
-	state := &countingState{State: inner}
-	c.store = state
-	all := make([]*Check, polls) // as those that come within confirmGather
-	for i := range all {
-		ref := "run-00000" + strconv.Itoa(i)
-		all[i] = NewCheck(wire.Condition{Key: record.ActiveJobKey(ref), Version: activeJob(c, ref).Version})
-	}
-	c.linearizableReads.waiting = all
-	c.flushLinearizableReads()
-	for _, q := range all {
-		if !<-q.Confirmed {
-			t.Errorf("%s was not confirmed", q.Cond.Key)
-		}
-	}
-	c.flushLinearizableReads() // nobody waits any more
-	if n := state.txns.Load(); n != 1 {
-		t.Errorf("%d polls took %d requests, want 1", polls, n)
-	}
-}
-
 // takeOverLists is how many lists a take-over reads: machines, open jobs twice, slots.
 const takeOverLists = 4
 
--- a/internal/controller/meetings_jobs_test.go
+++ b/internal/controller/meetings_jobs_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"bramblespur/internal/controller/userapi"
 	"bramblespur/internal/record"
 	"bramblespur/internal/testkit"
 	"bramblespur/internal/wire"
@@ -138,7 +139,7 @@
 		}
 		asked := time.Now()
 		status, _ := k.world.Ask(testkit.Cancellation, k.labels[0], ref(arrayJob), nil)
-		if took := time.Since(asked); status != 503 || took > endWait+100*time.Millisecond {
+		if took := time.Since(asked); status != 503 || took > userapi.TerminalWait+100*time.Millisecond {
 			k.t.Errorf("with hanging machines: %d after %v", status, took)
 		}
 		for _, m := range on {
--- a/internal/controller/messages_test.go
+++ b/internal/controller/messages_test.go
@@ -118,8 +118,7 @@
 		setLeaseRenewed(c, time.Now()) // else all is refused after some seconds
 		c.mu.Unlock()
 		for _, path := range []string{wire.JobsPath, wire.PipelinesPath} {
-			work, _ := c.route(httpwire.Request{Method: "POST", Path: path, Body: body})
-			if r := work(); !slices.Contains(known, r.Status) {
+			if r := c.serveLocally("POST", path, body); !slices.Contains(known, r.Status) {
 				t.Errorf("%s answered with %d", path, r.Status)
 			}
 		}
--- a/internal/controller/nudges.go
+++ b/internal/controller/nudges.go
@@ -25,7 +25,7 @@
 				continue
 			}
 			a := peer.NotifyArgs{Key: op.Put, Value: op.Value, Version: rev}
-			if err := owner.Call("Nudge", a, new(struct{}), statusTimeout); err != nil {
+			if err := owner.Call("Nudge", a, new(struct{}), peerNoticeTimeout); err != nil {
 				c.log.Debug("nudge", "key", a.Key, "err", err) // the watch tells it as well
 			}
 		}
--- a/internal/controller/parts.go
+++ b/internal/controller/parts.go
@@ -269,7 +269,7 @@
 		c.mu.Lock()
 		held := slices.DeleteFunc(slices.Clone(rec.Jobs), func(ref string) bool { return !shard.HasJob(ref) })
 		c.mu.Unlock()
-		ends, err = c.missingPipelineEnds(ctx, statestore.Urgent("read back"), &rec, held)
+		ends, err = c.terminalStates.MissingPipelineEnds(ctx, c.store, statestore.Urgent("read back"), &rec, held)
 		return err
 	})
 	if !ok {
@@ -282,31 +282,6 @@
 	})
 }
 
-// missingPipelineEnds reads the final records of a pipeline's jobs whose ends its own record
-// does not tell: it may have been too large to be written again.
-// Those named are known to be open.
-func (c *Controller) missingPipelineEnds(ctx context.Context, purpose statestore.Purpose, rec *record.Pipeline, open []string) ([]record.PipelineJobEnd, error) {
-	var ends []record.PipelineJobEnd
-	for _, ref := range rec.MissingEnds() {
-		if slices.Contains(open, ref) {
-			continue
-		}
-		j, known := c.terminalStates.Get(ref)
-		if !known {
-			var err error
-			j, err = c.readTerminal(ctx, purpose, ref)
-			if errors.Is(err, statestore.ErrNotFound) {
-				continue
-			}
-			if err != nil {
-				return nil, err
-			}
-		}
-		ends = append(ends, record.PipelineJobEnd{Ref: ref, State: j.State})
-	}
-	return ends, nil
-}
-
 func (c *Controller) rereadShardRecord(id int) {
 	ctx := c.life
 	for range 10 {
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"bramblespur/internal/httpwire"
+	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/record"
 	"bramblespur/internal/testkit"
 	"bramblespur/internal/wire"
@@ -114,9 +114,8 @@
 	if st, ok := got.Body.(wire.PipelineStatus); got.Status != 200 || !ok || st.State != wire.Pending || len(st.Jobs) != 3 {
 		t.Fatalf("poll: %+v", got)
 	}
-	work, no := other.route(httpwire.Request{Method: "POST", Path: "/pipelines/pipe-000001/withdraw"})
-	if work == nil {
-		t.Fatal(no)
+	work := func() transport.Response {
+		return other.serveLocally("POST", "/pipelines/pipe-000001/withdraw", nil)
 	}
 	if got := owned(state, other, work); got.Status != 200 || got.Body.(wire.Brief).State != wire.Cancelled {
 		t.Fatalf("withdraw: %+v", got)
--- a/internal/controller/requests_test.go
+++ b/internal/controller/requests_test.go
@@ -62,7 +62,7 @@
 					want = x.down
 				}
 				begun := time.Now()
-				got := c.serveUserRequest(httpwire.Request{Method: x.method, Path: x.path, Body: []byte(x.body)})
+				got := c.userAPI.Serve(httpwire.Request{Method: x.method, Path: x.path, Body: []byte(x.body)})
 				if got.Status != want || (want == 503) != (got.RetryAfter > 0) {
 					t.Errorf("%s %.40s %.40s, outage %t: status %d, retry after %d, want %d", x.method, x.path, x.body, down, got.Status, got.RetryAfter, want)
 				}
--- a/internal/controller/saturated_test.go
+++ b/internal/controller/saturated_test.go
@@ -7,6 +7,7 @@
 	"testing/synctest"
 	"time"
 
+	"bramblespur/internal/controller/userapi"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/record"
@@ -48,8 +49,8 @@
 		if status, _ := got.Body.(wire.Status); got.Status != 200 || status.State != wire.Done {
 			t.Errorf("got %+v, want 200 and done", got)
 		}
-		if took := time.Since(begun); took > userTimeout {
-			t.Errorf("took %v, more than %v", took, userTimeout)
+		if took := time.Since(begun); took > userapi.RequestTimeout {
+			t.Errorf("took %v, more than %v", took, userapi.RequestTimeout)
 		}
 	})
 }
@@ -88,7 +89,7 @@
 				other := &passedOn{}
 				c.peers = map[string]peer.Caller{"c-1": other}
 				c.peerHealth.RecordCall("c-1", nil, true, time.Now())
-				if r := c.serveUserRequest(httpwire.Request{Method: x.method, Path: x.path}); r.Status == 200 {
+				if r := c.userAPI.Serve(httpwire.Request{Method: x.method, Path: x.path}); r.Status == 200 {
 					t.Errorf("got %+v", r)
 				}
 				if got := other.n.Load(); got != x.want {
--- a/internal/controller/terminal/cache.go
+++ b/internal/controller/terminal/cache.go
@@ -4,11 +4,16 @@
 package terminal
 
 import (
+	"context"
+	"encoding/json"
+	"errors"
 	"maps"
 	"math/rand/v2"
+	"slices"
 	"sync"
 
 	"bramblespur/internal/record"
+	"bramblespur/internal/statestore"
 )
 
 // maxCached is how many terminal records a cache holds.
@@ -71,3 +76,43 @@
 	}
 	return sample
 }
+
+// Read reads a job's terminal record from the state service and caches it. It returns
+// statestore.ErrNotFound if the job has none. It must not be called with a lock held.
+func (c *Cache) Read(ctx context.Context, store statestore.Store, purpose statestore.Purpose, job string) (record.FinishedJob, error) {
+	var terminal record.FinishedJob
+	entry, err := store.Get(ctx, purpose, record.FinishedJobKey(job))
+	if err != nil {
+		return terminal, err
+	}
+	if err := json.Unmarshal(entry.Value, &terminal); err != nil {
+		return terminal, err
+	}
+	c.Put(job, terminal)
+	return terminal, nil
+}
+
+// MissingPipelineEnds returns the ends of a pipeline's jobs that its own record does not
+// tell: it may have been too large to be written again. Jobs known to be active are passed
+// over. It must not be called with a lock held.
+func (c *Cache) MissingPipelineEnds(ctx context.Context, store statestore.Store, purpose statestore.Purpose, pipeline *record.Pipeline, active []string) ([]record.PipelineJobEnd, error) {
+	var ends []record.PipelineJobEnd
+	for _, job := range pipeline.MissingEnds() {
+		if slices.Contains(active, job) {
+			continue
+		}
+		terminal, cached := c.Get(job)
+		if !cached {
+			var err error
+			terminal, err = c.Read(ctx, store, purpose, job)
+			if errors.Is(err, statestore.ErrNotFound) {
+				continue
+			}
+			if err != nil {
+				return nil, err
+			}
+		}
+		ends = append(ends, record.PipelineJobEnd{Ref: job, State: terminal.State})
+	}
+	return ends, nil
+}
--- /dev/null
+++ b/internal/controller/user_requests.go
@@ -0,0 +1,149 @@
+package controller
+
+import (
+	"context"
+	"time"
+
+	"bramblespur/internal/config"
+	"bramblespur/internal/controller/dataloss"
+	"bramblespur/internal/controller/messagecheck"
+	"bramblespur/internal/controller/userapi"
+	"bramblespur/internal/peer"
+	"bramblespur/internal/statestore"
+	"bramblespur/internal/wire"
+)
+
+// peerNoticeTimeout bounds calls to other controllers that only save somebody a wait: the
+// counts of a job's tasks, and records that their watch tells as well.
+const peerNoticeTimeout = 400 * time.Millisecond
+
+// userCluster shows a controller to its user API. It has no state of its own; its methods
+// take the shards' lock themselves.
+type userCluster struct{ c *Controller }
+
+var _ userapi.Cluster = userCluster{}
+
+func (u userCluster) StateService() statestore.Store { return u.c.store }
+func (u userCluster) Context() context.Context       { return u.c.life }
+func (u userCluster) WriteLimits() config.State      { return u.c.limits() }
+func (u userCluster) LeaseOverdue() bool             { return u.c.leaseOverdue() }
+func (u userCluster) LeaseLost() bool                { return u.c.leaseLost() }
+func (u userCluster) InSafeMode() bool               { return u.c.dataLoss.Active() }
+
+func (u userCluster) MachineTypes() []wire.MachineType {
+	u.c.mu.Lock()
+	defer u.c.mu.Unlock()
+	return u.c.machineTypes
+}
+
+func (u userCluster) ActiveJob(ref string) (userapi.ActiveJob, bool) {
+	u.c.mu.Lock()
+	defer u.c.mu.Unlock()
+	job, active := u.c.activeJobs.Job(ref)
+	return userapi.ActiveJob{Version: job.Version, Cancelled: job.Cancelled, Service: job.Service}, active
+}
+
+func (u userCluster) CancellationPending(ref string) bool {
+	u.c.mu.Lock()
+	defer u.c.mu.Unlock()
+	job, _ := u.c.activeJobs.Job(ref)
+	return job.Cancelled && !u.c.activeJobsStale(time.Now())
+}
+
+func (u userCluster) Terminal(ref string) <-chan struct{} {
+	u.c.mu.Lock()
+	defer u.c.mu.Unlock()
+	return u.c.activeJobs.Ended(ref)
+}
+
+func (u userCluster) BaselineOf(ref string) dataloss.Baseline { return u.c.staleReads.BaselineOf(ref) }
+
+func (u userCluster) CheckActiveJob(ref string, known dataloss.Baseline, found uint64) error {
+	return u.c.staleReads.CheckActiveJob(ref, known, found)
+}
+
+func (u userCluster) CheckMissingJob(ref string, known dataloss.Baseline) error {
+	return u.c.staleReads.CheckMissingJob(ref, known)
+}
+
+func (u userCluster) NotifyOwner(shard int, t wire.Txn, revision uint64) {
+	u.c.notifyOwner(shard, t, revision)
+}
+
+// OwnerStatus asks the owner of a job's shard, this controller or another.
+func (u userCluster) OwnerStatus(ref string) (wire.Status, bool) {
+	c := u.c
+	c.mu.Lock()
+	job, _ := c.activeJobs.Job(ref)
+	if shard := c.shards[job.Shard]; shard != nil {
+		status, ok := shard.Status(ref)
+		c.mu.Unlock()
+		return status, ok
+	}
+	owner := c.peers[c.cluster.Owner(job.Shard)]
+	c.mu.Unlock()
+	if owner == nil {
+		return wire.Status{}, false
+	}
+	status := new(wire.Status)
+	err := owner.Call("Status", ref, status, peerNoticeTimeout)
+	err = c.messages.Reply("reply to a status query", "a controller", err, func() error { return messagecheck.Status(status, ref) })
+	return *status, err == nil
+}
+
+// Forward lets any controller serve a request that answers and reaches the state service.
+func (u userCluster) Forward(request userapi.ForwardedRequest) (userapi.ForwardedResponse, error) {
+	target := u.c.forwardTarget(time.Now())
+	if target == nil {
+		return userapi.ForwardedResponse{}, userapi.ErrNoController
+	}
+	var reply peer.UserReply
+	args := peer.UserArgs{Method: request.Method, Path: request.Path, Body: request.Body}
+	err := target.Call("User", args, &reply, userapi.RequestTimeout)
+	err = u.c.messages.Reply("reply to a forwarded request", "a controller", err, func() error { return messagecheck.UserReply(&reply) })
+	return userapi.ForwardedResponse{Status: reply.Status, Body: reply.Body, RetryAfter: reply.RetryAfter}, err
+}
+
+// forwardTarget returns a controller that lately reached the state service, nil if there is
+// none.
+func (c *Controller) forwardTarget(now time.Time) peer.Caller {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for label, p := range c.peers { // in any order: they are all as good
+		if contact := c.peerHealth.Contact(label); contact.ReachesStateService(now) && contact.Answers(now) {
+			return p
+		}
+	}
+	return nil
+}
+
+// User implements peer.Handler: it serves a request that another controller forwarded.
+func (c *Controller) User(a peer.UserArgs) peer.UserReply {
+	r := c.userAPI.ServeForwarded(userapi.ForwardedRequest{Method: a.Method, Path: a.Path, Body: a.Body})
+	return peer.UserReply{Status: r.Status, RetryAfter: r.RetryAfter, Body: r.Body}
+}
+
+// Status implements peer.Handler: it tells another controller's user API of a job whose
+// shard this controller owns.
+func (c *Controller) Status(ref string) (wire.Status, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, shard := range c.shards {
+		if status, ok := shard.Status(ref); ok {
+			return status, true
+		}
+	}
+	return wire.Status{}, false
+}
+
+// leaseOverdue reports whether the member lease's last renewal is so old that the state
+// service may be out of reach.
+func (c *Controller) leaseOverdue() bool {
+	return c.lease.Current().Overdue(time.Now())
+}
+
+// leaseLost reports whether the state service could not be reached for a while or has lost
+// data: what needs it is refused at once then.
+func (c *Controller) leaseLost() bool {
+	return c.lease.Current().Lost(time.Now()) || c.dataLoss.Active()
+}
--- /dev/null
+++ b/internal/controller/user_requests_harness_test.go
@@ -0,0 +1,39 @@
+package controller
+
+import (
+	"net/http"
+
+	"bramblespur/internal/controller/transport"
+	"bramblespur/internal/httpwire"
+	"bramblespur/internal/wire"
+)
+
+// Users' requests as tests make them, answered without any other controller.
+
+func (c *Controller) submit(body []byte) transport.Response {
+	return c.serveLocally(http.MethodPost, wire.JobsPath, body)
+}
+
+func (c *Controller) statusQuery(ref string) transport.Response {
+	return c.serveLocally(http.MethodGet, wire.JobsPath+"/"+ref, nil)
+}
+
+func (c *Controller) cancel(ref string) transport.Response {
+	return c.serveLocally(http.MethodPost, wire.JobsPath+"/"+ref+"/"+wire.CancelWord, nil)
+}
+
+func (c *Controller) submitPipeline(body []byte) transport.Response {
+	return c.serveLocally(http.MethodPost, wire.PipelinesPath, body)
+}
+
+func (c *Controller) pipelineStatusQuery(ref string) transport.Response {
+	return c.serveLocally(http.MethodGet, wire.PipelinesPath+"/"+ref, nil)
+}
+
+func (c *Controller) cancelPipeline(ref string) transport.Response {
+	return c.serveLocally(http.MethodPost, wire.PipelinesPath+"/"+ref+"/"+wire.CancelWord, nil)
+}
+
+func (c *Controller) serveLocally(method, path string, body []byte) transport.Response {
+	return c.userAPI.ServeLocally(httpwire.Request{Method: method, Path: path, Body: body})
+}
--- /dev/null
+++ b/internal/controller/userapi/submissions.go
@@ -0,0 +1,183 @@
+package userapi
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"time"
+
+	"bramblespur/internal/controller/jobspec"
+	"bramblespur/internal/record"
+	"bramblespur/internal/statestore"
+	"bramblespur/internal/wire"
+)
+
+// Acceptance says that a job or pipeline is accepted, and in which state it is.
+type Acceptance struct {
+	wire.Brief
+	New bool // it was not accepted before
+}
+
+func accepted(ref, state string) Acceptance {
+	return Acceptance{Brief: wire.Brief{Ref: ref, State: state}}
+}
+
+func newlyAccepted(ref string) Acceptance {
+	return Acceptance{Brief: wire.Brief{Ref: ref, State: wire.Pending}, New: true}
+}
+
+// SubmitJob accepts a job, once. When it returns without an error the job's record is in
+// the state service.
+func (a *API) SubmitJob(body []byte) (Acceptance, error) {
+	spec, err := jobspec.ParseJob(body)
+	if err != nil {
+		return Acceptance{}, err
+	}
+	if finished, ok := a.terminal.Get(spec.Ref); ok {
+		return accepted(spec.Ref, finished.State), nil
+	}
+	machineTypes, err := a.decisionBasis()
+	if err != nil {
+		return Acceptance{}, err
+	}
+	ctx, cancel := a.requestContext()
+	defer cancel()
+	if _, active := a.cluster.ActiveJob(spec.Ref); active {
+		// Accepted before: reading tells so without a change, of which the state service
+		// also counts those that fail.
+		known, err := a.acceptedBefore(ctx, spec.Ref)
+		if !errors.Is(err, ErrNotFound) {
+			return known, err
+		}
+	}
+	job := record.ActiveJob{
+		Spec:               *spec,
+		Shard:              record.ShardForJob(a.teams, spec.Team, spec.Ref, a.settings.Params.Count),
+		AcceptedAt:         time.Now().UnixMilli(),
+		AwaitsDependencies: len(spec.DependsOn) > 0,
+	}
+	value := record.Encode(job)
+	err = a.checkAcceptable(ctx, spec, value, machineTypes)
+	if isRefusal(err) {
+		return a.refuseUnlessAccepted(ctx, spec.Ref, err)
+	}
+	if err != nil {
+		return Acceptance{}, err
+	}
+	return a.recordJob(ctx, spec.Ref, job.Shard, value)
+}
+
+// decisionBasis returns the machine types, or ErrUnavailable if no submission can be
+// decided on: they are not known, or the state service can't be asked.
+func (a *API) decisionBasis() ([]wire.MachineType, error) {
+	machineTypes := a.cluster.MachineTypes()
+	if machineTypes == nil || a.cluster.LeaseLost() {
+		return nil, ErrUnavailable
+	}
+	return machineTypes, nil
+}
+
+// checkAcceptable returns why a job can't be accepted: a refusal, or ErrUnavailable if that
+// can't be told.
+func (a *API) checkAcceptable(ctx context.Context, spec *wire.Spec, value json.RawMessage, machineTypes []wire.MachineType) error {
+	if err := jobspec.CheckFeasible(spec, machineTypes, a.settings.Params.Teams); err != nil {
+		return err
+	}
+	if len(value) > a.cluster.WriteLimits().Bytes() {
+		return ErrRecordTooLarge
+	}
+	return a.checkDependencies(ctx, spec.DependsOn)
+}
+
+// recordJob records a job, unless it was accepted meanwhile.
+func (a *API) recordJob(ctx context.Context, ref string, shard int, value json.RawMessage) (Acceptance, error) {
+	t := wire.Txn{
+		If:   []wire.Condition{{Key: record.FinishedJobKey(ref)}, {Key: record.ActiveJobKey(ref)}},
+		Then: []wire.Op{{Put: record.ActiveJobKey(ref), Value: value}},
+	}
+	revision, err := a.store().Txn(ctx, statestore.Urgent(acceptPurpose), t)
+	if err == nil {
+		a.cluster.NotifyOwner(shard, t, revision)
+		return newlyAccepted(ref), nil
+	}
+	if isConflict(err) {
+		if known, err := a.acceptedBefore(ctx, ref); err == nil {
+			return known, nil
+		}
+		return Acceptance{}, ErrUnavailable
+	}
+	a.log.Debug("submission not recorded", "job", ref, "err", err)
+	return Acceptance{}, ErrUnavailable
+}
+
+// refuseUnlessAccepted refuses a job, unless it was accepted before: whatever the settings
+// or the state service's limits say by now, an accepted job stays accepted.
+func (a *API) refuseUnlessAccepted(ctx context.Context, ref string, refusal error) (Acceptance, error) {
+	known, err := a.acceptedBefore(ctx, ref)
+	if errors.Is(err, ErrNotFound) {
+		return Acceptance{}, refusal
+	}
+	return known, err // accepted before, or nobody can tell
+}
+
+// acceptedBefore returns the state of an accepted job, ErrNotFound if there is none.
+func (a *API) acceptedBefore(ctx context.Context, ref string) (Acceptance, error) {
+	state, err := a.jobState(ctx, statestore.Urgent(acceptPurpose), ref)
+	if err != nil {
+		return Acceptance{}, err
+	}
+	return accepted(ref, state), nil
+}
+
+// checkDependencies refuses dependencies on what was never accepted, and on services, which
+// have no end. What this controller does not know is asked of the state service.
+func (a *API) checkDependencies(ctx context.Context, dependencies []string) error {
+	for _, dependency := range dependencies {
+		if err := a.checkDependency(ctx, dependency); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (a *API) checkDependency(ctx context.Context, ref string) error {
+	// In this order: a job that ends in between is known as terminal by then.
+	job, active := a.cluster.ActiveJob(ref)
+	if _, finished := a.terminal.Get(ref); finished || (active && !job.Service) {
+		return nil
+	}
+	if active {
+		return errDependsOnService(ref)
+	}
+	purpose := statestore.Urgent(dependenciesPurpose)
+	// The active record first: a job that has none any more has the other.
+	entry, err := a.store().Get(ctx, purpose, record.ActiveJobKey(ref))
+	var found record.ActiveJob
+	switch {
+	case err == nil && json.Unmarshal(entry.Value, &found) == nil:
+		if found.Spec.Kind == wire.Service {
+			return errDependsOnService(ref)
+		}
+		return nil
+	case !errors.Is(err, statestore.ErrNotFound):
+		return ErrUnavailable
+	}
+	_, err = a.terminal.Read(ctx, a.store(), purpose, ref)
+	switch {
+	case errors.Is(err, statestore.ErrNotFound):
+		return &DependencyError{Dependency: ref, Reason: "never accepted"}
+	case err != nil:
+		return ErrUnavailable
+	}
+	return nil
+}
+
+func errDependsOnService(ref string) error {
+	return &DependencyError{Dependency: ref, Reason: "a service has no end"}
+}
+
+// isConflict reports whether a transaction failed because its conditions didn't hold.
+func isConflict(err error) bool {
+	var conflict *statestore.ConflictError
+	return errors.As(err, &conflict)
+}
--- a/internal/controller/users_test.go
+++ b/internal/controller/users_test.go
@@ -170,10 +170,13 @@
 			t.Errorf("%s: a repeated submission answers %+v", name, got)
 		}
 	}
-	ctx, cancel := context.WithCancel(context.Background())
-	cancel()
-	if c.awaitTerminal(ctx, "run-000412") {
-		t.Error("over though tasks still run")
+	select {
+	case <-userCluster{c}.Terminal("run-000412"):
+		t.Error("terminal though tasks still run")
+	default:
+		if (userCluster{c}).Terminal("run-000412") == nil {
+			t.Error("not active though tasks still run")
+		}
 	}
 	if got := owned(state, c, func() transport.Response { return c.cancel("run-000412") }); got.Status != 200 || got.Body.(wire.Brief).State != wire.Cancelled {
 		t.Errorf("cancel: %+v", got)
@@ -206,20 +209,20 @@
 	c := newTest(t, down)
 	c.peers["c-1"] = peer.NewClient(ln.Addr().String())
 	req := httpwire.Request{Method: "POST", Path: wire.JobsPath, Body: body(t, nil)}
-	if got := c.serveUserRequest(req); got.Status != 503 {
+	if got := c.userAPI.Serve(req); got.Status != 503 {
 		t.Fatalf("with nobody known to reach the state service: %+v", got)
 	}
 	c.peerHealth.RecordCall("c-1", nil, true, time.Now())
-	if got := c.serveUserRequest(req); got.Status != 201 {
+	if got := c.userAPI.Serve(req); got.Status != 201 {
 		t.Fatalf("passed on: %+v", got)
 	}
 	far.resetActiveJobs(nil, math.MaxUint64, time.Now()) // no watched copy: the record is read
 	poll := httpwire.Request{Method: "GET", Path: wire.JobsPath + "/run-000412"}
-	if got := c.serveUserRequest(poll); got.Status != 200 {
+	if got := c.userAPI.Serve(poll); got.Status != 200 {
 		t.Fatalf("poll passed on: %+v", got)
 	}
 	poll.Path = wire.JobsPath + "/run-999999"
-	if got := c.serveUserRequest(poll); got.Status != 404 {
+	if got := c.userAPI.Serve(poll); got.Status != 404 {
 		t.Fatalf("poll of an unknown job passed on: %+v", got)
 	}
 	setLeaseRenewed(far, time.Now().Add(-time.Minute))
@@ -286,28 +289,3 @@
 		}
 	}
 }
-
-// Polls that wait are answered by one comparison; what has changed since the
-// copy was watched is not confirmed.
-func TestPollsAreConfirmedTogether(t *testing.T) {
-	ctx := context.Background()
-	state := testkit.NewState()
-	c, other := newTest(t, state), newTest(t, state)
-	var batch []*Check
-	for _, ref := range []string{"run-000001", "run-000002", "run-000003"} {
-		c.submit(body(t, set("ref", ref)))
-		batch = append(batch, NewCheck(wire.Condition{Key: record.ActiveJobKey(ref), Version: activeJob(c, ref).Version}))
-	}
-	owned(state, other, func() transport.Response { return other.cancel("run-000002") })
-	c.checkUnchanged(ctx, batch)
-	for i, want := range []bool{true, false, true} {
-		if got := <-batch[i].Confirmed; got != want {
-			t.Errorf("poll %d confirmed %t, want %t", i, got, want)
-		}
-	}
-	state.Down = true
-	c.checkUnchanged(ctx, batch[:1])
-	if <-batch[0].Confirmed {
-		t.Error("confirmed without the state service")
-	}
-}
