--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -19,6 +19,7 @@
 	"bramblespur/internal/controller/admission"
 	"bramblespur/internal/controller/clusterview"
 	"bramblespur/internal/controller/dataloss"
+	"bramblespur/internal/controller/dependency"
 	"bramblespur/internal/controller/drainer"
 	"bramblespur/internal/controller/election"
 	"bramblespur/internal/controller/leader"
@@ -84,7 +85,7 @@
 	machineTypes     []wire.MachineType // nil until they are known
 	shards           map[int]*scheduler.Shard
 	acquiring        map[int]bool
-	dependencyReads  map[string]time.Time // when final records are read again, or for the first time
+	dependencyReads  *dependency.Schedule
 	router           *workerapi.Router
 	lastHeartbeatAt  time.Time // of any worker, to this controller itself
 	consideringSince time.Time
@@ -168,7 +169,7 @@
 	c.cluster = clusterview.NewCluster()
 	c.machines = clusterview.NewMachines()
 	c.activeJobs = clusterview.NewActiveJobs()
-	c.dependencyReads = map[string]time.Time{}
+	c.dependencyReads = dependency.NewSchedule()
 	c.commands = make(chan struct{}, max(1, c.cfg.Params.Resources.MaxSockets/commandSockets))
 	c.startedAt = time.Now()
 	c.terminalStates = terminal.NewCache()
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -224,8 +224,8 @@
 	if finalState(t, state, "run-000002") != "" {
 		t.Error("a job that needs nothing was ended")
 	}
-	if len(c.dependencyReads) > 24 {
-		t.Errorf("%d reads of roots are remembered", len(c.dependencyReads))
+	if n := c.dependencyReads.Len(); n > 24 {
+		t.Errorf("%d reads of roots are remembered", n)
 	}
 }
 
--- a/internal/controller/dependency_tracking.go
+++ b/internal/controller/dependency_tracking.go
@@ -8,162 +8,158 @@
 	"bramblespur/internal/controller/userapi"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/record"
-	"bramblespur/internal/retry"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
 )
 
-// A job may name others, its roots, that have to be done before it starts. It is
-// recorded as held and stays so: its owner lets it start once it knows the final
-// record of each, which never changes. That is told by whoever wrote it, and read
-// by who was not told once the root's open record is gone.
+// A job may name dependencies, jobs that have to be done before it starts. Its record says
+// that it awaits them, and goes on saying so: its owner lets it start once it knows the
+// terminal record of each, which never changes. That is told by whoever wrote it, and read
+// by who was not told once the dependency is not active any more.
 
-const (
-	// readDependencyAgain is the pause after a root had neither an open record in the
-	// view nor a final one: the view is behind.
-	readDependencyAgain = time.Second
-	// cancelDependentsAfter is how long the owner has to end what needs a cancelled job,
-	// before any controller does.
-	cancelDependentsAfter = 4 * time.Second
-)
-
-// dependencyEnded takes in a job's final record and tells the parts. The lock is held.
-func (c *Controller) dependencyEnded(ref string, j record.FinishedJob, now time.Time) {
-	c.terminalStates.Put(ref, j)
+// dependencyEnded applies a job's terminal record and passes it to the shards held here.
+// The shards' lock is held.
+func (c *Controller) dependencyEnded(ref string, finished record.FinishedJob, now time.Time) {
+	c.terminalStates.Put(ref, finished)
 	if !c.activeJobs.HasDependents(ref) {
 		return
 	}
 	for _, shard := range c.shards {
-		shard.DependencyEnded(ref, j, now)
+		shard.DependencyEnded(ref, finished, now)
 		c.step(shard, now)
 	}
 }
 
-// notifyDependents brings a job's final record to the owners of jobs that need it, without
-// waiting for their views. The lock is held.
+// notifyDependents brings a job's terminal record to the owners of jobs that depend on it,
+// without waiting for their views. The shards' lock is held.
 func (c *Controller) notifyDependents(ref string, op wire.Op) {
 	owners := map[peer.Caller]bool{}
 	for _, dependent := range c.activeJobs.Dependents(ref) {
-		j, _ := c.activeJobs.Job(dependent)
-		part := j.Shard
-		if owner := c.peers[c.cluster.Owner(part)]; c.shards[part] == nil && owner != nil {
+		job, _ := c.activeJobs.Job(dependent)
+		if owner := c.peers[c.cluster.Owner(job.Shard)]; c.shards[job.Shard] == nil && owner != nil {
 			owners[owner] = true
 		}
 	}
 	for owner := range owners {
 		go func() {
-			a := peer.NotifyArgs{Key: op.Put, Value: op.Value}
-			if err := owner.Call("Nudge", a, new(struct{}), peerNoticeTimeout); err != nil {
-				c.log.Debug("nudge", "key", a.Key, "err", err) // its view tells it as well
+			args := peer.NotifyArgs{Key: op.Put, Value: op.Value}
+			if err := owner.Call("Nudge", args, new(struct{}), peerNoticeTimeout); err != nil {
+				c.log.Debug("owner not notified", "key", args.Key, "err", err) // its view tells it as well
 			}
 		}()
 	}
 }
 
-// lookUpDependencies reads the final records of roots that are not open any more: for the
-// parts held here at once, and for others later, in case their owners can't end
-// what needs a cancelled job. The lock is held.
+// lookUpDependencies reads the terminal records of dependencies that are not active any
+// more: for the shards held here at once, and for others later, in case their owners can't
+// end what depends on a cancelled job. The shards' lock is held.
 func (c *Controller) lookUpDependencies(ctx context.Context, now time.Time) {
 	if !c.activeJobs.Loaded() {
 		return // before there is a view nothing can be missing from it
 	}
-	mine := map[string]bool{}
-	for _, shard := range c.shards {
-		for _, r := range shard.Dependencies() {
-			if j, ok := c.terminalStates.Get(r); ok {
-				shard.DependencyEnded(r, j, now)
-				c.step(shard, now)
-				continue
-			}
-			mine[r] = true
-		}
-	}
-	for _, r := range c.activeJobs.EndedDependencies() {
-		at, noted := c.dependencyReads[r]
-		if !noted {
-			at = now
-			if !mine[r] {
-				at = now.Add(retry.Jitter(cancelDependentsAfter))
-			}
-			c.dependencyReads[r] = at
-		}
-		if mine[r] && at.Sub(now) > readDependencyAgain {
-			at = now // it came to be ours meanwhile
-		}
-		if now.Before(at) {
+	awaitedHere := c.passKnownDependencies(now)
+	for _, ref := range c.activeJobs.EndedDependencies() {
+		if !c.dependencyReads.Due(ref, awaitedHere[ref], now) {
 			continue
 		}
-		c.dependencyReads[r] = now.Add(retry.Jitter(cancelDependentsAfter))
-		j, known := c.terminalStates.Get(r)
-		if known && j.State == wire.Done {
+		if finished, known := c.terminalStates.Get(ref); known && finished.State == wire.Done {
 			continue
 		}
-		var others []string
-		for _, dependent := range c.activeJobs.Dependents(r) {
-			if j, _ := c.activeJobs.Job(dependent); c.shards[j.Shard] == nil {
-				others = append(others, dependent)
+		go c.lookUpDependency(ctx, ref, c.dependentsElsewhere(ref))
+	}
+	c.dependencyReads.Prune(c.activeJobs.HasDependents)
+}
+
+// passKnownDependencies passes the terminal records that are known to the shards that await
+// them, and returns the dependencies that are awaited still. The shards' lock is held.
+func (c *Controller) passKnownDependencies(now time.Time) map[string]bool {
+	awaited := map[string]bool{}
+	for _, shard := range c.shards {
+		for _, ref := range shard.Dependencies() {
+			finished, known := c.terminalStates.Get(ref)
+			if !known {
+				awaited[ref] = true
+				continue
 			}
+			shard.DependencyEnded(ref, finished, now)
+			c.step(shard, now)
 		}
-		go c.lookUpDependency(ctx, r, others)
 	}
-	for r := range c.dependencyReads {
-		if !c.activeJobs.HasDependents(r) {
-			delete(c.dependencyReads, r)
+	return awaited
+}
+
+// dependentsElsewhere returns the dependents of a job that belong to shards which are not
+// held here. The shards' lock is held.
+func (c *Controller) dependentsElsewhere(ref string) []string {
+	var elsewhere []string
+	for _, dependent := range c.activeJobs.Dependents(ref) {
+		if job, _ := c.activeJobs.Job(dependent); c.shards[job.Shard] == nil {
+			elsewhere = append(elsewhere, dependent)
 		}
 	}
+	return elsewhere
 }
 
-// passDemandOn tells the parts what jobs are to be given. The lock is held.
+// passDemandOn tells the shards held here what jobs inherit from their dependents. The
+// shards' lock is held.
 func (c *Controller) passDemandOn(refs []string) {
 	for _, ref := range refs {
-		j, _ := c.activeJobs.Job(ref)
-		if shard := c.shards[j.Shard]; shard != nil {
+		job, _ := c.activeJobs.Job(ref)
+		if shard := c.shards[job.Shard]; shard != nil {
 			shard.SetInheritedClaim(ref, c.activeJobs.Claim(ref))
 		}
 	}
 }
 
-// lookUpDependency reads a root's final record and, where it was cancelled, ends jobs of
-// others that need it.
-func (c *Controller) lookUpDependency(ctx context.Context, root string, others []string) {
+// lookUpDependency reads a dependency's terminal record and, where it was cancelled, ends
+// dependents of shards that are held elsewhere.
+func (c *Controller) lookUpDependency(ctx context.Context, ref string, elsewhere []string) {
 	ctx, cancel := context.WithTimeout(ctx, userapi.RequestTimeout)
 	defer cancel()
-	j, ok := c.terminalStates.Get(root)
-	if !ok {
+	finished, known := c.terminalStates.Get(ref)
+	if !known {
 		var err error
-		if j, err = c.terminalStates.Read(ctx, c.store, statestore.Urgent("dependencies"), root); err != nil {
-			c.mu.Lock()
-			c.dependencyReads[root] = time.Now().Add(readDependencyAgain)
-			c.mu.Unlock()
-			if !errors.Is(err, statestore.ErrNotFound) {
-				c.log.Debug("root", "ref", root, "err", err)
-			}
+		if finished, err = c.readDependency(ctx, ref); err != nil {
 			return
 		}
-		c.mu.Lock()
-		c.dependencyEnded(root, j, time.Now())
-		c.mu.Unlock()
 	}
-	if j.State != wire.Cancelled {
+	if finished.State != wire.Cancelled {
 		return
 	}
-	for _, d := range others {
-		c.cancelDependent(ctx, d)
+	for _, dependent := range elsewhere {
+		c.cancelDependent(ctx, dependent)
+	}
+}
+
+// readDependency reads a dependency's terminal record and applies it. Without one it is
+// read again later.
+func (c *Controller) readDependency(ctx context.Context, ref string) (record.FinishedJob, error) {
+	finished, err := c.terminalStates.Read(ctx, c.store, statestore.Urgent("dependencies"), ref)
+	if err != nil && !errors.Is(err, statestore.ErrNotFound) {
+		c.log.Debug("dependency not read", "job", ref, "err", err)
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if err != nil {
+		c.dependencyReads.Retry(ref, time.Now())
+		return finished, err
 	}
+	c.dependencyEnded(ref, finished, time.Now())
+	return finished, nil
 }
 
-// cancelDependent records the end of a job that needs a cancelled one. It has never run,
-// so that needs no word of its owner: only that its record is as it was.
+// cancelDependent records the end of a job that depends on a cancelled one. It has never
+// run, so that its owner need not be asked: its record only has to be as it was.
 func (c *Controller) cancelDependent(ctx context.Context, ref string) {
 	c.mu.Lock()
-	j, open := c.activeJobs.Job(ref)
+	job, active := c.activeJobs.Job(ref)
 	c.mu.Unlock()
-	if !open {
+	if !active {
 		return
 	}
 	key := record.ActiveJobKey(ref)
 	t := wire.Txn{
-		If: []wire.Condition{{Key: key, Version: j.Version}},
+		If: []wire.Condition{{Key: key, Version: job.Version}},
 		Then: []wire.Op{
 			{Put: record.FinishedJobKey(ref), Value: record.Encode(record.FinishedJob{State: wire.Cancelled, FinishedAt: time.Now().UnixMilli()})},
 			{Delete: key},
@@ -171,7 +167,7 @@
 	}
 	rev, err := c.store.Txn(ctx, statestore.Urgent("cascade"), t)
 	if err != nil {
-		c.log.Debug("cascade", "ref", ref, "err", err) // tried again, or done by its owner
+		c.log.Debug("dependent not cancelled", "job", ref, "err", err) // tried again, or done by its owner
 		return
 	}
 	c.mu.Lock()
