--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -103,7 +103,7 @@
 	r := w.Report()
 	r.Addr = "" // nothing is sent straight to it
 	c.mu.Lock()
-	c.ownReport(c.shards[0], &r, time.Now())
+	c.serveHeartbeatLocked(c.shards[0], &r, time.Now())
 	c.mu.Unlock()
 	// held is an answer kept back that is due after the lease's last renewal.
 	held := func(renewed time.Time) (starts int) {
--- a/internal/controller/view_watches.go
+++ b/internal/controller/view_watches.go
@@ -21,7 +21,7 @@
 	staleAfterWaits = 2
 	// firstViewWait is how long a controller waits for its first view: workers that find
 	// it restarted while the state service is out of reach keep their leases.
-	firstViewWait = keepHold - keepLook
+	firstViewWait = renewalRetryTimeout - renewalRetryInterval
 )
 
 // watchHandler brings what a watch learns of one prefix to the controller. It implements
