--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -11,13 +11,34 @@
 // selectMachines chooses a machine for each of n tasks of j, nil if there is no room for
 // all of them.
 func (s *Shard) selectMachines(j *Job, n int, now time.Time) []*Machine {
-	spec := j.spec
 	if n == 1 && s.pass.candidates.job == j {
 		return s.pass.candidates.next(j)
 	}
 	s.pass.candidates.job = nil
+	cands := s.filterMachines(j, now)
+	if len(cands) == 0 {
+		return nil
+	}
+	limit, zone := j.zoneLimit(), j.requiredZone()
+	if n == 1 && (j.spec.Spread || j.spec.OneZone || j.progress.pending == 1) {
+		return s.bestMachine(j, cands, limit, zone)
+	}
+	scores := s.sortByScore(j, cands)
+	if n == 1 {
+		s.pass.candidates = candidateCache{j, cands}
+		return s.pass.candidates.next(j)
+	}
+	if !j.spec.OneZone || zone != "" {
+		return packMachines(j.spec, cands, n, j.progress.placedByZone, limit, zone)
+	}
+	return packInBestZone(j, cands, n, limit, scores)
+}
+
+// filterMachines returns the machines that may take a task of j: with room, and neither
+// reserved for a job that goes before it nor one where it failed.
+func (s *Shard) filterMachines(j *Job, now time.Time) []*Machine {
 	var cands []*Machine
-	s.eachFeasibleMachine(spec, now, func(m *Machine) {
+	s.eachFeasibleMachine(j.spec, now, func(m *Machine) {
 		if j.faults.machines[m.ID] && !j.atFault() {
 			return
 		}
@@ -28,29 +49,23 @@
 		}
 		cands = append(cands, m)
 	})
-	if len(cands) == 0 {
-		return nil
-	}
-	limit := j.zoneLimit()
-	only := ""
-	if spec.OneZone {
+	return cands
+}
+
+// requiredZone is the zone where the placed tasks of a job of one zone are; empty: any.
+func (j *Job) requiredZone() string {
+	zone := ""
+	if j.spec.OneZone {
 		for z := range j.progress.placedByZone {
-			only = z
+			zone = z
 		}
 	}
-	if n == 1 && (spec.Spread || spec.OneZone || j.progress.pending == 1) {
-		return s.bestMachine(j, cands, limit, only)
-	}
-	scores := s.sortByScore(j, cands)
-	if n == 1 {
-		s.pass.candidates = candidateCache{j, cands}
-		return s.pass.candidates.next(j)
-	}
-	if !spec.OneZone || only != "" {
-		return packMachines(spec, cands, n, j.progress.placedByZone, limit, only)
-	}
-	// The zone that serves the whole gang best: it starts when the last of its
-	// tasks has the image.
+	return zone
+}
+
+// packInBestZone packs a gang into the zone that serves the whole of it best: it starts when
+// the last of its tasks has the image.
+func packInBestZone(j *Job, cands []*Machine, n, limit int, scores map[*Machine]float64) []*Machine {
 	var best []*Machine
 	bestScore := math.Inf(-1)
 	tried := map[string]bool{}
@@ -59,16 +74,16 @@
 			continue
 		}
 		tried[m.Zone] = true
-		got := packMachines(spec, cands, n, j.progress.placedByZone, limit, m.Zone)
-		if got == nil {
+		packed := packMachines(j.spec, cands, n, j.progress.placedByZone, limit, m.Zone)
+		if packed == nil {
 			continue
 		}
 		sum := 0.0
-		for _, g := range got {
+		for _, g := range packed {
 			sum += scores[g]
 		}
 		if sum > bestScore {
-			best, bestScore = got, sum
+			best, bestScore = packed, sum
 		}
 	}
 	return best
@@ -104,7 +119,7 @@
 func (c *candidateCache) next(j *Job) []*Machine {
 	for len(c.machines) > 0 {
 		m := c.machines[0]
-		if r := freeRoom(m); fits(j.spec, r.cpus, r.gpus, r.mem) {
+		if r := freeRoom(m); r.fits(j.spec) {
 			return c.machines[:1]
 		}
 		c.machines = c.machines[1:]
@@ -168,7 +183,7 @@
 			continue
 		}
 		r := freeRoom(m)
-		for len(got) < n && fits(spec, r.cpus, r.gpus, r.mem) && zones[m.Zone] < limit {
+		for len(got) < n && r.fits(spec) && zones[m.Zone] < limit {
 			got = append(got, m)
 			zones[m.Zone]++
 			r = r.minus(spec, 1)
--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain.go
@@ -153,19 +153,12 @@
 // hasRoomFor reports whether n tasks of a job fit on machines that take new work now: also on
 // those that are to be drained later, or on others only.
 func (s *Shard) hasRoomFor(j *Job, n int, avoided bool, now time.Time) bool {
-	zone := ""
-	if j.spec.OneZone {
-		for z := range j.progress.placedByZone {
-			zone = z // the others of the gang stay there
-		}
-	}
+	zone := j.requiredZone() // the others of the gang stay there
 	s.eachFeasibleMachine(j.spec, now, func(m *Machine) {
 		if n <= 0 || (m.cordonedLater && !avoided) || m.reservedForOther(j, now) || (zone != "" && m.Zone != zone) {
 			return
 		}
-		for r := freeRoom(m); n > 0 && fits(j.spec, r.cpus, r.gpus, r.mem); r = r.minus(j.spec, 1) {
-			n--
-		}
+		n -= freeRoom(m).capacity(j.spec, n)
 	})
 	return n <= 0
 }
--- a/internal/scheduler/feasibility.go
+++ b/internal/scheduler/feasibility.go
@@ -21,11 +21,7 @@
 		if (zone != "" && m.Zone != zone) || !m.staysInShard() || !allows(j.spec, m) {
 			continue
 		}
-		r := s.roomInTime(m, j, within)
-		for ; n > 0 && fits(j.spec, r.cpus, r.gpus, r.mem); n-- {
-			r = r.minus(j.spec, 1)
-		}
-		if n == 0 {
+		if n -= s.roomInTime(m, j, within).capacity(j.spec, n); n == 0 {
 			return true
 		}
 	}
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -139,7 +139,7 @@
 		}
 		for m := range ms {
 			s.candidatesExamined++
-			if r := freeRoom(m); fits(spec, r.cpus, r.gpus, r.mem) && allows(spec, m) && s.usable(m, now) {
+			if r := freeRoom(m); r.fits(spec) && allows(spec, m) && s.usable(m, now) {
 				f(m)
 			}
 		}
--- a/internal/scheduler/load_records.go
+++ b/internal/scheduler/load_records.go
@@ -49,60 +49,71 @@
 
 // loadRange takes in a range, or what is left of it by those that count before it.
 func (s *Shard) loadRange(l loadedRange, now time.Time) {
-	j, r := l.job, l.recorded
+	j := l.job
 	fresh := j.uncovered(l.first, l.end, l.end-l.first)
-	if len(fresh) == 1 && fresh[0] == [2]int{l.first, l.end} {
-		c := &taskRange{job: j, first: l.first, end: l.end, turn: r.Generation}
-		s.ledger.assign(c, l.record)
-		c.turn = r.Generation
-	} else {
-		for _, span := range fresh {
-			c := &taskRange{job: j, first: span[0], end: span[1], turn: r.Generation, previous: l.record}
-			// A slot that waits for what leaves it must not be where that goes.
-			s.ledger.assign(c, s.ledger.recordWithRoom(s.ledger.rangeBytes(c, s.ledger.sized), l.record))
-			l.record.departed[c] = struct{}{}
-			if l.record.sized { // which can't be written before this is
-				c.record.dirty, c.record.urgent, c.record.rangeAwaited = true, true, true
-			}
-		}
-	}
+	s.assignLoaded(l, fresh)
 	for _, c := range j.ranges {
 		if c.first < l.end && l.first < c.end {
-			c.attempt = max(c.attempt, r.Attempt)
+			c.attempt = max(c.attempt, l.recorded.Attempt)
 		}
 	}
-	mine := func(i int) bool {
+	counts := func(i int) bool {
 		return slices.ContainsFunc(fresh, func(within [2]int) bool { return within[0] <= i && i < within[1] })
 	}
-	for _, span := range r.Completed {
+	for _, span := range l.recorded.Completed {
 		for i := max(0, span[0]); i <= span[1] && i < len(j.tasks); i++ {
-			if mine(i) {
+			if counts(i) {
 				s.markCompleted(taskKey{j, i}, now)
 				j.tasks[i].completionRecorded = true
 			}
 		}
 	}
-	for i, pl := range r.Placed {
-		if !mine(i) || j.tasks[i].state != pending {
-			continue
+	for i, placement := range l.recorded.Placed {
+		if counts(i) && j.tasks[i].state == pending {
+			s.loadPlacement(taskKey{j, i}, placement, now)
 		}
-		m := s.inventory.byID[pl.Machine]
-		if m == nil {
-			// Given back or empty when it moved: proven gone before. If its record was lost
-			// instead, its worker reports before this is over.
-			if s.dataLoss.enabled {
-				j.notBefore = now.Add(heartbeatsToConfirmLoss * s.cfg.HeartbeatInterval)
-			}
-			continue
+	}
+}
+
+// assignLoaded enters the spans of a loaded range that no other tells: a whole range where it
+// is recorded, pieces elsewhere.
+func (s *Shard) assignLoaded(l loadedRange, fresh [][2]int) {
+	turn := l.recorded.Generation
+	if len(fresh) == 1 && fresh[0] == [2]int{l.first, l.end} {
+		c := &taskRange{job: l.job, first: l.first, end: l.end, turn: turn}
+		s.ledger.assign(c, l.record)
+		c.turn = turn
+		return
+	}
+	for _, span := range fresh {
+		c := &taskRange{job: l.job, first: span[0], end: span[1], turn: turn, previous: l.record}
+		// A record that waits for what leaves it must not be where that goes.
+		s.ledger.assign(c, s.ledger.recordWithRoom(s.ledger.rangeBytes(c, s.ledger.sized), l.record))
+		l.record.departed[c] = struct{}{}
+		if l.record.sized { // which can't be written before this is
+			c.record.dirty, c.record.urgent, c.record.rangeAwaited = true, true, true
 		}
-		t := s.placeTask(taskKey{j, i}, m, pl.Attempt, now)
-		t.recorded, t.inherited = true, true
-		t.trace = nil
-		if j.cancelled {
-			// The cancellation came while nobody owned the part: its record
-			// was read before these placements were.
-			s.stopTask(taskKey{j, i}, 0, now)
+	}
+}
+
+// loadPlacement takes in a recorded placement of a task.
+func (s *Shard) loadPlacement(k taskKey, placement record.TaskPlacement, now time.Time) {
+	m := s.inventory.byID[placement.Machine]
+	if m == nil {
+		// Released or empty when it was transferred: proven gone before. If its record was
+		// lost instead, its worker reports before this is over.
+		if s.dataLoss.enabled {
+			k.job.notBefore = now.Add(heartbeatsToConfirmLoss * s.cfg.HeartbeatInterval)
 		}
+		return
+	}
+	t := s.placeTask(k, m, placement.Attempt, now)
+	t.recorded, t.inherited = true, true
+	t.trace = nil
+	if k.job.cancelled {
+		// The cancellation came while nobody owned the shard: its record
+		// was read before these placements were.
+		s.stopTask(k, 0, now)
 	}
 }
 
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -39,8 +39,27 @@
 	if s.unreadable.awaitsMachines || s.awaitsHeartbeats(now) {
 		return // what runs unrecorded uses room and quota
 	}
-	s.pass.gangByZone, s.pass.candidates = map[string]*Job{}, candidateCache{}
+	s.pass = placementPass{gangByZone: map[string]*Job{}}
 	s.protection.weigh(s.inventory.cpus)
+	queues := s.placeableByTeam(now)
+	for _, queue := range queues {
+		s.sortQueue(queue, now)
+	}
+	for {
+		team := s.nextTeam(queues, now)
+		if len(queues[team]) == 0 {
+			return
+		}
+		j := queues[team][0]
+		if s.placeUnit(j, now) && j.progress.pending > 0 {
+			continue
+		}
+		queues[team] = queues[team][1:]
+	}
+}
+
+// placeableByTeam filters the jobs of which something may be placed now.
+func (s *Shard) placeableByTeam(now time.Time) map[string][]*Job {
 	queues := map[string][]*Job{}
 	for _, j := range s.inventory.pendingJobs {
 		s.candidatesExamined++
@@ -54,53 +73,52 @@
 		}
 		queues[j.spec.Team] = append(queues[j.spec.Team], j)
 	}
-	for _, q := range queues {
-		urgency := make(map[*Job]float64, len(q))
-		for _, j := range q {
-			urgency[j] = s.cfg.Urgency(j.spec, now.Sub(j.accepted), j.deadline())
-		}
-		sort.Slice(q, func(a, b int) bool {
-			x, y := q[a], q[b]
-			if old := s.aged(x, now); old != s.aged(y, now) {
-				return old
-			} else if old {
-				return beforeAged(x, y)
-			}
-			if x.rank != y.rank {
-				return x.rank > y.rank
-			}
-			// Gangs that have waited for long go by their age alone: the small
-			// and the short ones would else overtake the large for ever.
-			if late := x.longWaiting(now); late != y.longWaiting(now) {
-				return late
-			} else if late && !x.accepted.Equal(y.accepted) {
-				return x.accepted.Before(y.accepted)
-			}
-			if urgency[x] != urgency[y] {
-				return urgency[x] < urgency[y]
-			}
-			return x.ref < y.ref
-		})
+	return queues
+}
+
+// sortQueue orders the jobs of one team.
+func (s *Shard) sortQueue(queue []*Job, now time.Time) {
+	urgency := make(map[*Job]float64, len(queue))
+	for _, j := range queue {
+		urgency[j] = s.cfg.Urgency(j.spec, now.Sub(j.accepted), j.deadline())
 	}
-	for {
-		var best string
-		var bestJob *Job
-		for team, q := range queues {
-			if len(q) == 0 {
-				continue
-			}
-			if bestJob == nil || s.teamBefore(q[0], team, bestJob, best, now) {
-				best, bestJob = team, q[0]
-			}
+	sort.Slice(queue, func(a, b int) bool {
+		x, y := queue[a], queue[b]
+		if old := s.aged(x, now); old != s.aged(y, now) {
+			return old
+		} else if old {
+			return beforeAged(x, y)
 		}
-		if bestJob == nil {
-			return
+		if x.rank != y.rank {
+			return x.rank > y.rank
+		}
+		// Gangs that have waited for long go by their age alone: the small
+		// and the short ones would else overtake the large for ever.
+		if late := x.longWaiting(now); late != y.longWaiting(now) {
+			return late
+		} else if late && !x.accepted.Equal(y.accepted) {
+			return x.accepted.Before(y.accepted)
 		}
-		if s.placeUnit(bestJob, now) && bestJob.progress.pending > 0 {
+		if urgency[x] != urgency[y] {
+			return urgency[x] < urgency[y]
+		}
+		return x.ref < y.ref
+	})
+}
+
+// nextTeam returns the team whose first job goes next; its queue is empty if all are.
+func (s *Shard) nextTeam(queues map[string][]*Job, now time.Time) string {
+	next := ""
+	var first *Job
+	for team, queue := range queues {
+		if len(queue) == 0 {
 			continue
 		}
-		queues[best] = queues[best][1:]
+		if first == nil || s.teamBefore(queue[0], team, first, next, now) {
+			next, first = team, queue[0]
+		}
 	}
+	return next
 }
 
 // Priorities are strict, so that more work of a higher one than the machines
@@ -188,41 +206,51 @@
 		j.unplacedSince = time.Time{} // waits for its own team, not for machines
 		return false
 	}
-	where := s.selectMachines(j, n, now)
-	if where == nil {
-		if j.unplacedSince.IsZero() {
-			j.unplacedSince = now
-		}
-		if j.spec.Kind == wire.Gang && (len(s.pass.gangByZone) == 0 || j.longWaiting(now)) {
-			s.reserveForGang(j, n, now)
-		}
-		s.preemptFor(j, n, now)
+	machines := s.selectMachines(j, n, now)
+	if machines == nil {
+		s.seekRoom(j, n, now)
 		return false
 	}
-	if wait, more := s.preemptWhereCached(j, where[0], now); wait {
+	if wait, more := s.preemptWhereCached(j, machines[0], now); wait {
 		return more
 	}
 	if s.aged(j, now) {
 		s.protection.add(j)
 		defer s.protection.weigh(s.inventory.cpus)
 	}
+	s.assign(j, machines, now)
+	if j.progress.pending == 0 {
+		j.unplacedSince = time.Time{}
+	}
+	return true
+}
+
+// seekRoom reserves machines for a gang, and preempts others, for a job that fits nowhere.
+func (s *Shard) seekRoom(j *Job, n int, now time.Time) {
+	if j.unplacedSince.IsZero() {
+		j.unplacedSince = now
+	}
+	if j.spec.Kind == wire.Gang && (len(s.pass.gangByZone) == 0 || j.longWaiting(now)) {
+		s.reserveForGang(j, n, now)
+	}
+	s.preemptFor(j, n, now)
+}
+
+// assign places a pending task on each of the machines; a gang's tasks share one attempt.
+func (s *Shard) assign(j *Job, machines []*Machine, now time.Time) {
 	gang := j.gangAttempt()
-	for _, m := range where {
+	for _, m := range machines {
 		i := j.nextPending()
-		a := s.ledger.nextAttempt(j, i)
+		attempt := s.ledger.nextAttempt(j, i)
 		if j.spec.Kind == wire.Gang {
 			if gang == 0 {
-				gang = a
+				gang = attempt
 			}
-			a = gang
+			attempt = gang
 		}
-		s.placeTask(taskKey{j, i}, m, a, now)
+		s.placeTask(taskKey{j, i}, m, attempt, now)
 		s.inventory.useReservation(m, j)
 	}
-	if j.progress.pending == 0 {
-		j.unplacedSince = time.Time{}
-	}
-	return true
 }
 
 func (j *Job) nextPending() int {
@@ -232,41 +260,25 @@
 	return j.progress.firstPending
 }
 
-// reserveForGang keeps the machines that are free for the first gang that waits, in the
+// reserveForGang reserves the machines that are free for the first gang that waits, in the
 // zone that has most for it, so that smaller work can't take them one by one.
-// Those that have waited for long gather too, each in a zone of its own: two in
+// Those that have waited for long reserve machines too, each in a zone of its own: two in
 // one zone could hold up each other.
 func (s *Shard) reserveForGang(j *Job, n int, now time.Time) {
 	if _, anywhere := s.pass.gangByZone[""]; anywhere || (!j.spec.OneZone && len(s.pass.gangByZone) > 0) {
 		return
 	}
-	byZone := map[string][]*Machine{}
-	units := map[string]int{}
+	machines := map[string][]*Machine{}
+	capacity := map[string]int{}
 	s.eachFeasibleMachine(j.spec, now, func(m *Machine) {
 		if m.reservedForOther(j, now) || s.pass.gangByZone[m.Zone] != nil || !j.allowsZone(m.Zone) {
 			return
 		}
-		count := 0
-		for r := freeRoom(m); count < n && fits(j.spec, r.cpus, r.gpus, r.mem); r = r.minus(j.spec, 1) {
-			count++
-		}
-		z := m.Zone
-		if !j.spec.OneZone {
-			z = ""
-		}
-		byZone[z] = append(byZone[z], m)
-		units[z] += count
+		zone := j.commonZone(m)
+		machines[zone] = append(machines[zone], m)
+		capacity[zone] += freeRoom(m).capacity(j.spec, n)
 	})
-	missing := now.Sub(j.unplacedSince) > infeasibleAfter
-	best, most := "", 0
-	for z, u := range units {
-		if missing && !s.feasible(j, n, z) {
-			continue
-		}
-		if u > most || (u == most && z < best) {
-			best, most = z, u
-		}
-	}
+	zone, most := s.zoneForGang(j, n, capacity, now)
 	for m := range s.inventory.reserved[j.ref] {
 		if !m.evicting() {
 			s.inventory.cancelReservation(m)
@@ -275,8 +287,8 @@
 	if most == 0 {
 		return
 	}
-	s.pass.gangByZone[best] = j
-	for _, m := range byZone[best] {
+	s.pass.gangByZone[zone] = j
+	for _, m := range machines[zone] {
 		if m.reservation.job == "" || !now.Before(m.reservation.until) {
 			s.inventory.reserve(m, j, 1, now.Add(gangReservation))
 		}
@@ -284,6 +296,21 @@
 	s.wakeAt(now.Add(gangReservation / 2))
 }
 
+// zoneForGang returns the zone that has room for most of a gang's n tasks, and for how many.
+// Once the gang has waited for a while, zones don't count that never will have enough.
+func (s *Shard) zoneForGang(j *Job, n int, capacity map[string]int, now time.Time) (zone string, most int) {
+	checkFeasible := now.Sub(j.unplacedSince) > infeasibleAfter
+	for z, c := range capacity {
+		if checkFeasible && !s.feasible(j, n, z) {
+			continue
+		}
+		if c > most || (c == most && z < zone) {
+			zone, most = z, c
+		}
+	}
+	return zone, most
+}
+
 // longWaiting reports whether a gang has waited so long that more seems to be asked than
 // can be done.
 func (j *Job) longWaiting(now time.Time) bool {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -9,121 +9,161 @@
 	"bramblespur/internal/wire"
 )
 
-// preemptFor stops lower work for a job that has waited long enough for a free
-// machine: what the protocol's preemption rules allow, least loss first.
+// preemptionOption is a machine with the tasks that have to stop there to make room.
+type preemptionOption struct {
+	machine *Machine
+	victims []taskKey
+	loss    float64 // the work that is lost, in seconds
+	units   int     // how many tasks then fit
+}
+
+// preemptFor stops lower work for n tasks of a job that has waited long enough for a free
+// machine: what the preemption rules allow, least loss first.
 func (s *Shard) preemptFor(j *Job, n int, now time.Time) {
+	if !s.preemptionDue(j, now) {
+		return
+	}
+	options := s.preemptionOptions(j, n, now)
+	chosen := leastLoss(options, n)
+	if chosen == nil && j.longWaiting(now) {
+		// Too much for one moment: what is reserved for the gang grows step by step.
+		chosen = s.optionsWhereReserving(j, options)
+	}
+	if chosen == nil {
+		j.preemption.triedAt = now
+		s.wakeAt(now.Add(preemptionRetry))
+		return
+	}
+	for _, o := range chosen {
+		for _, k := range o.victims {
+			s.preemptTask(k, now)
+		}
+		s.inventory.reserve(o.machine, j, o.units, now.Add(preemptedReservation))
+	}
+	j.preemption.awaitedUntil = now.Add(preemptedReservation / 2)
+	s.wakeAt(j.preemption.awaitedUntil)
+}
+
+// preemptionDue reports whether a job may preempt others now, and arranges to ask again if
+// not.
+func (s *Shard) preemptionDue(j *Job, now time.Time) bool {
 	due := j.unplacedSince.Add(s.cfg.PreemptAfter)
 	if now.Before(due) {
 		s.wakeAt(due)
-		return
+		return false
 	}
 	if now.Before(j.preemption.awaitedUntil) {
-		return
+		return false
 	}
 	if again := j.preemption.triedAt.Add(preemptionRetry); now.Before(again) {
 		s.wakeAt(again)
-		return
+		return false
 	}
-	type option struct {
-		m       *Machine
-		victims []taskKey
-		loss    float64
-		units   int
-	}
-	byZone := map[string][]option{}
+	return true
+}
+
+// preemptionOptions filters the machines where n tasks of a job may preempt others, by the
+// zone in which they have to be together.
+func (s *Shard) preemptionOptions(j *Job, n int, now time.Time) map[string][]preemptionOption {
+	byZone := map[string][]preemptionOption{}
 	within := s.quotas.withinGuarantee(j, n)
 	s.eachPreemptionCandidate(j, within, now, func(m *Machine) {
 		if !allows(j.spec, m) || !j.allowsZone(m.Zone) || !s.usable(m, now) || m.reservedForOther(j, now) || s.reservedByLongWaitingGang(m, j, now) {
 			return
 		}
-		r := freeRoom(m)
-		o := option{m: m}
-		fits := func() int {
-			c, q := 0, r
-			for fits(j.spec, q.cpus, q.gpus, q.mem) && c < n {
-				c++
-				q = q.minus(j.spec, 1)
-			}
-			return c
-		}
-		var ks []taskKey
-		cost := map[taskKey]float64{}
-		for k, t := range m.tasks {
-			if t.stopping {
-				r = resources{r.cpus + k.job.spec.CPUs, r.gpus + k.job.spec.GPUs, r.mem + k.job.spec.MemoryGB}
-				continue
-			}
-			if s.preemptible(k.job, j, within) {
-				ks = append(ks, k)
-				cost[k], _ = s.preemptionCost(k, now)
-			}
+		if o := s.preemptionOption(m, j, n, within, now); o.units > 0 {
+			zone := j.commonZone(m)
+			byZone[zone] = append(byZone[zone], o)
 		}
-		sort.Slice(ks, func(a, b int) bool {
-			if x, y := ks[a].job.rank, ks[b].job.rank; x != y {
-				return x < y
-			}
-			return cost[ks[a]] < cost[ks[b]]
-		})
-		for _, k := range ks {
-			if fits() > 0 && (j.spec.Kind != wire.Gang || fits() >= n) {
-				break
-			}
-			o.victims = append(o.victims, k)
-			o.loss += cost[k]
-			spec := k.job.spec
-			r = resources{r.cpus + spec.CPUs, r.gpus + spec.GPUs, r.mem + spec.MemoryGB}
+	})
+	return byZone
+}
+
+// preemptionOption picks the tasks that have to stop on a machine so that a task of j, or of a
+// gang as many as there is room for up to n, fits there.
+func (s *Shard) preemptionOption(m *Machine, j *Job, n int, within bool, now time.Time) preemptionOption {
+	room := freeRoom(m)
+	var candidates []taskKey
+	cost := map[taskKey]float64{}
+	for k, t := range m.tasks {
+		if t.stopping {
+			room = room.plus(k.job.spec)
+			continue
 		}
-		if o.units = fits(); o.units == 0 {
-			return
+		if s.preemptible(k.job, j, within) {
+			candidates = append(candidates, k)
+			cost[k], _ = s.preemptionCost(k, now)
 		}
-		zone := m.Zone
-		if !j.spec.OneZone {
-			zone = ""
+	}
+	sort.Slice(candidates, func(a, b int) bool {
+		if x, y := candidates[a].job.rank, candidates[b].job.rank; x != y {
+			return x < y
 		}
-		byZone[zone] = append(byZone[zone], o)
+		return cost[candidates[a]] < cost[candidates[b]]
 	})
-	var best []option
+	o := preemptionOption{machine: m}
+	for _, k := range candidates {
+		if count := room.capacity(j.spec, n); count > 0 && (j.spec.Kind != wire.Gang || count >= n) {
+			break
+		}
+		o.victims = append(o.victims, k)
+		o.loss += cost[k]
+		room = room.plus(k.job.spec)
+	}
+	o.units = room.capacity(j.spec, n)
+	return o
+}
+
+// leastLoss picks the options of one zone that make room for n tasks and lose least; nil if
+// none do. It sorts the options.
+func leastLoss(byZone map[string][]preemptionOption, n int) []preemptionOption {
+	var best []preemptionOption
 	bestLoss := math.Inf(1)
-	for _, os := range byZone {
-		sort.Slice(os, func(a, b int) bool {
-			if os[a].loss != os[b].loss {
-				return os[a].loss < os[b].loss
+	for _, options := range byZone {
+		sort.Slice(options, func(a, b int) bool {
+			if options[a].loss != options[b].loss {
+				return options[a].loss < options[b].loss
 			}
-			return os[a].m.ID < os[b].m.ID
+			return options[a].machine.ID < options[b].machine.ID
 		})
-		units, loss := 0, 0.0
-		for i, o := range os {
-			units += o.units
-			loss += o.loss
-			if units >= n {
-				if loss < bestLoss {
-					best, bestLoss = os[:i+1], loss
-				}
-				break
-			}
+		if enough, loss := firstEnough(options, n); loss < bestLoss {
+			best, bestLoss = enough, loss
 		}
 	}
-	if best == nil && j.longWaiting(now) {
-		// Too much for one moment: what the gang gathers grows step by step.
-		for zone, os := range byZone {
-			if s.pass.gangByZone[zone] == j {
-				best = os
-			}
+	return best
+}
+
+// firstEnough returns the first options that together make room for n tasks, and what they
+// lose: infinitely much if all do not suffice.
+func firstEnough(options []preemptionOption, n int) ([]preemptionOption, float64) {
+	units, loss := 0, 0.0
+	for i, o := range options {
+		units += o.units
+		loss += o.loss
+		if units >= n {
+			return options[:i+1], loss
 		}
 	}
-	for _, o := range best {
-		for _, k := range o.victims {
-			s.preemptTask(k, now)
+	return nil, math.Inf(1)
+}
+
+// optionsWhereReserving returns the options in the zone in which machines are reserved for a
+// gang.
+func (s *Shard) optionsWhereReserving(gang *Job, byZone map[string][]preemptionOption) []preemptionOption {
+	for zone, options := range byZone {
+		if s.pass.gangByZone[zone] == gang {
+			return options
 		}
-		s.inventory.reserve(o.m, j, o.units, now.Add(preemptedReservation))
 	}
-	if best != nil {
-		j.preemption.awaitedUntil = now.Add(preemptedReservation / 2)
-		s.wakeAt(j.preemption.awaitedUntil)
-	} else {
-		j.preemption.triedAt = now
-		s.wakeAt(now.Add(preemptionRetry))
+	return nil
+}
+
+// commonZone is the zone of a machine if the job's tasks have to be in one, else empty.
+func (j *Job) commonZone(m *Machine) string {
+	if j.spec.OneZone {
+		return m.Zone
 	}
+	return ""
 }
 
 // preemptionRetry is when room that could not be made is sought again.
@@ -218,52 +258,75 @@
 	s.stopTask(k, grace, now)
 }
 
-// preemptWhereCached looks for a machine that caches a service's image where lower work can
-// give way, when only machines without the image are free: stopping takes less
-// than the fetch would. It reports whether the task should wait for such room,
-// and whether more may be sought for the job's others.
-// This is the design's leaning to machines that have the image, carried on to
-// those that are taken.
+// preemptWhereCached looks for a machine that caches a service's image where lower work can be
+// preempted, when only machines without the image are free: stopping takes less than the
+// fetch would. It reports whether the task should wait for such room, and whether more may be
+// sought for the job's others.
+// This is the design's preference for machines that have the image, carried on to those that
+// are in use.
 func (s *Shard) preemptWhereCached(j *Job, found *Machine, now time.Time) (wait, more bool) {
-	spec := j.spec
-	if spec.Kind != wire.Service || found.hasImage(spec.Image) || found.Type.FetchGBps <= 0 {
+	if !cachedRoomWorth(j, found, now) {
 		return false, false
 	}
-	fetch := wire.Seconds(spec.ImageGB / found.Type.FetchGBps)
-	if fetch < fetchWorthPreempting || now.Sub(j.accepted) > cachedRoomWait {
+	zones := maps.Clone(j.progress.placedByZone)
+	if s.cachedRoomComing(j, zones, now) >= j.progress.pending {
+		return true, false
+	}
+	best, victim := s.cachedVictim(j, zones, now)
+	if best == nil {
 		return false, false
 	}
-	zones := maps.Clone(j.progress.placedByZone)
+	s.preemptTask(victim, now)
+	s.inventory.reserve(best, j, 1, now.Add(cachedRoomWait))
+	s.wakeAt(best.reservation.until)
+	return true, true
+}
+
+// cachedRoomWorth reports whether a service that would have to fetch its image on the machine
+// that was found does better to wait for room where it is cached.
+func cachedRoomWorth(j *Job, found *Machine, now time.Time) bool {
+	if j.spec.Kind != wire.Service || found.hasImage(j.spec.Image) || found.Type.FetchGBps <= 0 {
+		return false
+	}
+	fetch := wire.Seconds(j.spec.ImageGB / found.Type.FetchGBps)
+	return fetch >= fetchWorthPreempting && now.Sub(j.accepted) <= cachedRoomWait
+}
+
+// cachedRoomComing returns for how many tasks of a job room is being made where its image is
+// cached, and adds these to the job's tasks by zone.
+func (s *Shard) cachedRoomComing(j *Job, zones map[string]int, now time.Time) int {
 	coming := 0
 	limit := j.zoneLimit()
 	for m := range s.inventory.reserved[j.ref] {
 		// Room that is free by now, or made where the image is not, is not what
 		// is waited for.
-		if n := m.reservedFor(j, now); n > 0 && m.hasImage(spec.Image) && m.evicting() && zones[m.Zone]+n <= limit {
+		if n := m.reservedFor(j, now); n > 0 && m.hasImage(j.spec.Image) && m.evicting() && zones[m.Zone]+n <= limit {
 			coming += n
 			zones[m.Zone] += n
 		}
 	}
-	if coming >= j.progress.pending {
-		return true, false
-	}
-	var best *Machine
-	var victim taskKey
+	return coming
+}
+
+// cachedVictim returns the task of an array whose end makes room for a task of a job where its
+// image is cached, and loses least; no machine if there is none.
+func (s *Shard) cachedVictim(j *Job, zones map[string]int, now time.Time) (best *Machine, victim taskKey) {
 	bestLoss := math.Inf(1)
-	for m := range s.inventory.byImage[spec.Image] {
-		if !allows(spec, m) || !j.allowsZone(m.Zone) || !s.usable(m, now) || zones[m.Zone] >= limit || m.reservedForOther(j, now) {
+	limit := j.zoneLimit()
+	for m := range s.inventory.byImage[j.spec.Image] {
+		if !allows(j.spec, m) || !j.allowsZone(m.Zone) || !s.usable(m, now) || zones[m.Zone] >= limit || m.reservedForOther(j, now) {
 			continue
 		}
-		f := freeRoom(m)
+		room := freeRoom(m)
 		for k, t := range m.tasks {
 			if t.stopping {
-				f = f.minus(k.job.spec, -1)
+				room = room.plus(k.job.spec)
 			}
 		}
-		f = f.minus(spec, m.reservedFor(j, now))
+		room = room.minus(j.spec, m.reservedFor(j, now))
 		for k, t := range m.tasks {
-			v := k.job.spec
-			if t.stopping || k.job.protected || k.job.rank >= j.rank || v.Kind != wire.Array || !fits(spec, f.cpus+v.CPUs, f.gpus+v.GPUs, f.mem+v.MemoryGB) {
+			v := k.job
+			if t.stopping || v.protected || v.rank >= j.rank || v.spec.Kind != wire.Array || !room.plus(v.spec).fits(j.spec) {
 				continue
 			}
 			if l, _ := s.preemptionCost(k, now); l < bestLoss || (l == bestLoss && m.ID < best.ID) {
@@ -271,13 +334,7 @@
 			}
 		}
 	}
-	if best == nil {
-		return false, false
-	}
-	s.preemptTask(victim, now)
-	s.inventory.reserve(best, j, 1, now.Add(cachedRoomWait))
-	s.wakeAt(best.reservation.until)
-	return true, true
+	return best, victim
 }
 
 const (
--- a/internal/scheduler/quotas.go
+++ b/internal/scheduler/quotas.go
@@ -6,6 +6,7 @@
 	"bramblespur/internal/wire"
 )
 
+// allows reports whether a job may run on a machine of that kind.
 func allows(spec *wire.Spec, m *Machine) bool {
 	return (!m.Spot || spec.Spot) && (spec.Zone == nil || *spec.Zone == m.Zone) &&
 		(spec.Types == nil || slices.Contains(spec.Types, m.Type.Name))
@@ -13,13 +14,15 @@
 
 const slack = 1e-6 // amounts are decimal numbers
 
-func fits(spec *wire.Spec, cpus, gpus, mem float64) bool {
-	return spec.CPUs <= cpus+slack && spec.GPUs <= gpus+slack && spec.MemoryGB <= mem+slack
+// fits reports whether a task fits.
+func (r resources) fits(spec *wire.Spec) bool {
+	return spec.CPUs <= r.cpus+slack && spec.GPUs <= r.gpus+slack && spec.MemoryGB <= r.mem+slack
 }
 
 // resources is what is free on m, less what a plan has put there already.
 type resources struct{ cpus, gpus, mem float64 }
 
+// freeRoom is what is free on a machine.
 func freeRoom(m *Machine) resources {
 	return resources{m.Type.CPUs - m.used.cpus, m.Type.GPUs - m.used.gpus, m.Type.MemoryGB - m.used.mem}
 }
@@ -30,6 +33,18 @@
 	return resources{r.cpus - f*spec.CPUs, r.gpus - f*spec.GPUs, r.mem - f*spec.MemoryGB}
 }
 
+// plus is r with what one task leaves.
+func (r resources) plus(spec *wire.Spec) resources { return r.minus(spec, -1) }
+
+// capacity is how many tasks fit, most at the most.
+func (r resources) capacity(spec *wire.Spec, most int) int {
+	count := 0
+	for ; count < most && r.fits(spec); count++ {
+		r = r.minus(spec, 1)
+	}
+	return count
+}
+
 // quotas is what each team uses of the shard, against its guarantee and its limit.
 type quotas struct {
 	cfg  *Config
--- a/internal/scheduler/record_writes.go
+++ b/internal/scheduler/record_writes.go
@@ -145,49 +145,68 @@
 	s.effects.Txns = append(s.effects.Txns, t)
 }
 
-// buildPlacements makes the record of a slot, notes in a transaction which starts and
+// buildPlacements makes the record of some ranges, notes in a transaction which starts and
 // completions it brings, and adds the conditions that these rely on. It reports whether
 // starts were left out for want of room for their conditions.
 func (s *Shard) buildPlacements(placements *placementRecord, t *Txn, conds map[string]uint64) (rec record.Placements, left bool) {
 	rec = record.Placements{Ranges: map[string]record.TaskRange{}}
-	room := 4*s.ledger.txnOps - 2
 	for name, c := range placements.ranges {
-		j := c.job
-		run := record.TaskRange{Attempt: c.attempt}
-		if placements.sized {
-			run.Size, run.Generation = c.end-c.first, c.turn
-		}
-		for i := c.first; i < c.end; i++ {
-			k := taskKey{j, i}
-			task := &j.tasks[i]
-			switch task.state {
-			case placed:
-				if !task.recorded && !addConditions(conds, room, map[string]uint64{
-					record.ActiveJobKey(j.ref): j.record.version, record.OverrideKey(task.machine.ID): task.machine.record.version,
-				}) {
-					left = true
-					continue
-				}
-				if !task.recorded {
-					t.starts = append(t.starts, k)
-				}
-				if run.Placed == nil {
-					run.Placed = map[int]record.TaskPlacement{}
-				}
-				run.Placed[i] = record.TaskPlacement{Machine: task.machine.ID, Attempt: task.attempt}
-			case completed:
-				if !task.completionRecorded {
-					t.completions = append(t.completions, k)
-				}
-				run.Completed = withDone(run.Completed, i)
-			}
-		}
+		built, complete := s.buildRange(c, t, conds)
+		left = left || !complete
 		t.ranges = append(t.ranges, c)
-		rec.Ranges[name] = run
+		rec.Ranges[name] = built
 	}
 	return rec, left
 }
 
+// buildRange makes a range of a record. It reports whether all starts are in it.
+func (s *Shard) buildRange(c *taskRange, t *Txn, conds map[string]uint64) (built record.TaskRange, complete bool) {
+	complete = true
+	room := 4*s.ledger.txnOps - 2 // for conditions
+	j := c.job
+	built = c.header()
+	for i := c.first; i < c.end; i++ {
+		k := taskKey{j, i}
+		task := &j.tasks[i]
+		switch task.state {
+		case placed:
+			if !task.recorded && !addConditions(conds, room, map[string]uint64{
+				record.ActiveJobKey(j.ref): j.record.version, record.OverrideKey(task.machine.ID): task.machine.record.version,
+			}) {
+				complete = false
+				continue
+			}
+			if !task.recorded {
+				t.starts = append(t.starts, k)
+			}
+			addPlacement(&built, i, task)
+		case completed:
+			if !task.completionRecorded {
+				t.completions = append(t.completions, k)
+			}
+			built.Completed = withDone(built.Completed, i)
+		}
+	}
+	return built, complete
+}
+
+// header is a range as it is recorded, without its placements.
+func (c *taskRange) header() record.TaskRange {
+	built := record.TaskRange{Attempt: c.attempt}
+	if c.record.sized {
+		built.Size, built.Generation = c.end-c.first, c.turn
+	}
+	return built
+}
+
+// addPlacement adds a placed task to a range.
+func addPlacement(built *record.TaskRange, i int, t *task) {
+	if built.Placed == nil {
+		built.Placed = map[int]record.TaskPlacement{}
+	}
+	built.Placed[i] = record.TaskPlacement{Machine: t.machine.ID, Attempt: t.attempt}
+}
+
 // withDone adds a task to spans of completed ones, which all come before it.
 func withDone(spans [][2]int, i int) [][2]int {
 	if l := len(spans); l > 0 && spans[l-1][1] == i-1 {
--- a/internal/scheduler/recorded_state.go
+++ b/internal/scheduler/recorded_state.go
@@ -41,20 +41,14 @@
 
 // asRecorded is a range as its record tells it.
 func (c *taskRange) asRecorded() record.TaskRange {
-	run := record.TaskRange{Attempt: c.attempt}
-	if c.record.sized {
-		run.Size, run.Generation = c.end-c.first, c.turn
-	}
+	out := c.header()
 	for i := c.first; i < c.end; i++ {
 		switch t := &c.job.tasks[i]; {
 		case t.state == placed && t.recorded:
-			if run.Placed == nil {
-				run.Placed = map[int]record.TaskPlacement{}
-			}
-			run.Placed[i] = record.TaskPlacement{Machine: t.machine.ID, Attempt: t.attempt}
+			addPlacement(&out, i, t)
 		case t.state == completed:
-			run.Completed = withDone(run.Completed, i)
+			out.Completed = withDone(out.Completed, i)
 		}
 	}
-	return run
+	return out
 }
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -10,81 +10,102 @@
 	"bramblespur/internal/wire"
 )
 
-// Summary tells the leader what waits and what the part's machines do.
+// Summary tells the leader what waits and what the shard's machines do.
 func (s *Shard) Summary(now time.Time) fleet.Summary {
 	s.arrivals.decay(now)
-	summary := fleet.Summary{Part: s.id, Arriving: s.arrivals.onDemand / arrivalDecay.Seconds(), ArrivingSpot: s.arrivals.spot / arrivalDecay.Seconds()}
+	return fleet.Summary{
+		Part:         s.id,
+		Arriving:     s.arrivals.onDemand / arrivalDecay.Seconds(),
+		ArrivingSpot: s.arrivals.spot / arrivalDecay.Seconds(),
+		Needs:        s.needs(now),
+		Machines:     s.machineSummaries(now),
+	}
+}
+
+// needs are the needs for machines, the most urgent first, maxNeeds at the most.
+func (s *Shard) needs(now time.Time) []fleet.Need {
+	var needs []fleet.Need
 	for _, j := range s.inventory.pendingJobs {
-		if !s.placeable(j, now) || now.Before(j.notBefore) {
-			continue
-		}
-		n := j.progress.pending
-		for n > 0 && !s.quotas.withinLimit(j, n) {
-			if j.spec.Kind == wire.Gang {
-				n = 0
-				break
-			}
-			n--
+		if n := s.unmetTasks(j, now); n > 0 {
+			need := j.need(n)
+			need.Waited, need.Starved = now.Sub(j.accepted), j.starved(now)
+			needs = append(needs, need)
 		}
-		if j.spec.Kind != wire.Gang {
-			for m := range s.inventory.reserved[j.ref] {
-				n = max(0, n-m.reservedFor(j, now))
-			}
-		} else if now.Before(j.preemption.awaitedUntil) {
-			n = 0
-		}
-		if n == 0 {
-			continue
-		}
-		need := j.need(n)
-		need.Waited, need.Starved = now.Sub(j.accepted), j.starved(now)
-		summary.Needs = append(summary.Needs, need)
-	}
-	summary.Needs = append(summary.Needs, s.replacementNeeds()...)
-	sort.Slice(summary.Needs, func(a, b int) bool {
-		if summary.Needs[a].Rank != summary.Needs[b].Rank {
-			return summary.Needs[a].Rank > summary.Needs[b].Rank
+	}
+	needs = append(needs, s.replacementNeeds()...)
+	sort.Slice(needs, func(a, b int) bool {
+		if needs[a].Rank != needs[b].Rank {
+			return needs[a].Rank > needs[b].Rank
 		}
-		return summary.Needs[a].Waited > summary.Needs[b].Waited
+		return needs[a].Waited > needs[b].Waited
 	})
-	if len(summary.Needs) > maxNeeds {
-		summary.Needs = summary.Needs[:maxNeeds]
+	return needs[:min(len(needs), maxNeeds)]
+}
+
+// unmetTasks is how many of a job's tasks wait for machines: neither for other jobs, nor for
+// their team's quota, nor for room that is reserved for them.
+func (s *Shard) unmetTasks(j *Job, now time.Time) int {
+	if !s.placeable(j, now) || now.Before(j.notBefore) {
+		return 0
 	}
-	summary.Machines = make([]fleet.Machine, 0, len(s.inventory.byID))
-	for _, m := range s.inventory.byID {
-		f := freeRoom(m)
-		fm := fleet.Machine{
-			ID: m.ID, Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot, Up: m.contact.up, Usable: s.usable(m, now),
-			Leaving: m.transferTo >= 0 || m.draining || m.cordon != NotCordoned || m.Phase != record.InUse || !m.reclaimedAt.IsZero(),
-			CPUs:    f.cpus, GPUs: f.gpus, MemoryGB: f.mem, Tasks: len(m.tasks),
-			Avoided: m.cordonedLater,
-		}
-		if m.transferTo >= 0 {
-			fm.Moving, fm.To = true, m.transferTo
-		}
-		if len(m.tasks) == 0 && m.contact.up && !m.idleSince.IsZero() {
-			fm.Idle = now.Sub(m.idleSince)
+	n := j.progress.pending
+	if j.spec.Kind == wire.Gang {
+		if !s.quotas.withinLimit(j, n) || now.Before(j.preemption.awaitedUntil) {
+			return 0
 		}
-		if !m.record.hasAddress {
-			fm.Addr = m.Addr
-		}
-		for _, i := range m.images {
-			fm.Images = append(fm.Images, i.Name)
-		}
-		if m.reservation.job != "" && now.Before(m.reservation.until) {
-			fm.For = m.reservation.job
-		}
-		for k := range m.tasks {
-			fm.Lasting = fm.Lasting || k.job.spec.Kind == wire.Service
-			fm.TopRank = max(fm.TopRank, k.job.rank)
-			if k.job.protected {
-				fm.TopRank = max(fm.TopRank, highestRank-1) // only services take its place
-			}
+		return n
+	}
+	for n > 0 && !s.quotas.withinLimit(j, n) {
+		n--
+	}
+	for m := range s.inventory.reserved[j.ref] {
+		n = max(0, n-m.reservedFor(j, now))
+	}
+	return n
+}
+
+// machineSummaries describes the machines, by name.
+func (s *Shard) machineSummaries(now time.Time) []fleet.Machine {
+	machines := make([]fleet.Machine, 0, len(s.inventory.byID))
+	for _, m := range s.inventory.byID {
+		machines = append(machines, s.machineSummary(m, now))
+	}
+	sort.Slice(machines, func(a, b int) bool { return machines[a].ID < machines[b].ID })
+	return machines
+}
+
+// machineSummary describes a machine for the leader.
+func (s *Shard) machineSummary(m *Machine, now time.Time) fleet.Machine {
+	room := freeRoom(m)
+	out := fleet.Machine{
+		ID: m.ID, Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot, Up: m.contact.up, Usable: s.usable(m, now),
+		Leaving: !m.staysInShard(),
+		CPUs:    room.cpus, GPUs: room.gpus, MemoryGB: room.mem, Tasks: len(m.tasks),
+		Avoided: m.cordonedLater,
+	}
+	if m.transferTo >= 0 {
+		out.Moving, out.To = true, m.transferTo
+	}
+	if len(m.tasks) == 0 && m.contact.up && !m.idleSince.IsZero() {
+		out.Idle = now.Sub(m.idleSince)
+	}
+	if !m.record.hasAddress {
+		out.Addr = m.Addr
+	}
+	for _, i := range m.images {
+		out.Images = append(out.Images, i.Name)
+	}
+	if m.reservation.job != "" && now.Before(m.reservation.until) {
+		out.For = m.reservation.job
+	}
+	for k := range m.tasks {
+		out.Lasting = out.Lasting || k.job.spec.Kind == wire.Service
+		out.TopRank = max(out.TopRank, k.job.rank)
+		if k.job.protected {
+			out.TopRank = max(out.TopRank, highestRank-1) // only services take its place
 		}
-		summary.Machines = append(summary.Machines, fm)
 	}
-	sort.Slice(summary.Machines, func(a, b int) bool { return summary.Machines[a].ID < summary.Machines[b].ID })
-	return summary
+	return out
 }
 
 // need describes machines for n of a job's tasks.
@@ -97,10 +118,8 @@
 	if spec.Zone != nil {
 		need.Zone = *spec.Zone
 	}
-	if spec.OneZone {
-		for z := range j.progress.placedByZone {
-			need.Zone = z // the others have to follow
-		}
+	if zone := j.requiredZone(); zone != "" {
+		need.Zone = zone // the others have to follow
 	}
 	if spec.Spread {
 		need.ZoneLimit, need.InZone = j.zoneLimit(), maps.Clone(j.progress.placedByZone)
