--- a/internal/scheduler/allocations_test.go
+++ b/internal/scheduler/allocations_test.go
@@ -18,11 +18,11 @@
 	summaryBytes = 270  // 180
 )
 
-// startAllocs bounds a start by the machines of its part: 506, 1073 and 1577 were
-// measured, nearly all for encoding the slot's record.
+// startAllocs bounds a start by the machines of its shard: 506, 1073 and 1577 were
+// measured, nearly all for encoding the placement record.
 var startAllocs = map[int]float64{40: 760, 400: 1600, 1600: 2400}
 
-// fleetHarness is a part of so many machines, with so many tasks running on each 40.
+// fleetHarness is a shard of so many machines, with so many tasks running on each 40.
 func fleetHarness(t testing.TB, machines, tasks int) *harness {
 	r := newHarness(t)
 	r.cfg.PlacementsPerRecord, r.cfg.ValueBytes, r.cfg.TxnOps = PlacementsPerRecord(16), 16<<10, 24
@@ -145,7 +145,7 @@
 }
 
 // A job of one task costs, until its start is recorded, allocations by the
-// tasks that share its slot's record, not by the machines or by all that runs.
+// tasks that share its placement record, not by the machines or by all that runs.
 func TestStartAllocations(t *testing.T) {
 	for machines, most := range startAllocs {
 		r := fleetHarness(t, machines, 60)
--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -142,10 +142,10 @@
 	return scores
 }
 
-// yieldsReservation reports whether a job leaves alone what is kept for another. One that has
+// yieldsReservation reports whether a job leaves alone what is reserved for another. One that has
 // waited too long takes it from those that have not, but not from those that go
 // before it: small gangs, which find room soon, would keep the largest from ever
-// having gathered enough.
+// having reserved enough.
 func (s *Shard) yieldsReservation(j, other *Job, now time.Time) bool {
 	if s.aged(j, now) {
 		return s.aged(other, now) && beforeAged(other, j)
--- a/internal/scheduler/data_loss.go
+++ b/internal/scheduler/data_loss.go
@@ -10,9 +10,9 @@
 
 // Starts are recorded before workers hear of them, and a job's record goes only with its final
 // one. So workers that have what the records never knew tell of records that were lost. A
-// strict part keeps such tasks as they are, starts nothing, and asks its shell to look for the
+// shard that detects data loss keeps such tasks as they are, starts nothing, and asks its shell to look for the
 // records. If several machines have tasks of which there is none, they were lost; if one alone
-// has, after a while that is its own error, and its tasks are strays.
+// has, after a while that is its own error, and its tasks are orphan tasks.
 
 // dataLossDetection compares what workers report with the records, if it is enabled.
 type dataLossDetection struct {
@@ -35,7 +35,7 @@
 type Unrecorded struct {
 	Task, Machine     string
 	Attempt, Recorded uint64 // the attempt on the machine, and the highest on record
-	KnownJob          bool   // the part holds its job
+	KnownJob          bool   // the shard holds its job
 }
 
 const (
@@ -43,43 +43,51 @@
 	maxUnrecordedTasks = 4096
 	// machinesToConfirmLoss is how many machines must have unrecorded tasks for records to be lost.
 	machinesToConfirmLoss = 2
-	// heartbeatsToConfirmLoss is for how many intervals of reports other machines may yet tell.
+	// heartbeatsToConfirmLoss is for how many intervals of heartbeats other machines may yet tell.
 	heartbeatsToConfirmLoss = 2
 )
 
-// DetectDataLoss makes the part ask for what the records do not know.
-func (s *Shard) DetectDataLoss() {
-	s.dataLoss.enabled, s.dataLoss.suspected, s.dataLoss.explained = true, map[string]*unrecordedTask{}, map[string]struct{}{}
+// DetectDataLoss makes the shard ask for what the records do not know.
+func (s *Shard) DetectDataLoss() { s.dataLoss.enable() }
+
+func (d *dataLossDetection) enable() {
+	d.enabled, d.suspected, d.explained = true, map[string]*unrecordedTask{}, map[string]struct{}{}
 }
 
-// ExplainUnrecorded takes in that records were found that explain a reported task: its job is over, or
-// another part's.
+// ExplainUnrecorded takes in that records were found that explain a reported task: its job is
+// terminal, or another shard's.
 func (s *Shard) ExplainUnrecorded(task string) {
-	if len(s.dataLoss.explained) >= maxUnrecordedTasks {
-		clear(s.dataLoss.explained) // what is reported again is looked for again
-	}
-	s.dataLoss.explained[task] = struct{}{}
-	delete(s.dataLoss.suspected, task)
+	s.dataLoss.explain(task)
 	s.placementDue = true
 }
 
+func (d *dataLossDetection) explain(task string) {
+	if len(d.explained) >= maxUnrecordedTasks {
+		clear(d.explained) // what is reported again is looked for again
+	}
+	d.explained[task] = struct{}{}
+	delete(d.suspected, task)
+}
+
 // ConfirmUnrecorded takes in that no record explains a reported task, and reports whether so
 // many machines have such tasks that the records must be lost.
-func (s *Shard) ConfirmUnrecorded(task string) bool {
-	if d := s.dataLoss.suspected[task]; d != nil {
-		d.confirmed = true
+func (s *Shard) ConfirmUnrecorded(task string) bool { return s.dataLoss.confirm(task) }
+
+func (d *dataLossDetection) confirm(task string) (recordsLost bool) {
+	if suspect := d.suspected[task]; suspect != nil {
+		suspect.confirmed = true
 	}
 	machines := map[string]bool{}
-	for _, d := range s.dataLoss.suspected {
-		if d.confirmed && d.runs {
-			machines[d.machine] = true
+	for _, suspect := range d.suspected {
+		if suspect.confirmed && suspect.runs {
+			machines[suspect.machine] = true
 		}
 	}
 	return len(machines) >= machinesToConfirmLoss
 }
 
-// suspectDataLoss reports whether a reported task is one that the records should know and do not, so
-// that nothing may be done about it yet. The job is nil if the part does not hold it.
+// suspectDataLoss reports whether a reported task is one that the records should know and do
+// not, so that nothing may be done about it yet. The job is nil if the shard does not hold it.
 func (s *Shard) suspectDataLoss(m *Machine, rt *wire.HeartbeatTask, j *Job, i int, now time.Time) bool {
 	if !s.dataLoss.enabled || (j != nil && (j.withheld || i >= len(j.tasks))) {
 		return false
@@ -93,28 +101,48 @@
 			return false
 		}
 	}
-	if _, explained := s.dataLoss.explained[rt.Task]; explained {
-		return false
+	suspected, added := s.dataLoss.suspect(m.ID, rt, s.cfg.HeartbeatInterval, now)
+	if added {
+		s.effects.Unrecorded = append(s.effects.Unrecorded, Unrecorded{Task: rt.Task, Machine: m.ID, Attempt: rt.Attempt, Recorded: recorded, KnownJob: j != nil})
 	}
-	if d := s.dataLoss.suspected[rt.Task]; d != nil {
-		return d.undecided(now, s.cfg.HeartbeatInterval)
+	return suspected
+}
+
+// suspect takes in that a machine reported a task that the records do not know. It reports
+// whether that is not decided yet, and whether its records are to be looked for from now on.
+func (d *dataLossDetection) suspect(machine string, rt *wire.HeartbeatTask, heartbeatInterval time.Duration, now time.Time) (undecided, added bool) {
+	if _, explained := d.explained[rt.Task]; explained {
+		return false, false
+	}
+	if suspect := d.suspected[rt.Task]; suspect != nil {
+		return suspect.undecided(now, heartbeatInterval), false
 	}
-	if len(s.dataLoss.suspected) >= maxUnrecordedTasks {
-		return true
+	if len(d.suspected) >= maxUnrecordedTasks {
+		return true, false
 	}
-	s.dataLoss.suspected[rt.Task] = &unrecordedTask{machine: m.ID, since: now, runs: rt.State != wire.Exited}
-	s.effects.Unrecorded = append(s.effects.Unrecorded, Unrecorded{Task: rt.Task, Machine: m.ID, Attempt: rt.Attempt, Recorded: recorded, KnownJob: j != nil})
-	return true
+	d.suspected[rt.Task] = &unrecordedTask{machine: machine, since: now, runs: rt.State != wire.Exited}
+	return true, true
 }
 
-// undecided reports whether a doubt is not decided yet: after a while it is a worker's own error.
-func (d *unrecordedTask) undecided(now time.Time, report time.Duration) bool {
-	return !d.confirmed || now.Sub(d.since) < heartbeatsToConfirmLoss*report
+// undecided reports whether it is not decided why any of the suspected tasks is there.
+func (d *dataLossDetection) undecided(now time.Time, heartbeatInterval time.Duration) bool {
+	for _, suspect := range d.suspected {
+		if suspect.undecided(now, heartbeatInterval) {
+			return true
+		}
+	}
+	return false
 }
 
-// awaitHeartbeats puts starts off after a take-over if records of placements seem to be missing:
-// there are none though the part has machines, or their numbers, which are given out in order,
-// have gaps. What runs by them is in the workers' first reports.
+// undecided reports whether it is not decided yet why a task is there: after a while it is a
+// worker's own error.
+func (t *unrecordedTask) undecided(now time.Time, heartbeatInterval time.Duration) bool {
+	return !t.confirmed || now.Sub(t.since) < heartbeatsToConfirmLoss*heartbeatInterval
+}
+
+// awaitHeartbeats puts starts off after a failover if records of placements seem to be missing:
+// there are none though the shard has machines, or their numbers, which are given out in order,
+// have gaps. What runs by them is in the workers' first heartbeats.
 func (s *Shard) awaitHeartbeats(slots []wire.Entry, now time.Time) {
 	if !s.dataLoss.enabled || len(s.inventory.byID) == 0 {
 		return
@@ -133,10 +161,8 @@
 // awaitsHeartbeats reports whether starts are put off: records seem to be missing, or it is not
 // known yet why a worker has what they do not.
 func (s *Shard) awaitsHeartbeats(now time.Time) bool {
-	waits := now.Before(s.dataLoss.heartbeatsAwaitedUntil) && s.awaitsInheritedMachines()
-	for _, d := range s.dataLoss.suspected {
-		waits = waits || d.undecided(now, s.cfg.HeartbeatInterval)
-	}
+	waits := (now.Before(s.dataLoss.heartbeatsAwaitedUntil) && s.awaitsInheritedMachines()) ||
+		s.dataLoss.undecided(now, s.cfg.HeartbeatInterval)
 	if waits {
 		s.wakeAt(now.Add(s.cfg.HeartbeatInterval / 4))
 	}
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -23,7 +23,7 @@
 	return s
 }
 
-// tellEnds tells the part which of the jobs that it waits for are over.
+// tellEnds tells the shard which of the jobs that it waits for are over.
 func (r *harness) tellEnds() {
 	for _, ref := range r.shard.Dependencies() {
 		if e := r.get(record.FinishedJobKey(ref)); e != nil {
@@ -189,7 +189,7 @@
 	}
 }
 
-// Random graphs over three parts, with take-overs, cancellations, lost and late
+// Random graphs over three shards, with failovers, cancellations, lost and late
 // writes: nothing starts before all its roots are done, a cancellation reaches all
 // that follows and nothing else, and in the end nothing is stuck.
 func TestRandomGraphsAcrossParts(t *testing.T) {
@@ -199,7 +199,7 @@
 		var rigs []*harness
 		for id := range 3 {
 			r := newHarnessOf(t, id, clock, state)
-			r.cfg.SilentAfter, r.cfg.BootFactor = time.Hour, 1e3 // parts take turns, which takes a while
+			r.cfg.SilentAfter, r.cfg.BootFactor = time.Hour, 1e3 // shards take turns, which takes a while
 			for m := range 2 {
 				r.machine(fmt.Sprintf("m%d-%d", id, m), "z1", false)
 			}
--- a/internal/scheduler/deposed_test.go
+++ b/internal/scheduler/deposed_test.go
@@ -13,12 +13,12 @@
 	"bramblespur/internal/wire"
 )
 
-// The tests below guard the condition of each write on its part's record: an owner
+// The tests below guard the condition of each write on its shard's record: an owner
 // that another one has followed without its knowledge, as when only its peers lost
 // sight of it, makes a write after its successor has read the records. The other
 // conditions of these writes hold, since the successor has changed none of those records.
 
-// deposed is a part whose owner does not know yet that another one has followed.
+// deposed is a shard whose owner does not know yet that another one has followed.
 type deposed struct {
 	*harness
 	old *Shard
@@ -31,7 +31,7 @@
 	return d
 }
 
-// nextTxn returns the next transaction that the part's owner makes by itself.
+// nextTxn returns the next transaction that the shard's owner makes by itself.
 func (r *harness) nextTxn() *Txn {
 	r.t.Helper()
 	for range 4 {
@@ -46,7 +46,7 @@
 }
 
 // late carries out a transaction of the old owner and tells it what came of it. It
-// reports whether the transaction failed on the part's record.
+// reports whether the transaction failed on the shard's record.
 func (d *deposed) late(t *Txn) bool {
 	d.t.Helper()
 	now := d.clock.Now()
@@ -120,7 +120,7 @@
 	}
 }
 
-// A machine that the old owner moves to another part, since it knows of nothing
+// A machine that the old owner moves to another shard, since it knows of nothing
 // there, would take the successor's task with it, which then runs twice.
 func TestDeposedOwnerMovesNoMachine(t *testing.T) {
 	r := newHarness(t)
@@ -152,7 +152,7 @@
 	}
 }
 
-// A machine that the old owner gives back would end the successor's task.
+// A machine that the old owner releases would end the successor's task.
 func TestDeposedOwnerReturnsNoMachine(t *testing.T) {
 	r := newHarness(t)
 	r.machine("m1", "z1", false)
@@ -194,9 +194,9 @@
 }
 
 // A move without an answer is read back before anything else is done with the machine.
-// Taken for refused, the machine would count as this part's as long as the state service
-// refuses its owner alone: it says nothing there, since it reports to the part that it
-// has moved to, and would be given back with that part's task on it.
+// Taken for refused, the machine would count as this shard's as long as the state service
+// refuses its owner alone: it says nothing there, since it reports to the shard that it
+// has moved to, and would be released with that shard's task on it.
 func TestMoveWithoutAnswerIsNotTakenForRefused(t *testing.T) {
 	r := newHarness(t)
 	moved, stays := r.machine("m1", "z1", false), r.machine("m2", "z1", false)
--- a/internal/scheduler/direct_commands.go
+++ b/internal/scheduler/direct_commands.go
@@ -7,11 +7,11 @@
 	"bramblespur/internal/wire"
 )
 
-// A start normally rides on a report's answer, which its worker drops after 4 s.
+// A start normally rides on a heartbeat's answer, which its worker drops after 4 s.
 // Where reports are far apart it goes straight to the worker instead. Such a
-// command may be executed late, and even twice, as long as its token and session
+// command may be executed late, and even twice, as long as its token and epoch
 // still match. So whoever sent one does not take its task for gone, nor let the
-// worker forget the attempt, until a higher token or a newer session was
+// worker forget the attempt, until a higher token or a newer epoch was
 // reported, or the machine is gone.
 
 // directStart is a start that was sent straight to a worker.
@@ -30,11 +30,11 @@
 	NoAnswer CommandOutcome = iota // it may have been carried out, or may be later
 	NotSent                        // it never left
 	Executed
-	Refused // the token or the session was not the worker's any more
+	Refused // the token or the epoch was not the worker's any more
 )
 
 const (
-	// directStartWorth is the wait for a report from which on a command sent by
+	// directStartWorth is the wait for a heartbeat from which on a command sent by
 	// itself is worth its connection.
 	directStartWorth = time.Second
 	// raiseTokenAfter is how long an answer to a direct start is awaited before the
@@ -46,7 +46,7 @@
 )
 
 // DirectStarts makes the command that brings what is recorded for a machine to it at
-// once, if its next report is far.
+// once, if its next heartbeat is far.
 func (s *Shard) DirectStarts(id string, now time.Time) (DirectCommand, bool) {
 	m := s.inventory.byID[id]
 	if m == nil || m.Addr == "" || m.contact.epoch == 0 || !s.usable(m, now) || s.cfg.HeartbeatInterval < 2*directStartWorth {
@@ -88,7 +88,7 @@
 }
 
 // dropOutdatedStarts drops the direct starts that can't be carried out any more, as a
-// report shows: its session is newer or it has seen a higher token.
+// report shows: its epoch is newer or it has seen a higher token.
 func (m *Machine) dropOutdatedStarts(r *wire.Heartbeat) {
 	if r.Session > m.contact.epoch {
 		m.directStarts = nil
@@ -122,7 +122,7 @@
 
 // raiseToken gives a machine a higher token where a direct start without an answer,
 // or too many attempts that must not be forgotten, call for one. A silent
-// machine is not worth it: its session ends or it goes back.
+// machine is not worth it: its epoch ends or it goes back.
 func (s *Shard) raiseToken(m *Machine, now time.Time) {
 	due := m.retained >= raiseTokenRetained
 	for _, run := range m.directStarts {
--- a/internal/scheduler/direct_commands_test.go
+++ b/internal/scheduler/direct_commands_test.go
@@ -8,7 +8,7 @@
 )
 
 // deliver carries a direct command out, as its worker would, and tells the
-// part unless the answer is lost.
+// shard unless the answer is lost.
 func (r *harness) deliver(d DirectCommand, answered bool) {
 	w := r.workers[d.Machine]
 	if w.Session != d.Orders.Session || !w.Obey(wire.Orders{Token: d.Orders.Token, Commands: d.Orders.Commands}) {
@@ -24,7 +24,7 @@
 	}
 }
 
-// A start sent straight to the worker runs without waiting for a report, and
+// A start sent straight to the worker runs without waiting for a heartbeat, and
 // its repetition in an answer starts nothing twice.
 func TestDirectStart(t *testing.T) {
 	r := newHarness(t)
@@ -101,7 +101,7 @@
 	if got := r.on("run-000001/0"); got != "m2" {
 		t.Fatalf("the task is on %q", got)
 	}
-	// A new session forgets all, and takes no command of the old one.
+	// A new epoch forgets all, and takes no command of the old one.
 	r.expire(w1)
 	r.deliver(sent[0], false)
 	if got := r.on("run-000001/0"); got != "m2" {
@@ -130,7 +130,7 @@
 	}
 }
 
-// A take-over makes every direct start of the earlier owner void.
+// A failover makes every direct start of the earlier owner void.
 func TestTakeOverVoidsDirectStarts(t *testing.T) {
 	r := newHarness(t)
 	var late []DirectCommand
--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain.go
@@ -16,7 +16,7 @@
 const (
 	NotCordoned       Cordon = iota
 	Cordoned                 // takes no new work
-	CordonedForReturn        // and is given back once it is empty
+	CordonedForReturn        // and is released once it is empty
 )
 
 // Interruption is a unit of work that stopped without having ended or been cancelled.
@@ -25,7 +25,7 @@
 	Team string
 }
 
-// drainState is what a part knows of drains.
+// drainState is what a shard knows of drains.
 type drainState struct {
 	cordonsAsOf        uint64 // of the drains' view, as of which the cordons are
 	watchInterruptions bool
@@ -54,10 +54,10 @@
 	}
 }
 
-// ProvisionedAt returns when a machine was rented.
+// ProvisionedAt returns when a machine was provisioned.
 func (m *Machine) ProvisionedAt() time.Time { return m.provisionedAt }
 
-// DrainMachines returns the part's machines that are cordoned, and with later also those
+// DrainMachines returns the shard's machines that are cordoned, and with later also those
 // that are to be, with their work, as the planner of drains needs to know them.
 func (s *Shard) DrainMachines(later bool, now time.Time) []*drain.Machine {
 	units := map[drain.UnitID]*drain.Unit{}
--- a/internal/scheduler/failover_test.go
+++ b/internal/scheduler/failover_test.go
@@ -47,7 +47,7 @@
 }
 
 // The late answer of a deposed owner carries a lower token and does nothing;
-// its late write fails on the part's record.
+// its late write fails on the shard's record.
 func TestDeposedOwnerDoesNothing(t *testing.T) {
 	r, w := newHarnessWithMachine(t)
 	old := r.shard
@@ -73,7 +73,7 @@
 	}
 }
 
-// A cancellation that came while nobody owned the part: its record is read
+// A cancellation that came while nobody owned the shard: its record is read
 // before the placements are, and they must be stopped all the same.
 func TestCancelWhileUnowned(t *testing.T) {
 	r := newHarness(t)
@@ -122,7 +122,7 @@
 	}
 }
 
-// After a take-over nobody remembers the last report. A late copy of an old one
+// After a failover nobody remembers the last heartbeat. A late copy of an old one
 // settles, frees and starts nothing and does not count as a sign of life.
 func TestLateCopyAfterTakeOver(t *testing.T) {
 	r := newHarness(t)
--- a/internal/scheduler/feasibility.go
+++ b/internal/scheduler/feasibility.go
@@ -7,13 +7,13 @@
 	"bramblespur/internal/wire"
 )
 
-// infeasibleAfter is how long a gang gathers machines though its part has too few for
-// it: by then more have been rented or moved here, or there are none to be had.
+// infeasibleAfter is how long a gang reserves machines though its shard has too few for
+// it: by then more have been provisioned or moved here, or there are none to be had.
 const infeasibleAfter = 15 * time.Second
 
 // feasible reports whether n tasks of a gang could run in a zone (empty: anywhere)
-// once everything there has ended that ends by itself or gives way to it. Machines
-// kept for a gang for which there will never be enough would serve nobody.
+// once everything there has ended that ends by itself or is preempted for it. Machines
+// reserved for a gang for which there will never be enough would serve nobody.
 func (s *Shard) feasible(j *Job, n int, zone string) bool {
 	within := s.quotas.withinGuarantee(j, n)
 	for _, m := range s.inventory.byID {
@@ -28,12 +28,12 @@
 	return false
 }
 
-// staysInShard reports whether a machine is, or will be once it has booted, this part's.
+// staysInShard reports whether a machine is, or will be once it has booted, this shard's.
 func (m *Machine) staysInShard() bool {
 	return m.Phase == record.InUse && !m.draining && m.cordon == NotCordoned && m.transferTo < 0 && m.reclaimedAt.IsZero()
 }
 
-// roomInTime returns the room that a machine has but for what does not give way to j and
+// roomInTime returns the room that a machine has but for what is not preempted for j and
 // has no end in sight: services, and arrays that have waited too long, which place
 // the next task as soon as one ends.
 func (s *Shard) roomInTime(m *Machine, j *Job, within bool) resources {
--- a/internal/scheduler/feasibility_test.go
+++ b/internal/scheduler/feasibility_test.go
@@ -15,8 +15,8 @@
 	return s
 }
 
-// A gang for which the part will not have enough machines keeps none from others:
-// where no more can be rented, machines would else stand idle for as long as it waits.
+// A gang for which the shard will not have enough machines keeps none from others:
+// where no more can be provisioned, machines would else stand idle for as long as it waits.
 func TestGangThatCannotBeCompleteKeepsNothing(t *testing.T) {
 	for name, busy := range map[string]bool{"too few machines": false, "a service on one of them": true} {
 		r := newHarness(t)
@@ -92,7 +92,7 @@
 	}
 }
 
-// A machine that goes to another part once it is empty takes no new work, and stops
+// A machine that goes to another shard once it is empty takes no new work, and stops
 // none.
 func TestMachineLeavesAsItEmpties(t *testing.T) {
 	r := newHarness(t)
@@ -133,7 +133,7 @@
 	}
 }
 
-// Work that had waited too long keeps its machines from urgent work of other parts,
+// Work that had waited too long keeps its machines from urgent work of other shards,
 // not from services, which users wait for all the time.
 func TestOnlyServicesTakeWhatWaitedLong(t *testing.T) {
 	r := newHarness(t)
--- a/internal/scheduler/gang_start_delay_test.go
+++ b/internal/scheduler/gang_start_delay_test.go
@@ -104,7 +104,7 @@
 }
 
 // A delayed start is brought to its machine when it is due, without waiting for the
-// machine's next report: that may be seconds away.
+// machine's next heartbeat: that may be seconds away.
 func TestDelayedStartWakesItsMachine(t *testing.T) {
 	r := newHarness(t)
 	m := r.machine("m1", "z1", false)
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -26,7 +26,7 @@
 	if a == b || a == "m1" || b == "m1" || a == "" || b == "" {
 		t.Fatalf("gang on %q and %q, want m2 and m3", a, b)
 	}
-	// One machine's session ends: the whole attempt must go before the next.
+	// One machine's epoch ends: the whole attempt must go before the next.
 	lost := r.workers[a]
 	r.expire(lost)
 	r.heartbeats(5)
@@ -85,7 +85,7 @@
 	}
 }
 
-// Machines that come one by one are kept for the gang that waits: smaller work
+// Machines that come one by one are reserved for the gang that waits: smaller work
 // of its priority and below can't starve it.
 func TestGangGathersMachines(t *testing.T) {
 	r := newHarness(t)
@@ -140,7 +140,7 @@
 
 // Where more gangs wait than fit for minutes, the largest begin within four
 // minutes: small ones that have waited too long as well take nothing from what a
-// larger one has gathered, and do not go past it.
+// larger one has reserved, and do not go past it.
 func TestLargestGangsAreNotOvertaken(t *testing.T) {
 	r := newHarness(t)
 	r.cfg.Urgency = func(s *wire.Spec, waited time.Duration, _ *float64) float64 { return s.EstimateS - waited.Seconds() }
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -12,10 +12,10 @@
 	"bramblespur/internal/wire"
 )
 
-// harness plays one part against a scripted state service, cloud and workers.
+// harness plays one shard against a scripted state service, cloud and workers.
 type harness struct {
 	t       testing.TB
-	id      int // of the part
+	id      int // of the shard
 	clock   *testkit.Clock
 	state   *testkit.State
 	cloud   *testkit.Cloud
@@ -39,7 +39,7 @@
 	return newHarnessOf(t, 0, testkit.NewClock(), testkit.NewState())
 }
 
-// newHarnessOf plays one of several parts that share a state service.
+// newHarnessOf plays one of several shards that share a state service.
 func newHarnessOf(t testing.TB, id int, clock *testkit.Clock, state *testkit.State) *harness {
 	r := &harness{t: t, id: id, clock: clock, state: state, cloud: &testkit.Cloud{}, workers: map[string]*testkit.Worker{}}
 	r.cfg = &Config{
@@ -97,7 +97,7 @@
 	return ids
 }
 
-// sync tells the part what changed in the fleet's records, as the watch does.
+// sync tells the shard what changed in the fleet's records, as the watch does.
 func (r *harness) sync(e wire.Entry) {
 	r.t.Helper()
 	for _, id := range r.fleetChange(e) {
@@ -109,7 +109,7 @@
 	}
 }
 
-// releaseMachines plays the leader: what is to be given back is, and that is recorded.
+// releaseMachines plays the leader: what is to be released is, and that is recorded.
 func (r *harness) releaseMachines() {
 	r.t.Helper()
 	if r.state.Down {
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -7,17 +7,17 @@
 	"bramblespur/internal/wire"
 )
 
-// HeartbeatDisposition says how to answer a report.
+// HeartbeatDisposition says how to answer a heartbeat.
 type HeartbeatDisposition int
 
 // Dispositions of Report.
 const (
 	Answered HeartbeatDisposition = iota // 200 with the orders
 	Deposed                              // the worker has seen a higher token: not ours
-	NotMine                              // no such machine in this part
+	NotMine                              // no such machine in this shard
 )
 
-// Heartbeat takes in a worker's report and returns the answer. A direct report is
+// Heartbeat takes in a worker's heartbeat and returns the answer. A direct heartbeat is
 // the answer to a command; it gets no orders.
 func (s *Shard) Heartbeat(r *wire.Heartbeat, direct bool, now time.Time) (wire.Orders, HeartbeatDisposition) {
 	m := s.inventory.byID[r.Machine]
@@ -39,7 +39,7 @@
 	s.applyEpoch(m, r, now)
 	m.contact.seq = r.Seq
 	m.Addr = r.Addr
-	// After a take-over nobody remembers the last report, so the first ones may
+	// After a failover nobody remembers the last heartbeat, so the first ones may
 	// be late copies: only one under our own token proves the machine alive.
 	live := freshness == reconcile.Current || !m.inherited
 	if live {
@@ -50,9 +50,9 @@
 	}
 	s.applyReclaimNotice(m, r, now)
 	if freshness == reconcile.UnderLowerToken {
-		// What earlier owners recorded here is settled only by a report under
+		// What earlier owners recorded here is settled only by a heartbeat under
 		// our token. Our own starts need not wait for it on a machine that was
-		// rented or moved to us: an earlier owner can have sent nothing that is
+		// provisioned or moved to us: an earlier owner can have sent nothing that is
 		// not among the records we read.
 		if !direct && live {
 			orders.Commands = append(orders.Commands, s.startCommands(m, now)...)
@@ -97,7 +97,7 @@
 	}
 }
 
-// countMissedStart counts the reports in a row that lack a start sent before: after some the
+// countMissedStart counts the heartbeats in a row that lack a start sent before: after some the
 // machine counts as unreachable.
 func (s *Shard) countMissedStart(m *Machine, missed bool, now time.Time) {
 	if !missed {
@@ -110,7 +110,7 @@
 }
 
 // maxCommands keeps an answer's line well below 64 KiB; the rest goes with the
-// next report.
+// next heartbeat.
 const maxCommands = 300
 
 func stopCommand(name string, attempt uint64, grace time.Duration) wire.Command {
@@ -133,7 +133,7 @@
 	}
 }
 
-// setPhase takes in what a report says of a placed task.
+// setPhase takes in what a heartbeat says of a placed task.
 func (t *task) setPhase(j *Job, phase string) {
 	if t.phase == wire.Running {
 		j.progress.running--
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -9,10 +9,10 @@
 	"bramblespur/internal/wire"
 )
 
-// With thousands of machines and tasks nothing that a report or a placement
+// With thousands of machines and tasks nothing that a heartbeat or a placement
 // brings about may look at all of them. What it looks for is indexed: machines by
 // their free room, by the images that they cache and by the priority of what runs
-// there, kept ones by their job, and the jobs that wait.
+// there, reserved ones by their job, and the jobs that wait.
 
 // machineClass is what machines have in common for a placement: their kind, whether
 // they take new work, and their free room, rounded down.
@@ -31,7 +31,7 @@
 	byRoom      map[machineClass]machineSet
 	byImage     map[string]machineSet
 	byRank      [highestRank + 1]machineSet // those with a task of this priority
-	reserved    map[string]machineSet       // by the job that room is, or was, kept for
+	reserved    map[string]machineSet       // by the job that room is, or was, reserved for
 	commandsDue machineSet                  // for which a direct command is due
 	// evicting are those with a task that is being stopped.
 	evicting    machineSet
--- a/internal/scheduler/load_records.go
+++ b/internal/scheduler/load_records.go
@@ -10,7 +10,7 @@
 	"bramblespur/internal/wire"
 )
 
-// Load fills a newly claimed part from its records. Placements of earlier
+// Load fills a newly acquired shard from its records. Placements of earlier
 // owners count as there until their machines answer under our token. A job's record that
 // can't be decoded is passed over; what one of placements may tell of is withheld.
 func (s *Shard) Load(fleet *record.Fleet, open, slots []wire.Entry, now time.Time) error {
--- a/internal/scheduler/long_poll.go
+++ b/internal/scheduler/long_poll.go
@@ -6,7 +6,7 @@
 	"bramblespur/internal/wire"
 )
 
-// LongPollTimeout says how long a report's answer may be kept back so that a start that
+// LongPollTimeout says how long a heartbeat's answer may be kept back so that a start that
 // is decided meanwhile reaches the machine at once. A machine without tasks has
 // nothing to tell; one with some tells of their ends a little later.
 func (s *Shard) LongPollTimeout(id string, now time.Time) time.Duration {
@@ -28,7 +28,7 @@
 // drops it.
 const maxLongPoll = 2500 * time.Millisecond
 
-// ParkedOrders returns the answer to a held report as things stand now.
+// ParkedOrders returns the answer to a held heartbeat as things stand now.
 func (s *Shard) ParkedOrders(id string, now time.Time) (wire.Orders, bool) {
 	m := s.inventory.byID[id]
 	if m == nil {
--- a/internal/scheduler/machine_health.go
+++ b/internal/scheduler/machine_health.go
@@ -75,7 +75,7 @@
 }
 
 // lossReason returns why a machine is lost, or nothing. While this controller falls
-// behind, reports and answers wait unread and silence proves little: only a machine
+// behind, heartbeats and responses wait unread and silence proves little: only a machine
 // that says nothing for several leases is lost then.
 func (s *Shard) lossReason(m *Machine, now time.Time) string {
 	switch {
@@ -94,7 +94,7 @@
 }
 
 // overloadedLeases is how many leases a machine may be silent while this controller
-// falls behind: by then another owns the part, or none keeps up.
+// falls behind: by then another owns the shard, or none keeps up.
 const overloadedLeases = 4
 
 // SetOverloaded tells whether this controller falls behind with what it is sent.
@@ -104,11 +104,11 @@
 func (s *Shard) SetPartitionedZones(zones map[string]bool) { s.health.partitionedZones = zones }
 
 // silent reports whether a machine is lost: its worker says nothing while
-// others in its zone do. When all of the part's machines in a zone are silent there
+// others in its zone do. When all of the shard's machines in a zone are silent there
 // is nothing to compare with: they may have died together, or can't be heard from
 // here. Then each is asked again once its lease is over, after which it has lost its
 // tasks if nobody else answers it; what it did not answer before proves nothing, since
-// this controller may have stood still or a cut just have ended. When none of the zone's
+// this controller may have stood still or a partition just have ended. When none of the zone's
 // controllers answers either, the fault is rather the network's between us, and it gets
 // several times that.
 func (s *Shard) silent(m *Machine, now time.Time) bool {
@@ -138,7 +138,7 @@
 }
 
 // leaseExpired reports whether a machine has been silent for so long that its lease is
-// over, unless somebody else answers it, though its zone is not cut off from here.
+// over, unless somebody else answers it, though its zone is not partitioned from here.
 func (s *Shard) leaseExpired(m *Machine, now time.Time) bool {
 	return !s.health.partitionedZones[m.Zone] && now.Sub(m.contact.heardAt) > s.cfg.Lease+s.heartbeatDue()
 }
@@ -163,8 +163,8 @@
 		if o.Zone != at.zone || (!o.contact.up && len(o.tasks) == 0) {
 			continue
 		}
-		// Machines cut off together fall silent within one report's time: only
-		// one heard well after another speaks against that. When the cut ends they
+		// Machines partitioned together fall silent within one heartbeat's time: only
+		// one heard well after another speaks against that. When the partition ends they
 		// come back one by one: only one heard for as long as those that are silent
 		// are given does.
 		if o.contact.up && now.Sub(o.contact.heardAt) < at.limit/2 && now.Sub(o.contact.steadySince) > at.limit {
@@ -210,7 +210,7 @@
 	return wire.Seconds(j.spec.SaveS + 0.5)
 }
 
-// sendStops sends stops straight to the workers: a report may be seconds away,
+// sendStops sends stops straight to the workers: a heartbeat may be seconds away,
 // and a gang's tasks must be told within a short time of each other.
 func (s *Shard) sendStops(now time.Time) {
 	for m := range s.inventory.commandsDue {
@@ -227,7 +227,7 @@
 }
 
 // stopCommands returns the stops for a machine. What has to wait for the pace goes with a later
-// report's answer.
+// heartbeat's response.
 func (s *Shard) stopCommands(m *Machine, now time.Time) []wire.Command {
 	var out []wire.Command
 	for k, t := range m.tasks {
--- a/internal/scheduler/machine_health_test.go
+++ b/internal/scheduler/machine_health_test.go
@@ -10,7 +10,7 @@
 	"bramblespur/internal/wire"
 )
 
-// A silent machine is given back while others are heard, and only that frees
+// A silent machine is released while others are heard, and only that frees
 // its tasks; when all are silent, none is.
 func TestSilentMachine(t *testing.T) {
 	r := newHarness(t)
@@ -35,7 +35,7 @@
 	}
 }
 
-// Machines cut off together fall silent one shortly after the other: the first
+// Machines partitioned together fall silent one shortly after the other: the first
 // must not be given up because the rest was heard a moment later.
 func TestZoneFallsSilentTogether(t *testing.T) {
 	r := newHarness(t)
@@ -53,9 +53,9 @@
 	}
 }
 
-// After a cut the machines of a zone come back one by one: those that were
+// After a partition the machines of a zone come back one by one: those that were
 // heard first must not make the others count as lost, neither to an owner that
-// knew them nor to one that took over meanwhile.
+// knew them nor to one that acquired the shard meanwhile.
 func TestZoneComesBackTogether(t *testing.T) {
 	for _, takeOver := range []bool{false, true} {
 		r := newHarness(t)
@@ -143,9 +143,9 @@
 	r.shard.Heartbeat(&rep, false, r.clock.Now())
 }
 
-// A machine whose reports arrive but which no answer reaches gets no more work
+// A machine whose heartbeats arrive but which no answer reaches gets no more work
 // once starts don't show, and goes back; its tasks run elsewhere only then, or
-// when its reports prove them absent.
+// when its heartbeats prove them absent.
 func TestOneWayMachine(t *testing.T) {
 	r, w1 := newHarnessWithMachine(t)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 2, 1))
@@ -182,7 +182,7 @@
 	}
 }
 
-// A lease that ran out though every report was answered marks such a machine,
+// A lease that ran out though every heartbeat was answered marks such a machine,
 // too; one answer seen to arrive clears it.
 func TestOneWayMachineRecovers(t *testing.T) {
 	r, w := newHarnessWithMachine(t)
@@ -197,15 +197,15 @@
 	if len(w.Started) != 0 {
 		t.Fatalf("started %v on a machine that may hear nothing", w.Started)
 	}
-	r.heartbeats(8) // the session outlives its lease: answers arrive
+	r.heartbeats(8) // the epoch outlives its lease: answers arrive
 	if len(w.Started) != 1 || len(r.cloud.Returned) != 0 {
 		t.Fatalf("starts %v, returned %v: want the machine used again", w.Started, r.cloud.Returned)
 	}
 }
 
 // Machines of a zone that die together leave nobody of the zone to compare them with.
-// They are given back all the same once their leases are surely over, also by an owner
-// that took them over dead, and their tasks start elsewhere.
+// They are released all the same once their leases are surely over, also by an owner
+// that acquired them dead, and their tasks start elsewhere.
 func TestWholeZoneDies(t *testing.T) {
 	for _, takeOver := range []bool{false, true} {
 		r := newHarness(t)
@@ -241,7 +241,7 @@
 	}
 }
 
-// When a cut of a zone ends, what its machines did not answer within the cut proves
+// When a partition of a zone ends, what its machines did not answer within the partition proves
 // nothing, however long it was: they are asked anew.
 func TestCutsEndLosesNobody(t *testing.T) {
 	for name, back := range map[string]bool{"they answer": true, "they died within the cut": false} {
--- a/internal/scheduler/pipeline.go
+++ b/internal/scheduler/pipeline.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// Dependencies returns the jobs, of this part or others, that jobs here wait for.
+// Dependencies returns the jobs, of this shard or others, that jobs here wait for.
 func (s *Shard) Dependencies() []string { return slices.Collect(maps.Keys(s.dependencies.dependents)) }
 
 // DependencyEnded takes in the final record of a job that others wait for.
@@ -103,7 +103,7 @@
 	return b
 }
 
-// JobRecordGone takes in that a job that is held here has no open record any more: some
+// JobRecordGone takes in that a job that is held here has no active record any more: some
 // controller found a job that it needs cancelled, and recorded its end.
 func (s *Shard) JobRecordGone(ref string, now time.Time) {
 	if j := s.jobs[ref]; j != nil && j.awaitsDependencies && j.progress.placed == 0 && j.record.endTxn == nil && !j.record.versionUnknown {
--- a/internal/scheduler/pipeline_test.go
+++ b/internal/scheduler/pipeline_test.go
@@ -71,7 +71,7 @@
 }
 
 // Jobs are released step by step: the join waits for both branches, and each
-// job runs once, also when the part is taken over after any number of reports.
+// job runs once, also when the shard is acquired after any number of heartbeats.
 func TestPipelineStepByStep(t *testing.T) {
 	for crash := range 12 {
 		r := newHarness(t)
@@ -206,7 +206,7 @@
 
 // What the first version accepted under wider limits comes to its end under the
 // tighter ones, though neither its record nor its steps fit: each job once, the
-// join last, whoever owns the part and whatever answers are lost.
+// join last, whoever owns the shard and whatever answers are lost.
 func TestPipelineInPieces(t *testing.T) {
 	for seed := range uint64(10) {
 		rnd := rand.New(rand.NewPCG(seed, 5))
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -124,7 +124,7 @@
 // Priorities are strict, so that more work of a higher one than the machines
 // can do would starve the rest for ever. A job of which nothing has run for
 // agedAfter goes before all others, and what it then gets is not taken from it;
-// such jobs of one priority together hold at most agedShare of a part's machines.
+// such jobs of one priority together hold at most agedShare of a shard's machines.
 const (
 	agedAfter = 2 * time.Minute
 	agedShare = 0.2
@@ -152,32 +152,6 @@
 	return a.accepted.Before(b.accepted)
 }
 
-// protectedJobs are those that were placed after too long a wait, and are not preempted.
-type protectedJobs struct {
-	jobs map[*Job]bool
-	load [highestRank + 1]float64 // the share of the machines that they hold, by priority
-}
-
-// add protects a job from preemption.
-func (p *protectedJobs) add(j *Job) {
-	j.protected = true
-	p.jobs[j] = true
-}
-
-// remove forgets a job.
-func (p *protectedJobs) remove(j *Job) { delete(p.jobs, j) }
-
-// weigh computes the share of the shard's machines, which have so many CPUs, that protected
-// jobs hold.
-func (p *protectedJobs) weigh(cpus float64) {
-	p.load = [highestRank + 1]float64{}
-	for j := range p.jobs {
-		if cpus > 0 {
-			p.load[j.rank] += float64(j.progress.placed) * j.spec.CPUs / cpus
-		}
-	}
-}
-
 // teamBefore orders the heads of two teams' queues: what has waited too long goes
 // first, then work within a guarantee, then priority, then the team with less of
 // its share.
@@ -322,7 +296,7 @@
 // time go first.
 const longWaitAfter = 90 * time.Second
 
-// gangReservation is how long a free machine is kept for a gang unless that is renewed.
+// gangReservation is how long a free machine is reserved for a gang unless that is renewed.
 const gangReservation = 4 * time.Second
 
 // evicting reports whether tasks on a machine are being stopped.
--- a/internal/scheduler/placement_records.go
+++ b/internal/scheduler/placement_records.go
@@ -11,52 +11,52 @@
 	"bramblespur/internal/wire"
 )
 
-// Placements and completions are recorded by ranges of tasks, several in a slot.
+// Placements and completions are recorded by ranges of tasks, several in a record.
 //
-// The first version has plain slots: it derives the size of their ranges from the
-// state service's limit of a value, so a slot that another size was meant for
+// The first version has unsized records: it derives the size of their ranges from the
+// state service's limit of a value, so a record that another size was meant for
 // would lose placements, and tasks would run twice. Where a tighter limit is to
 // come, ranges state their size. As long as a controller may still be of the first
 // version, what is written is plain, and read by both alike; from then on plain
-// slots are never rewritten. Each of their ranges goes, in pieces, to a stated
-// slot when that is next written, and the plain one is deleted once it tells
-// nothing any more. A range that two slots tell counts as the one tells that it
+// records are never rewritten. Each of their ranges goes, in pieces, to a sized
+// record when that is next written, and the unsized one is deleted once it tells
+// nothing any more. A range that two records tell counts as the one tells that it
 // was entered in later: so a crash between any two writes neither loses nor
 // doubles a placement.
 
 const (
-	// unsizedPlacementBytes is what a placement takes at the most in a plain slot, in bytes.
+	// unsizedPlacementBytes is what a placement takes at the most in an unsized record, in bytes.
 	unsizedPlacementBytes = 64
-	// unsizedRangeOverhead is what a range costs in a plain slot besides its tasks, in tasks.
+	// unsizedRangeOverhead is what a range costs in an unsized record besides its tasks, in tasks.
 	unsizedRangeOverhead = 2
 	// sizedPlacementOverhead is what a placement takes besides its machine's name, and
 	// statedRun a range besides its placements and its job's name.
 	sizedPlacementOverhead = 16
 	sizedRangeOverhead     = 48
-	// recordOverhead is what a slot takes besides its ranges.
+	// recordOverhead is what a record takes besides its ranges.
 	recordOverhead = 16
 	// longestRef is that of the longest job id.
 	longestRef = 22
 )
 
-// PlacementsPerRecord sizes a plain record of placements so that it keeps to valueKB. The
-// size of plain ranges follows from it: it must stay as it is.
+// PlacementsPerRecord sizes an unsized record of placements so that it keeps to valueKB. The
+// size of unsized ranges follows from it: it must stay as it is.
 func PlacementsPerRecord(valueKB float64) int {
 	return max(2*unsizedRangeOverhead, min(int(valueKB*1024/unsizedPlacementBytes), 256))
 }
 
-// unsizedRangeTasks is the most tasks of one job in one plain slot.
+// unsizedRangeTasks is the most tasks of one job in one unsized record.
 func (c *Config) unsizedRangeTasks() int { return c.PlacementsPerRecord - unsizedRangeOverhead }
 
-// taskRange is a range of a job's tasks; its placements lie in a slot.
+// taskRange is a range of a job's tasks; its placements lie in a record.
 type taskRange struct {
 	job        *Job
 	first, end int
 	record     *placementRecord
 	bytes      int              // what it may take there, in bytes
-	turn       int              // how often it was entered in a stated slot
+	turn       int              // how often it was entered in a sized record
 	attempt    uint64           // highest ever used
-	previous   *placementRecord // whose record tells it until its slot is written
+	previous   *placementRecord // the one that tells it until record is written
 }
 
 // placementRecord is one record of placements, shared by ranges of several jobs.
@@ -70,7 +70,7 @@
 	departed       map[*taskRange]struct{} // ranges that went elsewhere and are not written there yet
 	dirty          bool
 	urgent         bool      // a start waits for it
-	rangeAwaited   bool      // a range must come here for its old slot to be written
+	rangeAwaited   bool      // a range must come here for its old record to be written
 	dirtySince     time.Time // when it became dirty
 	writtenAt      time.Time // when it was last written
 	txn            *Txn
@@ -110,17 +110,17 @@
 	}
 }
 
-// placementBytes is what a placement may take in a stated slot.
+// placementBytes is what a placement may take in a sized record.
 func (l *placementLedger) placementBytes() int {
 	return sizedPlacementOverhead + max(l.longestMachineID, 8)
 }
 
-// sizedRangeTasks is the most tasks in a stated range.
+// sizedRangeTasks is the most tasks in a sized range.
 func (l *placementLedger) sizedRangeTasks() int {
 	return max(1, min((l.valueBytes-recordOverhead-sizedRangeOverhead-longestRef)/l.placementBytes(), l.cfg.unsizedRangeTasks()))
 }
 
-// rangeBytes is what a range may take in a slot.
+// rangeBytes is what a range may take in a record.
 func (l *placementLedger) rangeBytes(c *taskRange, stated bool) int {
 	if stated {
 		return sizedRangeOverhead + len(c.job.ref) + (c.end-c.first)*l.placementBytes()
@@ -164,7 +164,7 @@
 	return out
 }
 
-// rangeOf returns the range of a task, a new one in the first slot that has room.
+// rangeOf returns the range of a task, a new one in the first record that has room.
 func (l *placementLedger) rangeOf(j *Job, i int) *taskRange {
 	if c := j.rangeAt(i); c != nil {
 		return c
@@ -182,10 +182,10 @@
 			return l.assign(&taskRange{job: j, first: span[0], end: span[1]}, nil)
 		}
 	}
-	panic(fmt.Sprintf("sched: %s/%d is in no range and in one", j.ref, i))
+	panic(fmt.Sprintf("scheduler: %s/%d is in no range and in one", j.ref, i))
 }
 
-// assignRange puts a range into a slot, the first with room if none is named.
+// assignRange puts a range into a record, the first with room if none is named.
 func (l *placementLedger) assign(c *taskRange, rec *placementRecord) *taskRange {
 	if rec == nil {
 		rec = l.recordWithRoom(l.rangeBytes(c, l.sized), nil)
@@ -202,9 +202,9 @@
 	return c
 }
 
-// recordWithRoom returns the first slot that may take a range. What is written keeps
+// recordWithRoom returns the first record that may take a range. What is written keeps
 // to the tighter of the limits where it can: only a range that is larger by
-// itself gets a slot of its own. What leaves a slot does not come back to it, which
+// itself gets a record of its own. What leaves a record does not come back to it, which
 // would wait for itself to be written.
 func (l *placementLedger) recordWithRoom(cost int, leaves *placementRecord) *placementRecord {
 	most := l.valueBytes
@@ -228,7 +228,7 @@
 	return rec
 }
 
-// rangeName is a range's name in its slot.
+// rangeName is a range's name in its record.
 func (l *placementLedger) rangeName(c *taskRange) string {
 	if c.record.sized {
 		return record.RangeName(c.job.ref, c.first)
@@ -236,14 +236,14 @@
 	return record.RangeName(c.job.ref, c.first/l.cfg.unsizedRangeTasks())
 }
 
-// detachRange takes a range out of its slot and its job.
+// detachRange takes a range out of its record and its job.
 func (l *placementLedger) detach(c *taskRange) {
 	c.record.usedBytes -= c.bytes
 	delete(c.record.ranges, l.rangeName(c))
 	c.job.ranges = slices.DeleteFunc(c.job.ranges, func(o *taskRange) bool { return o == c })
 }
 
-// confirmRange notes that a range is written to its slot: the one before tells it no
+// confirmRange notes that a range is written to its record: the one before tells it no
 // longer, or tells it in vain.
 func (l *placementLedger) confirm(c *taskRange) {
 	if c.previous != nil {
@@ -252,7 +252,7 @@
 	}
 }
 
-// splitRange cuts a range into pieces and enters them in other slots. The slot that it
+// splitRange cuts a range into pieces and enters them in other records. The record that it
 // leaves is not written before they are there.
 func (l *placementLedger) split(c *taskRange, most int) {
 	old := c.record
@@ -282,7 +282,7 @@
 	}
 }
 
-// retireUnsizedRecords makes the ranges of plain slots stated ones, and deletes the plain slots
+// retireUnsizedRecords makes the ranges of unsized records sized ones, and deletes the unsized records
 // that tell nothing any more.
 func (l *placementLedger) retireUnsized() {
 	for n, rec := range l.records {
@@ -302,8 +302,8 @@
 	}
 }
 
-// splitOversizedRecord makes a slot keep to the limit of a value: ranges that its record has no
-// room for go elsewhere. It reports false if the slot must wait for that. What a
+// splitOversizedRecord makes a record keep to the limit of a value: ranges that its record has no
+// room for go elsewhere. It reports false if the record must wait for that. What a
 // range takes is estimated well above what it does take, so this is for what
 // nobody expects, as machines' names that have grown.
 func (l *placementLedger) splitOversized(rec *placementRecord, size int) bool {
--- a/internal/scheduler/placement_records_test.go
+++ b/internal/scheduler/placement_records_test.go
@@ -10,7 +10,7 @@
 	"bramblespur/internal/wire"
 )
 
-// Machines' names longer than any seen before make a stated slot too large: its
+// Machines' names longer than any seen before make a sized record too large: its
 // ranges are moved, also cut, and nothing is lost meanwhile.
 func TestStatedSlotOutgrowsItsRecord(t *testing.T) {
 	for seed := range uint64(20) {
@@ -64,7 +64,7 @@
 	}
 }
 
-// A range that leaves a slot goes to another, and until it is written there the slot
+// A range that leaves a record goes to another, and until it is written there the record
 // that tells it is not written without it, whatever else changes in it.
 func TestSlotWaitsForWhatLeft(t *testing.T) {
 	r := newHarness(t)
@@ -86,7 +86,7 @@
 	if now := r.shard.jobs["run-000000"].ranges[0].record; now == old {
 		t.Fatal("the range came back to the slot that it left")
 	}
-	w.End("run-000001/0", wire.Done) // the old slot has something to write
+	w.End("run-000001/0", wire.Done) // the old record has something to write
 	rep := w.Report()
 	r.shard.Heartbeat(&rep, false, r.clock.Now())
 	r.clock.Advance(time.Second)
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -86,7 +86,7 @@
 }
 
 // A service goes to a machine that caches its image even where lower work has
-// to give way there, rather than fetch it on a free one.
+// to be preempted there, rather than fetch it on a free one.
 func TestServiceSeeksItsImage(t *testing.T) {
 	r := newRigWithSlowFetches(t)
 	r.machine("m1", "z1", false)
@@ -181,7 +181,7 @@
 	}
 }
 
-// Work without cards goes beside work with cards that gives way to no gang, though
+// Work without cards goes beside work with cards that is preempted for no gang, though
 // another machine caches its image: not on one whose work may have to go, nor on one
 // that a gang could use as a whole.
 func TestWithoutCardsBesideWhatStays(t *testing.T) {
@@ -260,7 +260,7 @@
 	}
 }
 
-// Room is made, and machines are gathered, only where a job may still go: work in
+// Room is made, and machines are reserved, only where a job may still go: work in
 // another zone is neither stopped nor kept from others for it.
 func TestNoRoomIsMadeInAnotherZone(t *testing.T) {
 	for kind, n := range map[string]int{wire.Array: 3, wire.Service: 2} {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -169,7 +169,7 @@
 // preemptionRetry is when room that could not be made is sought again.
 const preemptionRetry = time.Second
 
-// reservedByLongWaitingGang reports whether a gang that has waited for long gathers machines where m
+// reservedByLongWaitingGang reports whether a gang that has waited for long reserves machines where m
 // is: one that is no more urgent makes no room for itself there meanwhile.
 func (s *Shard) reservedByLongWaitingGang(m *Machine, j *Job, now time.Time) bool {
 	g := s.pass.gangByZone[m.Zone]
@@ -205,17 +205,7 @@
 	}
 }
 
-// othersOverGuarantee reports whether another team runs beyond its guarantee here.
-func (q *quotas) othersOverGuarantee(team string) bool {
-	for t, u := range q.used {
-		if t != team && u.gpus+u.cpus > 0 && q.overGuarantee(t) {
-			return true
-		}
-	}
-	return false
-}
-
-// preemptedReservation is how long room made by stopping others is kept for its job.
+// preemptedReservation is how long room made by stopping others is reserved for its job.
 const preemptedReservation = 20 * time.Second
 
 // preemptionCost says how a task is best stopped for one that waits, and what that
@@ -338,7 +328,7 @@
 }
 
 const (
-	// fetchWorthPreempting is the fetch from which on other work gives way instead.
+	// fetchWorthPreempting is the fetch from which on other work is preempted instead.
 	fetchWorthPreempting = 4 * time.Second
 	// cachedRoomWait is how long after its acceptance a service waits for such room.
 	cachedRoomWait = 10 * time.Second
--- a/internal/scheduler/probe.go
+++ b/internal/scheduler/probe.go
@@ -8,14 +8,14 @@
 )
 
 // A machine whose report is overdue is asked directly. One that answers is alive,
-// whatever became of its reports; one that doesn't, while others of its zone
+// whatever became of its heartbeats; one that doesn't, while others of its zone
 // answer the same controller both before and after, is lost. That tells a machine
-// that died or hangs from a cut between its zone, or all workers, and this
-// controller, sooner than waiting for several reports would, and also where most of
-// a zone's machines are lost together. When a cut ends and the first machine
+// that died or hangs from a partition between its zone, or all workers, and this
+// controller, sooner than waiting for several heartbeats would, and also where most of
+// a zone's machines are lost together. When a partition ends and the first machine
 // answers, what the others did not answer before proves nothing.
 
-// Probe is a question to a worker for its report.
+// Probe is a question to a worker for its heartbeat.
 type Probe struct{ Machine, Addr string }
 
 // probes is the probes of all machines.
@@ -35,7 +35,7 @@
 }
 
 const (
-	// overdueSlack is how long a report may be late besides the quarter of its
+	// overdueSlack is how long a heartbeat may be late besides the quarter of its
 	// interval that the protocol allows.
 	overdueSlack = 500 * time.Millisecond
 	// probePause is between two probes of one machine.
@@ -44,24 +44,24 @@
 	probesUntilLost = 2
 )
 
-// heartbeatDue is how long after one report the next must have come.
+// heartbeatDue is how long after one heartbeat the next must have come.
 func (s *Shard) heartbeatDue() time.Duration { return s.cfg.HeartbeatInterval*5/4 + overdueSlack }
 
-// failoverProbes is how often a machine is asked after a take-over before its own report
+// failoverProbes is how often a machine is asked after a failover before its own heartbeat
 // is awaited.
 const failoverProbes = 3
 
-// awaitsFirstHeartbeat reports whether a machine was taken over and has not been heard since.
-// The token can only be brought to it with the session that it is in, so it is
-// asked first. It then reports at once, and need not wait until its next report is
+// awaitsFirstHeartbeat reports whether a machine was acquired and has not been heard since.
+// The token can only be brought to it with the epoch that it is in, so it is
+// asked first. It then reports at once, and need not wait until its next heartbeat is
 // due, or until it finds its new owner.
 func (s *Shard) awaitsFirstHeartbeat(m *Machine) bool {
 	return m.inherited && !m.contact.fenced && m.Phase == record.InUse && m.Addr != ""
 }
 
-// probeMachines asks the machines that are overdue or were taken over, and for each zone
+// probeMachines asks the machines that are overdue or were acquired, and for each zone
 // in which one did not answer another one that was heard lately. While this controller
-// falls behind, overdue reports are its own doing, and more questions make it worse.
+// falls behind, overdue heartbeats are its own doing, and more questions make it worse.
 func (s *Shard) probeMachines(now time.Time) {
 	doubted := map[string]bool{}
 	for _, m := range s.inventory.byID {
--- a/internal/scheduler/probe_test.go
+++ b/internal/scheduler/probe_test.go
@@ -41,7 +41,7 @@
 
 // A machine whose report is overdue and that does not answer is lost as soon as
 // another of its zone answers; without such a witness it may be the controller
-// that is cut off, and one that answers is alive whatever became of its reports.
+// that is partitioned, and one that answers is alive whatever became of its heartbeats.
 func TestOverdueMachinesAreAsked(t *testing.T) {
 	for name, x := range map[string]struct {
 		answers []string
@@ -155,7 +155,7 @@
 	}
 }
 
-// After a take-over the machines whose addresses are recorded are asked, and
+// After a failover the machines whose addresses are recorded are asked, and
 // brought the new token, before any of them has reported: one that answers takes
 // work at once, one that doesn't while its zone does is lost without the patience
 // that a worker looking for its new owner gets.
--- a/internal/scheduler/quotas.go
+++ b/internal/scheduler/quotas.go
@@ -64,6 +64,20 @@
 	return u
 }
 
+// charge adds a placed task to its team's usage.
+func (q *quotas) charge(spec *wire.Spec) {
+	u := q.usage(spec.Team)
+	u.cpus += spec.CPUs
+	u.gpus += spec.GPUs
+}
+
+// refund takes a task that has no place any more off its team's usage.
+func (q *quotas) refund(spec *wire.Spec) {
+	u := q.usage(spec.Team)
+	u.cpus -= spec.CPUs
+	u.gpus -= spec.GPUs
+}
+
 // withinLimit reports whether n more tasks of j keep to its team's limit.
 func (q *quotas) withinLimit(j *Job, n int) bool {
 	t, ok := q.cfg.Teams[j.spec.Team]
@@ -102,3 +116,13 @@
 	u := q.usage(team)
 	return (u.gpus*4 + u.cpus) / share // both kinds count; cards are the scarcer
 }
+
+// othersOverGuarantee reports whether another team runs beyond its guarantee here.
+func (q *quotas) othersOverGuarantee(team string) bool {
+	for t, u := range q.used {
+		if t != team && u.gpus+u.cpus > 0 && q.overGuarantee(t) {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/scheduler/random_history_test.go
+++ b/internal/scheduler/random_history_test.go
@@ -105,7 +105,7 @@
 	clear(h.late)
 }
 
-// replay brings a copy of an old report to the owner or to one that is none any more.
+// replay brings a copy of an old heartbeat to the owner or to one that is none any more.
 func (h *history) replay() {
 	if len(h.copies) == 0 {
 		return
@@ -190,7 +190,7 @@
 	h.carryOutEffects()
 }
 
-// replaceMachines takes out the machines that were given back, with all on them, and rents
+// replaceMachines takes out the machines that were released, with all on them, and provisions
 // others.
 func (h *history) replaceMachines() {
 	h.releaseMachines() // also what was recorded late
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -14,7 +14,7 @@
 	Task, Machine, Known, Claimed string
 }
 
-// reconcileReported compares the tasks of a current report with the ledger. Those that are
+// reconcileReported compares the tasks of a current heartbeat with the ledger. Those that are
 // placed on the machine under the same attempt it puts into placedHere; the map is the
 // caller's, so that a small one needs no allocation. Of the others it returns the commands
 // that end or forget them, and how many must be kept.
@@ -67,8 +67,8 @@
 	return t.state == placed && t.machine == m && t.attempt == attempt
 }
 
-// reconcilePlaced compares the tasks that are placed on the machine with a current report.
-// It returns commands that forget those that ended in vain, whether the report lacks a start
+// reconcilePlaced compares the tasks that are placed on the machine with a current heartbeat.
+// It returns commands that forget those that ended in vain, whether the heartbeat lacks a start
 // that was sent before, and how many ended ones must be kept.
 func (s *Shard) reconcilePlaced(m *Machine, reported map[taskKey]*wire.HeartbeatTask, direct bool, now time.Time) (commands []wire.Command, missed bool, kept int) {
 	for k, t := range m.tasks {
@@ -91,7 +91,7 @@
 	return commands, missed, kept
 }
 
-// reconcileAbsent takes in that a report lacks a placed task. It reports whether the task's start was
+// reconcileAbsent takes in that a heartbeat lacks a placed task. It reports whether the task's start was
 // sent and did not arrive.
 func (s *Shard) reconcileAbsent(k taskKey, t *task, m *Machine, direct bool, now time.Time) bool {
 	f := reconcile.ClassifyAbsent(reconcile.AbsentTask{
@@ -105,7 +105,7 @@
 	return f.Action == reconcile.ResendStart
 }
 
-// reconcilePresent takes in what a report says of a task that is where the records say.
+// reconcilePresent takes in what a heartbeat says of a task that is where the records say.
 func (s *Shard) reconcilePresent(k taskKey, t *task, rt *wire.HeartbeatTask, m *Machine, now time.Time) {
 	j := k.job
 	if !t.reported && t.sent {
--- a/internal/scheduler/reconciliation_progress.go
+++ b/internal/scheduler/reconciliation_progress.go
@@ -9,7 +9,7 @@
 	"bramblespur/internal/wire"
 )
 
-// reconciliation is what became of what a part's owner found on record when it took the part over.
+// reconciliation is what became of what a shard's owner found on record when it acquired the shard.
 type reconciliation struct {
 	since   time.Time // zero: it has settled
 	pending int       // placements of earlier owners without a verdict
@@ -19,17 +19,17 @@
 	malformed []error
 }
 
-// Bounds of what is remembered while a part settles.
+// Bounds of what is remembered while a shard settles.
 const (
 	maxOrphans = 4096
 	maxUnheard = 16 // machines that are named
 )
 
-// ReconciliationProgress is how far a part has settled after it was taken over.
+// ReconciliationProgress is how far a shard has settled after it was acquired.
 type ReconciliationProgress struct {
 	Since        time.Time
 	Pending      int      // tasks of which nothing is proven yet
-	Unheard      int      // machines that have not reported under the part's token
+	Unheard      int      // machines that have not reported under the shard's token
 	UnheardNames []string // some of them
 	Tally        reconcile.OutcomeCounts
 }
@@ -46,7 +46,7 @@
 	}
 }
 
-// ReconciliationProgress tells how far the part has settled; there is nothing to tell once it has.
+// ReconciliationProgress tells how far the shard has settled; there is nothing to tell once it has.
 func (s *Shard) ReconciliationProgress() (ReconciliationProgress, bool) {
 	progress := &s.reconciliation
 	if progress.since.IsZero() {
@@ -66,10 +66,10 @@
 	return out, true
 }
 
-// HasMachines reports whether the part has any machine.
+// HasMachines reports whether the shard has any machine.
 func (s *Shard) HasMachines() bool { return len(s.inventory.byID) > 0 }
 
-// MalformedRecords returns what is wrong with records that were passed over when the part was loaded.
+// MalformedRecords returns what is wrong with records that were passed over when the shard was loaded.
 func (s *Shard) MalformedRecords() []error { return s.reconciliation.malformed }
 
 // EndReconciliation forgets what was found out.
--- a/internal/scheduler/record_writes.go
+++ b/internal/scheduler/record_writes.go
@@ -65,7 +65,7 @@
 	s.writeReleases(now)
 }
 
-// deleteObsoleteRecords deletes plain slots that tell nothing any more.
+// deleteObsoleteRecords deletes unsized records that tell nothing any more.
 func (s *Shard) deleteObsoleteRecords(now time.Time) {
 	for _, rec := range s.ledger.obsolete {
 		if now.Before(rec.retryAt) {
@@ -82,8 +82,8 @@
 	s.ledger.obsolete = nil
 }
 
-// recordJobEnd records a job's end: its state for ever, and no open record any more.
-// Its placements stay in their slot until that is next written; without an open
+// recordJobEnd records a job's end: its state for ever, and no active record any more.
+// Its placements stay in their record until that is next written; without an open
 // job a Load passes over them.
 func (s *Shard) recordJobEnd(j *Job, now time.Time) {
 	open := record.ActiveJobKey(j.ref)
@@ -101,9 +101,9 @@
 	s.effects.Txns = append(s.effects.Txns, t)
 }
 
-// writePlacements records the placements and completions of a slot, with as many new
+// writePlacements records the placements and completions of a record, with as many new
 // starts as there is room for conditions on their jobs and machines. Ends that
-// freed a place need no write of their own: the next start rewrites the slot.
+// freed a place need no write of their own: the next start rewrites the record.
 func (s *Shard) writePlacements(placements *placementRecord, now time.Time) {
 	t := &Txn{placements: placements, Purpose: purposeCompletions}
 	conds := map[string]uint64{}
@@ -119,7 +119,7 @@
 	value := record.Encode(rec)
 	if !s.ledger.splitOversized(placements, len(value)) {
 		placements.dirty, placements.urgent = true, true
-		s.wakeAt(now) // the slots that take what has no room here come first
+		s.wakeAt(now) // the records that take what has no room here come first
 		return
 	}
 	placements.writtenAt = now
@@ -233,7 +233,7 @@
 	return true
 }
 
-// recordTransfer records that a machine belongs to another part from now on. Once
+// recordTransfer records that a machine belongs to another shard from now on. Once
 // asked for, it is asked for again until it is known to be recorded, so that no
 // start can come before a late copy of it.
 func (s *Shard) recordTransfer(m *Machine) {
@@ -256,35 +256,22 @@
 	return last(record.LargestFitting(s.ledger.valueBytes, 0, len(m.images), last)).(record.Machine)
 }
 
-// releaseMachine makes a machine leave for good. Only the answered return, as its
+// releaseMachine makes a machine leave for good. Only the answered release, as its
 // batch's record tells, proves gone what may run on it.
 func (s *Shard) releaseMachine(m *Machine, why string, now time.Time) {
 	s.effects.Released = append(s.effects.Released, MachineRelease{Machine: m.ID, Why: why, Tasks: len(m.tasks), Silent: now.Sub(m.contact.heardAt)})
 	m.Phase = record.Releasing
 	s.inventory.update(m)
-	if len(s.releases.waiting) == 0 {
-		s.releases.dueAt = now.Add(s.cfg.ReleaseBatchDelay)
-	}
 	if len(m.tasks) > 0 {
-		s.releases.dueAt = now // its tasks wait for the proof
+		s.releases.add(m.ID, now) // its tasks wait for the proof
+		return
 	}
-	s.releases.waiting = append(s.releases.waiting, m.ID)
+	s.releases.addRoutine(m.ID, now, s.cfg.ReleaseBatchDelay)
 }
 
-// maxReleaseBatch is the cloud's bound of machines in one return.
-const maxReleaseBatch = 100
-
-// writeReleases records which machines are to be given back. The leader asks the
-// cloud; the batch's name is never used again.
+// writeReleases records which machines are to be released. The leader asks the cloud.
 func (s *Shard) writeReleases(now time.Time) {
-	if s.releases.batch == nil && len(s.releases.waiting) > 0 && !now.Before(s.releases.dueAt) {
-		n := record.LargestFitting(s.ledger.valueBytes, 1, min(len(s.releases.waiting), maxReleaseBatch), func(n int) any {
-			return record.Release{IDs: s.releases.waiting[:n], Done: true}
-		})
-		s.releases.batches++
-		s.releases.batch = &releaseBatch{key: record.ReleaseKey(s.id, s.token, s.releases.batches), ids: slices.Clone(s.releases.waiting[:n])}
-		s.releases.waiting = s.releases.waiting[n:]
-	}
+	s.releases.cut(s.ledger.valueBytes, now, func(batch int) string { return record.ReleaseKey(s.id, s.token, batch) })
 	b := s.releases.batch
 	if b == nil || b.txn != nil || now.Before(b.retryAt) {
 		return
--- a/internal/scheduler/recorded_state.go
+++ b/internal/scheduler/recorded_state.go
@@ -7,7 +7,7 @@
 	"bramblespur/internal/wire"
 )
 
-// Records returns the records of the part's jobs and placements as they are known to have been
+// Records returns the records of the shard's jobs and placements as they are known to have been
 // written, with their versions. What was under way is not among them.
 func (s *Shard) Records() []wire.Entry {
 	var out []wire.Entry
--- a/internal/scheduler/releases.go
+++ b/internal/scheduler/releases.go
@@ -1,6 +1,14 @@
 package scheduler
 
-import "time"
+import (
+	"slices"
+	"time"
+
+	"bramblespur/internal/record"
+)
+
+// maxReleaseBatch is the cloud's bound of machines in one release.
+const maxReleaseBatch = 100
 
 // releaseQueue is the machines that leave for good. They are recorded in batches, one at a
 // time; a batch's key is never used again.
@@ -18,3 +26,31 @@
 	txn     *Txn
 	retryAt time.Time
 }
+
+// add queues a machine for a batch that is due at once.
+func (q *releaseQueue) add(id string, now time.Time) {
+	q.dueAt = now
+	q.waiting = append(q.waiting, id)
+}
+
+// addRoutine queues a machine that may wait for others to share its batch.
+func (q *releaseQueue) addRoutine(id string, now time.Time, batchDelay time.Duration) {
+	if len(q.waiting) == 0 {
+		q.dueAt = now.Add(batchDelay)
+	}
+	q.waiting = append(q.waiting, id)
+}
+
+// cut makes the next batch if it is due and the one before is recorded. Its record keeps to
+// valueBytes, and its key is made of the number of the batch.
+func (q *releaseQueue) cut(valueBytes int, now time.Time, key func(batch int) string) {
+	if q.batch != nil || len(q.waiting) == 0 || now.Before(q.dueAt) {
+		return
+	}
+	n := record.LargestFitting(valueBytes, 1, min(len(q.waiting), maxReleaseBatch), func(n int) any {
+		return record.Release{IDs: q.waiting[:n], Done: true}
+	})
+	q.batches++
+	q.batch = &releaseBatch{key: key(q.batches), ids: slices.Clone(q.waiting[:n])}
+	q.waiting = q.waiting[n:]
+}
--- a/internal/scheduler/rereads.go
+++ b/internal/scheduler/rereads.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// JobRead takes in a job's open record as read back, nil when there is none.
+// JobRead takes in a job's active record as read back, nil when there is none.
 func (s *Shard) JobRead(ref string, open *wire.Entry, now time.Time) error {
 	j := s.jobs[ref]
 	if j == nil || !j.record.versionUnknown {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// PlacementsRead takes in a slot's record as read back, nil when there is none.
+// PlacementsRead takes in a placement record as read back, nil when there is none.
 func (s *Shard) PlacementsRead(n int, e *wire.Entry, now time.Time) error {
 	placements := s.ledger.records[n]
 	if placements != nil && placements.unreadable {
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -21,7 +21,7 @@
 	m.reservation.until = until
 }
 
-// useReservation takes in that a task of a job came to where room was kept for it.
+// useReservation takes in that a task of a job came to where room was reserved for it.
 func (x *inventory) useReservation(m *Machine, j *Job) {
 	if m.reservation.job == j.ref {
 		if m.reservation.tasks--; m.reservation.tasks <= 0 {
@@ -36,7 +36,7 @@
 	m.reservation.job, m.reservation.tasks = "", 0
 }
 
-// reservedForOther reports whether room on a machine is kept for a job other than j.
+// reservedForOther reports whether room on a machine is reserved for a job other than j.
 func (m *Machine) reservedForOther(j *Job, now time.Time) bool {
 	return m.reservation.job != "" && m.reservation.job != j.ref && now.Before(m.reservation.until)
 }
--- a/internal/scheduler/restart_test.go
+++ b/internal/scheduler/restart_test.go
@@ -11,7 +11,7 @@
 
 // busyRestart is a fleet of which, while nobody listened, every second machine's tasks have
 // ended and as much work has come as there is room for. Its new owner then hears all machines,
-// each once in an interval of reports, until all that waits has started.
+// each once in an interval of heartbeats, until all that waits has started.
 type busyRestart struct {
 	*harness
 	machines int
@@ -43,7 +43,7 @@
 // run plays the restart and returns the most orders in a second, and how long it took.
 func (r *busyRestart) run() (peak int, took time.Duration) {
 	begun := r.clock.Now()
-	const slices = 20 // of an interval of reports
+	const slices = 20 // of an interval of heartbeats
 	for ; r.starting() && took < 10*time.Minute; took = r.clock.Now().Sub(begun) {
 		r.clock.Advance(r.cfg.HeartbeatInterval / slices)
 		turn := int(r.clock.Now().Sub(begun)/(r.cfg.HeartbeatInterval/slices)) % slices
--- a/internal/scheduler/safety_test.go
+++ b/internal/scheduler/safety_test.go
@@ -68,7 +68,7 @@
 	r, w := newHarnessWithMachine(t)
 	s := spec("run-000001", "b", wire.Array, "normal", 1, 1)
 	r.submit(s)
-	r.cancel(s) // not told: the part is about to record a start
+	r.cancel(s) // not told: the shard is about to record a start
 	r.heartbeats(4)
 	if len(w.Started) != 0 {
 		t.Fatalf("started after the cancellation: %v", w.Started)
@@ -78,7 +78,7 @@
 	}
 }
 
-// Reports order by session and sequence: an old one proves nothing.
+// Reports order by epoch and sequence: an old one proves nothing.
 func TestLateReportIsIgnored(t *testing.T) {
 	r, w := newHarnessWithMachine(t)
 	empty := w.Report()
@@ -104,7 +104,7 @@
 	}
 }
 
-// An expired session proves its tasks gone.
+// An expired epoch proves its tasks gone.
 func TestNewSessionFreesTasks(t *testing.T) {
 	r := newHarness(t)
 	w := r.machine("m1", "z1", false)
--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -5,7 +5,7 @@
 )
 
 // breaksUp is what it counts against a machine that none of its cards is in use, and
-// holdsUp that all its work is such as may have to give way to a gang: a task that
+// holdsUp that all its work is such as may be preempted for a gang: a task that
 // has inherited a priority would not.
 const (
 	breaksUpPenalty    = 150
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -10,11 +10,11 @@
 	"bramblespur/internal/wire"
 )
 
-// The most machines that one part may come to hold, when one controller takes
-// over all parts of the largest deployment.
+// The most machines that one shard may come to hold, when one controller takes
+// over all shards of the largest deployment.
 const manyMachines = 4000
 
-// crowd makes a part of many machines in two zones, all of them busy, with jobs
+// crowd makes a shard of many machines in two zones, all of them busy, with jobs
 // that wait for room.
 func crowd(t testing.TB, machines, waiting int) *harness {
 	r := newHarness(t)
@@ -57,7 +57,7 @@
 	return r
 }
 
-// What a report or a task's end brings about looks at the jobs that wait and at
+// What a heartbeat or a task's end brings about looks at the jobs that wait and at
 // the machines that may serve them, not at all machines.
 func TestPlacementLooksAtFew(t *testing.T) {
 	const machines, waiting = 600, 60
@@ -80,7 +80,7 @@
 	}
 }
 
-// BenchmarkReport is a report in which nothing has changed.
+// BenchmarkReport is a heartbeat in which nothing has changed.
 func BenchmarkReport(b *testing.B) {
 	r := crowd(b, manyMachines, 100)
 	b.ReportAllocs()
@@ -93,7 +93,7 @@
 	}
 }
 
-// BenchmarkTaskEnds is a report of a task's end, after which the next one is
+// BenchmarkTaskEnds is a heartbeat of a task's end, after which the next one is
 // placed.
 func BenchmarkTaskEnds(b *testing.B) {
 	r := crowd(b, manyMachines, 100)
--- a/internal/scheduler/task_ledger.go
+++ b/internal/scheduler/task_ledger.go
@@ -18,21 +18,19 @@
 	j.progress.placed++
 	j.progress.placedByZone[m.Zone]++
 	s.inventory.updatePending(j)
-	span := j.spec
+	spec := j.spec
 	m.tasks[k] = t
 	s.inventory.countTask(m, j.rank, 1)
-	m.used.cpus += span.CPUs
-	m.used.gpus += span.GPUs
-	m.used.mem += span.MemoryGB
-	u := s.quotas.usage(span.Team)
-	u.cpus += span.CPUs
-	u.gpus += span.GPUs
+	m.used.cpus += spec.CPUs
+	m.used.gpus += spec.GPUs
+	m.used.mem += spec.MemoryGB
+	s.quotas.charge(spec)
 	m.idleSince = time.Time{}
 	s.inventory.update(m)
 	c := s.ledger.markDirty(k, now)
 	c.attempt = max(c.attempt, attempt)
 	c.record.urgent = true
-	t.trace = &startTrace{placed: now, cached: m.hasImage(span.Image)}
+	t.trace = &startTrace{placed: now, cached: m.hasImage(spec.Image)}
 	return t
 }
 
@@ -56,9 +54,7 @@
 		delete(s.inventory.evicting, m)
 	}
 	t.setPhase(j, "")
-	u := s.quotas.usage(spec.Team)
-	u.cpus -= spec.CPUs
-	u.gpus -= spec.GPUs
+	s.quotas.refund(spec)
 	*t = task{state: pending}
 	j.progress.placed--
 	j.progress.pending++
@@ -239,7 +235,7 @@
 	}
 }
 
-// removeMachine takes a machine out that is gone or another part's.
+// removeMachine takes a machine out that is gone or another shard's.
 func (s *Shard) removeMachine(m *Machine, now time.Time) {
 	for k := range m.tasks {
 		s.taskLost(k, now)
@@ -261,13 +257,13 @@
 // be unknown here: nothing is started then, not even what was recorded before.
 func (s *Shard) SetCancellationsUnknown(blind bool) { s.cancellationsUnknown = blind }
 
-// HasMachine reports whether the part holds a machine.
+// HasMachine reports whether the shard holds a machine.
 func (s *Shard) HasMachine(id string) bool { return s.inventory.byID[id] != nil }
 
-// HasJob reports whether the part holds an unfinished job.
+// HasJob reports whether the shard holds an unfinished job.
 func (s *Shard) HasJob(ref string) bool { return s.jobs[ref] != nil }
 
-// KnowsJob reports whether the part holds an unfinished job as its record of a version
+// KnowsJob reports whether the shard holds an unfinished job as its record of a version
 // tells, or a later one.
 func (s *Shard) KnowsJob(ref string, version uint64) bool {
 	j := s.jobs[ref]
@@ -330,7 +326,7 @@
 }
 
 // assembling reports whether the placed tasks of a gang still wait for the
-// others of their attempt, as far as their reports tell.
+// others of their attempt, as far as their heartbeats tell.
 func (j *Job) assembling() bool {
 	for i := range j.tasks {
 		t := &j.tasks[i]
--- a/internal/scheduler/unreachable.go
+++ b/internal/scheduler/unreachable.go
@@ -6,16 +6,16 @@
 	"bramblespur/internal/wire"
 )
 
-// unreachableAfter is how many reports in a row must lack a start sent before
+// unreachableAfter is how many heartbeats in a row must lack a start sent before
 // until its machine counts as one that no answer reaches. One answer may be
 // lost or late.
 const unreachableAfter = 2
 
-// applyEpoch takes in the session of a report. A lease that ran out although its
-// worker's reports were answered tells that no answer reaches the machine.
+// applyEpoch takes in the epoch of a heartbeat. A lease that ran out although its
+// worker's heartbeats were answered tells that no answer reaches the machine.
 func (s *Shard) applyEpoch(m *Machine, r *wire.Heartbeat, now time.Time) {
 	if r.Session == m.contact.epoch {
-		// A session that outlives the lease was renewed: answers arrive.
+		// An epoch that outlives the lease was renewed: answers arrive.
 		if !m.contact.unreachableSince.IsZero() && now.Sub(m.contact.unreachableSince) > s.cfg.Lease+s.cfg.HeartbeatInterval {
 			s.markReached(m)
 		}
@@ -29,7 +29,7 @@
 	m.contact.missedStarts = 0
 }
 
-// markUnreachable notes that no answer or command seems to reach a machine whose reports
+// markUnreachable notes that no answer or command seems to reach a machine whose heartbeats
 // arrive: it gets no more work, and what is there is freed as ever only by what
 // proves it gone.
 func (s *Shard) markUnreachable(m *Machine, now time.Time) {
@@ -40,7 +40,7 @@
 	s.placementDue = true
 	for k, t := range m.tasks {
 		if t.sent && !t.reported {
-			s.stopTask(k, 0, now) // not repeated: the next report proves it absent
+			s.stopTask(k, 0, now) // not repeated: the next heartbeat proves it absent
 		}
 	}
 }
@@ -54,7 +54,7 @@
 	}
 }
 
-// staysUnreachable reports whether a machine is to be given back because no answer was
+// staysUnreachable reports whether a machine is to be released because no answer was
 // seen to reach it for longer than a lease, by which one would have shown.
 func (s *Shard) staysUnreachable(m *Machine, now time.Time) bool {
 	return !m.contact.unreachableSince.IsZero() && now.Sub(m.contact.unreachableSince) > s.cfg.Lease+2*s.cfg.HeartbeatInterval
--- a/internal/scheduler/unreadable_records.go
+++ b/internal/scheduler/unreadable_records.go
@@ -9,10 +9,10 @@
 	"bramblespur/internal/wire"
 )
 
-// A record of placements that can't be decoded may tell of any task of the part that runs or
+// A record of placements that can't be decoded may tell of any task of the shard that runs or
 // has completed. The record is left as it is, and what it may tell of is withheld:
 //
-//   - Until every machine that the part had has reported under its token, or is gone, nothing
+//   - Until every machine that the shard had has reported under its token, or is gone, nothing
 //     is started: what runs there unrecorded uses room and quota.
 //   - A reported task of a withheld job that has no place is adopted where it runs.
 //   - A withheld job that still has tasks without a place starts none of them: they may have
@@ -20,7 +20,7 @@
 //
 // Jobs that were accepted after the record was last written can't be in it and go on. What is
 // recorded of withheld jobs from then on counts before what the record tells, should it be
-// restored: its ranges, each of one task, are entered with the part's token as their turn,
+// restored: its ranges, each of one task, are entered with the shard's token as their turn,
 // which is a revision of the state service and so above any turn that was reached by single
 // steps before.
 
@@ -28,17 +28,17 @@
 // that somebody has restored or deleted it.
 const rereadUnreadableEvery = 15 * time.Second
 
-// unreadableRecords is what a part knows of its records of placements that can't be decoded.
+// unreadableRecords is what a shard knows of its records of placements that can't be decoded.
 type unreadableRecords struct {
 	records        []*placementRecord
 	newestVersion  uint64 // the highest of their versions
-	awaitsMachines bool   // machines have not reported yet since the part was taken over
+	awaitsMachines bool   // machines have not reported yet since the shard was acquired
 	rereadAt       time.Time
 }
 
-// passOverUnreadable takes in that a record of placements can't be decoded. Plain ranges have no turns,
-// so that what is adopted could not be told from what a restored record tells: the part turns to
-// stated ones, and as long as a controller of the first version may be there, the error stands.
+// passOverUnreadable takes in that a record of placements can't be decoded. Unsized ranges have no turns,
+// so that what is adopted could not be told from what a restored record tells: the shard turns to
+// sized ones, and as long as a controller of the first version may be there, the error stands.
 func (s *Shard) passOverUnreadable(e wire.Entry, err error) error {
 	if !s.ledger.sizedAllowed {
 		return err
@@ -113,8 +113,8 @@
 	return &taskRange{job: j, first: i, end: i + 1, turn: l.overridingTurn()}
 }
 
-// awaitsInheritedMachines reports whether a machine that the part had when it was taken over has
-// neither reported under the part's token nor is proven gone.
+// awaitsInheritedMachines reports whether a machine that the shard had when it was acquired has
+// neither reported under the shard's token nor is proven gone.
 func (s *Shard) awaitsInheritedMachines() bool {
 	for _, m := range s.inventory.byID {
 		if m.inherited && !m.contact.fenced {
@@ -150,7 +150,7 @@
 }
 
 // unreadableReread takes in a record that could not be decoded as it is now. If it was restored
-// or deleted, the part is given up: whoever takes it over reads all records again.
+// or deleted, the shard is given up: whoever acquires it reads all records again.
 func (s *Shard) unreadableReread(rec *placementRecord, e *wire.Entry) {
 	if e == nil || e.Version != rec.version {
 		s.ownershipLost = true
--- a/internal/scheduler/unreadable_records_test.go
+++ b/internal/scheduler/unreadable_records_test.go
@@ -12,7 +12,7 @@
 	"bramblespur/internal/wire"
 )
 
-// unreadableRig is a part whose only record of placements is damaged: it told of a job that
+// unreadableRig is a shard whose only record of placements is damaged: it told of a job that
 // runs on a machine, and of another with one task done and one to be started again.
 type unreadableRig struct {
 	*harness
@@ -142,7 +142,7 @@
 	}
 }
 
-// Once somebody has restored the record, or deleted it, the part is read again and all goes
+// Once somebody has restored the record, or deleted it, the shard is read again and all goes
 // on.
 func TestUnreadablePlacementsAreReadAgain(t *testing.T) {
 	mend := map[string]func(u *unreadableRig){
--- a/internal/scheduler/upgrade_test.go
+++ b/internal/scheduler/upgrade_test.go
@@ -20,7 +20,7 @@
 	tightBytes, tightOps = 2 << 10, 5
 )
 
-// upgradeRig is a part of which the first version wrote the records, as
+// upgradeRig is a shard of which the first version wrote the records, as
 // testdata/production.json holds them.
 func upgradeRig(t testing.TB) *harness {
 	t.Helper()
@@ -45,13 +45,13 @@
 	return r
 }
 
-// facts are what the records tell of a part's tasks.
+// facts are what the records tell of a shard's tasks.
 type facts struct {
 	on   map[string]record.TaskPlacement
 	done map[string]bool
 }
 
-// plainFacts is the first version's reading of slots: the key's number counts
+// plainFacts is the first version's reading of records: the key's number counts
 // ranges of so many tasks, later fields are unknown, and every range counts.
 func plainFacts(t testing.TB, slots []wire.Entry, per int) facts {
 	t.Helper()
@@ -88,7 +88,7 @@
 	return f
 }
 
-// partFacts is what the part holds as recorded.
+// partFacts is what the shard holds as recorded.
 func partFacts(shard *Shard) facts {
 	f := facts{on: map[string]record.TaskPlacement{}, done: map[string]bool{}}
 	for _, j := range shard.jobs {
@@ -252,7 +252,7 @@
 	}
 }
 
-// known checks that whoever took the part over now would know of all that runs.
+// known checks that whoever acquired the shard now would know of all that runs.
 func (r *harness) known() {
 	r.t.Helper()
 	next := New(r.cfg, 0, r.shard.token)
@@ -290,7 +290,7 @@
 		steps := 0
 		r.afterTxn = func() { steps++; r.known() }
 		for range 40 {
-			// One range at a time: the others are still told by the plain record.
+			// One range at a time: the others are still told by the unsized record.
 			at := rnd.IntN(5) * 60
 			for _, w := range r.workers {
 				for task, wt := range w.Tasks {
--- a/internal/scheduler/versions.go
+++ b/internal/scheduler/versions.go
@@ -8,7 +8,7 @@
 	"bramblespur/internal/record"
 )
 
-// Version returns the version of a record as the part knows it: of a job, a machine or a slot
+// Version returns the version of a record as the shard knows it: of a job, a machine or a record
 // of its own; 0 if it knows none.
 func (s *Shard) Version(key string) uint64 {
 	last := record.LastElement(key)
--- a/internal/scheduler/write_outcomes.go
+++ b/internal/scheduler/write_outcomes.go
@@ -57,7 +57,7 @@
 // Conflict takes in that conditions failed: nothing was applied.
 func (s *Shard) Conflict(t *Txn, failed []string, now time.Time) {
 	if slices.Contains(failed, record.ShardKey(s.id)) {
-		s.ownershipLost = true // somebody claimed the part: every later write fails too
+		s.ownershipLost = true // somebody acquired the shard: every later write fails too
 		return
 	}
 	switch {
@@ -159,7 +159,7 @@
 	}
 }
 
-// revertWrite makes a slot's transaction undone: bad starts are taken back, which
+// revertWrite makes a record's transaction undone: bad starts are taken back, which
 // were never recorded and so never sent, the others wait for the next write.
 func (s *Shard) revertWrite(t *Txn, now time.Time, bad func(taskKey) bool) {
 	gangs := map[*Job]bool{}
@@ -174,7 +174,7 @@
 			gangs[k.job] = k.job.spec.Kind == wire.Gang
 		}
 	}
-	// A gang of which a part could not be recorded is taken back as a whole:
+	// A gang of which some could not be recorded is taken back as a whole:
 	// what is recorded already was not sent either.
 	for j, gang := range gangs {
 		if !gang {
