--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -1,8 +1,6 @@
 package scheduler
 
 import (
-	"fmt"
-	"math/rand/v2"
 	"slices"
 	"testing"
 	"time"
@@ -11,7 +9,6 @@
 	"bramblespur/internal/fragment"
 	"bramblespur/internal/record"
 	"bramblespur/internal/statestore"
-	"bramblespur/internal/testkit"
 	"bramblespur/internal/wire"
 )
 
@@ -188,121 +185,3 @@
 		}
 	}
 }
-
-// Random graphs over three shards, with failovers, cancellations, lost and late
-// writes: nothing starts before all its roots are done, a cancellation reaches all
-// that follows and nothing else, and in the end nothing is stuck.
-func TestRandomGraphsAcrossParts(t *testing.T) {
-	for seed := range uint64(25) {
-		rnd := rand.New(rand.NewPCG(seed, 4))
-		clock, state := testkit.NewClock(), testkit.NewState()
-		var rigs []*harness
-		for id := range 3 {
-			r := newHarnessOf(t, id, clock, state)
-			r.cfg.SilentAfter, r.cfg.BootFactor = time.Hour, 1e3 // shards take turns, which takes a while
-			for m := range 2 {
-				r.machine(fmt.Sprintf("m%d-%d", id, m), "z1", false)
-			}
-			rigs = append(rigs, r)
-		}
-		var refs []string
-		roots := map[string][]string{}
-		cancelled := map[string]bool{}
-		final := func(ref string) string {
-			if e := rigs[0].get(record.FinishedJobKey(ref)); e != nil {
-				return rigs[0].jobState(ref)
-			}
-			return ""
-		}
-		checked := map[*testkit.Worker]int{}
-		check := func() {
-			for _, r := range rigs {
-				for _, w := range r.workers {
-					for _, s := range started(w)[checked[w]:] {
-						for _, root := range roots[s] {
-							if final(root) != wire.Done {
-								t.Fatalf("seed %d: %s was started while %s is %q", seed, s, root, final(root))
-							}
-						}
-					}
-					checked[w] = len(w.Started)
-				}
-			}
-		}
-		owner := func(ref string) *harness { return rigs[int(record.Hash(ref))%len(rigs)] }
-		for round := range 120 {
-			if round < 60 && rnd.IntN(2) == 0 {
-				ref := fmt.Sprintf("run-%06d", rnd.IntN(1e6))
-				if roots[ref] != nil {
-					continue
-				}
-				roots[ref] = []string{}
-				for range rnd.IntN(4) {
-					if len(refs) > 0 {
-						roots[ref] = append(roots[ref], refs[rnd.IntN(len(refs))])
-					}
-				}
-				slices.Sort(roots[ref])
-				roots[ref] = slices.Compact(roots[ref])
-				refs = append(refs, ref)
-				owner(ref).after(ref, roots[ref]...)
-			}
-			if round < 80 && len(refs) > 0 {
-				switch ref := refs[rnd.IntN(len(refs))]; rnd.IntN(8) {
-				case 0:
-					if e := rigs[0].get(record.ActiveJobKey(ref)); e != nil {
-						o, err := decode[record.ActiveJob](*e)
-						if err != nil {
-							t.Fatal(err)
-						}
-						cancelled[ref] = true
-						tell := owner(ref).cancel(o.Spec)
-						tell()
-					}
-				case 1:
-					rigs[rnd.IntN(len(rigs))].failOver()
-				case 2:
-					state.LoseAnswers = 1
-				case 3:
-					state.HoldTxns = 1
-				case 4:
-					state.Release()
-				}
-			}
-			r := rigs[rnd.IntN(len(rigs))]
-			if rnd.IntN(2) == 0 || round > 90 {
-				for _, r := range rigs {
-					r.endAll()
-				}
-			}
-			r.tellEnds()
-			r.heartbeat()
-			check()
-		}
-		state.Release()
-		for range 12 * len(refs) {
-			for _, r := range rigs {
-				r.endAll()
-				r.tellEnds()
-				r.heartbeat()
-			}
-			check()
-		}
-		doomed := map[string]bool{}
-		for _, ref := range refs { // roots come before what names them
-			doomed[ref] = cancelled[ref] && final(ref) == wire.Cancelled || slices.ContainsFunc(roots[ref], func(r string) bool { return doomed[r] })
-			want := wire.Done
-			if doomed[ref] {
-				want = wire.Cancelled
-			}
-			if got := final(ref); got != want {
-				t.Errorf("seed %d: %s after %v is %q, want %q", seed, ref, roots[ref], got, want)
-			}
-		}
-		for _, r := range rigs {
-			if len(r.shard.dependencies.dependents) > 0 || len(r.shard.jobs) > 0 {
-				t.Errorf("seed %d: part %d still holds %d jobs and waits for %d", seed, r.id, len(r.shard.jobs), len(r.shard.dependencies.dependents))
-			}
-		}
-	}
-}
--- /dev/null
+++ b/internal/scheduler/random_graph_test.go
@@ -0,0 +1,233 @@
+package scheduler
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"bramblespur/internal/record"
+	"bramblespur/internal/testkit"
+	"bramblespur/internal/wire"
+)
+
+// Bounds of a random graph: how many are generated, over how many shards, and in which of the
+// rounds jobs are submitted, owners and writes are disturbed, and all tasks end at once.
+const (
+	graphSeeds         = 25
+	graphShards        = 3
+	graphMachines      = 2 // of each shard
+	graphRounds        = 120
+	graphSubmitRounds  = 60
+	graphDisturbRounds = 80
+	graphEndingRounds  = 90
+	graphRestPerJob    = 12 // rounds after which nothing may be stuck
+)
+
+// dependencyGraph is the model: which jobs were submitted, after which others, and which of
+// them users cancelled.
+type dependencyGraph struct {
+	refs         []string // dependencies come before what names them
+	dependencies map[string][]string
+	cancelled    map[string]bool
+}
+
+// generate adds a job after some that are there. It reports false if the name is taken.
+func (g *dependencyGraph) generate(rnd *rand.Rand) (ref string, ok bool) {
+	ref = fmt.Sprintf("run-%06d", rnd.IntN(1e6))
+	if g.dependencies[ref] != nil {
+		return "", false
+	}
+	dependencies := []string{}
+	for range rnd.IntN(4) {
+		if len(g.refs) > 0 {
+			dependencies = append(dependencies, g.refs[rnd.IntN(len(g.refs))])
+		}
+	}
+	slices.Sort(dependencies)
+	g.dependencies[ref] = slices.Compact(dependencies)
+	g.refs = append(g.refs, ref)
+	return ref, true
+}
+
+// wanted returns each job's final state: cancelled are those whose cancellation came in time,
+// and all that follow them.
+func (g *dependencyGraph) wanted(final func(ref string) string) map[string]string {
+	want := map[string]string{}
+	for _, ref := range g.refs {
+		want[ref] = wire.Done
+		follows := slices.ContainsFunc(g.dependencies[ref], func(d string) bool { return want[d] == wire.Cancelled })
+		if follows || g.cancelled[ref] && final(ref) == wire.Cancelled {
+			want[ref] = wire.Cancelled
+		}
+	}
+	return want
+}
+
+// graphPlay plays a random graph over several shards.
+type graphPlay struct {
+	t       *testing.T
+	seed    uint64
+	rnd     *rand.Rand
+	state   *testkit.State
+	shards  []*harness
+	graph   dependencyGraph
+	checked map[*testkit.Worker]int // so many of a worker's starts were checked
+}
+
+func newGraphPlay(t *testing.T, seed uint64) *graphPlay {
+	t.Helper()
+	p := &graphPlay{
+		t: t, seed: seed, rnd: rand.New(rand.NewPCG(seed, 4)), state: testkit.NewState(), checked: map[*testkit.Worker]int{},
+		graph: dependencyGraph{dependencies: map[string][]string{}, cancelled: map[string]bool{}},
+	}
+	clock := testkit.NewClock()
+	for id := range graphShards {
+		r := newHarnessOf(t, id, clock, p.state)
+		r.cfg.SilentAfter, r.cfg.BootFactor = time.Hour, 1e3 // shards take turns, which takes a while
+		for m := range graphMachines {
+			r.machine(fmt.Sprintf("m%d-%d", id, m), "z1", false)
+		}
+		p.shards = append(p.shards, r)
+	}
+	return p
+}
+
+// owner is the shard of a job.
+func (p *graphPlay) owner(ref string) *harness {
+	return p.shards[int(record.Hash(ref))%len(p.shards)]
+}
+
+// final is a job's final state, empty if it has none yet.
+func (p *graphPlay) final(ref string) string {
+	if p.shards[0].get(record.FinishedJobKey(ref)) == nil {
+		return ""
+	}
+	return p.shards[0].jobState(ref)
+}
+
+// round lets one of the shards take a turn, after something was submitted or disturbed.
+func (p *graphPlay) round(n int) {
+	if n < graphSubmitRounds && p.rnd.IntN(2) == 0 {
+		ref, ok := p.graph.generate(p.rnd)
+		if !ok {
+			return
+		}
+		p.owner(ref).after(ref, p.graph.dependencies[ref]...)
+	}
+	if n < graphDisturbRounds && len(p.graph.refs) > 0 {
+		p.disturb()
+	}
+	turn := p.shards[p.rnd.IntN(len(p.shards))]
+	if p.rnd.IntN(2) == 0 || n > graphEndingRounds {
+		for _, r := range p.shards {
+			r.endAll()
+		}
+	}
+	turn.tellEnds()
+	turn.heartbeat()
+	p.check()
+}
+
+// disturb cancels a job, lets a shard fail over, or loses, delays or releases writes.
+func (p *graphPlay) disturb() {
+	switch ref := p.graph.refs[p.rnd.IntN(len(p.graph.refs))]; p.rnd.IntN(8) {
+	case 0:
+		p.cancel(ref)
+	case 1:
+		p.shards[p.rnd.IntN(len(p.shards))].failOver()
+	case 2:
+		p.state.LoseAnswers = 1
+	case 3:
+		p.state.HoldTxns = 1
+	case 4:
+		p.state.Release()
+	}
+}
+
+// cancel cancels a job that has not ended.
+func (p *graphPlay) cancel(ref string) {
+	p.t.Helper()
+	e := p.shards[0].get(record.ActiveJobKey(ref))
+	if e == nil {
+		return
+	}
+	o, err := decode[record.ActiveJob](*e)
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	p.graph.cancelled[ref] = true
+	tell := p.owner(ref).cancel(o.Spec)
+	tell()
+}
+
+// rest lets all shards go on undisturbed until nothing can be left to do.
+func (p *graphPlay) rest() {
+	p.state.Release()
+	for range graphRestPerJob * len(p.graph.refs) {
+		for _, r := range p.shards {
+			r.endAll()
+			r.tellEnds()
+			r.heartbeat()
+		}
+		p.check()
+	}
+}
+
+// check asserts that what was started since the last time had all its dependencies done, and
+// that the shards are consistent.
+func (p *graphPlay) check() {
+	p.t.Helper()
+	for _, r := range p.shards {
+		if err := checkInvariants(r.shard); err != nil {
+			p.t.Fatalf("seed %d: shard %d: %v", p.seed, r.id, err)
+		}
+		for _, w := range r.workers {
+			for _, ref := range started(w)[p.checked[w]:] {
+				p.checkDependenciesDone(ref)
+			}
+			p.checked[w] = len(w.Started)
+		}
+	}
+}
+
+func (p *graphPlay) checkDependenciesDone(ref string) {
+	p.t.Helper()
+	for _, dependency := range p.graph.dependencies[ref] {
+		if state := p.final(dependency); state != wire.Done {
+			p.t.Fatalf("seed %d: %s was started while %s is %q", p.seed, ref, dependency, state)
+		}
+	}
+}
+
+// checkEnd asserts that each job has the final state that the model wants, and that no shard
+// holds anything any more.
+func (p *graphPlay) checkEnd() {
+	p.t.Helper()
+	want := p.graph.wanted(p.final)
+	for _, ref := range p.graph.refs {
+		if got := p.final(ref); got != want[ref] {
+			p.t.Errorf("seed %d: %s after %v is %q, want %q", p.seed, ref, p.graph.dependencies[ref], got, want[ref])
+		}
+	}
+	for _, r := range p.shards {
+		if jobs, dependents := len(r.shard.jobs), len(r.shard.dependencies.dependents); jobs+dependents > 0 {
+			p.t.Errorf("seed %d: shard %d still holds %d jobs and waits for %d", p.seed, r.id, jobs, dependents)
+		}
+	}
+}
+
+// Random graphs over three shards, with failovers, cancellations, lost and late writes:
+// nothing starts before all its dependencies are done, a cancellation reaches all that follows
+// and nothing else, and in the end nothing is stuck.
+func TestDependenciesHoldInRandomGraphsAcrossShards(t *testing.T) {
+	for seed := range uint64(graphSeeds) {
+		p := newGraphPlay(t, seed)
+		for n := range graphRounds {
+			p.round(n)
+		}
+		p.rest()
+		p.checkEnd()
+	}
+}
--- a/internal/scheduler/random_history_test.go
+++ b/internal/scheduler/random_history_test.go
@@ -229,8 +229,11 @@
 	}
 }
 
-// check compares the records with the ground truth.
+// check compares the records with the ground truth, and what the owner derives with its ledger.
 func (h *history) check() error {
+	if err := checkInvariants(h.shard); err != nil {
+		return err
+	}
 	for ref, spec := range h.jobs {
 		for i := range spec.Tasks {
 			name := fmt.Sprintf("%s/%d", ref, i)
