--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -21,9 +21,9 @@
 	}
 	limit, zone := j.zoneLimit(), j.requiredZone()
 	if n == 1 && (j.spec.Spread || j.spec.OneZone || j.progress.pending == 1) {
-		return s.bestMachine(j, cands, limit, zone)
+		return j.bestMachine(cands, limit, zone)
 	}
-	scores := s.sortByScore(j, cands)
+	scores := j.sortByScore(cands)
 	if n == 1 {
 		s.pass.candidates = candidateCache{j, cands}
 		return s.pass.candidates.next(j)
@@ -38,12 +38,12 @@
 // reserved for a job that goes before it nor one where it failed.
 func (s *Shard) filterMachines(j *Job, now time.Time) []*Machine {
 	var cands []*Machine
-	s.eachFeasibleMachine(j.spec, now, func(m *Machine) {
+	s.inventory.eachFeasibleMachine(j.spec, now, func(m *Machine) {
 		if j.faults.machines[m.ID] && !j.atFault() {
 			return
 		}
 		if m.reservedForOther(j, now) {
-			if o := s.jobs[m.reservation.job]; o != nil && o.progress.pending > 0 && s.yieldsReservation(j, o, now) {
+			if o := s.jobs[m.reservation.job]; o != nil && o.progress.pending > 0 && s.protection.yieldsReservation(j, o, now) {
 				return
 			}
 		}
@@ -128,10 +128,10 @@
 }
 
 // sortByScore puts the best machines first.
-func (s *Shard) sortByScore(j *Job, ms []*Machine) map[*Machine]float64 {
+func (j *Job) sortByScore(ms []*Machine) map[*Machine]float64 {
 	scores := make(map[*Machine]float64, len(ms))
 	for _, m := range ms {
-		scores[m] = s.score(j, m)
+		scores[m] = j.score(m)
 	}
 	sort.Slice(ms, func(a, b int) bool {
 		if x, y := scores[ms[a]], scores[ms[b]]; x != y {
@@ -146,22 +146,22 @@
 // waited too long takes it from those that have not, but not from those that go
 // before it: small gangs, which find room soon, would keep the largest from ever
 // having reserved enough.
-func (s *Shard) yieldsReservation(j, other *Job, now time.Time) bool {
-	if s.aged(j, now) {
-		return s.aged(other, now) && beforeAged(other, j)
+func (p *protectedJobs) yieldsReservation(j, other *Job, now time.Time) bool {
+	if p.aged(j, now) {
+		return p.aged(other, now) && beforeAged(other, j)
 	}
 	return other.rank >= j.rank
 }
 
 // bestMachine returns the best of the candidates for one task.
-func (s *Shard) bestMachine(j *Job, cands []*Machine, limit int, only string) []*Machine {
+func (j *Job) bestMachine(cands []*Machine, limit int, only string) []*Machine {
 	var best *Machine
 	top := 0.0
 	for _, m := range cands {
 		if (only != "" && m.Zone != only) || j.progress.placedByZone[m.Zone] >= limit {
 			continue
 		}
-		if v := s.score(j, m); best == nil || v > top || (v == top && m.ID < best.ID) {
+		if v := j.score(m); best == nil || v > top || (v == top && m.ID < best.ID) {
 			best, top = m, v
 		}
 	}
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -106,7 +106,7 @@
 	case t.reported || t.inherited || s.ownershipLost || s.cancellationsUnknown || m.Phase != record.InUse || k.job.cancelled || !k.job.wholeRecorded():
 		return false
 	}
-	if due := s.earliestStart(k, t); !t.sent && now.Before(due) {
+	if due := s.cfg.earliestStart(k, t); !t.sent && now.Before(due) {
 		s.delayedStarts[m] = due
 		return false
 	}
--- a/internal/scheduler/direct_commands.go
+++ b/internal/scheduler/direct_commands.go
@@ -49,7 +49,7 @@
 // once, if its next heartbeat is far.
 func (s *Shard) DirectStarts(id string, now time.Time) (DirectCommand, bool) {
 	m := s.inventory.byID[id]
-	if m == nil || m.Addr == "" || m.contact.epoch == 0 || !s.usable(m, now) || s.cfg.HeartbeatInterval < 2*directStartWorth {
+	if m == nil || m.Addr == "" || m.contact.epoch == 0 || !s.cfg.usable(m, now) || s.cfg.HeartbeatInterval < 2*directStartWorth {
 		return DirectCommand{}, false
 	}
 	d := DirectCommand{Machine: m.ID, Addr: m.Addr, Orders: wire.DirectOrders{Token: m.fencingToken(s), Session: m.contact.epoch, Commands: s.startCommands(m, now)}}
--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain.go
@@ -66,7 +66,7 @@
 		if m.Phase != record.InUse || (m.cordon == NotCordoned && !(later && m.cordonedLater)) {
 			continue
 		}
-		dm := &drain.Machine{ID: m.ID, Type: m.Type.Name, Zone: m.Zone, Rented: m.provisionedAt, Reachable: s.responsive(m, now)}
+		dm := &drain.Machine{ID: m.ID, Type: m.Type.Name, Zone: m.Zone, Rented: m.provisionedAt, Reachable: s.cfg.responsive(m, now)}
 		had := map[drain.UnitID]bool{}
 		for k := range m.tasks {
 			id := unitOf(k)
@@ -84,8 +84,8 @@
 }
 
 // responsive reports whether a machine is heard and reached, so that it can carry out a stop.
-func (s *Shard) responsive(m *Machine, now time.Time) bool {
-	return m.contact.up && m.contact.fenced && m.contact.unreachableSince.IsZero() && now.Sub(m.contact.heartbeatAt) < s.suspectAfter()
+func (c *Config) responsive(m *Machine, now time.Time) bool {
+	return m.contact.up && m.contact.fenced && m.contact.unreachableSince.IsZero() && now.Sub(m.contact.heartbeatAt) < c.suspectAfter()
 }
 
 // unitOf returns the unit that a task is interrupted with.
@@ -133,8 +133,8 @@
 			u.TasksOnCordoned++
 		}
 	}
-	u.FitsElsewhere = u.TasksOnCordoned == 0 || s.hasRoomFor(j, u.TasksOnCordoned, false, now)
-	u.FitsOnSelected = u.FitsElsewhere || s.hasRoomFor(j, u.TasksOnCordoned, true, now)
+	u.FitsElsewhere = u.TasksOnCordoned == 0 || s.inventory.hasRoomFor(j, u.TasksOnCordoned, false, now)
+	u.FitsOnSelected = u.FitsElsewhere || s.inventory.hasRoomFor(j, u.TasksOnCordoned, true, now)
 	return u
 }
 
@@ -152,9 +152,9 @@
 
 // hasRoomFor reports whether n tasks of a job fit on machines that take new work now: also on
 // those that are to be drained later, or on others only.
-func (s *Shard) hasRoomFor(j *Job, n int, avoided bool, now time.Time) bool {
+func (x *inventory) hasRoomFor(j *Job, n int, avoided bool, now time.Time) bool {
 	zone := j.requiredZone() // the others of the gang stay there
-	s.eachFeasibleMachine(j.spec, now, func(m *Machine) {
+	x.eachFeasibleMachine(j.spec, now, func(m *Machine) {
 		if n <= 0 || (m.cordonedLater && !avoided) || m.reservedForOther(j, now) || (zone != "" && m.Zone != zone) {
 			return
 		}
@@ -229,11 +229,11 @@
 func (s *Shard) reserveElsewhere(j *Job, now time.Time) {
 	var best *Machine
 	top := 0.0
-	s.eachFeasibleMachine(j.spec, now, func(m *Machine) {
+	s.inventory.eachFeasibleMachine(j.spec, now, func(m *Machine) {
 		if m.reservation.job != "" || !j.allowsZone(m.Zone) {
 			return
 		}
-		if v := s.score(j, m); best == nil || v > top || (v == top && m.ID < best.ID) {
+		if v := j.score(m); best == nil || v > top || (v == top && m.ID < best.ID) {
 			best, top = m, v
 		}
 	})
@@ -250,7 +250,7 @@
 	}
 	fate := drain.Unaffected
 	for _, k := range j.tasksOf(d.UnitID) {
-		switch s.taskFate(k, d.Attempt) {
+		switch k.fate(d.Attempt) {
 		case drain.StillInterrupted:
 			return drain.StillInterrupted
 		case drain.Recovered:
@@ -260,7 +260,7 @@
 	return fate
 }
 
-func (s *Shard) taskFate(k taskKey, attempt uint64) drain.Outcome {
+func (k taskKey) fate(attempt uint64) drain.Outcome {
 	t := &k.job.tasks[k.index]
 	switch {
 	case t.state == completed:
--- a/internal/scheduler/feasibility.go
+++ b/internal/scheduler/feasibility.go
@@ -17,11 +17,11 @@
 func (s *Shard) feasible(j *Job, n int, zone string) bool {
 	within := s.quotas.withinGuarantee(j, n)
 	for _, m := range s.inventory.byID {
-		s.candidatesExamined++
+		s.inventory.candidatesExamined++
 		if (zone != "" && m.Zone != zone) || !m.staysInShard() || !allows(j.spec, m) {
 			continue
 		}
-		if n -= s.roomInTime(m, j, within).capacity(j.spec, n); n == 0 {
+		if n -= s.quotas.roomInTime(m, j, within).capacity(j.spec, n); n == 0 {
 			return true
 		}
 	}
@@ -36,11 +36,11 @@
 // roomInTime returns the room that a machine has but for what is not preempted for j and
 // has no end in sight: services, and arrays that have waited too long, which place
 // the next task as soon as one ends.
-func (s *Shard) roomInTime(m *Machine, j *Job, within bool) resources {
+func (q *quotas) roomInTime(m *Machine, j *Job, within bool) resources {
 	r := resources{m.Type.CPUs, m.Type.GPUs, m.Type.MemoryGB}
 	for k, t := range m.tasks {
 		goesOn := k.job.spec.Kind == wire.Service || (k.job.protected && k.job.progress.pending > 0)
-		if goesOn && !t.stopping && !s.preemptible(k.job, j, within) {
+		if goesOn && !t.stopping && !q.preemptible(k.job, j, within) {
 			r = r.minus(k.job.spec, 1)
 		}
 	}
@@ -49,9 +49,9 @@
 
 // preemptible reports whether tasks of a job may be stopped for j, which keeps to its
 // team's guarantee or not.
-func (s *Shard) preemptible(job, j *Job, within bool) bool {
+func (q *quotas) preemptible(job, j *Job, within bool) bool {
 	if job.protected {
 		return false
 	}
-	return job.rank < j.rank || (within && job.spec.Team != j.spec.Team && s.quotas.overGuarantee(job.spec.Team))
+	return job.rank < j.rank || (within && job.spec.Team != j.spec.Team && q.overGuarantee(job.spec.Team))
 }
--- a/internal/scheduler/gang_start_delay.go
+++ b/internal/scheduler/gang_start_delay.go
@@ -21,7 +21,7 @@
 )
 
 // earliestStart returns when a recorded task may be started at the earliest.
-func (s *Shard) earliestStart(k taskKey, t *task) time.Time {
+func (c *Config) earliestStart(k taskKey, t *task) time.Time {
 	if k.job.spec.Kind != wire.Gang || t.trace == nil || !t.trace.cached {
 		return time.Time{}
 	}
@@ -31,7 +31,7 @@
 		if !peer.fetching() {
 			continue
 		}
-		at := peer.trace.recorded.Add(s.cachedStartDelay(k.job.spec, peer.machine))
+		at := peer.trace.recorded.Add(c.cachedStartDelay(k.job.spec, peer.machine))
 		if at.After(latest) {
 			latest = at
 		}
@@ -46,12 +46,12 @@
 
 // cachedStartDelay is how much later than a task that must fetch its image on a machine
 // its peers on machines that cache it are started.
-func (s *Shard) cachedStartDelay(spec *wire.Spec, fetches *Machine) time.Duration {
+func (c *Config) cachedStartDelay(spec *wire.Spec, fetches *Machine) time.Duration {
 	if fetches.Type.FetchGBps <= 0 {
 		return 0
 	}
 	fetch := slowestFetch * spec.ImageGB / fetches.Type.FetchGBps * float64(time.Second)
-	return max(0, time.Duration(fetch-plannedWait*float64(s.cfg.GangWait)))
+	return max(0, time.Duration(fetch-plannedWait*float64(c.GangWait)))
 }
 
 // notifyDelayedStarts wakes the machines whose delayed starts are due.
--- a/internal/scheduler/gang_start_delay_test.go
+++ b/internal/scheduler/gang_start_delay_test.go
@@ -132,7 +132,7 @@
 	s := spec("run-000001", "b", wire.Gang, "urgent", 2, 2)
 	for gb, want := range map[float64]time.Duration{4: 0, 7.5: 0, 15: 20 * time.Second} {
 		s.ImageGB = gb
-		if got := r.shard.cachedStartDelay(&s, &Machine{Type: typ}); got != want {
+		if got := r.shard.cfg.cachedStartDelay(&s, &Machine{Type: typ}); got != want {
 			t.Errorf("an image of %g GB delays by %v, want %v", gb, got, want)
 		}
 	}
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -174,7 +174,7 @@
 	j.faults.machines[m.ID] = true
 	if j.atFault() {
 		j.faults.count++
-		j.notBefore = now.Add(s.backoff(j))
+		j.notBefore = now.Add(s.cfg.backoff(j))
 		return
 	}
 	if m.failed == nil {
@@ -196,8 +196,8 @@
 	maxBackoff     = 60 * time.Second
 )
 
-func (s *Shard) backoff(j *Job) time.Duration {
-	d := s.cfg.HeartbeatInterval << min(j.faults.count, 6)
+func (c *Config) backoff(j *Job) time.Duration {
+	d := c.HeartbeatInterval << min(j.faults.count, 6)
 	return min(d, maxBackoff)
 }
 
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -25,8 +25,10 @@
 
 type machineSet map[*Machine]struct{}
 
-// index finds machines without walking all of them.
+// inventory is the shard's machines. It finds those that may serve without walking all of
+// them: update must be called after each change of a machine's room or state.
 type inventory struct {
+	cfg         *Config
 	byID        map[string]*Machine
 	byRoom      map[machineClass]machineSet
 	byImage     map[string]machineSet
@@ -37,10 +39,12 @@
 	evicting    machineSet
 	pendingJobs map[string]*Job // jobs with a task that has no place
 	cpus        float64         // of all machines
+	// candidatesExamined counts the machines and jobs that placements have examined, for tests.
+	candidatesExamined int
 }
 
-func newInventory() inventory {
-	x := inventory{byID: map[string]*Machine{}, byRoom: map[machineClass]machineSet{}, byImage: map[string]machineSet{}, reserved: map[string]machineSet{}, commandsDue: machineSet{}, evicting: machineSet{}, pendingJobs: map[string]*Job{}}
+func newInventory(cfg *Config) inventory {
+	x := inventory{cfg: cfg, byID: map[string]*Machine{}, byRoom: map[machineClass]machineSet{}, byImage: map[string]machineSet{}, reserved: map[string]machineSet{}, commandsDue: machineSet{}, evicting: machineSet{}, pendingJobs: map[string]*Job{}}
 	for r := range x.byRank {
 		x.byRank[r] = machineSet{}
 	}
@@ -131,15 +135,15 @@
 
 // eachFeasibleMachine calls f for the machines that may have room for a task of s now. Machines
 // that only look as if they had are few: rooms are rounded down.
-func (s *Shard) eachFeasibleMachine(spec *wire.Spec, now time.Time, f func(*Machine)) {
-	for c, ms := range s.inventory.byRoom {
+func (x *inventory) eachFeasibleMachine(spec *wire.Spec, now time.Time, f func(*Machine)) {
+	for c, ms := range x.byRoom {
 		if !c.open || (c.spot && !spec.Spot) || (spec.Zone != nil && *spec.Zone != c.zone) ||
 			spec.CPUs >= float64(c.cpus+1) || spec.GPUs >= float64(c.gpus+1) {
 			continue
 		}
 		for m := range ms {
-			s.candidatesExamined++
-			if r := freeRoom(m); r.fits(spec) && allows(spec, m) && s.usable(m, now) {
+			x.candidatesExamined++
+			if r := freeRoom(m); r.fits(spec) && allows(spec, m) && x.cfg.usable(m, now) {
 				f(m)
 			}
 		}
--- a/internal/scheduler/load_records.go
+++ b/internal/scheduler/load_records.go
@@ -51,7 +51,7 @@
 func (s *Shard) loadRange(l loadedRange, now time.Time) {
 	j := l.job
 	fresh := j.uncovered(l.first, l.end, l.end-l.first)
-	s.assignLoaded(l, fresh)
+	s.ledger.assignLoaded(l, fresh)
 	for _, c := range j.ranges {
 		if c.first < l.end && l.first < c.end {
 			c.attempt = max(c.attempt, l.recorded.Attempt)
@@ -77,20 +77,20 @@
 
 // assignLoaded enters the spans of a loaded range that no other tells: a whole range where it
 // is recorded, pieces elsewhere.
-func (s *Shard) assignLoaded(l loadedRange, fresh [][2]int) {
-	turn := l.recorded.Generation
-	if len(fresh) == 1 && fresh[0] == [2]int{l.first, l.end} {
-		c := &taskRange{job: l.job, first: l.first, end: l.end, turn: turn}
-		s.ledger.assign(c, l.record)
+func (l *placementLedger) assignLoaded(loaded loadedRange, fresh [][2]int) {
+	turn := loaded.recorded.Generation
+	if len(fresh) == 1 && fresh[0] == [2]int{loaded.first, loaded.end} {
+		c := &taskRange{job: loaded.job, first: loaded.first, end: loaded.end, turn: turn}
+		l.assign(c, loaded.record)
 		c.turn = turn
 		return
 	}
 	for _, span := range fresh {
-		c := &taskRange{job: l.job, first: span[0], end: span[1], turn: turn, previous: l.record}
+		c := &taskRange{job: loaded.job, first: span[0], end: span[1], turn: turn, previous: loaded.record}
 		// A record that waits for what leaves it must not be where that goes.
-		s.ledger.assign(c, s.ledger.recordWithRoom(s.ledger.rangeBytes(c, s.ledger.sized), l.record))
-		l.record.departed[c] = struct{}{}
-		if l.record.sized { // which can't be written before this is
+		l.assign(c, l.recordWithRoom(l.rangeBytes(c, l.sized), loaded.record))
+		loaded.record.departed[c] = struct{}{}
+		if loaded.record.sized { // which can't be written before this is
 			c.record.dirty, c.record.urgent, c.record.rangeAwaited = true, true, true
 		}
 	}
--- a/internal/scheduler/long_poll.go
+++ b/internal/scheduler/long_poll.go
@@ -11,7 +11,7 @@
 // nothing to tell; one with some tells of their ends a little later.
 func (s *Shard) LongPollTimeout(id string, now time.Time) time.Duration {
 	m := s.inventory.byID[id]
-	if m == nil || !s.usable(m, now) || !m.contact.fenced {
+	if m == nil || !s.cfg.usable(m, now) || !m.contact.fenced {
 		return 0
 	}
 	if len(m.tasks) == 0 {
--- a/internal/scheduler/machine_health.go
+++ b/internal/scheduler/machine_health.go
@@ -87,7 +87,7 @@
 		return "silent"
 	case s.neverBooted(m, now):
 		return "never came up"
-	case s.staysUnreachable(m, now):
+	case s.cfg.staysUnreachable(m, now):
 		return "no answer reaches it"
 	}
 	return ""
@@ -140,7 +140,7 @@
 // leaseExpired reports whether a machine has been silent for so long that its lease is
 // over, unless somebody else answers it, though its zone is not partitioned from here.
 func (s *Shard) leaseExpired(m *Machine, now time.Time) bool {
-	return !s.health.partitionedZones[m.Zone] && now.Sub(m.contact.heardAt) > s.cfg.Lease+s.heartbeatDue()
+	return !s.health.partitionedZones[m.Zone] && now.Sub(m.contact.heardAt) > s.cfg.Lease+s.cfg.heartbeatDue()
 }
 
 // silenceLimit is a zone, and how long a machine there may be silent.
@@ -195,7 +195,7 @@
 // evictTask stops a task, a gang's with all its mates, with time to save.
 func (s *Shard) evictTask(k taskKey, now time.Time) {
 	j := k.job
-	grace := s.gracePeriod(j)
+	grace := j.gracePeriod()
 	if j.spec.Kind == wire.Gang {
 		s.stopJob(j, grace, now)
 		return
@@ -203,7 +203,7 @@
 	s.stopTask(k, grace, now)
 }
 
-func (s *Shard) gracePeriod(j *Job) time.Duration {
+func (j *Job) gracePeriod() time.Duration {
 	if j.spec.CheckpointS <= 0 {
 		return 0
 	}
--- a/internal/scheduler/pipeline.go
+++ b/internal/scheduler/pipeline.go
@@ -117,15 +117,15 @@
 	if l == nil {
 		l = &pipeline{ref: ref}
 		s.dependencies.pipelines[ref] = l
-		s.rereadPipeline(l)
+		s.effects.rereadPipeline(l)
 	}
 	return l
 }
 
-func (s *Shard) rereadPipeline(l *pipeline) {
+func (e *Effects) rereadPipeline(l *pipeline) {
 	if !l.versionUnknown {
 		l.versionUnknown = true
-		s.effects.RereadPipelines = append(s.effects.RereadPipelines, l.ref)
+		e.RereadPipelines = append(e.RereadPipelines, l.ref)
 	}
 }
 
@@ -305,7 +305,7 @@
 		if known {
 			l.writing = false
 		} else {
-			s.rereadPipeline(l)
+			s.effects.rereadPipeline(l)
 		}
 	}
 }
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -9,13 +9,13 @@
 )
 
 // usable reports whether new work may be placed on a machine.
-func (s *Shard) usable(m *Machine, now time.Time) bool {
+func (c *Config) usable(m *Machine, now time.Time) bool {
 	return m.contact.up && m.Phase == record.InUse && !m.draining && m.cordon == NotCordoned && m.transferTo < 0 && m.record.txn == nil && !m.record.versionUnknown &&
-		m.contact.unreachableSince.IsZero() && (m.contact.fenced || !m.inherited) && m.reclaimedAt.IsZero() && now.Sub(m.contact.heartbeatAt) < s.suspectAfter()
+		m.contact.unreachableSince.IsZero() && (m.contact.fenced || !m.inherited) && m.reclaimedAt.IsZero() && now.Sub(m.contact.heartbeatAt) < c.suspectAfter()
 }
 
 // suspectAfter is when a silent machine gets no new work.
-func (s *Shard) suspectAfter() time.Duration { return s.cfg.HeartbeatInterval*2 + time.Second }
+func (c *Config) suspectAfter() time.Duration { return c.HeartbeatInterval*2 + time.Second }
 
 func (j *Job) unitSize() int {
 	if j.spec.Kind == wire.Gang {
@@ -62,7 +62,7 @@
 func (s *Shard) placeableByTeam(now time.Time) map[string][]*Job {
 	queues := map[string][]*Job{}
 	for _, j := range s.inventory.pendingJobs {
-		s.candidatesExamined++
+		s.inventory.candidatesExamined++
 		if !s.placeable(j, now) {
 			j.unplacedSince = time.Time{}
 			continue
@@ -84,7 +84,7 @@
 	}
 	sort.Slice(queue, func(a, b int) bool {
 		x, y := queue[a], queue[b]
-		if old := s.aged(x, now); old != s.aged(y, now) {
+		if old := s.protection.aged(x, now); old != s.protection.aged(y, now) {
 			return old
 		} else if old {
 			return beforeAged(x, y)
@@ -130,8 +130,8 @@
 	agedShare = 0.2
 )
 
-func (s *Shard) aged(j *Job, now time.Time) bool {
-	return (j.protected || j.starved(now)) && now.Sub(j.accepted) > agedAfter && s.protection.load[j.rank] < agedShare
+func (p *protectedJobs) aged(j *Job, now time.Time) bool {
+	return (j.protected || j.starved(now)) && now.Sub(j.accepted) > agedAfter && p.load[j.rank] < agedShare
 }
 
 // starved reports whether nothing of a job has run for too long.
@@ -156,7 +156,7 @@
 // first, then work within a guarantee, then priority, then the team with less of
 // its share.
 func (s *Shard) teamBefore(a *Job, teamA string, b *Job, teamB string, now time.Time) bool {
-	if old := s.aged(a, now); old != s.aged(b, now) {
+	if old := s.protection.aged(a, now); old != s.protection.aged(b, now) {
 		return old
 	} else if old {
 		return beforeAged(a, b)
@@ -188,7 +188,7 @@
 	if wait, more := s.preemptWhereCached(j, machines[0], now); wait {
 		return more
 	}
-	if s.aged(j, now) {
+	if s.protection.aged(j, now) {
 		s.protection.add(j)
 		defer s.protection.weigh(s.inventory.cpus)
 	}
@@ -244,7 +244,7 @@
 	}
 	machines := map[string][]*Machine{}
 	capacity := map[string]int{}
-	s.eachFeasibleMachine(j.spec, now, func(m *Machine) {
+	s.inventory.eachFeasibleMachine(j.spec, now, func(m *Machine) {
 		if m.reservedForOther(j, now) || s.pass.gangByZone[m.Zone] != nil || !j.allowsZone(m.Zone) {
 			return
 		}
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -27,7 +27,7 @@
 	chosen := leastLoss(options, n)
 	if chosen == nil && j.longWaiting(now) {
 		// Too much for one moment: what is reserved for the gang grows step by step.
-		chosen = s.optionsWhereReserving(j, options)
+		chosen = s.pass.optionsWhereReserving(j, options)
 	}
 	if chosen == nil {
 		j.preemption.triedAt = now
@@ -68,7 +68,7 @@
 	byZone := map[string][]preemptionOption{}
 	within := s.quotas.withinGuarantee(j, n)
 	s.eachPreemptionCandidate(j, within, now, func(m *Machine) {
-		if !allows(j.spec, m) || !j.allowsZone(m.Zone) || !s.usable(m, now) || m.reservedForOther(j, now) || s.reservedByLongWaitingGang(m, j, now) {
+		if !allows(j.spec, m) || !j.allowsZone(m.Zone) || !s.cfg.usable(m, now) || m.reservedForOther(j, now) || s.pass.reservedByLongWaitingGang(m, j, now) {
 			return
 		}
 		if o := s.preemptionOption(m, j, n, within, now); o.units > 0 {
@@ -90,9 +90,9 @@
 			room = room.plus(k.job.spec)
 			continue
 		}
-		if s.preemptible(k.job, j, within) {
+		if s.quotas.preemptible(k.job, j, within) {
 			candidates = append(candidates, k)
-			cost[k], _ = s.preemptionCost(k, now)
+			cost[k], _ = k.preemptionCost(now)
 		}
 	}
 	sort.Slice(candidates, func(a, b int) bool {
@@ -149,9 +149,9 @@
 
 // optionsWhereReserving returns the options in the zone in which machines are reserved for a
 // gang.
-func (s *Shard) optionsWhereReserving(gang *Job, byZone map[string][]preemptionOption) []preemptionOption {
+func (p *placementPass) optionsWhereReserving(gang *Job, byZone map[string][]preemptionOption) []preemptionOption {
 	for zone, options := range byZone {
-		if s.pass.gangByZone[zone] == gang {
+		if p.gangByZone[zone] == gang {
 			return options
 		}
 	}
@@ -171,10 +171,10 @@
 
 // reservedByLongWaitingGang reports whether a gang that has waited for long reserves machines where m
 // is: one that is no more urgent makes no room for itself there meanwhile.
-func (s *Shard) reservedByLongWaitingGang(m *Machine, j *Job, now time.Time) bool {
-	g := s.pass.gangByZone[m.Zone]
+func (p *placementPass) reservedByLongWaitingGang(m *Machine, j *Job, now time.Time) bool {
+	g := p.gangByZone[m.Zone]
 	if g == nil {
-		g = s.pass.gangByZone[""]
+		g = p.gangByZone[""]
 	}
 	return g != nil && g != j && g.longWaiting(now) && g.rank >= j.rank
 }
@@ -185,12 +185,12 @@
 	seen := machineSet{}
 	look := func(m *Machine) {
 		if _, ok := seen[m]; !ok {
-			s.candidatesExamined++
+			s.inventory.candidatesExamined++
 			seen[m] = struct{}{}
 			f(m)
 		}
 	}
-	s.eachFeasibleMachine(j.spec, now, look)
+	s.inventory.eachFeasibleMachine(j.spec, now, look)
 	for m := range s.inventory.evicting {
 		look(m)
 	}
@@ -212,7 +212,7 @@
 // costs in seconds: either it saves, which holds the place meanwhile, or what it
 // did since its last checkpoint is lost. Checkpoints come at intervals of its
 // progress, so the time since the last one is known well enough to choose.
-func (s *Shard) preemptionCost(k taskKey, now time.Time) (loss float64, grace time.Duration) {
+func (k taskKey) preemptionCost(now time.Time) (loss float64, grace time.Duration) {
 	t := &k.job.tasks[k.index]
 	spec := k.job.spec
 	if t.phase == wire.Running {
@@ -221,7 +221,7 @@
 		if spec.CheckpointS > 0 {
 			loss = math.Mod(ran, spec.CheckpointS)
 			if loss > spec.SaveS {
-				loss, grace = spec.SaveS, s.gracePeriod(k.job)
+				loss, grace = spec.SaveS, k.job.gracePeriod()
 			}
 		}
 		if ran < countedAfter.Seconds() {
@@ -240,7 +240,7 @@
 
 // preemptTask stops a task, a gang's with all its mates, for one that waits.
 func (s *Shard) preemptTask(k taskKey, now time.Time) {
-	_, grace := s.preemptionCost(k, now)
+	_, grace := k.preemptionCost(now)
 	if k.job.spec.Kind == wire.Gang {
 		s.stopJob(k.job, grace, now)
 		return
@@ -259,10 +259,10 @@
 		return false, false
 	}
 	zones := maps.Clone(j.progress.placedByZone)
-	if s.cachedRoomComing(j, zones, now) >= j.progress.pending {
+	if s.inventory.cachedRoomComing(j, zones, now) >= j.progress.pending {
 		return true, false
 	}
-	best, victim := s.cachedVictim(j, zones, now)
+	best, victim := s.inventory.cachedVictim(j, zones, now)
 	if best == nil {
 		return false, false
 	}
@@ -284,10 +284,10 @@
 
 // cachedRoomComing returns for how many tasks of a job room is being made where its image is
 // cached, and adds these to the job's tasks by zone.
-func (s *Shard) cachedRoomComing(j *Job, zones map[string]int, now time.Time) int {
+func (x *inventory) cachedRoomComing(j *Job, zones map[string]int, now time.Time) int {
 	coming := 0
 	limit := j.zoneLimit()
-	for m := range s.inventory.reserved[j.ref] {
+	for m := range x.reserved[j.ref] {
 		// Room that is free by now, or made where the image is not, is not what
 		// is waited for.
 		if n := m.reservedFor(j, now); n > 0 && m.hasImage(j.spec.Image) && m.evicting() && zones[m.Zone]+n <= limit {
@@ -300,11 +300,11 @@
 
 // cachedVictim returns the task of an array whose end makes room for a task of a job where its
 // image is cached, and loses least; no machine if there is none.
-func (s *Shard) cachedVictim(j *Job, zones map[string]int, now time.Time) (best *Machine, victim taskKey) {
+func (x *inventory) cachedVictim(j *Job, zones map[string]int, now time.Time) (best *Machine, victim taskKey) {
 	bestLoss := math.Inf(1)
 	limit := j.zoneLimit()
-	for m := range s.inventory.byImage[j.spec.Image] {
-		if !allows(j.spec, m) || !j.allowsZone(m.Zone) || !s.usable(m, now) || zones[m.Zone] >= limit || m.reservedForOther(j, now) {
+	for m := range x.byImage[j.spec.Image] {
+		if !allows(j.spec, m) || !j.allowsZone(m.Zone) || !x.cfg.usable(m, now) || zones[m.Zone] >= limit || m.reservedForOther(j, now) {
 			continue
 		}
 		room := freeRoom(m)
@@ -319,7 +319,7 @@
 			if t.stopping || v.protected || v.rank >= j.rank || v.spec.Kind != wire.Array || !room.plus(v.spec).fits(j.spec) {
 				continue
 			}
-			if l, _ := s.preemptionCost(k, now); l < bestLoss || (l == bestLoss && m.ID < best.ID) {
+			if l, _ := k.preemptionCost(now); l < bestLoss || (l == bestLoss && m.ID < best.ID) {
 				best, victim, bestLoss = m, k, l
 			}
 		}
--- a/internal/scheduler/probe_test.go
+++ b/internal/scheduler/probe_test.go
@@ -61,7 +61,7 @@
 		r.machine("n1", "z2", false)
 		r.submit(spec("run-000001", "b", wire.Array, "normal", 8, 1))
 		r.heartbeats(4)
-		lostAfter := r.shard.heartbeatDue() + 2*time.Second
+		lostAfter := r.shard.cfg.heartbeatDue() + 2*time.Second
 		if r.probed(lostAfter, x.answers...) == 0 {
 			t.Errorf("%s: nobody is asked", name)
 		}
@@ -96,7 +96,7 @@
 		if takeOver {
 			r.failOver()
 		}
-		r.probed(2 * r.shard.heartbeatDue())
+		r.probed(2 * r.shard.cfg.heartbeatDue())
 		r.answers = ids
 		r.heartbeat(r.workers["m1"])
 		r.probed(r.cfg.HeartbeatInterval, ids...)
@@ -120,7 +120,7 @@
 	}
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 6, 1))
 	r.heartbeats(4)
-	r.clock.Advance(r.shard.heartbeatDue())
+	r.clock.Advance(r.shard.cfg.heartbeatDue())
 	eff := r.shard.Step(r.clock.Now())
 	if len(eff.Probes) != len(ids) {
 		t.Fatalf("asks %v", eff.Probes)
@@ -146,7 +146,7 @@
 		r.machine(id, "z1", false)
 	}
 	r.heartbeats(2)
-	r.clock.Advance(r.shard.heartbeatDue())
+	r.clock.Advance(r.shard.cfg.heartbeatDue())
 	for range 3 {
 		if eff := r.shard.Step(r.clock.Now()); len(eff.Probes) > 2 || r.shard.probes.inFlight > 2 {
 			t.Fatalf("asks %v at once", eff.Probes)
@@ -182,10 +182,10 @@
 	w1.Obey(wire.Orders{Token: eff.DirectCommands[0].Orders.Token})
 	rep := w1.Report()
 	r.shard.Heartbeat(&rep, true, now)
-	if m := r.shard.inventory.byID["m1"]; !m.contact.fenced || !r.shard.usable(m, now) {
+	if m := r.shard.inventory.byID["m1"]; !m.contact.fenced || !r.shard.cfg.usable(m, now) {
 		t.Fatal("asked and told, but takes no work")
 	}
-	r.probed(r.shard.heartbeatDue()+time.Second, "m1")
+	r.probed(r.shard.cfg.heartbeatDue()+time.Second, "m1")
 	if r.phase("m1") > 0 || r.phase("m2") == 0 {
 		t.Errorf("phases %d and %d, want m2 given back", r.phase("m1"), r.phase("m2"))
 	}
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -125,7 +125,7 @@
 	}
 	t.setPhase(j, rt.State)
 	f := reconcile.ClassifyReported(reconcile.ReportedTask{State: rt.State, Why: rt.Why, JobKnown: true, Placed: true})
-	s.recordOutcome(t, f.Outcome)
+	s.reconciliation.recordOutcome(t, f.Outcome)
 	switch f.Action {
 	case reconcile.RecordCompletion:
 		m.failed = nil
@@ -145,7 +145,7 @@
 	case wire.ExitError:
 		s.countFailure(j, m, now)
 	case wire.ExitUnknownTask:
-		j.notBefore = now.Add(s.backoff(j))
+		j.notBefore = now.Add(s.cfg.backoff(j))
 	case wire.ExitNoRoom, wire.ExitInUse:
 		j.notBefore = now.Add(s.cfg.HeartbeatInterval)
 	}
--- a/internal/scheduler/reconciliation_progress.go
+++ b/internal/scheduler/reconciliation_progress.go
@@ -76,13 +76,13 @@
 func (s *Shard) EndReconciliation() { s.reconciliation = reconciliation{} }
 
 // recordOutcome counts the verdict on a placement of an earlier owner, once.
-func (s *Shard) recordOutcome(t *task, v reconcile.Outcome) {
-	if s.reconciliation.since.IsZero() || !t.inherited || t.reconciled {
+func (r *reconciliation) recordOutcome(t *task, v reconcile.Outcome) {
+	if r.since.IsZero() || !t.inherited || t.reconciled {
 		return
 	}
 	t.reconciled = true
-	s.reconciliation.pending--
-	s.reconciliation.tally.Add(v)
+	r.pending--
+	r.tally.Add(v)
 }
 
 // recordOrphanOutcome counts the verdict on a task in a report that is not on record there, once, and
--- a/internal/scheduler/record_writes.go
+++ b/internal/scheduler/record_writes.go
@@ -108,7 +108,7 @@
 	t := &Txn{placements: placements, Purpose: purposeCompletions}
 	conds := map[string]uint64{}
 	moved := placements.rangeAwaited
-	rec, left := s.buildPlacements(placements, t, conds)
+	rec, left := s.ledger.buildPlacements(placements, t, conds)
 	if placements.sized {
 		rec.Format = record.SizedRanges
 	}
@@ -148,10 +148,10 @@
 // buildPlacements makes the record of some ranges, notes in a transaction which starts and
 // completions it brings, and adds the conditions that these rely on. It reports whether
 // starts were left out for want of room for their conditions.
-func (s *Shard) buildPlacements(placements *placementRecord, t *Txn, conds map[string]uint64) (rec record.Placements, left bool) {
+func (l *placementLedger) buildPlacements(placements *placementRecord, t *Txn, conds map[string]uint64) (rec record.Placements, left bool) {
 	rec = record.Placements{Ranges: map[string]record.TaskRange{}}
 	for name, c := range placements.ranges {
-		built, complete := s.buildRange(c, t, conds)
+		built, complete := l.buildRange(c, t, conds)
 		left = left || !complete
 		t.ranges = append(t.ranges, c)
 		rec.Ranges[name] = built
@@ -160,9 +160,9 @@
 }
 
 // buildRange makes a range of a record. It reports whether all starts are in it.
-func (s *Shard) buildRange(c *taskRange, t *Txn, conds map[string]uint64) (built record.TaskRange, complete bool) {
+func (l *placementLedger) buildRange(c *taskRange, t *Txn, conds map[string]uint64) (built record.TaskRange, complete bool) {
 	complete = true
-	room := 4*s.ledger.txnOps - 2 // for conditions
+	room := 4*l.txnOps - 2 // for conditions
 	j := c.job
 	built = c.header()
 	for i := c.first; i < c.end; i++ {
--- a/internal/scheduler/rereads.go
+++ b/internal/scheduler/rereads.go
@@ -7,24 +7,24 @@
 	"bramblespur/internal/wire"
 )
 
-func (s *Shard) rereadJob(j *Job) {
+func (e *Effects) rereadJob(j *Job) {
 	if !j.record.versionUnknown {
 		j.record.versionUnknown = true
-		s.effects.RereadJobs = append(s.effects.RereadJobs, j.ref)
+		e.RereadJobs = append(e.RereadJobs, j.ref)
 	}
 }
 
-func (s *Shard) rereadPlacements(rec *placementRecord) {
+func (e *Effects) rereadPlacements(rec *placementRecord) {
 	if !rec.versionUnknown {
 		rec.versionUnknown = true
-		s.effects.RereadPlacements = append(s.effects.RereadPlacements, rec.number)
+		e.RereadPlacements = append(e.RereadPlacements, rec.number)
 	}
 }
 
-func (s *Shard) rereadMachine(m *Machine) {
+func (e *Effects) rereadMachine(m *Machine) {
 	if !m.record.versionUnknown {
 		m.record.versionUnknown = true
-		s.effects.RereadMachines = append(s.effects.RereadMachines, m.ID)
+		e.RereadMachines = append(e.RereadMachines, m.ID)
 	}
 }
 
@@ -39,7 +39,7 @@
 		// job that this one needs cancelled.
 		s.removeJob(j, now)
 		if j.pipeline.ref != "" {
-			s.rereadPipeline(j.pipeline)
+			s.effects.rereadPipeline(j.pipeline)
 		}
 		return nil
 	}
--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -23,7 +23,7 @@
 // Work without cards goes beside work with cards, even where its image, which is
 // small, must be fetched first: a machine of which it takes a few cores is lost to
 // a gang that needs all of it.
-func (s *Shard) score(j *Job, m *Machine) float64 {
+func (j *Job) score(m *Machine) float64 {
 	v := 0.0
 	if m.hasImage(j.spec.Image) {
 		v += 100
--- a/internal/scheduler/shard.go
+++ b/internal/scheduler/shard.go
@@ -36,7 +36,6 @@
 	effects              Effects
 	placementDue         bool      // something changed that may allow a placement
 	nextWake             time.Time // when a Step is due though nothing changes; zero: never
-	candidatesExamined   int       // machines and jobs that placements have examined, for tests
 }
 
 // placementPass is what one pass over the waiting jobs keeps.
@@ -55,7 +54,7 @@
 func New(cfg *Config, id int, token uint64) *Shard {
 	return &Shard{
 		cfg: cfg, id: id, token: token,
-		inventory:     newInventory(),
+		inventory:     newInventory(cfg),
 		jobs:          map[string]*Job{},
 		endingJobs:    map[string]*Job{},
 		dependencies:  dependencies{pipelines: map[string]*pipeline{}, dependents: map[string]map[*Job]struct{}{}},
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -64,7 +64,7 @@
 	r := crowd(t, machines, waiting)
 	r.clock.Advance(preemptionRetry)
 	r.carryOutEffects() // room for what waits was just sought in vain
-	r.shard.candidatesExamined = 0
+	r.shard.inventory.candidatesExamined = 0
 	w := r.workers["i-000007"]
 	for name := range w.Tasks {
 		w.End(name, wire.Done)
@@ -75,8 +75,8 @@
 	if eff := r.shard.Step(r.clock.Now()); len(eff.Txns) == 0 {
 		t.Fatal("nothing placed where a task ended")
 	}
-	if r.shard.candidatesExamined > 2*waiting {
-		t.Errorf("looked at %d machines and jobs, with %d jobs waiting and %d machines", r.shard.candidatesExamined, waiting, machines)
+	if r.shard.inventory.candidatesExamined > 2*waiting {
+		t.Errorf("looked at %d machines and jobs, with %d jobs waiting and %d machines", r.shard.inventory.candidatesExamined, waiting, machines)
 	}
 }
 
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -18,7 +18,7 @@
 		Arriving:     s.arrivals.onDemand / arrivalDecay.Seconds(),
 		ArrivingSpot: s.arrivals.spot / arrivalDecay.Seconds(),
 		Needs:        s.needs(now),
-		Machines:     s.machineSummaries(now),
+		Machines:     s.inventory.machineSummaries(now),
 	}
 }
 
@@ -65,20 +65,20 @@
 }
 
 // machineSummaries describes the machines, by name.
-func (s *Shard) machineSummaries(now time.Time) []fleet.Machine {
-	machines := make([]fleet.Machine, 0, len(s.inventory.byID))
-	for _, m := range s.inventory.byID {
-		machines = append(machines, s.machineSummary(m, now))
+func (x *inventory) machineSummaries(now time.Time) []fleet.Machine {
+	machines := make([]fleet.Machine, 0, len(x.byID))
+	for _, m := range x.byID {
+		machines = append(machines, x.machineSummary(m, now))
 	}
 	sort.Slice(machines, func(a, b int) bool { return machines[a].ID < machines[b].ID })
 	return machines
 }
 
 // machineSummary describes a machine for the leader.
-func (s *Shard) machineSummary(m *Machine, now time.Time) fleet.Machine {
+func (x *inventory) machineSummary(m *Machine, now time.Time) fleet.Machine {
 	room := freeRoom(m)
 	out := fleet.Machine{
-		ID: m.ID, Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot, Up: m.contact.up, Usable: s.usable(m, now),
+		ID: m.ID, Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot, Up: m.contact.up, Usable: x.cfg.usable(m, now),
 		Leaving: !m.staysInShard(),
 		CPUs:    room.cpus, GPUs: room.gpus, MemoryGB: room.mem, Tasks: len(m.tasks),
 		Avoided: m.cordonedLater,
--- a/internal/scheduler/task_ledger.go
+++ b/internal/scheduler/task_ledger.go
@@ -75,7 +75,7 @@
 		return
 	}
 	if t.state == placed {
-		s.recordOutcome(t, reconcile.Finished)
+		s.reconciliation.recordOutcome(t, reconcile.Finished)
 		s.unplaceTask(k, now)
 	}
 	*t = task{state: completed}
@@ -308,7 +308,7 @@
 // completes it; of one that runs, what was not saved is lost already, so the
 // rest only holds places and is ended.
 func (s *Shard) taskLost(k taskKey, now time.Time) {
-	s.recordOutcome(&k.job.tasks[k.index], reconcile.Missing)
+	s.reconciliation.recordOutcome(&k.job.tasks[k.index], reconcile.Missing)
 	s.recordInterruption(k)
 	s.unplaceTask(k, now)
 	if k.job.spec.Kind == wire.Gang && !k.job.assembling() {
--- a/internal/scheduler/unreachable.go
+++ b/internal/scheduler/unreachable.go
@@ -56,6 +56,6 @@
 
 // staysUnreachable reports whether a machine is to be released because no answer was
 // seen to reach it for longer than a lease, by which one would have shown.
-func (s *Shard) staysUnreachable(m *Machine, now time.Time) bool {
-	return !m.contact.unreachableSince.IsZero() && now.Sub(m.contact.unreachableSince) > s.cfg.Lease+2*s.cfg.HeartbeatInterval
+func (c *Config) staysUnreachable(m *Machine, now time.Time) bool {
+	return !m.contact.unreachableSince.IsZero() && now.Sub(m.contact.unreachableSince) > c.Lease+2*c.HeartbeatInterval
 }
--- a/internal/scheduler/unreadable_records.go
+++ b/internal/scheduler/unreadable_records.go
@@ -85,7 +85,7 @@
 		}
 	}
 	s.wakeAt(u.rereadAt)
-	if u.awaitsMachines && s.awaitsInheritedMachines() {
+	if u.awaitsMachines && s.inventory.awaitsInheritedMachines() {
 		return
 	}
 	s.placementDue = s.placementDue || u.awaitsMachines
@@ -93,16 +93,16 @@
 	for _, j := range s.jobs {
 		if j.withheld && (j.cancelled || j.progress.pending == 0) {
 			j.withheld = false
-			s.supersedeRecorded(j)
+			s.ledger.supersedeRecorded(j)
 			s.queueIfTerminal(j)
 		}
 	}
 }
 
 // supersedeRecorded makes what is known of all of a job's tasks count before what the record tells.
-func (s *Shard) supersedeRecorded(j *Job) {
+func (l *placementLedger) supersedeRecorded(j *Job) {
 	for _, c := range j.ranges {
-		c.turn = max(c.turn, s.ledger.overridingTurn())
+		c.turn = max(c.turn, l.overridingTurn())
 		c.record.dirty, c.record.rangeAwaited = true, true
 	}
 }
@@ -115,8 +115,8 @@
 
 // awaitsInheritedMachines reports whether a machine that the shard had when it was acquired has
 // neither reported under the shard's token nor is proven gone.
-func (s *Shard) awaitsInheritedMachines() bool {
-	for _, m := range s.inventory.byID {
+func (x *inventory) awaitsInheritedMachines() bool {
+	for _, m := range x.byID {
 		if m.inherited && !m.contact.fenced {
 			return true
 		}
@@ -135,7 +135,7 @@
 	switch t := &j.tasks[k.index]; {
 	case t.state == pending:
 	case t.state == placed && t.inherited && !t.reported && rt.Attempt > t.attempt:
-		s.recordOutcome(t, reconcile.Missing)
+		s.reconciliation.recordOutcome(t, reconcile.Missing)
 		s.unplaceTask(k, now)
 	default:
 		return false
--- a/internal/scheduler/write_outcomes.go
+++ b/internal/scheduler/write_outcomes.go
@@ -67,11 +67,11 @@
 	case t.machine != nil:
 		t.machine.record.txn = nil
 		t.machine.record.retryAt = now.Add(retryAfter)
-		s.rereadMachine(t.machine)
+		s.effects.rereadMachine(t.machine)
 	case t.job != nil:
 		t.job.record.endTxn = nil
 		s.pipelineStepFailed(t.job, false)
-		s.rereadJob(t.job)
+		s.effects.rereadJob(t.job)
 	default:
 		s.placementsConflict(t, failed, now)
 	}
@@ -87,12 +87,12 @@
 		bad[k] = true
 		if id, ok := strings.CutPrefix(k, record.OverridePrefix); ok {
 			if m := s.inventory.byID[id]; m != nil {
-				s.rereadMachine(m)
+				s.effects.rereadMachine(m)
 			}
 		}
 		if ref, ok := strings.CutPrefix(k, record.ActiveJobPrefix); ok {
 			if j := s.jobs[ref]; j != nil {
-				s.rereadJob(j)
+				s.effects.rereadJob(j)
 			}
 		}
 	}
@@ -101,7 +101,7 @@
 		return bad[record.ActiveJobKey(k.job.ref)] || (m != nil && bad[record.OverrideKey(m.ID)])
 	})
 	if bad[record.PlacementsKey(s.id, rec.number)] {
-		s.rereadPlacements(rec)
+		s.effects.rereadPlacements(rec)
 	}
 }
 
@@ -150,12 +150,12 @@
 	case t.release != nil:
 		t.release.txn, t.release.retryAt = nil, now.Add(retryAfter) // the same again does no harm
 	case t.machine != nil:
-		s.rereadMachine(t.machine)
+		s.effects.rereadMachine(t.machine)
 	case t.job != nil:
 		s.pipelineStepFailed(t.job, false)
-		s.rereadJob(t.job)
+		s.effects.rereadJob(t.job)
 	default:
-		s.rereadPlacements(t.placements)
+		s.effects.rereadPlacements(t.placements)
 	}
 }
 
