--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -17,7 +17,7 @@
 	NotMine                              // no such machine in this shard
 )
 
-// Heartbeat takes in a worker's heartbeat and returns the answer. A direct heartbeat is
+// Heartbeat takes in a worker's heartbeat and returns the response. A direct heartbeat is
 // the answer to a command; it gets no orders.
 func (s *Shard) Heartbeat(r *wire.Heartbeat, direct bool, now time.Time) (wire.Orders, HeartbeatDisposition) {
 	m := s.inventory.byID[r.Machine]
@@ -35,20 +35,10 @@
 		return orders, Answered // it settles, starts and renews nothing
 	}
 	defer s.inventory.update(m)
-	m.dropOutdatedStarts(r)
-	s.applyEpoch(m, r, now)
-	m.contact.seq = r.Seq
-	m.Addr = r.Addr
 	// After a failover nobody remembers the last heartbeat, so the first ones may
 	// be late copies: only one under our own token proves the machine alive.
 	live := freshness == reconcile.Current || !m.inherited
-	if live {
-		s.markAlive(m, direct, now)
-	}
-	if !direct {
-		m.contact.answeredAt = now
-	}
-	s.applyReclaimNotice(m, r, now)
+	s.recordContact(m, r, direct, live, now)
 	if freshness == reconcile.UnderLowerToken {
 		// What earlier owners recorded here is settled only by a heartbeat under
 		// our token. Our own starts need not wait for it on a machine that was
@@ -64,12 +54,8 @@
 		s.markReached(m)
 		s.placementDue = true
 	}
-	placedHere := make(map[taskKey]*wire.HeartbeatTask, len(r.Tasks))
-	commands, keptOthers := s.reconcileReported(m, r, placedHere, now)
-	orders.Commands = append(orders.Commands, commands...)
-	commands, missed, keptHere := s.reconcilePlaced(m, placedHere, direct, now)
-	orders.Commands = append(orders.Commands, commands...)
-	m.retained = keptOthers + keptHere
+	var missed bool
+	orders.Commands, missed = s.appendReconciled(orders.Commands, m, r, direct, now)
 	if direct {
 		return orders, Answered
 	}
@@ -81,6 +67,32 @@
 	return orders, Answered
 }
 
+// recordContact takes in what a heartbeat shows of its machine besides the tasks there.
+func (s *Shard) recordContact(m *Machine, r *wire.Heartbeat, direct, live bool, now time.Time) {
+	m.dropOutdatedStarts(r)
+	s.applyEpoch(m, r, now)
+	m.contact.seq = r.Seq
+	m.Addr = r.Addr
+	if live {
+		s.markAlive(m, direct, now)
+	}
+	if !direct {
+		m.contact.answeredAt = now
+	}
+	s.applyReclaimNotice(m, r, now)
+}
+
+// appendReconciled compares a heartbeat with the ledger and appends the commands that end or
+// forget what has no place there. It reports whether the heartbeat lacks a start that was sent.
+func (s *Shard) appendReconciled(out []wire.Command, m *Machine, r *wire.Heartbeat, direct bool, now time.Time) (commands []wire.Command, missed bool) {
+	placedHere := make(map[taskKey]*wire.HeartbeatTask, len(r.Tasks))
+	orphans, retainedOrphans := s.reconcileReported(m, r, placedHere, now)
+	ended, missed, retainedEnded := s.reconcilePlaced(m, placedHere, direct, now)
+	m.retained = retainedOrphans + retainedEnded
+	out = append(out, orphans...)
+	return append(out, ended...), missed
+}
+
 // markAlive takes in that a machine sent a report that is no late copy.
 func (s *Shard) markAlive(m *Machine, direct bool, now time.Time) {
 	if !m.contact.up || now.Sub(m.contact.heardAt) > s.cfg.SilentAfter {
--- a/internal/scheduler/rereads.go
+++ b/internal/scheduler/rereads.go
@@ -88,31 +88,40 @@
 		}
 		return nil
 	}
+	s.applyReread(t, rec, changed)
+	s.revertWrite(t, now, func(taskKey) bool { return true })
+	placements.retryAt = now.Add(retryAfter)
+	s.wakeAt(placements.retryAt)
+	s.placementDue = true
+	return nil
+}
+
+// applyReread takes in what a record that was read back has of a transaction whose outcome
+// was unknown: its ranges, and its starts if the record has changed since.
+func (s *Shard) applyReread(t *Txn, rec record.Placements, changed bool) {
 	for _, c := range t.ranges {
-		if run, ok := rec.Ranges[s.ledger.rangeName(c)]; ok && run.Generation == c.turn {
+		if read, ok := rec.Ranges[s.ledger.rangeName(c)]; ok && read.Generation == c.turn {
 			s.ledger.confirm(c)
 		}
 	}
-	there := func(k taskKey) bool {
-		c := k.job.rangeAt(k.index)
-		if c == nil || c.record != placements {
-			return false
-		}
-		pl, ok := rec.Ranges[s.ledger.rangeName(c)].Placed[k.index]
-		task := &k.job.tasks[k.index]
-		return changed && ok && task.machine != nil && pl.Attempt == task.attempt && pl.Machine == task.machine.ID
-	}
 	for _, k := range t.starts {
-		if task := &k.job.tasks[k.index]; task.state == placed && task.recording && there(k) {
+		task := &k.job.tasks[k.index]
+		if task.state == placed && task.recording && changed && s.ledger.tells(t.placements, rec, k) {
 			task.recorded, task.recording = true, false
 			s.effects.StartsReady = append(s.effects.StartsReady, task.machine.ID)
 		}
 	}
-	s.revertWrite(t, now, func(taskKey) bool { return true })
-	placements.retryAt = now.Add(retryAfter)
-	s.wakeAt(placements.retryAt)
-	s.placementDue = true
-	return nil
+}
+
+// tells reports whether a record as it was read has a task's placement as the ledger has it.
+func (l *placementLedger) tells(placements *placementRecord, rec record.Placements, k taskKey) bool {
+	c := k.job.rangeAt(k.index)
+	if c == nil || c.record != placements {
+		return false
+	}
+	placement, ok := rec.Ranges[l.rangeName(c)].Placed[k.index]
+	task := &k.job.tasks[k.index]
+	return ok && task.machine != nil && placement.Attempt == task.attempt && placement.Machine == task.machine.ID
 }
 
 // MachineRead takes in a machine's own record as read back, nil when there is
