--- a/internal/scheduler/allocations_test.go
+++ b/internal/scheduler/allocations_test.go
@@ -47,7 +47,7 @@
 
 // A report that tells nothing new costs the same few allocations whatever the
 // fleet's size: those of its answer and of what it is compared by.
-func TestReportAllocations(t *testing.T) {
+func TestHeartbeatAllocationsDoNotGrowWithTheFleet(t *testing.T) {
 	for _, machines := range []int{40, 400} {
 		r := fleetHarness(t, machines, 80)
 		const id = "i-000000"
@@ -75,7 +75,7 @@
 
 // The core of the largest fleet: reports, starts of what ended and what the leader is told
 // cost what they cost in small ones, and a machine with its tasks holds as little.
-func TestLargestFleet(t *testing.T) {
+func TestLargestFleetCostsWhatSmallOnesDo(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestWaitsForEveryRoot(t *testing.T) {
+func TestJobWaitsForEveryDependency(t *testing.T) {
 	r := newHarness(t)
 	w := r.machine("m1", "z1", false)
 	r.after(jobA)
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestEndsWithACancelledRoot(t *testing.T) {
+func TestCancellationReachesAllDependents(t *testing.T) {
 	r := newHarness(t)
 	w := r.machine("m1", "z1", false)
 	a := r.after(jobA)
@@ -102,7 +102,7 @@
 
 // A job that another controller has ended, since it found a root cancelled, is
 // gone here, too, whether its own end was under way or not.
-func TestHeldJobEndedElsewhere(t *testing.T) {
+func TestWaitingJobEndedElsewhereIsRemoved(t *testing.T) {
 	r := newHarness(t)
 	r.after(jobA)
 	r.after(jobB, jobA)
@@ -129,7 +129,7 @@
 
 // A job that inherits a priority goes before others of its own, and takes the
 // place of what is lower; without heirs it is as before.
-func TestInheritedPriority(t *testing.T) {
+func TestInheritedPriorityPreempts(t *testing.T) {
 	r := newHarness(t)
 	w := r.machine("m1", "z1", false)
 	low := spec("run-000001", "b", wire.Array, "low", 2, 1)
@@ -168,7 +168,7 @@
 }
 
 // The end that others wait for does not let other writes pass.
-func TestNeededEndIsUrgent(t *testing.T) {
+func TestEndWithDependentsIsNotRoutine(t *testing.T) {
 	for _, needed := range []bool{false, true} {
 		r := newHarness(t)
 		w := r.machine("m1", "z1", false)
--- a/internal/scheduler/deposed_test.go
+++ b/internal/scheduler/deposed_test.go
@@ -122,7 +122,7 @@
 
 // A machine that the old owner moves to another shard, since it knows of nothing
 // there, would take the successor's task with it, which then runs twice.
-func TestDeposedOwnerMovesNoMachine(t *testing.T) {
+func TestDeposedOwnerTransfersNoMachine(t *testing.T) {
 	r := newHarness(t)
 	w1 := r.machine("m1", "z1", false)
 	r.heartbeats(2)
@@ -153,7 +153,7 @@
 }
 
 // A machine that the old owner releases would end the successor's task.
-func TestDeposedOwnerReturnsNoMachine(t *testing.T) {
+func TestDeposedOwnerReleasesNoMachine(t *testing.T) {
 	r := newHarness(t)
 	r.machine("m1", "z1", false)
 	r.heartbeats(2)
@@ -197,7 +197,7 @@
 // Taken for refused, the machine would count as this shard's as long as the state service
 // refuses its owner alone: it says nothing there, since it reports to the shard that it
 // has moved to, and would be released with that shard's task on it.
-func TestMoveWithoutAnswerIsNotTakenForRefused(t *testing.T) {
+func TestTransferWithoutAnswerIsNotTakenForRefused(t *testing.T) {
 	r := newHarness(t)
 	moved, stays := r.machine("m1", "z1", false), r.machine("m2", "z1", false)
 	r.heartbeats(2)
--- a/internal/scheduler/direct_commands_test.go
+++ b/internal/scheduler/direct_commands_test.go
@@ -26,7 +26,7 @@
 
 // A start sent straight to the worker runs without waiting for a heartbeat, and
 // its repetition in an answer starts nothing twice.
-func TestDirectStart(t *testing.T) {
+func TestDirectStartRunsWithoutHeartbeat(t *testing.T) {
 	r := newHarness(t)
 	r.sendStart = func(d DirectCommand) { r.deliver(d, true) }
 	w := r.machine("m1", "z1", false)
@@ -110,7 +110,7 @@
 }
 
 // Attempts that may not be forgotten do not pile up: a higher token ends that.
-func TestKeptAttemptsAreCleared(t *testing.T) {
+func TestRetainedAttemptsAreCleared(t *testing.T) {
 	r := newHarness(t)
 	r.sendStart = func(d DirectCommand) { r.deliver(d, true) }
 	w := r.machine("m1", "z1", false)
@@ -131,7 +131,7 @@
 }
 
 // A failover makes every direct start of the earlier owner void.
-func TestTakeOverVoidsDirectStarts(t *testing.T) {
+func TestFailoverVoidsDirectStarts(t *testing.T) {
 	r := newHarness(t)
 	var late []DirectCommand
 	r.sendStart = func(d DirectCommand) { late = append(late, d) }
--- a/internal/scheduler/failover_test.go
+++ b/internal/scheduler/failover_test.go
@@ -10,7 +10,7 @@
 
 // A new owner knows from the records what may run where, and starts nothing
 // twice even when the machine is silent for long.
-func TestTakeOverKeepsPlaces(t *testing.T) {
+func TestFailoverKeepsPlacements(t *testing.T) {
 	r := newHarness(t)
 	w1 := r.machine("m1", "z1", false)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
@@ -124,7 +124,7 @@
 
 // After a failover nobody remembers the last heartbeat. A late copy of an old one
 // settles, frees and starts nothing and does not count as a sign of life.
-func TestLateCopyAfterTakeOver(t *testing.T) {
+func TestLateCopyAfterFailoverProvesNothing(t *testing.T) {
 	r := newHarness(t)
 	w1, w2 := r.machine("m1", "z1", false), r.machine("m2", "z1", false)
 	r.heartbeats(2)
--- a/internal/scheduler/feasibility_test.go
+++ b/internal/scheduler/feasibility_test.go
@@ -17,7 +17,7 @@
 
 // A gang for which the shard will not have enough machines keeps none from others:
 // where no more can be provisioned, machines would else stand idle for as long as it waits.
-func TestGangThatCannotBeCompleteKeepsNothing(t *testing.T) {
+func TestInfeasibleGangReservesNothing(t *testing.T) {
 	for name, busy := range map[string]bool{"too few machines": false, "a service on one of them": true} {
 		r := newHarness(t)
 		large := 4
@@ -135,7 +135,7 @@
 
 // Work that had waited too long keeps its machines from urgent work of other shards,
 // not from services, which users wait for all the time.
-func TestOnlyServicesTakeWhatWaitedLong(t *testing.T) {
+func TestOnlyServicesPreemptProtectedJobs(t *testing.T) {
 	r := newHarness(t)
 	r.machine("m1", "z1", false)
 	r.heartbeats(2)
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -87,7 +87,7 @@
 
 // Machines that come one by one are reserved for the gang that waits: smaller work
 // of its priority and below can't starve it.
-func TestGangGathersMachines(t *testing.T) {
+func TestMachinesAreReservedForGang(t *testing.T) {
 	r := newHarness(t)
 	g := spec("run-000001", "b", wire.Gang, "urgent", 3, 2)
 	g.OneZone = true
--- a/internal/scheduler/machine_health_test.go
+++ b/internal/scheduler/machine_health_test.go
@@ -12,7 +12,7 @@
 
 // A silent machine is released while others are heard, and only that frees
 // its tasks; when all are silent, none is.
-func TestSilentMachine(t *testing.T) {
+func TestSilentMachineIsReleasedWhileOthersAreHeard(t *testing.T) {
 	r := newHarness(t)
 	r.machine("m1", "z1", false)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
@@ -37,7 +37,7 @@
 
 // Machines partitioned together fall silent one shortly after the other: the first
 // must not be given up because the rest was heard a moment later.
-func TestZoneFallsSilentTogether(t *testing.T) {
+func TestZoneThatFallsSilentIsKept(t *testing.T) {
 	r := newHarness(t)
 	w1, w2, w3 := r.machine("m1", "z1", false), r.machine("m2", "z1", false), r.machine("m3", "z1", false)
 	r.submit(spec("run-000001", "b", wire.Service, "prod", 3, 2))
@@ -56,7 +56,7 @@
 // After a partition the machines of a zone come back one by one: those that were
 // heard first must not make the others count as lost, neither to an owner that
 // knew them nor to one that acquired the shard meanwhile.
-func TestZoneComesBackTogether(t *testing.T) {
+func TestZoneThatComesBackIsKept(t *testing.T) {
 	for _, takeOver := range []bool{false, true} {
 		r := newHarness(t)
 		var ws []*testkit.Worker
@@ -122,7 +122,7 @@
 }
 
 // Only an empty machine moves, and its record goes with conditions.
-func TestNoticeSavesAndReturns(t *testing.T) {
+func TestReclaimNoticeSavesAndReleases(t *testing.T) {
 	r := newHarness(t)
 	w := r.machine("m1", "z1", true)
 	s := spec("run-000001", "b", wire.Array, "normal", 1, 1)
@@ -146,7 +146,7 @@
 // A machine whose heartbeats arrive but which no answer reaches gets no more work
 // once starts don't show, and goes back; its tasks run elsewhere only then, or
 // when its heartbeats prove them absent.
-func TestOneWayMachine(t *testing.T) {
+func TestUnreachableMachineIsReleased(t *testing.T) {
 	r, w1 := newHarnessWithMachine(t)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 2, 1))
 	r.carryOutEffects() // placed and recorded on m1
@@ -184,7 +184,7 @@
 
 // A lease that ran out though every heartbeat was answered marks such a machine,
 // too; one answer seen to arrive clears it.
-func TestOneWayMachineRecovers(t *testing.T) {
+func TestUnreachableMachineRecovers(t *testing.T) {
 	r, w := newHarnessWithMachine(t)
 	for range 10 {
 		r.clock.Advance(r.cfg.HeartbeatInterval)
@@ -206,7 +206,7 @@
 // Machines of a zone that die together leave nobody of the zone to compare them with.
 // They are released all the same once their leases are surely over, also by an owner
 // that acquired them dead, and their tasks start elsewhere.
-func TestWholeZoneDies(t *testing.T) {
+func TestMachinesOfADeadZoneAreReleased(t *testing.T) {
 	for _, takeOver := range []bool{false, true} {
 		r := newHarness(t)
 		r.cfg.MaxProbes = 8
@@ -243,7 +243,7 @@
 
 // When a partition of a zone ends, what its machines did not answer within the partition proves
 // nothing, however long it was: they are asked anew.
-func TestCutsEndLosesNobody(t *testing.T) {
+func TestEndOfPartitionReleasesNoMachine(t *testing.T) {
 	for name, back := range map[string]bool{"they answer": true, "they died within the cut": false} {
 		r := newHarness(t)
 		r.cfg.MaxProbes = 8
--- a/internal/scheduler/placement_records_test.go
+++ b/internal/scheduler/placement_records_test.go
@@ -12,7 +12,7 @@
 
 // Machines' names longer than any seen before make a sized record too large: its
 // ranges are moved, also cut, and nothing is lost meanwhile.
-func TestStatedSlotOutgrowsItsRecord(t *testing.T) {
+func TestSizedRecordIsSplitWhenTooLarge(t *testing.T) {
 	for seed := range uint64(20) {
 		outgrow(t, rand.New(rand.NewPCG(seed, 3)))
 	}
@@ -66,7 +66,7 @@
 
 // A range that leaves a record goes to another, and until it is written there the record
 // that tells it is not written without it, whatever else changes in it.
-func TestSlotWaitsForWhatLeft(t *testing.T) {
+func TestRecordWaitsForRangesThatLeft(t *testing.T) {
 	r := newHarness(t)
 	r.failOver()
 	r.shard.UseSizedRanges()
@@ -106,7 +106,7 @@
 
 // A state service that takes less than was known: what it does not take is never
 // sent again as it was, and work goes on.
-func TestShrinks(t *testing.T) {
+func TestWritesShrinkToTheLimits(t *testing.T) {
 	r := newHarness(t)
 	r.cfg.PlacementsPerRecord, r.cfg.ValueBytes = PlacementsPerRecord(16), 4096
 	r.failOver()
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -42,7 +42,7 @@
 }
 
 // Higher work takes the place of lower, which saves first.
-func TestPreemption(t *testing.T) {
+func TestLowerWorkIsPreempted(t *testing.T) {
 	r := newHarness(t)
 	w := r.machine("m1", "z1", false)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 2, 1))
@@ -87,7 +87,7 @@
 
 // A service goes to a machine that caches its image even where lower work has
 // to be preempted there, rather than fetch it on a free one.
-func TestServiceSeeksItsImage(t *testing.T) {
+func TestServicePreemptsWhereItsImageIsCached(t *testing.T) {
 	r := newRigWithSlowFetches(t)
 	r.machine("m1", "z1", false)
 	first := spec("run-000001", "b", wire.Service, "prod", 1, 2)
@@ -262,7 +262,7 @@
 
 // Room is made, and machines are reserved, only where a job may still go: work in
 // another zone is neither stopped nor kept from others for it.
-func TestNoRoomIsMadeInAnotherZone(t *testing.T) {
+func TestNothingIsPreemptedInAnotherZone(t *testing.T) {
 	for kind, n := range map[string]int{wire.Array: 3, wire.Service: 2} {
 		r := newHarness(t)
 		bound := spec("run-000001", "b", kind, "prod", n, 1)
--- a/internal/scheduler/probe_test.go
+++ b/internal/scheduler/probe_test.go
@@ -81,7 +81,7 @@
 
 // When a zone's cut ends, what its machines did not answer while it lasted does
 // not count: the first that answers must not make the others lost.
-func TestCutEndsForAll(t *testing.T) {
+func TestEndOfPartitionCountsForAllMachines(t *testing.T) {
 	for _, takeOver := range []bool{false, true} {
 		r := newHarness(t)
 		r.cfg.MaxProbes = 8
@@ -111,7 +111,7 @@
 // A controller that stood still has heard nobody: nobody is lost by that, since
 // everybody answers once it goes on, and a probe that it sent before proves
 // nothing.
-func TestStandingStillLosesNobody(t *testing.T) {
+func TestPausedControllerReleasesNoMachine(t *testing.T) {
 	r := newHarness(t)
 	r.cfg.MaxProbes = 8
 	ids := []string{"m1", "m2", "m3"}
@@ -159,7 +159,7 @@
 // brought the new token, before any of them has reported: one that answers takes
 // work at once, one that doesn't while its zone does is lost without the patience
 // that a worker looking for its new owner gets.
-func TestTakeOverAsksMachines(t *testing.T) {
+func TestFailoverProbesMachines(t *testing.T) {
 	r := newHarness(t)
 	r.cfg.MaxProbes = 8
 	w1 := r.machine("m1", "z1", false)
--- a/internal/scheduler/safety_test.go
+++ b/internal/scheduler/safety_test.go
@@ -79,7 +79,7 @@
 }
 
 // Reports order by epoch and sequence: an old one proves nothing.
-func TestLateReportIsIgnored(t *testing.T) {
+func TestLateHeartbeatIsIgnored(t *testing.T) {
 	r, w := newHarnessWithMachine(t)
 	empty := w.Report()
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
@@ -105,7 +105,7 @@
 }
 
 // An expired epoch proves its tasks gone.
-func TestNewSessionFreesTasks(t *testing.T) {
+func TestNewEpochFreesTasks(t *testing.T) {
 	r := newHarness(t)
 	w := r.machine("m1", "z1", false)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
@@ -176,7 +176,7 @@
 
 // While cancellations told elsewhere may be unknown, nothing is started, not
 // even what was recorded before; stops still go out.
-func TestBlindStartsNothing(t *testing.T) {
+func TestNothingStartsWhileCancellationsAreUnknown(t *testing.T) {
 	r, w := newHarnessWithMachine(t)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	r.carryOutEffects()
@@ -194,7 +194,7 @@
 
 // Starts of many jobs share one write, and a cancelled one among them does not
 // hold the others up.
-func TestSlotSharesWrites(t *testing.T) {
+func TestStartsShareWrites(t *testing.T) {
 	r := newHarness(t)
 	r.cfg.PlacementsPerRecord, r.cfg.ValueBytes = 200, 200*unsizedPlacementBytes
 	r.failOver()
@@ -236,7 +236,7 @@
 
 // A return whose answer got lost is recorded once, and its machines never come
 // back into use.
-func TestReturnWithoutAnswer(t *testing.T) {
+func TestReleaseWithoutAnswer(t *testing.T) {
 	for _, script := range []func(*testkit.State){
 		func(s *testkit.State) { s.LoseAnswers = 1 },
 		func(s *testkit.State) { s.HoldTxns = 1 },
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -59,7 +59,7 @@
 
 // What a heartbeat or a task's end brings about looks at the jobs that wait and at
 // the machines that may serve them, not at all machines.
-func TestPlacementLooksAtFew(t *testing.T) {
+func TestPlacementExaminesFew(t *testing.T) {
 	const machines, waiting = 600, 60
 	r := crowd(t, machines, waiting)
 	r.clock.Advance(preemptionRetry)
@@ -80,8 +80,8 @@
 	}
 }
 
-// BenchmarkReport is a heartbeat in which nothing has changed.
-func BenchmarkReport(b *testing.B) {
+// BenchmarkHeartbeat is a heartbeat in which nothing has changed.
+func BenchmarkHeartbeat(b *testing.B) {
 	r := crowd(b, manyMachines, 100)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
--- a/internal/scheduler/unreadable_records_test.go
+++ b/internal/scheduler/unreadable_records_test.go
@@ -12,9 +12,9 @@
 	"bramblespur/internal/wire"
 )
 
-// unreadableRig is a shard whose only record of placements is damaged: it told of a job that
+// unreadableHarness is a shard whose only record of placements is damaged: it told of a job that
 // runs on a machine, and of another with one task done and one to be started again.
-type unreadableRig struct {
+type unreadableHarness struct {
 	*harness
 	worker     *testkit.Worker
 	runs, half wire.Spec
@@ -22,14 +22,14 @@
 	intact     []byte
 }
 
-func newUnreadableRig(t *testing.T) *unreadableRig {
+func newUnreadableRig(t *testing.T) *unreadableHarness {
 	t.Helper()
 	r := newHarness(t)
 	r.upgraded = true
 	r.failOver()
 	w := r.machine("m1", "z1", false)
 	r.heartbeats(2)
-	u := &unreadableRig{
+	u := &unreadableHarness{
 		harness: r, worker: w, key: record.PlacementsKey(r.id, 0),
 		runs: spec("run-000001", "b", wire.Array, "normal", 1, 1),
 		half: spec("run-000002", "b", wire.Array, "normal", 2, 1),
@@ -145,9 +145,9 @@
 // Once somebody has restored the record, or deleted it, the shard is read again and all goes
 // on.
 func TestUnreadablePlacementsAreReadAgain(t *testing.T) {
-	mend := map[string]func(u *unreadableRig){
-		"restored": func(u *unreadableRig) { u.state.Put(u.key, json.RawMessage(u.intact)) },
-		"deleted": func(u *unreadableRig) {
+	mend := map[string]func(u *unreadableHarness){
+		"restored": func(u *unreadableHarness) { u.state.Put(u.key, json.RawMessage(u.intact)) },
+		"deleted": func(u *unreadableHarness) {
 			remove := wire.Txn{Then: []wire.Op{{Delete: u.key}}}
 			if _, err := u.state.Txn(context.Background(), statestore.Urgent("test"), remove); err != nil {
 				u.t.Fatal(err)
--- a/internal/scheduler/upgrade_test.go
+++ b/internal/scheduler/upgrade_test.go
@@ -20,9 +20,9 @@
 	tightBytes, tightOps = 2 << 10, 5
 )
 
-// upgradeRig is a shard of which the first version wrote the records, as
+// upgradeHarness is a shard of which the first version wrote the records, as
 // testdata/production.json holds them.
-func upgradeRig(t testing.TB) *harness {
+func upgradeHarness(t testing.TB) *harness {
 	t.Helper()
 	data, err := os.ReadFile("testdata/production.json")
 	if err != nil {
@@ -51,9 +51,9 @@
 	done map[string]bool
 }
 
-// plainFacts is the first version's reading of records: the key's number counts
+// unsizedFacts is the first version's reading of records: the key's number counts
 // ranges of so many tasks, later fields are unknown, and every range counts.
-func plainFacts(t testing.TB, slots []wire.Entry, per int) facts {
+func unsizedFacts(t testing.TB, slots []wire.Entry, per int) facts {
 	t.Helper()
 	f := facts{on: map[string]record.TaskPlacement{}, done: map[string]bool{}}
 	for _, e := range slots {
@@ -88,8 +88,8 @@
 	return f
 }
 
-// partFacts is what the shard holds as recorded.
-func partFacts(shard *Shard) facts {
+// shardFacts is what the shard holds as recorded.
+func shardFacts(shard *Shard) facts {
 	f := facts{on: map[string]record.TaskPlacement{}, done: map[string]bool{}}
 	for _, j := range shard.jobs {
 		for i := range j.tasks {
@@ -117,13 +117,13 @@
 
 // Records of the first version are read as it meant them, and as long as it may
 // come back, what is written is plain and tells it the same.
-func TestUpgradeReadsAndKeepsPlainRecords(t *testing.T) {
-	r := upgradeRig(t)
-	before := plainFacts(t, r.slots(), r.cfg.unsizedRangeTasks())
+func TestUpgradeReadsAndKeepsUnsizedRecords(t *testing.T) {
+	r := upgradeHarness(t)
+	before := unsizedFacts(t, r.slots(), r.cfg.unsizedRangeTasks())
 	if len(before.on) < 200 || len(before.done) < 50 {
 		t.Fatalf("testdata: %d placements, %d completions", len(before.on), len(before.done))
 	}
-	if got := partFacts(r.shard); !got.equal(before) {
+	if got := shardFacts(r.shard); !got.equal(before) {
 		t.Fatalf("read %d placements and %d completions, want %d and %d", len(got.on), len(got.done), len(before.on), len(before.done))
 	}
 	if j := r.shard.jobs["run-000008"]; j == nil || !j.awaitsDependencies {
@@ -139,7 +139,7 @@
 				t.Fatalf("%s: format %d, %v", e.Key, s.Format, err)
 			}
 		}
-		if got, want := plainFacts(t, r.slots(), r.cfg.unsizedRangeTasks()), partFacts(r.shard); !maps.Equal(onLive(r, got.on), want.on) {
+		if got, want := unsizedFacts(t, r.slots(), r.cfg.unsizedRangeTasks()), shardFacts(r.shard); !maps.Equal(onLive(r, got.on), want.on) {
 			t.Fatalf("round %d: the first version would read %d placements, want %d", round, len(got.on), len(want.on))
 		}
 		if round%2 == 1 {
@@ -151,7 +151,7 @@
 // onLive leaves the placements that count: of tasks that are proven gone the
 // record is rewritten with the next start only.
 func onLive(r *harness, on map[string]record.TaskPlacement) map[string]record.TaskPlacement {
-	live := partFacts(r.shard).on
+	live := shardFacts(r.shard).on
 	out := map[string]record.TaskPlacement{}
 	for task, pl := range on {
 		if live[task] == pl {
@@ -195,11 +195,11 @@
 // Once the first version is gone the large records are taken apart, in steps that
 // fit the limits that are to come. A new owner after any of them, an answer that
 // gets lost, and a write that comes late lose nothing and start nothing twice.
-func TestUpgradeSplitsPlainRecords(t *testing.T) {
+func TestUpgradeSplitsUnsizedRecords(t *testing.T) {
 	for seed := range uint64(12) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
-		r := upgradeRig(t)
-		r.runAs(plainFacts(t, r.slots(), r.cfg.unsizedRangeTasks()))
+		r := upgradeHarness(t)
+		r.runAs(unsizedFacts(t, r.slots(), r.cfg.unsizedRangeTasks()))
 		r.state.Limit(wideBytes, wideOps)
 		// The limits fall after any of the writes from then on.
 		at, falls, writes := rnd.IntN(6), rnd.IntN(25), 0
@@ -262,7 +262,7 @@
 	if err := next.Load(r.fleet, r.list(record.ActiveJobPrefix), r.slots(), r.clock.Now()); err != nil {
 		r.t.Fatal(err)
 	}
-	got := partFacts(next)
+	got := shardFacts(next)
 	for id, w := range r.workers {
 		for task, wt := range w.Tasks {
 			if want := (record.TaskPlacement{Machine: id, Attempt: wt.Attempt}); wt.State != wire.Exited && got.on[task] != want {
@@ -270,7 +270,7 @@
 			}
 		}
 	}
-	for task := range partFacts(r.shard).done {
+	for task := range shardFacts(r.shard).done {
 		if ref, _, _ := SplitTask(task); r.shard.jobs[ref].record.endTxn == nil && !got.done[task] {
 			r.t.Fatalf("%s is done, and a new owner would start it again", task)
 		}
@@ -282,8 +282,8 @@
 func TestUpgradeFactsSurviveEveryStep(t *testing.T) {
 	for seed := range uint64(8) {
 		rnd := rand.New(rand.NewPCG(seed, 2))
-		r := upgradeRig(t)
-		r.runAs(plainFacts(t, r.slots(), r.cfg.unsizedRangeTasks()))
+		r := upgradeHarness(t)
+		r.runAs(unsizedFacts(t, r.slots(), r.cfg.unsizedRangeTasks()))
 		r.heartbeats(2)
 		r.state.Limit(tightBytes, tightOps)
 		r.shard.UseSizedRanges()
