--- /dev/null
+++ b/internal/scheduler/releases_test.go
@@ -0,0 +1,53 @@
+package scheduler
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"bramblespur/internal/testkit"
+)
+
+const releaseTestLimit = 64 << 10 // of a record, in bytes
+
+func releaseTestKey(batch int) string { return fmt.Sprint("batch-", batch) }
+
+// Machines that may wait share a batch; one whose tasks wait for the proof takes all with it
+// at once. A batch is cut only when the one before is recorded.
+func TestReleaseQueueSharesBatches(t *testing.T) {
+	now := testkit.NewClock().Now()
+	var q releaseQueue
+	q.addRoutine("m1", now, time.Second)
+	q.addRoutine("m2", now.Add(time.Second/2), time.Second)
+	if q.cut(releaseTestLimit, now.Add(time.Second-1), releaseTestKey); q.batch != nil {
+		t.Fatalf("cut %v before it was due", q.batch.ids)
+	}
+	q.add("m3", now.Add(time.Second/2))
+	q.cut(releaseTestLimit, now.Add(time.Second/2), releaseTestKey)
+	if q.batch == nil || !slices.Equal(q.batch.ids, []string{"m1", "m2", "m3"}) || q.batch.key != "batch-1" {
+		t.Fatalf("batch %+v, want all three at once", q.batch)
+	}
+	q.add("m4", now)
+	if q.cut(releaseTestLimit, now.Add(time.Hour), releaseTestKey); q.batch.key != "batch-1" {
+		t.Fatal("a batch was cut before the one before was recorded")
+	}
+	q.batch = nil
+	q.cut(releaseTestLimit, now.Add(time.Hour), releaseTestKey)
+	if q.batch == nil || !slices.Equal(q.batch.ids, []string{"m4"}) || q.batch.key != "batch-2" {
+		t.Fatalf("batch %+v, want the last machine under a key of its own", q.batch)
+	}
+}
+
+// No batch has more machines than the cloud releases at a time.
+func TestReleaseBatchKeepsToTheCloudsBound(t *testing.T) {
+	now := testkit.NewClock().Now()
+	var q releaseQueue
+	for i := range maxReleaseBatch + 1 {
+		q.add(fmt.Sprint("m", i), now)
+	}
+	q.cut(releaseTestLimit, now, releaseTestKey)
+	if len(q.batch.ids) != maxReleaseBatch || len(q.waiting) != 1 {
+		t.Errorf("a batch of %d, and %d wait", len(q.batch.ids), len(q.waiting))
+	}
+}
