--- a/internal/scheduler/data_loss.go
+++ b/internal/scheduler/data_loss.go
@@ -143,17 +143,17 @@
 // awaitHeartbeats puts starts off after a failover if records of placements seem to be missing:
 // there are none though the shard has machines, or their numbers, which are given out in order,
 // have gaps. What runs by them is in the workers' first heartbeats.
-func (s *Shard) awaitHeartbeats(slots []wire.Entry, now time.Time) {
+func (s *Shard) awaitHeartbeats(placements []wire.Entry, now time.Time) {
 	if !s.dataLoss.enabled || len(s.inventory.byID) == 0 {
 		return
 	}
 	highest := -1
-	for _, e := range slots {
+	for _, e := range placements {
 		if n, err := strconv.Atoi(record.LastElement(e.Key)); err == nil {
 			highest = max(highest, n)
 		}
 	}
-	if len(slots) == 0 || highest >= len(slots) {
+	if len(placements) == 0 || highest >= len(placements) {
 		s.dataLoss.heartbeatsAwaitedUntil = now.Add(heartbeatsToConfirmLoss * s.cfg.HeartbeatInterval)
 	}
 }
--- a/internal/scheduler/direct_commands.go
+++ b/internal/scheduler/direct_commands.go
@@ -8,7 +8,7 @@
 )
 
 // A start normally rides on a heartbeat's answer, which its worker drops after 4 s.
-// Where reports are far apart it goes straight to the worker instead. Such a
+// Where heartbeats are far apart it goes straight to the worker instead. Such a
 // command may be executed late, and even twice, as long as its token and epoch
 // still match. So whoever sent one does not take its task for gone, nor let the
 // worker forget the attempt, until a higher token or a newer epoch was
@@ -88,7 +88,7 @@
 }
 
 // dropOutdatedStarts drops the direct starts that can't be carried out any more, as a
-// report shows: its epoch is newer or it has seen a higher token.
+// heartbeat shows: its epoch is newer or it has seen a higher token.
 func (m *Machine) dropOutdatedStarts(r *wire.Heartbeat) {
 	if r.Session > m.contact.epoch {
 		m.directStarts = nil
--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain.go
@@ -225,7 +225,7 @@
 	}
 }
 
-// reserveElsewhere keeps room for an evicted task, so that others don't take it first.
+// reserveElsewhere reserves room for an evicted task, so that others don't take it first.
 func (s *Shard) reserveElsewhere(j *Job, now time.Time) {
 	var best *Machine
 	top := 0.0
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -93,7 +93,7 @@
 	return append(out, ended...), missed
 }
 
-// markAlive takes in that a machine sent a report that is no late copy.
+// markAlive takes in that a machine sent a heartbeat that is no late copy.
 func (s *Shard) markAlive(m *Machine, direct bool, now time.Time) {
 	if !m.contact.up || now.Sub(m.contact.heardAt) > s.cfg.SilentAfter {
 		m.contact.steadySince = now
--- a/internal/scheduler/load_records.go
+++ b/internal/scheduler/load_records.go
@@ -13,7 +13,7 @@
 // Load fills a newly acquired shard from its records. Placements of earlier
 // owners count as there until their machines answer under our token. A job's record that
 // can't be decoded is passed over; what one of placements may tell of is withheld.
-func (s *Shard) Load(fleet *record.Fleet, open, slots []wire.Entry, now time.Time) error {
+func (s *Shard) Load(fleet *record.Fleet, activeJobs, placements []wire.Entry, now time.Time) error {
 	var err error
 	fleet.ForEach(func(id string, v record.MachineView) {
 		if e := s.SetMachine(id, v, now); e != nil {
@@ -26,7 +26,7 @@
 	for _, m := range s.inventory.byID {
 		m.inherited = true
 	}
-	for _, e := range open {
+	for _, e := range activeJobs {
 		o, err := decode[record.ActiveJob](e)
 		if err != nil {
 			s.reconciliation.malformed = append(s.reconciliation.malformed, err)
@@ -34,15 +34,15 @@
 		}
 		s.SetJob(record.LastElement(e.Key), o, e.Version, now)
 	}
-	runs, err := s.loadPlacements(slots)
+	ranges, err := s.loadPlacements(placements)
 	if err != nil {
 		return err
 	}
-	for _, l := range runs {
+	for _, l := range ranges {
 		s.loadRange(l, now)
 	}
 	s.withholdJobs()
-	s.awaitHeartbeats(slots, now)
+	s.awaitHeartbeats(placements, now)
 	s.beginReconciliation(now)
 	return nil
 }
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -61,7 +61,7 @@
 	missedStarts     int       // heartbeats in a row that lacked a start sent before
 }
 
-// reservation keeps room on a machine for tasks of one job.
+// reservation is room on a machine for tasks of one job.
 type reservation struct {
 	job   string // empty: none
 	tasks int
--- a/internal/scheduler/placement_records.go
+++ b/internal/scheduler/placement_records.go
@@ -17,7 +17,7 @@
 // state service's limit of a value, so a record that another size was meant for
 // would lose placements, and tasks would run twice. Where a tighter limit is to
 // come, ranges state their size. As long as a controller may still be of the first
-// version, what is written is plain, and read by both alike; from then on plain
+// version, what is written is unsized, and read by both alike; from then on unsized
 // records are never rewritten. Each of their ranges goes, in pieces, to a sized
 // record when that is next written, and the unsized one is deleted once it tells
 // nothing any more. A range that two records tell counts as the one tells that it
@@ -30,7 +30,7 @@
 	// unsizedRangeOverhead is what a range costs in an unsized record besides its tasks, in tasks.
 	unsizedRangeOverhead = 2
 	// sizedPlacementOverhead is what a placement takes besides its machine's name, and
-	// statedRun a range besides its placements and its job's name.
+	// sizedRangeOverhead a range besides its placements and its job's name.
 	sizedPlacementOverhead = 16
 	sizedRangeOverhead     = 48
 	// recordOverhead is what a record takes besides its ranges.
@@ -121,8 +121,8 @@
 }
 
 // rangeBytes is what a range may take in a record.
-func (l *placementLedger) rangeBytes(c *taskRange, stated bool) int {
-	if stated {
+func (l *placementLedger) rangeBytes(c *taskRange, sized bool) int {
+	if sized {
 		return sizedRangeOverhead + len(c.job.ref) + (c.end-c.first)*l.placementBytes()
 	}
 	return (c.end - c.first + unsizedRangeOverhead) * unsizedPlacementBytes
@@ -337,9 +337,9 @@
 }
 
 // loadPlacements reads the records of placements.
-func (s *Shard) loadPlacements(slots []wire.Entry) ([]loadedRange, error) {
+func (s *Shard) loadPlacements(entries []wire.Entry) ([]loadedRange, error) {
 	var out []loadedRange
-	for _, e := range slots {
+	for _, e := range entries {
 		r, err := decode[record.Placements](e)
 		if err != nil {
 			if err := s.passOverUnreadable(e, err); err != nil {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -205,7 +205,7 @@
 	}
 }
 
-// preemptedReservation is how long room made by stopping others is reserved for its job.
+// preemptedReservation is how long preempted room is reserved for its job.
 const preemptedReservation = 20 * time.Second
 
 // preemptionCost says how a task is best stopped for one that waits, and what that
--- a/internal/scheduler/probe.go
+++ b/internal/scheduler/probe.go
@@ -7,7 +7,7 @@
 	"bramblespur/internal/wire"
 )
 
-// A machine whose report is overdue is asked directly. One that answers is alive,
+// A machine whose heartbeat is overdue is asked directly. One that answers is alive,
 // whatever became of its heartbeats; one that doesn't, while others of its zone
 // answer the same controller both before and after, is lost. That tells a machine
 // that died or hangs from a partition between its zone, or all workers, and this
--- a/internal/scheduler/reconciliation_progress.go
+++ b/internal/scheduler/reconciliation_progress.go
@@ -11,21 +11,21 @@
 
 // reconciliation is what became of what a shard's owner found on record when it acquired the shard.
 type reconciliation struct {
-	since   time.Time // zero: it has settled
-	pending int       // placements of earlier owners without a verdict
+	since   time.Time // zero: it is over
+	pending int       // placements of earlier owners without an outcome
 	tally   reconcile.OutcomeCounts
-	orphans map[string]bool // tasks in reports that are not on record, each counted once
+	orphans map[string]bool // tasks in heartbeats that are not on record, each counted once
 	// malformed is what is wrong with records that were passed over.
 	malformed []error
 }
 
-// Bounds of what is remembered while a shard settles.
+// Bounds of what is remembered during reconciliation.
 const (
 	maxOrphans = 4096
 	maxUnheard = 16 // machines that are named
 )
 
-// ReconciliationProgress is how far a shard has settled after it was acquired.
+// ReconciliationProgress is how far the reconciliation of a shard has come after it was acquired.
 type ReconciliationProgress struct {
 	Since        time.Time
 	Pending      int      // tasks of which nothing is proven yet
@@ -46,7 +46,7 @@
 	}
 }
 
-// ReconciliationProgress tells how far the shard has settled; there is nothing to tell once it has.
+// ReconciliationProgress tells how far it has come; there is nothing to tell once it is over.
 func (s *Shard) ReconciliationProgress() (ReconciliationProgress, bool) {
 	progress := &s.reconciliation
 	if progress.since.IsZero() {
@@ -75,7 +75,7 @@
 // EndReconciliation forgets what was found out.
 func (s *Shard) EndReconciliation() { s.reconciliation = reconciliation{} }
 
-// recordOutcome counts the verdict on a placement of an earlier owner, once.
+// recordOutcome counts the outcome of a placement of an earlier owner, once.
 func (r *reconciliation) recordOutcome(t *task, v reconcile.Outcome) {
 	if r.since.IsZero() || !t.inherited || t.reconciled {
 		return
@@ -85,7 +85,7 @@
 	r.tally.Add(v)
 }
 
-// recordOrphanOutcome counts the verdict on a task in a report that is not on record there, once, and
+// recordOrphanOutcome counts the outcome of a task in a heartbeat that is not on record there, once, and
 // tells of a contradiction.
 func (s *Shard) recordOrphanOutcome(m *Machine, rt *wire.HeartbeatTask, v reconcile.Outcome) {
 	if s.reconciliation.since.IsZero() || s.reconciliation.orphans[rt.Task] || len(s.reconciliation.orphans) >= maxOrphans {
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// reservedFor returns for how many of a job's tasks room is kept on a machine.
+// reservedFor returns for how many of a job's tasks room is reserved on a machine.
 func (m *Machine) reservedFor(j *Job, now time.Time) int {
 	if m.reservation.job == j.ref && now.Before(m.reservation.until) {
 		return m.reservation.tasks
@@ -10,7 +10,7 @@
 	return 0
 }
 
-// reserve keeps room on a machine for some tasks of a job.
+// reserve reserves room on a machine for some tasks of a job.
 func (x *inventory) reserve(m *Machine, j *Job, n int, until time.Time) {
 	if m.reservation.job != j.ref {
 		x.cancelReservation(m)
@@ -30,7 +30,7 @@
 	}
 }
 
-// cancelReservation keeps a machine's room for nobody any more.
+// cancelReservation takes the reservation off a machine.
 func (x *inventory) cancelReservation(m *Machine) {
 	remove(x.reserved, m.reservation.job, m)
 	m.reservation.job, m.reservation.tasks = "", 0
--- a/internal/scheduler/versions.go
+++ b/internal/scheduler/versions.go
@@ -36,5 +36,5 @@
 	return m != nil && m.contact.up && now.Sub(m.contact.heardAt) < d
 }
 
-// Lease is how long a worker's tasks outlive its last answered report.
+// Lease is how long a worker's tasks outlive its last answered heartbeat.
 func (s *Shard) Lease() time.Duration { return s.cfg.Lease }
