--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependency_tracking_test.go
@@ -142,7 +142,7 @@
 
 // The owner lets a job start once it reads the ends of all that it names, whether
 // it was told of them or not; and it says pending until then.
-func TestOwnerLearnsOfRoots(t *testing.T) {
+func TestOwnerLearnsOfEndedDependencies(t *testing.T) {
 	state := testkit.NewState()
 	c, other := newTest(t, state), newTest(t, state)
 	shard := scheduler.New(c.schedulerConfig, 0, 1)
@@ -182,7 +182,7 @@
 
 // Whoever finds a root cancelled ends what needs it, through any depth, also while
 // the owners are gone, and says so only once it is recorded.
-func TestCascadeWithoutOwners(t *testing.T) {
+func TestDependentsOfCancelledJobEndWithoutTheirOwners(t *testing.T) {
 	state := testkit.NewState()
 	c := newTest(t, state)
 	for i := range 12 {
@@ -230,7 +230,7 @@
 }
 
 // A root that was done lets go what waits; nobody ends it.
-func TestDoneRootEndsNothing(t *testing.T) {
+func TestDoneDependencyCancelsNothing(t *testing.T) {
 	state := testkit.NewState()
 	c := newTest(t, state)
 	c.submit(body(t, set("ref", "run-000001")))
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -98,7 +98,7 @@
 
 // Every job of a pipeline is known from the first answer on; a withdrawal ends
 // the pipeline and all its jobs for ever.
-func TestPipelineIsKnownAndWithdrawn(t *testing.T) {
+func TestPipelineIsCancelledWhole(t *testing.T) {
 	state := testkit.NewState()
 	c, other := newTest(t, state), newTest(t, state)
 	if got := c.pipelineStatusQuery("pipe-000001"); got.Status != 404 {
--- a/internal/controller/users_test.go
+++ b/internal/controller/user_requests_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestPollAndCancel(t *testing.T) {
+func TestStatusQueryAndCancellation(t *testing.T) {
 	state := testkit.NewState()
 	c, other := newTest(t, state), newTest(t, state)
 	if got := c.statusQuery("run-000412"); got.Status != 404 {
@@ -147,7 +147,7 @@
 
 // A user is told of a cancellation only once every task is proven gone: what is
 // cut off keeps its lease, and may run on for as long as the cut lasts.
-func TestCancelledWhenGone(t *testing.T) {
+func TestCancellationIsAnsweredOnceTerminal(t *testing.T) {
 	state := testkit.NewState()
 	c, other := newTest(t, state), newTest(t, state)
 	c.submit(body(t, nil))
@@ -184,7 +184,7 @@
 }
 
 // A done job stays done: its cancellation answers so and changes nothing.
-func TestCancelOfDone(t *testing.T) {
+func TestCancellationOfDoneJobChangesNothing(t *testing.T) {
 	state := testkit.NewState()
 	c := newTest(t, state)
 	state.Put(record.FinishedJobKey("run-000009"), record.FinishedJob{State: wire.Done, Tasks: 2})
@@ -195,7 +195,7 @@
 
 // A request that can't be served here for want of the state service is served
 // by a controller that reaches it, and no further.
-func TestRequestIsPassedOn(t *testing.T) {
+func TestRequestIsForwarded(t *testing.T) {
 	state := testkit.NewState()
 	far := newTest(t, state)
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -234,7 +234,7 @@
 // Whatever the order of outages, restarts, take-overs and views read anew,
 // every accepted job answers once they are over, with nothing older than what
 // was told before.
-func TestKnownAgain(t *testing.T) {
+func TestAcceptedJobsAreNeverForgotten(t *testing.T) {
 	ctx := context.Background()
 	events := map[string]func(*testkit.State, *Controller) *Controller{
 		"outage": func(s *testkit.State, c *Controller) *Controller {
