--- a/internal/controller/claim.go
+++ b/internal/controller/claim.go
@@ -27,7 +27,7 @@
 // considerAcquisitions claims what is this controller's to claim: its own parts after
 // a restart, parts offered to it, and those of owners that are gone.
 func (c *Controller) considerAcquisitions(ctx context.Context, now time.Time) {
-	if c.schedulerConfig == nil || !c.sure(now) || !c.cluster.Loaded() {
+	if c.schedulerConfig == nil || !c.leaseCertain(now) || !c.cluster.Loaded() {
 		return
 	}
 	owners := c.cluster.Owners()
@@ -206,10 +206,10 @@
 	}
 	c.mu.Lock()
 	open = slices.DeleteFunc(open, func(e wire.Entry) bool { return c.belongsToOtherShard(e, id) })
-	if c.upgraded() {
+	if c.allUpgraded() {
 		shard.AllowSizedRanges()
 	}
-	if c.allStated() {
+	if c.sizedRangesRequired() {
 		shard.UseSizedRanges() // before it writes anything
 	}
 	c.mu.Unlock()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -201,7 +201,7 @@
 		cut := c.partitionedZones(now)
 		backlog := c.store.Backlog()
 		for _, shard := range c.shards {
-			if c.allStated() {
+			if c.sizedRangesRequired() {
 				shard.UseSizedRanges()
 			}
 			shard.SetPartitionedZones(cut)
@@ -213,7 +213,7 @@
 			c.lookUpDependencies(ctx, now)
 			c.considerAcquisitions(ctx, now)
 		}
-		c.duties.Grant.ExpireLocked(c.store, c.rates(), c.cfg.Params.Count, now)
+		c.duties.Grant.ExpireLocked(c.store, c.clusterRates(), c.cfg.Params.Count, now)
 		c.router.ExpireLocked(now)
 		c.renewals.expire(config.Seconds(c.cfg.Params.Workers.LeaseS), now)
 		c.mu.Unlock()
@@ -241,7 +241,7 @@
 	case req.Path == wire.HeartbeatPath && req.Method == "POST":
 		return c.handleHeartbeat(req, answer)
 	case req.Path == wire.ReadyPath && req.Method == "GET":
-		return c.ready(), true
+		return c.readinessResponse(), true
 	case req.Path == wire.HeartbeatPath, req.Path == wire.ReadyPath:
 		return transport.Response{Status: 405}, true
 	}
--- a/internal/controller/dataloss_host.go
+++ b/internal/controller/dataloss_host.go
@@ -36,7 +36,7 @@
 
 func (h dataLossHost) IsLeaderLocked(now time.Time) bool { return h.c.election.IsLeader(now) }
 
-func (h dataLossHost) AllFormatsKnownLocked() bool { return h.c.upgraded() }
+func (h dataLossHost) AllFormatsKnownLocked() bool { return h.c.allUpgraded() }
 
 func (h dataLossHost) OwnedShardsLocked() map[int]*scheduler.Shard { return h.c.shards }
 
--- a/internal/controller/dependency_tracking_test.go
+++ b/internal/controller/dependency_tracking_test.go
@@ -252,7 +252,7 @@
 	c.cfg.Params.State = config.State{RPS: 100, WriteRPS: 40, ValueKB: 16, TxnOps: 16,
 		Next: config.NextState{ValueKB: new(2.0), TxnOps: new(5), WriteRPS: new(28.0)}}
 	c.cfg.Peers = []config.Peer{{Label: "c-1"}, {Label: "c-2"}}
-	if l := c.limits(); l.Bytes() != 2048 || l.TxnOps != 5 {
+	if l := c.writeLimits(); l.Bytes() != 2048 || l.TxnOps != 5 {
 		t.Fatalf("writes by %+v", l)
 	}
 	word := func(label string) {
@@ -264,24 +264,24 @@
 	c.member.RecordOwnFormat(context.Background())
 	word("c-1")
 	word("c-9") // of no concern
-	if c.allStated() || c.rates().WriteRPS != 40 {
+	if c.sizedRangesRequired() || c.clusterRates().WriteRPS != 40 {
 		t.Fatal("one controller has not given its word")
 	}
 	word("c-2")
-	if !c.allStated() || c.rates().WriteRPS != 28 {
+	if !c.sizedRangesRequired() || c.clusterRates().WriteRPS != 28 {
 		t.Fatal("all have given their word")
 	}
 	c.resetCluster(nil, 0, time.Now())
-	if !c.allStated() {
+	if !c.sizedRangesRequired() {
 		t.Error("a word once given was forgotten")
 	}
 	c.cfg.Params.State.Next = config.NextState{WriteRPS: new(28.0)}
-	if c.allStated() || c.rates().WriteRPS != 28 {
+	if c.sizedRangesRequired() || c.clusterRates().WriteRPS != 28 {
 		t.Error("only the rate is to fall")
 	}
 	// Where no limits are to come nothing changes.
 	c.cfg.Params.State.Next = config.NextState{}
-	if c.allStated() {
+	if c.sizedRangesRequired() {
 		t.Error("stated ranges without need")
 	}
 }
@@ -291,14 +291,14 @@
 	state := testkit.NewState()
 	c := newTest(t, state)
 	c.cfg.Params.State.Next = config.NextState{ValueKB: new(2.0), TxnOps: new(5)}
-	most := c.limits().Bytes()
+	most := c.writeLimits().Bytes()
 	fits := func(name string, v any) {
 		t.Helper()
 		if n := len(record.Encode(v)); n > most {
 			t.Errorf("%s takes %d bytes", name, n)
 		}
 	}
-	n := leader.MaxProvision(c.limits().Bytes())
+	n := leader.MaxProvision(c.writeLimits().Bytes())
 	if n < 30 {
 		t.Errorf("only %d machines a rental", n)
 	}
--- a/internal/controller/drainer_host.go
+++ b/internal/controller/drainer_host.go
@@ -24,7 +24,7 @@
 
 func (h drainerHost) IsLeaderLocked(now time.Time) bool { return h.c.election.IsLeader(now) }
 
-func (h drainerHost) HoldsLease(now time.Time) bool { return h.c.sure(now) }
+func (h drainerHost) HoldsLease(now time.Time) bool { return h.c.leaseCertain(now) }
 
 func (h drainerHost) Commit(ctx context.Context, t wire.Txn) error {
 	revision, err := h.c.store.Txn(ctx, statestore.Routine("drain"), t)
--- a/internal/controller/leader_calls.go
+++ b/internal/controller/leader_calls.go
@@ -20,7 +20,7 @@
 		}
 	}
 	for _, id := range a.Claim {
-		if c.shards[id] == nil && !c.acquiring[id] && c.schedulerConfig != nil && c.sure(now) {
+		if c.shards[id] == nil && !c.acquiring[id] && c.schedulerConfig != nil && c.leaseCertain(now) {
 			c.acquire(ctx, id)
 		}
 	}
@@ -31,7 +31,7 @@
 	c.duties.Grant.SetLocked(c.store, a.Requests, a.Changes, now)
 	c.reconciliation.SetShareLocked(a.OrderRate, now)
 	load := host.LoadLocked(now)
-	r := peer.SyncReply{Summaries: host.SummariesLocked(now), StateOK: c.sure(now),
+	r := peer.SyncReply{Summaries: host.SummariesLocked(now), StateOK: c.leaseCertain(now),
 		Recovering: load.Recovering, HasRoom: load.HasRoom}
 	if len(a.Orders) == 0 { // orders alone come between the leader's turns
 		r.Requests, r.Changes = c.store.TakeDemand()
--- a/internal/controller/leader_host.go
+++ b/internal/controller/leader_host.go
@@ -108,7 +108,7 @@
 
 // MayPlanLocked implements leader.Shards.
 func (h leaderHost) MayPlanLocked(now time.Time) bool {
-	return len(h.c.shards) > 0 && h.c.schedulerConfig != nil && h.c.sure(now)
+	return len(h.c.shards) > 0 && h.c.schedulerConfig != nil && h.c.leaseCertain(now)
 }
 
 // AcquireLocked implements leader.Shards.
@@ -151,7 +151,7 @@
 }
 
 // RatesLocked implements leader.Limits.
-func (h leaderHost) RatesLocked() config.State { return h.c.rates() }
+func (h leaderHost) RatesLocked() config.State { return h.c.clusterRates() }
 
 // MemberLocked implements leader.Limits.
 func (h leaderHost) MemberLocked(label string) bool {
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -56,7 +56,7 @@
 // another has done so. Where they are too large for a record, each controller asks the cloud.
 func (c *Controller) recordMachineTypes(ctx context.Context, types []wire.MachineType) {
 	value := record.Encode(types)
-	if len(value) > c.limits().Bytes() {
+	if len(value) > c.writeLimits().Bytes() {
 		return
 	}
 	for range machineTypesWrites {
--- a/internal/controller/membership/lease.go
+++ b/internal/controller/membership/lease.go
@@ -1,8 +1,11 @@
-// Package membership tells the other controllers that this process is one of the cluster,
-// and keeps what is known of its contact with them.
+// Package membership makes this process a member of the cluster and keeps what is known of
+// its contact with the others.
 //
-// A Lease and a PeerHealth each own their state under a lock of their own. Both locks are
-// leaves: they may be taken while the shards' lock is held, and nothing is called under them.
+// A Member keeps the member lease and writes this process's records: the member record,
+// under the lease, and the record of the format that it reads and writes. A Lease and a
+// PeerHealth each own their state under a lock of their own, and so does a Member. These
+// locks are leaves: they may be taken while the shards' lock is held, and nothing is called
+// under them. Readiness has no lock; its owner guards it.
 package membership
 
 import (
--- a/internal/controller/membership_process.go
+++ b/internal/controller/membership_process.go
@@ -75,10 +75,10 @@
 func (c *Controller) Ping() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.sure(time.Now())
+	return c.leaseCertain(time.Now())
 }
 
-// sure reports whether the lease certainly stands.
-func (c *Controller) sure(now time.Time) bool {
+// leaseCertain reports whether the lease certainly stands.
+func (c *Controller) leaseCertain(now time.Time) bool {
 	return c.lease.Current().Certain(now)
 }
--- a/internal/controller/parts.go
+++ b/internal/controller/parts.go
@@ -47,8 +47,8 @@
 		PreemptAfter:         preemptAfter,
 		GangWait:             config.Seconds(p.Workers.GangWaitS),
 		MaxProbes:            max(1, p.Resources.MaxSockets/probeSockets),
-		TxnOps:               c.limits().TxnOps,
-		ValueBytes:           c.limits().Bytes(),
+		TxnOps:               c.writeLimits().TxnOps,
+		ValueBytes:           c.writeLimits().Bytes(),
 		PlacementsPerRecord:  scheduler.PlacementsPerRecord(p.State.ValueKB),
 		CompletionBatchDelay: gatherEnds,
 		StartBatchDelay:      gatherStarts,
@@ -135,7 +135,7 @@
 // still finds its lease ended, and its timers and answers due, before any of its
 // loops has run again: it must not send what was recorded before.
 func (c *Controller) refreshAuthority(shard *scheduler.Shard, now time.Time) {
-	shard.SetCancellationsUnknown(c.activeJobsStale(now) || !c.sure(now))
+	shard.SetCancellationsUnknown(c.activeJobsStale(now) || !c.leaseCertain(now))
 }
 
 // updateShard runs f on a part under the lock, then pumps it.
--- a/internal/controller/ready.go
+++ b/internal/controller/ready.go
@@ -6,26 +6,26 @@
 	"bramblespur/internal/controller/transport"
 )
 
-// ready tells the load balancer whether to send users here.
-func (c *Controller) ready() transport.Response {
+// readinessResponse tells the load balancer whether to send users here.
+func (c *Controller) readinessResponse() transport.Response {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	if c.readiness.Update(c.serves(now), now) {
+	if c.readiness.Update(c.servesUsers(now), now) {
 		return transport.Response{Status: 200}
 	}
 	return transport.Response{Status: 503}
 }
 
-// serves reports whether users are served here, or no worse than elsewhere: in
+// servesUsers reports whether users are served here, or no worse than elsewhere: in
 // an outage of the state service for all controllers there is no better place.
 // One that reaches neither the state service nor any other controller is rather
-// cut off itself. The lock is held.
-func (c *Controller) serves(now time.Time) bool {
+// partitioned itself. The shards' lock is held.
+func (c *Controller) servesUsers(now time.Time) bool {
 	if c.schedulerConfig == nil || c.lease.Current().ID == 0 || !c.activeJobs.Loaded() {
 		return false
 	}
-	if c.sure(now) {
+	if c.leaseCertain(now) {
 		return true
 	}
 	if len(c.peers) == 0 {
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -25,7 +25,7 @@
 
 func (u userCluster) StateService() statestore.Store { return u.c.store }
 func (u userCluster) Context() context.Context       { return u.c.life }
-func (u userCluster) WriteLimits() config.State      { return u.c.limits() }
+func (u userCluster) WriteLimits() config.State      { return u.c.writeLimits() }
 func (u userCluster) LeaseOverdue() bool             { return u.c.leaseOverdue() }
 func (u userCluster) LeaseLost() bool                { return u.c.leaseLost() }
 func (u userCluster) InSafeMode() bool               { return u.c.dataLoss.Active() }
