--- a/cmd/bramblespurctl/recover.go
+++ b/cmd/bramblespurctl/recover.go
@@ -172,7 +172,7 @@
 				return err
 			}
 			out := cmd.OutOrStdout()
-			return t.print(out, p, func() { writePlanText(out, p, g.Silent) })
+			return t.print(out, p, func() { writePlanText(out, p, g.Unreachable) })
 		},
 	}
 	cmd.Flags().StringVar(&from.directory, "dir", "", "the directory of the snapshots; without it, none is used")
--- a/internal/drainctl/drainctl.go
+++ b/internal/drainctl/drainctl.go
@@ -69,15 +69,15 @@
 
 // Start asks for a drain.
 func (c *Client) Start(ctx context.Context, p drain.Plan) error {
-	if err := c.verify(ctx, &p); err != nil {
+	if err := c.checkPlan(ctx, &p); err != nil {
 		return err
 	}
 	_, err := c.Store.Txn(ctx, statestore.Urgent("drain"), drain.StartTxn(p))
-	return c.explain(ctx, p.Name, err)
+	return c.explainConflict(ctx, p.Name, err)
 }
 
-// verify refuses a drain that makes no sense, or selects nothing that is there.
-func (c *Client) verify(ctx context.Context, p *drain.Plan) error {
+// checkPlan refuses a drain that makes no sense, or selects nothing that is there.
+func (c *Client) checkPlan(ctx context.Context, p *drain.Plan) error {
 	if err := p.Check(); err != nil {
 		return err
 	}
@@ -99,8 +99,8 @@
 	return fmt.Errorf("%w machines: none is selected", ErrUnknown)
 }
 
-// explain tells what a failed transaction means to an operator.
-func (c *Client) explain(ctx context.Context, name string, err error) error {
+// explainConflict tells what a failed transaction means to an operator.
+func (c *Client) explainConflict(ctx context.Context, name string, err error) error {
 	var conflict *statestore.ConflictError
 	switch {
 	case err == nil:
@@ -137,5 +137,5 @@
 		return err
 	}
 	_, err = c.Store.Txn(ctx, statestore.Urgent("drain"), t)
-	return c.explain(ctx, name, err)
+	return c.explainConflict(ctx, name, err)
 }
--- a/internal/drainctl/dryrun.go
+++ b/internal/drainctl/dryrun.go
@@ -22,14 +22,14 @@
 
 // DryRun returns the steps of a drain as things stand, and writes nothing.
 func (c *Client) DryRun(ctx context.Context, p drain.Plan, s *drain.Settings) ([]Step, error) {
-	if err := c.verify(ctx, &p); err != nil {
+	if err := c.checkPlan(ctx, &p); err != nil {
 		return nil, err
 	}
 	fleet, err := c.fleet(ctx)
 	if err != nil {
 		return nil, err
 	}
-	work, err := c.work(ctx)
+	work, err := c.unitsByMachine(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -43,13 +43,13 @@
 	}
 	var steps []Step
 	for _, batch := range drain.Batches(selected, p.MaxConcurrent, zones, s) {
-		steps = append(steps, Step{batch, interrupted(batch, work)})
+		steps = append(steps, Step{batch, unitsByTeam(batch, work)})
 	}
 	return steps, nil
 }
 
-// interrupted counts the units on some machines by team.
-func interrupted(machines []string, work map[string][]*drain.Unit) map[string]int {
+// unitsByTeam counts the units on some machines by team.
+func unitsByTeam(machines []string, work map[string][]*drain.Unit) map[string]int {
 	seen := map[drain.UnitID]bool{}
 	out := map[string]int{}
 	for _, id := range machines {
@@ -63,8 +63,8 @@
 	return out
 }
 
-// work reads what is placed where, by machine.
-func (c *Client) work(ctx context.Context) (map[string][]*drain.Unit, error) {
+// unitsByMachine reads what is placed where, by machine.
+func (c *Client) unitsByMachine(ctx context.Context) (map[string][]*drain.Unit, error) {
 	use := statestore.Routine("drain")
 	open, _, err := c.Store.List(ctx, use, record.ActiveJobPrefix)
 	if err != nil {
@@ -88,7 +88,7 @@
 		if err := json.Unmarshal(e.Value, &s); err != nil {
 			return nil, fmt.Errorf("record %s: %w", e.Key, err)
 		}
-		w.take(&s)
+		w.addPlacements(&s)
 	}
 	return w.byMachine(), nil
 }
@@ -100,7 +100,7 @@
 	on    map[string]map[drain.UnitID]*drain.Unit // by machine
 }
 
-func (w *workReader) take(s *record.Placements) {
+func (w *workReader) addPlacements(s *record.Placements) {
 	for name, run := range s.Ranges {
 		ref, _, ok := record.SplitRangeName(name)
 		spec := w.specs[ref]
@@ -108,12 +108,12 @@
 			continue // its end is recorded
 		}
 		for i, place := range run.Placed {
-			w.place(spec, i, place.Machine)
+			w.addTask(spec, i, place.Machine)
 		}
 	}
 }
 
-func (w *workReader) place(spec *wire.Spec, task int, machine string) {
+func (w *workReader) addTask(spec *wire.Spec, task int, machine string) {
 	id := drain.UnitID{Job: spec.Ref, Task: task}
 	tasks := 1
 	if spec.Kind == wire.Gang {
--- a/internal/drainctl/status.go
+++ b/internal/drainctl/status.go
@@ -86,7 +86,7 @@
 func (c *Client) summary(v *drain.View, p *drain.Plan) Summary {
 	s := Summary{Name: p.Name, State: p.State, AtOnce: p.MaxConcurrent, Reason: p.Reason}
 	if p.FinishBy != 0 {
-		s.FinishBy = stamp(p.FinishBy)
+		s.FinishBy = formatTime(p.FinishBy)
 		s.Late = !p.State.Terminal() && c.Now().UnixMilli() > p.FinishBy
 	}
 	for _, at := range v.Cordons().Rec.Machines {
@@ -97,8 +97,8 @@
 	return s
 }
 
-// stamp writes a time as operators read it.
-func stamp(ms int64) string { return time.UnixMilli(ms).UTC().Format(time.RFC3339) }
+// formatTime writes a time as operators read it.
+func formatTime(ms int64) string { return time.UnixMilli(ms).UTC().Format(time.RFC3339) }
 
 // Show returns a drain in detail.
 func (c *Client) Show(ctx context.Context, name string) (*Status, error) {
@@ -121,7 +121,7 @@
 		}
 	}
 	s.Machines = cordonedFor(v, name)
-	s.addCourses(v)
+	s.addProgress(v)
 	return s, nil
 }
 
@@ -130,14 +130,14 @@
 	all := v.Cordons().Rec.Machines
 	for _, id := range slices.Sorted(maps.Keys(all)) {
 		if all[id].Drain == name {
-			out = append(out, MachineState{id, stamp(all[id].Since)})
+			out = append(out, MachineState{id, formatTime(all[id].Since)})
 		}
 	}
 	return out
 }
 
-// addCourses sums up what the parts did.
-func (s *Status) addCourses(v *drain.View) {
+// addProgress sums up what the parts did.
+func (s *Status) addProgress(v *drain.View) {
 	teams := map[string]*TeamStatus{}
 	held := map[drain.HoldReason]float64{}
 	for _, c := range s.Courses {
--- a/internal/recoverctl/measure_test.go
+++ b/internal/recoverctl/measure_test.go
@@ -39,7 +39,7 @@
 		for n := 2 * i; n < 2*i+2; n++ {
 			r.Tasks = append(r.Tasks, wire.HeartbeatTask{Task: fmt.Sprintf("run-%06d/%d", n/10, n%10), Attempt: 1, State: wire.Running})
 		}
-		e.Reports.Add(&r)
+		e.Heartbeats.Add(&r)
 	}
 }
 
--- a/internal/recoverctl/recoverctl_test.go
+++ b/internal/recoverctl/recoverctl_test.go
@@ -67,7 +67,7 @@
 func recovered(t *testing.T, s *store) {
 	t.Helper()
 	for n := range jobs {
-		if _, err := s.Get(t.Context(), use, record.FinishedJobKey(fmt.Sprintf("run-%06d", n))); err != nil {
+		if _, err := s.Get(t.Context(), purpose, record.FinishedJobKey(fmt.Sprintf("run-%06d", n))); err != nil {
 			t.Errorf("job %d: %v", n, err)
 		}
 	}
@@ -75,7 +75,7 @@
 	if err != nil || mode.Active {
 		t.Errorf("mode %+v, %v", mode, err)
 	}
-	if _, revision, err := s.List(t.Context(), use, ""); err != nil || revision <= 30 {
+	if _, revision, err := s.List(t.Context(), purpose, ""); err != nil || revision <= 30 {
 		t.Errorf("revision %d, %v: not above all tokens", revision, err)
 	}
 }
@@ -181,7 +181,7 @@
 	p := makePlan(t, c, old)
 	s.before = func(n int) error { // the state service loses the safe mode's record while it is applied
 		if n == 4 {
-			_, err := s.State.Txn(t.Context(), use, wire.Txn{Then: []wire.Op{{Delete: recovery.SafeModeKey}}})
+			_, err := s.State.Txn(t.Context(), purpose, wire.Txn{Then: []wire.Op{{Delete: recovery.SafeModeKey}}})
 			return err
 		}
 		return nil
@@ -208,7 +208,7 @@
 	if err := apply(t, c, makePlan(t, c, old)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.Get(t.Context(), use, record.FinishedJobKey("run-000077")); err != nil {
+	if _, err := s.Get(t.Context(), purpose, record.FinishedJobKey("run-000077")); err != nil {
 		t.Errorf("decided as done: %v", err)
 	}
 	if err := c.Decide(t.Context(), key, recovery.DecideRerun); !errors.Is(err, recovery.ErrNoSafeMode) {
--- a/internal/recovery/evidence.go
+++ b/internal/recovery/evidence.go
@@ -52,7 +52,7 @@
 	// Snapshot is empty if there is none.
 	Snapshot         map[string]wire.Entry
 	SnapshotRevision uint64
-	Reports          Heartbeats
+	Heartbeats       Heartbeats
 	Listed           map[string]wire.ListedMachine // the cloud's machines
 	Decisions        map[string]Decision           // by key
 }
--- a/internal/recovery/plan_jobs.go
+++ b/internal/recovery/plan_jobs.go
@@ -102,7 +102,7 @@
 
 // runsOnWorker reports whether a worker has a task of a job that has not exited.
 func (p *planner) runsOnWorker(ref string) bool {
-	for _, r := range p.Reports {
+	for _, r := range p.Heartbeats {
 		for _, t := range r.Tasks {
 			if t.State != wire.Exited && strings.HasPrefix(t.Task, ref+"/") {
 				return true
@@ -139,7 +139,7 @@
 
 // planLostJobs names the jobs of which workers have tasks and nothing else is left.
 func (p *planner) planLostJobs() {
-	for _, r := range p.Reports {
+	for _, r := range p.Heartbeats {
 		for _, t := range r.Tasks {
 			ref, _, ok := scheduler.SplitTask(t.Task)
 			_, open := p.activeJobs[ref]
--- a/internal/recovery/plan_machines.go
+++ b/internal/recovery/plan_machines.go
@@ -67,8 +67,8 @@
 // others are left to the leader, which gives them back.
 func (p *planner) planUnrecordedMachines() {
 	f := p.plannedFleet()
-	for _, id := range slices.Sorted(maps.Keys(p.Reports)) {
-		r := p.Reports[id]
+	for _, id := range slices.Sorted(maps.Keys(p.Heartbeats)) {
+		r := p.Heartbeats[id]
 		_, listed := p.Listed[id]
 		if _, known := f.Machine(id); known || !listed || r.Token == 0 {
 			continue
--- a/internal/recovery/plan_placements.go
+++ b/internal/recovery/plan_placements.go
@@ -125,8 +125,8 @@
 func (p *planner) planPlacements() {
 	k := p.indexPlacements()
 	byPart := map[int][]unrecordedTask{}
-	for _, id := range slices.Sorted(maps.Keys(p.Reports)) {
-		report := p.Reports[id]
+	for _, id := range slices.Sorted(maps.Keys(p.Heartbeats)) {
+		report := p.Heartbeats[id]
 		for _, t := range report.Tasks {
 			ref, i, ok := scheduler.SplitTask(t.Task)
 			o, open := p.activeJobs[ref]
--- a/internal/recovery/plan_test.go
+++ b/internal/recovery/plan_test.go
@@ -64,14 +64,14 @@
 		"open: its final state is known":      {Evidence{Store: entries(9, is(openJob(false))), Held: entries(0, over("done"))}, open, Finished, FromController, nil},
 		"open: controllers knew its end":      {Evidence{Store: entries(9, is(openJob(false))), View: view()}, open, Undecided, "", nil},
 		"open: only in the snapshot":          {Evidence{Snapshot: entries(9, is(openJob(false)))}, open, Undecided, "", nil},
-		"open: in the snapshot, and it runs":  {Evidence{Snapshot: entries(9, is(openJob(false))), Reports: report("m", running("0", 1))}, open, Recovered, FromSnapshot, openJob(false)},
+		"open: in the snapshot, and it runs":  {Evidence{Snapshot: entries(9, is(openJob(false))), Heartbeats: report("m", running("0", 1))}, open, Recovered, FromSnapshot, openJob(false)},
 		"open: in the snapshot, and viewed":   {Evidence{Snapshot: entries(9, is(openJob(false))), View: view(testJob)}, open, Recovered, FromSnapshot, openJob(true)},
-		"open: only tasks are left":           {Evidence{Reports: report("m", running("0", 1))}, open, Undecided, "", nil},
+		"open: only tasks are left":           {Evidence{Heartbeats: report("m", running("0", 1))}, open, Undecided, "", nil},
 		"open: makes no sense":                {Evidence{Store: entries(9, is("x"))}, open, Undecided, "", nil},
 		"decided: again":                      {Evidence{Snapshot: entries(9, is(openJob(false))), Decisions: choose(DecideRerun)}, open, Recovered, FromOperator, openJob(false)},
 		"decided: done":                       {Evidence{Snapshot: entries(9, is(openJob(false))), Decisions: choose(DecideDone)}, final, Recovered, FromOperator, record.FinishedJob{State: "done"}},
 		"decided: cancelled, and it is there": {Evidence{Store: entries(9, is(openJob(false))), View: view(), Decisions: choose(DecideCancelled)}, open, Finished, FromOperator, nil},
-		"decided: forget":                     {Evidence{Reports: report("m", running("0", 1)), Decisions: choose(DecideForget)}, LostKey(testJob), Recovered, FromOperator, true},
+		"decided: forget":                     {Evidence{Heartbeats: report("m", running("0", 1)), Decisions: choose(DecideForget)}, LostKey(testJob), Recovered, FromOperator, true},
 		"pipeline: the newest counts": {Evidence{Store: entries(4, map[string]any{"pipes/p": 1}), Snapshot: entries(9, map[string]any{"pipes/p": 2})},
 			"pipes/p", Recovered, FromSnapshot, 2},
 		"pipeline: the snapshot is older": {Evidence{Store: entries(9, map[string]any{"pipes/p": 2}), Snapshot: entries(4, map[string]any{"pipes/p": 1})},
@@ -82,7 +82,7 @@
 		"rental: in the snapshot, listed": {Evidence{Snapshot: entries(4, map[string]any{"fleet/rent/r": record.Provision{IDs: []string{"m"}}}), Listed: map[string]wire.ListedMachine{"m": {ID: "m"}}},
 			"fleet/rent/r", Recovered, FromSnapshot, record.Provision{IDs: []string{"m"}}},
 		"rental: in the snapshot, not listed": {Evidence{Snapshot: entries(4, map[string]any{"fleet/rent/r": record.Provision{IDs: []string{"m"}}})}, "fleet/rent/r", Finished, FromSnapshot, nil},
-		"machine: without a record": {Evidence{Reports: report("m"), Listed: map[string]wire.ListedMachine{"m": {ID: "m"}}}, "fleet/rent/recovered-m", Recovered, FromHeartbeat,
+		"machine: without a record": {Evidence{Heartbeats: report("m"), Listed: map[string]wire.ListedMachine{"m": {ID: "m"}}}, "fleet/rent/recovered-m", Recovered, FromHeartbeat,
 			record.Provision{Type: "big", Zone: "a", Shards: []int{0}, IDs: []string{"m"}, Addrs: []string{"a"}}},
 		"budget: in the snapshot": {Evidence{Snapshot: entries(4, map[string]any{"ctl/drain/ledger": 3})}, "ctl/drain/ledger", Recovered, FromSnapshot, 3},
 	} {
@@ -153,7 +153,7 @@
 	old := record.Placements{Format: record.SizedRanges, Ranges: map[string]record.TaskRange{
 		record.RangeName(testJob, 0): {Attempt: 2, Size: 3, Generation: 1, Placed: map[int]record.TaskPlacement{0: {Machine: "m1", Attempt: 1}, 1: {Machine: "m2", Attempt: 2}}}}}
 	e := Evidence{Mode: SafeMode{Active: true, Floor: 60}, Store: entries(9, map[string]any{record.ActiveJobKey(testJob): openJob(false)}),
-		Snapshot: entries(5, map[string]any{record.PlacementsKey(0, 0): old}), Reports: report("m3", running("0", 4), running("2", 3))}
+		Snapshot: entries(5, map[string]any{record.PlacementsKey(0, 0): old}), Heartbeats: report("m3", running("0", 4), running("2", 3))}
 	on, least := slots(t, NewPlan(e, testLimits), nil)
 	want := map[string]record.TaskPlacement{testJob + "/0": {Machine: "m3", Attempt: 4}, testJob + "/1": {Machine: "m2", Attempt: 2}, testJob + "/2": {Machine: "m3", Attempt: 3}}
 	for task, place := range want {
@@ -171,7 +171,7 @@
 	held := record.Placements{Format: record.SizedRanges, Ranges: map[string]record.TaskRange{
 		record.RangeName(testJob, 0): {Attempt: 2, Size: 3, Generation: 1, Placed: map[int]record.TaskPlacement{0: {Machine: "m3", Attempt: 2}}}}}
 	e := Evidence{Mode: SafeMode{Active: true, Floor: 60}, Store: entries(9, map[string]any{record.ActiveJobKey(testJob): openJob(false)}),
-		Held: entries(12, map[string]any{record.PlacementsKey(0, 0): held}), Reports: report("m3", running("0", 2))}
+		Held: entries(12, map[string]any{record.PlacementsKey(0, 0): held}), Heartbeats: report("m3", running("0", 2))}
 	on, least := slots(t, NewPlan(e, testLimits), nil)
 	if len(on) != 1 || least != 2 {
 		t.Errorf("placements %v, least attempt %d", on, least)
