--- a/internal/controller/job_notifications.go
+++ b/internal/controller/job_notifications.go
@@ -10,32 +10,36 @@
 	"bramblespur/internal/wire"
 )
 
-// notifyOwner brings jobs' new records to their owner without waiting for the watch.
-func (c *Controller) notifyOwner(part int, t wire.Txn, rev uint64) {
+// notifyOwner brings the records of jobs that were just written to their owner without
+// waiting for the watch. It takes the shards' lock.
+func (c *Controller) notifyOwner(shard int, written wire.Txn, revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.applyOwnWrites(t, rev, time.Now())
-	owner := c.peers[c.cluster.Owner(part)]
-	if c.shards[part] != nil || owner == nil {
+	c.applyOwnWrites(written, revision, time.Now())
+	owner := c.peers[c.cluster.Owner(shard)]
+	if c.shards[shard] != nil || owner == nil {
 		return
 	}
-	go func() {
-		for _, op := range t.Then {
-			if !strings.HasPrefix(op.Put, record.ActiveJobPrefix) {
-				continue
-			}
-			a := peer.NotifyArgs{Key: op.Put, Value: op.Value, Version: rev}
-			if err := owner.Call("Nudge", a, new(struct{}), peerNoticeTimeout); err != nil {
-				c.log.Debug("nudge", "key", a.Key, "err", err) // the watch tells it as well
-			}
+	go c.sendJobRecords(owner, written, revision)
+}
+
+// sendJobRecords sends the records of active jobs in a transaction to their owner.
+func (c *Controller) sendJobRecords(owner peer.Caller, written wire.Txn, revision uint64) {
+	for _, op := range written.Then {
+		if !strings.HasPrefix(op.Put, record.ActiveJobPrefix) {
+			continue
 		}
-	}()
+		args := peer.NotifyArgs{Key: op.Put, Value: op.Value, Version: revision}
+		if err := owner.Call("Nudge", args, new(struct{}), peerNoticeTimeout); err != nil {
+			c.log.Debug("owner not notified", "key", args.Key, "err", err) // the watch tells it as well
+		}
+	}
 }
 
-// Nudge implements peer.Handler: a job's record, open or final, as the sender has
+// Nudge implements peer.Handler: a job's record, active or terminal, as the sender has
 // just written it.
 //
-// Upgrade: the first version takes open records only and passes over others.
+// Upgrade: the first version takes records of active jobs only and passes over others.
 func (c *Controller) Nudge(a peer.NotifyArgs) {
 	switch {
 	case strings.HasPrefix(a.Key, record.ActiveJobPrefix):
@@ -43,7 +47,7 @@
 	case strings.HasPrefix(a.Key, record.FinishedJobPrefix):
 		var j record.FinishedJob
 		if err := json.Unmarshal(a.Value, &j); err != nil {
-			c.log.Error("final record", "key", a.Key, "err", err)
+			c.log.Error("malformed terminal record", "key", a.Key, "err", err)
 			return
 		}
 		c.mu.Lock()
--- a/internal/controller/owner_renewals_test.go
+++ b/internal/controller/owner_renewals_test.go
@@ -13,7 +13,7 @@
 // and without commands: also without the state service, since a user is told of a
 // cancellation only once nothing runs. While all is seen, no task of a job that is
 // over lives on by it.
-func TestKeepAlive(t *testing.T) {
+func TestLeaseIsRenewedForOwner(t *testing.T) {
 	c := newTest(t, testkit.NewState())
 	seen := func(ago time.Duration) {
 		setViewsAsOf(c, time.Now().Add(-ago))
