--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -41,7 +41,8 @@
 	}
 	s.pass = placementPass{gangByZone: map[string]*Job{}}
 	s.protection.weigh(s.inventory.cpus)
-	queues := s.placeableByTeam(now)
+	queues := map[string][]*Job{} // made here, so that it needs no allocation
+	s.queuePlaceable(queues, now)
 	for _, queue := range queues {
 		s.sortQueue(queue, now)
 	}
@@ -58,9 +59,8 @@
 	}
 }
 
-// placeableByTeam filters the jobs of which something may be placed now.
-func (s *Shard) placeableByTeam(now time.Time) map[string][]*Job {
-	queues := map[string][]*Job{}
+// queuePlaceable adds the jobs of which something may be placed now to their teams' queues.
+func (s *Shard) queuePlaceable(queues map[string][]*Job, now time.Time) {
 	for _, j := range s.inventory.pendingJobs {
 		s.inventory.candidatesExamined++
 		if !s.placeable(j, now) {
@@ -73,7 +73,6 @@
 		}
 		queues[j.spec.Team] = append(queues[j.spec.Team], j)
 	}
-	return queues
 }
 
 // sortQueue orders the jobs of one team.
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -23,7 +23,8 @@
 	if !s.preemptionDue(j, now) {
 		return
 	}
-	options := s.preemptionOptions(j, n, now)
+	options := map[string][]preemptionOption{} // made here, so that it needs no allocation
+	s.addPreemptionOptions(options, j, n, now)
 	chosen := leastLoss(options, n)
 	if chosen == nil && j.longWaiting(now) {
 		// Too much for one moment: what is reserved for the gang grows step by step.
@@ -62,10 +63,9 @@
 	return true
 }
 
-// preemptionOptions filters the machines where n tasks of a job may preempt others, by the
+// addPreemptionOptions filters the machines where n tasks of a job may preempt others, by the
 // zone in which they have to be together.
-func (s *Shard) preemptionOptions(j *Job, n int, now time.Time) map[string][]preemptionOption {
-	byZone := map[string][]preemptionOption{}
+func (s *Shard) addPreemptionOptions(byZone map[string][]preemptionOption, j *Job, n int, now time.Time) {
 	within := s.quotas.withinGuarantee(j, n)
 	s.eachPreemptionCandidate(j, within, now, func(m *Machine) {
 		if !allows(j.spec, m) || !j.allowsZone(m.Zone) || !s.cfg.usable(m, now) || m.reservedForOther(j, now) || s.pass.reservedByLongWaitingGang(m, j, now) {
@@ -76,7 +76,6 @@
 			byZone[zone] = append(byZone[zone], o)
 		}
 	})
-	return byZone
 }
 
 // preemptionOption picks the tasks that have to stop on a machine so that a task of j, or of a
