--- a/internal/controller/account_test.go
+++ b/internal/controller/account_test.go
@@ -17,7 +17,6 @@
 	"bramblespur/internal/fleet"
 	"bramblespur/internal/httpwire"
 	"bramblespur/internal/record"
-	"bramblespur/internal/scheduler"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/testkit"
 	"bramblespur/internal/wire"
@@ -83,7 +82,7 @@
 	t.Helper()
 	inner := testkit.NewState()
 	c := newTest(t, inner)
-	c.schedulerConfig.HeartbeatInterval = 1500 * time.Millisecond // starts ride on reports' answers
+	c.shards.SchedulerConfigLocked().HeartbeatInterval = 1500 * time.Millisecond // starts ride on reports' answers
 	c.agents = mute{}
 	workers := putRentals(fleetPut(inner, c), machines)
 	putJobs(t, inner, workers, jobs)
@@ -108,7 +107,7 @@
 func takeOverPart(t testing.TB, c *Controller, state *countingState, held record.Versioned[record.Shard], inc uint64) {
 	t.Helper()
 	state.reset()
-	if err := c.failOver(context.Background(), 0, held, inc); err != nil {
+	if err := c.shards.FailOver(context.Background(), 0, ownershipOf(held), inc); err != nil {
 		t.Fatal(err)
 	}
 	for state.lists.Load() < takeOverLists { // the last is another goroutine's, and must not count as a later one's
@@ -177,7 +176,7 @@
 			b.ReportMetric(float64(at-now)/float64(n), name+"-B/each")
 			at = now
 		}
-		held("scheduler", accountMachines, func() { c.shards = nil })
+		held("scheduler", accountMachines, func() { c.shards.DropAllLocked() })
 		held("fleet-view", accountMachines, func() { c.machines = nil })
 		held("open-jobs", accountJobs, func() { c.activeJobs = nil })
 		runtime.KeepAlive(c)
@@ -200,7 +199,7 @@
 		}
 		c.mu.Lock()
 		held, _ := c.cluster.Shard(0)
-		c.shards = map[int]*scheduler.Shard{}
+		c.shards.DropAllLocked()
 		c.mu.Unlock()
 		inc++
 		b.StartTimer()
@@ -283,7 +282,7 @@
 	c, _, workers := fleetController(b, accountMachines, 0)
 	met(b, c, workers)
 	c.mu.Lock()
-	c.schedulerConfig.StartBatchDelay = 0
+	c.shards.SchedulerConfigLocked().StartBatchDelay = 0
 	c.mu.Unlock()
 	n := 0
 	b.ReportAllocs()
--- a/internal/controller/active_job_records.go
+++ b/internal/controller/active_job_records.go
@@ -58,10 +58,10 @@
 func (c *Controller) notifyJobEndedLocked(change *clusterview.JobChange, now time.Time) {
 	ref := change.Ref
 	c.passDemandOn(change.Reclaimed)
-	for _, shard := range c.shards {
+	for _, shard := range c.shards.AllLocked() {
 		if shard.HasJob(ref) {
 			shard.JobRecordGone(ref, now)
-			c.step(shard, now)
+			c.shards.StepLocked(shard, now)
 		}
 	}
 	if c.activeJobs.HasDependents(ref) {
@@ -73,7 +73,7 @@
 // is held.
 func (c *Controller) notifyJobChangedLocked(change *clusterview.JobChange, now time.Time) {
 	job := &change.Record
-	shard := c.shards[job.Shard]
+	shard := c.shards.GetLocked(job.Shard)
 	if shard != nil {
 		shard.SetJob(change.Ref, *job, change.Version, now)
 	}
@@ -84,7 +84,7 @@
 	if len(job.Spec.DependsOn) > 0 {
 		c.lookUpDependencies(c.life, now)
 	}
-	c.step(shard, now)
+	c.shards.StepLocked(shard, now)
 }
 
 // removeActiveJobLocked drops a job that is not active any more. The shards' lock is held.
--- a/internal/controller/bounds_test.go
+++ b/internal/controller/bounds_test.go
@@ -68,7 +68,7 @@
 	return testing.AllocsPerRun(runs, func() {
 		c.mu.Lock()
 		held, _ := c.cluster.Shard(0)
-		clear(c.shards)
+		c.shards.DropAllLocked()
 		c.mu.Unlock()
 		inc++
 		takeOverPart(t, c, state, held, inc)
@@ -136,8 +136,8 @@
 				if r := asked(c, "POST", wire.JobsPath, b); r.Status != 201 {
 					t.Fatalf("answered %+v", r)
 				}
-				time.Sleep(gatherStarts)
-				c.updateShard(c.shards[0], func(time.Time) {})
+				time.Sleep(c.shards.SchedulerConfigLocked().StartBatchDelay)
+				c.shards.Update(c.shards.GetLocked(0), func(time.Time) {})
 				synctest.Wait()
 			})
 			if got > startAllocs {
@@ -364,7 +364,7 @@
 			}
 		}
 		for part := range k.params.Count {
-			if home := k.process(k.labels[0]).c.preferredOwner(part); claims[record.ShardKey(part)+" by "+home] != 1 || len(claims) != k.params.Count {
+			if home := k.process(k.labels[0]).c.shards.PreferredOwner(part); claims[record.ShardKey(part)+" by "+home] != 1 || len(claims) != k.params.Count {
 				t.Fatalf("claims %v, want one of each part by its home", claims)
 			}
 		}
--- a/internal/controller/cluster_records.go
+++ b/internal/controller/cluster_records.go
@@ -56,14 +56,14 @@
 // applyMachineTypesLocked applies the record of the machine types, of which the first that is
 // known stays. The shards' lock is held.
 func (c *Controller) applyMachineTypesLocked(e wire.Change) error {
-	if e.Put == "" || c.machineTypes != nil {
+	if e.Put == "" || c.shards.MachineTypesLocked() != nil {
 		return nil
 	}
 	var types []wire.MachineType
 	if err := json.Unmarshal(e.Value, &types); err != nil {
 		return err
 	}
-	c.setMachineTypes(types)
+	c.shards.SetMachineTypesLocked(types)
 	return nil
 }
 
@@ -90,9 +90,9 @@
 // dropLostShardLocked stops serving a shard if its record is newer than this controller's
 // fencing token: another has acquired it. The shards' lock is held.
 func (c *Controller) dropLostShardLocked(id int, owner string, version uint64) {
-	if shard := c.shards[id]; shard != nil && version > shard.Token() {
+	if shard := c.shards.GetLocked(id); shard != nil && version > shard.Token() {
 		c.log.Info("shard lost", "shard", id, "to", owner)
-		delete(c.shards, id)
+		c.shards.DropLocked(id)
 	}
 }
 
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -168,7 +168,7 @@
 			return false
 		}
 		p.c.mu.Lock()
-		held := p.c.shards[part] != nil
+		held := p.c.shards.GetLocked(part) != nil
 		p.c.mu.Unlock()
 		if !held {
 			return false
--- a/internal/controller/cluster_troubles_test.go
+++ b/internal/controller/cluster_troubles_test.go
@@ -91,7 +91,7 @@
 		}
 		p.c.mu.Lock()
 		defer p.c.mu.Unlock()
-		return p.c.shards[k.part(team)] != nil
+		return p.c.shards.GetLocked(k.part(team)) != nil
 	})
 	return k.ownerOf(team)
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -28,6 +28,7 @@
 	"bramblespur/internal/controller/overload"
 	"bramblespur/internal/controller/reconciliation"
 	"bramblespur/internal/controller/rejectlog"
+	"bramblespur/internal/controller/shardhost"
 	"bramblespur/internal/controller/terminal"
 	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/controller/userapi"
@@ -36,7 +37,6 @@
 	"bramblespur/internal/operations"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/policy"
-	"bramblespur/internal/retry"
 	"bramblespur/internal/scheduler"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
@@ -44,8 +44,7 @@
 
 // Defaults of the shell, each a compromise named here.
 const (
-	tickEvery    = 250 * time.Millisecond // timers of the cores, which look at machines as often
-	countsEvery  = 15 * time.Second       // requests and changes are logged this often
+	countsEvery  = 15 * time.Second // requests and changes are logged this often
 	relayTimeout = 2200 * time.Millisecond
 )
 
@@ -79,26 +78,22 @@
 
 	duties *leader.Leader // its state is guarded by mu
 
-	// mu guards all that follows. It is never held across input or output.
-	mu               sync.Mutex
-	schedulerConfig  *scheduler.Config  // nil until the machine types are known
-	machineTypes     []wire.MachineType // nil until they are known
-	shards           map[int]*scheduler.Shard
-	acquiring        map[int]bool
-	dependencyReads  *dependency.Schedule
-	router           *workerapi.Router
-	lastHeartbeatAt  time.Time // of any worker, to this controller itself
-	consideringSince time.Time
-	startedAt        time.Time // when this process began
-	renewals         renewals
-	drainer          *drainer.Drainer
-	reconciliation   *reconciliation.Tracker
-	dataLoss         *dataloss.Detector
-	audit            dataloss.Audit
-	staleReads       dataloss.StaleReads
-	longPolls        *workerapi.LongPolls
-	readiness        membership.Readiness
-	commands         chan struct{} // direct commands under way, each on a socket of its own
+	// shards holds the shards that this controller serves, and the outermost lock.
+	shards *shardhost.Host
+	// mu is that lock, and guards all that follows. It is never held across input or output.
+	mu              sync.Locker
+	dependencyReads *dependency.Schedule
+	router          *workerapi.Router
+	lastHeartbeatAt time.Time // of any worker, to this controller itself
+	startedAt       time.Time // when this process began
+	renewals        renewals
+	drainer         *drainer.Drainer
+	reconciliation  *reconciliation.Tracker
+	dataLoss        *dataloss.Detector
+	audit           dataloss.Audit
+	staleReads      dataloss.StaleReads
+	longPolls       *workerapi.LongPolls
+	readiness       membership.Readiness
 }
 
 // Run runs a controller until its server fails.
@@ -143,7 +138,7 @@
 	go c.member.KeepLease(ctx)
 	go c.member.RecordOwnFormat(ctx)
 	c.startWatches(ctx)
-	go c.machineTypesLoop(ctx)
+	go c.shards.LearnMachineTypes(ctx)
 	go c.tickLoop(ctx)
 	go c.duties.Run(ctx)
 	go c.logUsageLoop(ctx)
@@ -164,22 +159,23 @@
 	}
 	sort.Strings(c.teams)
 	c.peers = map[string]peer.Caller{}
-	c.shards = map[int]*scheduler.Shard{}
-	c.acquiring = map[int]bool{}
+	c.shards = shardhost.New(c.cfg, c.log, shardEnvironment{c}, func(types []wire.MachineType) *scheduler.Config {
+		return shardhost.SchedulerConfig(&c.cfg.Params, c.policy, c.reconciliation.Limiter(), types)
+	})
+	c.mu = c.shards
 	c.cluster = clusterview.NewCluster()
 	c.machines = clusterview.NewMachines()
 	c.activeJobs = clusterview.NewActiveJobs()
 	c.dependencyReads = dependency.NewSchedule()
-	c.commands = make(chan struct{}, max(1, c.cfg.Params.Resources.MaxSockets/commandSockets))
 	c.startedAt = time.Now()
 	c.terminalStates = terminal.NewCache()
 	c.userAPI = userapi.New(userCluster{c}, c.cfg, c.teams, c.terminalStates, c.log)
 	c.renewals = renewals{}
 	c.peerHealth = membership.NewPeerHealth()
 	c.router = workerapi.NewRouter(c.cfg, c.cluster, c.peerHealth, &c.lease, workerHost{c}, c.log)
-	c.longPolls = workerapi.NewLongPolls(workerHost{c}, &c.mu)
+	c.longPolls = workerapi.NewLongPolls(workerHost{c}, c.mu)
 	c.member = c.newMember()
-	c.election = election.New(c.cfg.Label, currentStore{c}, &c.lease, c.cluster, &c.mu, c.log)
+	c.election = election.New(c.cfg.Label, currentStore{c}, &c.lease, c.cluster, c.mu, c.log)
 	c.rejections = rejectlog.New(c.log)
 	c.messages = messagecheck.New(&c.cfg.Params, c.rejections)
 	c.overload = overload.NewDetector(c.log, c.cfg.Params.Resources.CPUShare, membership.LeaseTTL)
@@ -192,50 +188,6 @@
 	c.audit, c.staleReads = dataloss.Audit{Detector: c.dataLoss}, dataloss.StaleReads{Detector: c.dataLoss}
 }
 
-// tickLoop drives the timers of the cores and the claims.
-func (c *Controller) tickLoop(ctx context.Context) {
-	for due := time.Now().Add(tickEvery); retry.Sleep(ctx, tickEvery); due = time.Now().Add(tickEvery) {
-		now := time.Now()
-		c.mu.Lock()
-		c.overload.Observe(now.Sub(due), now)
-		cut := c.partitionedZones(now)
-		backlog := c.store.Backlog()
-		for _, shard := range c.shards {
-			if c.sizedRangesRequired() {
-				shard.UseSizedRanges()
-			}
-			shard.SetPartitionedZones(cut)
-			shard.SetOverloaded(c.overload.Behind())
-			shard.SetBacklog(backlog)
-			c.step(shard, now)
-		}
-		if !c.dataLoss.ActiveLocked() {
-			c.lookUpDependencies(ctx, now)
-			c.considerAcquisitions(ctx, now)
-		}
-		c.duties.Grant.ExpireLocked(c.store, c.clusterRates(), c.cfg.Params.Count, now)
-		c.router.ExpireLocked(now)
-		c.renewals.expire(config.Seconds(c.cfg.Params.Workers.LeaseS), now)
-		c.mu.Unlock()
-	}
-}
-
-// partitionedZones returns the zones of which no controller can be reached: their
-// machines may be silent for us alone. Where no other controller can be reached at
-// all that goes for this one's own zone, too.
-func (c *Controller) partitionedZones(now time.Time) map[string]bool {
-	cut := map[string]bool{c.cfg.Zone: len(c.cfg.Peers) > 0}
-	for _, p := range c.cfg.Peers {
-		if _, ok := cut[p.Zone]; !ok {
-			cut[p.Zone] = true
-		}
-		if c.peerHealth.Contact(p.Label).Reachable(now) {
-			cut[p.Zone], cut[c.cfg.Zone] = false, false
-		}
-	}
-	return cut
-}
-
 func (c *Controller) handle(req httpwire.Request, answer func(transport.Response)) (transport.Response, bool) {
 	switch {
 	case req.Path == wire.HeartbeatPath && req.Method == "POST":
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -13,6 +13,7 @@
 	"bramblespur/internal/agent"
 	"bramblespur/internal/config"
 	"bramblespur/internal/controller/membership"
+	"bramblespur/internal/controller/shardhost"
 	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/policy"
 	"bramblespur/internal/record"
@@ -35,7 +36,7 @@
 	}
 	c := &Controller{cfg: cfg, policy: pol, log: slog.New(slog.DiscardHandler), life: context.Background(), store: state, agents: agent.Client{}}
 	c.init()
-	c.setMachineTypes([]wire.MachineType{{Name: "big", CPUs: 16, GPUs: 2, MemoryGB: 64, Zones: []string{"z"}}})
+	c.shards.SetMachineTypesLocked([]wire.MachineType{{Name: "big", CPUs: 16, GPUs: 2, MemoryGB: 64, Zones: []string{"z"}}})
 	c.lease.Grant(membership.LeaseState{ID: 1, RenewedAt: time.Now()})
 	return c
 }
@@ -120,7 +121,7 @@
 		state, cl := testkit.NewState(), &testkit.Cloud{}
 		c, leading := newTest(t, state), newTest(t, state)
 		c.submit(body(t, nil))
-		if err := c.failOver(ctx, 0, record.Versioned[record.Shard]{}, 1); err != nil {
+		if err := c.shards.FailOver(ctx, 0, shardhost.Ownership{}, 1); err != nil {
 			t.Fatal(err)
 		}
 		recorded := func() []wire.Entry {
--- a/internal/controller/dataloss_host.go
+++ b/internal/controller/dataloss_host.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"bramblespur/internal/agent"
+	"bramblespur/internal/controller/shardhost"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/record"
 	"bramblespur/internal/scheduler"
@@ -38,10 +39,10 @@
 
 func (h dataLossHost) AllFormatsKnownLocked() bool { return h.c.allUpgraded() }
 
-func (h dataLossHost) OwnedShardsLocked() map[int]*scheduler.Shard { return h.c.shards }
+func (h dataLossHost) OwnedShardsLocked() map[int]*scheduler.Shard { return h.c.shards.OwnedLocked() }
 
 func (h dataLossHost) ReleaseShardsLocked(now time.Time) {
-	h.c.shards = map[int]*scheduler.Shard{}
+	h.c.shards.DropAllLocked()
 	h.c.longPolls.ReleaseAllLocked(now)
 }
 
@@ -56,17 +57,17 @@
 }
 
 func (h dataLossHost) ReadFleet(ctx context.Context, purpose statestore.Purpose) (*record.Fleet, error) {
-	return h.c.readFleet(ctx, purpose)
+	return shardhost.ReadMachines(ctx, h.c.store, purpose)
 }
 
 func (h dataLossHost) GetIfPresent(ctx context.Context, key string) (*wire.Entry, error) {
-	return h.c.getIfPresent(ctx, key)
+	return h.c.shards.GetIfPresent(ctx, key)
 }
 
 func (h dataLossHost) RetryWhileOwned(shard *scheduler.Shard, read func(context.Context) error) bool {
-	return h.c.retryWhileOwned(shard, read)
+	return h.c.shards.RetryWhileServed(shard, read)
 }
 
 func (h dataLossHost) UpdateShard(shard *scheduler.Shard, change func(now time.Time)) {
-	h.c.updateShard(shard, change)
+	h.c.shards.Update(shard, change)
 }
--- a/internal/controller/dependency_tracking.go
+++ b/internal/controller/dependency_tracking.go
@@ -24,9 +24,9 @@
 	if !c.activeJobs.HasDependents(ref) {
 		return
 	}
-	for _, shard := range c.shards {
+	for _, shard := range c.shards.AllLocked() {
 		shard.DependencyEnded(ref, finished, now)
-		c.step(shard, now)
+		c.shards.StepLocked(shard, now)
 	}
 }
 
@@ -36,7 +36,7 @@
 	owners := map[peer.Caller]bool{}
 	for _, dependent := range c.activeJobs.Dependents(ref) {
 		job, _ := c.activeJobs.Job(dependent)
-		if owner := c.peers[c.cluster.Owner(job.Shard)]; c.shards[job.Shard] == nil && owner != nil {
+		if owner := c.peers[c.cluster.Owner(job.Shard)]; c.shards.GetLocked(job.Shard) == nil && owner != nil {
 			owners[owner] = true
 		}
 	}
@@ -74,7 +74,7 @@
 // them, and returns the dependencies that are awaited still. The shards' lock is held.
 func (c *Controller) passKnownDependencies(now time.Time) map[string]bool {
 	awaited := map[string]bool{}
-	for _, shard := range c.shards {
+	for _, shard := range c.shards.AllLocked() {
 		for _, ref := range shard.Dependencies() {
 			finished, known := c.terminalStates.Get(ref)
 			if !known {
@@ -82,7 +82,7 @@
 				continue
 			}
 			shard.DependencyEnded(ref, finished, now)
-			c.step(shard, now)
+			c.shards.StepLocked(shard, now)
 		}
 	}
 	return awaited
@@ -93,7 +93,7 @@
 func (c *Controller) dependentsElsewhere(ref string) []string {
 	var elsewhere []string
 	for _, dependent := range c.activeJobs.Dependents(ref) {
-		if job, _ := c.activeJobs.Job(dependent); c.shards[job.Shard] == nil {
+		if job, _ := c.activeJobs.Job(dependent); c.shards.GetLocked(job.Shard) == nil {
 			elsewhere = append(elsewhere, dependent)
 		}
 	}
@@ -105,7 +105,7 @@
 func (c *Controller) passDemandOn(refs []string) {
 	for _, ref := range refs {
 		job, _ := c.activeJobs.Job(ref)
-		if shard := c.shards[job.Shard]; shard != nil {
+		if shard := c.shards.GetLocked(job.Shard); shard != nil {
 			shard.SetInheritedClaim(ref, c.activeJobs.Claim(ref))
 		}
 	}
--- a/internal/controller/dependency_tracking_test.go
+++ b/internal/controller/dependency_tracking_test.go
@@ -145,8 +145,8 @@
 func TestOwnerLearnsOfEndedDependencies(t *testing.T) {
 	state := testkit.NewState()
 	c, other := newTest(t, state), newTest(t, state)
-	shard := scheduler.New(c.schedulerConfig, 0, 1)
-	c.shards[0] = shard
+	shard := scheduler.New(c.shards.SchedulerConfigLocked(), 0, 1)
+	c.shards.ServeLocked(shard)
 	for _, ref := range []string{"run-000001", "run-000002"} {
 		other.submit(body(t, set("ref", ref)))
 	}
--- a/internal/controller/drainer_host.go
+++ b/internal/controller/drainer_host.go
@@ -18,9 +18,11 @@
 // Unlock releases it.
 func (h drainerHost) Unlock() { h.c.mu.Unlock() }
 
-func (h drainerHost) OwnedShardsLocked() map[int]*scheduler.Shard { return h.c.shards }
+func (h drainerHost) OwnedShardsLocked() map[int]*scheduler.Shard { return h.c.shards.OwnedLocked() }
 
-func (h drainerHost) StepLocked(shard *scheduler.Shard, now time.Time) { h.c.step(shard, now) }
+func (h drainerHost) StepLocked(shard *scheduler.Shard, now time.Time) {
+	h.c.shards.StepLocked(shard, now)
+}
 
 func (h drainerHost) IsLeaderLocked(now time.Time) bool { return h.c.election.IsLeader(now) }
 
--- a/internal/controller/drains_bench_test.go
+++ b/internal/controller/drains_bench_test.go
@@ -39,7 +39,7 @@
 				put(drain.PlanKey("all"), plan)
 				put(drain.CordonsKey, cordons)
 			}
-			shard := c.shards[0]
+			shard := c.shards.GetLocked(0)
 			b.ReportAllocs()
 			for b.Loop() {
 				c.mu.Lock()
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -113,7 +113,7 @@
 		}
 		return heartbeatRoute{outcome: renewUnrecorded, token: token}
 	}
-	if shard := c.shards[machine.Shard]; shard != nil {
+	if shard := c.shards.GetLocked(machine.Shard); shard != nil {
 		return c.routeToOwnShardLocked(shard, machine, h, now)
 	}
 	return c.routeToOwnerLocked(machine, h, now)
@@ -223,8 +223,8 @@
 // ParkedResponseLocked implements workerapi.ParkedResponder.
 func (h workerHost) ParkedResponseLocked(shard *scheduler.Shard, machine string, now time.Time) transport.Response {
 	c := h.c
-	if c.shards[shard.ID()] == shard {
-		c.refreshAuthority(shard, now)
+	if c.shards.GetLocked(shard.ID()) == shard {
+		c.shards.RefreshAuthorityLocked(shard, now)
 		if orders, ok := shard.ParkedOrders(machine, now); ok {
 			return transport.Response{Status: 200, Body: orders}
 		}
@@ -238,15 +238,15 @@
 	if to, look := c.router.BetterControllerLocked(h.Machine, now); look {
 		return redirectTo(to)
 	}
-	c.refreshAuthority(shard, now)
+	c.shards.RefreshAuthorityLocked(shard, now)
 	orders, verdict := shard.Heartbeat(h, false, now)
-	c.step(shard, now)
+	c.shards.StepLocked(shard, now)
 	switch verdict {
 	case scheduler.Answered:
 		return transport.Response{Status: 200, Body: orders}
 	case scheduler.Deposed:
 		// A 200 would be dropped by the worker while its lease expires.
-		go c.rereadShardRecord(shard.ID())
+		go c.shards.RereadOwnership(shard.ID())
 		return redirectTo("")
 	}
 	return transport.Response{Status: 503, RetryAfter: 1}
@@ -268,7 +268,7 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	machine, recorded := c.machines.Machine(h.Machine)
-	shard := c.shards[machine.Shard]
+	shard := c.shards.GetLocked(machine.Shard)
 	if !recorded || shard == nil {
 		return transport.Response{Status: 503}, nil
 	}
--- a/internal/controller/job_notifications.go
+++ b/internal/controller/job_notifications.go
@@ -17,7 +17,7 @@
 	defer c.mu.Unlock()
 	c.applyOwnWrites(written, revision, time.Now())
 	owner := c.peers[c.cluster.Owner(shard)]
-	if c.shards[shard] != nil || owner == nil {
+	if c.shards.GetLocked(shard) != nil || owner == nil {
 		return
 	}
 	go c.sendJobRecords(owner, written, revision)
--- a/internal/controller/leader_calls.go
+++ b/internal/controller/leader_calls.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"bramblespur/internal/controller/shardhost"
 	"bramblespur/internal/peer"
 )
 
@@ -15,13 +16,13 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	for _, o := range a.Orders {
-		if shard := c.shards[o.Part]; shard != nil {
+		if shard := c.shards.GetLocked(o.Part); shard != nil {
 			shard.ApplyFleetOrder(o, now)
 		}
 	}
 	for _, id := range a.Claim {
-		if c.shards[id] == nil && !c.acquiring[id] && c.schedulerConfig != nil && c.leaseCertain(now) {
-			c.acquire(ctx, id)
+		if c.shards.GetLocked(id) == nil && !c.shards.AcquiringLocked(id) && c.shards.SchedulerConfigLocked() != nil && c.leaseCertain(now) {
+			c.shards.AcquireLocked(ctx, id, shardhost.AssignedByLeader)
 		}
 	}
 	for _, id := range a.HandHome {
--- a/internal/controller/leader_host.go
+++ b/internal/controller/leader_host.go
@@ -8,6 +8,7 @@
 	"bramblespur/internal/config"
 	"bramblespur/internal/controller/clusterview"
 	"bramblespur/internal/controller/leader"
+	"bramblespur/internal/controller/shardhost"
 	"bramblespur/internal/fleet"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/record"
@@ -37,7 +38,7 @@
 func (h leaderHost) CandidacyLocked(now time.Time) func(context.Context) {
 	c := h.c
 	incumbent, may := c.election.MayCampaign(now)
-	if !may || c.machineTypes == nil {
+	if !may || c.shards.MachineTypesLocked() == nil {
 		return nil
 	}
 	return func(ctx context.Context) { c.election.Campaign(ctx, incumbent) }
@@ -54,7 +55,7 @@
 	c := h.c
 	cluster := leader.Cluster{
 		Self: c.cfg.Label, Isolated: c.member.Published().Isolated, Behind: c.overload.Behind(),
-		Owners: c.cluster.Owners(), Preferred: c.preferredOwner, Members: map[string]leader.Member{}, Now: now,
+		Owners: c.cluster.Owners(), Preferred: c.shards.PreferredOwner, Members: map[string]leader.Member{}, Now: now,
 	}
 	for label, m := range c.cluster.Members() {
 		contact := c.peerHealth.Contact(label)
@@ -74,10 +75,10 @@
 // SummariesLocked implements leader.Shards.
 func (h leaderHost) SummariesLocked(now time.Time) []fleet.Summary {
 	var out []fleet.Summary
-	for _, shard := range h.c.shards {
-		h.c.step(shard, now)
+	for _, shard := range h.c.shards.AllLocked() {
+		h.c.shards.StepLocked(shard, now)
 	}
-	for _, shard := range h.c.shards {
+	for _, shard := range h.c.shards.AllLocked() {
 		out = append(out, shard.Summary(now))
 	}
 	return out
@@ -85,18 +86,18 @@
 
 // OrderLocked implements leader.Shards.
 func (h leaderHost) OrderLocked(o fleet.Order, now time.Time) bool {
-	shard := h.c.shards[o.Part]
+	shard := h.c.shards.GetLocked(o.Part)
 	if shard == nil {
 		return false
 	}
 	shard.ApplyFleetOrder(o, now)
-	h.c.step(shard, now)
+	h.c.shards.StepLocked(shard, now)
 	return true
 }
 
 // TokenLocked implements leader.Shards.
 func (h leaderHost) TokenLocked(shard int) (token uint64, hosted bool) {
-	s := h.c.shards[shard]
+	s := h.c.shards.GetLocked(shard)
 	if s == nil {
 		return 0, false
 	}
@@ -108,13 +109,13 @@
 
 // MayPlanLocked implements leader.Shards.
 func (h leaderHost) MayPlanLocked(now time.Time) bool {
-	return len(h.c.shards) > 0 && h.c.schedulerConfig != nil && h.c.leaseCertain(now)
+	return h.c.shards.CountLocked() > 0 && h.c.shards.SchedulerConfigLocked() != nil && h.c.leaseCertain(now)
 }
 
 // AcquireLocked implements leader.Shards.
 func (h leaderHost) AcquireLocked(ctx context.Context, shard int) {
-	if !h.c.acquiring[shard] {
-		h.c.acquire(ctx, shard)
+	if !h.c.shards.AcquiringLocked(shard) {
+		h.c.shards.AcquireLocked(ctx, shard, shardhost.AssignedByLeader)
 	}
 }
 
@@ -129,11 +130,11 @@
 
 // ReadFleet implements leader.Machines.
 func (h leaderHost) ReadFleet(ctx context.Context, purpose statestore.Purpose) (*record.Fleet, error) {
-	return h.c.readFleet(ctx, purpose)
+	return shardhost.ReadMachines(ctx, h.c.store, purpose)
 }
 
 // MachineTypesLocked implements leader.Machines.
-func (h leaderHost) MachineTypesLocked() []wire.MachineType { return h.c.machineTypes }
+func (h leaderHost) MachineTypesLocked() []wire.MachineType { return h.c.shards.MachineTypesLocked() }
 
 // AppliedLocked implements leader.Machines.
 func (h leaderHost) AppliedLocked(t wire.Txn, revision uint64, at time.Time) {
--- a/internal/controller/lean_test.go
+++ b/internal/controller/lean_test.go
@@ -101,10 +101,10 @@
 	c.submit(body(t, nil))
 	c.mu.Lock()
 	held, _ := c.cluster.Shard(0)
-	delete(c.shards, 0)
+	c.shards.DropLocked(0)
 	c.mu.Unlock()
 	state.reset()
-	if err := c.failOver(context.Background(), 0, held, 2); err != nil {
+	if err := c.shards.FailOver(context.Background(), 0, ownershipOf(held), 2); err != nil {
 		t.Fatal(err)
 	}
 	for state.lists.Load() < takeOverLists { // the last is another goroutine's
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -79,12 +79,12 @@
 		c.log.Error("record not applied", "err", err)
 	}
 	for _, m := range changed {
-		for _, shard := range c.shards {
+		for _, shard := range c.shards.AllLocked() {
 			c.notifyMachineLocked(shard, m, now)
 		}
 	}
-	for _, shard := range c.shards {
-		c.step(shard, now)
+	for _, shard := range c.shards.AllLocked() {
+		c.shards.StepLocked(shard, now)
 	}
 }
 
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"bramblespur/internal/controller/shardhost"
 	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/record"
 	"bramblespur/internal/statestore"
@@ -25,8 +26,8 @@
 	}{
 		"own part after a restart":  {record.Shard{Owner: "c-0", Incarnation: 1}, []string{"c-0"}, 0, true},
 		"live owner":                {record.Shard{Owner: "c-1", Incarnation: 1}, []string{"c-0", "c-1"}, time.Minute, false},
-		"dead owner":                {record.Shard{Owner: "c-1", Incarnation: 1}, []string{"c-0"}, acquirePatience, true},
-		"dead owner at the start":   {record.Shard{Owner: "c-1", Incarnation: 1}, []string{"c-0"}, acquirePatience - 1, false},
+		"dead owner":                {record.Shard{Owner: "c-1", Incarnation: 1}, []string{"c-0"}, shardhost.AcquirePatience, true},
+		"dead owner at the start":   {record.Shard{Owner: "c-1", Incarnation: 1}, []string{"c-0"}, shardhost.AcquirePatience - 1, false},
 		"offered":                   {record.Shard{TransferTo: "c-0"}, []string{"c-0", "c-1"}, time.Minute, true},
 		"offered as it has started": {record.Shard{TransferTo: "c-0"}, []string{"c-0", "c-1"}, 0, true},
 	} {
@@ -40,8 +41,8 @@
 			setMember(c, m, record.Member{Incarnation: 1})
 		}
 		c.mu.Lock()
-		c.considerAcquisitions(context.Background(), now)
-		got := c.acquiring[0]
+		c.shards.ConsiderAcquisitionsLocked(context.Background(), now)
+		got := c.shards.AcquiringLocked(0)
 		c.mu.Unlock()
 		if got != x.want {
 			t.Errorf("%s: claims %v, want %v", name, got, x.want)
@@ -54,7 +55,7 @@
 	c.cluster.SetShard(0, record.Shard{Owner: "c-0"}, 5)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.considerAcquisitions(context.Background(), time.Now()); c.acquiring[0] {
+	if c.shards.ConsiderAcquisitionsLocked(context.Background(), time.Now()); c.shards.AcquiringLocked(0) {
 		t.Error("claims without a lease")
 	}
 }
@@ -65,20 +66,20 @@
 	state := testkit.NewState()
 	c := newTest(t, state)
 	c.submit(body(t, nil))
-	if err := c.failOver(context.Background(), 0, record.Versioned[record.Shard]{}, 1); err != nil {
+	if err := c.shards.FailOver(context.Background(), 0, shardhost.Ownership{}, 1); err != nil {
 		t.Fatal(err)
 	}
-	shard := c.shards[0]
+	shard := c.shards.GetLocked(0)
 	if shard == nil || !shard.HasJob("run-000412") {
 		t.Fatal("part not loaded")
 	}
 	e := state.Put(record.ShardKey(0), record.Shard{Owner: "c-1"})
 	c.applyClusterChange(e.Change(), time.Now())
-	if c.shards[0] != nil {
+	if c.shards.GetLocked(0) != nil {
 		t.Fatal("still owner after another's claim")
 	}
 	// A claim on an outdated view fails.
-	if err := c.failOver(context.Background(), 0, record.Versioned[record.Shard]{}, 1); err == nil {
+	if err := c.shards.FailOver(context.Background(), 0, shardhost.Ownership{}, 1); err == nil {
 		t.Fatal("claimed under a version that is gone")
 	}
 	if got, err := state.Get(context.Background(), statestore.Urgent("test"), record.ShardKey(0)); err != nil || got.Version != e.Version {
@@ -94,7 +95,7 @@
 	state := testkit.NewState()
 	c := newTest(t, state)
 	setViewsAsOf(c, time.Now())
-	if err := c.failOver(ctx, 0, record.Versioned[record.Shard]{}, 1); err != nil {
+	if err := c.shards.FailOver(ctx, 0, shardhost.Ownership{}, 1); err != nil {
 		t.Fatal(err)
 	}
 	e := state.Put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"m"}})
@@ -103,14 +104,14 @@
 	r := w.Report()
 	r.Addr = "" // nothing is sent straight to it
 	c.mu.Lock()
-	c.serveHeartbeatLocked(c.shards[0], &r, time.Now())
+	c.serveHeartbeatLocked(c.shards.GetLocked(0), &r, time.Now())
 	c.mu.Unlock()
 	// held is an answer kept back that is due after the lease's last renewal.
 	held := func(renewed time.Time) (starts int) {
 		got := make(chan transport.Response, 1)
 		c.mu.Lock()
 		setLeaseRenewed(c, renewed)
-		c.longPolls.ParkLocked(c.shards[0], "m", time.Hour, func(r transport.Response) { got <- r })
+		c.longPolls.ParkLocked(c.shards.GetLocked(0), "m", time.Hour, func(r transport.Response) { got <- r })
 		c.longPolls.ReleaseLocked("m", time.Now())
 		c.mu.Unlock()
 		o, _ := (<-got).Body.(wire.Orders)
--- a/internal/controller/messages_test.go
+++ b/internal/controller/messages_test.go
@@ -14,6 +14,7 @@
 	"bramblespur/internal/config"
 	"bramblespur/internal/controller/messagecheck"
 	"bramblespur/internal/controller/rejectlog"
+	"bramblespur/internal/controller/shardhost"
 	"bramblespur/internal/controller/transport"
 	"bramblespur/internal/controller/workerapi"
 	"bramblespur/internal/httpwire"
@@ -39,7 +40,7 @@
 	c := newTest(t, state)
 	c.store = store
 	setViewsAsOf(c, time.Now())
-	if err := c.failOver(context.Background(), 0, record.Versioned[record.Shard]{}, 1); err != nil {
+	if err := c.shards.FailOver(context.Background(), 0, shardhost.Ownership{}, 1); err != nil {
 		t.Fatal(err)
 	}
 	return c
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -180,7 +180,7 @@
 func (k *cluster) homeOf(label string) int {
 	c := k.process(label).c
 	for part := range k.params.Count {
-		if c.preferredOwner(part) == label {
+		if c.shards.PreferredOwner(part) == label {
 			return part
 		}
 	}
--- a/internal/controller/ready.go
+++ b/internal/controller/ready.go
@@ -22,7 +22,7 @@
 // One that reaches neither the state service nor any other controller is rather
 // partitioned itself. The shards' lock is held.
 func (c *Controller) servesUsers(now time.Time) bool {
-	if c.schedulerConfig == nil || c.lease.Current().ID == 0 || !c.activeJobs.Loaded() {
+	if c.shards.SchedulerConfigLocked() == nil || c.lease.Current().ID == 0 || !c.activeJobs.Loaded() {
 		return false
 	}
 	if c.leaseCertain(now) {
--- a/internal/controller/reconciliation_host.go
+++ b/internal/controller/reconciliation_host.go
@@ -15,7 +15,9 @@
 // Unlock releases it.
 func (h reconciliationHost) Unlock() { h.c.mu.Unlock() }
 
-func (h reconciliationHost) OwnedShardsLocked() map[int]*scheduler.Shard { return h.c.shards }
+func (h reconciliationHost) OwnedShardsLocked() map[int]*scheduler.Shard {
+	return h.c.shards.OwnedLocked()
+}
 
 func (h reconciliationHost) Incarnation() uint64 { return h.c.lease.Current().Incarnation }
 
--- /dev/null
+++ b/internal/controller/shard_environment.go
@@ -0,0 +1,148 @@
+package controller
+
+import (
+	"context"
+	"encoding/json"
+	"strings"
+	"time"
+
+	"bramblespur/internal/agent"
+	"bramblespur/internal/cloud"
+	"bramblespur/internal/controller/clusterview"
+	"bramblespur/internal/controller/membership"
+	"bramblespur/internal/controller/shardhost"
+	"bramblespur/internal/record"
+	"bramblespur/internal/scheduler"
+	"bramblespur/internal/statestore"
+	"bramblespur/internal/wire"
+)
+
+// shardEnvironment is the controller as the host of its shards sees it.
+type shardEnvironment struct{ c *Controller }
+
+var _ shardhost.Environment = shardEnvironment{}
+
+func (e shardEnvironment) Lifetime() context.Context { return e.c.life }
+func (e shardEnvironment) Store() statestore.Store   { return e.c.store }
+func (e shardEnvironment) Agents() agent.API         { return e.c.agents }
+func (e shardEnvironment) Cloud() cloud.API          { return e.c.cloud }
+
+func (e shardEnvironment) CheckResponse(machine string, err error, check func() error) error {
+	return e.c.messages.Reply("reply of a worker", machine, err, check)
+}
+
+func (e shardEnvironment) PipelineEnds(ctx context.Context, pipeline *record.Pipeline, active []string) ([]record.PipelineJobEnd, error) {
+	return e.c.terminalStates.MissingPipelineEnds(ctx, e.c.store, statestore.Urgent("read back"), pipeline, active)
+}
+
+// ownershipOf returns a viewed ownership record as the host of shards knows it.
+func ownershipOf(viewed record.Versioned[record.Shard]) shardhost.Ownership {
+	return shardhost.Ownership{Shard: viewed.Rec, Version: viewed.Version}
+}
+
+func (e shardEnvironment) OwnershipLocked(id int) (shardhost.Ownership, bool) {
+	viewed, known := e.c.cluster.Shard(id)
+	return ownershipOf(viewed), known
+}
+
+func (e shardEnvironment) SetOwnershipLocked(id int, rec record.Shard, version uint64) {
+	e.c.setShardRecordLocked(id, rec, version)
+}
+
+func (e shardEnvironment) OwnersLocked() map[int]string { return e.c.cluster.Owners() }
+
+func (e shardEnvironment) LiveMembersLocked() []string { return e.c.cluster.LiveMembers() }
+
+func (e shardEnvironment) ViewLocked(now time.Time) (known, recent bool) {
+	return e.c.cluster.Loaded(), now.Sub(e.c.cluster.AsOf()) < 2*e.c.watchWait()
+}
+
+func (e shardEnvironment) MachinesOfShardLocked(id int) []clusterview.Machine {
+	return e.c.machines.OfShard(id)
+}
+
+func (e shardEnvironment) ActiveJobLocked(ref string) (shard int, version uint64, known bool) {
+	job, known := e.c.activeJobs.Job(ref)
+	return job.Shard, job.Version, known
+}
+
+func (e shardEnvironment) InheritDependenciesLocked(shard *scheduler.Shard) {
+	for _, ref := range e.c.activeJobs.OfShard(shard.ID()) {
+		shard.SetInheritedClaim(ref, e.c.activeJobs.Claim(ref))
+	}
+}
+
+func (e shardEnvironment) UpgradedLocked() bool       { return e.c.allUpgraded() }
+func (e shardEnvironment) AllRangesSizedLocked() bool { return e.c.sizedRangesRequired() }
+
+func (e shardEnvironment) Incarnation() uint64             { return e.c.lease.Current().Incarnation }
+func (e shardEnvironment) LeaseTime() time.Duration        { return membership.LeaseTTL }
+func (e shardEnvironment) LeaseCertain(now time.Time) bool { return e.c.leaseCertain(now) }
+
+func (e shardEnvironment) MayStartTasksLocked(now time.Time) bool {
+	return !e.c.activeJobsStale(now) && e.c.leaseCertain(now)
+}
+
+func (e shardEnvironment) UptimeLocked(now time.Time) time.Duration { return now.Sub(e.c.startedAt) }
+
+func (e shardEnvironment) DataLossDetectionEnabled() bool { return e.c.dataLoss.Enabled() }
+func (e shardEnvironment) SafeModeLocked() bool           { return e.c.dataLoss.ActiveLocked() }
+
+func (e shardEnvironment) NoticeOlderLocked(key string, held, found uint64, now time.Time) {
+	e.c.dataLoss.ReportIfStaleLocked(key, held, found, now)
+}
+
+func (e shardEnvironment) ConfirmReread(ctx context.Context, shard *scheduler.Shard, key string, entry *wire.Entry) (bool, error) {
+	return e.c.staleReads.CheckReread(ctx, shard, key, entry)
+}
+
+func (e shardEnvironment) LookUpMissingRecords(shard *scheduler.Shard, task scheduler.Unrecorded) {
+	e.c.staleReads.LookUpMissing(shard, task)
+}
+
+func (e shardEnvironment) AcquiredLocked(shard *scheduler.Shard, now time.Time) {
+	e.c.reconciliation.BeginLocked(shard, now)
+}
+
+func (e shardEnvironment) BeforeStepLocked(shard *scheduler.Shard) {
+	e.c.drainer.RefreshCordonsLocked(shard)
+}
+
+func (e shardEnvironment) AfterStepLocked(interruptions []scheduler.Interruption, contradictions []scheduler.Contradiction, now time.Time) {
+	e.c.drainer.RecordInterruptionsLocked(interruptions, now)
+	e.c.reconciliation.RecordContradictionsLocked(contradictions)
+}
+
+func (e shardEnvironment) CommittedLocked(txn wire.Txn, revision uint64, now time.Time) {
+	e.c.applyOwnWrites(txn, revision, now)
+}
+
+func (e shardEnvironment) RespondToParkedLocked(machine string, now time.Time) bool {
+	if !e.c.longPolls.ParkedLocked(machine) {
+		return false
+	}
+	e.c.longPolls.ReleaseLocked(machine, now)
+	return true
+}
+
+// applyOwnWrites brings what a transaction of ours changed to this controller's own
+// views, ahead of the watch. The lock is held.
+func (c *Controller) applyOwnWrites(t wire.Txn, rev uint64, now time.Time) {
+	for _, op := range t.Then {
+		e := wire.Change{Put: op.Put, Value: op.Value, Delete: op.Delete, Version: rev}
+		switch key := op.Put + op.Delete; {
+		case strings.HasPrefix(key, record.FleetPrefix):
+			c.applyMachineChangesLocked([]wire.Change{e}, now)
+		case strings.HasPrefix(key, record.ActiveJobPrefix):
+			c.applyActiveJobChangeLocked(e, now)
+		case strings.HasPrefix(key, record.FinishedJobPrefix):
+			var j record.FinishedJob
+			if err := json.Unmarshal(op.Value, &j); err != nil {
+				c.log.Error("final record", "key", key, "err", err)
+				continue
+			}
+			c.notifyDependents(record.LastElement(key), op)
+			c.dependencyEnded(record.LastElement(key), j, now)
+		}
+	}
+}
--- a/internal/controller/shard_transfer.go
+++ b/internal/controller/shard_transfer.go
@@ -12,8 +12,8 @@
 // the token with it, so the shard is dropped first. The shards' lock is held.
 func (c *Controller) transferBack(ctx context.Context, id int) {
 	r, _ := c.cluster.Shard(id)
-	home := c.preferredOwner(id)
-	if c.shards[id] == nil || home == c.cfg.Label {
+	home := c.shards.PreferredOwner(id)
+	if c.shards.GetLocked(id) == nil || home == c.cfg.Label {
 		return
 	}
 	go func() {
@@ -22,6 +22,6 @@
 			Then: []wire.Op{{Put: record.ShardKey(id), Value: record.Encode(record.Shard{TransferTo: home})}},
 		})
 		c.log.Info("shard transferred back", "shard", id, "to", home, "err", err)
-		c.rereadShardRecord(id)
+		c.shards.RereadOwnership(id)
 	}()
 }
--- /dev/null
+++ b/internal/controller/shardhost/acquire.go
@@ -0,0 +1,162 @@
+package shardhost
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"time"
+
+	"bramblespur/internal/record"
+	"bramblespur/internal/retry"
+	"bramblespur/internal/scheduler"
+	"bramblespur/internal/statestore"
+	"bramblespur/internal/wire"
+)
+
+// Reasons why an acquisition that began came to nothing.
+var (
+	// ErrLostWhileLoading: another controller has written the ownership record while this one
+	// read the shard's records.
+	ErrLostWhileLoading = errors.New("shard lost while loading")
+	// ErrSafeModeBegan: data loss was noticed while the shard was loaded.
+	ErrSafeModeBegan = errors.New("safe mode began")
+)
+
+// AcquiredByOtherError says that a shard which has been loaded has a later owner.
+type AcquiredByOtherError struct {
+	Owner string
+	Token uint64 // its fencing token
+}
+
+// Error implements error.
+func (e *AcquiredByOtherError) Error() string {
+	return fmt.Sprintf("acquired by %s meanwhile under token %d", e.Owner, e.Token)
+}
+
+// loadRetry is the pause before a shard's records are read again; readRetry is the same for
+// records that a hosted shard needs, and typesRetry for machine types.
+const (
+	loadRetry  = 300 * time.Millisecond
+	readRetry  = 400 * time.Millisecond
+	typesRetry = time.Second
+)
+
+// AcquireLocked begins to acquire a shard in the background.
+func (h *Host) AcquireLocked(ctx context.Context, id int, reason Reason) {
+	h.acquiring[id] = true
+	seen, _ := h.env.OwnershipLocked(id)
+	incarnation := h.env.Incarnation()
+	h.log.Debug("acquiring shard", "shard", id, "reason", reason)
+	go func() {
+		err := h.FailOver(ctx, id, seen, incarnation)
+		h.mu.Lock()
+		delete(h.acquiring, id)
+		h.mu.Unlock()
+		if err != nil {
+			h.log.Info("shard not acquired", "shard", id, "reason", reason, "err", err)
+		}
+	}()
+}
+
+// FailOver acquires a shard whose ownership record is still the one that was seen, reads its
+// records and begins to serve it.
+func (h *Host) FailOver(ctx context.Context, id int, seen Ownership, incarnation uint64) error {
+	token, err := h.recordOwnership(ctx, id, seen, incarnation)
+	if err != nil {
+		return fmt.Errorf("record ownership: %w", err)
+	}
+	shard, err := h.loadUntilLost(ctx, id, token)
+	if err != nil {
+		return err
+	}
+	return h.install(ctx, shard)
+}
+
+// loadUntilLost loads a shard under its token, again and again until that succeeds or the
+// token is outdated.
+func (h *Host) loadUntilLost(ctx context.Context, id int, token uint64) (*scheduler.Shard, error) {
+	h.mu.Lock()
+	config := h.schedulerConfig
+	h.mu.Unlock()
+	for ctx.Err() == nil {
+		shard, err := h.load(ctx, config, id, token)
+		if err == nil {
+			return shard, nil
+		}
+		h.log.Info("shard not loaded yet", "shard", id, "err", err)
+		if !retry.Sleep(ctx, retry.Jitter(loadRetry)) {
+			break
+		}
+		if h.ownershipVersion(id) > token {
+			return nil, ErrLostWhileLoading
+		}
+	}
+	return nil, ctx.Err()
+}
+
+func (h *Host) ownershipVersion(id int) uint64 {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	ownership, _ := h.env.OwnershipLocked(id)
+	return ownership.Version
+}
+
+// recordOwnership writes this controller as a shard's owner and returns the fencing token. If
+// that fails, the ownership record is read for what stands in the way.
+func (h *Host) recordOwnership(ctx context.Context, id int, seen Ownership, incarnation uint64) (token uint64, err error) {
+	key := record.ShardKey(id)
+	rec := record.Shard{Owner: h.settings.Label, Incarnation: incarnation}
+	token, err = h.env.Store().Txn(ctx, statestore.Urgent("claim"), wire.Txn{
+		If:   []wire.Condition{{Key: key, Version: seen.Version}},
+		Then: []wire.Op{{Put: key, Value: record.Encode(rec)}},
+	})
+	if err == nil {
+		h.setOwnership(id, rec, token)
+		return token, nil
+	}
+	entry, readErr := h.env.Store().Get(ctx, statestore.Urgent("claim"), key)
+	var current record.Shard
+	if readErr == nil && json.Unmarshal(entry.Value, &current) == nil {
+		h.setOwnership(id, current, entry.Version)
+	}
+	return 0, err
+}
+
+func (h *Host) setOwnership(id int, rec record.Shard, version uint64) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.env.SetOwnershipLocked(id, rec, version)
+}
+
+// install begins to serve a shard that was loaded under its token, unless it has a later owner
+// by now.
+func (h *Host) install(ctx context.Context, shard *scheduler.Shard) error {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.env.SafeModeLocked() {
+		return ErrSafeModeBegan
+	}
+	if current, _ := h.env.OwnershipLocked(shard.ID()); current.Version > shard.Token() {
+		return &AcquiredByOtherError{Owner: current.Owner, Token: current.Version}
+	}
+	h.ServeLocked(shard)
+	now := time.Now()
+	h.applyViewsLocked(shard, now)
+	h.log.Info("shard acquired", "shard", shard.ID(), "token", shard.Token())
+	h.env.AcquiredLocked(shard, now)
+	h.StepLocked(shard, now)
+	go h.rereadActiveJobs(ctx, shard)
+	return nil
+}
+
+// applyViewsLocked brings a shard up to the views, which may have moved on while its records
+// were read.
+func (h *Host) applyViewsLocked(shard *scheduler.Shard, now time.Time) {
+	for _, machine := range h.env.MachinesOfShardLocked(shard.ID()) {
+		if err := shard.SetMachine(machine.ID, machine.View, now); err != nil {
+			h.log.Error("machine not applied", "shard", shard.ID(), "machine", machine.ID, "err", err)
+		}
+	}
+	h.env.InheritDependenciesLocked(shard)
+}
--- /dev/null
+++ b/internal/controller/shardhost/commit.go
@@ -0,0 +1,62 @@
+package shardhost
+
+import (
+	"errors"
+	"time"
+
+	"bramblespur/internal/scheduler"
+	"bramblespur/internal/statestore"
+)
+
+// outcome is what became of a transaction at the state service.
+type outcome int
+
+const (
+	applied  outcome = iota
+	conflict         // a condition did not hold; nothing was written
+	refused          // over the rate: nothing was written, and it may come again
+	invalid          // over a limit on sizes: nothing was written, and it would be refused again
+	unknown          // no response: it may have been applied, or may be yet
+)
+
+// outcomeOf returns what an error of the state service says of a transaction, with the keys
+// whose conditions did not hold.
+func outcomeOf(err error) (o outcome, conflictingKeys []string) {
+	var conflictErr *statestore.ConflictError
+	switch {
+	case err == nil:
+		return applied, nil
+	case errors.As(err, &conflictErr):
+		return conflict, conflictErr.Keys
+	case errors.Is(err, statestore.ErrRefused):
+		return refused, nil
+	case errors.Is(err, statestore.ErrInvalid):
+		return invalid, nil
+	}
+	return unknown, nil
+}
+
+// commit carries a shard's transaction out and tells the shard the outcome.
+func (h *Host) commit(shard *scheduler.Shard, txn *scheduler.Txn) {
+	use := statestore.Purpose{Name: txn.Purpose, Routine: txn.Routine}
+	revision, err := h.env.Store().Txn(h.env.Lifetime(), use, txn.Body)
+	result, keys := outcomeOf(err)
+	h.Update(shard, func(now time.Time) {
+		switch result {
+		case applied:
+			shard.Applied(txn, revision, now)
+			h.env.CommittedLocked(txn.Body, revision, now)
+		case conflict:
+			h.log.Debug("transaction conflict", "shard", shard.ID(), "keys", keys)
+			shard.Conflict(txn, keys, now)
+		case refused:
+			shard.Refused(txn, now)
+		case invalid:
+			h.log.Error("transaction invalid: writing less from now on", "shard", shard.ID(), "purpose", txn.Purpose, "err", err)
+			shard.TooLarge(txn, now)
+		case unknown:
+			h.log.Info("transaction outcome unknown", "shard", shard.ID(), "err", err)
+			shard.Unknown(txn, now)
+		}
+	})
+}
--- /dev/null
+++ b/internal/controller/shardhost/commit_test.go
@@ -0,0 +1,49 @@
+package shardhost
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"testing"
+
+	"bramblespur/internal/httpwire"
+	"bramblespur/internal/scheduler"
+	"bramblespur/internal/statestore"
+)
+
+// What is not known to have been refused may have been applied.
+func TestOutcomeOf(t *testing.T) {
+	for _, x := range []struct {
+		err  error
+		want outcome
+		keys []string
+	}{
+		{nil, applied, nil},
+		{fmt.Errorf("txn: %w", &statestore.ConflictError{Keys: []string{"a", "b"}}), conflict, []string{"a", "b"}},
+		{fmt.Errorf("txn: %w", statestore.ErrRefused), refused, nil},
+		{fmt.Errorf("txn: %w", statestore.ErrInvalid), invalid, nil},
+		{errors.New("connection reset"), unknown, nil},
+	} {
+		if got, keys := outcomeOf(x.err); got != x.want || !slices.Equal(keys, x.keys) {
+			t.Errorf("%v: %v %v, want %v %v", x.err, got, keys, x.want, x.keys)
+		}
+	}
+}
+
+// A command without a response may have been executed.
+func TestPushOutcome(t *testing.T) {
+	for _, x := range []struct {
+		executed bool
+		err      error
+		want     scheduler.CommandOutcome
+	}{
+		{true, nil, scheduler.Executed},
+		{false, nil, scheduler.Refused},
+		{false, fmt.Errorf("dial: %w", httpwire.ErrNotSent), scheduler.NotSent},
+		{false, errors.New("timeout"), scheduler.NoAnswer},
+	} {
+		if got := pushOutcome(x.executed, x.err); got != x.want {
+			t.Errorf("%v, %v: %v, want %v", x.executed, x.err, got, x.want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/controller/shardhost/load.go
@@ -0,0 +1,111 @@
+package shardhost
+
+import (
+	"context"
+	"encoding/json"
+	"slices"
+	"time"
+
+	"bramblespur/internal/record"
+	"bramblespur/internal/retry"
+	"bramblespur/internal/scheduler"
+	"bramblespur/internal/statestore"
+	"bramblespur/internal/wire"
+)
+
+// load reads the records of a shard and makes it, under a fencing token.
+func (h *Host) load(ctx context.Context, config *scheduler.Config, id int, token uint64) (*scheduler.Shard, error) {
+	use := statestore.Urgent("take over")
+	machines, err := ReadMachines(ctx, h.env.Store(), use)
+	if err != nil {
+		return nil, err
+	}
+	activeJobs, _, err := h.env.Store().List(ctx, use, record.ActiveJobPrefix)
+	if err != nil {
+		return nil, err
+	}
+	placements, _, err := h.env.Store().List(ctx, use, record.ShardPlacementsPrefix(id))
+	if err != nil {
+		return nil, err
+	}
+	shard := scheduler.New(config, id, token)
+	activeJobs = h.prepare(shard, activeJobs)
+	return shard, shard.Load(machines, activeJobs, placements, time.Now())
+}
+
+// prepare tells a shard how records are to be read and written, and returns the records of
+// active jobs that are not known to be other shards'.
+func (h *Host) prepare(shard *scheduler.Shard, activeJobs []wire.Entry) []wire.Entry {
+	if h.env.DataLossDetectionEnabled() {
+		shard.DetectDataLoss()
+	}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.env.UpgradedLocked() {
+		shard.AllowSizedRanges()
+	}
+	if h.env.AllRangesSizedLocked() {
+		shard.UseSizedRanges() // before it writes anything
+	}
+	return slices.DeleteFunc(activeJobs, func(job wire.Entry) bool {
+		return h.belongsToOtherShardLocked(job, shard.ID())
+	})
+}
+
+// ReadMachines reads the records of all machines.
+func ReadMachines(ctx context.Context, store statestore.Store, use statestore.Purpose) (*record.Fleet, error) {
+	entries, _, err := store.List(ctx, use, record.FleetPrefix)
+	if err != nil {
+		return nil, err
+	}
+	machines := record.NewFleet()
+	for _, entry := range entries {
+		if _, err := machines.Apply(entry.Change()); err != nil {
+			return nil, err
+		}
+	}
+	return machines, nil
+}
+
+// belongsToOtherShardLocked reports whether an active job's record is one that the view holds,
+// and another shard's: it need not be decoded to tell.
+func (h *Host) belongsToOtherShardLocked(job wire.Entry, id int) bool {
+	shard, version, known := h.env.ActiveJobLocked(record.LastElement(job.Key))
+	return known && version == job.Version && shard != id
+}
+
+// rereadActiveJobs reads the active jobs once more after an acquisition: nobody was told of
+// one accepted between the first reading and the moment from which the shard was served.
+func (h *Host) rereadActiveJobs(ctx context.Context, shard *scheduler.Shard) {
+	for ctx.Err() == nil {
+		jobs, _, err := h.env.Store().List(ctx, statestore.Urgent("take over"), record.ActiveJobPrefix)
+		if err == nil {
+			h.addMissedJobs(shard, jobs)
+			return
+		}
+		retry.Sleep(ctx, retry.Jitter(loadRetry))
+	}
+}
+
+// addMissedJobs tells a shard of those of its active jobs that it does not know.
+func (h *Host) addMissedJobs(shard *scheduler.Shard, jobs []wire.Entry) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if !h.ServesLocked(shard) {
+		return
+	}
+	now := time.Now()
+	for _, entry := range jobs {
+		ref := record.LastElement(entry.Key)
+		if shard.KnowsJob(ref, entry.Version) || h.belongsToOtherShardLocked(entry, shard.ID()) {
+			continue
+		}
+		var job record.ActiveJob
+		if err := json.Unmarshal(entry.Value, &job); err != nil {
+			h.log.Error("malformed job record", "job", ref, "err", err)
+			continue
+		}
+		shard.SetJob(ref, job, entry.Version, now)
+	}
+	h.StepLocked(shard, now)
+}
--- /dev/null
+++ b/internal/controller/shardhost/reread.go
@@ -0,0 +1,146 @@
+package shardhost
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"slices"
+	"time"
+
+	"bramblespur/internal/record"
+	"bramblespur/internal/retry"
+	"bramblespur/internal/scheduler"
+	"bramblespur/internal/statestore"
+	"bramblespur/internal/wire"
+)
+
+// ownershipReads is how often the record of a lost shard is tried to be read: the watch tells
+// of it, too.
+const ownershipReads = 10
+
+// RetryWhileServed repeats a read until it succeeds, and reports false if the shard was lost
+// or the controller ended before that.
+func (h *Host) RetryWhileServed(shard *scheduler.Shard, read func(context.Context) error) bool {
+	ctx := h.env.Lifetime()
+	for {
+		if err := read(ctx); err == nil {
+			return true
+		}
+		if !retry.Sleep(ctx, retry.Jitter(readRetry)) || !h.serves(shard) {
+			return false
+		}
+	}
+}
+
+func (h *Host) serves(shard *scheduler.Shard) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.ServesLocked(shard)
+}
+
+// GetIfPresent reads a record, nil if there is none.
+func (h *Host) GetIfPresent(ctx context.Context, key string) (*wire.Entry, error) {
+	entry, err := h.env.Store().Get(ctx, statestore.Urgent("read back"), key)
+	if errors.Is(err, statestore.ErrNotFound) {
+		return nil, nil
+	}
+	if err != nil {
+		return nil, err
+	}
+	return &entry, nil
+}
+
+// rereadRecord reads a record whose version a shard does not know, until that succeeds, and
+// tells the shard what it is.
+func (h *Host) rereadRecord(shard *scheduler.Shard, key string, apply func(entry *wire.Entry, now time.Time) error) {
+	var entry *wire.Entry
+	intact := true
+	read := h.RetryWhileServed(shard, func(ctx context.Context) (err error) {
+		if entry, err = h.GetIfPresent(ctx, key); err != nil {
+			return err
+		}
+		intact, err = h.env.ConfirmReread(ctx, shard, key, entry)
+		return err
+	})
+	if !read || !intact {
+		return
+	}
+	h.Update(shard, func(now time.Time) {
+		if err := apply(entry, now); err != nil {
+			h.log.Error("reread record not applied", "shard", shard.ID(), "key", key, "err", err)
+		}
+	})
+}
+
+// rereadPipeline does the same for a pipeline's record and the terminal states of its jobs
+// that the record does not tell.
+func (h *Host) rereadPipeline(shard *scheduler.Shard, ref string) {
+	var ends []record.PipelineJobEnd
+	var entry *wire.Entry
+	read := h.RetryWhileServed(shard, func(ctx context.Context) (err error) {
+		entry, err = h.GetIfPresent(ctx, record.PipelineKey(ref))
+		if err != nil || entry == nil {
+			return err
+		}
+		ends, err = h.readPipelineEnds(ctx, shard, entry)
+		return err
+	})
+	if !read {
+		return
+	}
+	h.Update(shard, func(now time.Time) {
+		if err := shard.PipelineRead(ref, entry, ends, now); err != nil {
+			h.log.Error("reread record not applied", "shard", shard.ID(), "pipeline", ref, "err", err)
+		}
+	})
+}
+
+// readPipelineEnds reads the terminal states that a pipeline's record does not tell, but for
+// those of jobs that the shard holds, which are active.
+func (h *Host) readPipelineEnds(ctx context.Context, shard *scheduler.Shard, entry *wire.Entry) ([]record.PipelineJobEnd, error) {
+	var pipeline record.Pipeline
+	if err := json.Unmarshal(entry.Value, &pipeline); err != nil {
+		return nil, err
+	}
+	h.mu.Lock()
+	active := slices.DeleteFunc(slices.Clone(pipeline.Jobs), func(job string) bool { return !shard.HasJob(job) })
+	h.mu.Unlock()
+	return h.env.PipelineEnds(ctx, &pipeline, active)
+}
+
+// RereadOwnership reads the ownership record of a shard that was lost, to learn the later
+// owner.
+func (h *Host) RereadOwnership(id int) {
+	ctx := h.env.Lifetime()
+	for range ownershipReads {
+		entry, err := h.env.Store().Get(ctx, statestore.Urgent("read back"), record.ShardKey(id))
+		if err == nil {
+			h.applyOwnership(id, entry)
+			return
+		}
+		if errors.Is(err, statestore.ErrNotFound) {
+			h.mu.Lock()
+			h.noticeOlderOwnershipLocked(id, 0)
+			h.mu.Unlock()
+		}
+		retry.Sleep(ctx, retry.Jitter(readRetry))
+	}
+}
+
+// applyOwnership applies an ownership record that was read.
+func (h *Host) applyOwnership(id int, entry wire.Entry) {
+	var rec record.Shard
+	if err := json.Unmarshal(entry.Value, &rec); err != nil {
+		h.log.Error("malformed shard record", "shard", id, "err", err)
+		return
+	}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.noticeOlderOwnershipLocked(id, entry.Version)
+	h.env.SetOwnershipLocked(id, rec, entry.Version)
+}
+
+func (h *Host) noticeOlderOwnershipLocked(id int, found uint64) {
+	held, _ := h.env.OwnershipLocked(id)
+	h.env.NoticeOlderLocked(record.ShardKey(id), held.Version, found, time.Now())
+}
--- /dev/null
+++ b/internal/controller/shardhost/step.go
@@ -0,0 +1,101 @@
+package shardhost
+
+import (
+	"time"
+
+	"bramblespur/internal/record"
+	"bramblespur/internal/scheduler"
+	"bramblespur/internal/wire"
+)
+
+// StepLocked lets a shard do what is due and carries that out. All input and output happens in
+// goroutines of its own, which end with the controller or once the shard is lost.
+func (h *Host) StepLocked(shard *scheduler.Shard, now time.Time) {
+	if !h.ServesLocked(shard) {
+		return
+	}
+	h.RefreshAuthorityLocked(shard, now)
+	h.env.BeforeStepLocked(shard)
+	effects := shard.Step(now)
+	h.env.AfterStepLocked(effects.Interrupted, effects.Contradictions, now)
+	if shard.OwnershipLost() {
+		h.DropLocked(shard.ID())
+		go h.RereadOwnership(shard.ID())
+	}
+	for _, txn := range effects.Txns {
+		go h.commit(shard, txn)
+	}
+	h.reread(shard, &effects)
+	h.callWorkers(shard, &effects)
+	h.sendStartsLocked(shard, effects.StartsReady, now)
+	h.logEffects(shard, &effects)
+}
+
+// reread reads the records whose versions a shard does not know, and those that may explain a
+// reported task.
+func (h *Host) reread(shard *scheduler.Shard, effects *scheduler.Effects) {
+	for _, ref := range effects.RereadJobs {
+		go h.rereadRecord(shard, record.ActiveJobKey(ref), func(entry *wire.Entry, now time.Time) error {
+			return shard.JobRead(ref, entry, now)
+		})
+	}
+	for _, n := range effects.RereadPlacements {
+		go h.rereadRecord(shard, record.PlacementsKey(shard.ID(), n), func(entry *wire.Entry, now time.Time) error {
+			return shard.PlacementsRead(n, entry, now)
+		})
+	}
+	for _, id := range effects.RereadMachines {
+		go h.rereadRecord(shard, record.OverrideKey(id), func(entry *wire.Entry, now time.Time) error {
+			return shard.MachineRead(id, entry, now)
+		})
+	}
+	for _, ref := range effects.RereadPipelines {
+		go h.rereadPipeline(shard, ref)
+	}
+	for _, task := range effects.Unrecorded {
+		go h.env.LookUpMissingRecords(shard, task)
+	}
+}
+
+// callWorkers sends direct commands, and asks silent machines for their heartbeats.
+func (h *Host) callWorkers(shard *scheduler.Shard, effects *scheduler.Effects) {
+	for _, push := range effects.DirectCommands {
+		go h.sendCommands(shard, push)
+	}
+	for _, probe := range effects.Probes {
+		go h.probeMachine(shard, probe)
+	}
+}
+
+// sendStartsLocked brings starts to machines for which one is ready: with the response to a
+// parked heartbeat where there is one, else by a direct command.
+func (h *Host) sendStartsLocked(shard *scheduler.Shard, machines []string, now time.Time) {
+	for _, id := range machines {
+		if h.env.RespondToParkedLocked(id, now) {
+			continue
+		}
+		if push, ok := shard.DirectStarts(id, now); ok {
+			go h.sendCommands(shard, push)
+		}
+	}
+}
+
+// logEffects logs what has become of machines, jobs and tasks.
+func (h *Host) logEffects(shard *scheduler.Shard, effects *scheduler.Effects) {
+	for _, m := range effects.Released {
+		h.log.Info("machine released", "machine", m.Machine, "shard", shard.ID(), "why", m.Why,
+			"tasks", m.Tasks, "silent", m.Silent.Round(time.Millisecond))
+	}
+	for _, j := range effects.Ended {
+		h.log.Debug("job terminal", "job", j.Ref, "class", j.Class, "state", j.State,
+			"took", j.Took.Round(time.Millisecond), "estimate", j.Estimate,
+			"tasks", j.Tasks, "attempts", j.Attempts)
+	}
+	for _, t := range effects.Started {
+		h.log.Debug("task running", "task", t.Task, "class", t.Class, "machine", t.Machine,
+			"image", t.Image, "gb", t.ImageGB, "cached", t.Cached,
+			"queued", t.Queued.Round(time.Millisecond), "recording", t.Recording.Round(time.Millisecond),
+			"sending", t.Sending.Round(time.Millisecond), "seen", t.Seen.Round(time.Millisecond),
+			"runs", t.Runs.Round(time.Millisecond))
+	}
+}
--- /dev/null
+++ b/internal/controller/tick.go
@@ -0,0 +1,58 @@
+package controller
+
+import (
+	"context"
+	"time"
+
+	"bramblespur/internal/config"
+	"bramblespur/internal/controller/shardhost"
+	"bramblespur/internal/retry"
+)
+
+// tickEvery is the period of the timers of shards, which look at machines as often, and of
+// what else expires.
+const tickEvery = 250 * time.Millisecond
+
+// tickLoop drives the timers until the context ends.
+func (c *Controller) tickLoop(ctx context.Context) {
+	for due := time.Now().Add(tickEvery); retry.Sleep(ctx, tickEvery); due = time.Now().Add(tickEvery) {
+		now := time.Now()
+		c.tick(ctx, now.Sub(due), now)
+	}
+}
+
+// tick lets shards step and acquires those that are due, in one critical section. It came late
+// by a time, which tells how the processor keeps up.
+func (c *Controller) tick(ctx context.Context, late time.Duration, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.overload.Observe(late, now)
+	c.shards.TickLocked(shardhost.Conditions{
+		PartitionedZones: c.partitionedZones(now),
+		Behind:           c.overload.Behind(),
+		WriteBacklog:     c.store.Backlog(),
+	}, now)
+	if !c.dataLoss.ActiveLocked() {
+		c.lookUpDependencies(ctx, now)
+		c.shards.ConsiderAcquisitionsLocked(ctx, now)
+	}
+	c.duties.Grant.ExpireLocked(c.store, c.clusterRates(), c.cfg.Params.Count, now)
+	c.router.ExpireLocked(now)
+	c.renewals.expire(config.Seconds(c.cfg.Params.Workers.LeaseS), now)
+}
+
+// partitionedZones returns the zones of which no controller can be reached: their machines may
+// be silent for this one alone. Where no other controller can be reached at all that goes for
+// this one's own zone, too.
+func (c *Controller) partitionedZones(now time.Time) map[string]bool {
+	partitioned := map[string]bool{c.cfg.Zone: len(c.cfg.Peers) > 0}
+	for _, p := range c.cfg.Peers {
+		if _, ok := partitioned[p.Zone]; !ok {
+			partitioned[p.Zone] = true
+		}
+		if c.peerHealth.Contact(p.Label).Reachable(now) {
+			partitioned[p.Zone], partitioned[c.cfg.Zone] = false, false
+		}
+	}
+	return partitioned
+}
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -33,7 +33,7 @@
 func (u userCluster) MachineTypes() []wire.MachineType {
 	u.c.mu.Lock()
 	defer u.c.mu.Unlock()
-	return u.c.machineTypes
+	return u.c.shards.MachineTypesLocked()
 }
 
 func (u userCluster) ActiveJob(ref string) (userapi.ActiveJob, bool) {
@@ -75,7 +75,7 @@
 	c := u.c
 	c.mu.Lock()
 	job, _ := c.activeJobs.Job(ref)
-	if shard := c.shards[job.Shard]; shard != nil {
+	if shard := c.shards.GetLocked(job.Shard); shard != nil {
 		status, ok := shard.Status(ref)
 		c.mu.Unlock()
 		return status, ok
@@ -128,7 +128,7 @@
 func (c *Controller) Status(ref string) (wire.Status, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, shard := range c.shards {
+	for _, shard := range c.shards.AllLocked() {
 		if status, ok := shard.Status(ref); ok {
 			return status, true
 		}
--- a/internal/controller/view_watches_test.go
+++ b/internal/controller/view_watches_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"bramblespur/internal/controller/shardhost"
 	"bramblespur/internal/record"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/testkit"
@@ -48,7 +49,7 @@
 	provision("r", "m")
 	state.Put(record.OverrideKey("m"), record.Machine{Type: "big", Zone: "z"})
 	state.Put(record.ReleaseKey(9, 9, 9), record.Release{IDs: []string{"x"}})
-	if err := c.failOver(ctx, 0, record.Versioned[record.Shard]{}, 1); err != nil {
+	if err := c.shards.FailOver(ctx, 0, shardhost.Ownership{}, 1); err != nil {
 		t.Fatal(err)
 	}
 	entries, rev, err := state.List(ctx, statestore.Urgent("test"), record.FleetPrefix)
@@ -60,12 +61,12 @@
 	c.applyMachineChange(e.Change(), now)
 	for _, e := range entries { // one by one, as a watch could tell them
 		c.applyMachineChange(e.Change(), now)
-		if shard := c.shards[0]; !shard.HasMachine("m") || !shard.HasMachine("n") {
+		if shard := c.shards.GetLocked(0); !shard.HasMachine("m") || !shard.HasMachine("n") {
 			t.Fatalf("a machine is gone after %s", e.Key)
 		}
 	}
 	c.resetMachines(entries, rev, now)
-	if shard := c.shards[0]; !shard.HasMachine("m") || !shard.HasMachine("n") {
+	if shard := c.shards.GetLocked(0); !shard.HasMachine("m") || !shard.HasMachine("n") {
 		t.Fatal("a machine is gone after the reset")
 	}
 }
