--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,7 +1,14 @@
-// Package controller is the shell round the pure cores: gnet's event loop for
-// users and workers, net/rpc between controllers, the state service, the cloud
-// and the timers. Shared state sits behind one short lock, which is never held
-// across input or output.
+// Package controller composes one controller: it builds the components of the packages below
+// it, wires them, starts them and ends with them. docs/architecture.md tells which component
+// owns which state.
+//
+// What still stands here besides: adapters by which components see each other (*_host.go,
+// shard_environment.go, user_requests.go, membership_process.go), the application of watched
+// records to views and shards, the tick, the dispatch of heartbeats, and lease renewals on other
+// owners' behalf.
+//
+// The outermost lock, mu, is that of the hosted shards (shardhost.Host); the components' own locks
+// are leaves below it. None is held across input or output.
 package controller
 
 import (
@@ -61,7 +68,7 @@
 	teams   []string // names in order
 	userAPI *userapi.API
 
-	// Each of these has a lock of its own, which may be taken under mu, never the other
+	// Each of these has a leaf lock of its own, which may be taken under mu, never the other
 	// way round.
 	lease          membership.Lease
 	member         *membership.Member
@@ -188,6 +195,8 @@
 	c.audit, c.staleReads = dataloss.Audit{Detector: c.dataLoss}, dataloss.StaleReads{Detector: c.dataLoss}
 }
 
+// handle implements transport.Handler: heartbeats and health checks are answered on the event
+// loop, users' requests on goroutines of their own, as far as they are admitted.
 func (c *Controller) handle(req httpwire.Request, answer func(transport.Response)) (transport.Response, bool) {
 	switch {
 	case req.Path == wire.HeartbeatPath && req.Method == "POST":
