--- a/internal/controller/dataloss_host.go
+++ b/internal/controller/dataloss_host.go
@@ -25,27 +25,37 @@
 // Unlock releases it.
 func (h dataLossHost) Unlock() { h.c.mu.Unlock() }
 
+// Context implements dataloss.Host.
 func (h dataLossHost) Context() context.Context { return h.c.life }
 
+// Store implements dataloss.Host.
 func (h dataLossHost) Store() statestore.Store { return h.c.store }
 
+// Agents implements dataloss.Host.
 func (h dataLossHost) Agents() agent.API { return h.c.agents }
 
+// WatchInterval implements dataloss.Host.
 func (h dataLossHost) WatchInterval() time.Duration { return h.c.watchWait() }
 
+// StartedAtLocked implements dataloss.Host.
 func (h dataLossHost) StartedAtLocked() time.Time { return h.c.startedAt }
 
+// IsLeaderLocked implements dataloss.Host.
 func (h dataLossHost) IsLeaderLocked(now time.Time) bool { return h.c.election.IsLeader(now) }
 
+// AllFormatsKnownLocked implements dataloss.Host.
 func (h dataLossHost) AllFormatsKnownLocked() bool { return h.c.allUpgraded() }
 
+// OwnedShardsLocked implements dataloss.Host.
 func (h dataLossHost) OwnedShardsLocked() map[int]*scheduler.Shard { return h.c.shards.OwnedLocked() }
 
+// ReleaseShardsLocked implements dataloss.Host.
 func (h dataLossHost) ReleaseShardsLocked(now time.Time) {
 	h.c.shards.DropAllLocked()
 	h.c.longPolls.ReleaseAllLocked(now)
 }
 
+// ForgetViewsLocked implements dataloss.Host.
 func (h dataLossHost) ForgetViewsLocked() {
 	h.c.cluster.ForgetShards()
 	h.c.machines.Forget()
@@ -56,18 +66,22 @@
 	h.c.startedAt = time.Now()
 }
 
+// ReadFleet implements dataloss.Host.
 func (h dataLossHost) ReadFleet(ctx context.Context, purpose statestore.Purpose) (*record.Fleet, error) {
 	return shardhost.ReadMachines(ctx, h.c.store, purpose)
 }
 
+// GetIfPresent implements dataloss.Host.
 func (h dataLossHost) GetIfPresent(ctx context.Context, key string) (*wire.Entry, error) {
 	return h.c.shards.GetIfPresent(ctx, key)
 }
 
+// RetryWhileOwned implements dataloss.Host.
 func (h dataLossHost) RetryWhileOwned(shard *scheduler.Shard, read func(context.Context) error) bool {
 	return h.c.shards.RetryWhileServed(shard, read)
 }
 
+// UpdateShard implements dataloss.Host.
 func (h dataLossHost) UpdateShard(shard *scheduler.Shard, change func(now time.Time)) {
 	h.c.shards.Update(shard, change)
 }
--- a/internal/controller/drainer_host.go
+++ b/internal/controller/drainer_host.go
@@ -18,16 +18,21 @@
 // Unlock releases it.
 func (h drainerHost) Unlock() { h.c.mu.Unlock() }
 
+// OwnedShardsLocked implements drainer.Host.
 func (h drainerHost) OwnedShardsLocked() map[int]*scheduler.Shard { return h.c.shards.OwnedLocked() }
 
+// StepLocked implements drainer.Host.
 func (h drainerHost) StepLocked(shard *scheduler.Shard, now time.Time) {
 	h.c.shards.StepLocked(shard, now)
 }
 
+// IsLeaderLocked implements drainer.Host.
 func (h drainerHost) IsLeaderLocked(now time.Time) bool { return h.c.election.IsLeader(now) }
 
+// HoldsLease implements drainer.Host.
 func (h drainerHost) HoldsLease(now time.Time) bool { return h.c.leaseCertain(now) }
 
+// Commit implements drainer.Host.
 func (h drainerHost) Commit(ctx context.Context, t wire.Txn) error {
 	revision, err := h.c.store.Txn(ctx, statestore.Routine("drain"), t)
 	if err != nil {
--- a/internal/controller/reconciliation_host.go
+++ b/internal/controller/reconciliation_host.go
@@ -15,10 +15,13 @@
 // Unlock releases it.
 func (h reconciliationHost) Unlock() { h.c.mu.Unlock() }
 
+// OwnedShardsLocked implements reconciliation.Host.
 func (h reconciliationHost) OwnedShardsLocked() map[int]*scheduler.Shard {
 	return h.c.shards.OwnedLocked()
 }
 
+// Incarnation implements reconciliation.Host.
 func (h reconciliationHost) Incarnation() uint64 { return h.c.lease.Current().Incarnation }
 
+// Store implements reconciliation.Host.
 func (h reconciliationHost) Store() statestore.Store { return h.c.store }
--- a/internal/controller/shard_environment.go
+++ b/internal/controller/shard_environment.go
@@ -22,15 +22,24 @@
 
 var _ shardhost.Environment = shardEnvironment{}
 
+// Lifetime implements shardhost.Environment.
 func (e shardEnvironment) Lifetime() context.Context { return e.c.life }
-func (e shardEnvironment) Store() statestore.Store   { return e.c.store }
-func (e shardEnvironment) Agents() agent.API         { return e.c.agents }
-func (e shardEnvironment) Cloud() cloud.API          { return e.c.cloud }
 
+// Store implements shardhost.Environment.
+func (e shardEnvironment) Store() statestore.Store { return e.c.store }
+
+// Agents implements shardhost.Environment.
+func (e shardEnvironment) Agents() agent.API { return e.c.agents }
+
+// Cloud implements shardhost.Environment.
+func (e shardEnvironment) Cloud() cloud.API { return e.c.cloud }
+
+// CheckResponse implements shardhost.Environment.
 func (e shardEnvironment) CheckResponse(machine string, err error, check func() error) error {
 	return e.c.messages.Reply("reply of a worker", machine, err, check)
 }
 
+// PipelineEnds implements shardhost.Environment.
 func (e shardEnvironment) PipelineEnds(ctx context.Context, pipeline *record.Pipeline, active []string) ([]record.PipelineJobEnd, error) {
 	return e.c.terminalStates.MissingPipelineEnds(ctx, e.c.store, statestore.Urgent("read back"), pipeline, active)
 }
@@ -40,83 +49,112 @@
 	return shardhost.Ownership{Shard: viewed.Rec, Version: viewed.Version}
 }
 
+// OwnershipLocked implements shardhost.Environment.
 func (e shardEnvironment) OwnershipLocked(id int) (shardhost.Ownership, bool) {
 	viewed, known := e.c.cluster.Shard(id)
 	return ownershipOf(viewed), known
 }
 
+// SetOwnershipLocked implements shardhost.Environment.
 func (e shardEnvironment) SetOwnershipLocked(id int, rec record.Shard, version uint64) {
 	e.c.setShardRecordLocked(id, rec, version)
 }
 
+// OwnersLocked implements shardhost.Environment.
 func (e shardEnvironment) OwnersLocked() map[int]string { return e.c.cluster.Owners() }
 
+// LiveMembersLocked implements shardhost.Environment.
 func (e shardEnvironment) LiveMembersLocked() []string { return e.c.cluster.LiveMembers() }
 
+// ViewLocked implements shardhost.Environment.
 func (e shardEnvironment) ViewLocked(now time.Time) (known, recent bool) {
 	return e.c.cluster.Loaded(), now.Sub(e.c.cluster.AsOf()) < 2*e.c.watchWait()
 }
 
+// MachinesOfShardLocked implements shardhost.Environment.
 func (e shardEnvironment) MachinesOfShardLocked(id int) []clusterview.Machine {
 	return e.c.machines.OfShard(id)
 }
 
+// ActiveJobLocked implements shardhost.Environment.
 func (e shardEnvironment) ActiveJobLocked(ref string) (shard int, version uint64, known bool) {
 	job, known := e.c.activeJobs.Job(ref)
 	return job.Shard, job.Version, known
 }
 
+// InheritDependenciesLocked implements shardhost.Environment.
 func (e shardEnvironment) InheritDependenciesLocked(shard *scheduler.Shard) {
 	for _, ref := range e.c.activeJobs.OfShard(shard.ID()) {
 		shard.SetInheritedClaim(ref, e.c.activeJobs.Claim(ref))
 	}
 }
 
-func (e shardEnvironment) UpgradedLocked() bool       { return e.c.allUpgraded() }
+// UpgradedLocked implements shardhost.Environment.
+func (e shardEnvironment) UpgradedLocked() bool { return e.c.allUpgraded() }
+
+// AllRangesSizedLocked implements shardhost.Environment.
 func (e shardEnvironment) AllRangesSizedLocked() bool { return e.c.sizedRangesRequired() }
 
-func (e shardEnvironment) Incarnation() uint64             { return e.c.lease.Current().Incarnation }
-func (e shardEnvironment) LeaseTime() time.Duration        { return membership.LeaseTTL }
+// Incarnation implements shardhost.Environment.
+func (e shardEnvironment) Incarnation() uint64 { return e.c.lease.Current().Incarnation }
+
+// LeaseTime implements shardhost.Environment.
+func (e shardEnvironment) LeaseTime() time.Duration { return membership.LeaseTTL }
+
+// LeaseCertain implements shardhost.Environment.
 func (e shardEnvironment) LeaseCertain(now time.Time) bool { return e.c.leaseCertain(now) }
 
+// MayStartTasksLocked implements shardhost.Environment.
 func (e shardEnvironment) MayStartTasksLocked(now time.Time) bool {
 	return !e.c.activeJobsStale(now) && e.c.leaseCertain(now)
 }
 
+// UptimeLocked implements shardhost.Environment.
 func (e shardEnvironment) UptimeLocked(now time.Time) time.Duration { return now.Sub(e.c.startedAt) }
 
+// DataLossDetectionEnabled implements shardhost.Environment.
 func (e shardEnvironment) DataLossDetectionEnabled() bool { return e.c.dataLoss.Enabled() }
-func (e shardEnvironment) SafeModeLocked() bool           { return e.c.dataLoss.ActiveLocked() }
 
+// SafeModeLocked implements shardhost.Environment.
+func (e shardEnvironment) SafeModeLocked() bool { return e.c.dataLoss.ActiveLocked() }
+
+// NoticeOlderLocked implements shardhost.Environment.
 func (e shardEnvironment) NoticeOlderLocked(key string, held, found uint64, now time.Time) {
 	e.c.dataLoss.ReportIfStaleLocked(key, held, found, now)
 }
 
+// ConfirmReread implements shardhost.Environment.
 func (e shardEnvironment) ConfirmReread(ctx context.Context, shard *scheduler.Shard, key string, entry *wire.Entry) (bool, error) {
 	return e.c.staleReads.CheckReread(ctx, shard, key, entry)
 }
 
+// LookUpMissingRecords implements shardhost.Environment.
 func (e shardEnvironment) LookUpMissingRecords(shard *scheduler.Shard, task scheduler.Unrecorded) {
 	e.c.staleReads.LookUpMissing(shard, task)
 }
 
+// AcquiredLocked implements shardhost.Environment.
 func (e shardEnvironment) AcquiredLocked(shard *scheduler.Shard, now time.Time) {
 	e.c.reconciliation.BeginLocked(shard, now)
 }
 
+// BeforeStepLocked implements shardhost.Environment.
 func (e shardEnvironment) BeforeStepLocked(shard *scheduler.Shard) {
 	e.c.drainer.RefreshCordonsLocked(shard)
 }
 
+// AfterStepLocked implements shardhost.Environment.
 func (e shardEnvironment) AfterStepLocked(interruptions []scheduler.Interruption, contradictions []scheduler.Contradiction, now time.Time) {
 	e.c.drainer.RecordInterruptionsLocked(interruptions, now)
 	e.c.reconciliation.RecordContradictionsLocked(contradictions)
 }
 
+// CommittedLocked implements shardhost.Environment.
 func (e shardEnvironment) CommittedLocked(txn wire.Txn, revision uint64, now time.Time) {
 	e.c.applyOwnWrites(txn, revision, now)
 }
 
+// RespondToParkedLocked implements shardhost.Environment.
 func (e shardEnvironment) RespondToParkedLocked(machine string, now time.Time) bool {
 	if !e.c.longPolls.ParkedLocked(machine) {
 		return false
--- a/internal/controller/transport/server.go
+++ b/internal/controller/transport/server.go
@@ -202,8 +202,17 @@
 // gnetLogger writes gnet's own messages to the project's log.
 type gnetLogger struct{ log *slog.Logger }
 
+// Debugf implements logging.Logger of gnet.
 func (g gnetLogger) Debugf(format string, args ...any) { g.log.Debug(fmt.Sprintf(format, args...)) }
-func (g gnetLogger) Infof(format string, args ...any)  { g.log.Debug(fmt.Sprintf(format, args...)) }
-func (g gnetLogger) Warnf(format string, args ...any)  { g.log.Info(fmt.Sprintf(format, args...)) }
+
+// Infof implements logging.Logger of gnet.
+func (g gnetLogger) Infof(format string, args ...any) { g.log.Debug(fmt.Sprintf(format, args...)) }
+
+// Warnf implements logging.Logger of gnet.
+func (g gnetLogger) Warnf(format string, args ...any) { g.log.Info(fmt.Sprintf(format, args...)) }
+
+// Errorf implements logging.Logger of gnet.
 func (g gnetLogger) Errorf(format string, args ...any) { g.log.Error(fmt.Sprintf(format, args...)) }
+
+// Fatalf implements logging.Logger of gnet.
 func (g gnetLogger) Fatalf(format string, args ...any) { g.log.Error(fmt.Sprintf(format, args...)) }
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -23,19 +23,32 @@
 
 var _ userapi.Cluster = userCluster{}
 
+// StateService implements userapi.Cluster.
 func (u userCluster) StateService() statestore.Store { return u.c.store }
-func (u userCluster) Context() context.Context       { return u.c.life }
-func (u userCluster) WriteLimits() config.State      { return u.c.writeLimits() }
-func (u userCluster) LeaseOverdue() bool             { return u.c.leaseOverdue() }
-func (u userCluster) LeaseLost() bool                { return u.c.leaseLost() }
-func (u userCluster) InSafeMode() bool               { return u.c.dataLoss.Active() }
 
+// Context implements userapi.Cluster.
+func (u userCluster) Context() context.Context { return u.c.life }
+
+// WriteLimits implements userapi.Cluster.
+func (u userCluster) WriteLimits() config.State { return u.c.writeLimits() }
+
+// LeaseOverdue implements userapi.Cluster.
+func (u userCluster) LeaseOverdue() bool { return u.c.leaseOverdue() }
+
+// LeaseLost implements userapi.Cluster.
+func (u userCluster) LeaseLost() bool { return u.c.leaseLost() }
+
+// InSafeMode implements userapi.Cluster.
+func (u userCluster) InSafeMode() bool { return u.c.dataLoss.Active() }
+
+// MachineTypes implements userapi.Cluster.
 func (u userCluster) MachineTypes() []wire.MachineType {
 	u.c.mu.Lock()
 	defer u.c.mu.Unlock()
 	return u.c.shards.MachineTypesLocked()
 }
 
+// ActiveJob implements userapi.Cluster.
 func (u userCluster) ActiveJob(ref string) (userapi.ActiveJob, bool) {
 	u.c.mu.Lock()
 	defer u.c.mu.Unlock()
@@ -43,6 +56,7 @@
 	return userapi.ActiveJob{Version: job.Version, Cancelled: job.Cancelled, Service: job.Service}, active
 }
 
+// CancellationPending implements userapi.Cluster.
 func (u userCluster) CancellationPending(ref string) bool {
 	u.c.mu.Lock()
 	defer u.c.mu.Unlock()
@@ -50,22 +64,27 @@
 	return job.Cancelled && !u.c.activeJobsStale(time.Now())
 }
 
+// Terminal implements userapi.Cluster.
 func (u userCluster) Terminal(ref string) <-chan struct{} {
 	u.c.mu.Lock()
 	defer u.c.mu.Unlock()
 	return u.c.activeJobs.Ended(ref)
 }
 
+// BaselineOf implements userapi.Cluster.
 func (u userCluster) BaselineOf(ref string) dataloss.Baseline { return u.c.staleReads.BaselineOf(ref) }
 
+// CheckActiveJob implements userapi.Cluster.
 func (u userCluster) CheckActiveJob(ref string, known dataloss.Baseline, found uint64) error {
 	return u.c.staleReads.CheckActiveJob(ref, known, found)
 }
 
+// CheckMissingJob implements userapi.Cluster.
 func (u userCluster) CheckMissingJob(ref string, known dataloss.Baseline) error {
 	return u.c.staleReads.CheckMissingJob(ref, known)
 }
 
+// NotifyOwner implements userapi.Cluster.
 func (u userCluster) NotifyOwner(shard int, t wire.Txn, revision uint64) {
 	u.c.notifyOwner(shard, t, revision)
 }
