--- a/internal/controller/cluster_process_test.go
+++ b/internal/controller/cluster_process_test.go
@@ -89,7 +89,7 @@
 		r := h.Sync(args.(peer.SyncArgs))
 		return func() { *result.(*peer.SyncReply) = r }, nil
 	case "Nudge":
-		h.Nudge(args.(peer.NotifyArgs))
+		h.ReceiveJobRecord(args.(peer.NotifyArgs))
 		return func() {}, nil
 	case "Report":
 		r := h.Report(args.(wire.Heartbeat))
--- a/internal/controller/dependency_tracking_test.go
+++ b/internal/controller/dependency_tracking_test.go
@@ -160,7 +160,7 @@
 	}
 	// One end is told by its owner, the other only by the state service.
 	endedAs(t, state, "run-000001", wire.Done)
-	c.Nudge(peer.NotifyArgs{Key: record.FinishedJobKey("run-000001"), Value: record.Encode(record.FinishedJob{State: wire.Done})})
+	c.ReceiveJobRecord(peer.NotifyArgs{Key: record.FinishedJobKey("run-000001"), Value: record.Encode(record.FinishedJob{State: wire.Done})})
 	if got := shard.Dependencies(); len(got) != 1 || got[0] != "run-000002" {
 		t.Fatalf("waits for %v after it was told of the first", got)
 	}
@@ -172,7 +172,7 @@
 	}
 	// What is not known yet is asked for again, not taken for done.
 	other.submit(body(t, set("ref", "run-000004")))
-	c.Nudge(peer.NotifyArgs{Key: record.ActiveJobKey("run-000005"), Version: 99,
+	c.ReceiveJobRecord(peer.NotifyArgs{Key: record.ActiveJobKey("run-000005"), Version: 99,
 		Value: record.Encode(record.ActiveJob{Spec: wire.Spec{Ref: "run-000005", Tasks: 1, DependsOn: []string{"run-000004"}}, AwaitsDependencies: true})})
 	c.lookUpDependency(context.Background(), "run-000004", nil)
 	if got := shard.Dependencies(); len(got) != 1 {
--- a/internal/controller/job_notifications.go
+++ b/internal/controller/job_notifications.go
@@ -36,11 +36,11 @@
 	}
 }
 
-// Nudge implements peer.Handler: a job's record, active or terminal, as the sender has
+// ReceiveJobRecord implements peer.Handler: a job's record, active or terminal, as the sender has
 // just written it.
 //
 // Upgrade: the first version takes records of active jobs only and passes over others.
-func (c *Controller) Nudge(a peer.NotifyArgs) {
+func (c *Controller) ReceiveJobRecord(a peer.NotifyArgs) {
 	switch {
 	case strings.HasPrefix(a.Key, record.ActiveJobPrefix):
 		c.applyActiveJobChange(wire.Change{Put: a.Key, Value: a.Value, Version: a.Version}, time.Now())
--- a/internal/controller/messages_test.go
+++ b/internal/controller/messages_test.go
@@ -127,7 +127,7 @@
 		for _, key := range []string{record.ActiveJobKey("run-000001"), record.FinishedJobKey("run-000001")} {
 			a := peer.NotifyArgs{Key: key, Value: body, Version: 1}
 			if c.Check(a) == nil {
-				c.Nudge(a)
+				c.ReceiveJobRecord(a)
 			}
 		}
 		c.mu.Lock() // it is free
--- a/internal/peer/server_test.go
+++ b/internal/peer/server_test.go
@@ -35,7 +35,7 @@
 	s.malformed++
 }
 
-func (s *scripted) Nudge(NotifyArgs) {
+func (s *scripted) ReceiveJobRecord(NotifyArgs) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nudges++
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -13,7 +13,7 @@
 	// Malformed is told of a call that could not be read, and of a refused connection.
 	Malformed(from string, err error)
 	Sync(SyncArgs) SyncReply
-	Nudge(NotifyArgs)
+	ReceiveJobRecord(NotifyArgs)
 	Report(wire.Heartbeat) HeartbeatReply
 	Status(ref string) (wire.Status, bool)
 	User(UserArgs) UserReply
@@ -37,12 +37,12 @@
 	return nil
 }
 
-// Nudge serves Handler.Nudge.
+// Nudge serves Handler.ReceiveJobRecord under the name that other versions call.
 func (s *Service) Nudge(a NotifyArgs, _ *struct{}) error {
 	if err := s.handler.Check(a); err != nil {
 		return err
 	}
-	s.handler.Nudge(a)
+	s.handler.ReceiveJobRecord(a)
 	return nil
 }
 
