--- a/internal/drain/ledgers.go
+++ b/internal/drain/ledgers.go
@@ -60,11 +60,11 @@
 
 // CloseRecovered closes what has recovered of a shard's disruptions, and takes back grants of drains
 // that are over which have stopped nothing.
-func (l *Ledgers) CloseRecovered(part int, fate func(Disruption) Outcome, now time.Time) {
+func (l *Ledgers) CloseRecovered(shard int, fate func(Disruption) Outcome, now time.Time) {
 	for _, team := range l.teams() {
 		ledger := l.of(team)
 		for _, d := range ledger.Clone().Open {
-			if d.Shard != part {
+			if d.Shard != shard {
 				continue
 			}
 			switch fate(d) {
@@ -111,9 +111,9 @@
 }
 
 // PendingEvictions returns the grants of a shard that its owner has to carry out.
-func (v *View) PendingEvictions(part int) []Disruption {
+func (v *View) PendingEvictions(shard int) []Disruption {
 	var out []Disruption
-	for _, d := range v.openDisruptions(part) {
+	for _, d := range v.openDisruptions(shard) {
 		if d.Drain != "" && v.evictionPending(d) {
 			out = append(out, d)
 		}
--- a/internal/drain/view.go
+++ b/internal/drain/view.go
@@ -51,8 +51,8 @@
 func ParticipantKey(label string) string { return ParticipantPrefix + label }
 
 // ProgressKey names the record of what a shard did for a drain.
-func ProgressKey(name string, part int) string {
-	return ProgressPrefix + name + "/" + strconv.Itoa(part)
+func ProgressKey(name string, shard int) string {
+	return ProgressPrefix + name + "/" + strconv.Itoa(shard)
 }
 
 // Cordon is a machine that takes no new work, for a drain.
@@ -249,11 +249,11 @@
 func (v *View) Ledger(team string) Versioned[Ledger] { return v.ledgers[ledgerName(team)] }
 
 // openDisruptions returns the open disruptions of a shard.
-func (v *View) openDisruptions(part int) []Disruption {
+func (v *View) openDisruptions(shard int) []Disruption {
 	var out []Disruption
 	for _, name := range slices.Sorted(maps.Keys(v.ledgers)) {
 		for _, d := range v.ledgers[name].Rec.Open {
-			if d.Shard == part {
+			if d.Shard == shard {
 				out = append(out, d)
 			}
 		}
@@ -262,8 +262,8 @@
 }
 
 // Progress returns what a shard did for a drain.
-func (v *View) Progress(name string, part int) Versioned[Progress] {
-	return v.progress[ProgressKey(name, part)]
+func (v *View) Progress(name string, shard int) Versioned[Progress] {
+	return v.progress[ProgressKey(name, shard)]
 }
 
 // AllProgress returns what all shards did for a drain, in the order of their keys.
--- a/internal/drainctl/status.go
+++ b/internal/drainctl/status.go
@@ -136,7 +136,7 @@
 	return out
 }
 
-// addProgress sums up what the parts did.
+// addProgress sums up what the shards did.
 func (s *Status) addProgress(v *drain.View) {
 	teams := map[string]*TeamStatus{}
 	held := map[drain.HoldReason]float64{}
--- a/internal/drainreport/report.go
+++ b/internal/drainreport/report.go
@@ -37,23 +37,23 @@
 	return r
 }
 
-// together adds up the courses of all parts, each as it last was.
+// together adds up the courses of all shards, each as it last was.
 func together(courses []drain.Progress) []drain.Sample {
 	type moment struct {
-		part  int
+		shard int
 		point drain.Sample
 	}
 	var all []moment
-	for part, c := range courses {
+	for shard, c := range courses {
 		for _, p := range c.Samples {
-			all = append(all, moment{part, p})
+			all = append(all, moment{shard, p})
 		}
 	}
 	slices.SortStableFunc(all, func(a, b moment) int { return cmp.Compare(a.point.At, b.point.At) })
 	last := make([]drain.Sample, len(courses))
 	var out []drain.Sample
 	for _, m := range all {
-		last[m.part] = m.point
+		last[m.shard] = m.point
 		out = append(out, sum(m.point.At, last))
 	}
 	return out
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -147,7 +147,7 @@
 // Share returns a team's share.
 func (p *Policy) Share(t Team) float64 { return p.share.value(t, positive) }
 
-// Headroom returns how many unused machines a part should have.
+// Headroom returns how many unused machines a shard should have.
 func (p *Policy) Headroom(a Arrivals) float64 { return p.headroom.value(a, notNegative) }
 
 // IdleS returns how long an unused machine is kept, in seconds.
--- a/internal/record/machine.go
+++ b/internal/record/machine.go
@@ -46,7 +46,7 @@
 	case err != nil:
 		return Provision{}, err
 	case len(p.IDs) > len(p.Shards):
-		return Provision{}, fmt.Errorf("%s: %d machines for %d parts", e.Put, len(p.IDs), len(p.Shards))
+		return Provision{}, fmt.Errorf("%s: %d machines for %d shards", e.Put, len(p.IDs), len(p.Shards))
 	case len(p.Addrs) > 0 && len(p.Addrs) != len(p.IDs):
 		return Provision{}, fmt.Errorf("%s: %d addresses of %d machines", e.Put, len(p.Addrs), len(p.IDs))
 	}
--- a/internal/recovery/plan_placements.go
+++ b/internal/recovery/plan_placements.go
@@ -14,7 +14,7 @@
 
 // placementIndex is what the planned records of placements tell.
 type placementIndex struct {
-	nextSlot map[int]int // by shard, the number of the next record
+	nextRecord map[int]int // by shard, the number of the next record
 	jobs     map[string]bool
 	running  map[string]record.TaskPlacement // by task
 	done     map[string]bool
@@ -24,19 +24,19 @@
 
 // indexPlacements reads the planned records of placements.
 func (p *planner) indexPlacements() *placementIndex {
-	k := &placementIndex{nextSlot: map[int]int{}, jobs: map[string]bool{}, running: map[string]record.TaskPlacement{}, done: map[string]bool{},
+	k := &placementIndex{nextRecord: map[int]int{}, jobs: map[string]bool{}, running: map[string]record.TaskPlacement{}, done: map[string]bool{},
 		turnOf: map[string]int{}, complete: map[int]bool{}}
 	for key := range p.Held {
-		if part, _, ok := parsePlacementsKey(key); ok {
-			k.complete[part] = true
+		if shard, _, ok := parsePlacementsKey(key); ok {
+			k.complete[shard] = true
 		}
 	}
 	for key, i := range p.items {
-		part, n, ok := parsePlacementsKey(key)
+		shard, n, ok := parsePlacementsKey(key)
 		if !ok {
 			continue
 		}
-		k.nextSlot[part] = max(k.nextSlot[part], n+1)
+		k.nextRecord[shard] = max(k.nextRecord[shard], n+1)
 		value := i.Put
 		if value == nil {
 			value = p.Store[key].Value
@@ -46,7 +46,7 @@
 			continue
 		}
 		k.add(&s)
-		if !k.complete[part] {
+		if !k.complete[shard] {
 			p.raiseAttempts(key, i, s)
 		}
 	}
@@ -104,12 +104,12 @@
 }
 
 // parsePlacementsKey splits the key of a record of placements.
-func parsePlacementsKey(key string) (part, n int, ok bool) {
+func parsePlacementsKey(key string) (shard, n int, ok bool) {
 	if !strings.HasPrefix(key, record.PlacementsPrefix) {
 		return 0, 0, false
 	}
-	got, err := fmt.Sscanf(key, record.PlacementsPrefix+"%d/%d", &part, &n)
-	return part, n, err == nil && got == 2
+	got, err := fmt.Sscanf(key, record.PlacementsPrefix+"%d/%d", &shard, &n)
+	return shard, n, err == nil && got == 2
 }
 
 // unrecordedTask is a task that a worker has and the records do not.
@@ -124,7 +124,7 @@
 // heard one with an attempt above all that were used.
 func (p *planner) planPlacements() {
 	k := p.indexPlacements()
-	byPart := map[int][]unrecordedTask{}
+	byShard := map[int][]unrecordedTask{}
 	for _, id := range slices.Sorted(maps.Keys(p.Heartbeats)) {
 		report := p.Heartbeats[id]
 		for _, t := range report.Tasks {
@@ -134,27 +134,27 @@
 			if !ok || !open || t.State == wire.Exited || i >= o.Spec.Tasks || k.done[t.Task] || k.running[t.Task] == place {
 				continue
 			}
-			byPart[o.Shard] = append(byPart[o.Shard], unrecordedTask{ref, i, place})
+			byShard[o.Shard] = append(byShard[o.Shard], unrecordedTask{ref, i, place})
 		}
 	}
 	jobs := map[int][]string{}
 	for _, ref := range slices.Sorted(maps.Keys(p.activeJobs)) {
-		part := p.activeJobs[ref].Shard
-		jobs[part] = append(jobs[part], ref)
+		shard := p.activeJobs[ref].Shard
+		jobs[shard] = append(jobs[shard], ref)
 	}
-	for _, part := range slices.Sorted(maps.Keys(jobs)) {
-		p.planShardPlacements(part, byPart[part], jobs[part], k)
+	for _, shard := range slices.Sorted(maps.Keys(jobs)) {
+		p.planShardPlacements(shard, byShard[shard], jobs[shard], k)
 	}
 }
 
 // planShardPlacements writes the additional records of a shard.
-func (p *planner) planShardPlacements(part int, tasks []unrecordedTask, jobs []string, k *placementIndex) {
-	w := placementsWriter{p: p, shard: part, next: k.nextSlot[part]}
+func (p *planner) planShardPlacements(shard int, tasks []unrecordedTask, jobs []string, k *placementIndex) {
+	w := placementsWriter{p: p, shard: shard, next: k.nextRecord[shard]}
 	turn := int(p.Mode.Floor) + 1
 	for _, t := range tasks {
 		w.add(record.RangeName(t.ref, t.index), record.TaskRange{Attempt: p.Mode.Floor, Placed: map[int]record.TaskPlacement{t.index: t.place}, Size: 1, Generation: turn + 1})
 	}
-	if !k.complete[part] {
+	if !k.complete[shard] {
 		w.flush() // a range of all tasks may have the name of one of a single task
 		for _, ref := range jobs {
 			if !k.jobs[ref] {
--- a/internal/scheduler/record_writes.go
+++ b/internal/scheduler/record_writes.go
@@ -246,8 +246,8 @@
 }
 
 // overrideRecord is a machine's own record, with as many of its latest images as it holds.
-func (s *Shard) overrideRecord(m *Machine, part int) record.Machine {
-	rec := record.Machine{Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot, Shard: part, CreatedAt: m.provisionedAt.UnixMilli()}
+func (s *Shard) overrideRecord(m *Machine, shard int) record.Machine {
+	rec := record.Machine{Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot, Shard: shard, CreatedAt: m.provisionedAt.UnixMilli()}
 	last := func(n int) any {
 		r := rec
 		r.Images = m.images[len(m.images)-n:]
