--- a/internal/recovery/plan_placements.go
+++ b/internal/recovery/plan_placements.go
@@ -15,11 +15,11 @@
 // placementIndex is what the planned records of placements tell.
 type placementIndex struct {
 	nextRecord map[int]int // by shard, the number of the next record
-	jobs     map[string]bool
-	running  map[string]record.TaskPlacement // by task
-	done     map[string]bool
-	turnOf   map[string]int // of the range that tells a task
-	complete map[int]bool   // shards whose owner told all of its records
+	jobs       map[string]bool
+	running    map[string]record.TaskPlacement // by task
+	done       map[string]bool
+	turnOf     map[string]int // of the range that tells a task
+	complete   map[int]bool   // shards whose owner told all of its records
 }
 
 // indexPlacements reads the planned records of placements.
