--- a/internal/controller/account_test.go
+++ b/internal/controller/account_test.go
@@ -161,9 +161,9 @@
 	return int64(m.HeapAlloc)
 }
 
-// BenchmarkHeld tells what a controller with the largest fleet holds, by what it is for,
+// BenchmarkParkedResponses tells what a controller with the largest fleet holds, by what it is for,
 // in bytes; what the runtime holds besides is told by its own counters.
-func BenchmarkHeld(b *testing.B) {
+func BenchmarkParkedResponses(b *testing.B) {
 	for b.Loop() {
 		c, _, workers := fleetController(b, accountMachines, accountJobs)
 		met(b, c, workers)
@@ -183,10 +183,10 @@
 	}
 }
 
-// BenchmarkTakeOver is a claim of the largest fleet: all records read and decoded. With
+// BenchmarkFailover is a claim of the largest fleet: all records read and decoded. With
 // the collector as it is deployed it tells, in bytes, what the process holds at most, the
 // scripted peers included, and what the runtime says of it.
-func BenchmarkTakeOver(b *testing.B) {
+func BenchmarkFailover(b *testing.B) {
 	const deployedPercent = 400
 	defer debug.SetGCPercent(debug.SetGCPercent(deployedPercent))
 	c, state, _ := fleetController(b, accountMachines, accountJobs)
@@ -225,8 +225,8 @@
 	}
 }
 
-// BenchmarkWholeReport is a report with two tasks, from its body to its answer's.
-func BenchmarkWholeReport(b *testing.B) {
+// BenchmarkWholeHeartbeat is a report with two tasks, from its body to its answer's.
+func BenchmarkWholeHeartbeat(b *testing.B) {
 	c, _, workers := fleetController(b, accountMachines, accountJobs)
 	met(b, c, workers)
 	var bodies [][]byte
@@ -300,9 +300,9 @@
 	}
 }
 
-// BenchmarkPolls is the comparison and the answer of a poll of an open job, where as many
+// BenchmarkStatusQueries is the comparison and the answer of a poll of an open job, where as many
 // wait for one request.
-func BenchmarkPolls(b *testing.B) {
+func BenchmarkStatusQueries(b *testing.B) {
 	const together = 10
 	c, _, workers := fleetController(b, accountMachines, accountJobs)
 	met(b, c, workers)
--- a/internal/controller/bounds_test.go
+++ b/internal/controller/bounds_test.go
@@ -38,7 +38,7 @@
 func bubble(t *testing.T, f func(t *testing.T)) { synctest.Test(t, f) }
 
 // A take-over decodes what is the part's own, and that once.
-func TestTakeOverAllocations(t *testing.T) {
+func TestFailoverAllocations(t *testing.T) {
 	const size = 200
 	measure := func(foreign int) (allocs float64) {
 		bubble(t, func(t *testing.T) {
@@ -91,7 +91,7 @@
 
 // A poll of an open job costs few allocations and its part of one request, whatever is
 // open besides; one of a job that is over costs no request.
-func TestPollAllocations(t *testing.T) {
+func TestStatusQueryAllocations(t *testing.T) {
 	for _, jobs := range []int{40, 400} {
 		bubble(t, func(t *testing.T) {
 			c, state, _ := fleetController(t, 40, jobs)
--- a/internal/controller/drains_failures_test.go
+++ b/internal/controller/drains_failures_test.go
@@ -151,7 +151,7 @@
 }
 
 // Parts change owners while their machines are drained.
-func TestDrainWhilePartsChangeOwners(t *testing.T) {
+func TestDrainWhileShardsChangeOwners(t *testing.T) {
 	drainWithTrouble(t, func(k *drainCluster) {
 		k.awaitGrant()
 		before := k.ownerOf("wide")
--- a/internal/controller/lean_test.go
+++ b/internal/controller/lean_test.go
@@ -54,7 +54,7 @@
 
 // A report that tells nothing new asks nothing of the state service, and its way
 // through the controller costs the same allocations whatever the fleet's size.
-func TestReportOnItsWay(t *testing.T) {
+func TestRelayedHeartbeatCosts(t *testing.T) {
 	for _, machines := range []int{40, 400} {
 		c, state, workers := fleetController(t, machines, 0)
 		w := workers[0]
@@ -96,7 +96,7 @@
 
 // A controller that takes a part over reads each kind of record once, and the open
 // jobs once more.
-func TestRecordsReadInATakeOver(t *testing.T) {
+func TestRecordsReadInAFailover(t *testing.T) {
 	c, state, _ := fleetController(t, 200, 0)
 	c.submit(body(t, nil))
 	c.mu.Lock()
--- a/internal/controller/meetings_links_test.go
+++ b/internal/controller/meetings_links_test.go
@@ -38,7 +38,7 @@
 
 // A worker's report is held back until a new owner has acted, and arrives there
 // then; or old reports reach every controller just as the new owner begins.
-func TestReportsReachNewOwnerLate(t *testing.T) {
+func TestHeartbeatsReachNewOwnerLate(t *testing.T) {
 	for _, after := range []time.Duration{0, 300 * time.Millisecond, 3 * time.Second} {
 		t.Run(after.String(), func(t *testing.T) {
 			meet(t, func(k *cluster) {
@@ -63,7 +63,7 @@
 }
 
 // Copies of reports of an earlier session and of earlier attempts come after newer ones.
-func TestReportsOfEarlierSessions(t *testing.T) {
+func TestHeartbeatsOfEarlierIncarnations(t *testing.T) {
 	meet(t, func(k *cluster) {
 		k.load()
 		on := k.running(ref(arrayJob), 4)
@@ -107,7 +107,7 @@
 }
 
 // A command or its answer is held up for seconds, and the machine then goes on.
-func TestCommandsHeldUp(t *testing.T) {
+func TestDelayedCommands(t *testing.T) {
 	for name, match := range map[string]func(k *cluster, ids func(string) bool) func(from, to string) bool{
 		"command": func(k *cluster, ids func(string) bool) func(from, to string) bool {
 			return func(from, to string) bool { return k.controllers(from) && ids(to) }
@@ -193,7 +193,7 @@
 // A start that was sent straight to a worker is held up on its way, while the
 // machine's reports and their answers pass, and comes after its job was cancelled:
 // a report without the task must not count as proof that it is gone.
-func TestDirectStartsHeldUp(t *testing.T) {
+func TestDelayedDirectStarts(t *testing.T) {
 	for name, change := range map[string]bool{"same owner": false, "next owner": true} {
 		t.Run(name, func(t *testing.T) {
 			meet(t, func(k *cluster) {
@@ -226,7 +226,7 @@
 // A controller loses its workers and the other controllers but not the state
 // service: others take its parts over while it lives, and its workers may still run
 // what it started last.
-func TestDeafOwner(t *testing.T) {
+func TestIsolatedOwner(t *testing.T) {
 	for _, hold := range []bool{false, true} {
 		t.Run(fmt.Sprintf("hold-%t", hold), func(t *testing.T) {
 			meet(t, func(k *cluster) {
--- a/internal/controller/meetings_restarts_test.go
+++ b/internal/controller/meetings_restarts_test.go
@@ -154,7 +154,7 @@
 }
 
 // Jobs are cancelled in the seconds in which one controller's work changes hands.
-func TestCancelWhileAPartChangesHands(t *testing.T) {
+func TestCancelWhileAShardIsTransferred(t *testing.T) {
 	for _, lag := range []time.Duration{0, 2 * time.Second, 4 * time.Second, 4800 * time.Millisecond} {
 		t.Run(lag.String(), func(t *testing.T) {
 			meet(t, func(k *cluster) {
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -86,7 +86,7 @@
 }
 
 // The same while copies of reports come late, to all, within the outage and before.
-func TestRefusedAloneThenOutageWithLateReports(t *testing.T) {
+func TestRefusedAloneThenOutageWithLateHeartbeats(t *testing.T) {
 	meet(t, func(k *cluster) {
 		gap(k, 6*time.Second, func(string) {
 			old := k.reports()
@@ -133,7 +133,7 @@
 
 // The same while direct starts are on their way: held by the network until the
 // outage, and carried out then if their worker still takes them.
-func TestRefusedAloneThenOutageWithHeldCommands(t *testing.T) {
+func TestRefusedAloneThenOutageWithDelayedCommands(t *testing.T) {
 	meet(t, func(k *cluster) {
 		gap(k, 6*time.Second, func(owner string) {
 			heal := k.world.Net.Cut(&testkit.Cut{Match: func(from, to string) bool { return from == owner && k.machines(to) }, Hold: true})
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -17,7 +17,7 @@
 // Who claims what: a restarted controller its own part at once, even while its
 // earlier lease stands; a dead owner's part the live one, unless it has only begun
 // and the owner may have restarted with it; nobody a live owner's.
-func TestWhoClaims(t *testing.T) {
+func TestWhoAcquires(t *testing.T) {
 	for name, x := range map[string]struct {
 		rec     record.Shard
 		members []string
@@ -62,7 +62,7 @@
 
 // A claim makes this controller the owner under a new token; a claim by
 // somebody else ends that.
-func TestClaimAndLoss(t *testing.T) {
+func TestAcquisitionAndLoss(t *testing.T) {
 	state := testkit.NewState()
 	c := newTest(t, state)
 	c.submit(body(t, nil))
--- a/internal/controller/messages_test.go
+++ b/internal/controller/messages_test.go
@@ -62,7 +62,7 @@
 
 // Reports that make no sense are answered 400 at once and logged once for each machine;
 // they change nothing that is remembered.
-func TestSenselessReportsAreAnswered(t *testing.T) {
+func TestInvalidHeartbeatsAreAnswered(t *testing.T) {
 	c := newOwner(t)
 	out := logged(c)
 	for _, body := range []string{
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -46,7 +46,7 @@
 // A controller that falls behind for minutes hands its part to one that keeps up, and
 // the lead, too. The part goes home once it has kept up for a while, and not before: as
 // its home has nothing to do meanwhile, it keeps up though it would fall behind again.
-func TestOverloadedControllerHandsItsPartsOver(t *testing.T) {
+func TestOverloadedControllerTransfersItsShards(t *testing.T) {
 	for name, leads := range map[string]bool{"the leader": true, "another": false} {
 		t.Run(name, func(t *testing.T) {
 			meet(t, func(k *cluster) {
@@ -117,7 +117,7 @@
 
 // Where all controllers fall behind nobody keeps up better, so that parts stay where
 // they are and somebody leads.
-func TestNobodyTakesOverWhereAllAreOverloaded(t *testing.T) {
+func TestNoFailoverWhereAllAreOverloaded(t *testing.T) {
 	meet(t, func(k *cluster) {
 		k.load()
 		owners := map[int]string{}
@@ -140,7 +140,7 @@
 
 // A strained controller answers reports at once, since a held answer costs it
 // a timer and another turn.
-func TestStrainedHoldsNoAnswers(t *testing.T) {
+func TestStrainedParksNoResponses(t *testing.T) {
 	play(t, near(1), func(k *cluster) {
 		k.load()
 		var label string
--- a/internal/controller/restarts_test.go
+++ b/internal/controller/restarts_test.go
@@ -344,7 +344,7 @@
 
 // One controller does not pace its orders, as one of the production version beside ours: the
 // others keep to their shares, and all settle.
-func TestRestartBesideOneThatIsNotPaced(t *testing.T) {
+func TestRestartBesideOneWithoutRateLimit(t *testing.T) {
 	for name, l := range layouts {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/controller/saturated_test.go
+++ b/internal/controller/saturated_test.go
@@ -38,7 +38,7 @@
 
 // However busy the state service is, a poll learns of an end within the time that
 // its user waits: else every poll fails, and comes again.
-func TestPollLearnsOfAnEndWhileTheBudgetIsUsedUp(t *testing.T) {
+func TestStatusQueryLearnsOfAnEndWhileTheQuotaIsUsedUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		state := testkit.NewState()
 		state.Put(record.FinishedJobKey("run-000412"), record.FinishedJob{State: wire.Done, Tasks: 2})
--- a/internal/peer/server_test.go
+++ b/internal/peer/server_test.go
@@ -195,7 +195,7 @@
 }
 
 // Answers without end are given up.
-func TestEndlessAnswersAreGivenUp(t *testing.T) {
+func TestEndlessResponsesAreDropped(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
 	go func() {
--- a/internal/recovery/plan_test.go
+++ b/internal/recovery/plan_test.go
@@ -149,7 +149,7 @@
 
 // What a worker runs counts before an older record of placements, and no attempt that may have
 // been used is used again.
-func TestReportsCountBeforeOlderPlacements(t *testing.T) {
+func TestHeartbeatsCountBeforeOlderPlacements(t *testing.T) {
 	old := record.Placements{Format: record.SizedRanges, Ranges: map[string]record.TaskRange{
 		record.RangeName(testJob, 0): {Attempt: 2, Size: 3, Generation: 1, Placed: map[int]record.TaskPlacement{0: {Machine: "m1", Attempt: 1}, 1: {Machine: "m2", Attempt: 2}}}}}
 	e := Evidence{Mode: SafeMode{Active: true, Floor: 60}, Store: entries(9, map[string]any{record.ActiveJobKey(testJob): openJob(false)}),
--- a/internal/scheduler/restart_test.go
+++ b/internal/scheduler/restart_test.go
@@ -75,7 +75,7 @@
 
 // A full fleet that reports at once after a restart gets its orders within the bound, and
 // still has them all well within the time to settle.
-func TestLargestFleetRestartsWithinThePace(t *testing.T) {
+func TestLargestFleetRestartsWithinTheRateLimit(t *testing.T) {
 	p := ratelimit.New(ratelimit.Settings{})
 	r := newBusyRestart(t, manyMachines, p)
 	peak, took := r.run()
