--- a/internal/controller/lean_test.go
+++ b/internal/controller/lean_test.go
@@ -54,7 +54,7 @@
 
 // A report that tells nothing new asks nothing of the state service, and its way
 // through the controller costs the same allocations whatever the fleet's size.
-func TestRelayedHeartbeatCosts(t *testing.T) {
+func TestHeartbeatCostsTheSameInAnyFleet(t *testing.T) {
 	for _, machines := range []int{40, 400} {
 		c, state, workers := fleetController(t, machines, 0)
 		w := workers[0]
