--- a/cmd/bramblespurctl/restart.go
+++ b/cmd/bramblespurctl/restart.go
@@ -13,6 +13,7 @@
 
 	"bramblespur/internal/restartctl"
 	"bramblespur/internal/restartreport"
+	"bramblespur/internal/retry"
 )
 
 // followEvery is how often "restart show --follow" looks again.
@@ -68,7 +69,7 @@
 				if err := t.print(out, e, func() { writeRestart(out, e) }); err != nil {
 					return err
 				}
-				if !follow || e.CompletedAt != 0 || !pause(cmd.Context(), followEvery) {
+				if !follow || e.CompletedAt != 0 || !retry.Sleep(cmd.Context(), followEvery) {
 					return nil
 				}
 			}
@@ -78,18 +79,6 @@
 	return cmd
 }
 
-// pause waits, and reports false if the command ends first.
-func pause(ctx context.Context, d time.Duration) bool {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-		return false
-	case <-timer.C:
-		return true
-	}
-}
-
 func (t *tool) restartReportCommand() *cobra.Command {
 	var path string
 	cmd := &cobra.Command{
--- a/cmd/bramblespurctl/snapshot.go
+++ b/cmd/bramblespurctl/snapshot.go
@@ -12,6 +12,7 @@
 
 	"github.com/spf13/cobra"
 
+	"bramblespur/internal/retry"
 	"bramblespur/internal/snapshot"
 )
 
@@ -88,7 +89,7 @@
 
 // sleepFor waits unless the context ends first.
 func sleepFor(ctx context.Context, d time.Duration) error {
-	if !pause(ctx, d) {
+	if !retry.Sleep(ctx, d) {
 		return ctx.Err()
 	}
 	return nil
@@ -122,7 +123,7 @@
 		if err != nil {
 			fmt.Fprintln(cmd.ErrOrStderr(), "bramblespurctl:", err)
 		}
-		if !pause(ctx, every-t.now().Sub(began)) {
+		if !retry.Sleep(ctx, every-t.now().Sub(began)) {
 			return nil
 		}
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -182,7 +182,7 @@
 	c.router = workerapi.NewRouter(c.cfg, c.cluster, c.peerHealth, &c.lease, workerHost{c}, c.log)
 	c.longPolls = workerapi.NewLongPolls(workerHost{c}, c.mu)
 	c.member = c.newMember()
-	c.election = election.New(c.cfg.Label, currentStore{c}, &c.lease, c.cluster, c.mu, c.log)
+	c.election = election.New(c.cfg.Label, c.currentStore, &c.lease, c.cluster, c.mu, c.log)
 	c.rejections = rejectlog.New(c.log)
 	c.messages = messagecheck.New(&c.cfg.Params, c.rejections)
 	c.overload = overload.NewDetector(c.log, c.cfg.Params.Resources.CPUShare, membership.LeaseTTL)
@@ -190,8 +190,7 @@
 	c.duties = leader.New(leaderHost{c}, c.cfg, c.policy, c.log)
 	c.drainer = drainer.New(drainerHost{c}, c.cluster, c.machines, c.cfg, c.log)
 	c.reconciliation = reconciliation.NewTracker(reconciliationHost{c}, c.machines, c.cfg, c.log)
-	c.dataLoss = dataloss.NewDetector(dataLossHost{c}, dataloss.Views{Cluster: c.cluster, Machines: c.machines,
-		ActiveJobs: c.activeJobs, Terminal: c.terminalStates}, c.cfg, c.log)
+	c.dataLoss = dataloss.NewDetector(dataLossHost{c}, dataloss.Views{Views: *c.views(), Terminal: c.terminalStates}, c.cfg, c.log)
 	c.audit, c.staleReads = dataloss.Audit{Detector: c.dataLoss}, dataloss.StaleReads{Detector: c.dataLoss}
 }
 
--- a/internal/controller/dataloss/audit.go
+++ b/internal/controller/dataloss/audit.go
@@ -80,7 +80,7 @@
 	missing := map[string]uint64{}
 	a.host.Lock()
 	defer a.host.Unlock()
-	for key, held := range a.views.of(prefix).Versions() {
+	for key, held := range a.views.Of(prefix).Versions() {
 		switch found := listed[key]; {
 		case held > revision:
 		case found == 0:
@@ -105,7 +105,7 @@
 func (a Audit) awaitView(ctx context.Context, prefix string, revision uint64) bool {
 	for end := time.Now().Add(auditWatchTurns * a.host.WatchInterval()); time.Now().Before(end); {
 		a.host.Lock()
-		reached := a.views.of(prefix).Revision() >= revision
+		reached := a.views.Of(prefix).Revision() >= revision
 		a.host.Unlock()
 		if reached {
 			return true
--- a/internal/controller/dataloss/detector.go
+++ b/internal/controller/dataloss/detector.go
@@ -75,27 +75,8 @@
 
 // Views are the records that a controller holds.
 type Views struct {
-	Cluster    *clusterview.Cluster
-	Machines   *clusterview.Machines
-	ActiveJobs *clusterview.ActiveJobs
-	Terminal   *terminal.Cache
-}
-
-// view is what all views of a prefix have in common.
-type view interface {
-	Revision() uint64
-	Versions() map[string]uint64
-}
-
-// of returns the view of the records with a prefix.
-func (v *Views) of(prefix string) view {
-	switch prefix {
-	case record.FleetPrefix:
-		return v.Machines
-	case record.ActiveJobPrefix:
-		return v.ActiveJobs
-	}
-	return v.Cluster
+	clusterview.Views
+	Terminal *terminal.Cache
 }
 
 // Detector decides whether the state service has lost data, and holds the safe mode. The shards'
--- a/internal/controller/election/election.go
+++ b/internal/controller/election/election.go
@@ -39,7 +39,7 @@
 // throughout.
 type Election struct {
 	label  string
-	store  statestore.Store
+	store  func() statestore.Store // of the moment: a guard may take its place
 	lease  *membership.Lease
 	view   View
 	shards sync.Locker
@@ -51,7 +51,7 @@
 
 // New returns the part of the process with a label and a lease in the election. The shards'
 // lock is taken where the view changes.
-func New(label string, store statestore.Store, lease *membership.Lease, view View, shards sync.Locker, log *slog.Logger) *Election {
+func New(label string, store func() statestore.Store, lease *membership.Lease, view View, shards sync.Locker, log *slog.Logger) *Election {
 	return &Election{label: label, store: store, lease: lease, view: view, shards: shards, log: log}
 }
 
@@ -83,7 +83,7 @@
 func (e *Election) Campaign(ctx context.Context, incumbent record.Versioned[record.Leader]) {
 	lease := e.lease.Current()
 	leader := record.Leader{Label: e.label, Incarnation: lease.Incarnation}
-	version, err := e.store.Txn(ctx, statestore.Urgent("lead"), wire.Txn{
+	version, err := e.store().Txn(ctx, statestore.Urgent("lead"), wire.Txn{
 		If:   []wire.Condition{{Key: record.LeaderKey, Version: incumbent.Version}},
 		Then: []wire.Op{{Put: record.LeaderKey, Value: record.Encode(leader), Lease: lease.ID}},
 	})
@@ -101,7 +101,7 @@
 func (e *Election) StepDown(ctx context.Context, endTermLocked func()) {
 	version := e.abstain(endTermLocked)
 	e.log.Info("stepping down as leader")
-	if _, err := e.store.Txn(ctx, statestore.Urgent("lead"), wire.Txn{
+	if _, err := e.store().Txn(ctx, statestore.Urgent("lead"), wire.Txn{
 		If: []wire.Condition{{Key: record.LeaderKey, Version: version}}, Then: []wire.Op{{Delete: record.LeaderKey}},
 	}); err != nil {
 		e.log.Info("leader record not deleted", "err", err)
--- a/internal/controller/election/election_test.go
+++ b/internal/controller/election/election_test.go
@@ -29,7 +29,7 @@
 	lease.Grant(membership.LeaseState{ID: 1, Incarnation: incarnation, RenewedAt: time.Now()})
 	view := clusterview.NewCluster()
 	view.SetAsOf(time.Now())
-	return process{New(label, state, lease, view, &sync.Mutex{}, slog.New(slog.DiscardHandler)), view}
+	return process{New(label, func() statestore.Store { return state }, lease, view, &sync.Mutex{}, slog.New(slog.DiscardHandler)), view}
 }
 
 // A leader is one incarnation: after a restart the label alone does not lead,
--- a/internal/controller/membership/formats.go
+++ b/internal/controller/membership/formats.go
@@ -43,7 +43,7 @@
 // same each time.
 func (m *Member) recordFormat(ctx context.Context, label string, format int) bool {
 	key, value := record.FormatKey(label), record.Encode(record.Format{Version: format})
-	revision, err := m.store.Txn(ctx, statestore.Urgent("member"), wire.Txn{Then: []wire.Op{{Put: key, Value: value}}})
+	revision, err := m.store().Txn(ctx, statestore.Urgent("member"), wire.Txn{Then: []wire.Op{{Put: key, Value: value}}})
 	if err != nil {
 		m.log.Debug("format not recorded", "controller", label, "err", err)
 		return false
--- a/internal/controller/membership/member.go
+++ b/internal/controller/membership/member.go
@@ -56,7 +56,7 @@
 // is not held across requests to the state service.
 type Member struct {
 	label   string
-	store   statestore.Store
+	store   func() statestore.Store // of the moment: a guard may take its place
 	lease   *Lease
 	process Process
 	log     *slog.Logger
@@ -67,7 +67,7 @@
 }
 
 // NewMember returns the member of a label that keeps a lease.
-func NewMember(label string, store statestore.Store, lease *Lease, process Process, log *slog.Logger) *Member {
+func NewMember(label string, store func() statestore.Store, lease *Lease, process Process, log *slog.Logger) *Member {
 	return &Member{label: label, store: store, lease: lease, process: process, log: log}
 }
 
@@ -124,7 +124,7 @@
 
 // renew renews the lease once.
 func (m *Member) renew(ctx context.Context, id uint64, sent time.Time) error {
-	err := m.store.Renew(ctx, id)
+	err := m.store().Renew(ctx, id)
 	switch {
 	case err == nil:
 		m.lease.Renewed(id, sent)
@@ -143,7 +143,7 @@
 			return err
 		}
 	}
-	id, err := m.store.Grant(ctx, LeaseTTL)
+	id, err := m.store().Grant(ctx, LeaseTTL)
 	if err != nil {
 		return err
 	}
@@ -161,7 +161,7 @@
 // putRecord writes this process's member record under a lease.
 func (m *Member) putRecord(ctx context.Context, rec record.Member, lease uint64) error {
 	put := wire.Op{Put: record.MemberPrefix + m.label, Value: record.Encode(rec), Lease: lease}
-	_, err := m.store.Txn(ctx, statestore.Urgent("member"), wire.Txn{Then: []wire.Op{put}})
+	_, err := m.store().Txn(ctx, statestore.Urgent("member"), wire.Txn{Then: []wire.Op{put}})
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.recordedAt = time.Now()
--- a/internal/controller/membership_process.go
+++ b/internal/controller/membership_process.go
@@ -16,7 +16,7 @@
 
 // newMember returns the member that stands for this controller.
 func (c *Controller) newMember() *membership.Member {
-	return membership.NewMember(c.cfg.Label, currentStore{c}, &c.lease, memberProcess{c}, c.log)
+	return membership.NewMember(c.cfg.Label, c.currentStore, &c.lease, memberProcess{c}, c.log)
 }
 
 // Strained implements membership.Process.
--- a/internal/controller/shard_environment.go
+++ b/internal/controller/shard_environment.go
@@ -44,15 +44,9 @@
 	return e.c.terminalStates.MissingPipelineEnds(ctx, e.c.store, statestore.Urgent("read back"), pipeline, active)
 }
 
-// ownershipOf returns a viewed ownership record as the host of shards knows it.
-func ownershipOf(viewed record.Versioned[record.Shard]) shardhost.Ownership {
-	return shardhost.Ownership{Shard: viewed.Rec, Version: viewed.Version}
-}
-
 // OwnershipLocked implements shardhost.Environment.
 func (e shardEnvironment) OwnershipLocked(id int) (shardhost.Ownership, bool) {
-	viewed, known := e.c.cluster.Shard(id)
-	return ownershipOf(viewed), known
+	return e.c.cluster.Shard(id)
 }
 
 // SetOwnershipLocked implements shardhost.Environment.
--- a/internal/controller/shardhost/acquire.go
+++ b/internal/controller/shardhost/acquire.go
@@ -138,7 +138,7 @@
 		return ErrSafeModeBegan
 	}
 	if current, _ := h.env.OwnershipLocked(shard.ID()); current.Version > shard.Token() {
-		return &AcquiredByOtherError{Owner: current.Owner, Token: current.Version}
+		return &AcquiredByOtherError{Owner: current.Rec.Owner, Token: current.Version}
 	}
 	h.ServeLocked(shard)
 	now := time.Now()
--- a/internal/controller/shardhost/acquire_test.go
+++ b/internal/controller/shardhost/acquire_test.go
@@ -43,7 +43,7 @@
 	if shard == nil || shard.Token() != entry.Version {
 		t.Fatalf("serves %v, record %+v", shard, entry)
 	}
-	if want := (record.Shard{Owner: "c-0", Incarnation: 7}); env.ownerships[0].Shard != want || len(env.acquired) != 1 {
+	if want := (record.Shard{Owner: "c-0", Incarnation: 7}); env.ownerships[0].Rec != want || len(env.acquired) != 1 {
 		t.Fatalf("owner %+v, want %+v; acquired %v", env.ownerships[0], want, env.acquired)
 	}
 }
@@ -58,7 +58,7 @@
 	if !errors.As(err, &conflict) || served(h) != nil {
 		t.Fatalf("acquired, %v", err)
 	}
-	if got := env.ownerships[0]; got.Owner != "c-1" || got.Version != other.Version {
+	if got := env.ownerships[0]; got.Rec.Owner != "c-1" || got.Version != other.Version {
 		t.Fatalf("knows %+v", got)
 	}
 }
--- a/internal/controller/shardhost/acquisition.go
+++ b/internal/controller/shardhost/acquisition.go
@@ -89,9 +89,9 @@
 // members make alike, falls on it.
 func (c *candidate) decide() Reason {
 	switch {
-	case c.recorded && c.ownership.TransferTo == c.self:
+	case c.recorded && c.ownership.Rec.TransferTo == c.self:
 		return TransferredHere
-	case c.recorded && c.ownership.Owner == c.self:
+	case c.recorded && c.ownership.Rec.Owner == c.self:
 		return OwnedBefore
 	case !c.recorded && c.preferredOwner == c.self:
 		return PreferredHere
@@ -131,7 +131,7 @@
 			preferredOwner:  h.PreferredOwner(id),
 			ownership:       ownership,
 			recorded:        recorded,
-			ownerLives:      slices.Contains(members, ownership.Owner),
+			ownerLives:      slices.Contains(members, ownership.Rec.Owner),
 			uptime:          h.env.UptimeLocked(now),
 			viewRecent:      viewRecent,
 			unrecordedFor:   h.unrecordedForLocked(now),
--- a/internal/controller/shardhost/acquisition_test.go
+++ b/internal/controller/shardhost/acquisition_test.go
@@ -13,7 +13,7 @@
 func deadOwner() candidate {
 	return candidate{
 		self: "c-0", preferredOwner: "c-2",
-		ownership: Ownership{Shard: record.Shard{Owner: "c-2", Incarnation: 1}, Version: 5}, recorded: true,
+		ownership: Ownership{Rec: record.Shard{Owner: "c-2", Incarnation: 1}, Version: 5}, recorded: true,
 		uptime: AcquirePatience, viewRecent: true, firstStartGrace: 20 * time.Second,
 		liveMembers: []string{"c-0", "c-1"}, owners: map[int]string{0: "c-2", 1: "c-1"},
 	}
@@ -37,8 +37,8 @@
 			c.recorded, c.ownership, c.unrecordedFor = false, Ownership{}, c.firstStartGrace
 		}},
 		// These do not wait, whatever else there is.
-		{TransferredHere, func(c *candidate) { c.uptime, c.ownership.Shard = 0, record.Shard{TransferTo: "c-0"} }},
-		{OwnedBefore, func(c *candidate) { c.uptime, c.ownership.Owner, c.ownerLives = 0, "c-0", true }},
+		{TransferredHere, func(c *candidate) { c.uptime, c.ownership.Rec = 0, record.Shard{TransferTo: "c-0"} }},
+		{OwnedBefore, func(c *candidate) { c.uptime, c.ownership.Rec.Owner, c.ownerLives = 0, "c-0", true }},
 		{PreferredHere, func(c *candidate) { c.uptime, c.recorded, c.preferredOwner = 0, false, "c-0" }},
 	} {
 		shard := deadOwner()
--- a/internal/controller/shardhost/commit.go
+++ b/internal/controller/shardhost/commit.go
@@ -19,21 +19,23 @@
 	unknown          // no response: it may have been applied, or may be yet
 )
 
-// outcomeOf returns what an error of the state service says of a transaction, with the keys
-// whose conditions did not hold.
+// outcomeOf tells why a transaction was not applied, beside what statestore.OutcomeOf tells, with
+// the keys whose conditions did not hold.
 func outcomeOf(err error) (o outcome, conflictingKeys []string) {
+	switch statestore.OutcomeOf(err) {
+	case statestore.Applied:
+		return applied, nil
+	case statestore.Unknown:
+		return unknown, nil
+	}
 	var conflictErr *statestore.ConflictError
 	switch {
-	case err == nil:
-		return applied, nil
 	case errors.As(err, &conflictErr):
 		return conflict, conflictErr.Keys
 	case errors.Is(err, statestore.ErrRefused):
 		return refused, nil
-	case errors.Is(err, statestore.ErrInvalid):
-		return invalid, nil
 	}
-	return unknown, nil
+	return invalid, nil
 }
 
 // commit carries a shard's transaction out and tells the shard the outcome.
--- a/internal/controller/shardhost/environment.go
+++ b/internal/controller/shardhost/environment.go
@@ -40,10 +40,7 @@
 
 // Ownership is a shard's ownership record with its revision, which is the owner's fencing
 // token. The zero value stands for a shard without a record.
-type Ownership struct {
-	record.Shard
-	Version uint64
-}
+type Ownership = record.Versioned[record.Shard]
 
 // ClusterView is what this controller knows of the cluster from its watches.
 type ClusterView interface {
--- a/internal/controller/shardhost/harness_test.go
+++ b/internal/controller/shardhost/harness_test.go
@@ -56,7 +56,7 @@
 	if version < e.ownerships[id].Version {
 		return
 	}
-	e.ownerships[id] = Ownership{Shard: rec, Version: version}
+	e.ownerships[id] = Ownership{Rec: rec, Version: version}
 	if shard := e.host.GetLocked(id); shard != nil && version > shard.Token() {
 		e.host.DropLocked(id)
 	}
@@ -65,7 +65,7 @@
 func (e *fakeEnvironment) OwnersLocked() map[int]string {
 	owners := map[int]string{}
 	for id, ownership := range e.ownerships {
-		owners[id] = ownership.Owner
+		owners[id] = ownership.Rec.Owner
 	}
 	return owners
 }
--- a/internal/controller/shardhost/load.go
+++ b/internal/controller/shardhost/load.go
@@ -58,13 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	machines := record.NewFleet()
-	for _, entry := range entries {
-		if _, err := machines.Apply(entry.Change()); err != nil {
-			return nil, err
-		}
-	}
-	return machines, nil
+	return record.FleetOf(entries)
 }
 
 // belongsToOtherShardLocked reports whether an active job's record is one that the view holds,
--- a/internal/controller/view_watches.go
+++ b/internal/controller/view_watches.go
@@ -69,25 +69,11 @@
 	}
 }
 
-// recordView is what all views of records have in common.
-type recordView interface {
-	SetAsOf(at time.Time)
-	Revision() uint64
-	SetRevision(revision uint64)
-	// Versions returns the versions of the records that it holds, by key.
-	Versions() map[string]uint64
-}
-
 // view returns the view of the records with a prefix.
-func (c *Controller) view(prefix string) recordView {
-	switch prefix {
-	case record.FleetPrefix:
-		return c.machines
-	case record.ActiveJobPrefix:
-		return c.activeJobs
-	default:
-		return c.cluster
-	}
+func (c *Controller) view(prefix string) clusterview.View { return c.views().Of(prefix) }
+
+func (c *Controller) views() *clusterview.Views {
+	return &clusterview.Views{Cluster: c.cluster, Machines: c.machines, ActiveJobs: c.activeJobs}
 }
 
 // setViewAsOf records that a view was true at a time or later.
--- a/internal/drainctl/drainctl.go
+++ b/internal/drainctl/drainctl.go
@@ -42,11 +42,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("read the machines: %w", err)
 	}
-	fleet := record.NewFleet()
-	for _, e := range entries {
-		if _, err := fleet.Apply(e.Change()); err != nil {
-			return nil, fmt.Errorf("read the machines: %w", err)
-		}
+	fleet, err := record.FleetOf(entries)
+	if err != nil {
+		return nil, fmt.Errorf("read the machines: %w", err)
 	}
 	return fleet, nil
 }
--- a/internal/record/fleet.go
+++ b/internal/record/fleet.go
@@ -50,6 +50,17 @@
 	}
 }
 
+// FleetOf returns the machines that listed records tell.
+func FleetOf(entries []wire.Entry) (*Fleet, error) {
+	fleet := NewFleet()
+	for _, entry := range entries {
+		if _, err := fleet.Apply(entry.Change()); err != nil {
+			return nil, err
+		}
+	}
+	return fleet, nil
+}
+
 // MachineIDs returns the machines of a Provision by its key.
 func (f *Fleet) MachineIDs(provisionKey string) []string {
 	return f.provisions[strings.TrimPrefix(provisionKey, ProvisionPrefix)].Rec.IDs
--- a/internal/recoverctl/recoverctl.go
+++ b/internal/recoverctl/recoverctl.go
@@ -12,6 +12,7 @@
 	"bramblespur/internal/cloud"
 	"bramblespur/internal/peer"
 	"bramblespur/internal/recovery"
+	"bramblespur/internal/retry"
 	"bramblespur/internal/statestore"
 	"bramblespur/internal/wire"
 )
@@ -42,12 +43,8 @@
 		if statestore.Answered(err) || c.Now().After(end) {
 			return v, err
 		}
-		t := time.NewTimer(retryPause)
-		select {
-		case <-ctx.Done():
-			t.Stop()
+		if !retry.Sleep(ctx, retryPause) {
 			return v, ctx.Err()
-		case <-t.C:
 		}
 	}
 }
--- a/internal/statestore/scheduler.go
+++ b/internal/statestore/scheduler.go
@@ -6,6 +6,8 @@
 	"sync"
 	"time"
 
+	"bramblespur/internal/retry"
+
 	"golang.org/x/time/rate"
 )
 
@@ -316,17 +318,5 @@
 	}
 }
 
-// sleep reports whether the time passed before the context ended.
-func sleep(ctx context.Context, d time.Duration) bool {
-	if d <= 0 {
-		return true
-	}
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-		return false
-	case <-t.C:
-		return true
-	}
-}
+// sleep reports whether the time passed before the context ended; there may be none to wait.
+func sleep(ctx context.Context, d time.Duration) bool { return d <= 0 || retry.Sleep(ctx, d) }
--- /dev/null
+++ b/internal/testkit/command_lines.go
@@ -0,0 +1,20 @@
+package testkit
+
+import (
+	"fmt"
+
+	"github.com/spf13/cobra"
+	"github.com/spf13/pflag"
+)
+
+// CommandLines lists a command with its flags, and those below it, a line each.
+func CommandLines(c *cobra.Command) []string {
+	out := []string{c.CommandPath() + " | " + c.Use}
+	c.LocalFlags().VisitAll(func(f *pflag.Flag) {
+		out = append(out, fmt.Sprintf("  --%s -%s %s %q", f.Name, f.Shorthand, f.Value.Type(), f.DefValue))
+	})
+	for _, sub := range c.Commands() {
+		out = append(out, CommandLines(sub)...)
+	}
+	return out
+}
