--- a/internal/fleet/bin.go
+++ b/internal/fleet/bin.go
@@ -6,28 +6,29 @@
 	"bramblespur/internal/wire"
 )
 
-// bin is a machine in the plan, with the room that is left on it.
+// bin is a machine in the plan. Its CPUs, GPUs and MemoryGB are those that the plan has not
+// assigned yet.
 type bin struct {
 	Machine
 	shard    int
-	promised bool // to a demand
-	original *bin // the machine that this one is, once emptied
+	promised bool // assigned to a demand
+	original *bin // for an entry of planning.emptied: the machine with its tasks
 }
 
-// newBin is a machine that is not there yet.
+// newBin returns an empty machine that does not exist yet.
 func newBin(t *wire.MachineType, zone string, spot bool) *bin {
 	return &bin{Machine: Machine{Type: t.Name, Zone: zone, Spot: spot, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}}
 }
 
 func (b *bin) pool() pool { return pool{b.Type, b.Zone, b.Spot} }
 
-// fits reports whether one task of a need may go to the machine and has room there.
+// fits reports whether one task of a need may be placed on the machine and has room there.
 func (b *bin) fits(n *Need) bool {
-	const slack = 1e-6 // for sums of fractions
+	const slack = 1e-6 // for rounding errors in sums of fractions
 	return b.admits(n) && n.CPUs <= b.CPUs+slack && n.GPUs <= b.GPUs+slack && n.MemoryGB <= b.MemoryGB+slack
 }
 
-// admits reports whether a need may use the machine, however full it is.
+// admits reports whether a need may use the machine, regardless of the room on it.
 func (b *bin) admits(n *Need) bool {
 	switch {
 	case b.For != "" && b.For != n.Job, n.Ahead && b.Avoided, b.Spot && !n.Spot, n.Zone != "" && n.Zone != b.Zone:
@@ -36,7 +37,7 @@
 	return n.Types == nil || slices.Contains(n.Types, b.Type)
 }
 
-// use takes the room of one task.
+// use assigns the room of one task of a need.
 func (b *bin) use(n *Need) {
 	b.CPUs -= n.CPUs
 	b.GPUs -= n.GPUs
--- a/internal/fleet/owner.go
+++ b/internal/fleet/owner.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// ChooseOwner says which live controller takes a shard whose owner is gone: the preferred
-// one if that is alive, else the one with the fewest shards.
+// ChooseOwner returns the label of the live controller that acquires a shard whose owner is gone:
+// the preferred owner if it is live, otherwise the controller with the fewest shards, the first by
+// label if several have as few. It returns "" if no controller is live.
 func ChooseOwner(live []string, owners map[int]string, preferred string) string {
 	if slices.Contains(live, preferred) {
 		return preferred
--- a/internal/fleet/placement.go
+++ b/internal/fleet/placement.go
@@ -6,11 +6,12 @@
 	"sort"
 )
 
-// minPreemptingRank is the priority from which demand preempts work of other shards.
+// minPreemptingRank is the lowest priority at which demand preempts tasks of other shards.
 const minPreemptingRank = 2
 
-// satisfy finds machines for a demand: its shard's own, free ones of others, those of others
-// with work of lower priority, and new ones, in that order.
+// satisfy finds machines for a demand and returns the orders that transfer them. In this order it
+// uses the shard's own machines, free machines of other shards, machines of other shards with
+// tasks of lower priority, and new machines.
 func (p *planning) satisfy(d *demand, balance bool) []Order {
 	if p.placeOn(d, p.withRoom[d.shard]) {
 		return nil
@@ -29,8 +30,8 @@
 	return orders
 }
 
-// spare returns free machines of other shards that have no use for them. As within a shard,
-// those that cache the image come first.
+// spare returns the free machines of other shards for which these shards have no demand. As
+// within a shard, machines that cache the image come first.
 func (p *planning) spare(d *demand) []*bin {
 	var spare []*bin
 	for _, b := range p.unused {
@@ -44,13 +45,13 @@
 	return spare
 }
 
-// movable reports whether a machine of another shard may be moved for a demand.
+// movable reports whether a machine belongs to another shard and may be transferred for a demand.
 func movable(b *bin, d *demand) bool {
 	return b.shard != d.shard && b.Up && b.Usable && b.For == "" && !b.promised
 }
 
-// preemptible returns other shards' machines of which all tasks are of lower priority
-// than a demand, as they are once emptied.
+// preemptible returns the machines of other shards whose tasks all have a lower priority than a
+// demand, with the room that they have once emptied.
 func (p *planning) preemptible(d *demand) []*bin {
 	var out []*bin
 	for _, e := range p.emptiedMachines() {
@@ -61,8 +62,8 @@
 	return out
 }
 
-// emptiedMachines returns all machines as they are without their tasks, those with the
-// fewest first.
+// emptiedMachines returns copies of all machines without their tasks, sorted by the number of
+// tasks that the originals have, fewest first.
 func (p *planning) emptiedMachines() []*bin {
 	if p.emptied != nil {
 		return p.emptied
@@ -79,24 +80,24 @@
 	return p.emptied
 }
 
-// placeOn promises room on bins to a demand and lowers its Count by what found
-// some; for a gang it is all in one go. It reports whether nothing is left.
+// placeOn assigns room on bins to as many of a demand's tasks as possible, or for a gang to all
+// or none, and lowers its Count by their number. It reports whether no tasks are left.
 func (p *planning) placeOn(d *demand, bins []*bin) bool {
 	p.promise(d, p.assign(d, bins))
 	return d.Count == 0
 }
 
-// promise takes the room of one of a demand's tasks on each of some bins.
+// promise assigns room for one of a demand's tasks on each bin of a list.
 func (p *planning) promise(d *demand, bins []*bin) {
 	for _, b := range bins {
 		b.use(&d.Need)
-		d.place(b.Zone)
+		d.addToZone(b.Zone)
 	}
 	d.Count -= len(bins)
 }
 
-// assign finds bins for as many of a demand's tasks as possible, or for a gang
-// for all of them or none; one bin is named once for each task.
+// assign finds bins for as many of a demand's tasks as possible, or for a gang for all of them or
+// none. The result has one entry for each task, so that a bin may occur several times.
 func (p *planning) assign(d *demand, bins []*bin) []*bin {
 	zones := []string{""}
 	if d.OneZone {
@@ -114,7 +115,7 @@
 	return best
 }
 
-// assignInZone finds bins of one zone, or of any if it is empty.
+// assignInZone finds bins for a need in one zone, or in any if zone is empty, as assign does.
 func assignInZone(n *Need, bins []*bin, zone string) []*bin {
 	var found []*bin
 	trial := *n
@@ -127,18 +128,18 @@
 			continue
 		}
 		left := *b
-		for len(found) < n.Count && left.fits(n) && trial.open(b.Zone) {
+		for len(found) < n.Count && left.fits(n) && trial.allowsZone(b.Zone) {
 			left.use(n)
-			trial.place(b.Zone)
+			trial.addToZone(b.Zone)
 			found = append(found, b)
 		}
 	}
 	return found
 }
 
-// moveMachines orders machines of other shards to a demand's shard, of which tasks below a
-// priority may be preempted. A gang may be served by its own shard's machines and others'
-// together.
+// moveMachines returns orders that transfer machines of other shards to a demand's shard. Tasks on
+// them with a priority lower than below may be preempted. A gang may use machines of its own shard
+// and of others together.
 func (p *planning) moveMachines(d *demand, others []*bin, below int) []Order {
 	if len(others) == 0 {
 		return nil
@@ -150,10 +151,10 @@
 			b = emptyOriginal(b, d.shard)
 		}
 		b.use(&d.Need)
-		d.place(b.Zone)
+		d.addToZone(b.Zone)
 		if b.shard != d.shard {
 			orders = append(orders, Order{Part: b.shard, Machine: b.ID, To: d.shard, Below: below})
-			b.shard = d.shard // what is left of it serves the same shard
+			b.shard = d.shard // the rest of its room is for the same shard
 			p.withRoom[d.shard] = append(p.withRoom[d.shard], b)
 		}
 	}
@@ -161,8 +162,9 @@
 	return orders
 }
 
-// emptyOriginal returns the machine that an emptied one stands for, with the room that it
-// has once emptied, unless it was moved to the shard before: then it has less.
+// emptyOriginal returns the original of an emptied machine, with the room that it has once
+// emptied. If the plan has already transferred the machine to the shard, its room stays as it is,
+// since some of it is assigned.
 func emptyOriginal(emptied *bin, shard int) *bin {
 	m := emptied.original
 	if m.shard != shard {
--- a/internal/fleet/planner.go
+++ b/internal/fleet/planner.go
@@ -6,32 +6,35 @@
 	"bramblespur/internal/wire"
 )
 
-// Config is what the leader's choices depend on.
+// Config holds the settings of a Planner.
 type Config struct {
 	Types []wire.MachineType
 	Zones []string
-	// BalanceInterval is how often free machines go to demand however short it has waited.
+	// BalanceInterval is how often free machines are transferred to demand no matter how short
+	// the demand has waited.
 	BalanceInterval time.Duration
-	// MoveAfter is how long demand waits before a free machine of another shard is moved
-	// to it, and PreemptAfter before one with work of lower priority is.
+	// MoveAfter is how long demand waits before a free machine of another shard is transferred
+	// to its shard, and PreemptAfter is how long it waits before a machine with tasks of lower
+	// priority is.
 	MoveAfter    time.Duration
 	PreemptAfter time.Duration
-	// IdleTimeout is how long an unused machine is kept.
+	// IdleTimeout returns how long an unused machine is kept.
 	IdleTimeout func(t wire.MachineType, spot bool) time.Duration
-	// Headroom is how many unused machines, spot or not, a shard should have, given
-	// what arrives there, in machines a second, and how long one boots.
+	// Headroom returns how many unused machines, spot or on demand, a shard should have.
+	// Arriving is the arrival rate of work at the shard, in machines' worth per second, and
+	// boot is how long a machine takes to boot.
 	Headroom func(arriving float64, boot time.Duration, spot bool) float64
-	// MaxProvision is how many machines one request and its record may ask for.
+	// MaxProvision is the highest number of machines in one request and its record.
 	MaxProvision int
 	// RefusalPause is the first pause after the cloud had no capacity in a pool.
 	RefusalPause time.Duration
 }
 
-// maxRefusalPauses bounds the pause after refusals, in first pauses.
+// maxRefusalPauses bounds the pause after refusals, as a multiple of Config.RefusalPause.
 const maxRefusalPauses = 4
 
-// ProvisionRequest asks the cloud for machines of one pool, one for each of Shards. Shards
-// share a request, since the cloud's calls are few.
+// ProvisionRequest asks the cloud for machines of one pool, one for each entry of Shards.
+// Several shards share a request, since the number of calls to the cloud is limited.
 type ProvisionRequest struct {
 	Type   string
 	Zone   string
@@ -39,7 +42,7 @@
 	Shards []int
 }
 
-// pool is what the cloud has capacity of, or not.
+// pool is a kind of machine for which the cloud's capacity is tracked.
 type pool struct {
 	typ, zone string
 	spot      bool
@@ -47,39 +50,41 @@
 
 func (r *ProvisionRequest) pool() pool { return pool{r.Type, r.Zone, r.Spot} }
 
-// Planner makes a leader's plans and holds what it remembers between them. A new leader
-// starts without memory and learns it again. It is not safe for concurrent use.
+// Planner makes a leader's plans. Between plans it keeps the pools without capacity and the
+// time of the next balancing; a new leader starts without this state. A Planner is not safe for
+// concurrent use.
 type Planner struct {
 	cfg           Config
 	refusals      map[pool]refusal
 	nextBalanceAt time.Time
 }
 
-// NewPlanner returns a planner without memory.
+// NewPlanner returns a Planner for which no pool has been refused yet.
 func NewPlanner(cfg Config) *Planner {
 	return &Planner{cfg: cfg, refusals: map[pool]refusal{}}
 }
 
-// refusal is how long a pool is left alone, and the pause that led to it.
+// refusal records that the cloud had no capacity in a pool.
 type refusal struct {
-	until time.Time
-	pause time.Duration
+	until time.Time     // no machines of the pool are requested before then
+	pause time.Duration // the pause that ends then
 }
 
-// CapacityRefused takes in that the cloud had no capacity: the pool is left alone for
-// longer each time, as a call to it costs one that could succeed elsewhere.
+// CapacityRefused records that the cloud had no capacity in a request's pool. No machines of
+// the pool are requested for a pause that doubles with each refusal up to a bound, since each
+// call for it replaces a call for another pool that could succeed.
 func (p *Planner) CapacityRefused(r ProvisionRequest, now time.Time) {
 	pause := max(2*p.refusals[r.pool()].pause, p.cfg.RefusalPause)
 	pause = min(pause, maxRefusalPauses*p.cfg.RefusalPause)
 	p.refusals[r.pool()] = refusal{now.Add(pause), pause}
 }
 
-// CapacityGranted takes in that a pool had machines.
+// CapacityGranted records that the cloud had capacity in a request's pool.
 func (p *Planner) CapacityGranted(r ProvisionRequest) { delete(p.refusals, r.pool()) }
 
-// Plan decides from the shards' summaries what the owners are to do with machines and
-// what to ask the cloud for, the most urgent first. Machines provisioned but not yet in a
-// summary must have been added to it, so that nothing is provisioned twice.
+// Plan returns the orders to the shards' owners and the requests to the cloud that follow from
+// the shards' summaries, the most urgent first. The caller must have added machines that are
+// provisioned but not yet in a summary to that summary, so that nothing is provisioned twice.
 func (p *Planner) Plan(summaries []Summary, now time.Time) ([]Order, []ProvisionRequest) {
 	balance := !now.Before(p.nextBalanceAt)
 	if balance {
@@ -100,7 +105,7 @@
 	return orders, plan.requests()
 }
 
-// machineType returns the type of a name, nil if there is none.
+// machineType returns the machine type with a name, or nil if there is none.
 func (p *Planner) machineType(name string) *wire.MachineType {
 	for i := range p.cfg.Types {
 		if p.cfg.Types[i].Name == name {
--- a/internal/fleet/planner_bench_test.go
+++ b/internal/fleet/planner_bench_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// BenchmarkPlan is the leader's turn with the shards of seven controllers, all
-// their machines in use and as much work waiting as they tell.
+// BenchmarkPlan makes a plan for seven shards with 4000 machines in all, almost all of them in
+// use, and with as many needs as a summary holds.
 func BenchmarkPlan(b *testing.B) {
 	const shards, machines, needs = 7, 4000, 64
-	var sums []Summary
+	var summaries []Summary
 	for p := range shards {
 		summary := Summary{Part: p, Arriving: 0.3, ArrivingSpot: 0.3}
 		for i := range machines / shards {
@@ -29,10 +29,10 @@
 			}
 			summary.Needs = append(summary.Needs, n)
 		}
-		sums = append(sums, summary)
+		summaries = append(summaries, summary)
 	}
 	b.ReportAllocs()
 	for now := start; b.Loop(); now = now.Add(time.Second) {
-		newTestPlanner().Plan(sums, now)
+		newTestPlanner().Plan(summaries, now)
 	}
 }
--- a/internal/fleet/planning.go
+++ b/internal/fleet/planning.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// planning is the state of making one plan. There are thousands of machines and hundreds of
-// needs, so that no need looks at all machines: those with room, and those that
-// are unused, are kept apart.
+// planning is the state of a plan in progress. Since there are thousands of machines and
+// hundreds of needs, a need is not compared with every machine: machines with room and unused
+// machines are listed separately.
 type planning struct {
 	*Planner
 	now       time.Time
 	summaries []Summary
 	demands   []*demand // the most urgent first
-	// unmet counts the demands of a shard that an unused machine of a pool would serve.
+	// unmet is the number of a shard's unmet demands that an unused machine of a pool could serve.
 	unmet map[shardPool]int
 
 	bins           []*bin
 	unused         []*bin
-	withRoom       map[int][]*bin // by shard: those that the smallest demand fits on
-	emptied        []*bin         // as emptiedMachines returns them, once asked for
+	withRoom       map[int][]*bin // by shard: the machines on which the smallest demand fits
+	emptied        []*bin         // the result of emptiedMachines, computed on first use
 	machinesInZone map[string]int
 
 	toProvision    []*bin
-	toProvisionFor map[int][]*bin // the same, by shard
+	toProvisionFor map[int][]*bin // the bins of toProvision by shard
 }
 
-// demand is a need in the plan. Its Count falls as room is found.
+// demand is a need in the plan. Its Count is the number of tasks without a machine so far.
 type demand struct {
 	Need
 	shard int
 }
 
-// shardPool is the machines of one pool in one shard.
+// shardPool identifies the machines of one pool in one shard.
 type shardPool struct {
 	shard int
 	pool
@@ -48,8 +48,8 @@
 	return plan
 }
 
-// loadDemands reads the summaries' needs: those of higher priority first, then those that
-// have waited longer.
+// loadDemands copies the needs from the summaries, sorted by priority, highest first, and then by
+// waiting time, longest first.
 func (p *planning) loadDemands() {
 	for _, summary := range p.summaries {
 		for _, n := range summary.Needs {
@@ -71,7 +71,7 @@
 	})
 }
 
-// loadMachines reads the summaries' machines, but for those that no work may go to.
+// loadMachines copies the machines from the summaries, except those that may not get new tasks.
 func (p *planning) loadMachines() {
 	smallest := p.smallestNeed()
 	for _, summary := range p.summaries {
@@ -93,7 +93,7 @@
 	}
 }
 
-// smallestNeed returns one that fits wherever any of the demands does.
+// smallestNeed returns a need that fits on every machine on which any of the demands fits.
 func (p *planning) smallestNeed() Need {
 	n := Need{CPUs: math.Inf(1), GPUs: math.Inf(1), MemoryGB: math.Inf(1), Spot: true}
 	for _, d := range p.demands {
@@ -102,7 +102,7 @@
 	return n
 }
 
-// countUnmet counts a demand, or one less, for the pools whose machines would serve it.
+// countUnmet adds a number to the unmet demands of each pool whose machines could serve a demand.
 func (p *planning) countUnmet(d *demand, by int) {
 	for i := range p.cfg.Types {
 		t := &p.cfg.Types[i]
@@ -116,10 +116,10 @@
 	}
 }
 
-// requests returns what to ask the cloud for, machines of one pool together.
+// requests returns the requests to the cloud, with machines of the same pool in one request.
 func (p *planning) requests() []ProvisionRequest {
 	var requests []ProvisionRequest
-	open := map[pool]int{} // index of the request that has room
+	open := map[pool]int{} // by pool: the index of the request to which machines are added
 	for _, b := range p.toProvision {
 		i, ok := open[b.pool()]
 		if !ok || len(requests[i].Shards) == p.cfg.MaxProvision {
--- a/internal/fleet/rebalance.go
+++ b/internal/fleet/rebalance.go
@@ -1,22 +1,23 @@
 package fleet
 
-// Where the cloud has no more capacity, the shards' machines are all there is, and a
-// shard's own work uses whatever comes free in it: a shard whose work came later
-// would wait for as long as the others have any. So shards with starving work get
-// machines from those with more, until they have about as many as these.
+// While the cloud has no capacity, the fleet cannot grow, and each shard uses a machine that
+// becomes free for its own work first. A shard whose work arrived later would wait for as long as
+// the other shards have work. So shards with starving work get machines from shards with more,
+// until they have about as many.
 
-// rebalance orders machines to shards in which work starves, at most one to each in a
-// plan: those of the shard that has most, as their tasks end.
+// rebalance returns orders that transfer machines to shards with starving work, at most one to each
+// shard in a plan. The machines come from the shards that have the most, and are transferred once
+// their tasks have ended.
 func (p *planning) rebalance() []Order {
 	var orders []Order
 	served := map[int]bool{}
-	var free freeing
+	var free freeableMachines
 	for _, d := range p.demands {
 		if !d.Starved || d.Count == 0 || served[d.shard] || len(p.offers(&d.Need)) > 0 {
 			continue
 		}
 		if free.byShard == nil {
-			free = p.countFreeing()
+			free = p.countFreeable()
 		}
 		b := p.chooseDonation(d, &free)
 		if b == nil {
@@ -30,23 +31,24 @@
 	return orders
 }
 
-// shardZone is the machines of one shard in one zone.
+// shardZone identifies the machines of one shard in one zone.
 type shardZone struct {
 	shard int
 	zone  string
 }
 
-// freeing counts the machines that come free by and by: those without services.
-// Machines on their way to another shard count there.
-type freeing struct {
+// freeableMachines counts the machines that become free once their tasks have ended: those that run no
+// services. Machines that are being transferred count for the shard that gets them.
+type freeableMachines struct {
 	byShard     map[int]int
 	byShardZone map[shardZone]int
 	byZone      map[string]int
 	total       int
 }
 
-func (p *planning) countFreeing() freeing {
-	f := freeing{byShard: map[int]int{}, byShardZone: map[shardZone]int{}, byZone: map[string]int{}}
+// countFreeable counts the freeable machines in the summaries.
+func (p *planning) countFreeable() freeableMachines {
+	f := freeableMachines{byShard: map[int]int{}, byShardZone: map[shardZone]int{}, byZone: map[string]int{}}
 	for _, summary := range p.summaries {
 		for i := range summary.Machines {
 			m := &summary.Machines[i]
@@ -62,21 +64,23 @@
 	return f
 }
 
-func (f *freeing) add(at shardZone, n int) {
+// add adds n to the counts of a shard's machines in a zone.
+func (f *freeableMachines) add(at shardZone, n int) {
 	f.byShard[at.shard] += n
 	f.byShardZone[at] += n
 	f.byZone[at.zone] += n
 	f.total += n
 }
 
-func (f *freeing) move(b *bin, to int) {
+// move counts a machine for the shard to which it is transferred.
+func (f *freeableMachines) move(b *bin, to int) {
 	f.add(shardZone{b.shard, b.Zone}, -1)
 	f.add(shardZone{to, b.Zone}, 1)
 }
 
-// fairShare is how many of the machines that come free each shard would have if all
-// shards that have such machines, or demand, had as many.
-func (p *planning) fairShare(f *freeing) int {
+// fairShare returns how many freeable machines a shard has, rounded up, if they are divided equally
+// among the shards with freeable machines or demand.
+func (p *planning) fairShare(f *freeableMachines) int {
 	shards := map[int]bool{}
 	for shard, n := range f.byShard {
 		if n > 0 {
@@ -89,9 +93,9 @@
 	return (f.total + len(shards) - 1) / max(1, len(shards))
 }
 
-// chooseDonation chooses the machine that goes to a starving demand's shard, nil if no shard
-// has enough more than that.
-func (p *planning) chooseDonation(d *demand, f *freeing) *bin {
+// chooseDonation returns the machine that is transferred to a starving demand's shard, or nil if no
+// shard has enough more machines than that one.
+func (p *planning) chooseDonation(d *demand, f *freeableMachines) *bin {
 	zone, ok := p.donationZone(d, f)
 	if !ok {
 		return nil
@@ -109,10 +113,10 @@
 	return best
 }
 
-// donationZone returns the zone from which a demand is to get machines, empty for any. It
-// returns false for a gang that could not have enough: a shard can't have more than its
-// share, and for a gang of one zone there must be one with as many.
-func (p *planning) donationZone(d *demand, f *freeing) (zone string, ok bool) {
+// donationZone returns the zone from which a demand gets machines, empty for any. It returns false
+// for a gang that could not get enough machines: a shard cannot have more than its fair share, and
+// a gang that needs a single zone needs one with enough machines.
+func (p *planning) donationZone(d *demand, f *freeableMachines) (zone string, ok bool) {
 	if !d.Gang {
 		return d.Zone, true
 	}
@@ -123,17 +127,19 @@
 	if !d.OneZone || d.Zone != "" {
 		return d.Zone, true
 	}
-	zone = p.fullestZone(d.shard, machines, f)
+	zone = p.gangZone(d.shard, machines, f)
 	return zone, zone != ""
 }
 
-// mayDonate reports whether a machine's shard can do without it better than a demand's.
-func mayDonate(b *bin, d *demand, f *freeing) bool {
+// mayDonate reports whether a machine can be transferred and its shard still has at least as many
+// freeable machines as the demand's shard afterwards.
+func mayDonate(b *bin, d *demand, f *freeableMachines) bool {
 	return b.shard != d.shard && b.Up && b.Usable && !b.Lasting && b.For == "" && f.byShard[b.shard] >= f.byShard[d.shard]+2
 }
 
-// betterDonation prefers a machine of the shard with most, then one that is sooner empty.
-func betterDonation(a, b *bin, f *freeing) bool {
+// betterDonation reports whether a is preferred to b: it is in the shard with more freeable machines,
+// or it is likely to be empty sooner.
+func betterDonation(a, b *bin, f *freeableMachines) bool {
 	if x, y := f.byShard[a.shard], f.byShard[b.shard]; x != y {
 		return x > y
 	}
@@ -146,9 +152,10 @@
 	return a.Tasks < b.Tasks
 }
 
-// fullestZone is the zone in which a shard needs fewest machines from others for so
-// many; of those with the same, the one with most machines of all shards.
-func (p *planning) fullestZone(shard, machines int, f *freeing) string {
+// gangZone returns the zone in which a shard needs the fewest machines of other shards to have a
+// number of them; among equals, the zone with the most freeable machines of all shards. It
+// returns "" if no zone has that many.
+func (p *planning) gangZone(shard, machines int, f *freeableMachines) string {
 	best := ""
 	for _, zone := range p.cfg.Zones {
 		if f.byZone[zone] < machines {
@@ -162,17 +169,17 @@
 	return best
 }
 
-// machinesNeeded is how many empty machines a demand's tasks fill at least.
+// machinesNeeded returns the lowest number of empty machines that hold all of a demand's tasks.
 func (p *planning) machinesNeeded(d *demand) int {
-	mostPerMachine := 1
+	maxTasksPerMachine := 1
 	for i := range p.cfg.Types {
 		b := newBin(&p.cfg.Types[i], d.Zone, false)
-		fit := 0
-		for fit < d.Count && b.fits(&d.Need) {
+		tasks := 0
+		for tasks < d.Count && b.fits(&d.Need) {
 			b.use(&d.Need)
-			fit++
+			tasks++
 		}
-		mostPerMachine = max(mostPerMachine, fit)
+		maxTasksPerMachine = max(maxTasksPerMachine, tasks)
 	}
-	return (d.Count + mostPerMachine - 1) / mostPerMachine
+	return (d.Count + maxTasksPerMachine - 1) / maxTasksPerMachine
 }
--- a/internal/fleet/rebalance_test.go
+++ b/internal/fleet/rebalance_test.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// busyMachine holds so many tasks and has no room left.
+// busyMachine is a machine with a number of tasks and no room left.
 func busyMachine(id, zone string, tasks int) Machine {
 	return Machine{ID: id, Type: "big", Zone: zone, Up: true, Usable: true, Tasks: tasks, TopRank: 2}
 }
 
-// starving is the need of a job of which nothing has run for minutes.
+// starving is the need of a job that has not run any task for minutes.
 func starving(count int) Need {
 	n := need(true, count, 3*time.Minute)
 	n.Starved = true
 	return n
 }
 
-// withoutCloud is a leader whom the cloud has refused machines of all kinds.
-func withoutCloud() *Planner {
-	l := newTestPlanner()
-	for _, zone := range l.cfg.Zones {
+// plannerWithoutCapacity is a planner to which the cloud has refused machines of all pools.
+func plannerWithoutCapacity() *Planner {
+	planner := newTestPlanner()
+	for _, zone := range planner.cfg.Zones {
 		for _, spot := range []bool{false, true} {
-			l.CapacityRefused(ProvisionRequest{Type: "big", Zone: zone, Spot: spot}, start)
+			planner.CapacityRefused(ProvisionRequest{Type: "big", Zone: zone, Spot: spot}, start)
 		}
 	}
-	return l
+	return planner
 }
 
-func rebalanced(orders []Order) (out []Order) {
+// rebalanceOrders returns the orders that transfer machines once their tasks have ended.
+func rebalanceOrders(orders []Order) (out []Order) {
 	for _, o := range orders {
 		if o.Emptied {
 			out = append(out, o)
@@ -37,17 +38,17 @@
 	return out
 }
 
-// Work of a shard without machines starves for as long as others have any work, if
-// nothing can be provisioned: its shard gets those that are soonest empty, one at a time,
-// until it has about as many.
+// While nothing can be provisioned, the work of a shard without machines would starve for as long as
+// the other shards have work. So the shard gets machines from them, one at a time and those that are
+// likely to be empty first, until it has about as many.
 func TestStarvingShardGetsMachines(t *testing.T) {
 	service := busyMachine("service", "z1", 1)
 	service.Lasting = true
 	full := []Machine{service, busyMachine("a", "z1", 2), busyMachine("b", "z2", 1), busyMachine("c", "z2", 2), busyMachine("d", "z1", 2)}
-	sums := func(n Need, given ...string) []Summary {
+	summaries := func(n Need, transferred ...string) []Summary {
 		s := []Summary{{Part: 0, Needs: []Need{n}}, {Part: 1, Needs: []Need{need(false, 9, time.Minute)}}}
 		for _, m := range full {
-			for _, id := range given {
+			for _, id := range transferred {
 				if m.ID == id {
 					m.Leaving, m.Moving, m.To = true, true, 0
 				}
@@ -56,44 +57,44 @@
 		}
 		return s
 	}
-	orders, _ := withoutCloud().Plan(sums(starving(5)), start.Add(time.Second))
-	if got := rebalanced(orders); len(got) != 1 || got[0] != (Order{Part: 1, Machine: "b", To: 0, Emptied: true}) {
-		t.Fatalf("orders %v, want the machine with the fewest tasks", orders)
+	orders, _ := plannerWithoutCapacity().Plan(summaries(starving(5)), start.Add(time.Second))
+	if got := rebalanceOrders(orders); len(got) != 1 || got[0] != (Order{Part: 1, Machine: "b", To: 0, Emptied: true}) {
+		t.Fatalf("orders %v, want the transfer of b, which has the fewest tasks", orders)
 	}
-	orders, _ = withoutCloud().Plan(sums(starving(5), "b"), start.Add(time.Second))
-	if got := rebalanced(orders); len(got) != 1 || got[0].Machine == "service" || got[0].Machine == "b" {
-		t.Fatalf("orders %v, want a second machine: the other shard has three", orders)
+	orders, _ = plannerWithoutCapacity().Plan(summaries(starving(5), "b"), start.Add(time.Second))
+	if got := rebalanceOrders(orders); len(got) != 1 || got[0].Machine == "service" || got[0].Machine == "b" {
+		t.Fatalf("orders %v, want the transfer of a second machine, since the other shard has three", orders)
 	}
-	orders, _ = withoutCloud().Plan(sums(starving(5), "b", "a"), start.Add(time.Second))
-	if got := rebalanced(orders); len(got) != 0 {
-		t.Fatalf("orders %v, though both shards have two", orders)
+	orders, _ = plannerWithoutCapacity().Plan(summaries(starving(5), "b", "a"), start.Add(time.Second))
+	if got := rebalanceOrders(orders); len(got) != 0 {
+		t.Fatalf("orders %v, want no transfer while both shards have two machines", orders)
 	}
-	waits := starving(5)
-	waits.Starved = false
-	if orders, _ := withoutCloud().Plan(sums(waits), start.Add(time.Second)); len(rebalanced(orders)) != 0 {
-		t.Fatalf("orders %v for work that has not waited for long", orders)
+	notStarving := starving(5)
+	notStarving.Starved = false
+	if orders, _ := plannerWithoutCapacity().Plan(summaries(notStarving), start.Add(time.Second)); len(rebalanceOrders(orders)) != 0 {
+		t.Fatalf("orders %v, want no transfer for work that does not starve", orders)
 	}
-	if orders, _ := newTestPlanner().Plan(sums(starving(5)), start); len(rebalanced(orders)) != 0 {
-		t.Fatalf("orders %v, though machines can be provisioned", orders)
+	if orders, _ := newTestPlanner().Plan(summaries(starving(5)), start); len(rebalanceOrders(orders)) != 0 {
+		t.Fatalf("orders %v, want no transfer while machines can be provisioned", orders)
 	}
 }
 
-// A starving gang of one zone gets machines of one zone, and none where it would
-// need more than its shard's share.
+// A starving gang that needs a single zone gets machines of one zone. It gets none if it needs more
+// than its shard's fair share.
 func TestStarvingGangGetsMachinesOfOneZone(t *testing.T) {
 	gang := Need{Job: "g", CPUs: 14, GPUs: 2, MemoryGB: 50, OneZone: true, Gang: true, Count: 2, Rank: 2, Waited: 3 * time.Minute, Starved: true}
 	others := []Machine{busyMachine("a", "z1", 1), busyMachine("b", "z2", 1), busyMachine("c", "z2", 1), busyMachine("d", "z2", 1)}
 	own := Machine{ID: "own", Type: "big", Zone: "z1", Up: true, Usable: true, CPUs: 16, GPUs: 2, MemoryGB: 64, Idle: time.Second}
 	for count, want := range map[int]string{2: "a", 4: ""} {
 		gang.Count = count
-		sums := []Summary{{Part: 0, Needs: []Need{gang}, Machines: []Machine{own}}, {Part: 1, Needs: []Need{need(false, 3, 0)}, Machines: others}}
-		orders, _ := withoutCloud().Plan(sums, start.Add(time.Second))
+		summaries := []Summary{{Part: 0, Needs: []Need{gang}, Machines: []Machine{own}}, {Part: 1, Needs: []Need{need(false, 3, 0)}, Machines: others}}
+		orders, _ := plannerWithoutCapacity().Plan(summaries, start.Add(time.Second))
 		got := ""
-		for _, o := range rebalanced(orders) {
+		for _, o := range rebalanceOrders(orders) {
 			got += o.Machine
 		}
 		if got != want {
-			t.Errorf("gang of %d: served by %q, want %q", count, got, want)
+			t.Errorf("gang of %d: machines transferred %q, want %q", count, got, want)
 		}
 	}
 }
--- a/internal/fleet/scale_in.go
+++ b/internal/fleet/scale_in.go
@@ -2,7 +2,7 @@
 
 import "sort"
 
-// scaleIn releases machines unused for long, keeping the headroom.
+// scaleIn returns orders that release the machines whose idle timeout has passed, beyond the headroom.
 func (p *planning) scaleIn() []Order {
 	_, onDemand := p.headroom(false)
 	_, spot := p.headroom(true)
@@ -20,8 +20,9 @@
 	return orders
 }
 
-// idle returns the machines that nothing is planned for, those to keep first: the ones with
-// the most images, since whatever comes next starts sooner there, then those last used.
+// idle returns the unused machines to which the plan assigns nothing, sorted by preference for
+// keeping them: first the machines with the most images, since the next job starts sooner there,
+// and then the most recently used ones.
 func (p *planning) idle() []*bin {
 	var idle []*bin
 	for _, b := range p.unused {
--- a/internal/fleet/scale_out.go
+++ b/internal/fleet/scale_out.go
@@ -8,16 +8,16 @@
 	"bramblespur/internal/wire"
 )
 
-// offer is a pool that has capacity as far as is known.
+// offer is a pool that is not known to lack capacity.
 type offer struct {
 	pool
 	machineType    *wire.MachineType
-	price          float64
+	price          float64 // per hour
 	machinesInZone int
 }
 
-// offers returns the pools whose machines fit a need, cheapest first, then
-// those in zones with fewer of our machines.
+// offers returns the pools whose machines fit a need, cheapest first; among those of one price,
+// pools in zones with fewer of the fleet's machines come first.
 func (p *planning) offers(n *Need) []offer {
 	var offers []offer
 	for i := range p.cfg.Types {
@@ -40,6 +40,7 @@
 	return offers
 }
 
+// price returns the price of a machine per hour.
 func price(t *wire.MachineType, spot bool) float64 {
 	if spot {
 		return t.SpotPrice
@@ -47,7 +48,7 @@
 	return t.Price
 }
 
-// addMachine adds a machine to those to be provisioned.
+// addMachine adds a machine to those to be provisioned for a shard, and returns it.
 func (p *planning) addMachine(o offer, shard int) *bin {
 	b := newBin(o.machineType, o.zone, o.spot)
 	b.shard = shard
@@ -57,8 +58,8 @@
 	return b
 }
 
-// provision adds new machines for what is left of a demand, cheapest pool first. What may
-// not go to any zone that has capacity waits.
+// provision adds new machines for the remaining tasks of a demand, cheapest pool first. Tasks stay
+// pending if no zone with capacity may have them.
 func (p *planning) provision(d *demand) {
 	added := p.toProvisionFor[d.shard]
 	if p.placeOn(d, added) {
@@ -69,20 +70,20 @@
 		offers = p.chooseGangZone(d, offers, added)
 	}
 	for i := 0; d.Count > 0; i++ {
-		offers = slices.DeleteFunc(offers, func(o offer) bool { return !d.open(o.zone) })
+		offers = slices.DeleteFunc(offers, func(o offer) bool { return !d.allowsZone(o.zone) })
 		if len(offers) == 0 {
 			return
 		}
 		next := offers[0]
 		if !d.OneZone {
-			next = offers[i%cheapest(offers)] // spread over the zones
+			next = offers[i%countCheapest(offers)] // spread over the zones
 		}
 		p.fill(p.addMachine(next, d.shard), d)
 	}
 }
 
-// cheapest returns how many offers are as cheap as the first.
-func cheapest(offers []offer) int {
+// countCheapest returns the number of offers, from the first on, that are as cheap as the first.
+func countCheapest(offers []offer) int {
 	n := 1
 	for n < len(offers) && offers[n].price == offers[0].price {
 		n++
@@ -90,25 +91,25 @@
 	return n
 }
 
-// fill promises a machine to as many of a demand's tasks as fit on it.
+// fill assigns a machine to as many of a demand's tasks as fit on it.
 func (p *planning) fill(b *bin, d *demand) {
-	for d.Count > 0 && b.fits(&d.Need) && d.open(b.Zone) {
+	for d.Count > 0 && b.fits(&d.Need) && d.allowsZone(b.Zone) {
 		b.use(&d.Need)
-		d.place(b.Zone)
+		d.addToZone(b.Zone)
 		d.Count--
 	}
 }
 
-// chooseGangZone chooses the zone in which the fewest machines are missing for a gang
-// of one zone, promises it those that are there or added, and returns the
-// offers of that zone for the rest.
+// chooseGangZone chooses the zone in which a gang that needs a single zone lacks the fewest
+// machines. It assigns the gang the machines that the shard has there, including those in added,
+// and returns the offers of that zone for the rest.
 func (p *planning) chooseGangZone(d *demand, offers []offer, added []*bin) []offer {
 	var most []*bin
 	zone := ""
 	for _, o := range offers { // the cheapest first
-		there := &demand{d.Need, d.shard}
-		there.Gang, there.Zone = false, o.zone
-		found := p.assign(there, append(slices.Clone(p.withRoom[d.shard]), added...))
+		inZone := &demand{d.Need, d.shard}
+		inZone.Gang, inZone.Zone = false, o.zone
+		found := p.assign(inZone, append(slices.Clone(p.withRoom[d.shard]), added...))
 		if zone == "" || len(found) > len(most) {
 			zone, most = o.zone, found
 		}
@@ -117,8 +118,8 @@
 	return slices.DeleteFunc(offers, func(o offer) bool { return o.zone != zone })
 }
 
-// headroom says how many unused machines, spot or not, each shard should have, from
-// what has lately arrived there and how long a new machine takes.
+// headroom returns how many unused machines, spot or on demand, each shard should have, given the
+// recent arrival rate there and the boot time of a new machine, and the rounded total.
 func (p *planning) headroom(spot bool) (byShard map[int]float64, total int) {
 	boot := time.Duration(0)
 	for _, t := range p.cfg.Types {
@@ -137,8 +138,9 @@
 	return byShard, int(sum + 0.5)
 }
 
-// provisionHeadroom provisions what is missing of the headroom: machines with nothing to do,
-// since a boot and an image take longer than most work may wait.
+// provisionHeadroom adds the unused machines that are missing from the headroom. They are
+// provisioned ahead of demand, since booting a machine and fetching an image take longer than most
+// work may wait.
 func (p *planning) provisionHeadroom(spot bool) {
 	missing, target := p.headroom(spot)
 	total := 0
@@ -162,7 +164,7 @@
 	}
 }
 
-// mostMissing returns the shard that misses most, the first in the summaries if several do.
+// mostMissing returns the shard that lacks the most machines, the first in the summaries among equals.
 func (p *planning) mostMissing(missing map[int]float64) int {
 	most := -1
 	for _, summary := range p.summaries {
