--- a/internal/scheduler/allocations_test.go
+++ b/internal/scheduler/allocations_test.go
@@ -34,7 +34,7 @@
 			rental.IDs, rental.Shards = append(rental.IDs, id), append(rental.Shards, 0)
 			r.workers[id] = testkit.NewWorker(id, "big", "z1", false)
 		}
-		r.sync(r.state.Put(record.ProvisionKey(fmt.Sprint("r", at)), rental))
+		r.applyRecord(r.state.Put(record.ProvisionKey(fmt.Sprint("r", at)), rental))
 	}
 	r.heartbeat()
 	for i := range machines / 40 {
@@ -79,11 +79,11 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	r := fleetHarness(t, manyMachines, 80)
+	r := fleetHarness(t, maxMachinesPerShard, 80)
 	r.workers, r.state, r.fleet = map[string]*testkit.Worker{"i-003999": r.workers["i-003999"]}, nil, nil // the test's own
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	if got := (after.HeapAlloc - before.HeapAlloc) / manyMachines; got > machineBytes {
+	if got := (after.HeapAlloc - before.HeapAlloc) / maxMachinesPerShard; got > machineBytes {
 		t.Errorf("%d bytes for a machine, want %d at most", got, machineBytes)
 	}
 	now := r.clock.Now()
@@ -102,7 +102,7 @@
 	runtime.ReadMemStats(&before)
 	summary := r.shard.Summary(now)
 	runtime.ReadMemStats(&after)
-	if got := (after.TotalAlloc - before.TotalAlloc) / manyMachines; got > summaryBytes || len(summary.Machines) != manyMachines {
+	if got := (after.TotalAlloc - before.TotalAlloc) / maxMachinesPerShard; got > summaryBytes || len(summary.Machines) != maxMachinesPerShard {
 		t.Errorf("%d bytes to tell of a machine, want %d at most; %d machines", got, summaryBytes, len(summary.Machines))
 	}
 }
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -16,7 +16,7 @@
 func (r *harness) after(ref string, roots ...string) wire.Spec {
 	s := spec(ref, "b", wire.Array, "normal", 1, 0)
 	s.CPUs, s.MemoryGB, s.DependsOn = 1, 1, roots
-	r.open(record.ActiveJob{Spec: s, AcceptedAt: r.clock.Now().UnixMilli(), AwaitsDependencies: len(roots) > 0})()
+	r.putActiveJob(record.ActiveJob{Spec: s, AcceptedAt: r.clock.Now().UnixMilli(), AwaitsDependencies: len(roots) > 0})()
 	return s
 }
 
@@ -35,7 +35,7 @@
 
 func TestJobWaitsForEveryDependency(t *testing.T) {
 	r := newHarness(t)
-	w := r.machine("m1", "z1", false)
+	w := r.addMachine("m1", "z1", false)
 	r.after(jobA)
 	r.after(jobB)
 	r.after(jobC, jobA, jobB)
@@ -73,7 +73,7 @@
 
 func TestCancellationReachesAllDependents(t *testing.T) {
 	r := newHarness(t)
-	w := r.machine("m1", "z1", false)
+	w := r.addMachine("m1", "z1", false)
 	a := r.after(jobA)
 	r.after(jobB, jobA)
 	r.after(jobC, jobB)
@@ -131,7 +131,7 @@
 // place of what is lower; without heirs it is as before.
 func TestInheritedPriorityPreempts(t *testing.T) {
 	r := newHarness(t)
-	w := r.machine("m1", "z1", false)
+	w := r.addMachine("m1", "z1", false)
 	low := spec("run-000001", "b", wire.Array, "low", 2, 1)
 	r.submit(low)
 	r.heartbeats(2)
@@ -171,7 +171,7 @@
 func TestEndWithDependentsIsNotRoutine(t *testing.T) {
 	for _, needed := range []bool{false, true} {
 		r := newHarness(t)
-		w := r.machine("m1", "z1", false)
+		w := r.addMachine("m1", "z1", false)
 		r.after(jobA)
 		r.heartbeats(2)
 		r.shard.SetInheritedClaim(jobA, fragment.Claim{Rank: Rank("normal"), Needed: needed})
--- a/internal/scheduler/deposed_test.go
+++ b/internal/scheduler/deposed_test.go
@@ -88,16 +88,16 @@
 // run beside the one that the successor decides on.
 func TestDeposedOwnerRecordsNoStart(t *testing.T) {
 	r := newHarness(t)
-	w1 := r.machine("m1", "z1", false)
+	w1 := r.addMachine("m1", "z1", false)
 	r.heartbeats(2)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	start := r.nextTxn()
 	d := depose(r)
 	refused := d.late(start)
 	d.reportToOld(w1)
-	w2 := r.machine("m2", "z1", false)
+	w2 := r.addMachine("m2", "z1", false)
 	r.heartbeats(4, w2)
-	if at := r.on("run-000001/0"); at != "m2" {
+	if at := r.runningOn("run-000001/0"); at != "m2" {
 		t.Errorf("the task is on %q, want m2, where its owner started it", at)
 	}
 	if !refused || !d.old.OwnershipLost() {
@@ -113,9 +113,9 @@
 	r.submit(s)
 	r.carryOutEffects()
 	d := depose(r)
-	r.machine("m1", "z1", false)
+	r.addMachine("m1", "z1", false)
 	r.heartbeats(3)
-	if r.on("run-000001/0") == "" {
+	if r.runningOn("run-000001/0") == "" {
 		t.Fatal("not started by the successor")
 	}
 	e := r.state.Put(record.ActiveJobKey(s.Ref), record.ActiveJob{Spec: s, Shard: r.id, Cancelled: true})
@@ -125,7 +125,7 @@
 		t.Fatalf("%d transactions of the old owner, want the job's end", len(eff.Txns))
 	}
 	refused := d.late(eff.Txns[0])
-	if at := r.on("run-000001/0"); at != "" && r.get(record.FinishedJobKey(s.Ref)) != nil {
+	if at := r.runningOn("run-000001/0"); at != "" && r.get(record.FinishedJobKey(s.Ref)) != nil {
 		t.Errorf("the end is recorded while the task runs on %s", at)
 	}
 	if !refused {
@@ -137,27 +137,27 @@
 // there, would take the successor's task with it, which then runs twice.
 func TestDeposedOwnerTransfersNoMachine(t *testing.T) {
 	r := newHarness(t)
-	w1 := r.machine("m1", "z1", false)
+	w1 := r.addMachine("m1", "z1", false)
 	r.heartbeats(2)
 	r.shard.ApplyFleetOrder(fleet.Order{Machine: "m1", To: 1}, r.clock.Now())
 	move := r.nextTxn()
 	d := depose(r)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	r.heartbeats(3)
-	if r.on("run-000001/0") != "m1" {
+	if r.runningOn("run-000001/0") != "m1" {
 		t.Fatal("not started by the successor")
 	}
 	refused := d.late(move)
 	if e := r.get(record.OverrideKey("m1")); e != nil {
-		r.sync(*e)
+		r.applyRecord(*e)
 	}
 	// The next start on the machine is conditioned on its record, which tells its owner
 	// that it has moved.
 	r.submit(spec("run-000002", "b", wire.Array, "normal", 1, 1))
 	r.heartbeats(2, w1)
-	w2 := r.machine("m2", "z1", false)
+	w2 := r.addMachine("m2", "z1", false)
 	r.heartbeats(3, w2)
-	if at := r.on("run-000001/0"); at != "m1" {
+	if at := r.runningOn("run-000001/0"); at != "m1" {
 		t.Errorf("the task is on %q, want m1", at)
 	}
 	if !refused {
@@ -168,14 +168,14 @@
 // A machine that the old owner releases would end the successor's task.
 func TestDeposedOwnerReleasesNoMachine(t *testing.T) {
 	r := newHarness(t)
-	r.machine("m1", "z1", false)
+	r.addMachine("m1", "z1", false)
 	r.heartbeats(2)
 	r.shard.ApplyFleetOrder(fleet.Order{Machine: "m1", To: fleet.ReleaseToCloud}, r.clock.Now())
 	back := r.nextTxn()
 	d := depose(r)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	r.heartbeats(3)
-	if r.on("run-000001/0") != "m1" {
+	if r.runningOn("run-000001/0") != "m1" {
 		t.Fatal("not started by the successor")
 	}
 	refused := d.late(back)
@@ -199,7 +199,7 @@
 		}
 	}
 	effects := r.shard.Step(now)
-	r.probe(effects)
+	r.answerProbes(effects)
 	for _, t := range effects.Txns {
 		r.shard.Refused(t, now)
 	}
@@ -212,7 +212,7 @@
 // has moved to, and would be released with that shard's task on it.
 func TestTransferWithoutAnswerIsNotTakenForRefused(t *testing.T) {
 	r := newHarness(t)
-	moved, stays := r.machine("m1", "z1", false), r.machine("m2", "z1", false)
+	moved, stays := r.addMachine("m1", "z1", false), r.addMachine("m2", "z1", false)
 	r.heartbeats(2)
 	r.shard.ApplyFleetOrder(fleet.Order{Machine: "m1", To: 1}, r.clock.Now())
 	move := r.nextTxn()
@@ -220,7 +220,7 @@
 		t.Fatal(err)
 	}
 	r.shard.Unknown(move, r.clock.Now())
-	other := newHarnessOf(t, 1, r.clock, r.state)
+	other := newShardHarness(t, 1, r.clock, r.state)
 	other.cloud, other.workers["m1"] = r.cloud, moved
 	other.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	var rereads []string
@@ -228,7 +228,7 @@
 		other.heartbeats(1)
 		rereads = append(rereads, r.refusedTurn(stays)...)
 	}
-	if other.on("run-000001/0") != "m1" {
+	if other.runningOn("run-000001/0") != "m1" {
 		t.Fatal("not started by the part that the machine has moved to")
 	}
 	for _, id := range rereads { // the state service serves it again
@@ -241,7 +241,7 @@
 	if len(r.cloud.Returned) != 0 {
 		t.Errorf("%v went back while run-000001/0 runs there", r.cloud.Returned)
 	}
-	if other.on("run-000001/0") != "m1" || len(moved.Started) != 1 {
+	if other.runningOn("run-000001/0") != "m1" || len(moved.Started) != 1 {
 		t.Errorf("starts %v", moved.Started)
 	}
 	if r.shard.HasMachine("m1") {
@@ -264,17 +264,17 @@
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	d := depose(r)
 	r.heartbeats(3)
-	if r.on("run-000001/0") != "m1" {
+	if r.runningOn("run-000001/0") != "m1" {
 		t.Fatal("not started by the successor")
 	}
 	raised := r.state.Put(record.OverrideKey("m1"), record.Machine{Type: "big", Zone: "z1", Shard: r.id})
-	r.sync(raised)
+	r.applyRecord(raised)
 	r.heartbeats(2)
 	if w.Token != raised.Version {
 		t.Fatalf("the worker has token %d, want %d", w.Token, raised.Version)
 	}
 	d.showToOld(w)
-	if r.on("run-000001/0") != "m1" {
+	if r.runningOn("run-000001/0") != "m1" {
 		t.Error("an owner that has a successor stopped the successor's task")
 	}
 	report := w.Report()
@@ -288,17 +288,17 @@
 	r := newHarness(t)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	d := depose(r)
-	r.sync(r.state.Put(record.ProvisionKey("m1"), record.Provision{Type: "big", Zone: "z1", Shards: []int{r.id + 1}, IDs: []string{"m1"}}))
+	r.applyRecord(r.state.Put(record.ProvisionKey("m1"), record.Provision{Type: "big", Zone: "z1", Shards: []int{r.id + 1}, IDs: []string{"m1"}}))
 	arrives := r.state.Put(record.OverrideKey("m1"), record.Machine{Type: "big", Zone: "z1", Shard: r.id})
 	w := testkit.NewWorker("m1", "big", "z1", false)
 	r.workers["m1"] = w
-	r.sync(arrives)
+	r.applyRecord(arrives)
 	r.heartbeats(3)
-	if r.on("run-000001/0") != "m1" {
+	if r.runningOn("run-000001/0") != "m1" {
 		t.Fatal("not started by the successor")
 	}
 	d.showToOld(w)
-	if r.on("run-000001/0") != "m1" {
+	if r.runningOn("run-000001/0") != "m1" {
 		t.Error("an owner that has a successor stopped the successor's task")
 	}
 }
--- a/internal/scheduler/direct_commands_test.go
+++ b/internal/scheduler/direct_commands_test.go
@@ -7,9 +7,9 @@
 	"bramblespur/internal/wire"
 )
 
-// deliver carries a direct command out, as its worker would, and tells the
+// deliverCommand carries a direct command out, as its worker would, and tells the
 // shard unless the answer is lost.
-func (r *harness) deliver(d DirectCommand, answered bool) {
+func (r *harness) deliverCommand(d DirectCommand, answered bool) {
 	w := r.workers[d.Machine]
 	if w.Session != d.Orders.Session || !w.Obey(wire.Orders{Token: d.Orders.Token, Commands: d.Orders.Commands}) {
 		if answered {
@@ -28,8 +28,8 @@
 // its repetition in an answer starts nothing twice.
 func TestDirectStartRunsWithoutHeartbeat(t *testing.T) {
 	r := newHarness(t)
-	r.sendStart = func(d DirectCommand) { r.deliver(d, true) }
-	w := r.machine("m1", "z1", false)
+	r.sendStart = func(d DirectCommand) { r.deliverCommand(d, true) }
+	w := r.addMachine("m1", "z1", false)
 	r.heartbeats(2)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 2, 1))
 	r.carryOutEffects()
@@ -52,7 +52,7 @@
 	r := newHarness(t)
 	var late []DirectCommand
 	r.sendStart = func(d DirectCommand) { late = append(late, d) }
-	w := r.machine("m1", "z1", false)
+	w := r.addMachine("m1", "z1", false)
 	r.heartbeats(2)
 	s := spec("run-000001", "b", wire.Array, "normal", 1, 1)
 	r.submit(s)
@@ -73,7 +73,7 @@
 	if w.Token <= before || r.shard.HasJob(s.Ref) {
 		t.Fatalf("token %d, before %d: want a higher one, and the job's end after it", w.Token, before)
 	}
-	r.deliver(late[0], false)
+	r.deliverCommand(late[0], false)
 	if len(w.Started) != 0 {
 		t.Fatalf("the late command started %v", w.Started)
 	}
@@ -84,27 +84,27 @@
 func TestCopyOfDirectStart(t *testing.T) {
 	r := newHarness(t)
 	var sent []DirectCommand
-	r.sendStart = func(d DirectCommand) { sent = append(sent, d); r.deliver(d, true) }
-	w1 := r.machine("m1", "z1", false)
+	r.sendStart = func(d DirectCommand) { sent = append(sent, d); r.deliverCommand(d, true) }
+	w1 := r.addMachine("m1", "z1", false)
 	r.heartbeats(2)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 2))
 	r.carryOutEffects()
 	r.heartbeats(1)
 	r.submit(spec("run-000002", "b", wire.Service, "prod", 1, 2))
 	r.heartbeats(4) // takes the array's place
-	w2 := r.machine("m2", "z1", false)
+	w2 := r.addMachine("m2", "z1", false)
 	r.heartbeats(4)
-	if r.on("run-000001/0") != "m2" || r.on("run-000002/0") != "m1" {
+	if r.runningOn("run-000001/0") != "m2" || r.runningOn("run-000002/0") != "m1" {
 		t.Fatalf("starts %v and %v", w1.Started, w2.Started)
 	}
-	r.deliver(sent[0], false)
-	if got := r.on("run-000001/0"); got != "m2" {
+	r.deliverCommand(sent[0], false)
+	if got := r.runningOn("run-000001/0"); got != "m2" {
 		t.Fatalf("the task is on %q", got)
 	}
 	// A new epoch forgets all, and takes no command of the old one.
-	r.expire(w1)
-	r.deliver(sent[0], false)
-	if got := r.on("run-000001/0"); got != "m2" {
+	r.expireLease(w1)
+	r.deliverCommand(sent[0], false)
+	if got := r.runningOn("run-000001/0"); got != "m2" {
 		t.Fatalf("the task is on %q", got)
 	}
 }
@@ -112,8 +112,8 @@
 // Attempts that may not be forgotten do not pile up: a higher token ends that.
 func TestRetainedAttemptsAreCleared(t *testing.T) {
 	r := newHarness(t)
-	r.sendStart = func(d DirectCommand) { r.deliver(d, true) }
-	w := r.machine("m1", "z1", false)
+	r.sendStart = func(d DirectCommand) { r.deliverCommand(d, true) }
+	w := r.addMachine("m1", "z1", false)
 	r.heartbeats(2)
 	for i := range 3 * raiseTokenRetained {
 		s := spec(fmt.Sprintf("run-0000%02d", i), "b", wire.Service, "prod", 1, 2)
@@ -135,15 +135,15 @@
 	r := newHarness(t)
 	var late []DirectCommand
 	r.sendStart = func(d DirectCommand) { late = append(late, d) }
-	w1 := r.machine("m1", "z1", false)
+	w1 := r.addMachine("m1", "z1", false)
 	r.heartbeats(2)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 2))
 	r.carryOutEffects()
 	r.sendStart = nil
-	w2 := r.machine("m2", "z1", false)
+	w2 := r.addMachine("m2", "z1", false)
 	r.failOver()
 	r.heartbeats(4)
-	r.deliver(late[0], false)
+	r.deliverCommand(late[0], false)
 	if n := len(w1.Started) + len(w2.Started); n != 1 {
 		t.Fatalf("starts %v and %v, want one", w1.Started, w2.Started)
 	}
--- a/internal/scheduler/failover_test.go
+++ b/internal/scheduler/failover_test.go
@@ -12,20 +12,20 @@
 // twice even when the machine is silent for long.
 func TestFailoverKeepsPlacements(t *testing.T) {
 	r := newHarness(t)
-	w1 := r.machine("m1", "z1", false)
+	w1 := r.addMachine("m1", "z1", false)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	r.heartbeats(3)
-	if r.on("run-000001/0") != "m1" {
+	if r.runningOn("run-000001/0") != "m1" {
 		t.Fatal("not started")
 	}
-	w2 := r.machine("m2", "z1", false)
+	w2 := r.addMachine("m2", "z1", false)
 	r.failOver()
 	r.heartbeats(8, w2)
 	if len(w2.Started) != 0 {
 		t.Fatalf("started on a second machine: %v", w2.Started)
 	}
 	r.heartbeats(2, w1)
-	if r.on("run-000001/0") != "m1" || len(w1.Started) != 1 {
+	if r.runningOn("run-000001/0") != "m1" || len(w1.Started) != 1 {
 		t.Fatalf("task did not go on where it was: %v", w1.Started)
 	}
 }
@@ -77,14 +77,14 @@
 // before the placements are, and they must be stopped all the same.
 func TestCancelWhileUnowned(t *testing.T) {
 	r := newHarness(t)
-	r.machine("m1", "z1", false)
+	r.addMachine("m1", "z1", false)
 	s := spec("run-000001", "b", wire.Service, "prod", 1, 1)
 	r.submit(s)
 	r.heartbeats(3)
 	r.cancel(s)
 	r.failOver()
 	r.heartbeats(3)
-	if at := r.on(s.Ref + "/0"); at != "" {
+	if at := r.runningOn(s.Ref + "/0"); at != "" {
 		t.Fatalf("still on %s", at)
 	}
 	r.heartbeats(2)
@@ -98,7 +98,7 @@
 func TestCrashAtEveryStep(t *testing.T) {
 	for crash := range 8 {
 		r := newHarness(t)
-		w := r.machine("m1", "z1", false)
+		w := r.addMachine("m1", "z1", false)
 		s := spec("run-000001", "b", wire.Array, "normal", 2, 1)
 		r.submit(s)
 		for step := range 24 {
@@ -106,8 +106,8 @@
 				r.failOver()
 			}
 			r.heartbeat()
-			r.on("run-000001/0")
-			r.on("run-000001/1")
+			r.runningOn("run-000001/0")
+			r.runningOn("run-000001/1")
 			if step > 12 {
 				w.End("run-000001/0", wire.Done)
 				w.End("run-000001/1", wire.Done)
@@ -126,7 +126,7 @@
 // settles, frees and starts nothing and does not count as a sign of life.
 func TestLateCopyAfterFailoverProvesNothing(t *testing.T) {
 	r := newHarness(t)
-	w1, w2 := r.machine("m1", "z1", false), r.machine("m2", "z1", false)
+	w1, w2 := r.addMachine("m1", "z1", false), r.addMachine("m2", "z1", false)
 	r.heartbeats(2)
 	empty := w1.Report()
 	s := spec("run-000001", "b", wire.Array, "normal", 1, 1)
@@ -134,7 +134,7 @@
 	s.Zone = &zone
 	r.submit(s)
 	r.heartbeats(3)
-	at := r.on("run-000001/0")
+	at := r.runningOn("run-000001/0")
 	if at == "m2" {
 		w2 = w1
 		empty.Machine = "m2"
@@ -154,7 +154,7 @@
 		late()
 		r.heartbeat(w2)
 	}
-	if got := r.on("run-000001/0"); got != at {
+	if got := r.runningOn("run-000001/0"); got != at {
 		t.Fatalf("the task is on %q after late copies, want %q", got, at)
 	}
 	if len(w2.Started) > 2 {
@@ -180,7 +180,7 @@
 		t.Errorf("told of %v", got)
 	}
 	r.heartbeats(3)
-	if r.on("run-000001/0") == "" || r.get(record.ActiveJobKey("run-000002")) == nil {
+	if r.runningOn("run-000001/0") == "" || r.get(record.ActiveJobKey("run-000002")) == nil {
 		t.Error("the other job does not run, or the record is gone")
 	}
 }
--- a/internal/scheduler/feasibility_test.go
+++ b/internal/scheduler/feasibility_test.go
@@ -23,14 +23,14 @@
 		large := 4
 		if busy {
 			large = 3
-			r.machine("m0", "z1", false)
+			r.addMachine("m0", "z1", false)
 			r.heartbeats(2)
 			r.submit(spec("run-000001", "b", wire.Service, "prod", 1, 1))
 			r.heartbeats(2)
 		}
 		for _, id := range []string{"m0", "m1", "m2"} {
 			if r.workers[id] == nil {
-				r.machine(id, "z1", false)
+				r.addMachine(id, "z1", false)
 			}
 		}
 		r.heartbeats(2)
@@ -39,10 +39,10 @@
 		r.submit(gangOf("run-000003", 2))
 		r.submit(spec("run-000004", "b", wire.Array, "normal", 1, 1))
 		r.heartbeats(int((infeasibleAfter + gangReservation + 4*time.Second) / r.cfg.HeartbeatInterval))
-		if r.on("run-000003/0") == "" || r.on("run-000003/1") == "" {
+		if r.runningOn("run-000003/0") == "" || r.runningOn("run-000003/1") == "" {
 			t.Errorf("%s: the small gang waits beside machines kept for one of %d", name, large)
 		}
-		if r.on("run-000004/0") == "" {
+		if r.runningOn("run-000004/0") == "" {
 			t.Errorf("%s: the array waits beside machines kept for a gang of %d", name, large)
 		}
 	}
@@ -52,7 +52,7 @@
 // nothing takes its place: its machines don't come free for a gang.
 func TestGangDoesNotAwaitAnArrayThatGoesOn(t *testing.T) {
 	r := newHarness(t)
-	r.machine("m0", "z1", false)
+	r.addMachine("m0", "z1", false)
 	r.heartbeats(2)
 	r.submit(spec("run-000001", "b", wire.Array, "low", 9, 1))
 	r.heartbeats(2)
@@ -60,9 +60,9 @@
 	r.shard.protection.add(array)
 	r.submit(gangOf("run-000002", 2))
 	r.submit(gangOf("run-000003", 1))
-	r.machine("m1", "z1", false)
+	r.addMachine("m1", "z1", false)
 	r.heartbeats(int((infeasibleAfter + gangReservation + 4*time.Second) / r.cfg.HeartbeatInterval))
-	if r.on("run-000003/0") != "m1" {
+	if r.runningOn("run-000003/0") != "m1" {
 		t.Error("the small gang waits beside a machine kept for one of 2")
 	}
 }
@@ -72,21 +72,21 @@
 func TestGangAwaitsMachinesThatBoot(t *testing.T) {
 	r := newHarness(t)
 	for _, id := range []string{"m0", "m1"} {
-		r.machine(id, "z1", false)
+		r.addMachine(id, "z1", false)
 	}
 	r.heartbeats(2)
-	late := r.machine("m2", "z1", false)
+	late := r.addMachine("m2", "z1", false)
 	delete(r.workers, "m2") // it boots
 	r.submit(gangOf("run-000002", 3))
 	r.submit(gangOf("run-000003", 2))
 	r.heartbeats(int((infeasibleAfter + 3*gangReservation) / r.cfg.HeartbeatInterval))
-	if r.on("run-000003/0") != "" {
+	if r.runningOn("run-000003/0") != "" {
 		t.Fatal("the small gang took what the large one gathered")
 	}
 	r.workers["m2"] = late
 	r.heartbeats(4)
 	for _, task := range []string{"run-000002/0", "run-000002/1", "run-000002/2"} {
-		if r.on(task) == "" {
+		if r.runningOn(task) == "" {
 			t.Errorf("%s does not run", task)
 		}
 	}
@@ -96,7 +96,7 @@
 // none.
 func TestMachineLeavesAsItEmpties(t *testing.T) {
 	r := newHarness(t)
-	w := r.machine("m1", "z1", false)
+	w := r.addMachine("m1", "z1", false)
 	r.heartbeats(2)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 3, 1))
 	r.heartbeats(3)
@@ -106,8 +106,8 @@
 	if summary := r.shard.Summary(r.clock.Now()); len(summary.Machines) != 1 || !summary.Machines[0].Moving || summary.Machines[0].To != 1 {
 		t.Fatalf("summary %+v, want it to tell where the machine goes", summary.Machines)
 	}
-	if r.on("run-000001/1") != "m1" || r.on("run-000001/2") != "" {
-		t.Fatalf("tasks on %q and %q, want the one that ran, and no new one", r.on("run-000001/1"), r.on("run-000001/2"))
+	if r.runningOn("run-000001/1") != "m1" || r.runningOn("run-000001/2") != "" {
+		t.Fatalf("tasks on %q and %q, want the one that ran, and no new one", r.runningOn("run-000001/1"), r.runningOn("run-000001/2"))
 	}
 	w.End("run-000001/1", wire.Done)
 	r.heartbeats(3)
@@ -137,7 +137,7 @@
 // not from services, which users wait for all the time.
 func TestOnlyServicesPreemptProtectedJobs(t *testing.T) {
 	r := newHarness(t)
-	r.machine("m1", "z1", false)
+	r.addMachine("m1", "z1", false)
 	r.heartbeats(2)
 	r.submit(spec("run-000001", "b", wire.Array, "low", 2, 1))
 	r.heartbeats(2)
--- a/internal/scheduler/gang_start_delay_test.go
+++ b/internal/scheduler/gang_start_delay_test.go
@@ -68,7 +68,7 @@
 			typ := r.cfg.Types["big"]
 			typ.FetchGBps = 0.5
 			r.cfg.Types["big"] = typ
-			m1 := r.machine("m1", "z1", false)
+			m1 := r.addMachine("m1", "z1", false)
 			before := spec("run-000001", "b", wire.Array, "normal", 1, 2)
 			before.ImageGB = 20
 			r.submit(before)
@@ -76,7 +76,7 @@
 			m1.End("run-000001/0", wire.Done)
 			r.heartbeats(3)
 
-			r.machine("m2", "z1", false)
+			r.addMachine("m2", "z1", false)
 			r.heartbeats(1)
 			gang := spec("run-000002", "b", wire.Gang, "urgent", 2, 2)
 			gang.ImageGB = before.ImageGB
@@ -88,7 +88,7 @@
 					w := r.workers[d.Machine]
 					w.Obey(wire.Orders{Token: d.Orders.Token, Commands: d.Orders.Commands})
 					play.advance()
-					r.deliver(d, true)
+					r.deliverCommand(d, true)
 				}
 			}
 			for range 60 {
@@ -107,7 +107,7 @@
 // machine's next heartbeat: that may be seconds away.
 func TestDelayedStartWakesItsMachine(t *testing.T) {
 	r := newHarness(t)
-	m := r.machine("m1", "z1", false)
+	m := r.addMachine("m1", "z1", false)
 	r.heartbeats(2, m)
 	due := r.clock.Now().Add(5 * time.Second)
 	r.shard.delayedStarts[r.shard.inventory.byID["m1"]] = due
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -14,21 +14,21 @@
 	s := spec("run-000001", "b", wire.Gang, "urgent", 2, 2)
 	s.OneZone = true
 	r.submit(s)
-	r.machine("m1", "z1", false)
-	r.machine("m2", "z2", false)
+	r.addMachine("m1", "z1", false)
+	r.addMachine("m2", "z2", false)
 	r.heartbeats(4)
-	if r.on("run-000001/0") != "" || r.on("run-000001/1") != "" {
+	if r.runningOn("run-000001/0") != "" || r.runningOn("run-000001/1") != "" {
 		t.Fatal("gang started over two zones")
 	}
-	r.machine("m3", "z2", false)
+	r.addMachine("m3", "z2", false)
 	r.heartbeats(4)
-	a, b := r.on("run-000001/0"), r.on("run-000001/1")
+	a, b := r.runningOn("run-000001/0"), r.runningOn("run-000001/1")
 	if a == b || a == "m1" || b == "m1" || a == "" || b == "" {
 		t.Fatalf("gang on %q and %q, want m2 and m3", a, b)
 	}
 	// One machine's epoch ends: the whole attempt must go before the next.
 	lost := r.workers[a]
-	r.expire(lost)
+	r.expireLease(lost)
 	r.heartbeats(5)
 	x, y := r.workers[a].Tasks["run-000001/0"], r.workers[b].Tasks["run-000001/1"]
 	if x == nil {
@@ -44,8 +44,8 @@
 	r.t.Helper()
 	s := spec("run-000001", "b", wire.Gang, "urgent", 2, 2)
 	r.submit(s)
-	r.machine("m1", "z1", false)
-	r.machine("m2", "z1", false)
+	r.addMachine("m1", "z1", false)
+	r.addMachine("m2", "z1", false)
 	return s
 }
 
@@ -55,14 +55,14 @@
 	r := newHarness(t)
 	r.gangOfTwo()
 	r.heartbeats(2)
-	a, b := r.on("run-000001/0"), r.on("run-000001/1")
+	a, b := r.runningOn("run-000001/0"), r.runningOn("run-000001/1")
 	if a == "" || b == "" {
 		t.Fatal("gang not started")
 	}
 	r.workers[a].Tasks["run-000001/0"].State = wire.AwaitingGang
 	r.workers[b].Tasks["run-000001/1"].State = wire.Fetching
 	r.heartbeat()
-	r.expire(r.workers[b])
+	r.expireLease(r.workers[b])
 	r.heartbeats(4)
 	if got := r.workers[a].Tasks["run-000001/0"]; got == nil || got.Attempt != 1 || got.State != wire.AwaitingGang {
 		t.Fatalf("the waiting task was disturbed: %+v", got)
@@ -77,7 +77,7 @@
 	r := newHarness(t)
 	spec := r.gangOfTwo()
 	r.heartbeats(4)
-	w := r.workers[r.on("run-000001/0")]
+	w := r.workers[r.runningOn("run-000001/0")]
 	w.End("run-000001/0", wire.Done)
 	r.heartbeats(1, w)
 	if r.jobState(spec.Ref) != wire.Done {
@@ -95,12 +95,12 @@
 	for i := range 3 {
 		r.submit(spec(fmt.Sprintf("run-00001%d", i), "b", wire.Gang, "urgent", 1, 2))
 		r.submit(spec(fmt.Sprintf("run-00002%d", i), "b", wire.Array, "normal", 2, 1))
-		r.machine(fmt.Sprintf("m%d", i), "z1", false)
+		r.addMachine(fmt.Sprintf("m%d", i), "z1", false)
 		r.heartbeats(2)
 	}
 	r.heartbeats(2)
 	for i := range 3 {
-		if name := fmt.Sprintf("run-000001/%d", i); r.on(name) == "" {
+		if name := fmt.Sprintf("run-000001/%d", i); r.runningOn(name) == "" {
 			t.Errorf("%s was starved by smaller work", name)
 		}
 	}
@@ -111,7 +111,7 @@
 func TestLargestGangIsServed(t *testing.T) {
 	r := newHarness(t)
 	for i := range 4 {
-		r.machine(fmt.Sprintf("m%d", i), "z1", false)
+		r.addMachine(fmt.Sprintf("m%d", i), "z1", false)
 	}
 	n := 0
 	small := func(beat int) {
@@ -145,7 +145,7 @@
 	r := newHarness(t)
 	r.cfg.Urgency = func(s *wire.Spec, waited time.Duration, _ *float64) float64 { return s.EstimateS - waited.Seconds() }
 	for i := range 8 {
-		r.machine(fmt.Sprintf("m%d", i), []string{"z1", "z2"}[i/4], false)
+		r.addMachine(fmt.Sprintf("m%d", i), []string{"z1", "z2"}[i/4], false)
 	}
 	const largest = 4
 	accepted, began := map[string]time.Time{}, map[string]time.Time{}
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -27,20 +27,20 @@
 	invalid int
 	// afterTxn, if set, is called after each transaction.
 	afterTxn func()
-	// answers are the machines that answer probes.
-	answers []string
-	// upgraded says that no controller of the first version is left.
-	upgraded bool
+	// probeResponders are the machines that answer probes.
+	probeResponders []string
+	// sizedRangesAllowed says that no controller of the first version is left.
+	sizedRangesAllowed bool
 	// sendStart, if set, carries direct starts to their workers.
 	sendStart func(d DirectCommand)
 }
 
 func newHarness(t testing.TB) *harness {
-	return newHarnessOf(t, 0, testkit.NewClock(), testkit.NewState())
+	return newShardHarness(t, 0, testkit.NewClock(), testkit.NewState())
 }
 
-// newHarnessOf plays one of several shards that share a state service.
-func newHarnessOf(t testing.TB, id int, clock *testkit.Clock, state *testkit.State) *harness {
+// newShardHarness plays one of several shards that share a state service.
+func newShardHarness(t testing.TB, id int, clock *testkit.Clock, state *testkit.State) *harness {
 	r := &harness{t: t, id: id, clock: clock, state: state, cloud: &testkit.Cloud{}, workers: map[string]*testkit.Worker{}}
 	r.cfg = &Config{
 		Teams:             map[string]Team{"a": {Name: "a", GPUs: 2, MaxGPUs: 4}, "b": {Name: "b"}},
@@ -57,7 +57,7 @@
 func newHarnessWithMachine(t testing.TB) (*harness, *testkit.Worker) {
 	t.Helper()
 	r := newHarness(t)
-	w := r.machine("m1", "z1", false)
+	w := r.addMachine("m1", "z1", false)
 	r.heartbeats(2)
 	return r, w
 }
@@ -67,12 +67,12 @@
 	r.t.Helper()
 	e := r.state.Put(record.ShardKey(r.id), record.Shard{Owner: "x"})
 	r.shard = New(r.cfg, r.id, e.Version)
-	if r.upgraded {
+	if r.sizedRangesAllowed {
 		r.shard.AllowSizedRanges()
 	}
 	r.fleet = record.NewFleet()
 	for _, e := range r.list(record.FleetPrefix) {
-		r.fleetChange(e)
+		r.applyToFleet(e)
 	}
 	if err := r.shard.Load(r.fleet, r.list(record.ActiveJobPrefix), r.list(record.ShardPlacementsPrefix(r.id)), r.clock.Now()); err != nil {
 		r.t.Fatal(err)
@@ -88,7 +88,7 @@
 	return l
 }
 
-func (r *harness) fleetChange(e wire.Entry) []string {
+func (r *harness) applyToFleet(e wire.Entry) []string {
 	r.t.Helper()
 	ids, err := r.fleet.Apply(e.Change())
 	if err != nil {
@@ -97,10 +97,10 @@
 	return ids
 }
 
-// sync tells the shard what changed in the fleet's records, as the watch does.
-func (r *harness) sync(e wire.Entry) {
+// applyRecord tells the shard what changed in the fleet's records, as the watch does.
+func (r *harness) applyRecord(e wire.Entry) {
 	r.t.Helper()
-	for _, id := range r.fleetChange(e) {
+	for _, id := range r.applyToFleet(e) {
 		if v, ok := r.fleet.Machine(id); ok {
 			if err := r.shard.SetMachine(id, v, r.clock.Now()); err != nil {
 				r.t.Fatal(err)
@@ -116,19 +116,19 @@
 		return
 	}
 	for _, e := range r.list(record.ReleasePrefix) {
-		r.fleetChange(e)
+		r.applyToFleet(e)
 	}
 	for key, b := range r.fleet.PendingReleases() {
 		if err := r.cloud.Release(context.Background(), b.Rec.IDs); err != nil {
 			r.t.Fatal(err)
 		}
-		r.sync(r.state.Put(key, record.Release{IDs: b.Rec.IDs, Done: true}))
+		r.applyRecord(r.state.Put(key, record.Release{IDs: b.Rec.IDs, Done: true}))
 	}
 }
 
-func (r *harness) machine(id, zone string, spot bool) *testkit.Worker {
+func (r *harness) addMachine(id, zone string, spot bool) *testkit.Worker {
 	r.t.Helper()
-	r.sync(r.state.Put(record.ProvisionKey(id), record.Provision{Type: "big", Zone: zone, Spot: spot, Shards: []int{r.id}, IDs: []string{id}, CreatedAt: r.clock.Now().UnixMilli()}))
+	r.applyRecord(r.state.Put(record.ProvisionKey(id), record.Provision{Type: "big", Zone: zone, Spot: spot, Shards: []int{r.id}, IDs: []string{id}, CreatedAt: r.clock.Now().UnixMilli()}))
 	w := testkit.NewWorker(id, "big", zone, spot)
 	r.workers[id] = w
 	return w
@@ -140,10 +140,10 @@
 }
 
 func (r *harness) submit(spec wire.Spec) {
-	r.open(record.ActiveJob{Spec: spec, AcceptedAt: r.clock.Now().UnixMilli()})()
+	r.putActiveJob(record.ActiveJob{Spec: spec, AcceptedAt: r.clock.Now().UnixMilli()})()
 }
 
-func (r *harness) open(o record.ActiveJob) (tell func()) {
+func (r *harness) putActiveJob(o record.ActiveJob) (tell func()) {
 	o.Shard = r.id
 	e := r.state.Put(record.ActiveJobKey(o.Spec.Ref), o)
 	return func() { r.shard.SetJob(o.Spec.Ref, o, e.Version, r.clock.Now()) }
@@ -151,7 +151,7 @@
 
 // cancel writes a cancellation as any controller does; tell brings it to the owner.
 func (r *harness) cancel(spec wire.Spec) (tell func()) {
-	return r.open(record.ActiveJob{Spec: spec, Cancelled: true})
+	return r.putActiveJob(record.ActiveJob{Spec: spec, Cancelled: true})
 }
 
 // carryOutEffects carries out all effects until there are none.
@@ -167,7 +167,7 @@
 				}
 			}
 		}
-		r.probe(eff)
+		r.answerProbes(eff)
 		if len(eff.Txns)+len(eff.RereadJobs)+len(eff.RereadPlacements)+len(eff.RereadMachines)+len(eff.RereadPipelines)+len(eff.DirectCommands) == 0 && eff.ConfirmOwnershipAt == 0 {
 			return
 		}
@@ -201,7 +201,7 @@
 		}
 		for _, ref := range eff.RereadPipelines {
 			e := r.get(record.PipelineKey(ref))
-			if err := r.shard.PipelineRead(ref, e, r.endsOf(e), now); err != nil {
+			if err := r.shard.PipelineRead(ref, e, r.missingEnds(e), now); err != nil {
 				r.t.Fatal(err)
 			}
 		}
@@ -229,8 +229,8 @@
 	r.t.Fatal("effects never end")
 }
 
-// endsOf returns the ends of a pipeline's jobs that its record does not tell.
-func (r *harness) endsOf(e *wire.Entry) []record.PipelineJobEnd {
+// missingEnds returns the ends of a pipeline's jobs that its record does not tell.
+func (r *harness) missingEnds(e *wire.Entry) []record.PipelineJobEnd {
 	rec, err := decode[record.Pipeline](*e)
 	if err != nil {
 		r.t.Fatal(err)
@@ -256,8 +256,8 @@
 	return &e
 }
 
-// expire lets a lease run out in which no report was answered.
-func (r *harness) expire(w *testkit.Worker) {
+// expireLease lets a lease run out in which no report was answered.
+func (r *harness) expireLease(w *testkit.Worker) {
 	r.clock.Advance(r.cfg.Lease)
 	w.Expire()
 }
@@ -288,8 +288,8 @@
 	}
 }
 
-// beatAndEnd lets all workers report once, and then ends all tasks of one of them.
-func (r *harness) beatAndEnd(w *testkit.Worker) {
+// heartbeatAndEndTasks lets all workers report once, and then ends all tasks of one of them.
+func (r *harness) heartbeatAndEndTasks(w *testkit.Worker) {
 	r.t.Helper()
 	r.heartbeat()
 	for name := range w.Tasks {
@@ -297,8 +297,8 @@
 	}
 }
 
-// on returns where a task runs, asserting that it is in one place at most.
-func (r *harness) on(task string) string {
+// runningOn returns where a task runs, asserting that it is in one place at most.
+func (r *harness) runningOn(task string) string {
 	r.t.Helper()
 	at := ""
 	for id, w := range r.workers {
@@ -334,10 +334,10 @@
 
 func TestArrayRunsToItsEnd(t *testing.T) {
 	r := newHarness(t)
-	w := r.machine("m1", "z1", false)
+	w := r.addMachine("m1", "z1", false)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 3, 1))
 	r.heartbeats(3)
-	if r.on("run-000001/0") != "m1" || r.on("run-000001/1") != "m1" || r.on("run-000001/2") != "" {
+	if r.runningOn("run-000001/0") != "m1" || r.runningOn("run-000001/1") != "m1" || r.runningOn("run-000001/2") != "" {
 		t.Fatalf("want two tasks on the machine's two cards, got %v", w.Started)
 	}
 	w.End("run-000001/0", wire.Done)
@@ -364,9 +364,9 @@
 	s := spec("run-000001", "b", wire.Array, "normal", 100000, 0)
 	s.CPUs, s.MemoryGB = 1, 1
 	r.submit(s)
-	w := r.machine("m1", "z1", false)
+	w := r.addMachine("m1", "z1", false)
 	for range 40 {
-		r.beatAndEnd(w)
+		r.heartbeatAndEndTasks(w)
 	}
 	runs, _, err := r.state.List(context.Background(), statestore.Urgent("test"), record.PlacementsPrefix)
 	if err != nil || len(runs) == 0 {
@@ -388,9 +388,9 @@
 	s := spec("run-000001", "b", wire.Array, "normal", 40, 0)
 	s.CPUs, s.MemoryGB = 1, 1
 	r.submit(s)
-	w := r.machine("m1", "z1", false)
+	w := r.addMachine("m1", "z1", false)
 	for range 30 {
-		r.beatAndEnd(w)
+		r.heartbeatAndEndTasks(w)
 		if r.jobState(s.Ref) == wire.Done {
 			return
 		}
--- a/internal/scheduler/machine_health_test.go
+++ b/internal/scheduler/machine_health_test.go
@@ -14,10 +14,10 @@
 // its tasks; when all are silent, none is.
 func TestSilentMachineIsReleasedWhileOthersAreHeard(t *testing.T) {
 	r := newHarness(t)
-	r.machine("m1", "z1", false)
+	r.addMachine("m1", "z1", false)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	r.heartbeats(3)
-	w2 := r.machine("m2", "z1", false)
+	w2 := r.addMachine("m2", "z1", false)
 	r.heartbeats(2)
 	r.clock.Advance(10 * time.Second)
 	r.carryOutEffects()
@@ -30,7 +30,7 @@
 	}
 	delete(r.workers, "m1")
 	r.heartbeats(2)
-	if r.on("run-000001/0") != "m2" {
+	if r.runningOn("run-000001/0") != "m2" {
 		t.Fatal("not started again after the return")
 	}
 }
@@ -39,7 +39,7 @@
 // must not be given up because the rest was heard a moment later.
 func TestZoneThatFallsSilentIsKept(t *testing.T) {
 	r := newHarness(t)
-	w1, w2, w3 := r.machine("m1", "z1", false), r.machine("m2", "z1", false), r.machine("m3", "z1", false)
+	w1, w2, w3 := r.addMachine("m1", "z1", false), r.addMachine("m2", "z1", false), r.addMachine("m3", "z1", false)
 	r.submit(spec("run-000001", "b", wire.Service, "prod", 3, 2))
 	r.heartbeats(4)
 	r.heartbeat(w1)
@@ -61,7 +61,7 @@
 		r := newHarness(t)
 		var ws []*testkit.Worker
 		for i := range 6 {
-			ws = append(ws, r.machine(fmt.Sprintf("m%d", i), "z1", false))
+			ws = append(ws, r.addMachine(fmt.Sprintf("m%d", i), "z1", false))
 		}
 		r.submit(spec("run-000001", "b", wire.Service, "prod", 6, 2))
 		r.heartbeats(10)
@@ -85,7 +85,7 @@
 func TestErrorsFindTheirCause(t *testing.T) {
 	r := newHarness(t)
 	for _, id := range []string{"m1", "m2", "m3", "m4", "m5"} {
-		r.machine(id, "z1", false)
+		r.addMachine(id, "z1", false)
 	}
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	for range 30 {
@@ -105,8 +105,8 @@
 		t.Fatalf("%d tries of a job failing everywhere", n)
 	}
 	r = newHarness(t)
-	bad := r.machine("m1", "z1", false)
-	r.machine("m2", "z1", false)
+	bad := r.addMachine("m1", "z1", false)
+	r.addMachine("m2", "z1", false)
 	for i := range 4 {
 		r.submit(spec(fmt.Sprintf("run-00000%d", i), "b", wire.Array, "normal", 1, 1))
 	}
@@ -124,7 +124,7 @@
 // Only an empty machine moves, and its record goes with conditions.
 func TestReclaimNoticeSavesAndReleases(t *testing.T) {
 	r := newHarness(t)
-	w := r.machine("m1", "z1", true)
+	w := r.addMachine("m1", "z1", true)
 	s := spec("run-000001", "b", wire.Array, "normal", 1, 1)
 	s.Spot = true
 	r.submit(s)
@@ -155,7 +155,7 @@
 		r.heartbeatUnanswered(w1)
 		r.carryOutEffects()
 	}
-	w2 := r.machine("m2", "z1", false)
+	w2 := r.addMachine("m2", "z1", false)
 	r.submit(spec("run-000002", "b", wire.Array, "normal", 2, 1))
 	for range 6 {
 		r.clock.Advance(r.cfg.HeartbeatInterval)
@@ -210,12 +210,12 @@
 	for _, takeOver := range []bool{false, true} {
 		r := newHarness(t)
 		r.cfg.MaxProbes = 8
-		r.machine("m1", "z1", false)
-		r.machine("m2", "z1", false)
+		r.addMachine("m1", "z1", false)
+		r.addMachine("m2", "z1", false)
 		r.submit(spec("run-000001", "b", wire.Array, "normal", 4, 1))
 		r.heartbeats(4)
-		r.machine("m3", "z2", false)
-		r.machine("m4", "z2", false)
+		r.addMachine("m3", "z2", false)
+		r.addMachine("m4", "z2", false)
 		r.heartbeats(2)
 		delete(r.workers, "m1")
 		delete(r.workers, "m2")
@@ -223,7 +223,7 @@
 			r.failOver()
 		}
 		given := func(id string) bool { return r.shard.inventory.byID[id] == nil || r.phase(id) > 0 }
-		r.answers = []string{"m3", "m4"}
+		r.probeResponders = []string{"m3", "m4"}
 		for i := range 40 {
 			r.heartbeats(1)
 			if early := r.cfg.HeartbeatInterval * time.Duration(i+1); early < r.cfg.Lease && (given("m1") || given("m2")) {
@@ -234,7 +234,7 @@
 			t.Errorf("take-over %t: dead machines are kept", takeOver)
 		}
 		for i := range 4 {
-			if at := r.on(fmt.Sprintf("run-000001/%d", i)); at != "m3" && at != "m4" {
+			if at := r.runningOn(fmt.Sprintf("run-000001/%d", i)); at != "m3" && at != "m4" {
 				t.Errorf("take-over %t: task %d is on %q", takeOver, i, at)
 			}
 		}
@@ -247,13 +247,13 @@
 	for name, back := range map[string]bool{"they answer": true, "they died within the cut": false} {
 		r := newHarness(t)
 		r.cfg.MaxProbes = 8
-		r.machine("m1", "z1", false)
-		r.machine("m2", "z1", false)
+		r.addMachine("m1", "z1", false)
+		r.addMachine("m2", "z1", false)
 		r.submit(spec("run-000001", "b", wire.Array, "normal", 4, 1))
 		r.heartbeats(4)
 		r.shard.SetPartitionedZones(map[string]bool{"z1": true})
 		for range 2 * int(r.cfg.Lease/r.cfg.HeartbeatInterval) {
-			r.probed(r.cfg.HeartbeatInterval)
+			r.advanceWithoutHeartbeats(r.cfg.HeartbeatInterval)
 		}
 		if r.phase("m1")+r.phase("m2") > 0 {
 			t.Fatalf("%s: given back within the cut", name)
@@ -263,12 +263,12 @@
 		if back {
 			answers = []string{"m1", "m2"}
 		}
-		r.probed(r.cfg.HeartbeatInterval, answers...)
+		r.advanceWithoutHeartbeats(r.cfg.HeartbeatInterval, answers...)
 		if back && r.phase("m1")+r.phase("m2") > 0 {
 			t.Errorf("%s: given back as the cut ended", name)
 		}
 		for range 6 {
-			r.probed(r.cfg.HeartbeatInterval, answers...)
+			r.advanceWithoutHeartbeats(r.cfg.HeartbeatInterval, answers...)
 		}
 		if given := r.shard.inventory.byID["m1"] == nil || r.phase("m1") > 0; given == back {
 			t.Errorf("%s: given back %t", name, given)
--- a/internal/scheduler/overloaded_test.go
+++ b/internal/scheduler/overloaded_test.go
@@ -15,7 +15,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t)
 			r.cfg.MaxProbes = 8
-			dead, w2 := r.machine("m1", "z1", false), r.machine("m2", "z1", false)
+			dead, w2 := r.addMachine("m1", "z1", false), r.addMachine("m2", "z1", false)
 			r.submit(spec("run-000001", "b", wire.Array, "normal", 4, 1))
 			r.heartbeats(4)
 			r.shard.SetOverloaded(true)
@@ -23,7 +23,7 @@
 			asked := 0
 			for r.clock.Now().Sub(quiet) < 2*r.cfg.Lease {
 				r.heartbeat(w2)
-				asked += r.probed(r.cfg.HeartbeatInterval, "m2")
+				asked += r.advanceWithoutHeartbeats(r.cfg.HeartbeatInterval, "m2")
 			}
 			if m := r.shard.inventory.byID[dead.ID]; m == nil || r.phase(dead.ID) > 0 {
 				t.Fatal("given back while nothing tells that it is lost")
@@ -37,7 +37,7 @@
 			}
 			for r.clock.Now().Sub(quiet) < overloadedLeases*r.cfg.Lease+10*time.Second {
 				r.heartbeat(w2)
-				r.probed(r.cfg.HeartbeatInterval, "m2")
+				r.advanceWithoutHeartbeats(r.cfg.HeartbeatInterval, "m2")
 			}
 			if m := r.shard.inventory.byID[dead.ID]; m != nil && r.phase(dead.ID) == 0 {
 				t.Error("never given back")
--- a/internal/scheduler/pipeline_test.go
+++ b/internal/scheduler/pipeline_test.go
@@ -38,7 +38,7 @@
 func (r *harness) pipeline(p record.Pipeline) {
 	r.state.Put(record.PipelineKey("pipe-000001"), p)
 	for i, ref := range p.Jobs {
-		r.open(record.ActiveJob{Spec: spec(ref, "b", wire.Array, "normal", 1, 1), AcceptedAt: r.clock.Now().UnixMilli(), Pipeline: "pipe-000001", AwaitsDependencies: i > 0})()
+		r.putActiveJob(record.ActiveJob{Spec: spec(ref, "b", wire.Array, "normal", 1, 1), AcceptedAt: r.clock.Now().UnixMilli(), Pipeline: "pipe-000001", AwaitsDependencies: i > 0})()
 	}
 }
 
@@ -75,7 +75,7 @@
 func TestPipelineStepByStep(t *testing.T) {
 	for crash := range 12 {
 		r := newHarness(t)
-		w := r.machine("m1", "z1", false)
+		w := r.addMachine("m1", "z1", false)
 		r.pipeline(diamond())
 		for beat := range 40 {
 			if crash > 0 && beat%crash == crash-1 && beat < 24 {
@@ -102,12 +102,12 @@
 // A cancelled job ends all that follows it, and nothing else.
 func TestPipelineEndsSuccessors(t *testing.T) {
 	r := newHarness(t)
-	w := r.machine("m1", "z1", false)
+	w := r.addMachine("m1", "z1", false)
 	r.pipeline(diamond())
 	r.heartbeats(2)
 	r.endAll()
 	r.heartbeats(3)
-	r.open(record.ActiveJob{Spec: spec(jobB, "b", wire.Array, "normal", 1, 1), Pipeline: "pipe-000001", Cancelled: true})()
+	r.putActiveJob(record.ActiveJob{Spec: spec(jobB, "b", wire.Array, "normal", 1, 1), Pipeline: "pipe-000001", Cancelled: true})()
 	r.heartbeats(3)
 	r.endAll()
 	r.heartbeats(5)
@@ -128,11 +128,11 @@
 		runs, dies string
 	}{{false, jobB, jobC}, {true, jobC, jobB}} {
 		r := newHarness(t)
-		w := r.machine("m1", "z1", false)
+		w := r.addMachine("m1", "z1", false)
 		r.pipeline(fork())
 		r.heartbeats(2)
 		if x.cancel {
-			r.open(record.ActiveJob{Spec: spec(jobA, "b", wire.Array, "normal", 1, 1), Pipeline: "pipe-000001", Cancelled: true})()
+			r.putActiveJob(record.ActiveJob{Spec: spec(jobA, "b", wire.Array, "normal", 1, 1), Pipeline: "pipe-000001", Cancelled: true})()
 		}
 		for range 16 {
 			r.endAll()
@@ -152,7 +152,7 @@
 // answer of a step that got lost neither repeats nor loses it.
 func TestPipelineWithdrawnAndLostAnswers(t *testing.T) {
 	r := newHarness(t)
-	w := r.machine("m1", "z1", false)
+	w := r.addMachine("m1", "z1", false)
 	r.pipeline(diamond())
 	r.heartbeats(2)
 	rec := diamond()
@@ -165,7 +165,7 @@
 	}
 	for lost := range 4 {
 		r := newHarness(t)
-		w := r.machine("m1", "z1", false)
+		w := r.addMachine("m1", "z1", false)
 		r.pipeline(diamond())
 		for beat := range 40 {
 			if beat%4 == lost {
@@ -214,7 +214,7 @@
 		r.cfg.PlacementsPerRecord, r.cfg.TxnOps, r.cfg.ValueBytes = PlacementsPerRecord(16), 5, 1024
 		r.failOver()
 		r.shard.UseSizedRanges()
-		w := r.machine("m1", "z1", false)
+		w := r.addMachine("m1", "z1", false)
 		p := wide(13)
 		if size := len(record.Encode(p)); size < 1024 || !p.NeedsSplitCommits(1024, 5) {
 			t.Fatalf("a record of %d bytes is not too large", size)
@@ -265,7 +265,7 @@
 		r.cfg.PlacementsPerRecord, r.cfg.TxnOps, r.cfg.ValueBytes = PlacementsPerRecord(16), 5, 1024
 		r.failOver()
 		r.shard.UseSizedRanges()
-		r.machine("m1", "z1", false)
+		r.addMachine("m1", "z1", false)
 		p := wide(13)
 		r.pipeline(p)
 		r.state.Limit(1024, 5)
@@ -277,7 +277,7 @@
 			over.State = wire.Cancelled
 			r.state.Put(record.PipelineKey("pipe-000001"), over.Compacted(1024))
 		} else {
-			r.open(record.ActiveJob{Spec: spec(p.Jobs[3], "b", wire.Array, "normal", 1, 1), Pipeline: "pipe-000001", AwaitsDependencies: true, Cancelled: true})()
+			r.putActiveJob(record.ActiveJob{Spec: spec(p.Jobs[3], "b", wire.Array, "normal", 1, 1), Pipeline: "pipe-000001", AwaitsDependencies: true, Cancelled: true})()
 		}
 		r.heartbeats(2)
 		r.failOver()
--- a/internal/scheduler/placement_records_test.go
+++ b/internal/scheduler/placement_records_test.go
@@ -24,7 +24,7 @@
 	r.cfg.ValueBytes = most
 	r.failOver()
 	r.shard.UseSizedRanges()
-	r.machine("m1", "z1", false)
+	r.addMachine("m1", "z1", false)
 	for i := range 4 {
 		s := spec(fmt.Sprintf("run-00000%d", i), "b", wire.Array, "normal", 8, 0)
 		s.CPUs, s.MemoryGB = 1, 1 // of 16
@@ -33,7 +33,7 @@
 	}
 	r.heartbeats(2) // some are recorded
 	for i := range 40 {
-		r.machine(fmt.Sprintf("i-%080d", i), "z1", false)
+		r.addMachine(fmt.Sprintf("i-%080d", i), "z1", false)
 	}
 	r.afterTxn = r.known
 	for beat := range 30 {
@@ -70,7 +70,7 @@
 	r := newHarness(t)
 	r.failOver()
 	r.shard.UseSizedRanges()
-	w := r.machine("m1", "z1", false)
+	w := r.addMachine("m1", "z1", false)
 	for i := range 2 {
 		s := spec(fmt.Sprintf("run-00000%d", i), "b", wire.Array, "normal", 2, 0)
 		s.CPUs, s.MemoryGB = 1, 1
@@ -113,7 +113,7 @@
 	r.shard.UseSizedRanges()
 	r.state.Limit(1500, 4)
 	for i := range 20 {
-		r.machine(fmt.Sprintf("m%d", i), "z1", false)
+		r.addMachine(fmt.Sprintf("m%d", i), "z1", false)
 	}
 	s := spec("run-000001", "b", wire.Array, "normal", 80, 0)
 	s.CPUs = 1
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -12,12 +12,12 @@
 	s := spec("run-000001", "b", wire.Service, "prod", 3, 1)
 	s.Spread = true
 	r.submit(s)
-	r.machine("m1", "z1", false)
-	r.machine("m2", "z1", false)
+	r.addMachine("m1", "z1", false)
+	r.addMachine("m2", "z1", false)
 	r.heartbeats(4)
 	n := 0
 	for i := range 3 {
-		if r.on(fmt.Sprintf("run-000001/%d", i)) != "" {
+		if r.runningOn(fmt.Sprintf("run-000001/%d", i)) != "" {
 			n++
 		}
 	}
@@ -28,7 +28,7 @@
 
 func TestKindsOfMachine(t *testing.T) {
 	r := newHarness(t)
-	r.machine("m1", "z1", true)
+	r.addMachine("m1", "z1", true)
 	zone := "z2"
 	s := spec("run-000001", "b", wire.Array, "normal", 1, 1) // no spot
 	z := spec("run-000002", "b", wire.Array, "normal", 1, 1)
@@ -44,21 +44,21 @@
 // Higher work takes the place of lower, which saves first.
 func TestLowerWorkIsPreempted(t *testing.T) {
 	r := newHarness(t)
-	w := r.machine("m1", "z1", false)
+	w := r.addMachine("m1", "z1", false)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 2, 1))
 	r.heartbeats(3)
 	r.submit(spec("run-000002", "b", wire.Service, "prod", 1, 1))
 	r.heartbeats(6)
-	if r.on("run-000002/0") != "m1" {
+	if r.runningOn("run-000002/0") != "m1" {
 		t.Fatalf("prod task waits: %v", w.Started)
 	}
-	if r.on("run-000001/0") != "" && r.on("run-000001/1") != "" {
+	if r.runningOn("run-000001/0") != "" && r.runningOn("run-000001/1") != "" {
 		t.Fatal("nothing gave way")
 	}
 	// Its equal does not.
 	r.submit(spec("run-000003", "b", wire.Service, "prod", 2, 1))
 	r.heartbeats(6)
-	if r.on("run-000002/0") != "m1" {
+	if r.runningOn("run-000002/0") != "m1" {
 		t.Fatal("equal priority was preempted")
 	}
 }
@@ -68,9 +68,9 @@
 	r := newHarness(t)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 2, 1))
 	r.submit(spec("run-000002", "a", wire.Array, "normal", 2, 1))
-	w := r.machine("m1", "z1", false)
+	w := r.addMachine("m1", "z1", false)
 	r.heartbeats(3)
-	if r.on("run-000002/0") == "" || r.on("run-000002/1") == "" {
+	if r.runningOn("run-000002/0") == "" || r.runningOn("run-000002/1") == "" {
 		t.Fatalf("guaranteed team waits: %v", w.Started)
 	}
 }
@@ -89,7 +89,7 @@
 // to be preempted there, rather than fetch it on a free one.
 func TestServicePreemptsWhereItsImageIsCached(t *testing.T) {
 	r := newRigWithSlowFetches(t)
-	r.machine("m1", "z1", false)
+	r.addMachine("m1", "z1", false)
 	first := spec("run-000001", "b", wire.Service, "prod", 1, 2)
 	first.Image = "web"
 	r.submit(first)
@@ -98,20 +98,20 @@
 	r.heartbeats(3)
 	r.submit(spec("run-000002", "b", wire.Array, "normal", 2, 1))
 	r.heartbeats(20)
-	if r.on("run-000002/0") != "m1" || r.on("run-000002/1") != "m1" {
+	if r.runningOn("run-000002/0") != "m1" || r.runningOn("run-000002/1") != "m1" {
 		t.Fatal("the array did not start")
 	}
-	r.machine("m2", "z1", false)
+	r.addMachine("m2", "z1", false)
 	r.heartbeats(2)
 	again := spec("run-000003", "b", wire.Service, "prod", 2, 1)
 	again.Image = "web"
 	r.submit(again)
 	r.heartbeats(4)
-	if a, b := r.on("run-000003/0"), r.on("run-000003/1"); a != "m1" || b != "m1" {
+	if a, b := r.runningOn("run-000003/0"), r.runningOn("run-000003/1"); a != "m1" || b != "m1" {
 		t.Fatalf("on %q and %q, want both on the machine with the image", a, b)
 	}
 	r.heartbeats(4)
-	if a, b := r.on("run-000002/0"), r.on("run-000002/1"); a != "m2" || b != "m2" {
+	if a, b := r.runningOn("run-000002/0"), r.runningOn("run-000002/1"); a != "m2" || b != "m2" {
 		t.Fatalf("the array is on %q and %q, want it to go on elsewhere", a, b)
 	}
 }
@@ -120,14 +120,14 @@
 // does not wait on it for room with the image.
 func TestServiceUsesRoomMadeForIt(t *testing.T) {
 	r := newRigWithSlowFetches(t)
-	r.machine("m1", "z1", false)
+	r.addMachine("m1", "z1", false)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 2, 1))
 	r.heartbeats(20)
 	s := spec("run-000002", "b", wire.Service, "prod", 1, 2)
 	s.Image = "web"
 	r.submit(s)
 	r.heartbeats(4)
-	if got := r.on("run-000002/0"); got != "m1" {
+	if got := r.runningOn("run-000002/0"); got != "m1" {
 		t.Fatalf("on %q after 8 s, want the machine on which others gave way", got)
 	}
 }
@@ -159,7 +159,7 @@
 func TestLowWorkIsServed(t *testing.T) {
 	r := newHarness(t)
 	for i := range 4 {
-		r.machine(fmt.Sprintf("m%d", i), "z1", false)
+		r.addMachine(fmt.Sprintf("m%d", i), "z1", false)
 	}
 	n, low := 0, 0
 	done := 0
@@ -187,34 +187,34 @@
 func TestWithoutCardsBesideWhatStays(t *testing.T) {
 	place := func(with string) string {
 		r := newHarness(t)
-		r.machine("m1", "z1", false)
+		r.addMachine("m1", "z1", false)
 		r.heartbeats(2)
 		r.submit(spec("run-000001", "b", wire.Array, with, 2, 1))
 		r.heartbeats(2)
 		for _, id := range []string{"m2", "m3"} {
-			r.machine(id, "z1", false)
+			r.addMachine(id, "z1", false)
 		}
 		r.heartbeats(2)
 		r.submit(spec("run-000002", "b", wire.Gang, "urgent", 1, 2))
 		r.heartbeats(2)
-		if r.on("run-000001/0") != "m1" || r.on("run-000001/1") != "m1" || r.on("run-000002/0") == "" {
-			t.Fatalf("the array is on %s, the gang on %s", r.on("run-000001/0"), r.on("run-000002/0"))
+		if r.runningOn("run-000001/0") != "m1" || r.runningOn("run-000001/1") != "m1" || r.runningOn("run-000002/0") == "" {
+			t.Fatalf("the array is on %s, the gang on %s", r.runningOn("run-000001/0"), r.runningOn("run-000002/0"))
 		}
 		s := spec("run-000003", "b", wire.Array, "low", 1, 0)
 		s.CPUs, s.MemoryGB, s.Image = 1, 1, "step"
 		for id, m := range r.shard.inventory.byID {
-			if id != r.on("run-000002/0") {
+			if id != r.runningOn("run-000002/0") {
 				r.shard.inventory.recordCachedImage(m, s.Image, 1) // all but the gang's machine cache it
 			}
 		}
 		r.submit(s)
 		r.heartbeats(2)
-		switch r.on("run-000003/0") {
+		switch r.runningOn("run-000003/0") {
 		case "":
 			t.Fatal("it does not run")
 		case "m1":
 			return "array's"
-		case r.on("run-000002/0"):
+		case r.runningOn("run-000002/0"):
 			return "gang's"
 		}
 		return "unused"
@@ -233,12 +233,12 @@
 	one := spec("run-000001", "b", wire.Array, "prod", 3, 1)
 	one.OneZone = true
 	r.submit(one)
-	r.machine("m1", "z2", false)
+	r.addMachine("m1", "z2", false)
 	r.heartbeats(4)
 	apart := spec("run-000002", "b", wire.Service, "prod", 2, 1)
 	apart.Spread = true
 	r.submit(apart)
-	r.machine("m2", "z1", false)
+	r.addMachine("m2", "z1", false)
 	r.heartbeats(4)
 	found := 0
 	for _, n := range r.shard.Summary(r.clock.Now()).Needs {
@@ -269,15 +269,15 @@
 		bound.OneZone, bound.Spread = kind == wire.Array, kind == wire.Service
 		r.submit(bound)
 		first := map[string]string{wire.Array: "z2", wire.Service: "z1"}[kind]
-		r.machine("m1", first, false)
+		r.addMachine("m1", first, false)
 		r.heartbeats(4)
 		low := spec("run-000002", "b", wire.Array, "low", 2, 1)
 		r.submit(low)
-		r.machine("m2", "z1", false)
+		r.addMachine("m2", "z1", false)
 		r.heartbeats(20)
 		for i := range 2 {
 			name := fmt.Sprintf("run-000002/%d", i)
-			if at := r.on(name); at == "" || (kind == wire.Array && at != "m2") {
+			if at := r.runningOn(name); at == "" || (kind == wire.Array && at != "m2") {
 				t.Errorf("%s: %s is on %q: its place was kept or taken for what can't use it", kind, name, at)
 			}
 		}
--- a/internal/scheduler/probe_test.go
+++ b/internal/scheduler/probe_test.go
@@ -9,10 +9,10 @@
 	"bramblespur/internal/wire"
 )
 
-// probe lets the machines that answer probes do so.
-func (r *harness) probe(eff Effects) {
+// answerProbes lets the machines that answer probes do so.
+func (r *harness) answerProbes(eff Effects) {
 	for _, q := range eff.Probes {
-		if slices.Contains(r.answers, q.Machine) {
+		if slices.Contains(r.probeResponders, q.Machine) {
 			rep := r.workers[q.Machine].Report()
 			r.shard.ProbeAnswered(q.Machine, &rep, r.clock.Now())
 		} else {
@@ -21,15 +21,15 @@
 	}
 }
 
-// probed lets a time go by in which only some machines answer probes, and none
+// advanceWithoutHeartbeats lets a time go by in which only some machines answer probes, and none
 // reports. It returns how many probes there were.
-func (r *harness) probed(d time.Duration, answers ...string) (asked int) {
-	r.answers = answers
+func (r *harness) advanceWithoutHeartbeats(d time.Duration, answers ...string) (asked int) {
+	r.probeResponders = answers
 	for end := r.clock.Now().Add(d); r.clock.Now().Before(end); {
 		r.clock.Advance(healthEvery)
 		eff := r.shard.Step(r.clock.Now())
 		asked += len(eff.Probes)
-		r.probe(eff)
+		r.answerProbes(eff)
 		for _, t := range eff.Txns {
 			r.shard.Applied(t, r.state.Put("x", 1).Version, r.clock.Now())
 		}
@@ -56,13 +56,13 @@
 		r := newHarness(t)
 		r.cfg.MaxProbes = 8
 		for _, id := range []string{"m1", "m2", "m3"} {
-			r.machine(id, "z1", false)
+			r.addMachine(id, "z1", false)
 		}
-		r.machine("n1", "z2", false)
+		r.addMachine("n1", "z2", false)
 		r.submit(spec("run-000001", "b", wire.Array, "normal", 8, 1))
 		r.heartbeats(4)
 		lostAfter := r.shard.cfg.heartbeatDue() + 2*time.Second
-		if r.probed(lostAfter, x.answers...) == 0 {
+		if r.advanceWithoutHeartbeats(lostAfter, x.answers...) == 0 {
 			t.Errorf("%s: nobody is asked", name)
 		}
 		for _, id := range []string{"m1", "m2", "m3", "n1"} {
@@ -70,7 +70,7 @@
 				t.Errorf("%s: %s is in phase %d", name, id, r.phase(id))
 			}
 		}
-		r.probed(2*r.cfg.SilentAfter, x.answers...)
+		r.advanceWithoutHeartbeats(2*r.cfg.SilentAfter, x.answers...)
 		for _, id := range x.answers {
 			if r.phase(id) > 0 {
 				t.Errorf("%s: %s is given back though it answers", name, id)
@@ -87,8 +87,8 @@
 		r.cfg.MaxProbes = 8
 		ids := []string{"m1", "m2", "m3", "m4"}
 		for _, id := range ids {
-			r.machine(id, "z1", false)
-			r.sync(r.state.Put(record.ProvisionKey(id), record.Provision{Type: "big", Zone: "z1", Shards: []int{0}, IDs: []string{id},
+			r.addMachine(id, "z1", false)
+			r.applyRecord(r.state.Put(record.ProvisionKey(id), record.Provision{Type: "big", Zone: "z1", Shards: []int{0}, IDs: []string{id},
 				Addrs: []string{"10.1.0.1:9000"}, CreatedAt: r.clock.Now().UnixMilli()}))
 		}
 		r.submit(spec("run-000001", "b", wire.Service, "prod", 8, 1))
@@ -96,10 +96,10 @@
 		if takeOver {
 			r.failOver()
 		}
-		r.probed(2 * r.shard.cfg.heartbeatDue())
-		r.answers = ids
+		r.advanceWithoutHeartbeats(2 * r.shard.cfg.heartbeatDue())
+		r.probeResponders = ids
 		r.heartbeat(r.workers["m1"])
-		r.probed(r.cfg.HeartbeatInterval, ids...)
+		r.advanceWithoutHeartbeats(r.cfg.HeartbeatInterval, ids...)
 		for _, id := range ids {
 			if r.phase(id) > 0 {
 				t.Errorf("take-over %t: %s is given back", takeOver, id)
@@ -116,7 +116,7 @@
 	r.cfg.MaxProbes = 8
 	ids := []string{"m1", "m2", "m3"}
 	for _, id := range ids {
-		r.machine(id, "z1", false)
+		r.addMachine(id, "z1", false)
 	}
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 6, 1))
 	r.heartbeats(4)
@@ -129,7 +129,7 @@
 	for _, q := range eff.Probes {
 		r.shard.ProbeAnswered(q.Machine, nil, r.clock.Now())
 	}
-	r.probed(r.cfg.HeartbeatInterval, ids...)
+	r.advanceWithoutHeartbeats(r.cfg.HeartbeatInterval, ids...)
 	r.heartbeats(3)
 	for _, id := range ids {
 		if r.phase(id) > 0 {
@@ -143,7 +143,7 @@
 	r := newHarness(t)
 	r.cfg.MaxProbes = 2
 	for _, id := range []string{"m1", "m2", "m3", "m4"} {
-		r.machine(id, "z1", false)
+		r.addMachine(id, "z1", false)
 	}
 	r.heartbeats(2)
 	r.clock.Advance(r.shard.cfg.heartbeatDue())
@@ -162,16 +162,16 @@
 func TestFailoverProbesMachines(t *testing.T) {
 	r := newHarness(t)
 	r.cfg.MaxProbes = 8
-	w1 := r.machine("m1", "z1", false)
-	r.machine("m2", "z1", false)
+	w1 := r.addMachine("m1", "z1", false)
+	r.addMachine("m2", "z1", false)
 	for _, id := range []string{"m1", "m2"} {
-		r.sync(r.state.Put(record.ProvisionKey(id), record.Provision{Type: "big", Zone: "z1", Shards: []int{0}, IDs: []string{id},
+		r.applyRecord(r.state.Put(record.ProvisionKey(id), record.Provision{Type: "big", Zone: "z1", Shards: []int{0}, IDs: []string{id},
 			Addrs: []string{"10.1.0.1:9000"}, CreatedAt: r.clock.Now().UnixMilli()}))
 	}
 	r.submit(spec("run-000001", "b", wire.Service, "prod", 3, 1))
 	r.heartbeats(4)
 	r.failOver()
-	if n := r.probed(healthEvery, "m1"); n != 2 {
+	if n := r.advanceWithoutHeartbeats(healthEvery, "m1"); n != 2 {
 		t.Fatalf("%d machines asked, want 2", n)
 	}
 	now := r.clock.Now()
@@ -185,7 +185,7 @@
 	if m := r.shard.inventory.byID["m1"]; !m.contact.fenced || !r.shard.cfg.usable(m, now) {
 		t.Fatal("asked and told, but takes no work")
 	}
-	r.probed(r.shard.cfg.heartbeatDue()+time.Second, "m1")
+	r.advanceWithoutHeartbeats(r.shard.cfg.heartbeatDue()+time.Second, "m1")
 	if r.phase("m1") > 0 || r.phase("m2") == 0 {
 		t.Errorf("phases %d and %d, want m2 given back", r.phase("m1"), r.phase("m2"))
 	}
--- a/internal/scheduler/random_graph_test.go
+++ b/internal/scheduler/random_graph_test.go
@@ -84,10 +84,10 @@
 	}
 	clock := testkit.NewClock()
 	for id := range graphShards {
-		r := newHarnessOf(t, id, clock, p.state)
+		r := newShardHarness(t, id, clock, p.state)
 		r.cfg.SilentAfter, r.cfg.BootFactor = time.Hour, 1e3 // shards take turns, which takes a while
 		for m := range graphMachines {
-			r.machine(fmt.Sprintf("m%d-%d", id, m), "z1", false)
+			r.addMachine(fmt.Sprintf("m%d-%d", id, m), "z1", false)
 		}
 		p.shards = append(p.shards, r)
 	}
--- a/internal/scheduler/random_history_test.go
+++ b/internal/scheduler/random_history_test.go
@@ -45,7 +45,7 @@
 	func(h *history) { h.takeOver() },
 	func(h *history) { h.replay() }, func(h *history) { h.replay() },
 	func(h *history) { h.answerLate() },
-	func(h *history) { h.expire(h.worker()) },
+	func(h *history) { h.expireLease(h.worker()) },
 	func(h *history) { h.cancelOne() },
 	func(h *history) { h.state.LoseAnswers = h.r.IntN(3) },
 	func(h *history) { h.state.HoldTxns = h.r.IntN(2) },
@@ -199,7 +199,7 @@
 	}
 	for len(h.workers) < historyMachines {
 		h.rented++
-		h.machine(fmt.Sprint("m", h.rented), "z1", false)
+		h.addMachine(fmt.Sprint("m", h.rented), "z1", false)
 	}
 }
 
@@ -376,7 +376,7 @@
 		func(h *history) { h.damage() }, func(h *history) { h.damage() }, func(h *history) { h.restore() })
 	for seed := range uint64(historySeeds) {
 		h := newHistory(t, seed)
-		h.upgraded = true
+		h.sizedRangesAllowed = true
 		h.failOver()
 		if err := h.play(damaging); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
--- a/internal/scheduler/restart_test.go
+++ b/internal/scheduler/restart_test.go
@@ -77,9 +77,9 @@
 // still has them all well within the time to settle.
 func TestLargestFleetRestartsWithinTheRateLimit(t *testing.T) {
 	p := ratelimit.New(ratelimit.Settings{})
-	r := newBusyRestart(t, manyMachines, p)
+	r := newBusyRestart(t, maxMachinesPerShard, p)
 	peak, took := r.run()
-	if most := int(p.Settings().ClusterRate(manyMachines)); peak > most {
+	if most := int(p.Settings().ClusterRate(maxMachinesPerShard)); peak > most {
 		t.Errorf("%d orders in a second, of %d", peak, most)
 	}
 	if r.starting() || took > ratelimit.DefaultLimitFor {
@@ -94,7 +94,7 @@
 // BenchmarkRestart tells the most orders in a second, and how long a restart takes in bubble
 // time, with and without a pace.
 func BenchmarkRestart(b *testing.B) {
-	for _, machines := range []int{40, 320, manyMachines} {
+	for _, machines := range []int{40, 320, maxMachinesPerShard} {
 		for _, paced := range []bool{false, true} {
 			b.Run(fmt.Sprintf("%d-paced-%v", machines, paced), func(b *testing.B) {
 				b.ReportAllocs()
--- a/internal/scheduler/safety_test.go
+++ b/internal/scheduler/safety_test.go
@@ -26,7 +26,7 @@
 	}
 	r.state.Down = false
 	r.heartbeats(3)
-	if r.on("run-000001/0") != "m1" {
+	if r.runningOn("run-000001/0") != "m1" {
 		t.Fatal("not started after the outage")
 	}
 }
@@ -107,10 +107,10 @@
 // An expired epoch proves its tasks gone.
 func TestNewEpochFreesTasks(t *testing.T) {
 	r := newHarness(t)
-	w := r.machine("m1", "z1", false)
+	w := r.addMachine("m1", "z1", false)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	r.heartbeats(3)
-	r.expire(w)
+	r.expireLease(w)
 	r.heartbeats(3)
 	if !slices.Equal(w.Started, []string{"run-000001/0#1", "run-000001/0#2"}) {
 		t.Fatalf("starts %v, want a second attempt", w.Started)
@@ -120,11 +120,11 @@
 // The team's limit counts tasks that can't be reached.
 func TestLimitCountsUnreachable(t *testing.T) {
 	r := newHarness(t)
-	r.machine("m1", "z1", false)
-	r.machine("m2", "z1", false)
+	r.addMachine("m1", "z1", false)
+	r.addMachine("m2", "z1", false)
 	r.submit(spec("run-000001", "a", wire.Array, "normal", 4, 1))
 	r.heartbeats(3)
-	w3 := r.machine("m3", "z2", false)
+	w3 := r.addMachine("m3", "z2", false)
 	r.submit(spec("run-000002", "a", wire.Array, "prod", 2, 1))
 	r.heartbeats(3, w3)
 	if len(w3.Started) != 0 {
@@ -139,12 +139,12 @@
 	s := spec("run-000001", "b", wire.Array, "normal", 2, 2)
 	s.OneZone = true
 	r.submit(s)
-	w1 := r.machine("m1", "z1", false)
+	w1 := r.addMachine("m1", "z1", false)
 	r.heartbeats(3)
-	if r.on("run-000001/0") != "m1" {
+	if r.runningOn("run-000001/0") != "m1" {
 		t.Fatal("not started")
 	}
-	r.machine("m2", "z2", false)
+	r.addMachine("m2", "z2", false)
 	r.failOver() // the new owner has not heard m1 yet
 	r.heartbeats(3, r.workers["m2"])
 	if got := r.workers["m2"].Started; len(got) != 0 {
@@ -153,7 +153,7 @@
 	r.heartbeat(w1)
 	w1.End("run-000001/0", wire.Done)
 	r.heartbeats(3)
-	if r.on("run-000001/1") == "" {
+	if r.runningOn("run-000001/1") == "" {
 		t.Fatal("the second task never started")
 	}
 }
@@ -164,9 +164,9 @@
 	s := spec("run-000001", "b", wire.Service, "prod", 3, 1)
 	s.Spread = true
 	r.submit(s)
-	r.machine("m1", "z1", false)
+	r.addMachine("m1", "z1", false)
 	r.heartbeats(3)
-	r.machine("m2", "z1", false)
+	r.addMachine("m2", "z1", false)
 	r.failOver()
 	r.heartbeats(3, r.workers["m2"])
 	if got := r.workers["m2"].Started; len(got) != 0 {
@@ -199,7 +199,7 @@
 	r.cfg.PlacementsPerRecord, r.cfg.ValueBytes = 200, 200*unsizedPlacementBytes
 	r.failOver()
 	for i := range 4 {
-		r.machine(fmt.Sprintf("m%d", i), "z1", false)
+		r.addMachine(fmt.Sprintf("m%d", i), "z1", false)
 	}
 	r.heartbeats(2)
 	for i := range 6 {
@@ -228,7 +228,7 @@
 	r.heartbeats(3)
 	for i := range 6 {
 		name := fmt.Sprintf("run-00000%d/0", i)
-		if on := r.on(name); (on == "") != (i == 3) {
+		if on := r.runningOn(name); (on == "") != (i == 3) {
 			t.Errorf("%s is on %q", name, on)
 		}
 	}
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -12,11 +12,11 @@
 
 // The most machines that one shard may come to hold, when one controller takes
 // over all shards of the largest deployment.
-const manyMachines = 4000
+const maxMachinesPerShard = 4000
 
-// crowd makes a shard of many machines in two zones, all of them busy, with jobs
+// newBusyShard makes a shard of many machines in two zones, all of them busy, with jobs
 // that wait for room.
-func crowd(t testing.TB, machines, waiting int) *harness {
+func newBusyShard(t testing.TB, machines, waiting int) *harness {
 	r := newHarness(t)
 	r.cfg.PlacementsPerRecord, r.cfg.ValueBytes, r.cfg.TxnOps = PlacementsPerRecord(16), 16<<10, 24
 	r.failOver()
@@ -30,7 +30,7 @@
 			rental.IDs, rental.Shards = append(rental.IDs, id), append(rental.Shards, 0)
 			r.workers[id] = testkit.NewWorker(id, "big", zone, false)
 		}
-		r.sync(r.state.Put(record.ProvisionKey(fmt.Sprint("r", at)), rental))
+		r.applyRecord(r.state.Put(record.ProvisionKey(fmt.Sprint("r", at)), rental))
 	}
 	r.heartbeat()
 	for i := range machines / 40 {
@@ -61,7 +61,7 @@
 // the machines that may serve them, not at all machines.
 func TestPlacementExaminesFew(t *testing.T) {
 	const machines, waiting = 600, 60
-	r := crowd(t, machines, waiting)
+	r := newBusyShard(t, machines, waiting)
 	r.clock.Advance(preemptionRetry)
 	r.carryOutEffects() // room for what waits was just sought in vain
 	r.shard.inventory.candidatesExamined = 0
@@ -82,12 +82,12 @@
 
 // BenchmarkHeartbeat is a heartbeat in which nothing has changed.
 func BenchmarkHeartbeat(b *testing.B) {
-	r := crowd(b, manyMachines, 100)
+	r := newBusyShard(b, maxMachinesPerShard, 100)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		w := r.workers[fmt.Sprintf("i-%06d", i%manyMachines)]
+		w := r.workers[fmt.Sprintf("i-%06d", i%maxMachinesPerShard)]
 		rep := w.Report()
-		r.clock.Advance(r.cfg.HeartbeatInterval / manyMachines)
+		r.clock.Advance(r.cfg.HeartbeatInterval / maxMachinesPerShard)
 		r.shard.Heartbeat(&rep, false, r.clock.Now())
 		r.shard.Step(r.clock.Now())
 	}
@@ -96,10 +96,10 @@
 // BenchmarkTaskEnds is a heartbeat of a task's end, after which the next one is
 // placed.
 func BenchmarkTaskEnds(b *testing.B) {
-	r := crowd(b, manyMachines, 100)
+	r := newBusyShard(b, maxMachinesPerShard, 100)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		w := r.workers[fmt.Sprintf("i-%06d", i%manyMachines)]
+		w := r.workers[fmt.Sprintf("i-%06d", i%maxMachinesPerShard)]
 		for name, t := range w.Tasks {
 			if t.State == wire.Running {
 				w.End(name, wire.Done)
@@ -121,7 +121,7 @@
 // BenchmarkHealth is a turn of the timer in which nothing is due: each machine is looked
 // at, as four times a second.
 func BenchmarkHealth(b *testing.B) {
-	r := crowd(b, manyMachines, 0)
+	r := newBusyShard(b, maxMachinesPerShard, 0)
 	now := r.clock.Now()
 	b.ReportAllocs()
 	for b.Loop() {
@@ -132,7 +132,7 @@
 
 // BenchmarkSummary is what the leader is told each second.
 func BenchmarkSummary(b *testing.B) {
-	r := crowd(b, manyMachines, 100)
+	r := newBusyShard(b, maxMachinesPerShard, 100)
 	b.ReportAllocs()
 	for b.Loop() {
 		r.shard.Summary(r.clock.Now())
--- a/internal/scheduler/unreadable_records_test.go
+++ b/internal/scheduler/unreadable_records_test.go
@@ -25,9 +25,9 @@
 func newUnreadableRig(t *testing.T) *unreadableHarness {
 	t.Helper()
 	r := newHarness(t)
-	r.upgraded = true
+	r.sizedRangesAllowed = true
 	r.failOver()
-	w := r.machine("m1", "z1", false)
+	w := r.addMachine("m1", "z1", false)
 	r.heartbeats(2)
 	u := &unreadableHarness{
 		harness: r, worker: w, key: record.PlacementsKey(r.id, 0),
@@ -54,17 +54,17 @@
 		t.Fatalf("told of %v", u.shard.MalformedRecords())
 	}
 	started := len(u.worker.Started)
-	other := u.machine("m2", "z1", false)
+	other := u.addMachine("m2", "z1", false)
 	u.submit(spec("run-000003", "b", wire.Array, "normal", 1, 1))
 	u.heartbeats(4, other)
 	if len(other.Started) != 0 {
 		t.Fatalf("started %v while a machine is silent", other.Started)
 	}
 	u.heartbeats(4)
-	if u.on("run-000001/0") != "m1" {
+	if u.runningOn("run-000001/0") != "m1" {
 		t.Error("the running task was not adopted")
 	}
-	if u.on("run-000003/0") == "" {
+	if u.runningOn("run-000003/0") == "" {
 		t.Error("a new job does not start")
 	}
 	all := append(slices.Clone(u.worker.Started[started:]), other.Started...)
@@ -86,7 +86,7 @@
 	u := newUnreadableRig(t)
 	u.heartbeats(4)
 	u.failOver()
-	if got := u.on("run-000001/0"); got != "m1" {
+	if got := u.runningOn("run-000001/0"); got != "m1" {
 		t.Fatalf("after another take-over the task is on %q", got)
 	}
 }
@@ -94,7 +94,7 @@
 // A cancellation is told only once nothing of the job can run unseen.
 func TestUnreadablePlacementsHoldCancellations(t *testing.T) {
 	u := newUnreadableRig(t)
-	other := u.machine("m2", "z1", false)
+	other := u.addMachine("m2", "z1", false)
 	u.cancel(u.runs)()
 	u.cancel(u.half)()
 	u.heartbeats(4, other)
@@ -121,7 +121,7 @@
 	u.state.Put(u.key, json.RawMessage(u.intact))
 	u.failOver()
 	u.heartbeats(6) // the second task of the other job runs again
-	if u.on("run-000002/1") != "m1" {
+	if u.runningOn("run-000002/1") != "m1" {
 		t.Fatal("not started")
 	}
 	u.intact = slices.Clone(u.get(u.key).Value)
@@ -165,7 +165,7 @@
 					u.failOver()
 				}
 			}
-			if u.on("run-000001/0") != "m1" {
+			if u.runningOn("run-000001/0") != "m1" {
 				t.Error("the running task is not where it was")
 			}
 			u.worker.End("run-000001/0", wire.Done)
--- a/internal/scheduler/waits_test.go
+++ b/internal/scheduler/waits_test.go
@@ -47,9 +47,9 @@
 // The jobs that have waited longest are told first, with what holds them.
 func TestLongestWaits(t *testing.T) {
 	r := newHarness(t)
-	r.machine("m1", "z1", false)
-	r.machine("m2", "z1", false)
-	r.machine("m3", "z1", false)
+	r.addMachine("m1", "z1", false)
+	r.addMachine("m2", "z1", false)
+	r.addMachine("m3", "z1", false)
 	r.heartbeats(2)
 	r.submit(spec("run-000001", "a", wire.Array, "normal", 5, 1)) // its team may use four cards
 	r.clock.Advance(time.Second)
