--- a/internal/controller/shardhost/acquire.go
+++ b/internal/controller/shardhost/acquire.go
@@ -14,19 +14,20 @@
 	"bramblespur/internal/wire"
 )
 
-// Reasons why an acquisition that began came to nothing.
+// Errors of an acquisition that failed after the ownership record was written.
 var (
-	// ErrLostWhileLoading: another controller has written the ownership record while this one
-	// read the shard's records.
+	// ErrLostWhileLoading means that another controller wrote the ownership record while this
+	// one was reading the shard's records.
 	ErrLostWhileLoading = errors.New("shard lost while loading")
-	// ErrSafeModeBegan: data loss was noticed while the shard was loaded.
+	// ErrSafeModeBegan means that data loss was suspected while the shard was being loaded.
 	ErrSafeModeBegan = errors.New("safe mode began")
 )
 
-// AcquiredByOtherError says that a shard which has been loaded has a later owner.
+// AcquiredByOtherError is returned when another controller acquired the shard while this one
+// loaded it.
 type AcquiredByOtherError struct {
-	Owner string
-	Token uint64 // its fencing token
+	Owner string // the later owner's label
+	Token uint64 // the later owner's fencing token
 }
 
 // Error implements error.
@@ -34,15 +35,15 @@
 	return fmt.Sprintf("acquired by %s meanwhile under token %d", e.Owner, e.Token)
 }
 
-// loadRetry is the pause before a shard's records are read again; readRetry is the same for
-// records that a hosted shard needs, and typesRetry for machine types.
+// Pauses before failed reads are retried.
 const (
-	loadRetry  = 300 * time.Millisecond
-	readRetry  = 400 * time.Millisecond
-	typesRetry = time.Second
+	loadRetry  = 300 * time.Millisecond // of the records of a shard that is being acquired
+	readRetry  = 400 * time.Millisecond // of records that a hosted shard needs
+	typesRetry = time.Second            // of the machine types
 )
 
-// AcquireLocked begins to acquire a shard in the background.
+// AcquireLocked begins to acquire a shard in the background. The caller must check first that no
+// acquisition of the shard is under way.
 func (h *Host) AcquireLocked(ctx context.Context, id int, reason Reason) {
 	h.acquiring[id] = true
 	seen, _ := h.env.OwnershipLocked(id)
@@ -59,8 +60,9 @@
 	}()
 }
 
-// FailOver acquires a shard whose ownership record is still the one that was seen, reads its
-// records and begins to serve it.
+// FailOver writes the ownership record of a shard, reads the shard's records and begins to serve
+// it. It fails if the ownership record is no longer the one in seen. The other errors are
+// ErrLostWhileLoading, ErrSafeModeBegan, *AcquiredByOtherError and those of the context.
 func (h *Host) FailOver(ctx context.Context, id int, seen Ownership, incarnation uint64) error {
 	token, err := h.recordOwnership(ctx, id, seen, incarnation)
 	if err != nil {
@@ -73,8 +75,8 @@
 	return h.install(ctx, shard)
 }
 
-// loadUntilLost loads a shard under its token, again and again until that succeeds or the
-// token is outdated.
+// loadUntilLost loads a shard under its token. It retries until that succeeds or a later
+// ownership record is seen, which makes the token outdated.
 func (h *Host) loadUntilLost(ctx context.Context, id int, token uint64) (*scheduler.Shard, error) {
 	h.mu.Lock()
 	config := h.schedulerConfig
@@ -95,6 +97,8 @@
 	return nil, ctx.Err()
 }
 
+// ownershipVersion returns the version of a shard's ownership record in the view, 0 if there is
+// none.
 func (h *Host) ownershipVersion(id int) uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -102,8 +106,8 @@
 	return ownership.Version
 }
 
-// recordOwnership writes this controller as a shard's owner and returns the fencing token. If
-// that fails, the ownership record is read for what stands in the way.
+// recordOwnership records this controller as a shard's owner and returns the fencing token. If
+// that fails, it reads the present ownership record into the view.
 func (h *Host) recordOwnership(ctx context.Context, id int, seen Ownership, incarnation uint64) (token uint64, err error) {
 	key := record.ShardKey(id)
 	rec := record.Shard{Owner: h.settings.Label, Incarnation: incarnation}
@@ -129,8 +133,8 @@
 	h.env.SetOwnershipLocked(id, rec, version)
 }
 
-// install begins to serve a shard that was loaded under its token, unless it has a later owner
-// by now.
+// install begins to serve a shard that was loaded, unless a later owner is known or safe mode
+// began in the meantime.
 func (h *Host) install(ctx context.Context, shard *scheduler.Shard) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -150,12 +154,12 @@
 	return nil
 }
 
-// applyViewsLocked brings a shard up to the views, which may have moved on while its records
+// applyViewsLocked updates a shard from the views, which may have changed while the shard's records
 // were read.
 func (h *Host) applyViewsLocked(shard *scheduler.Shard, now time.Time) {
 	for _, machine := range h.env.MachinesOfShardLocked(shard.ID()) {
 		if err := shard.SetMachine(machine.ID, machine.View, now); err != nil {
-			h.log.Error("machine not applied", "shard", shard.ID(), "machine", machine.ID, "err", err)
+			h.log.Error("machine record not applied", "shard", shard.ID(), "machine", machine.ID, "err", err)
 		}
 	}
 	h.env.InheritDependenciesLocked(shard)
--- a/internal/controller/shardhost/acquisition.go
+++ b/internal/controller/shardhost/acquisition.go
@@ -8,43 +8,48 @@
 	"bramblespur/internal/fleet"
 )
 
-// AcquirePatience is how long a controller that has just started leaves the shards of owners
-// that are gone to them: where all restart together the first would else acquire most shards,
-// which cost it its processor's share and are transferred back soon after.
+// AcquirePatience is how long after its start a controller waits before it acquires the shards of
+// owners that are gone. When all controllers restart together, the first would otherwise acquire
+// most shards. These would use up its share of the processor and soon be transferred back.
 const AcquirePatience = 3 * time.Second
 
-// firstStartLeases is for how many lease times a shard that has never had an owner is left to
-// its preferred one, which is probably about to start for the first time.
+// firstStartLeases is the number of lease times for which a shard without an ownership record is
+// left to its preferred owner, which is probably about to start for the first time.
 const firstStartLeases = 2
 
-// Reason is why a controller acquires a shard, or why it does not.
+// Reason is the reason why a controller acquires a shard, or why it does not.
 type Reason int
 
 // Reasons not to acquire a shard.
 const (
-	// OwnedByLiveMember: the lease of the owner on record stands.
+	// OwnedByLiveMember means that the lease of the recorded owner stands.
 	OwnedByLiveMember Reason = iota
-	// JustStarted: the owner is gone, but may have restarted together with this controller.
+	// JustStarted means that the owner is gone, but may have restarted together with this
+	// controller, which has just started.
 	JustStarted
-	// ViewOutdated: the owner may have come back since the view was true.
+	// ViewOutdated means that the view is not recent, so that the owner may have come back since.
 	ViewOutdated
-	// FirstStartExpected: the shard never had an owner, and its preferred one is about to start.
+	// FirstStartExpected means that the shard never had an owner, and its preferred owner is
+	// probably about to start.
 	FirstStartExpected
-	// AnotherIsToAcquire: the owner is gone, and the choice falls on another member.
+	// AnotherIsToAcquire means that the owner is gone and another member is chosen as the next
+	// owner.
 	AnotherIsToAcquire
 
-	firstToAcquire // of the reasons to acquire a shard, which follow
+	firstToAcquire // separates the reasons not to acquire a shard from the reasons to acquire it
 
-	// TransferredHere: the record offers the shard to this controller.
+	// TransferredHere means that the ownership record offers the shard to this controller.
 	TransferredHere
-	// OwnedBefore: the record names this controller: it has restarted, or has read the records
-	// anew after an outage.
+	// OwnedBefore means that the ownership record names this controller, which has restarted or
+	// has read the records anew after an outage.
 	OwnedBefore
-	// PreferredHere: the shard never had an owner, and this controller is the preferred one.
+	// PreferredHere means that the shard never had an owner and this controller is its preferred
+	// owner.
 	PreferredHere
-	// OwnerGone: failover from an owner whose lease has expired.
+	// OwnerGone means that the lease of the owner has expired and this controller is chosen for
+	// the failover.
 	OwnerGone
-	// AssignedByLeader: the leader wants this controller to acquire the shard.
+	// AssignedByLeader means that the leader asked this controller to acquire the shard.
 	AssignedByLeader
 )
 
@@ -61,32 +66,33 @@
 	AssignedByLeader:   "assigned by the leader",
 }
 
-// String returns the reason for the log.
+// String returns the text of the reason for the log.
 func (r Reason) String() string { return reasonTexts[r] }
 
-// acquires reports whether it is a reason to acquire the shard.
+// acquires reports whether r is a reason to acquire the shard.
 func (r Reason) acquires() bool { return r > firstToAcquire }
 
-// candidate is a shard that is not served here, and what the decision about it depends on.
+// candidate is a shard that is not served here, with the inputs to the decision whether this
+// controller acquires it.
 type candidate struct {
 	self           string // this controller's label
-	preferredOwner string
+	preferredOwner string // its label
 	ownership      Ownership
-	recorded       bool // there is an ownership record
-	ownerLives     bool
+	recorded       bool          // the shard has an ownership record
+	ownerLives     bool          // the lease of the recorded owner stands
 	uptime         time.Duration // of this controller
-	viewRecent     bool
-	// unrecordedFor is how long this controller has seen shards without a record whose owner
-	// might be about to start.
+	viewRecent     bool          // the view is recent enough to conclude that an owner is gone
+	// unrecordedFor is the time since this controller first saw a shard without an ownership
+	// record whose preferred owner might be about to start.
 	unrecordedFor   time.Duration
-	firstStartGrace time.Duration
-	liveMembers     []string
-	owners          map[int]string // of all shards
+	firstStartGrace time.Duration  // how long such a shard is left to its preferred owner
+	liveMembers     []string       // labels of the controllers whose leases stand
+	owners          map[int]string // labels of the recorded owners of all shards
 }
 
-// decide returns whether this controller is to acquire a shard, and why: its own after a
-// restart, one transferred to it, and one whose owner is gone if the choice, which all live
-// members make alike, falls on it.
+// decide returns whether this controller is to acquire a shard, and why. It acquires the shards
+// that it owned before a restart and those that are transferred to it. It acquires a shard whose
+// owner is gone if it is the chosen member; all live members make the same choice.
 func (c *candidate) decide() Reason {
 	switch {
 	case c.recorded && c.ownership.Rec.TransferTo == c.self:
@@ -109,15 +115,16 @@
 	return AnotherIsToAcquire
 }
 
-// ConsiderAcquisitionsLocked begins to acquire the shards that are this controller's to
-// acquire.
+// ConsiderAcquisitionsLocked begins to acquire those shards that this controller is to acquire. It
+// does nothing unless the machine types are known, the lease certainly stands and there is a view
+// of the members and ownership records.
 func (h *Host) ConsiderAcquisitionsLocked(ctx context.Context, now time.Time) {
 	viewed, viewRecent := h.env.ViewLocked(now)
 	if h.schedulerConfig == nil || !h.env.LeaseCertain(now) || !viewed {
 		return
 	}
 	owners := h.env.OwnersLocked()
-	var members []string // read once a shard needs them
+	var members []string // read only if a shard is not served here
 	for id := range h.settings.Params.Count {
 		if h.shards[id] != nil || h.acquiring[id] {
 			continue
@@ -149,7 +156,7 @@
 	}
 }
 
-// unrecordedForLocked returns how long ago a first start was first expected, 0 if it never was.
+// unrecordedForLocked returns the time since a first start was first expected, or 0 if none was.
 func (h *Host) unrecordedForLocked(now time.Time) time.Duration {
 	if h.unrecordedSince.IsZero() {
 		return 0
--- a/internal/controller/shardhost/commit.go
+++ b/internal/controller/shardhost/commit.go
@@ -8,19 +8,20 @@
 	"bramblespur/internal/statestore"
 )
 
-// outcome is what became of a transaction at the state service.
+// outcome is the outcome of a transaction at the state service.
 type outcome int
 
 const (
 	applied  outcome = iota
 	conflict         // a condition did not hold; nothing was written
-	refused          // over the rate: nothing was written, and it may come again
-	invalid          // over a limit on sizes: nothing was written, and it would be refused again
-	unknown          // no response: it may have been applied, or may be yet
+	refused          // over the rate limit; nothing was written, and the transaction may be retried
+	invalid          // over a size limit; nothing was written, and a retry would be refused again
+	unknown          // no response; the transaction may have been applied or may still be
 )
 
-// outcomeOf tells why a transaction was not applied, beside what statestore.OutcomeOf tells, with
-// the keys whose conditions did not hold.
+// outcomeOf returns the outcome of a transaction from its error, and on a conflict the keys whose
+// conditions did not hold. Unlike statestore.OutcomeOf it distinguishes the reasons why a
+// transaction was not applied.
 func outcomeOf(err error) (o outcome, conflictingKeys []string) {
 	switch statestore.OutcomeOf(err) {
 	case statestore.Applied:
@@ -38,7 +39,7 @@
 	return invalid, nil
 }
 
-// commit carries a shard's transaction out and tells the shard the outcome.
+// commit executes a shard's transaction and reports the outcome to the shard.
 func (h *Host) commit(shard *scheduler.Shard, txn *scheduler.Txn) {
 	use := statestore.Purpose{Name: txn.Purpose, Routine: txn.Routine}
 	revision, err := h.env.Store().Txn(h.env.Lifetime(), use, txn.Body)
@@ -54,7 +55,7 @@
 		case refused:
 			shard.Refused(txn, now)
 		case invalid:
-			h.log.Error("transaction invalid: writing less from now on", "shard", shard.ID(), "purpose", txn.Purpose, "err", err)
+			h.log.Error("transaction over a size limit: the shard writes less at once from now on", "shard", shard.ID(), "purpose", txn.Purpose, "err", err)
 			shard.TooLarge(txn, now)
 		case unknown:
 			h.log.Info("transaction outcome unknown", "shard", shard.ID(), "err", err)
--- a/internal/controller/shardhost/config.go
+++ b/internal/controller/shardhost/config.go
@@ -12,23 +12,27 @@
 
 // Defaults of the shards' timers and limits.
 const (
-	missedHeartbeats = 3               // before a machine counts as lost,
-	silenceMargin    = 2 * time.Second // and this on top of them
-	socketsPerProbe  = 32              // one in so many sockets may be used to probe a silent machine
-	bootFactor       = 3               // of the nominal boot time, before a machine is replaced
-	preemptAfter     = 2 * time.Second // a free machine of another shard may come first
-	// completionsDelay is the batch delay of completions of jobs that go on: their workers
-	// retain them until they are recorded. The end of a job is recorded at once.
+	// A machine counts as lost after missedHeartbeats heartbeat intervals plus silenceMargin
+	// without a heartbeat.
+	missedHeartbeats = 3
+	silenceMargin    = 2 * time.Second
+	socketsPerProbe  = 32 // one in so many sockets may be used to probe a silent machine
+	// bootFactor is the multiple of the nominal boot time after which a machine that has not
+	// come up is replaced.
+	bootFactor   = 3
+	preemptAfter = 2 * time.Second // until then a free machine of another shard may arrive
+	// completionsDelay is the batch delay of completions in jobs that go on: the workers retain
+	// the completions until they are recorded. The end of a job is recorded without delay.
 	completionsDelay = 3 * time.Second
-	startsDelay      = 150 * time.Millisecond // the batch delay of starts
-	releasesDelay    = 2 * time.Second        // and of releases: unused machines cost little in that time
+	startsDelay      = 150 * time.Millisecond // batch delay of starts
+	releasesDelay    = 2 * time.Second        // batch delay of releases: unused machines cost little in that time
 )
 
-// policyKinds are the names that the policy has for kinds of jobs.
+// policyKinds maps the kinds of jobs on the wire to their names in the policy.
 var policyKinds = map[string]string{wire.Array: "array", wire.Gang: "gang", wire.Service: "service"}
 
-// SchedulerConfig returns the configuration of all shards from the settings, the policy, the
-// rate limit of restarts and the machine types.
+// SchedulerConfig returns the configuration of all shards, derived from the settings, the policy,
+// the rate limit of restarts and the machine types.
 func SchedulerConfig(params *config.Params, pol *policy.Policy, restartPace *ratelimit.Limiter, types []wire.MachineType) *scheduler.Config {
 	heartbeat := config.Seconds(params.Workers.ReportS)
 	limits := params.State.Tight()
@@ -63,7 +67,8 @@
 	return c
 }
 
-// urgency asks the policy how urgent a job is that has waited for a time.
+// urgency returns a function that computes by the policy how urgent a job is, given how long it
+// has waited and its deadline, nil if it has none.
 func urgency(pol *policy.Policy) func(spec *wire.Spec, waited time.Duration, deadline *float64) float64 {
 	return func(spec *wire.Spec, waited time.Duration, deadline *float64) float64 {
 		job := policy.Job{
--- a/internal/controller/shardhost/environment.go
+++ b/internal/controller/shardhost/environment.go
@@ -13,8 +13,8 @@
 	"bramblespur/internal/wire"
 )
 
-// Environment is the rest of the controller as a Host needs it. Methods whose names end in
-// Locked are called with the Host's lock held, and must not take it.
+// Environment is the interface between a Host and the rest of the controller. Methods whose names
+// end in Locked are called with the Host's lock held, and must not take it.
 type Environment interface {
 	Outside
 	ClusterView
@@ -23,43 +23,46 @@
 	Observer
 }
 
-// Outside is what a Host calls over the network, never with its lock held.
+// Outside gives access to the services and workers that a Host calls over the network, never with
+// its lock held.
 type Outside interface {
-	// Lifetime ends with the controller.
+	// Lifetime returns a context that ends when the controller stops.
 	Lifetime() context.Context
 	Store() statestore.Store
 	Agents() agent.API
 	Cloud() cloud.API
-	// CheckResponse returns err, or else what check finds wrong with a worker's response,
-	// which it logs.
+	// CheckResponse returns the error of a call to a worker, or if that is nil, the error that
+	// check returns for the worker's response, which it also logs.
 	CheckResponse(machine string, err error, check func() error) error
-	// PipelineEnds reads the terminal states of a pipeline's jobs that its record does not
-	// tell; those named are known to be active.
+	// PipelineEnds reads the terminal states of those of a pipeline's jobs for which the
+	// pipeline's record has none. The jobs listed in active are known to be active.
 	PipelineEnds(ctx context.Context, pipeline *record.Pipeline, active []string) ([]record.PipelineJobEnd, error)
 }
 
 // Ownership is a shard's ownership record with its revision, which is the owner's fencing
-// token. The zero value stands for a shard without a record.
+// token. The zero value represents a shard without a record.
 type Ownership = record.Versioned[record.Shard]
 
-// ClusterView is what this controller knows of the cluster from its watches.
+// ClusterView is this controller's local view of the cluster, fed by its watches.
 type ClusterView interface {
-	// OwnershipLocked returns a shard's ownership record, false if there is none.
+	// OwnershipLocked returns a shard's ownership record, and false if there is none.
 	OwnershipLocked(id int) (Ownership, bool)
-	// SetOwnershipLocked applies an ownership record unless a later one is known. A later
-	// one than the token of a shard that is served here drops that shard.
+	// SetOwnershipLocked applies an ownership record unless the view has a later one. It drops
+	// a shard that is served here under a token lower than the given version.
 	SetOwnershipLocked(id int, rec record.Shard, version uint64)
-	// OwnersLocked returns the owners on record by shard.
+	// OwnersLocked returns the label of each shard's owner according to its ownership record.
 	OwnersLocked() map[int]string
 	// LiveMembersLocked returns the labels of the controllers whose leases stand, in order.
 	LiveMembersLocked() []string
 	// ViewLocked reports whether there is a view of the members and ownership records, and
 	// whether it is recent enough to conclude from it that an owner is gone.
 	ViewLocked(now time.Time) (known, recent bool)
+	// MachinesOfShardLocked returns the machines that belong to a shard.
 	MachinesOfShardLocked(id int) []clusterview.Machine
-	// ActiveJobLocked returns the shard and the version of a job's record as viewed.
+	// ActiveJobLocked returns the shard of an active job and the version of the job's record.
+	// known is false if the view has no such job.
 	ActiveJobLocked(ref string) (shard int, version uint64, known bool)
-	// InheritDependenciesLocked tells a shard which jobs its active jobs wait for.
+	// InheritDependenciesLocked passes to a shard the jobs that its active jobs depend on.
 	InheritDependenciesLocked(shard *scheduler.Shard)
 	// UpgradedLocked reports whether no controller of the first version is left.
 	UpgradedLocked() bool
@@ -67,49 +70,54 @@
 	AllRangesSizedLocked() bool
 }
 
-// Authority tells what this controller may do by its own lease and its view.
+// Authority determines what this controller may do, given its own lease and its view.
 type Authority interface {
+	// Incarnation returns the incarnation of this controller that its member lease names.
 	Incarnation() uint64
-	// LeaseTime is how long a member lease lasts without a renewal.
+	// LeaseTime returns how long a member lease lasts without a renewal.
 	LeaseTime() time.Duration
 	// LeaseCertain reports whether this controller's lease certainly stands.
 	LeaseCertain(now time.Time) bool
 	// MayStartTasksLocked reports whether the lease certainly stands and the view of active
-	// jobs, which tells of cancellations, is recent.
+	// jobs, through which cancellations arrive, is recent.
 	MayStartTasksLocked(now time.Time) bool
-	// UptimeLocked returns for how long this controller has been running.
+	// UptimeLocked returns how long this controller has been running.
 	UptimeLocked(now time.Time) time.Duration
 }
 
-// DataLossDetection notices a state service that lost data.
+// DataLossDetection detects that the state service has lost data.
 type DataLossDetection interface {
-	// DataLossDetectionEnabled reports whether data loss is watched for at all.
+	// DataLossDetectionEnabled reports whether detection of data loss is enabled.
 	DataLossDetectionEnabled() bool
-	// SafeModeLocked reports whether nothing may be started, stopped or recorded.
+	// SafeModeLocked reports whether safe mode is active, in which nothing may be started,
+	// stopped or recorded.
 	SafeModeLocked() bool
-	// NoticeOlderLocked compares the version found of a record, 0 if there is none, with the
-	// highest that was seen of it.
+	// NoticeOlderLocked checks a record that was read for data loss: it compares found, the
+	// version that was read or 0 if there is no record, with held, the highest version that
+	// was seen of the record.
 	NoticeOlderLocked(key string, held, found uint64, now time.Time)
-	// ConfirmReread reports whether a shard may be told of a record that was read again: it
-	// must not if the record is older than what the shard knows of it. It takes the lock.
+	// ConfirmReread reports whether a record that was read again may be passed to a shard. It
+	// may not if the record is older than the version that the shard knows. ConfirmReread
+	// takes the lock.
 	ConfirmReread(ctx context.Context, shard *scheduler.Shard, key string, entry *wire.Entry) (bool, error)
-	// LookUpMissingRecords looks for records that explain a reported task of which a shard
-	// has none. It takes the lock.
+	// LookUpMissingRecords looks for records that explain a task which a worker reported and
+	// the shard has no record of. It takes the lock.
 	LookUpMissingRecords(shard *scheduler.Shard, task scheduler.Unrecorded)
 }
 
-// Observer is told what happens to shards.
+// Observer receives the events of shards.
 type Observer interface {
 	// AcquiredLocked is called once a shard is served, before its first step.
 	AcquiredLocked(shard *scheduler.Shard, now time.Time)
 	// BeforeStepLocked is called before each step of a shard.
 	BeforeStepLocked(shard *scheduler.Shard)
-	// AfterStepLocked is told what a step has found out: units of work that were interrupted,
-	// and claims of workers that contradict what is known.
+	// AfterStepLocked receives the findings of a step: units of work that were interrupted, and
+	// workers' claims that contradict the shard's ledger.
 	AfterStepLocked(interruptions []scheduler.Interruption, contradictions []scheduler.Contradiction, now time.Time)
-	// CommittedLocked is told of each transaction that was applied, at its revision, ahead of
-	// the watch.
+	// CommittedLocked receives each transaction that was applied, with its revision, before the
+	// watch delivers it.
 	CommittedLocked(txn wire.Txn, revision uint64, now time.Time)
-	// RespondToParkedLocked answers a machine's parked heartbeat, if there is one.
+	// RespondToParkedLocked responds to a machine's parked heartbeat. It returns false if no
+	// heartbeat of the machine is parked.
 	RespondToParkedLocked(machine string, now time.Time) bool
 }
--- a/internal/controller/shardhost/host.go
+++ b/internal/controller/shardhost/host.go
@@ -1,19 +1,20 @@
-// Package shardhost hosts the shards that one controller serves: it acquires them, loads
-// them, lets them step and carries out what each step asks for.
+// Package shardhost hosts the shards that one controller serves: it acquires and loads them,
+// runs their steps, and carries out the effects of each step.
 //
-// A shard belongs to the controller that its ownership record names. Who acquires it writes
-// that record by compare-and-swap, and the record's revision is the fencing token under which
-// everything of the shard is written and every command to its workers is sent: a later owner
-// has a higher token, and what the earlier one still has under way is refused. A Host
-// guarantees that it serves a shard only between its own write of the record and the moment
-// it hears of a later one, and that it tells the shard the outcome of each of its writes.
+// A shard belongs to the controller named in its ownership record. A controller acquires a
+// shard by writing that record with compare-and-swap. The revision of this write is the fencing
+// token under which all records of the shard are written and all commands to its workers are
+// sent. A later owner has a higher token, so late writes and commands of the earlier owner are
+// refused. A Host guarantees that it serves a shard only between its own write of the record
+// and the moment it learns of a later one, and that it reports the outcome of each write to the
+// shard.
 //
 // The Host's lock is the outermost lock of the controller. It guards the hosted shards and all
 // state of the controller that has no lock of its own, since a view of the cluster and a shard
-// often have to be looked at in one critical section. Other components' locks are leaves: they
-// may be taken while this one is held, never the other way round. It is not reentrant and is
-// never held across input or output. Methods whose names end in Locked expect it held; all
-// others take it themselves.
+// often have to be read in one critical section. The locks of other components are leaf locks:
+// they may be taken while this one is held, never the other way round. The lock is not reentrant
+// and is never held across input or output. Methods whose names end in Locked expect it held;
+// all others take it themselves.
 package shardhost
 
 import (
@@ -28,29 +29,30 @@
 	"bramblespur/internal/wire"
 )
 
-// Host holds the shards that this controller serves, those that it is acquiring, and the
-// machine types, without which it serves none.
+// Host holds the shards that this controller serves, the shards that it is acquiring, and the
+// machine types, which it needs before it can serve any shard.
 type Host struct {
 	settings *config.Settings
 	log      *slog.Logger
 	env      Environment
-	// newConfig makes the shards' configuration once the machine types are known.
+	// newConfig returns the configuration of all shards, given the machine types.
 	newConfig func([]wire.MachineType) *scheduler.Config
-	// commandSlots limits the direct commands under way, each on a socket of its own.
+	// commandSlots limits the direct commands under way, each of which uses a socket.
 	commandSlots chan struct{}
 
 	// mu is the outermost lock of the controller: see the package comment.
 	mu              sync.Mutex
-	shards          map[int]*scheduler.Shard
-	acquiring       map[int]bool
-	machineTypes    []wire.MachineType // none until they are known
-	schedulerConfig *scheduler.Config  // nil until then
-	// unrecordedSince is when a shard that has no ownership record, and whose preferred
-	// owner is another controller, was first seen.
+	shards          map[int]*scheduler.Shard // served here, by shard number
+	acquiring       map[int]bool             // shards whose acquisition is under way
+	machineTypes    []wire.MachineType       // empty until they are known
+	schedulerConfig *scheduler.Config        // nil until the machine types are known
+	// unrecordedSince is when this controller first saw a shard that has no ownership record
+	// and whose preferred owner is another controller; zero if it has seen none.
 	unrecordedSince time.Time
 }
 
-// New returns a Host without shards.
+// New returns a Host that serves no shards yet. newConfig is called once, when the machine types
+// are known.
 func New(settings *config.Settings, log *slog.Logger, env Environment, newConfig func([]wire.MachineType) *scheduler.Config) *Host {
 	return &Host{
 		settings:     settings,
@@ -66,49 +68,51 @@
 // Lock takes the outermost lock of the controller.
 func (h *Host) Lock() { h.mu.Lock() }
 
-// Unlock releases it.
+// Unlock releases the outermost lock of the controller.
 func (h *Host) Unlock() { h.mu.Unlock() }
 
-// GetLocked returns a shard that is served here, nil if it is not.
+// GetLocked returns the shard with the given number, or nil if it is not served here.
 func (h *Host) GetLocked(id int) *scheduler.Shard { return h.shards[id] }
 
-// ServesLocked reports whether exactly this shard is still served here: after it was lost it
-// may have been acquired anew, under another token.
+// ServesLocked reports whether this very instance of a shard is still served here. A shard that
+// was lost may have been acquired again since, under another token and as another instance.
 func (h *Host) ServesLocked(shard *scheduler.Shard) bool { return h.shards[shard.ID()] == shard }
 
-// AllLocked iterates over the shards that are served here, which may be dropped meanwhile.
+// AllLocked iterates over the shards that are served here. Shards may be dropped during the
+// iteration.
 func (h *Host) AllLocked() iter.Seq2[int, *scheduler.Shard] { return maps.All(h.shards) }
 
-// OwnedLocked returns the shards that are served here by number, for reading only.
+// OwnedLocked returns the shards that are served here by number. The caller must not change the
+// map.
 func (h *Host) OwnedLocked() map[int]*scheduler.Shard { return h.shards }
 
-// CountLocked returns how many shards are served here.
+// CountLocked returns the number of shards that are served here.
 func (h *Host) CountLocked() int { return len(h.shards) }
 
 // AcquiringLocked reports whether an acquisition of a shard is under way.
 func (h *Host) AcquiringLocked(id int) bool { return h.acquiring[id] }
 
-// ServeLocked begins to serve a shard, in place of an earlier one of the same number.
+// ServeLocked begins to serve a shard. It replaces an earlier instance of the same shard.
 func (h *Host) ServeLocked(shard *scheduler.Shard) { h.shards[shard.ID()] = shard }
 
-// DropLocked stops serving a shard. What it still has under way is refused by the state
-// service and by workers, for the token under which it was sent.
+// DropLocked stops serving a shard. The state service and the workers refuse the writes and
+// commands that it still has under way, since their token is outdated.
 func (h *Host) DropLocked(id int) { delete(h.shards, id) }
 
-// DropAllLocked stops serving all shards and returns them as they were.
+// DropAllLocked stops serving all shards and returns the dropped shards by number.
 func (h *Host) DropAllLocked() map[int]*scheduler.Shard {
 	shards := h.shards
 	h.shards = map[int]*scheduler.Shard{}
 	return shards
 }
 
-// PreferredOwner returns the label of the controller that a shard is transferred back to while
-// that one is stable.
+// PreferredOwner returns the label of a shard's preferred owner, to which the shard is transferred
+// back once that controller is stable.
 func (h *Host) PreferredOwner(id int) string {
 	return h.settings.Labels()[id%h.settings.Params.Count]
 }
 
-// Update changes a shard under the lock, then lets it step.
+// Update calls change under the lock, then runs a step of the shard.
 func (h *Host) Update(shard *scheduler.Shard, change func(now time.Time)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -117,22 +121,22 @@
 	h.StepLocked(shard, now)
 }
 
-// RefreshAuthorityLocked tells a shard whether it may still start anything. A controller that
-// was suspended finds its lease expired, and its timers and responses due, before any of its
-// loops has run again: it must not send what was recorded before.
+// RefreshAuthorityLocked updates whether a shard may start tasks. When a suspended controller
+// resumes, its lease may have expired while its timers and responses are due before any of its
+// loops has run again. It must then not send starts that were recorded before the suspension.
 func (h *Host) RefreshAuthorityLocked(shard *scheduler.Shard, now time.Time) {
 	shard.SetCancellationsUnknown(!h.env.MayStartTasksLocked(now))
 }
 
-// Conditions are what shards are told at each tick.
+// Conditions are the conditions of this controller that are passed to its shards at each tick.
 type Conditions struct {
-	// PartitionedZones are those of which no controller can be reached.
+	// PartitionedZones are the zones in which no controller can be reached.
 	PartitionedZones map[string]bool
-	Behind           bool          // the processor does not keep up
-	WriteBacklog     time.Duration // how long changes wait for the state service's budget
+	Behind           bool          // this controller's processor does not keep up
+	WriteBacklog     time.Duration // how long writes wait for the state service's rate limit
 }
 
-// TickLocked tells all shards the conditions and lets them step.
+// TickLocked passes the conditions to all shards and runs a step of each.
 func (h *Host) TickLocked(conditions Conditions, now time.Time) {
 	for _, shard := range h.shards {
 		if h.env.AllRangesSizedLocked() {
--- a/internal/controller/shardhost/load.go
+++ b/internal/controller/shardhost/load.go
@@ -13,7 +13,7 @@
 	"bramblespur/internal/wire"
 )
 
-// load reads the records of a shard and makes it, under a fencing token.
+// load reads the records of a shard and returns the shard, built from them under a fencing token.
 func (h *Host) load(ctx context.Context, config *scheduler.Config, id int, token uint64) (*scheduler.Shard, error) {
 	use := statestore.Urgent("take over")
 	machines, err := ReadMachines(ctx, h.env.Store(), use)
@@ -33,8 +33,8 @@
 	return shard, shard.Load(machines, activeJobs, placements, time.Now())
 }
 
-// prepare tells a shard how records are to be read and written, and returns the records of
-// active jobs that are not known to be other shards'.
+// prepare configures how a shard reads and writes its records. It returns the records of active
+// jobs without those that are known to belong to other shards.
 func (h *Host) prepare(shard *scheduler.Shard, activeJobs []wire.Entry) []wire.Entry {
 	if h.env.DataLossDetectionEnabled() {
 		shard.DetectDataLoss()
@@ -45,14 +45,14 @@
 		shard.AllowSizedRanges()
 	}
 	if h.env.AllRangesSizedLocked() {
-		shard.UseSizedRanges() // before it writes anything
+		shard.UseSizedRanges() // must be set before the shard writes anything
 	}
 	return slices.DeleteFunc(activeJobs, func(job wire.Entry) bool {
 		return h.belongsToOtherShardLocked(job, shard.ID())
 	})
 }
 
-// ReadMachines reads the records of all machines.
+// ReadMachines reads the records of all machines from the state service.
 func ReadMachines(ctx context.Context, store statestore.Store, use statestore.Purpose) (*record.Fleet, error) {
 	entries, _, err := store.List(ctx, use, record.FleetPrefix)
 	if err != nil {
@@ -61,15 +61,16 @@
 	return record.FleetOf(entries)
 }
 
-// belongsToOtherShardLocked reports whether an active job's record is one that the view holds,
-// and another shard's: it need not be decoded to tell.
+// belongsToOtherShardLocked reports whether the view has an active job's record in the same version
+// and assigns the job to a shard other than the given one. It saves decoding the record.
 func (h *Host) belongsToOtherShardLocked(job wire.Entry, id int) bool {
 	shard, version, known := h.env.ActiveJobLocked(record.LastElement(job.Key))
 	return known && version == job.Version && shard != id
 }
 
-// rereadActiveJobs reads the active jobs once more after an acquisition: nobody was told of
-// one accepted between the first reading and the moment from which the shard was served.
+// rereadActiveJobs reads the active jobs once more after an acquisition. It finds the jobs that were
+// accepted between the first read and the moment from which the shard was served, of which the
+// shard was not notified.
 func (h *Host) rereadActiveJobs(ctx context.Context, shard *scheduler.Shard) {
 	for ctx.Err() == nil {
 		jobs, _, err := h.env.Store().List(ctx, statestore.Urgent("take over"), record.ActiveJobPrefix)
@@ -81,7 +82,7 @@
 	}
 }
 
-// addMissedJobs tells a shard of those of its active jobs that it does not know.
+// addMissedJobs adds to a shard those of its active jobs that it does not know yet.
 func (h *Host) addMissedJobs(shard *scheduler.Shard, jobs []wire.Entry) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/controller/shardhost/machine_types.go
+++ b/internal/controller/shardhost/machine_types.go
@@ -12,18 +12,19 @@
 	"bramblespur/internal/wire"
 )
 
-// recordTypesAttempts is how often the machine types are tried to be recorded for the others,
-// which else ask the cloud themselves.
+// recordTypesAttempts bounds the attempts to record the machine types for the other controllers,
+// which otherwise ask the cloud themselves.
 const recordTypesAttempts = 5
 
-// MachineTypesLocked returns the machine types, none until they are known.
+// MachineTypesLocked returns the machine types. The list is empty until they are known.
 func (h *Host) MachineTypesLocked() []wire.MachineType { return h.machineTypes }
 
-// SchedulerConfigLocked returns the configuration of all shards, nil until the machine types
+// SchedulerConfigLocked returns the configuration of all shards, or nil until the machine types
 // are known.
 func (h *Host) SchedulerConfigLocked() *scheduler.Config { return h.schedulerConfig }
 
-// SetMachineTypesLocked sets the machine types, which stay as they are from then on.
+// SetMachineTypesLocked sets the machine types. It has no effect if they are set already or if
+// types is empty.
 func (h *Host) SetMachineTypesLocked(types []wire.MachineType) {
 	if len(h.machineTypes) > 0 || len(types) == 0 {
 		return
@@ -32,9 +33,9 @@
 	h.schedulerConfig = h.newConfig(types)
 }
 
-// LearnMachineTypes learns the machine types: from the state service, where the first
-// controller to hear from the cloud put them, or from the cloud. It returns once they are
-// known and, as far as that can be had, recorded.
+// LearnMachineTypes reads the machine types from the state service, where the first controller
+// that got them from the cloud recorded them, or otherwise from the cloud. It returns once they
+// are known and it has recorded them or given up recording them.
 func (h *Host) LearnMachineTypes(ctx context.Context) {
 	for ctx.Err() == nil {
 		if types := h.recordedTypes(ctx); len(types) > 0 {
@@ -58,7 +59,8 @@
 	h.SetMachineTypesLocked(types)
 }
 
-// recordedTypes returns the machine types on record, none if they can't be read.
+// recordedTypes returns the recorded machine types, or none if there is no record or it cannot be
+// read.
 func (h *Host) recordedTypes(ctx context.Context) []wire.MachineType {
 	entry, err := h.env.Store().Get(ctx, statestore.Urgent("types"), record.MachineTypesKey)
 	if err != nil {
@@ -71,8 +73,8 @@
 	return types
 }
 
-// recordTypes records the machine types unless they are on record already. Where they are too
-// large for a record each controller asks the cloud itself.
+// recordTypes records the machine types unless they are recorded already. If they are too large
+// for a record, each controller asks the cloud itself.
 func (h *Host) recordTypes(ctx context.Context, types []wire.MachineType) {
 	value := record.Encode(types)
 	if len(value) > h.settings.Params.State.Tight().Bytes() {
--- a/internal/controller/shardhost/reread.go
+++ b/internal/controller/shardhost/reread.go
@@ -14,12 +14,12 @@
 	"bramblespur/internal/wire"
 )
 
-// ownershipReads is how often the record of a lost shard is tried to be read: the watch tells
-// of it, too.
+// ownershipReads bounds the attempts to read the ownership record of a lost shard. The record also
+// arrives through the watch.
 const ownershipReads = 10
 
-// RetryWhileServed repeats a read until it succeeds, and reports false if the shard was lost
-// or the controller ended before that.
+// RetryWhileServed calls read until it succeeds. It returns false if the shard was lost or the
+// controller stopped before that.
 func (h *Host) RetryWhileServed(shard *scheduler.Shard, read func(context.Context) error) bool {
 	ctx := h.env.Lifetime()
 	for {
@@ -38,7 +38,7 @@
 	return h.ServesLocked(shard)
 }
 
-// GetIfPresent reads a record, nil if there is none.
+// GetIfPresent reads a record from the state service. It returns nil if there is none.
 func (h *Host) GetIfPresent(ctx context.Context, key string) (*wire.Entry, error) {
 	entry, err := h.env.Store().Get(ctx, statestore.Urgent("read back"), key)
 	if errors.Is(err, statestore.ErrNotFound) {
@@ -50,8 +50,8 @@
 	return &entry, nil
 }
 
-// rereadRecord reads a record whose version a shard does not know, until that succeeds, and
-// tells the shard what it is.
+// rereadRecord reads a record whose version a shard does not know, retrying until that succeeds,
+// and applies it to the shard. The entry passed to apply is nil if there is no record.
 func (h *Host) rereadRecord(shard *scheduler.Shard, key string, apply func(entry *wire.Entry, now time.Time) error) {
 	var entry *wire.Entry
 	intact := true
@@ -72,8 +72,8 @@
 	})
 }
 
-// rereadPipeline does the same for a pipeline's record and the terminal states of its jobs
-// that the record does not tell.
+// rereadPipeline reads a pipeline's record and the terminal states of those of its jobs for which
+// the record has none, retrying until that succeeds, and applies them to a shard.
 func (h *Host) rereadPipeline(shard *scheduler.Shard, ref string) {
 	var ends []record.PipelineJobEnd
 	var entry *wire.Entry
@@ -95,8 +95,8 @@
 	})
 }
 
-// readPipelineEnds reads the terminal states that a pipeline's record does not tell, but for
-// those of jobs that the shard holds, which are active.
+// readPipelineEnds reads the terminal states of those of a pipeline's jobs for which its record has
+// none. It skips the jobs that the shard holds, which are active.
 func (h *Host) readPipelineEnds(ctx context.Context, shard *scheduler.Shard, entry *wire.Entry) ([]record.PipelineJobEnd, error) {
 	var pipeline record.Pipeline
 	if err := json.Unmarshal(entry.Value, &pipeline); err != nil {
@@ -108,8 +108,8 @@
 	return h.env.PipelineEnds(ctx, &pipeline, active)
 }
 
-// RereadOwnership reads the ownership record of a shard that was lost, to learn the later
-// owner.
+// RereadOwnership reads the ownership record of a shard that was lost into the view, so that the
+// later owner is known.
 func (h *Host) RereadOwnership(id int) {
 	ctx := h.env.Lifetime()
 	for range ownershipReads {
@@ -125,8 +125,9 @@
 	}
 }
 
-// confirmOwnership reads the ownership record of a shard after something was seen of a revision,
-// and tells the shard that it was still owned then. If it was not, the shard is dropped.
+// confirmOwnership reads a shard's ownership record after a record with the given revision was seen.
+// If the ownership record is unchanged, it confirms to the shard that it was owned at that revision.
+// Otherwise the later ownership record is applied, which drops the shard.
 func (h *Host) confirmOwnership(shard *scheduler.Shard, revision uint64) {
 	var entry *wire.Entry
 	read := h.RetryWhileServed(shard, func(ctx context.Context) (err error) {
@@ -140,12 +141,13 @@
 	case entry.Version == shard.Token():
 		h.Update(shard, func(time.Time) { shard.OwnershipConfirmed(revision) })
 	default:
-		h.log.Info("shard found to be another's", "shard", shard.ID(), "token", shard.Token(), "found", entry.Version)
+		h.log.Info("shard has a later owner", "shard", shard.ID(), "token", shard.Token(), "found", entry.Version)
 		h.applyOwnership(shard.ID(), *entry)
 	}
 }
 
-// applyOwnership applies an ownership record that was read.
+// applyOwnership applies an ownership record that was read to the view, after it is checked for data
+// loss.
 func (h *Host) applyOwnership(id int, entry wire.Entry) {
 	var rec record.Shard
 	if err := json.Unmarshal(entry.Value, &rec); err != nil {
@@ -158,12 +160,15 @@
 	h.env.SetOwnershipLocked(id, rec, entry.Version)
 }
 
+// noticeMissingOwnership checks for data loss after no ownership record of a shard was found.
 func (h *Host) noticeMissingOwnership(id int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.noticeOlderOwnershipLocked(id, 0)
 }
 
+// noticeOlderOwnershipLocked checks for data loss by the version of a shard's ownership record that
+// was read, 0 if there is none.
 func (h *Host) noticeOlderOwnershipLocked(id int, found uint64) {
 	held, _ := h.env.OwnershipLocked(id)
 	h.env.NoticeOlderLocked(record.ShardKey(id), held.Version, found, time.Now())
--- a/internal/controller/shardhost/step.go
+++ b/internal/controller/shardhost/step.go
@@ -8,8 +8,9 @@
 	"bramblespur/internal/wire"
 )
 
-// StepLocked lets a shard do what is due and carries that out. All input and output happens in
-// goroutines of its own, which end with the controller or once the shard is lost.
+// StepLocked runs a step of a shard and carries out its effects. It does nothing if the shard is no
+// longer served here. All input and output happens in separate goroutines, which end when the
+// controller stops or the shard is lost.
 func (h *Host) StepLocked(shard *scheduler.Shard, now time.Time) {
 	if !h.ServesLocked(shard) {
 		return
@@ -34,8 +35,8 @@
 	h.logEffects(shard, &effects)
 }
 
-// reread reads the records whose versions a shard does not know, and those that may explain a
-// reported task.
+// reread starts to read the records whose versions a shard does not know, and the records that may
+// explain a reported task.
 func (h *Host) reread(shard *scheduler.Shard, effects *scheduler.Effects) {
 	for _, ref := range effects.RereadJobs {
 		go h.rereadRecord(shard, record.ActiveJobKey(ref), func(entry *wire.Entry, now time.Time) error {
@@ -60,7 +61,7 @@
 	}
 }
 
-// callWorkers sends direct commands, and asks silent machines for their heartbeats.
+// callWorkers sends direct commands, and probes silent machines for their heartbeats.
 func (h *Host) callWorkers(shard *scheduler.Shard, effects *scheduler.Effects) {
 	for _, push := range effects.DirectCommands {
 		go h.sendCommands(shard, push)
@@ -70,8 +71,8 @@
 	}
 }
 
-// sendStartsLocked brings starts to machines for which one is ready: with the response to a
-// parked heartbeat where there is one, else by a direct command.
+// sendStartsLocked sends the starts that are ready to their machines: with the response to a
+// parked heartbeat if there is one, otherwise by a direct command.
 func (h *Host) sendStartsLocked(shard *scheduler.Shard, machines []string, now time.Time) {
 	for _, id := range machines {
 		if h.env.RespondToParkedLocked(id, now) {
@@ -83,7 +84,7 @@
 	}
 }
 
-// logEffects logs what has become of machines, jobs and tasks.
+// logEffects logs the changes of machines, jobs and tasks in a step.
 func (h *Host) logEffects(shard *scheduler.Shard, effects *scheduler.Effects) {
 	for _, m := range effects.Released {
 		h.log.Info("machine released", "machine", m.Machine, "shard", shard.ID(), "why", m.Why,
--- a/internal/controller/shardhost/worker_calls.go
+++ b/internal/controller/shardhost/worker_calls.go
@@ -10,11 +10,13 @@
 	"bramblespur/internal/wire"
 )
 
-// socketsPerCommand: one in so many sockets may be used by a direct command. A wave of them to
-// machines that hang must leave sockets for peers and the state service.
+// socketsPerCommand is the number of sockets per direct command under way: one in so many sockets
+// may be used by a direct command. Many commands to machines that hang must leave sockets for
+// peers and the state service.
 const socketsPerCommand = 16
 
-// probeMachine asks a worker for its heartbeat and tells the shard.
+// probeMachine requests a heartbeat from a worker and passes it to the shard, or nil if the worker
+// gave no valid response.
 func (h *Host) probeMachine(shard *scheduler.Shard, probe scheduler.Probe) {
 	heartbeat, err := h.env.Agents().Show(h.env.Lifetime(), probe.Addr)
 	err = h.checkHeartbeat(&heartbeat, probe.Machine, err)
@@ -30,7 +32,8 @@
 	})
 }
 
-// sendCommands sends commands straight to a worker and tells the shard what came of it.
+// sendCommands sends a direct command to a worker and reports the outcome to the shard. It waits
+// for one of the command slots first.
 func (h *Host) sendCommands(shard *scheduler.Shard, push scheduler.DirectCommand) {
 	h.commandSlots <- struct{}{}
 	heartbeat, executed, err := h.env.Agents().Command(h.env.Lifetime(), push.Addr, push.Orders)
@@ -47,7 +50,8 @@
 	})
 }
 
-// pushOutcome returns what a worker's response, or an error in its place, says of a command.
+// pushOutcome returns the outcome of a direct command from the worker's response, or from the error
+// of the call.
 func pushOutcome(executed bool, err error) scheduler.CommandOutcome {
 	switch {
 	case errors.Is(err, httpwire.ErrNotSent):
@@ -60,11 +64,12 @@
 	return scheduler.Refused
 }
 
-// checkHeartbeat returns err, or else what is wrong with a heartbeat as a machine's response.
+// checkHeartbeat returns the error of a call to a worker, or if that is nil, an error if the
+// heartbeat is malformed or names another machine.
 func (h *Host) checkHeartbeat(heartbeat *wire.Heartbeat, machine string, err error) error {
 	err = h.env.CheckResponse(machine, err, heartbeat.Check)
 	if err == nil && heartbeat.Machine != machine {
-		return fmt.Errorf("%s answers for %s", heartbeat.Machine, machine) // another has its address by now
+		return fmt.Errorf("heartbeat names machine %s, want %s", heartbeat.Machine, machine) // the address has passed to another machine
 	}
 	return err
 }
