--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -26,8 +26,8 @@
 	}{
 		"own part after a restart":  {record.Shard{Owner: "c-0", Incarnation: 1}, []string{"c-0"}, 0, true},
 		"live owner":                {record.Shard{Owner: "c-1", Incarnation: 1}, []string{"c-0", "c-1"}, time.Minute, false},
-		"dead owner":                {record.Shard{Owner: "c-1", Incarnation: 1}, []string{"c-0"}, shardhost.AcquirePatience, true},
-		"dead owner at the start":   {record.Shard{Owner: "c-1", Incarnation: 1}, []string{"c-0"}, shardhost.AcquirePatience - 1, false},
+		"dead owner":                {record.Shard{Owner: "c-1", Incarnation: 1}, []string{"c-0"}, shardhost.AcquireGracePeriod, true},
+		"dead owner at the start":   {record.Shard{Owner: "c-1", Incarnation: 1}, []string{"c-0"}, shardhost.AcquireGracePeriod - 1, false},
 		"offered":                   {record.Shard{TransferTo: "c-0"}, []string{"c-0", "c-1"}, time.Minute, true},
 		"offered as it has started": {record.Shard{TransferTo: "c-0"}, []string{"c-0", "c-1"}, 0, true},
 	} {
--- a/internal/controller/shard_environment.go
+++ b/internal/controller/shard_environment.go
@@ -112,13 +112,13 @@
 // SafeModeLocked implements shardhost.Environment.
 func (e shardEnvironment) SafeModeLocked() bool { return e.c.dataLoss.ActiveLocked() }
 
-// NoticeOlderLocked implements shardhost.Environment.
-func (e shardEnvironment) NoticeOlderLocked(key string, held, found uint64, now time.Time) {
+// ReportIfStaleLocked implements shardhost.Environment.
+func (e shardEnvironment) ReportIfStaleLocked(key string, held, found uint64, now time.Time) {
 	e.c.dataLoss.ReportIfStaleLocked(key, held, found, now)
 }
 
-// ConfirmReread implements shardhost.Environment.
-func (e shardEnvironment) ConfirmReread(ctx context.Context, shard *scheduler.Shard, key string, entry *wire.Entry) (bool, error) {
+// CheckReread implements shardhost.Environment.
+func (e shardEnvironment) CheckReread(ctx context.Context, shard *scheduler.Shard, key string, entry *wire.Entry) (bool, error) {
 	return e.c.staleReads.CheckReread(ctx, shard, key, entry)
 }
 
--- a/internal/controller/shardhost/acquisition.go
+++ b/internal/controller/shardhost/acquisition.go
@@ -8,10 +8,10 @@
 	"bramblespur/internal/fleet"
 )
 
-// AcquirePatience is how long after its start a controller waits before it acquires the shards of
+// AcquireGracePeriod is how long after its start a controller waits before it acquires the shards of
 // owners that are gone. When all controllers restart together, the first would otherwise acquire
 // most shards. These would use up its share of the processor and soon be transferred back.
-const AcquirePatience = 3 * time.Second
+const AcquireGracePeriod = 3 * time.Second
 
 // firstStartLeases is the number of lease times for which a shard without an ownership record is
 // left to its preferred owner, which is probably about to start for the first time.
@@ -32,9 +32,9 @@
 	// FirstStartExpected means that the shard never had an owner, and its preferred owner is
 	// probably about to start.
 	FirstStartExpected
-	// AnotherIsToAcquire means that the owner is gone and another member is chosen as the next
+	// OtherMemberChosen means that the owner is gone and another member is chosen as the next
 	// owner.
-	AnotherIsToAcquire
+	OtherMemberChosen
 
 	firstToAcquire // separates the reasons not to acquire a shard from the reasons to acquire it
 
@@ -58,7 +58,7 @@
 	JustStarted:        "just started",
 	ViewOutdated:       "view outdated",
 	FirstStartExpected: "first start of the preferred owner expected",
-	AnotherIsToAcquire: "another member is to acquire it",
+	OtherMemberChosen:  "another member chosen",
 	TransferredHere:    "transferred here",
 	OwnedBefore:        "owned before",
 	PreferredHere:      "preferred here",
@@ -101,7 +101,7 @@
 		return OwnedBefore
 	case !c.recorded && c.preferredOwner == c.self:
 		return PreferredHere
-	case c.uptime < AcquirePatience:
+	case c.uptime < AcquireGracePeriod:
 		return JustStarted
 	case c.ownerLives:
 		return OwnedByLiveMember
@@ -112,7 +112,7 @@
 	case fleet.ChooseOwner(c.liveMembers, c.owners, c.preferredOwner) == c.self:
 		return OwnerGone
 	}
-	return AnotherIsToAcquire
+	return OtherMemberChosen
 }
 
 // ConsiderAcquisitionsLocked begins to acquire those shards that this controller is to acquire. It
--- a/internal/controller/shardhost/commit_test.go
+++ b/internal/controller/shardhost/commit_test.go
@@ -11,7 +11,8 @@
 	"bramblespur/internal/statestore"
 )
 
-// What is not known to have been refused may have been applied.
+// Any error other than a conflict, a refusal or an invalid transaction leaves the outcome unknown:
+// the transaction may have been applied.
 func TestOutcomeOf(t *testing.T) {
 	for _, x := range []struct {
 		err  error
@@ -25,13 +26,13 @@
 		{errors.New("connection reset"), unknown, nil},
 	} {
 		if got, keys := outcomeOf(x.err); got != x.want || !slices.Equal(keys, x.keys) {
-			t.Errorf("%v: %v %v, want %v %v", x.err, got, keys, x.want, x.keys)
+			t.Errorf("error %v: outcome %v with conflicting keys %v, want %v with %v", x.err, got, keys, x.want, x.keys)
 		}
 	}
 }
 
-// A command without a response may have been executed.
-func TestPushOutcome(t *testing.T) {
+// A command that was sent but got no response may have been executed.
+func TestCommandOutcome(t *testing.T) {
 	for _, x := range []struct {
 		executed bool
 		err      error
@@ -42,8 +43,8 @@
 		{false, fmt.Errorf("dial: %w", httpwire.ErrNotSent), scheduler.NotSent},
 		{false, errors.New("timeout"), scheduler.NoAnswer},
 	} {
-		if got := pushOutcome(x.executed, x.err); got != x.want {
-			t.Errorf("%v, %v: %v, want %v", x.executed, x.err, got, x.want)
+		if got := commandOutcome(x.executed, x.err); got != x.want {
+			t.Errorf("executed %t, error %v: outcome %v, want %v", x.executed, x.err, got, x.want)
 		}
 	}
 }
--- a/internal/controller/shardhost/config.go
+++ b/internal/controller/shardhost/config.go
@@ -33,7 +33,7 @@
 
 // SchedulerConfig returns the configuration of all shards, derived from the settings, the policy,
 // the rate limit of restarts and the machine types.
-func SchedulerConfig(params *config.Params, pol *policy.Policy, restartPace *ratelimit.Limiter, types []wire.MachineType) *scheduler.Config {
+func SchedulerConfig(params *config.Params, pol *policy.Policy, restartLimiter *ratelimit.Limiter, types []wire.MachineType) *scheduler.Config {
 	heartbeat := config.Seconds(params.Workers.ReportS)
 	limits := params.State.Tight()
 	c := &scheduler.Config{
@@ -52,7 +52,7 @@
 		CompletionBatchDelay: completionsDelay,
 		StartBatchDelay:      startsDelay,
 		ReleaseBatchDelay:    releasesDelay,
-		Pace:                 restartPace,
+		Pace:                 restartLimiter,
 		Urgency:              urgency(pol),
 	}
 	for _, t := range params.Teams {
--- a/internal/controller/shardhost/environment.go
+++ b/internal/controller/shardhost/environment.go
@@ -16,23 +16,24 @@
 // Environment is the interface between a Host and the rest of the controller. Methods whose names
 // end in Locked are called with the Host's lock held, and must not take it.
 type Environment interface {
-	Outside
+	Services
 	ClusterView
 	Authority
 	DataLossDetection
 	Observer
 }
 
-// Outside gives access to the services and workers that a Host calls over the network, never with
+// Services gives access to the services and workers that a Host calls over the network, never with
 // its lock held.
-type Outside interface {
+type Services interface {
 	// Lifetime returns a context that ends when the controller stops.
 	Lifetime() context.Context
 	Store() statestore.Store
+	// Agents returns the client for the agents on the workers.
 	Agents() agent.API
 	Cloud() cloud.API
-	// CheckResponse returns the error of a call to a worker, or if that is nil, the error that
-	// check returns for the worker's response, which it also logs.
+	// CheckResponse returns the error of a call to a worker. If that is nil, it returns the error
+	// that check returns for the worker's response, which it also logs.
 	CheckResponse(machine string, err error, check func() error) error
 	// PipelineEnds reads the terminal states of those of a pipeline's jobs for which the
 	// pipeline's record has none. The jobs listed in active are known to be active.
@@ -92,14 +93,14 @@
 	// SafeModeLocked reports whether safe mode is active, in which nothing may be started,
 	// stopped or recorded.
 	SafeModeLocked() bool
-	// NoticeOlderLocked checks a record that was read for data loss: it compares found, the
+	// ReportIfStaleLocked checks a record that was read for data loss: it compares found, the
 	// version that was read or 0 if there is no record, with held, the highest version that
 	// was seen of the record.
-	NoticeOlderLocked(key string, held, found uint64, now time.Time)
-	// ConfirmReread reports whether a record that was read again may be passed to a shard. It
-	// may not if the record is older than the version that the shard knows. ConfirmReread
+	ReportIfStaleLocked(key string, held, found uint64, now time.Time)
+	// CheckReread reports whether a record that was read again may be passed to a shard. It
+	// may not if the record is older than the version that the shard knows. CheckReread
 	// takes the lock.
-	ConfirmReread(ctx context.Context, shard *scheduler.Shard, key string, entry *wire.Entry) (bool, error)
+	CheckReread(ctx context.Context, shard *scheduler.Shard, key string, entry *wire.Entry) (bool, error)
 	// LookUpMissingRecords looks for records that explain a task which a worker reported and
 	// the shard has no record of. It takes the lock.
 	LookUpMissingRecords(shard *scheduler.Shard, task scheduler.Unrecorded)
--- a/internal/controller/shardhost/harness_test.go
+++ b/internal/controller/shardhost/harness_test.go
@@ -19,16 +19,16 @@
 	"bramblespur/internal/wire"
 )
 
-// fakeEnvironment is a controller with a certain lease and views that tests set.
+// fakeEnvironment is a controller whose lease certainly stands and whose views are set by the test.
 type fakeEnvironment struct {
 	host       *Host
 	store      statestore.Store
 	cloud      cloud.API
-	ownerships map[int]Ownership
-	members    []string
+	ownerships map[int]Ownership // by shard
+	members    []string          // labels of the live members
 	safeMode   bool
-	acquired   []int
-	committed  []uint64
+	acquired   []int    // shards passed to AcquiredLocked
+	committed  []uint64 // revisions passed to CommittedLocked
 }
 
 func (e *fakeEnvironment) Lifetime() context.Context { return context.Background() }
@@ -86,13 +86,13 @@
 func (e *fakeEnvironment) SafeModeLocked() bool                                        { return e.safeMode }
 func (e *fakeEnvironment) BeforeStepLocked(*scheduler.Shard)                           {}
 func (e *fakeEnvironment) RespondToParkedLocked(string, time.Time) bool                { return false }
-func (e *fakeEnvironment) NoticeOlderLocked(string, uint64, uint64, time.Time)         {}
+func (e *fakeEnvironment) ReportIfStaleLocked(string, uint64, uint64, time.Time)       {}
 func (e *fakeEnvironment) LookUpMissingRecords(*scheduler.Shard, scheduler.Unrecorded) {}
 
 func (e *fakeEnvironment) AfterStepLocked([]scheduler.Interruption, []scheduler.Contradiction, time.Time) {
 }
 
-func (e *fakeEnvironment) ConfirmReread(context.Context, *scheduler.Shard, string, *wire.Entry) (bool, error) {
+func (e *fakeEnvironment) CheckReread(context.Context, *scheduler.Shard, string, *wire.Entry) (bool, error) {
 	return true, nil
 }
 
@@ -106,7 +106,8 @@
 
 var machineTypes = []wire.MachineType{{Name: "big", CPUs: 16, GPUs: 2, MemoryGB: 64, Zones: []string{"z"}}}
 
-// newHost returns the host of controller "c-0" of one shard, on a scripted state service.
+// newHost returns the Host of controller "c-0", the only one, with the given state service. There
+// is one shard, and the machine types are known.
 func newHost(t *testing.T, state *testkit.State) (*Host, *fakeEnvironment) {
 	t.Helper()
 	settings := &config.Settings{Label: "c-0", Params: config.Params{
@@ -127,7 +128,7 @@
 	return host, env
 }
 
-// served returns the shard that the host serves, nil if none.
+// served returns shard 0, or nil if the host does not serve it.
 func served(h *Host) *scheduler.Shard {
 	h.Lock()
 	defer h.Unlock()
--- a/internal/controller/shardhost/reread.go
+++ b/internal/controller/shardhost/reread.go
@@ -59,7 +59,7 @@
 		if entry, err = h.GetIfPresent(ctx, key); err != nil {
 			return err
 		}
-		intact, err = h.env.ConfirmReread(ctx, shard, key, entry)
+		intact, err = h.env.CheckReread(ctx, shard, key, entry)
 		return err
 	})
 	if !read || !intact {
@@ -119,7 +119,7 @@
 			return
 		}
 		if errors.Is(err, statestore.ErrNotFound) {
-			h.noticeMissingOwnership(id)
+			h.reportMissingOwnership(id)
 		}
 		retry.Sleep(ctx, retry.Jitter(readRetry))
 	}
@@ -137,7 +137,7 @@
 	switch {
 	case !read:
 	case entry == nil:
-		h.noticeMissingOwnership(shard.ID())
+		h.reportMissingOwnership(shard.ID())
 	case entry.Version == shard.Token():
 		h.Update(shard, func(time.Time) { shard.OwnershipConfirmed(revision) })
 	default:
@@ -156,20 +156,20 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.noticeOlderOwnershipLocked(id, entry.Version)
+	h.reportIfStaleOwnershipLocked(id, entry.Version)
 	h.env.SetOwnershipLocked(id, rec, entry.Version)
 }
 
-// noticeMissingOwnership checks for data loss after no ownership record of a shard was found.
-func (h *Host) noticeMissingOwnership(id int) {
+// reportMissingOwnership checks for data loss after no ownership record of a shard was found.
+func (h *Host) reportMissingOwnership(id int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.noticeOlderOwnershipLocked(id, 0)
+	h.reportIfStaleOwnershipLocked(id, 0)
 }
 
-// noticeOlderOwnershipLocked checks for data loss by the version of a shard's ownership record that
+// reportIfStaleOwnershipLocked checks for data loss by the version of a shard's ownership record that
 // was read, 0 if there is none.
-func (h *Host) noticeOlderOwnershipLocked(id int, found uint64) {
+func (h *Host) reportIfStaleOwnershipLocked(id int, found uint64) {
 	held, _ := h.env.OwnershipLocked(id)
-	h.env.NoticeOlderLocked(record.ShardKey(id), held.Version, found, time.Now())
+	h.env.ReportIfStaleLocked(record.ShardKey(id), held.Version, found, time.Now())
 }
--- a/internal/controller/shardhost/step.go
+++ b/internal/controller/shardhost/step.go
@@ -63,8 +63,8 @@
 
 // callWorkers sends direct commands, and probes silent machines for their heartbeats.
 func (h *Host) callWorkers(shard *scheduler.Shard, effects *scheduler.Effects) {
-	for _, push := range effects.DirectCommands {
-		go h.sendCommands(shard, push)
+	for _, command := range effects.DirectCommands {
+		go h.sendCommands(shard, command)
 	}
 	for _, probe := range effects.Probes {
 		go h.probeMachine(shard, probe)
@@ -78,8 +78,8 @@
 		if h.env.RespondToParkedLocked(id, now) {
 			continue
 		}
-		if push, ok := shard.DirectStarts(id, now); ok {
-			go h.sendCommands(shard, push)
+		if command, ok := shard.DirectStarts(id, now); ok {
+			go h.sendCommands(shard, command)
 		}
 	}
 }
--- a/internal/controller/shardhost/worker_calls.go
+++ b/internal/controller/shardhost/worker_calls.go
@@ -34,25 +34,25 @@
 
 // sendCommands sends a direct command to a worker and reports the outcome to the shard. It waits
 // for one of the command slots first.
-func (h *Host) sendCommands(shard *scheduler.Shard, push scheduler.DirectCommand) {
+func (h *Host) sendCommands(shard *scheduler.Shard, command scheduler.DirectCommand) {
 	h.commandSlots <- struct{}{}
-	heartbeat, executed, err := h.env.Agents().Command(h.env.Lifetime(), push.Addr, push.Orders)
+	heartbeat, executed, err := h.env.Agents().Command(h.env.Lifetime(), command.Addr, command.Orders)
 	<-h.commandSlots
-	err = h.checkHeartbeat(&heartbeat, push.Machine, err)
+	err = h.checkHeartbeat(&heartbeat, command.Machine, err)
 	if err != nil {
-		h.log.Debug("direct command failed", "machine", push.Machine, "err", err)
+		h.log.Debug("direct command failed", "machine", command.Machine, "err", err)
 	}
 	h.Update(shard, func(now time.Time) {
-		shard.CommandDone(push, pushOutcome(executed, err), now)
+		shard.CommandDone(command, commandOutcome(executed, err), now)
 		if err == nil {
 			shard.Heartbeat(&heartbeat, true, now)
 		}
 	})
 }
 
-// pushOutcome returns the outcome of a direct command from the worker's response, or from the error
+// commandOutcome returns the outcome of a direct command from the worker's response, or from the error
 // of the call.
-func pushOutcome(executed bool, err error) scheduler.CommandOutcome {
+func commandOutcome(executed bool, err error) scheduler.CommandOutcome {
 	switch {
 	case errors.Is(err, httpwire.ErrNotSent):
 		return scheduler.NotSent
