--- a/internal/controller/dataloss/audit.go
+++ b/internal/controller/dataloss/audit.go
@@ -177,7 +177,7 @@
 	for _, id := range a.views.Machines.MachineIDs(provisionKey) {
 		v, _ := a.views.Machines.Machine(id)
 		shard := a.host.OwnedShardsLocked()[v.Shard]
-		if shard != nil && shard.HeardWithin(id, shard.Lease(), time.Now()) {
+		if shard != nil && shard.HadContactWithin(id, shard.Lease(), time.Now()) {
 			return true
 		}
 	}
--- a/internal/controller/shardhost/config.go
+++ b/internal/controller/shardhost/config.go
@@ -52,7 +52,7 @@
 		CompletionBatchDelay: completionsDelay,
 		StartBatchDelay:      startsDelay,
 		ReleaseBatchDelay:    releasesDelay,
-		Pace:                 restartLimiter,
+		CommandLimiter:       restartLimiter,
 		Urgency:              urgency(pol),
 	}
 	for _, t := range params.Teams {
--- a/internal/controller/shardhost/host.go
+++ b/internal/controller/shardhost/host.go
@@ -144,7 +144,7 @@
 		}
 		shard.SetPartitionedZones(conditions.PartitionedZones)
 		shard.SetOverloaded(conditions.Behind)
-		shard.SetBacklog(conditions.WriteBacklog)
+		shard.SetWriteBacklog(conditions.WriteBacklog)
 		h.StepLocked(shard, now)
 	}
 }
--- a/internal/controller/shardhost/load.go
+++ b/internal/controller/shardhost/load.go
@@ -92,7 +92,7 @@
 	now := time.Now()
 	for _, entry := range jobs {
 		ref := record.LastElement(entry.Key)
-		if shard.KnowsJob(ref, entry.Version) || h.belongsToOtherShardLocked(entry, shard.ID()) {
+		if shard.HasJobVersion(ref, entry.Version) || h.belongsToOtherShardLocked(entry, shard.ID()) {
 			continue
 		}
 		var job record.ActiveJob
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -28,7 +28,7 @@
 // appendCommands adds what an answer to a machine carries for the tasks in the ledger. While
 // orders are paced the urgent ones come first, and a worker gets a few starts at a time.
 func (s *Shard) appendCommands(out []wire.Command, m *Machine, w commandKinds, now time.Time) []wire.Command {
-	if s.cfg.Pace.Active() {
+	if s.cfg.CommandLimiter.Active() {
 		return s.appendPacedCommands(out, m, w, now)
 	}
 	for k, t := range m.tasks {
@@ -48,7 +48,7 @@
 	slices.SortFunc(due, func(a, b taskKey) int {
 		return cmp.Or(cmp.Compare(s.paceClass(a), s.paceClass(b)), cmp.Compare(a.job.ref, b.job.ref), cmp.Compare(a.index, b.index))
 	})
-	left := s.cfg.Pace.Settings().CommandsPerWorker
+	left := s.cfg.CommandLimiter.Settings().CommandsPerWorker
 	for _, k := range due {
 		t := m.tasks[k]
 		isStart := !t.stopping
@@ -59,8 +59,8 @@
 		if !s.hasCommand(k, t, m, w, now) {
 			continue
 		}
-		if !s.cfg.Pace.Allow(s.paceClass(k), now) {
-			s.delayStarts(m, s.cfg.Pace.NextAllowedAt(now))
+		if !s.cfg.CommandLimiter.Allow(s.paceClass(k), now) {
+			s.delayStarts(m, s.cfg.CommandLimiter.NextAllowedAt(now))
 			continue
 		}
 		out = append(out, t.command(k, m, now))
@@ -121,6 +121,6 @@
 	if !t.sent {
 		t.traceStep(func(st *startTrace) { st.sent = now })
 	}
-	t.sent, t.sentEpoch = true, m.contact.epoch
+	t.sent, t.sentIncarnation = true, m.contact.incarnation
 	return wire.Command{Op: wire.Start, Task: k.name(), Attempt: t.attempt}
 }
--- a/internal/scheduler/config.go
+++ b/internal/scheduler/config.go
@@ -46,6 +46,6 @@
 	// deadline, in seconds from when it began to wait, is its own or the one that
 	// those which need it leave.
 	Urgency func(spec *wire.Spec, waited time.Duration, deadline *float64) float64
-	// Pace holds orders back after a restart; nil: they are never held back.
-	Pace *ratelimit.Limiter
+	// CommandLimiter holds orders back after a restart; nil: they are never held back.
+	CommandLimiter *ratelimit.Limiter
 }
--- a/internal/scheduler/data_loss.go
+++ b/internal/scheduler/data_loss.go
@@ -27,7 +27,7 @@
 type unrecordedTask struct {
 	machine   string
 	since     time.Time
-	runs      bool // it was not reported as exited
+	running   bool // it was not reported as exited
 	confirmed bool // there is no record that explains it
 }
 
@@ -79,7 +79,7 @@
 	}
 	machines := map[string]bool{}
 	for _, suspect := range d.suspected {
-		if suspect.confirmed && suspect.runs {
+		if suspect.confirmed && suspect.running {
 			machines[suspect.machine] = true
 		}
 	}
@@ -120,7 +120,7 @@
 	if len(d.suspected) >= maxUnrecordedTasks {
 		return true, false
 	}
-	d.suspected[rt.Task] = &unrecordedTask{machine: machine, since: now, runs: rt.State != wire.Exited}
+	d.suspected[rt.Task] = &unrecordedTask{machine: machine, since: now, running: rt.State != wire.Exited}
 	return true, true
 }
 
--- a/internal/scheduler/direct_commands.go
+++ b/internal/scheduler/direct_commands.go
@@ -49,10 +49,10 @@
 // once, if its next heartbeat is far.
 func (s *Shard) DirectStarts(id string, now time.Time) (DirectCommand, bool) {
 	m := s.inventory.byID[id]
-	if m == nil || m.Addr == "" || m.contact.epoch == 0 || !s.cfg.usable(m, now) || s.cfg.HeartbeatInterval < 2*directStartWorth {
+	if m == nil || m.Addr == "" || m.contact.incarnation == 0 || !s.cfg.usable(m, now) || s.cfg.HeartbeatInterval < 2*directStartWorth {
 		return DirectCommand{}, false
 	}
-	d := DirectCommand{Machine: m.ID, Addr: m.Addr, Orders: wire.DirectOrders{Token: m.fencingToken(s), Session: m.contact.epoch, Commands: s.startCommands(m, now)}}
+	d := DirectCommand{Machine: m.ID, Addr: m.Addr, Orders: wire.DirectOrders{Token: m.fencingToken(s), Session: m.contact.incarnation, Commands: s.startCommands(m, now)}}
 	if len(d.Orders.Commands) == 0 {
 		return DirectCommand{}, false
 	}
@@ -90,7 +90,7 @@
 // dropOutdatedStarts drops the direct starts that can't be carried out any more, as a
 // heartbeat shows: its epoch is newer or it has seen a higher token.
 func (m *Machine) dropOutdatedStarts(r *wire.Heartbeat) {
-	if r.Session > m.contact.epoch {
+	if r.Session > m.contact.incarnation {
 		m.directStarts = nil
 	}
 	for name, run := range m.directStarts {
@@ -124,9 +124,9 @@
 // or too many attempts that must not be forgotten, call for one. A silent
 // machine is not worth it: its epoch ends or it goes back.
 func (s *Shard) raiseToken(m *Machine, now time.Time) {
-	due := m.retained >= raiseTokenRetained
+	due := m.retainedResults >= raiseTokenRetained
 	for _, run := range m.directStarts {
-		if !run.answered && now.Sub(run.sentAt) > raiseTokenAfter && m.contact.heardAt.After(run.sentAt) {
+		if !run.answered && now.Sub(run.sentAt) > raiseTokenAfter && m.contact.lastContactAt.After(run.sentAt) {
 			due = true
 		}
 	}
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -26,7 +26,7 @@
 	}
 	token := m.fencingToken(s)
 	freshness := reconcile.ClassifyHeartbeat(reconcile.PositionOf(r),
-		reconcile.Position{Incarnation: m.contact.epoch, Seq: m.contact.seq}, r.Token, token)
+		reconcile.Position{Incarnation: m.contact.incarnation, Seq: m.contact.seq}, r.Token, token)
 	if freshness == reconcile.Superseded {
 		return wire.Orders{}, Deposed
 	}
@@ -88,17 +88,17 @@
 	placedHere := make(map[taskKey]*wire.HeartbeatTask, len(r.Tasks))
 	orphans, retainedOrphans := s.reconcileReported(m, r, placedHere, now)
 	ended, missed, retainedEnded := s.reconcilePlaced(m, placedHere, direct, now)
-	m.retained = retainedOrphans + retainedEnded
+	m.retainedResults = retainedOrphans + retainedEnded
 	out = append(out, orphans...)
 	return append(out, ended...), missed
 }
 
 // markAlive takes in that a machine sent a heartbeat that is no late copy.
 func (s *Shard) markAlive(m *Machine, direct bool, now time.Time) {
-	if !m.contact.up || now.Sub(m.contact.heardAt) > s.cfg.SilentAfter {
+	if !m.contact.up || now.Sub(m.contact.lastContactAt) > s.cfg.SilentAfter {
 		m.contact.steadySince = now
 	}
-	m.contact.heardAt = now
+	m.contact.lastContactAt = now
 	m.probes.failed, m.probes.unansweredPastLease = 0, 0
 	if !direct || !m.contact.fenced { // one that was told our token reports at once
 		m.contact.heartbeatAt = now
@@ -189,11 +189,11 @@
 		j.notBefore = now.Add(s.cfg.backoff(j))
 		return
 	}
-	if m.failed == nil {
-		m.failed = map[string]bool{}
+	if m.failedJobs == nil {
+		m.failedJobs = map[string]bool{}
 	}
-	m.failed[j.ref] = true
-	if len(m.failed) >= badMachineJobs {
+	m.failedJobs[j.ref] = true
+	if len(m.failedJobs) >= badMachineJobs {
 		m.draining = true
 	}
 }
--- a/internal/scheduler/invariants_test.go
+++ b/internal/scheduler/invariants_test.go
@@ -145,8 +145,8 @@
 	if used != rec.usedBytes {
 		return fmt.Errorf("counts %d bytes as used, and ranges use %d", rec.usedBytes, used)
 	}
-	for c := range rec.departed {
-		if c.previous != rec {
+	for c := range rec.movedOut {
+		if c.previousRecord != rec {
 			return fmt.Errorf("waits for range [%d, %d), which was not in it", c.first, c.end)
 		}
 	}
--- a/internal/scheduler/load_records.go
+++ b/internal/scheduler/load_records.go
@@ -80,18 +80,18 @@
 func (l *placementLedger) assignLoaded(loaded loadedRange, fresh [][2]int) {
 	turn := loaded.recorded.Generation
 	if len(fresh) == 1 && fresh[0] == [2]int{loaded.first, loaded.end} {
-		c := &taskRange{job: loaded.job, first: loaded.first, end: loaded.end, turn: turn}
+		c := &taskRange{job: loaded.job, first: loaded.first, end: loaded.end, generation: turn}
 		l.assign(c, loaded.record)
-		c.turn = turn
+		c.generation = turn
 		return
 	}
 	for _, span := range fresh {
-		c := &taskRange{job: loaded.job, first: span[0], end: span[1], turn: turn, previous: loaded.record}
+		c := &taskRange{job: loaded.job, first: span[0], end: span[1], generation: turn, previousRecord: loaded.record}
 		// A record that waits for what leaves it must not be where that goes.
 		l.assign(c, l.recordWithRoom(l.rangeBytes(c, l.sized), loaded.record))
-		loaded.record.departed[c] = struct{}{}
+		loaded.record.movedOut[c] = struct{}{}
 		if loaded.record.sized { // which can't be written before this is
-			c.record.dirty, c.record.urgent, c.record.rangeAwaited = true, true, true
+			c.record.dirty, c.record.urgent, c.record.forceWrite = true, true, true
 		}
 	}
 }
--- a/internal/scheduler/machine_health.go
+++ b/internal/scheduler/machine_health.go
@@ -79,7 +79,7 @@
 // that says nothing for several leases is lost then.
 func (s *Shard) lossReason(m *Machine, now time.Time) string {
 	switch {
-	case s.health.overloaded && now.Sub(m.contact.heardAt) < overloadedLeases*s.cfg.Lease:
+	case s.health.overloaded && now.Sub(m.contact.lastContactAt) < overloadedLeases*s.cfg.Lease:
 		return ""
 	case s.unresponsive(m, now):
 		return "no answer"
@@ -119,7 +119,7 @@
 		}
 		limit += s.cfg.Lease / 2 // its worker has yet to find its new owner
 	}
-	if now.Sub(m.contact.heardAt) < limit {
+	if now.Sub(m.contact.lastContactAt) < limit {
 		return false
 	}
 	others := s.countZone(silenceLimit{m.Zone, limit}, now)
@@ -134,13 +134,13 @@
 	case m.Addr != "":
 		return m.probes.unansweredPastLease >= probesUntilLost
 	}
-	return now.Sub(m.contact.heardAt) > patience
+	return now.Sub(m.contact.lastContactAt) > patience
 }
 
 // leaseExpired reports whether a machine has been silent for so long that its lease is
 // over, unless somebody else answers it, though its zone is not partitioned from here.
 func (s *Shard) leaseExpired(m *Machine, now time.Time) bool {
-	return !s.health.partitionedZones[m.Zone] && now.Sub(m.contact.heardAt) > s.cfg.Lease+s.cfg.heartbeatDue()
+	return !s.health.partitionedZones[m.Zone] && now.Sub(m.contact.lastContactAt) > s.cfg.Lease+s.cfg.heartbeatDue()
 }
 
 // silenceLimit is a zone, and how long a machine there may be silent.
@@ -167,7 +167,7 @@
 		// one heard well after another speaks against that. When the partition ends they
 		// come back one by one: only one heard for as long as those that are silent
 		// are given does.
-		if o.contact.up && now.Sub(o.contact.heardAt) < at.limit/2 && now.Sub(o.contact.steadySince) > at.limit {
+		if o.contact.up && now.Sub(o.contact.lastContactAt) < at.limit/2 && now.Sub(o.contact.steadySince) > at.limit {
 			n.heard++
 		} else {
 			n.quiet++
@@ -180,7 +180,7 @@
 // neverBooted reports whether a machine never came up.
 func (s *Shard) neverBooted(m *Machine, now time.Time) bool {
 	limit := time.Duration(s.cfg.BootFactor * m.Type.BootS * float64(time.Second))
-	return !m.contact.up && len(m.tasks) == 0 && !s.health.partitionedZones[m.Zone] && now.Sub(m.provisionedAt) > limit && now.Sub(m.contact.heardAt) > s.cfg.Lease
+	return !m.contact.up && len(m.tasks) == 0 && !s.health.partitionedZones[m.Zone] && now.Sub(m.provisionedAt) > limit && now.Sub(m.contact.lastContactAt) > s.cfg.Lease
 }
 
 // evictAll stops in an orderly way what runs on a machine that is to be empty.
@@ -215,10 +215,10 @@
 func (s *Shard) sendStops(now time.Time) {
 	for m := range s.inventory.commandsDue {
 		delete(s.inventory.commandsDue, m)
-		if m.Addr == "" || m.contact.epoch == 0 {
+		if m.Addr == "" || m.contact.incarnation == 0 {
 			continue
 		}
-		o := wire.DirectOrders{Token: m.fencingToken(s), Session: m.contact.epoch, Commands: s.stopCommands(m, now)}
+		o := wire.DirectOrders{Token: m.fencingToken(s), Session: m.contact.incarnation, Commands: s.stopCommands(m, now)}
 		if len(o.Commands) > 0 || m.announceToken {
 			m.announceToken = false
 			s.effects.DirectCommands = append(s.effects.DirectCommands, DirectCommand{Machine: m.ID, Addr: m.Addr, Orders: o})
@@ -231,7 +231,7 @@
 func (s *Shard) stopCommands(m *Machine, now time.Time) []wire.Command {
 	var out []wire.Command
 	for k, t := range m.tasks {
-		if t.stopping && t.recorded && s.cfg.Pace.Allow(s.paceClass(k), now) {
+		if t.stopping && t.recorded && s.cfg.CommandLimiter.Allow(s.paceClass(k), now) {
 			out = append(out, stopCommand(k.name(), t.attempt, t.grace))
 		}
 	}
--- a/internal/scheduler/placement_records.go
+++ b/internal/scheduler/placement_records.go
@@ -35,8 +35,8 @@
 	sizedRangeOverhead     = 48
 	// recordOverhead is what a record takes besides its ranges.
 	recordOverhead = 16
-	// longestRef is that of the longest job id.
-	longestRef = 22
+	// maxJobRefBytes is that of the longest job id.
+	maxJobRefBytes = 22
 )
 
 // PlacementsPerRecord sizes an unsized record of placements so that it keeps to valueKB. The
@@ -50,13 +50,13 @@
 
 // taskRange is a range of a job's tasks; its placements lie in a record.
 type taskRange struct {
-	job        *Job
-	first, end int
-	record     *placementRecord
-	bytes      int              // what it may take there, in bytes
-	turn       int              // how often it was entered in a sized record
-	attempt    uint64           // highest ever used
-	previous   *placementRecord // the one that tells it until record is written
+	job            *Job
+	first, end     int
+	record         *placementRecord
+	bytes          int              // what it may take there, in bytes
+	generation     int              // how often it was entered in a sized record
+	attempt        uint64           // highest ever used
+	previousRecord *placementRecord // the one that tells it until record is written
 }
 
 // placementRecord is one record of placements, shared by ranges of several jobs.
@@ -67,10 +67,10 @@
 	unreadable     bool // its record can't be decoded, and is never written
 	usedBytes      int  // in bytes
 	ranges         map[string]*taskRange
-	departed       map[*taskRange]struct{} // ranges that went elsewhere and are not written there yet
+	movedOut       map[*taskRange]struct{} // ranges that went elsewhere and are not written there yet
 	dirty          bool
 	urgent         bool      // a start waits for it
-	rangeAwaited   bool      // a range must come here for its old record to be written
+	forceWrite     bool      // a range must come here for its old record to be written
 	dirtySince     time.Time // when it became dirty
 	writtenAt      time.Time // when it was last written
 	txn            *Txn
@@ -117,7 +117,7 @@
 
 // sizedRangeTasks is the most tasks in a sized range.
 func (l *placementLedger) sizedRangeTasks() int {
-	return max(1, min((l.valueBytes-recordOverhead-sizedRangeOverhead-longestRef)/l.placementBytes(), l.cfg.unsizedRangeTasks()))
+	return max(1, min((l.valueBytes-recordOverhead-sizedRangeOverhead-maxJobRefBytes)/l.placementBytes(), l.cfg.unsizedRangeTasks()))
 }
 
 // rangeBytes is what a range may take in a record.
@@ -192,7 +192,7 @@
 	}
 	c.record, c.bytes = rec, l.rangeBytes(c, rec.sized)
 	if rec.sized {
-		c.turn++
+		c.generation++
 	}
 	rec.ranges[l.rangeName(c)] = c
 	rec.usedBytes += c.bytes
@@ -213,7 +213,7 @@
 	}
 	for n := 0; ; n++ {
 		rec := l.record(n)
-		if rec != leaves && !rec.unreadable && rec.sized == l.sized && len(rec.departed) == 0 && (len(rec.ranges) == 0 || rec.usedBytes+cost <= most) {
+		if rec != leaves && !rec.unreadable && rec.sized == l.sized && len(rec.movedOut) == 0 && (len(rec.ranges) == 0 || rec.usedBytes+cost <= most) {
 			return rec
 		}
 	}
@@ -222,7 +222,7 @@
 func (l *placementLedger) record(n int) *placementRecord {
 	rec := l.records[n]
 	if rec == nil {
-		rec = &placementRecord{number: n, sized: l.sized, ranges: map[string]*taskRange{}, departed: map[*taskRange]struct{}{}}
+		rec = &placementRecord{number: n, sized: l.sized, ranges: map[string]*taskRange{}, movedOut: map[*taskRange]struct{}{}}
 		l.records[n] = rec
 	}
 	return rec
@@ -245,10 +245,10 @@
 
 // confirmRange notes that a range is written to its record: the one before tells it no
 // longer, or tells it in vain.
-func (l *placementLedger) confirm(c *taskRange) {
-	if c.previous != nil {
-		delete(c.previous.departed, c)
-		c.previous = nil
+func (l *placementLedger) confirmWritten(c *taskRange) {
+	if c.previousRecord != nil {
+		delete(c.previousRecord.movedOut, c)
+		c.previousRecord = nil
 	}
 }
 
@@ -257,18 +257,18 @@
 func (l *placementLedger) split(c *taskRange, most int) {
 	old := c.record
 	l.detach(c)
-	from := c.previous
-	l.confirm(c)
+	from := c.previousRecord
+	l.confirmWritten(c)
 	if from == nil {
 		from = old
 	}
 	for first := c.first; first < c.end; first += most {
-		n := &taskRange{job: c.job, first: first, end: min(first+most, c.end), turn: c.turn, attempt: c.attempt, previous: from}
+		n := &taskRange{job: c.job, first: first, end: min(first+most, c.end), generation: c.generation, attempt: c.attempt, previousRecord: from}
 		l.assign(n, l.recordWithRoom(l.rangeBytes(n, l.sized), old))
 		if from.version > 0 {
-			from.departed[n] = struct{}{}
+			from.movedOut[n] = struct{}{}
 		} else {
-			n.previous = nil // no record tells it
+			n.previousRecord = nil // no record tells it
 		}
 		for i := n.first; i < n.end; i++ {
 			if t := &c.job.tasks[i]; (t.state == placed && !t.recorded) || (t.state == completed && !t.completionRecorded) {
@@ -277,7 +277,7 @@
 			}
 		}
 		if from.sized {
-			n.record.dirty, n.record.urgent, n.record.rangeAwaited = true, true, true
+			n.record.dirty, n.record.urgent, n.record.forceWrite = true, true, true
 		}
 	}
 }
@@ -292,7 +292,7 @@
 		for _, c := range rec.ranges {
 			l.split(c, l.sizedRangeTasks())
 		}
-		if len(rec.departed) == 0 {
+		if len(rec.movedOut) == 0 {
 			if rec.version == 0 {
 				delete(l.records, n)
 				continue
@@ -342,7 +342,7 @@
 	for _, e := range entries {
 		r, err := decode[record.Placements](e)
 		if err != nil {
-			if err := s.passOverUnreadable(e, err); err != nil {
+			if err := s.skipUnreadable(e, err); err != nil {
 				return nil, err
 			}
 			continue
--- a/internal/scheduler/probe.go
+++ b/internal/scheduler/probe.go
@@ -68,7 +68,7 @@
 		if s.awaitsFirstHeartbeat(m) && m.probes.failed < failoverProbes && now.Sub(m.probes.endedAt) >= probePause {
 			s.sendProbe(m, now)
 		}
-		if s.health.overloaded || !(m.contact.up || m.inherited) || m.Phase != record.InUse || m.Addr == "" || now.Sub(m.contact.heardAt) < s.cfg.heartbeatDue() {
+		if s.health.overloaded || !(m.contact.up || m.inherited) || m.Phase != record.InUse || m.Addr == "" || now.Sub(m.contact.lastContactAt) < s.cfg.heartbeatDue() {
 			continue
 		}
 		late := s.leaseExpired(m, now)
@@ -86,7 +86,7 @@
 	for zone := range doubted {
 		var witness *Machine
 		for _, m := range s.inventory.byID {
-			if m.Zone == zone && m.contact.up && m.Addr != "" && m.probes.failed == 0 && now.Sub(m.contact.heardAt) < s.cfg.heartbeatDue() && (witness == nil || m.contact.heardAt.After(witness.contact.heardAt)) {
+			if m.Zone == zone && m.contact.up && m.Addr != "" && m.probes.failed == 0 && now.Sub(m.contact.lastContactAt) < s.cfg.heartbeatDue() && (witness == nil || m.contact.lastContactAt.After(witness.contact.lastContactAt)) {
 				witness = m
 			}
 		}
@@ -97,7 +97,7 @@
 }
 
 func (s *Shard) sendProbe(m *Machine, now time.Time) {
-	if m.probes.inFlight || s.probes.inFlight >= s.cfg.MaxProbes || !s.cfg.Pace.AllowProbe(now) {
+	if m.probes.inFlight || s.probes.inFlight >= s.cfg.MaxProbes || !s.cfg.CommandLimiter.AllowProbe(now) {
 		return
 	}
 	m.probes.inFlight, m.probes.zoneAnswered, m.probes.leaseExpired = true, s.probes.zoneAnsweredAt[m.Zone].After(m.probes.endedAt), s.leaseExpired(m, now)
@@ -132,6 +132,6 @@
 
 // unresponsive reports whether a machine did not answer while its zone did.
 func (s *Shard) unresponsive(m *Machine, now time.Time) bool {
-	return (m.contact.up || m.inherited) && now.Sub(m.contact.heardAt) >= s.cfg.heartbeatDue() && m.probes.failed >= probesUntilLost && !m.probes.inFlight &&
+	return (m.contact.up || m.inherited) && now.Sub(m.contact.lastContactAt) >= s.cfg.heartbeatDue() && m.probes.failed >= probesUntilLost && !m.probes.inFlight &&
 		m.probes.zoneAnswered && s.probes.zoneAnsweredAt[m.Zone].After(m.probes.endedAt)
 }
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -51,7 +51,7 @@
 				s.completeTask(taskKey{j, n}, now) // of whatever attempt: the result is kept
 			}
 		case reconcile.Stop:
-			s.cfg.Pace.Allow(ratelimit.Exempt, now) // its job may have been cancelled
+			s.cfg.CommandLimiter.Allow(ratelimit.Exempt, now) // its job may have been cancelled
 			commands = append(commands, stopCommand(rt.Task, rt.Attempt, 0))
 		case reconcile.Forget:
 			commands = append(commands, wire.Command{Op: wire.Forget, Task: rt.Task, Attempt: rt.Attempt})
@@ -96,7 +96,7 @@
 func (s *Shard) reconcileAbsent(k taskKey, t *task, m *Machine, direct bool, now time.Time) bool {
 	f := reconcile.ClassifyAbsent(reconcile.AbsentTask{
 		PlacementRecorded: t.recorded && !t.recording, PlacedByPredecessor: t.inherited, SeenBefore: t.reported, StartSent: t.sent,
-		SentToEarlierIncarnation: t.sentEpoch != m.contact.epoch, AnswersDirectCommand: direct, Stopping: t.stopping,
+		SentToEarlierIncarnation: t.sentIncarnation != m.contact.incarnation, AnswersDirectCommand: direct, Stopping: t.stopping,
 		StartMayArrive: t.sent && !direct && m.mayStartLate(k.name(), t.attempt),
 	})
 	if f.Action == reconcile.FreePlacement {
@@ -110,7 +110,7 @@
 	j := k.job
 	if !t.reported && t.sent {
 		s.markReached(m) // a start of ours has arrived
-		s.cfg.Pace.Acknowledge()
+		s.cfg.CommandLimiter.Acknowledge()
 	}
 	if !t.reported {
 		t.traceStep(func(stages *startTrace) { stages.reported = now })
@@ -128,7 +128,7 @@
 	s.reconciliation.recordOutcome(t, f.Outcome)
 	switch f.Action {
 	case reconcile.RecordCompletion:
-		m.failed = nil
+		m.failedJobs = nil
 		s.completeTask(k, now)
 		if t.state == placed { // a service's task that ended all the same
 			s.taskLost(k, now)
--- a/internal/scheduler/record_writes.go
+++ b/internal/scheduler/record_writes.go
@@ -9,11 +9,11 @@
 	"bramblespur/internal/wire"
 )
 
-// completionPatience is how much longer completions of jobs that go on wait for others,
+// completionBacklogFactor is how much longer completions of jobs that go on wait for others,
 // in times that changes wait for the state service's budget. Their workers keep them
 // meanwhile, also for a new owner, and nobody waits for them, while each such write
 // is one that a user's request or a start does not get.
-const completionPatience = 8
+const completionBacklogFactor = 8
 
 // retryAfter is the pause after a transaction that the state service refused.
 const retryAfter = 300 * time.Millisecond
@@ -45,13 +45,13 @@
 		s.ledger.retireUnsized()
 	}
 	for _, rec := range s.ledger.records {
-		if !rec.dirty || len(rec.departed) > 0 || rec.txn != nil || rec.versionUnknown || now.Before(rec.retryAt) {
+		if !rec.dirty || len(rec.movedOut) > 0 || rec.txn != nil || rec.versionUnknown || now.Before(rec.retryAt) {
 			continue
 		}
 		// Completions alone wait for others to share the write: a user may be
 		// told of the end a little later. Starts that come one shortly after
 		// the other share one, too.
-		due := rec.dirtySince.Add(s.cfg.CompletionBatchDelay + completionPatience*s.writeBacklog)
+		due := rec.dirtySince.Add(s.cfg.CompletionBatchDelay + completionBacklogFactor*s.writeBacklog)
 		if rec.urgent {
 			due = rec.writtenAt.Add(s.cfg.StartBatchDelay + s.writeBacklog)
 		}
@@ -107,12 +107,12 @@
 func (s *Shard) writePlacements(placements *placementRecord, now time.Time) {
 	t := &Txn{placements: placements, Purpose: purposeCompletions}
 	conds := map[string]uint64{}
-	moved := placements.rangeAwaited
+	moved := placements.forceWrite
 	rec, left := s.ledger.buildPlacements(placements, t, conds)
 	if placements.sized {
 		rec.Format = record.SizedRanges
 	}
-	placements.dirty, placements.urgent, placements.rangeAwaited = left, left, false
+	placements.dirty, placements.urgent, placements.forceWrite = left, left, false
 	if len(t.starts) == 0 && len(t.completions) == 0 && !moved {
 		return
 	}
@@ -184,7 +184,7 @@
 			if !task.completionRecorded {
 				t.completions = append(t.completions, k)
 			}
-			built.Completed = withDone(built.Completed, i)
+			built.Completed = appendCompleted(built.Completed, i)
 		}
 	}
 	return built, complete
@@ -194,7 +194,7 @@
 func (c *taskRange) header() record.TaskRange {
 	built := record.TaskRange{Attempt: c.attempt}
 	if c.record.sized {
-		built.Size, built.Generation = c.end-c.first, c.turn
+		built.Size, built.Generation = c.end-c.first, c.generation
 	}
 	return built
 }
@@ -207,8 +207,8 @@
 	built.Placed[i] = record.TaskPlacement{Machine: t.machine.ID, Attempt: t.attempt}
 }
 
-// withDone adds a task to spans of completed ones, which all come before it.
-func withDone(spans [][2]int, i int) [][2]int {
+// appendCompleted adds a task to spans of completed ones, which all come before it.
+func appendCompleted(spans [][2]int, i int) [][2]int {
 	if l := len(spans); l > 0 && spans[l-1][1] == i-1 {
 		spans[l-1][1] = i
 		return spans
@@ -259,11 +259,11 @@
 // releaseMachine makes a machine leave for good. Only the answered release, as its
 // batch's record tells, proves gone what may run on it.
 func (s *Shard) releaseMachine(m *Machine, why string, now time.Time) {
-	s.effects.Released = append(s.effects.Released, MachineRelease{Machine: m.ID, Why: why, Tasks: len(m.tasks), Silent: now.Sub(m.contact.heardAt)})
+	s.effects.Released = append(s.effects.Released, MachineRelease{Machine: m.ID, Why: why, Tasks: len(m.tasks), Silent: now.Sub(m.contact.lastContactAt)})
 	m.Phase = record.Releasing
 	s.inventory.update(m)
 	if len(m.tasks) > 0 {
-		s.releases.add(m.ID, now) // its tasks wait for the proof
+		s.releases.addUrgent(m.ID, now) // its tasks wait for the proof
 		return
 	}
 	s.releases.addRoutine(m.ID, now, s.cfg.ReleaseBatchDelay)
@@ -271,7 +271,7 @@
 
 // writeReleases records which machines are to be released. The leader asks the cloud.
 func (s *Shard) writeReleases(now time.Time) {
-	s.releases.cut(s.ledger.valueBytes, now, func(batch int) string { return record.ReleaseKey(s.id, s.token, batch) })
+	s.releases.formBatch(s.ledger.valueBytes, now, func(batch int) string { return record.ReleaseKey(s.id, s.token, batch) })
 	b := s.releases.batch
 	if b == nil || b.txn != nil || now.Before(b.retryAt) {
 		return
@@ -305,7 +305,7 @@
 	}
 	for _, c := range slices.Clone(j.ranges) {
 		s.ledger.detach(c)
-		s.ledger.confirm(c)
+		s.ledger.confirmWritten(c)
 	}
 	for _, r := range j.spec.DependsOn {
 		if delete(s.dependencies.dependents[r], j); len(s.dependencies.dependents[r]) == 0 {
--- a/internal/scheduler/recorded_state.go
+++ b/internal/scheduler/recorded_state.go
@@ -22,7 +22,7 @@
 		add(record.ActiveJobKey(ref), j.record.version, o)
 	}
 	for n, placements := range s.ledger.records {
-		if placements.version == 0 || placements.unreadable || len(placements.departed) > 0 {
+		if placements.version == 0 || placements.unreadable || len(placements.movedOut) > 0 {
 			continue
 		}
 		rec := record.Placements{Ranges: map[string]record.TaskRange{}}
@@ -30,7 +30,7 @@
 			rec.Format = record.SizedRanges
 		}
 		for name, c := range placements.ranges {
-			if c.previous == nil {
+			if c.previousRecord == nil {
 				rec.Ranges[name] = c.asRecorded()
 			}
 		}
@@ -47,7 +47,7 @@
 		case t.state == placed && t.recorded:
 			addPlacement(&out, i, t)
 		case t.state == completed:
-			out.Completed = withDone(out.Completed, i)
+			out.Completed = appendCompleted(out.Completed, i)
 		}
 	}
 	return out
--- a/internal/scheduler/releases_test.go
+++ b/internal/scheduler/releases_test.go
@@ -20,20 +20,20 @@
 	var q releaseQueue
 	q.addRoutine("m1", now, time.Second)
 	q.addRoutine("m2", now.Add(time.Second/2), time.Second)
-	if q.cut(releaseTestLimit, now.Add(time.Second-1), releaseTestKey); q.batch != nil {
+	if q.formBatch(releaseTestLimit, now.Add(time.Second-1), releaseTestKey); q.batch != nil {
 		t.Fatalf("cut %v before it was due", q.batch.ids)
 	}
-	q.add("m3", now.Add(time.Second/2))
-	q.cut(releaseTestLimit, now.Add(time.Second/2), releaseTestKey)
+	q.addUrgent("m3", now.Add(time.Second/2))
+	q.formBatch(releaseTestLimit, now.Add(time.Second/2), releaseTestKey)
 	if q.batch == nil || !slices.Equal(q.batch.ids, []string{"m1", "m2", "m3"}) || q.batch.key != "batch-1" {
 		t.Fatalf("batch %+v, want all three at once", q.batch)
 	}
-	q.add("m4", now)
-	if q.cut(releaseTestLimit, now.Add(time.Hour), releaseTestKey); q.batch.key != "batch-1" {
+	q.addUrgent("m4", now)
+	if q.formBatch(releaseTestLimit, now.Add(time.Hour), releaseTestKey); q.batch.key != "batch-1" {
 		t.Fatal("a batch was cut before the one before was recorded")
 	}
 	q.batch = nil
-	q.cut(releaseTestLimit, now.Add(time.Hour), releaseTestKey)
+	q.formBatch(releaseTestLimit, now.Add(time.Hour), releaseTestKey)
 	if q.batch == nil || !slices.Equal(q.batch.ids, []string{"m4"}) || q.batch.key != "batch-2" {
 		t.Fatalf("batch %+v, want the last machine under a key of its own", q.batch)
 	}
@@ -44,10 +44,10 @@
 	now := testkit.NewClock().Now()
 	var q releaseQueue
 	for i := range maxReleaseBatch + 1 {
-		q.add(fmt.Sprint("m", i), now)
+		q.addUrgent(fmt.Sprint("m", i), now)
 	}
-	q.cut(releaseTestLimit, now, releaseTestKey)
-	if len(q.batch.ids) != maxReleaseBatch || len(q.waiting) != 1 {
-		t.Errorf("a batch of %d, and %d wait", len(q.batch.ids), len(q.waiting))
+	q.formBatch(releaseTestLimit, now, releaseTestKey)
+	if len(q.batch.ids) != maxReleaseBatch || len(q.queued) != 1 {
+		t.Errorf("a batch of %d, and %d wait", len(q.batch.ids), len(q.queued))
 	}
 }
--- a/internal/scheduler/rereads.go
+++ b/internal/scheduler/rereads.go
@@ -100,21 +100,21 @@
 // was unknown: its ranges, and its starts if the record has changed since.
 func (s *Shard) applyReread(t *Txn, rec record.Placements, changed bool) {
 	for _, c := range t.ranges {
-		if read, ok := rec.Ranges[s.ledger.rangeName(c)]; ok && read.Generation == c.turn {
-			s.ledger.confirm(c)
+		if read, ok := rec.Ranges[s.ledger.rangeName(c)]; ok && read.Generation == c.generation {
+			s.ledger.confirmWritten(c)
 		}
 	}
 	for _, k := range t.starts {
 		task := &k.job.tasks[k.index]
-		if task.state == placed && task.recording && changed && s.ledger.tells(t.placements, rec, k) {
+		if task.state == placed && task.recording && changed && s.ledger.hasPlacement(t.placements, rec, k) {
 			task.recorded, task.recording = true, false
 			s.effects.StartsReady = append(s.effects.StartsReady, task.machine.ID)
 		}
 	}
 }
 
-// tells reports whether a record as it was read has a task's placement as the ledger has it.
-func (l *placementLedger) tells(placements *placementRecord, rec record.Placements, k taskKey) bool {
+// hasPlacement reports whether a record as it was read has a task's placement as the ledger has it.
+func (l *placementLedger) hasPlacement(placements *placementRecord, rec record.Placements, k taskKey) bool {
 	c := k.job.rangeAt(k.index)
 	if c == nil || c.record != placements {
 		return false
--- a/internal/scheduler/restart_test.go
+++ b/internal/scheduler/restart_test.go
@@ -32,7 +32,7 @@
 	for i := range machines / 40 {
 		r.submit(spec(fmt.Sprintf("run-5%05d", i), "b", wire.Array, "normal", 40, 1))
 	}
-	r.cfg.Pace = p
+	r.cfg.CommandLimiter = p
 	r.failOver()
 	if p != nil {
 		p.Start(p.Settings().ClusterRate(machines), r.clock.Now())
--- a/internal/scheduler/task.go
+++ b/internal/scheduler/task.go
@@ -26,7 +26,7 @@
 	inherited          bool // placed by an earlier owner: never started by us
 	reconciled         bool // what became of it after a failover is known
 	reported           bool // its machine has reported this attempt to us
-	sentEpoch          uint64
+	sentIncarnation    uint64
 	sent               bool
 	phase              string // as reported
 	runningSince       time.Time
--- a/internal/scheduler/task_ledger.go
+++ b/internal/scheduler/task_ledger.go
@@ -204,7 +204,7 @@
 		}
 		m = &Machine{
 			ID: id, Type: typ, Zone: v.Zone, Spot: v.Spot, provisionedAt: time.UnixMilli(v.CreatedAt), tasks: map[taskKey]*task{},
-			images: v.Images, transferTo: -1, idleSince: now, contact: contact{heardAt: now},
+			images: v.Images, transferTo: -1, idleSince: now, contact: contact{lastContactAt: now},
 		}
 		s.inventory.byID[id] = m
 		s.ledger.longestMachineID = max(s.ledger.longestMachineID, len(id))
@@ -246,12 +246,12 @@
 	s.placementDue = true
 }
 
-// SetBacklog tells how long changes wait for the state service's budget: the
+// SetWriteBacklog tells how long changes wait for the state service's budget: the
 // longer, the more of them share a write.
-func (s *Shard) SetBacklog(d time.Duration) { s.writeBacklog = min(d, maxBacklog) }
+func (s *Shard) SetWriteBacklog(d time.Duration) { s.writeBacklog = min(d, maxWriteBacklog) }
 
-// maxBacklog bounds what a start waits for others on top of the usual.
-const maxBacklog = time.Second
+// maxWriteBacklog bounds what a start waits for others on top of the usual.
+const maxWriteBacklog = time.Second
 
 // SetCancellationsUnknown tells whether cancellations told to users by other controllers may
 // be unknown here: nothing is started then, not even what was recorded before.
@@ -263,9 +263,9 @@
 // HasJob reports whether the shard holds an unfinished job.
 func (s *Shard) HasJob(ref string) bool { return s.jobs[ref] != nil }
 
-// KnowsJob reports whether the shard holds an unfinished job as its record of a version
+// HasJobVersion reports whether the shard holds an unfinished job as its record of a version
 // tells, or a later one.
-func (s *Shard) KnowsJob(ref string, version uint64) bool {
+func (s *Shard) HasJobVersion(ref string, version uint64) bool {
 	j := s.jobs[ref]
 	return j != nil && j.record.version >= version
 }
--- a/internal/scheduler/unreachable.go
+++ b/internal/scheduler/unreachable.go
@@ -14,17 +14,17 @@
 // applyEpoch takes in the epoch of a heartbeat. A lease that ran out although its
 // worker's heartbeats were answered tells that no answer reaches the machine.
 func (s *Shard) applyEpoch(m *Machine, r *wire.Heartbeat, now time.Time) {
-	if r.Session == m.contact.epoch {
+	if r.Session == m.contact.incarnation {
 		// An epoch that outlives the lease was renewed: answers arrive.
 		if !m.contact.unreachableSince.IsZero() && now.Sub(m.contact.unreachableSince) > s.cfg.Lease+s.cfg.HeartbeatInterval {
 			s.markReached(m)
 		}
 		return
 	}
-	if m.contact.epoch != 0 && !m.contact.answeredAt.IsZero() && now.Sub(m.contact.answeredAt) < s.cfg.Lease*3/4 {
+	if m.contact.incarnation != 0 && !m.contact.answeredAt.IsZero() && now.Sub(m.contact.answeredAt) < s.cfg.Lease*3/4 {
 		s.markUnreachable(m, now)
 	}
-	m.contact.epoch = r.Session
+	m.contact.incarnation = r.Session
 	m.contact.answeredAt = time.Time{}
 	m.contact.missedStarts = 0
 }
--- a/internal/scheduler/unreadable_records.go
+++ b/internal/scheduler/unreadable_records.go
@@ -36,10 +36,10 @@
 	rereadAt       time.Time
 }
 
-// passOverUnreadable takes in that a record of placements can't be decoded. Unsized ranges have no turns,
+// skipUnreadable takes in that a record of placements can't be decoded. Unsized ranges have no turns,
 // so that what is adopted could not be told from what a restored record tells: the shard turns to
 // sized ones, and as long as a controller of the first version may be there, the error stands.
-func (s *Shard) passOverUnreadable(e wire.Entry, err error) error {
+func (s *Shard) skipUnreadable(e wire.Entry, err error) error {
 	if !s.ledger.sizedAllowed {
 		return err
 	}
@@ -69,8 +69,8 @@
 	}
 }
 
-// overridingTurn is a turn above that of any range on record.
-func (l *placementLedger) overridingTurn() int { return int(l.token) }
+// overridingGeneration is a turn above that of any range on record.
+func (l *placementLedger) overridingGeneration() int { return int(l.token) }
 
 // releaseWithheldJobs lets jobs go on of which nothing can be unknown any more.
 func (s *Shard) releaseWithheldJobs(now time.Time) {
@@ -102,15 +102,15 @@
 // supersedeRecorded makes what is known of all of a job's tasks count before what the record tells.
 func (l *placementLedger) supersedeRecorded(j *Job) {
 	for _, c := range j.ranges {
-		c.turn = max(c.turn, l.overridingTurn())
-		c.record.dirty, c.record.rangeAwaited = true, true
+		c.generation = max(c.generation, l.overridingGeneration())
+		c.record.dirty, c.record.forceWrite = true, true
 	}
 }
 
 // withheldRange is a range for a task of a withheld job: of that one alone, since nothing is
 // known of its neighbours.
 func (l *placementLedger) withheldRange(j *Job, i int) *taskRange {
-	return &taskRange{job: j, first: i, end: i + 1, turn: l.overridingTurn()}
+	return &taskRange{job: j, first: i, end: i + 1, generation: l.overridingGeneration()}
 }
 
 // awaitsInheritedMachines reports whether a machine that the shard had when it was acquired has
@@ -142,7 +142,7 @@
 	}
 	t := s.placeTask(k, m, rt.Attempt, now)
 	t.recorded, t.inherited, t.trace = true, true, nil
-	j.rangeAt(k.index).record.rangeAwaited = true // to be written, though nothing is to be started
+	j.rangeAt(k.index).record.forceWrite = true // to be written, though nothing is to be started
 	if j.cancelled {
 		s.stopTask(k, 0, now)
 	}
--- a/internal/scheduler/versions.go
+++ b/internal/scheduler/versions.go
@@ -30,10 +30,10 @@
 	return 0
 }
 
-// HeardWithin reports whether a machine was heard in some time.
-func (s *Shard) HeardWithin(id string, d time.Duration, now time.Time) bool {
+// HadContactWithin reports whether a machine was heard in some time.
+func (s *Shard) HadContactWithin(id string, d time.Duration, now time.Time) bool {
 	m := s.inventory.byID[id]
-	return m != nil && m.contact.up && now.Sub(m.contact.heardAt) < d
+	return m != nil && m.contact.up && now.Sub(m.contact.lastContactAt) < d
 }
 
 // Lease is how long a worker's tasks outlive its last answered heartbeat.
--- a/internal/scheduler/write_outcomes.go
+++ b/internal/scheduler/write_outcomes.go
@@ -40,7 +40,7 @@
 		delete(s.ledger.records, t.placements.number)
 	}
 	for _, c := range t.ranges {
-		s.ledger.confirm(c)
+		s.ledger.confirmWritten(c)
 	}
 	for _, k := range t.starts {
 		other := &k.job.tasks[k.index]
