--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -8,8 +8,8 @@
 	"bramblespur/internal/wire"
 )
 
-// selectMachines chooses a machine for each of n tasks of j, nil if there is no room for
-// all of them.
+// selectMachines chooses a machine for each of n tasks of j. It returns nil if there is not
+// room for all of them.
 func (s *Shard) selectMachines(j *Job, n int, now time.Time) []*Machine {
 	if n == 1 && s.pass.candidates.job == j {
 		return s.pass.candidates.next(j)
@@ -34,8 +34,8 @@
 	return packInBestZone(j, cands, n, limit, scores)
 }
 
-// filterMachines returns the machines that may take a task of j: with room, and neither
-// reserved for a job that goes before it nor one where it failed.
+// filterMachines returns the machines that may take a task of j: those that have room, that
+// are not reserved for a job that goes before j, and on which no task of j failed.
 func (s *Shard) filterMachines(j *Job, now time.Time) []*Machine {
 	var cands []*Machine
 	s.inventory.eachFeasibleMachine(j.spec, now, func(m *Machine) {
@@ -55,7 +55,8 @@
 	return other != nil && other.progress.pending > 0 && s.protection.yieldsReservation(j, other, now)
 }
 
-// requiredZone is the zone where the placed tasks of a job of one zone are; empty: any.
+// requiredZone returns the zone in which a job's pending tasks have to be placed, because
+// the job is bound to one zone and has placed tasks there. It returns "" if any zone will do.
 func (j *Job) requiredZone() string {
 	zone := ""
 	if j.spec.OneZone {
@@ -66,8 +67,9 @@
 	return zone
 }
 
-// packInBestZone packs a gang into the zone that serves the whole of it best: it starts when
-// the last of its tasks has the image.
+// packInBestZone packs a gang into the zone in which its machines have the highest sum of
+// scores. It compares whole zones since a gang starts only when the last of its tasks
+// has the image.
 func packInBestZone(j *Job, cands []*Machine, n, limit int, scores map[*Machine]float64) []*Machine {
 	var best []*Machine
 	bestScore := math.Inf(-1)
@@ -92,7 +94,7 @@
 	return best
 }
 
-// zoneLimit is how many of a job's tasks may be in one zone.
+// zoneLimit returns how many of a job's tasks may be placed in one zone.
 func (j *Job) zoneLimit() int {
 	if j.spec.Spread {
 		return (len(j.tasks) + 1) / 2
@@ -100,8 +102,8 @@
 	return len(j.tasks)
 }
 
-// allowsZone reports whether a zone may take one more of a job's tasks, as those that
-// are placed leave it.
+// allowsZone reports whether one more of a job's tasks may be placed in a zone, given where
+// its placed tasks are.
 func (j *Job) allowsZone(zone string) bool {
 	if j.spec.OneZone && len(j.progress.placedByZone) > 0 && j.progress.placedByZone[zone] == 0 {
 		return false
@@ -109,16 +111,17 @@
 	return j.progress.placedByZone[zone] < j.zoneLimit()
 }
 
-// candidateCache is the candidates for a job's tasks, the best first, while no other
-// job's task is placed.
+// candidateCache holds the candidate machines for a job's tasks, the best first. It is valid
+// until a task of another job is placed.
 type candidateCache struct {
 	job      *Job
 	machines []*Machine
 }
 
-// nextCandidate returns the machine for the next task of a job that places one after the
-// other: a wide array would else look at all free machines for each of them. A
-// machine that took one is fuller, and so stays the best until it is full.
+// next returns the machine for the next task of a job whose tasks are placed one after the
+// other, or nil if there is none. Without the cache a wide array would examine all free
+// machines for each of its tasks. A machine that took a task is fuller, and so it stays the
+// best candidate until it is full.
 func (c *candidateCache) next(j *Job) []*Machine {
 	for len(c.machines) > 0 {
 		m := c.machines[0]
@@ -130,7 +133,7 @@
 	return nil
 }
 
-// sortByScore puts the best machines first.
+// sortByScore sorts machines by their score for the job, the best first, and returns the scores.
 func (j *Job) sortByScore(ms []*Machine) map[*Machine]float64 {
 	scores := make(map[*Machine]float64, len(ms))
 	for _, m := range ms {
@@ -145,10 +148,10 @@
 	return scores
 }
 
-// yieldsReservation reports whether a job leaves alone what is reserved for another. One that has
-// waited too long takes it from those that have not, but not from those that go
-// before it: small gangs, which find room soon, would keep the largest from ever
-// having reserved enough.
+// yieldsReservation reports whether job j leaves alone a machine that is reserved for the
+// job other. An aged job takes the reservations of jobs that are not aged, but not
+// those of aged jobs that go before it: otherwise small gangs, which soon find room, would
+// keep the largest from ever reserving enough machines.
 func (p *protectedJobs) yieldsReservation(j, other *Job, now time.Time) bool {
 	if p.aged(j, now) {
 		return p.aged(other, now) && beforeAged(other, j)
@@ -156,12 +159,14 @@
 	return other.rank >= j.rank
 }
 
-// bestMachine returns the best of the candidates for one task.
-func (j *Job) bestMachine(cands []*Machine, limit int, only string) []*Machine {
+// bestMachine returns the candidate with the highest score for one task, or nil. It
+// passes over zones that have limit tasks of the job already and, unless requiredZone is
+// empty, over all other zones.
+func (j *Job) bestMachine(cands []*Machine, limit int, requiredZone string) []*Machine {
 	var best *Machine
 	top := 0.0
 	for _, m := range cands {
-		if (only != "" && m.Zone != only) || j.progress.placedByZone[m.Zone] >= limit {
+		if (requiredZone != "" && m.Zone != requiredZone) || j.progress.placedByZone[m.Zone] >= limit {
 			continue
 		}
 		if v := j.score(m); best == nil || v > top || (v == top && m.ID < best.ID) {
@@ -174,15 +179,18 @@
 	return []*Machine{best}
 }
 
-// packMachines takes machines in order, several tasks to one where they fit.
-func packMachines(spec *wire.Spec, cands []*Machine, n int, placed map[string]int, limit int, only string) []*Machine {
+// packMachines returns a machine for each of n tasks, or nil if they do not all fit. It
+// takes the candidates in order and puts several tasks on one machine where they fit.
+// No zone gets more than limit tasks, counting those already placed there; unless
+// requiredZone is empty, all tasks go to that zone.
+func packMachines(spec *wire.Spec, cands []*Machine, n int, placed map[string]int, limit int, requiredZone string) []*Machine {
 	zones := make(map[string]int, len(placed))
 	for z, c := range placed {
 		zones[z] = c
 	}
 	var got []*Machine
 	for _, m := range cands {
-		if only != "" && m.Zone != only {
+		if requiredZone != "" && m.Zone != requiredZone {
 			continue
 		}
 		r := freeRoom(m)
--- a/internal/scheduler/feasibility.go
+++ b/internal/scheduler/feasibility.go
@@ -7,13 +7,14 @@
 	"bramblespur/internal/wire"
 )
 
-// infeasibleAfter is how long a gang reserves machines though its shard has too few for
-// it: by then more have been provisioned or moved here, or there are none to be had.
+// infeasibleAfter is how long a gang reserves machines although its shard has too few for
+// it. By then more machines have been provisioned or transferred to the shard, or there
+// are none to be had.
 const infeasibleAfter = 15 * time.Second
 
-// feasible reports whether n tasks of a gang could run in a zone (empty: anywhere)
-// once everything there has ended that ends by itself or is preempted for it. Machines
-// reserved for a gang for which there will never be enough would serve nobody.
+// feasible reports whether n tasks of a gang could run in a zone ("" stands for all zones)
+// once all tasks there have ended that end by themselves or can be preempted for it. Machines
+// that are reserved for a gang which will never have enough of them are of use to no job.
 func (s *Shard) feasible(j *Job, n int, zone string) bool {
 	within := s.quotas.withinGuarantee(j, n)
 	for _, m := range s.inventory.byID {
@@ -21,34 +22,38 @@
 		if (zone != "" && m.Zone != zone) || !m.staysInShard() || !allows(j.spec, m) {
 			continue
 		}
-		if n -= s.quotas.roomInTime(m, j, within).capacity(j.spec, n); n == 0 {
+		if n -= s.quotas.eventualRoom(m, j, within).capacity(j.spec, n); n == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// staysInShard reports whether a machine is, or will be once it has booted, this shard's.
+// staysInShard reports whether a machine belongs to this shard and is not about to leave it;
+// it may still boot.
 func (m *Machine) staysInShard() bool {
 	return m.Phase == record.InUse && !m.draining && m.cordon == NotCordoned && m.transferTo < 0 && m.reclaimedAt.IsZero()
 }
 
-// roomInTime returns the room that a machine has but for what is not preempted for j and
-// has no end in sight: services, and arrays that have waited too long, which place
-// the next task as soon as one ends.
-func (q *quotas) roomInTime(m *Machine, j *Job, within bool) resources {
+// eventualRoom returns the room of a machine for j once all tasks there have ended that end
+// by themselves or can be preempted for j. It counts as used only what services
+// and protected arrays with pending tasks use, which place their next task as soon as one
+// ends.
+func (q *quotas) eventualRoom(m *Machine, j *Job, within bool) resources {
 	r := resources{m.Type.CPUs, m.Type.GPUs, m.Type.MemoryGB}
 	for k, t := range m.tasks {
-		goesOn := k.job.spec.Kind == wire.Service || (k.job.protected && k.job.progress.pending > 0)
-		if goesOn && !t.stopping && !q.preemptible(k.job, j, within) {
+		noEndInSight := k.job.spec.Kind == wire.Service || (k.job.protected && k.job.progress.pending > 0)
+		if noEndInSight && !t.stopping && !q.preemptible(k.job, j, within) {
 			r = r.minus(k.job.spec, 1)
 		}
 	}
 	return r
 }
 
-// preemptible reports whether tasks of a job may be stopped for j, which keeps to its
-// team's guarantee or not.
+// preemptible reports whether tasks of a job may be preempted for j; within tells whether j
+// keeps within its team's guarantee. A protected job is never preempted. Otherwise
+// a job is preempted for a higher priority, or for a team within its guarantee if its own
+// team is over its guarantee.
 func (q *quotas) preemptible(job, j *Job, within bool) bool {
 	if job.protected {
 		return false
--- a/internal/scheduler/gang_start_delay.go
+++ b/internal/scheduler/gang_start_delay.go
@@ -7,20 +7,21 @@
 )
 
 // A gang's task that has its image waits for the others only for GangWait. On a machine
-// that caches the image its wait begins at once, so that it gives up, and the attempt
-// with it, while others still fetch; these give up their fetch too and begin it anew in
-// the next attempt. So starts on machines that cache the image are delayed.
+// that caches the image this wait begins at once. The task would give up, and the attempt
+// with it, while other tasks still fetch the image; these would give up their fetch too and
+// begin it anew in the next attempt. So starts on machines that cache the image are delayed.
 
 const (
-	// slowestFetch is the slowest fetch that the protocol allows, in fetches at the
-	// nominal rate.
-	slowestFetch = 4.0 / 3
-	// plannedWait is the share of GangWait that is planned for. The rest is for starts
-	// that come later than planned and for fetches that share their rate.
-	plannedWait = 2.0 / 3
+	// slowestFetchFactor is the longest time that the protocol allows a fetch to take, as a
+	// multiple of the time at the nominal rate.
+	slowestFetchFactor = 4.0 / 3
+	// plannedWaitShare is the share of GangWait that the delay plans for. The rest is left
+	// for starts that come later than planned and for fetches that share their rate.
+	plannedWaitShare = 2.0 / 3
 )
 
-// earliestStart returns when a recorded task may be started at the earliest.
+// earliestStart returns when a recorded task may be started at the earliest; zero if its start
+// is not delayed.
 func (c *Config) earliestStart(k taskKey, t *task) time.Time {
 	if k.job.spec.Kind != wire.Gang || t.trace == nil || !t.trace.cached {
 		return time.Time{}
@@ -39,22 +40,24 @@
 	return latest
 }
 
-// fetching reports whether a task of this owner has yet to fetch its image.
+// fetching reports whether a task that this owner placed has yet to fetch its image, or still
+// fetches it.
 func (t *task) fetching() bool {
 	return t.state == placed && t.trace != nil && !t.trace.cached && (t.phase == "" || t.phase == wire.Fetching)
 }
 
-// cachedStartDelay is how much later than a task that must fetch its image on a machine
-// its peers on machines that cache it are started.
-func (c *Config) cachedStartDelay(spec *wire.Spec, fetches *Machine) time.Duration {
-	if fetches.Type.FetchGBps <= 0 {
+// cachedStartDelay returns how long after a gang's task that has to fetch the image on
+// fetchingMachine its peers on machines that cache the image are started.
+func (c *Config) cachedStartDelay(spec *wire.Spec, fetchingMachine *Machine) time.Duration {
+	if fetchingMachine.Type.FetchGBps <= 0 {
 		return 0
 	}
-	fetch := slowestFetch * spec.ImageGB / fetches.Type.FetchGBps * float64(time.Second)
-	return max(0, time.Duration(fetch-plannedWait*float64(c.GangWait)))
+	fetch := slowestFetchFactor * spec.ImageGB / fetchingMachine.Type.FetchGBps * float64(time.Second)
+	return max(0, time.Duration(fetch-plannedWaitShare*float64(c.GangWait)))
 }
 
-// notifyDelayedStarts wakes the machines whose delayed starts are due.
+// notifyDelayedStarts adds the machines whose delayed starts are due to the effects, so that
+// the starts are sent to them.
 func (s *Shard) notifyDelayedStarts(now time.Time) {
 	for m, due := range s.delayedStarts {
 		if now.Before(due) {
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -19,7 +19,7 @@
 type machineClass struct {
 	typ, zone  string
 	spot       bool
-	open       bool // takes new work, as far as that does not depend on the time
+	takesWork  bool // takes new work, as far as that does not depend on the time
 	cpus, gpus int
 }
 
@@ -38,7 +38,7 @@
 	// evicting are those with a task that is being stopped.
 	evicting    machineSet
 	pendingJobs map[string]*Job // jobs with a task that has no place
-	cpus        float64         // of all machines
+	totalCPUs   float64         // of all machines
 	// candidatesExamined counts the machines and jobs that placements have examined, for tests.
 	candidatesExamined int
 }
@@ -73,8 +73,8 @@
 	f := freeRoom(m)
 	return machineClass{
 		typ: m.Type.Name, zone: m.Zone, spot: m.Spot,
-		open: m.contact.up && m.Phase == record.InUse && !m.draining && m.cordon == NotCordoned && m.transferTo < 0 && m.contact.unreachableSince.IsZero(),
-		cpus: int(math.Floor(f.cpus + slack)), gpus: int(math.Floor(f.gpus + slack)),
+		takesWork: m.contact.up && m.Phase == record.InUse && !m.draining && m.cordon == NotCordoned && m.transferTo < 0 && m.contact.unreachableSince.IsZero(),
+		cpus:      int(math.Floor(f.cpus + slack)), gpus: int(math.Floor(f.gpus + slack)),
 	}
 }
 
@@ -87,7 +87,7 @@
 	if m.entry.indexed {
 		remove(x.byRoom, m.entry.class, m)
 	} else {
-		x.cpus += m.Type.CPUs
+		x.totalCPUs += m.Type.CPUs
 		for _, i := range m.images {
 			insert(x.byImage, i.Name, m)
 		}
@@ -102,7 +102,7 @@
 		return
 	}
 	m.entry.indexed = false
-	x.cpus -= m.Type.CPUs
+	x.totalCPUs -= m.Type.CPUs
 	remove(x.byRoom, m.entry.class, m)
 	for _, i := range m.images {
 		remove(x.byImage, i.Name, m)
@@ -137,7 +137,7 @@
 // that only look as if they had are few: rooms are rounded down.
 func (x *inventory) eachFeasibleMachine(spec *wire.Spec, now time.Time, f func(*Machine)) {
 	for c, ms := range x.byRoom {
-		if !c.open || (c.spot && !spec.Spot) || (spec.Zone != nil && *spec.Zone != c.zone) ||
+		if !c.takesWork || (c.spot && !spec.Spot) || (spec.Zone != nil && *spec.Zone != c.zone) ||
 			spec.CPUs >= float64(c.cpus+1) || spec.GPUs >= float64(c.gpus+1) {
 			continue
 		}
--- a/internal/scheduler/pipeline.go
+++ b/internal/scheduler/pipeline.go
@@ -16,13 +16,13 @@
 // releases neither more nor less. A job's end, the pipeline's record and the
 // records of the jobs that this releases are one transaction.
 type pipeline struct {
-	ref            string // empty for a job that is in no pipeline with others
-	record         record.Pipeline
-	version        uint64 // 0: not read yet
-	run            *fragment.Pipeline
-	untoldEnds     []record.PipelineJobEnd // ends that its record has no room for
-	writing        bool                    // an end is being recorded
-	versionUnknown bool                    // a reread is under way
+	ref               string // empty for a job that is in no pipeline with others
+	record            record.Pipeline
+	version           uint64 // 0: not read yet
+	run               *fragment.Pipeline
+	endsOutsideRecord []record.PipelineJobEnd // ends that its record has no room for
+	writing           bool                    // an end is being recorded
+	versionUnknown    bool                    // a reread is under way
 }
 
 // singleJob is the pipeline of each job that was submitted by itself. Its only fragment is
@@ -153,7 +153,7 @@
 		rec.Replay(run, others)
 	}
 	l.versionUnknown, l.writing = false, false
-	l.record, l.version, l.run, l.untoldEnds = rec, e.Version, run, others
+	l.record, l.version, l.run, l.endsOutsideRecord = rec, e.Version, run, others
 	for _, ref := range run.Ready() {
 		// Released by a step that could not be recorded in one piece, if at all:
 		// else the record of the job itself says so.
@@ -193,24 +193,24 @@
 	if j.cancelled {
 		end.State = wire.Cancelled
 	}
-	next := &pipeline{ref: l.ref, record: l.record, run: l.run.Clone(), untoldEnds: l.untoldEnds}
+	next := &pipeline{ref: l.ref, record: l.record, run: l.run.Clone(), endsOutsideRecord: l.endsOutsideRecord}
 	next.record.Ended = append(l.record.Ended[:len(l.record.Ended):len(l.record.Ended)], end)
 	l.record.ApplyEnd(next.run, end)
 	if next.run.Over() {
 		next.record.State = wire.Done
-		for _, e := range slices.Concat(next.record.Ended, l.untoldEnds) {
+		for _, e := range slices.Concat(next.record.Ended, l.endsOutsideRecord) {
 			if e.State == wire.Cancelled {
 				next.record.State = wire.Cancelled
 			}
 		}
 	}
-	var free []*Job
+	var releasable []*Job
 	for _, ref := range next.run.Ready() {
 		if released := shard.jobs[ref]; released != nil && released.awaitsDependencies {
-			free = append(free, released)
+			releasable = append(releasable, released)
 		}
 	}
-	return next, free
+	return next, releasable
 }
 
 // addPipelineStep adds to a job's end what it means for its pipeline. It reports false
@@ -223,7 +223,7 @@
 	if l.version == 0 || l.versionUnknown || l.writing {
 		return false
 	}
-	next, free := l.after(j, s)
+	next, releasable := l.after(j, s)
 	at := record.PipelineKey(l.ref)
 	t.Body.If = append(t.Body.If, wire.Condition{Key: at, Version: l.version})
 	t.pipelineAfter, t.releasedJobs = next, map[*Job]record.ActiveJob{}
@@ -232,8 +232,8 @@
 		next.record = over
 	}
 	ops := []wire.Op{{Put: at, Value: record.Encode(next.record)}}
-	opens := make([]record.ActiveJob, len(free))
-	for i, released := range free {
+	opens := make([]record.ActiveJob, len(releasable))
+	for i, released := range releasable {
 		opens[i] = record.ActiveJob{Spec: *released.spec, Shard: s.id, AcceptedAt: now.UnixMilli(), Pipeline: l.ref}
 		ops = append(ops, wire.Op{Put: record.ActiveJobKey(released.ref), Value: record.Encode(opens[i])})
 	}
@@ -242,14 +242,14 @@
 		// Too much for one piece, as the first version may have accepted it. What
 		// is released follows from the jobs' final records, so the job's end is
 		// enough; its condition keeps it from passing a withdrawal.
-		next.record, next.untoldEnds = l.record, append(slices.Clone(l.untoldEnds), record.PipelineJobEnd{Ref: j.ref, State: t.jobState()})
-		for _, released := range free {
+		next.record, next.endsOutsideRecord = l.record, append(slices.Clone(l.endsOutsideRecord), record.PipelineJobEnd{Ref: j.ref, State: t.jobState()})
+		for _, released := range releasable {
 			t.releasedJobs[released] = record.ActiveJob{}
 		}
 		return true
 	}
 	t.Body.Then = append(t.Body.Then, ops...)
-	for i, released := range free {
+	for i, released := range releasable {
 		t.Body.If = append(t.Body.If, wire.Condition{Key: record.ActiveJobKey(released.ref), Version: released.record.version})
 		t.releasedJobs[released] = opens[i]
 	}
@@ -271,7 +271,7 @@
 		return
 	}
 	l.writing = false
-	l.record, l.run, l.untoldEnds = t.pipelineAfter.record, t.pipelineAfter.run, t.pipelineAfter.untoldEnds
+	l.record, l.run, l.endsOutsideRecord = t.pipelineAfter.record, t.pipelineAfter.run, t.pipelineAfter.endsOutsideRecord
 	if len(t.Body.Then) > jobEndOps {
 		l.version = revision
 	}
@@ -300,9 +300,9 @@
 
 // pipelineStepFailed takes in that a job's end was not recorded, or perhaps was: its
 // pipeline's record decides.
-func (s *Shard) pipelineStepFailed(j *Job, known bool) {
+func (s *Shard) pipelineStepFailed(j *Job, outcomeKnown bool) {
 	if l := j.pipeline; l.ref != "" {
-		if known {
+		if outcomeKnown {
 			l.writing = false
 		} else {
 			s.effects.rereadPipeline(l)
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -7,37 +7,41 @@
 	"bramblespur/internal/wire"
 )
 
-// usable reports whether new work may be placed on a machine.
+// usable reports whether new work may be placed on a machine now.
 func (c *Config) usable(m *Machine, now time.Time) bool {
 	return c.unusable(m, now) == NotRefused
 }
 
-// suspectAfter is when a silent machine gets no new work.
+// suspectAfter returns how long after its last heartbeat a machine gets no new work.
 func (c *Config) suspectAfter() time.Duration { return c.HeartbeatInterval*2 + time.Second }
 
+// unitSize returns how many tasks of a job have to be placed together: one, or for a gang
+// all of its pending tasks.
 func (j *Job) unitSize() int {
 	if j.spec.Kind == wire.Gang {
-		return j.progress.pending // all, or what replaces those lost while it waits
+		return j.progress.pending // the whole gang, or replacements for tasks lost while it assembles
 	}
 	return 1
 }
 
+// placeable reports whether a job has pending tasks that may be placed if there is room.
 func (s *Shard) placeable(j *Job, now time.Time) bool {
 	return !j.cancelled && j.progress.pending > 0 && j.heldBack() == NotHeldBack
 }
 
-// placeJobs starts what can be started: team by team, in turn by shares.
+// placeJobs places all pending tasks for which there is room. The teams take turns by their
+// fair shares, and the jobs of a team are placed in the order of its queue.
 func (s *Shard) placeJobs(now time.Time) {
 	if s.unreadable.awaitsMachines {
-		return // what runs unrecorded uses room and quota
+		return // tasks that unreadable records name may use room and quota
 	}
 	if s.awaitsHeartbeats(now) {
 		s.wakeAt(now.Add(s.cfg.HeartbeatInterval / 4))
 		return
 	}
 	s.pass = placementPass{gangByZone: map[string]*Job{}}
-	s.protection.weigh(s.inventory.cpus)
-	queues := map[string][]*Job{} // made here, so that it needs no allocation
+	s.protection.updateShares(s.inventory.totalCPUs)
+	queues := map[string][]*Job{} // by team; made in this function so that it needs no heap allocation
 	s.queuePlaceable(queues, now)
 	for _, queue := range queues {
 		s.sortQueue(queue, now)
@@ -55,7 +59,7 @@
 	}
 }
 
-// queuePlaceable adds the jobs of which something may be placed now to their teams' queues.
+// queuePlaceable adds each job with tasks that may be placed now to the queue of its team.
 func (s *Shard) queuePlaceable(queues map[string][]*Job, now time.Time) {
 	for _, j := range s.inventory.pendingJobs {
 		s.inventory.candidatesExamined++
@@ -71,7 +75,7 @@
 	}
 }
 
-// sortQueue orders the jobs of one team.
+// sortQueue orders the jobs of one team, the next to be placed first.
 func (s *Shard) sortQueue(queue []*Job, now time.Time) {
 	urgency := make(map[*Job]float64, len(queue))
 	for _, j := range queue {
@@ -87,8 +91,8 @@
 		if x.rank != y.rank {
 			return x.rank > y.rank
 		}
-		// Gangs that have waited for long go by their age alone: the small
-		// and the short ones would else overtake the large for ever.
+		// Gangs that have waited for long are ordered by their age alone. Otherwise
+		// small and short gangs would overtake the large ones forever.
 		if late := x.longWaiting(now); late != y.longWaiting(now) {
 			return late
 		} else if late && !x.accepted.Equal(y.accepted) {
@@ -101,7 +105,7 @@
 	})
 }
 
-// nextTeam returns the team whose first job goes next; its queue is empty if all are.
+// nextTeam returns the team whose first job is placed next, "" if all queues are empty.
 func (s *Shard) nextTeam(queues map[string][]*Job, now time.Time) string {
 	next := ""
 	var first *Job
@@ -116,27 +120,31 @@
 	return next
 }
 
-// Priorities are strict, so that more work of a higher one than the machines
-// can do would starve the rest for ever. A job of which nothing has run for
-// agedAfter goes before all others, and what it then gets is not taken from it;
-// such jobs of one priority together hold at most agedShare of a shard's machines.
+// Priorities are strict: if jobs of a higher priority ask for more than the machines can
+// do, jobs of a lower priority would starve forever. So a job of which no task has run
+// agedAfter after its acceptance goes before all others, and its tasks are then
+// protected from preemption. The protected jobs of one priority together hold at most
+// agedShare of the CPUs of a shard's machines.
 const (
 	agedAfter = 2 * time.Minute
 	agedShare = 0.2
 )
 
+// aged reports whether a job goes before all others because it has waited too long, and
+// its priority has not used up its agedShare.
 func (p *protectedJobs) aged(j *Job, now time.Time) bool {
-	return (j.protected || j.starved(now)) && now.Sub(j.accepted) > agedAfter && p.load[j.rank] < agedShare
+	return (j.protected || j.starved(now)) && now.Sub(j.accepted) > agedAfter && p.shareByRank[j.rank] < agedShare
 }
 
-// starved reports whether nothing of a job has run for too long.
+// starved reports whether a job was accepted more than agedAfter ago and none of its tasks
+// is placed or completed.
 func (j *Job) starved(now time.Time) bool {
 	return j.progress.placed+j.progress.completed == 0 && now.Sub(j.accepted) > agedAfter
 }
 
-// beforeAged orders jobs that have waited too long: the lowest priority first,
-// since its share can't be used up by the others, then the largest gang, which
-// finds room nowhere else, then the oldest.
+// beforeAged reports whether the aged job a goes before the aged job b. The lowest priority
+// goes first, since other priorities cannot use up its share, then the largest gang, which
+// finds room nowhere else, then the oldest job.
 func beforeAged(a, b *Job) bool {
 	if a.rank != b.rank {
 		return a.rank < b.rank
@@ -147,9 +155,9 @@
 	return a.accepted.Before(b.accepted)
 }
 
-// teamBefore orders the heads of two teams' queues: what has waited too long goes
-// first, then work within a guarantee, then priority, then the team with less of
-// its share.
+// teamBefore reports whether a, the first job of teamA's queue, goes before b, the first
+// of teamB's. Aged jobs go first, then jobs within their team's guarantee, then the higher
+// priority, then the team that uses less of its fair share.
 func (s *Shard) teamBefore(a *Job, teamA string, b *Job, teamB string, now time.Time) bool {
 	if old := s.protection.aged(a, now); old != s.protection.aged(b, now) {
 		return old
@@ -168,16 +176,17 @@
 	return teamA < teamB
 }
 
-// placeUnit places one unit of a job: a task, or all of a gang.
+// placeUnit places one unit of a job: a task, or all pending tasks of a gang. It reports
+// whether another unit of the job may be placed at once.
 func (s *Shard) placeUnit(j *Job, now time.Time) bool {
 	n := j.unitSize()
 	if !s.quotas.withinLimit(j, n) {
-		j.unplacedSince = time.Time{} // waits for its own team, not for machines
+		j.unplacedSince = time.Time{} // it waits for its team's quota, not for machines
 		return false
 	}
 	machines := s.selectMachines(j, n, now)
 	if machines == nil {
-		s.seekRoom(j, n, now)
+		s.reserveOrPreempt(j, n, now)
 		return false
 	}
 	if wait, more := s.preemptWhereCached(j, machines[0], now); wait {
@@ -185,7 +194,7 @@
 	}
 	if s.protection.aged(j, now) {
 		s.protection.add(j)
-		defer s.protection.weigh(s.inventory.cpus)
+		defer s.protection.updateShares(s.inventory.totalCPUs)
 	}
 	s.assign(j, machines, now)
 	if j.progress.pending == 0 {
@@ -194,8 +203,9 @@
 	return true
 }
 
-// seekRoom reserves machines for a gang, and preempts others, for a job that fits nowhere.
-func (s *Shard) seekRoom(j *Job, n int, now time.Time) {
+// reserveOrPreempt makes room for n tasks of a job that fits nowhere: it reserves machines
+// if the job is a gang, and preempts tasks of other jobs once that is due.
+func (s *Shard) reserveOrPreempt(j *Job, n int, now time.Time) {
 	if j.unplacedSince.IsZero() {
 		j.unplacedSince = now
 	}
@@ -205,7 +215,8 @@
 	s.preemptFor(j, n, now)
 }
 
-// assign places a pending task on each of the machines; a gang's tasks share one attempt.
+// assign places one pending task of a job on each element of machines. The tasks of a gang
+// share one attempt.
 func (s *Shard) assign(j *Job, machines []*Machine, now time.Time) {
 	gang := j.gangAttempt()
 	for _, m := range machines {
@@ -222,6 +233,7 @@
 	}
 }
 
+// nextPending returns the index of a job's first pending task; there must be one.
 func (j *Job) nextPending() int {
 	for j.tasks[j.progress.firstPending].state != pending {
 		j.progress.firstPending++
@@ -229,10 +241,11 @@
 	return j.progress.firstPending
 }
 
-// reserveForGang reserves the machines that are free for the first gang that waits, in the
-// zone that has most for it, so that smaller work can't take them one by one.
-// Those that have waited for long reserve machines too, each in a zone of its own: two in
-// one zone could hold up each other.
+// reserveForGang reserves machines with room for a gang, in the zone that has room for most
+// of its n tasks, so that smaller jobs cannot take the machines one by one. In each pass
+// the first gang that does not fit reserves machines. Gangs that have waited for long
+// reserve machines too, each in a zone of its own: two gangs in one zone could block
+// each other.
 func (s *Shard) reserveForGang(j *Job, n int, now time.Time) {
 	if _, anywhere := s.pass.gangByZone[""]; anywhere || (!j.spec.OneZone && len(s.pass.gangByZone) > 0) {
 		return
@@ -265,8 +278,9 @@
 	s.wakeAt(now.Add(gangReservation / 2))
 }
 
-// zoneForGang returns the zone that has room for most of a gang's n tasks, and for how many.
-// Once the gang has waited for a while, zones don't count that never will have enough.
+// zoneForGang returns the zone that has room for most of a gang's n tasks, and for how many;
+// capacity is that number by zone. Once the gang has been unplaced for infeasibleAfter, it
+// passes over zones that will never have enough room.
 func (s *Shard) zoneForGang(j *Job, n int, capacity map[string]int, now time.Time) (zone string, most int) {
 	checkFeasible := now.Sub(j.unplacedSince) > infeasibleAfter
 	for z, c := range capacity {
@@ -280,21 +294,21 @@
 	return zone, most
 }
 
-// longWaiting reports whether a gang has waited so long that more seems to be asked than
-// can be done.
+// longWaiting reports whether a job is a gang that has waited for so long that the gangs
+// seem to ask for more than the machines can do.
 func (j *Job) longWaiting(now time.Time) bool {
 	return j.spec.Kind == wire.Gang && now.Sub(j.accepted) > longWaitAfter
 }
 
-// longWaitAfter is well above what a boot and the fetch of an image take, so that a
-// machine lost here and there makes no gang late: those that can still start in
-// time go first.
+// longWaitAfter is how long after its acceptance a gang counts as long-waiting. It is well
+// above the time that a boot and the fetch of an image take, so that the loss of single
+// machines makes no gang long-waiting: gangs that can still start in time go first.
 const longWaitAfter = 90 * time.Second
 
-// gangReservation is how long a free machine is reserved for a gang unless that is renewed.
+// gangReservation is how long a machine is reserved for a gang unless the reservation is renewed.
 const gangReservation = 4 * time.Second
 
-// evicting reports whether tasks on a machine are being stopped.
+// evicting reports whether a task on the machine is being stopped.
 func (m *Machine) evicting() bool {
 	for _, t := range m.tasks {
 		if t.stopping {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -9,25 +9,27 @@
 	"bramblespur/internal/wire"
 )
 
-// preemptionOption is a machine with the tasks that have to stop there to make room.
+// preemptionOption is a machine on which preemption can make room, with the tasks to be
+// stopped there.
 type preemptionOption struct {
 	machine *Machine
 	victims []taskKey
-	loss    float64 // the work that is lost, in seconds
-	units   int     // how many tasks then fit
+	loss    float64 // the cost of stopping the victims, in seconds: see preemptionCost
+	units   int     // how many tasks of the waiting job fit then
 }
 
-// preemptFor stops lower work for n tasks of a job that has waited long enough for a free
-// machine: what the preemption rules allow, least loss first.
+// preemptFor preempts tasks of other jobs to make room for n tasks of a job that has waited
+// long enough for a free machine. Of what the preemption rules allow it chooses the least loss.
 func (s *Shard) preemptFor(j *Job, n int, now time.Time) {
 	if !s.preemptionDue(j, now) {
 		return
 	}
-	options := map[string][]preemptionOption{} // made here, so that it needs no allocation
+	options := map[string][]preemptionOption{} // by zone; made in this function so that it needs no heap allocation
 	s.addPreemptionOptions(options, j, n, now)
 	chosen := leastLoss(options, n)
 	if chosen == nil && j.longWaiting(now) {
-		// Too much for one moment: what is reserved for the gang grows step by step.
+		// There is not enough room for the whole gang at once: preempt where machines are
+		// reserved for it, so that its reservations grow step by step.
 		chosen = s.pass.optionsWhereReserving(j, options)
 	}
 	if chosen == nil {
@@ -45,8 +47,8 @@
 	s.wakeAt(j.preemption.awaitedUntil)
 }
 
-// preemptionDue reports whether a job may preempt others now, and arranges to ask again if
-// not.
+// preemptionDue reports whether a job may preempt others now. If it may not yet, it arranges
+// for a Step at the time when it may.
 func (s *Shard) preemptionDue(j *Job, now time.Time) bool {
 	due := j.unplacedSince.Add(s.cfg.PreemptAfter)
 	if now.Before(due) {
@@ -63,8 +65,8 @@
 	return true
 }
 
-// addPreemptionOptions filters the machines where n tasks of a job may preempt others, by the
-// zone in which they have to be together.
+// addPreemptionOptions adds to byZone the machines on which n tasks of a job may preempt
+// others. The key is the zone if the job's tasks have to be in one zone, else "".
 func (s *Shard) addPreemptionOptions(byZone map[string][]preemptionOption, j *Job, n int, now time.Time) {
 	within := s.quotas.withinGuarantee(j, n)
 	s.eachPreemptionCandidate(j, within, now, func(m *Machine) {
@@ -78,8 +80,9 @@
 	})
 }
 
-// preemptionOption picks the tasks that have to stop on a machine so that a task of j, or of a
-// gang as many as there is room for up to n, fits there.
+// preemptionOption picks the tasks that have to be stopped on a machine so that one task of
+// j fits there, or, if j is a gang, as many of its n tasks as there can be room for. within
+// tells whether j keeps within its team's guarantee. The result has no units if none fits.
 func (s *Shard) preemptionOption(m *Machine, j *Job, n int, within bool, now time.Time) preemptionOption {
 	room := freeRoom(m)
 	var candidates []taskKey
@@ -113,8 +116,8 @@
 	return o
 }
 
-// leastLoss picks the options of one zone that make room for n tasks and lose least; nil if
-// none do. It sorts the options.
+// leastLoss returns the options of one zone that together make room for n tasks at the least
+// loss, nil if no zone has enough. It sorts the options.
 func leastLoss(byZone map[string][]preemptionOption, n int) []preemptionOption {
 	var best []preemptionOption
 	bestLoss := math.Inf(1)
@@ -132,8 +135,8 @@
 	return best
 }
 
-// firstEnough returns the first options that together make room for n tasks, and what they
-// lose: infinitely much if all do not suffice.
+// firstEnough returns the first options that together make room for n tasks, and the sum of
+// their losses. If all options are not enough, it returns nil and an infinite loss.
 func firstEnough(options []preemptionOption, n int) ([]preemptionOption, float64) {
 	units, loss := 0, 0.0
 	for i, o := range options {
@@ -146,8 +149,8 @@
 	return nil, math.Inf(1)
 }
 
-// optionsWhereReserving returns the options in the zone in which machines are reserved for a
-// gang.
+// optionsWhereReserving returns the options in the zone where machines are reserved for a
+// gang, nil if there are none.
 func (p *placementPass) optionsWhereReserving(gang *Job, byZone map[string][]preemptionOption) []preemptionOption {
 	for zone, options := range byZone {
 		if p.gangByZone[zone] == gang {
@@ -157,7 +160,7 @@
 	return nil
 }
 
-// commonZone is the zone of a machine if the job's tasks have to be in one, else empty.
+// commonZone returns the zone of a machine if the job's tasks have to be in one zone, else "".
 func (j *Job) commonZone(m *Machine) string {
 	if j.spec.OneZone {
 		return m.Zone
@@ -165,11 +168,12 @@
 	return ""
 }
 
-// preemptionRetry is when room that could not be made is sought again.
+// preemptionRetry is how long after a failed attempt a job tries again to preempt others.
 const preemptionRetry = time.Second
 
-// reservedByLongWaitingGang reports whether a gang that has waited for long reserves machines where m
-// is: one that is no more urgent makes no room for itself there meanwhile.
+// reservedByLongWaitingGang reports whether a gang that has waited for long, and has the
+// same priority as j or a higher one, reserves machines in the zone of m. j must not
+// preempt tasks there meanwhile.
 func (p *placementPass) reservedByLongWaitingGang(m *Machine, j *Job, now time.Time) bool {
 	g := p.gangByZone[m.Zone]
 	if g == nil {
@@ -178,39 +182,41 @@
 	return g != nil && g != j && g.longWaiting(now) && g.rank >= j.rank
 }
 
-// eachPreemptionCandidate calls f for the machines that have room for a task of j or may have it
-// once others have stopped.
+// eachPreemptionCandidate calls f once for each machine that has room for a task of j or may
+// have it once other tasks have stopped.
 func (s *Shard) eachPreemptionCandidate(j *Job, within bool, now time.Time, f func(*Machine)) {
 	seen := machineSet{}
-	look := func(m *Machine) {
+	visit := func(m *Machine) {
 		if _, ok := seen[m]; !ok {
 			s.inventory.candidatesExamined++
 			seen[m] = struct{}{}
 			f(m)
 		}
 	}
-	s.inventory.eachFeasibleMachine(j.spec, now, look)
+	s.inventory.eachFeasibleMachine(j.spec, now, visit)
 	for m := range s.inventory.evicting {
-		look(m)
+		visit(m)
 	}
 	top := j.rank
 	if within && s.quotas.othersOverGuarantee(j.spec.Team) {
-		top = highestRank + 1 // whatever its priority
+		top = highestRank + 1 // tasks of any priority may be preempted
 	}
 	for _, ms := range s.inventory.byRank[:top] {
 		for m := range ms {
-			look(m)
+			visit(m)
 		}
 	}
 }
 
-// preemptedReservation is how long preempted room is reserved for its job.
+// preemptedReservation is how long room made by preemption is reserved for the job that
+// preempted.
 const preemptedReservation = 20 * time.Second
 
-// preemptionCost says how a task is best stopped for one that waits, and what that
-// costs in seconds: either it saves, which holds the place meanwhile, or what it
-// did since its last checkpoint is lost. Checkpoints come at intervals of its
-// progress, so the time since the last one is known well enough to choose.
+// preemptionCost returns what stopping a task costs, in seconds, and the grace period to stop
+// it with. The task either saves a checkpoint, which keeps its room in use meanwhile, or
+// loses the work since its last checkpoint (grace period 0), whichever costs less. It
+// saves checkpoints at intervals of its progress, so the time since the last one is known
+// well enough to choose.
 func (k taskKey) preemptionCost(now time.Time) (loss float64, grace time.Duration) {
 	t := &k.job.tasks[k.index]
 	spec := k.job.spec
@@ -224,7 +230,7 @@
 			}
 		}
 		if ran < countedAfter.Seconds() {
-			loss += spec.ImageGB // its start would not count
+			loss += spec.ImageGB // its start will not count
 		}
 	}
 	loss += 1 + spec.ImageGB/2
@@ -234,10 +240,10 @@
 	return loss, grace
 }
 
-// countedAfter is how long a start must stand to count for its users.
+// countedAfter is how long a task must run for its start to count for its users.
 const countedAfter = 30 * time.Second
 
-// preemptTask stops a task, a gang's with all its mates, for one that waits.
+// preemptTask stops a task to make room for another job; a gang is stopped as a whole.
 func (s *Shard) preemptTask(k taskKey, now time.Time) {
 	_, grace := k.preemptionCost(now)
 	if k.job.spec.Kind == wire.Gang {
@@ -247,18 +253,17 @@
 	s.stopTask(k, grace, now)
 }
 
-// preemptWhereCached looks for a machine that caches a service's image where lower work can be
-// preempted, when only machines without the image are free: stopping takes less than the
-// fetch would. It reports whether the task should wait for such room, and whether more may be
-// sought for the job's others.
-// This is the design's preference for machines that have the image, carried on to those that
-// are in use.
+// preemptWhereCached preempts a task of lower priority for a service on a machine that caches
+// its image, if only machines without the image are free: stopping a task takes less time
+// than the fetch of a large image. It reports whether the service's next task should wait
+// for such room, and whether more room may be sought for the service's other tasks. This
+// extends the preference for machines that cache the image to machines in use.
 func (s *Shard) preemptWhereCached(j *Job, found *Machine, now time.Time) (wait, more bool) {
-	if !cachedRoomWorth(j, found, now) {
+	if !cachedRoomWorthAwaiting(j, found, now) {
 		return false, false
 	}
 	zones := maps.Clone(j.progress.placedByZone)
-	if s.inventory.cachedRoomComing(j, zones, now) >= j.progress.pending {
+	if s.inventory.cachedRoomBeingMade(j, zones, now) >= j.progress.pending {
 		return true, false
 	}
 	best, victim := s.inventory.cachedVictim(j, zones, now)
@@ -271,24 +276,24 @@
 	return true, true
 }
 
-// cachedRoomWorth reports whether a service that would have to fetch its image on the machine
-// that was found does better to wait for room where it is cached.
-func cachedRoomWorth(j *Job, found *Machine, now time.Time) bool {
+// cachedRoomWorthAwaiting reports whether a service should wait for room where its image is
+// cached rather than fetch the image on the machine that was found.
+func cachedRoomWorthAwaiting(j *Job, found *Machine, now time.Time) bool {
 	if j.spec.Kind != wire.Service || found.hasImage(j.spec.Image) || found.Type.FetchGBps <= 0 {
 		return false
 	}
 	fetch := wire.Seconds(j.spec.ImageGB / found.Type.FetchGBps)
-	return fetch >= fetchWorthPreempting && now.Sub(j.accepted) <= cachedRoomWait
+	return fetch >= minFetchToPreempt && now.Sub(j.accepted) <= cachedRoomWait
 }
 
-// cachedRoomComing returns for how many tasks of a job room is being made where its image is
-// cached, and adds these to the job's tasks by zone.
-func (x *inventory) cachedRoomComing(j *Job, zones map[string]int, now time.Time) int {
+// cachedRoomBeingMade returns for how many tasks of a job room is being made where its image
+// is cached, and adds these tasks to zones, the number of the job's tasks by zone.
+func (x *inventory) cachedRoomBeingMade(j *Job, zones map[string]int, now time.Time) int {
 	coming := 0
 	limit := j.zoneLimit()
 	for m := range x.reserved[j.ref] {
-		// Room that is free by now, or made where the image is not, is not what
-		// is waited for.
+		// Room that is free by now, or that is made where the image is not cached, does
+		// not count.
 		if n := m.reservedFor(j, now); n > 0 && m.hasImage(j.spec.Image) && m.evicting() && zones[m.Zone]+n <= limit {
 			coming += n
 			zones[m.Zone] += n
@@ -297,8 +302,9 @@
 	return coming
 }
 
-// cachedVictim returns the task of an array whose end makes room for a task of a job where its
-// image is cached, and loses least; no machine if there is none.
+// cachedVictim returns the array task of lower priority that can be stopped at the least loss
+// to make room for a task of j where j's image is cached, and its machine, nil if there is
+// no such task. zones counts the tasks of j by zone.
 func (x *inventory) cachedVictim(j *Job, zones map[string]int, now time.Time) (best *Machine, victim taskKey) {
 	bestLoss := math.Inf(1)
 	limit := j.zoneLimit()
@@ -327,8 +333,9 @@
 }
 
 const (
-	// fetchWorthPreempting is the fetch from which on other work is preempted instead.
-	fetchWorthPreempting = 4 * time.Second
-	// cachedRoomWait is how long after its acceptance a service waits for such room.
+	// minFetchToPreempt is the shortest fetch of an image that is avoided by preemption.
+	minFetchToPreempt = 4 * time.Second
+	// cachedRoomWait is how long after its acceptance a service waits for room where its
+	// image is cached, and how long such room is reserved for it.
 	cachedRoomWait = 10 * time.Second
 )
--- a/internal/scheduler/protected_jobs.go
+++ b/internal/scheduler/protected_jobs.go
@@ -1,9 +1,9 @@
 package scheduler
 
-// protectedJobs are those that were placed after too long a wait, and are not preempted.
+// protectedJobs are the jobs that were placed after too long a wait and so are not preempted.
 type protectedJobs struct {
-	jobs map[*Job]bool
-	load [highestRank + 1]float64 // the share of the machines that they hold, by priority
+	jobs        map[*Job]bool
+	shareByRank [highestRank + 1]float64 // the share of the shard's CPUs that they use, by rank
 }
 
 // add protects a job from preemption.
@@ -12,16 +12,15 @@
 	p.jobs[j] = true
 }
 
-// remove forgets a job.
+// remove removes a job that the shard no longer holds.
 func (p *protectedJobs) remove(j *Job) { delete(p.jobs, j) }
 
-// weigh computes the share of the shard's machines, which have so many CPUs, that protected
-// jobs hold.
-func (p *protectedJobs) weigh(cpus float64) {
-	p.load = [highestRank + 1]float64{}
+// updateShares computes shareByRank anew; cpus is the number of CPUs of the shard's machines.
+func (p *protectedJobs) updateShares(cpus float64) {
+	p.shareByRank = [highestRank + 1]float64{}
 	for j := range p.jobs {
 		if cpus > 0 {
-			p.load[j.rank] += float64(j.progress.placed) * j.spec.CPUs / cpus
+			p.shareByRank[j.rank] += float64(j.progress.placed) * j.spec.CPUs / cpus
 		}
 	}
 }
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// reservedFor returns for how many of a job's tasks room is reserved on a machine.
+// reservedFor returns for how many tasks of a job room is reserved on the machine.
 func (m *Machine) reservedFor(j *Job, now time.Time) int {
 	if m.reservation.job == j.ref && now.Before(m.reservation.until) {
 		return m.reservation.tasks
@@ -10,7 +10,8 @@
 	return 0
 }
 
-// reserve reserves room on a machine for some tasks of a job.
+// reserve reserves room on a machine for n more tasks of a job, until a time. It replaces a
+// reservation for another job.
 func (x *inventory) reserve(m *Machine, j *Job, n int, until time.Time) {
 	if m.reservation.job != j.ref {
 		x.cancelReservation(m)
@@ -21,7 +22,8 @@
 	m.reservation.until = until
 }
 
-// useReservation takes in that a task of a job came to where room was reserved for it.
+// useReservation reduces the reservation of a machine by one task if it is for the job whose
+// task was placed there.
 func (x *inventory) useReservation(m *Machine, j *Job) {
 	if m.reservation.job == j.ref {
 		if m.reservation.tasks--; m.reservation.tasks <= 0 {
@@ -30,13 +32,13 @@
 	}
 }
 
-// cancelReservation takes the reservation off a machine.
+// cancelReservation removes the reservation of a machine.
 func (x *inventory) cancelReservation(m *Machine) {
 	remove(x.reserved, m.reservation.job, m)
 	m.reservation.job, m.reservation.tasks = "", 0
 }
 
-// reservedForOther reports whether room on a machine is reserved for a job other than j.
+// reservedForOther reports whether room on the machine is reserved for a job other than j.
 func (m *Machine) reservedForOther(j *Job, now time.Time) bool {
 	return m.reservation.job != "" && m.reservation.job != j.ref && now.Before(m.reservation.until)
 }
--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -4,25 +4,30 @@
 	"math"
 )
 
-// breaksUp is what it counts against a machine that none of its cards is in use, and
-// holdsUp that all its work is such as may be preempted for a gang: a task that
-// has inherited a priority would not.
+// Score penalties of a machine with GPUs for a task that needs none. unusedGPUsPenalty
+// applies while no GPU of the machine is in use. preemptibleGPUsPenalty applies while all
+// tasks on the machine may be preempted for a gang: a task without GPUs that has inherited
+// a priority may not, and would then keep the gang from using the whole machine.
 const (
-	breaksUpPenalty    = 150
-	holdsUpGangPenalty = 110
+	unusedGPUsPenalty      = 150
+	preemptibleGPUsPenalty = 110
 )
 
-// cordonedLaterPenalty is what it counts against a machine that is to be drained: more than its
-// image is worth, as what starts there may be evicted soon.
+// cordonedLaterPenalty is the score penalty of a machine that a drain is to cordon later. It
+// is larger than the bonus for a cached image, since a task that starts there may be evicted
+// soon.
 const cordonedLaterPenalty = 250
 
-// score ranks a machine for a task: one that caches its image first (DESIGN's
-// stand-in for sending fragments to the data), then a spot machine where the
-// job may use one, then the fullest, so that whole machines stay free, and of
-// these the one with the fewest images, so that caches stay for whom they serve.
-// Work without cards goes beside work with cards, even where its image, which is
-// small, must be fetched first: a machine of which it takes a few cores is lost to
-// a gang that needs all of it.
+// score rates a machine for a task of the job; higher is better. It prefers
+//   - a machine that caches the task's image (DESIGN's stand-in for sending fragments to
+//     the data),
+//   - then a spot machine, if the job may use one,
+//   - then the fullest machine, so that whole machines stay free,
+//   - then the machine with the fewest images, so that caches stay for the jobs that use them.
+//
+// A task without GPUs goes beside tasks with GPUs, even where its image, which is small,
+// has to be fetched first: a machine of which it takes a few CPUs is lost to a gang that
+// needs the whole machine.
 func (j *Job) score(m *Machine) float64 {
 	v := 0.0
 	if m.hasImage(j.spec.Image) {
@@ -31,9 +36,9 @@
 	if j.spec.GPUs <= 0 && m.Type.GPUs > 0 {
 		switch {
 		case m.used.gpus <= 0:
-			v -= breaksUpPenalty
+			v -= unusedGPUsPenalty
 		case m.entry.tasksByRank[highestRank]+m.entry.tasksByRank[highestRank-1] == 0:
-			v -= holdsUpGangPenalty
+			v -= preemptibleGPUsPenalty
 		}
 	}
 	if m.cordonedLater {
