--- a/internal/controller/active_job_records.go
+++ b/internal/controller/active_job_records.go
@@ -57,7 +57,7 @@
 // ends jobs itself, except those that only waited. The shards' lock is held.
 func (c *Controller) notifyJobEndedLocked(change *clusterview.JobChange, now time.Time) {
 	ref := change.Ref
-	c.passDemandOn(change.Reclaimed)
+	c.applyInheritedUrgency(change.UrgencyChanged)
 	for _, shard := range c.shards.AllLocked() {
 		if shard.HasJob(ref) {
 			shard.JobRecordGone(ref, now)
@@ -77,7 +77,7 @@
 	if shard != nil {
 		shard.SetJob(change.Ref, *job, change.Version, now)
 	}
-	c.passDemandOn(change.Reclaimed)
+	c.applyInheritedUrgency(change.UrgencyChanged)
 	if shard == nil {
 		return
 	}
@@ -89,5 +89,5 @@
 
 // removeActiveJobLocked drops a job that is not active any more. The shards' lock is held.
 func (c *Controller) removeActiveJobLocked(ref string) {
-	c.passDemandOn(c.activeJobs.Remove(ref))
+	c.applyInheritedUrgency(c.activeJobs.Remove(ref))
 }
--- a/internal/controller/clusterview/activejobs.go
+++ b/internal/controller/clusterview/activejobs.go
@@ -19,7 +19,7 @@
 
 	mu           sync.Mutex // a leaf: see the package's lock order
 	jobs         map[string]ActiveJob
-	dependencies *fragment.Needs
+	dependencies *fragment.Dependencies
 	ends         map[string]chan struct{} // by job that somebody waits for; closed when it ends
 }
 
@@ -37,15 +37,15 @@
 	Ended   bool             // its record was deleted
 	Record  record.ActiveJob // unless it ended
 	Version uint64           // of the record, unless it ended
-	// Reclaimed are the jobs that inherit another claim from their dependents now.
-	Reclaimed []string
+	// UrgencyChanged are the jobs whose urgency changed, as inherited from their dependents.
+	UrgencyChanged []string
 }
 
 // NewActiveJobs returns a view without records.
 func NewActiveJobs() *ActiveJobs {
 	return &ActiveJobs{
 		jobs:         map[string]ActiveJob{},
-		dependencies: fragment.NewNeeds(),
+		dependencies: fragment.NewDependencies(),
 		ends:         map[string]chan struct{}{},
 	}
 }
@@ -62,48 +62,49 @@
 		return JobChange{}, false, nil
 	}
 	if change.Put == "" {
-		return JobChange{Ref: ref, Ended: true, Reclaimed: v.remove(ref)}, true, nil
+		return JobChange{Ref: ref, Ended: true, UrgencyChanged: v.remove(ref)}, true, nil
 	}
 	r, err := decode[record.ActiveJob](change)
 	if err != nil {
 		return JobChange{}, false, err
 	}
 	v.jobs[ref] = ActiveJob{Version: change.Version, Shard: r.Shard, Cancelled: r.Cancelled, Service: r.Spec.Kind == wire.Service}
-	reclaimed := v.dependencies.Set(ref, dependencyStep(&r))
-	return JobChange{Ref: ref, Record: r, Version: change.Version, Reclaimed: reclaimed}, true, nil
+	urgencyChanged := v.dependencies.Set(ref, dependencyJob(&r))
+	return JobChange{Ref: ref, Record: r, Version: change.Version, UrgencyChanged: urgencyChanged}, true, nil
 }
 
-// dependencyStep is an active job as the jobs that it depends on see it.
-func dependencyStep(r *record.ActiveJob) fragment.Step {
-	s := fragment.Step{
-		Claim:     fragment.Claim{Rank: scheduler.Rank(r.Spec.Priority)},
+// dependencyJob returns the part of an active job that determines the urgency of the jobs on which it
+// depends.
+func dependencyJob(r *record.ActiveJob) fragment.Job {
+	job := fragment.Job{
+		Urgency:   fragment.Urgency{Rank: scheduler.Rank(r.Spec.Priority)},
 		DependsOn: r.Spec.DependsOn,
-		Length:    wire.Seconds(r.Spec.EstimateS),
+		Estimate:  wire.Seconds(r.Spec.EstimateS),
 	}
 	if r.Spec.DeadlineS != nil {
-		s.Due = time.UnixMilli(r.AcceptedAt).Add(wire.Seconds(*r.Spec.DeadlineS))
+		job.Deadline = time.UnixMilli(r.AcceptedAt).Add(wire.Seconds(*r.Spec.DeadlineS))
 	}
 	if r.Cancelled {
-		s.Claim = fragment.Claim{} // it asks for nothing any more
+		job.Urgency = fragment.Urgency{} // a cancelled job has no urgency of its own
 	}
-	return s
+	return job
 }
 
-// Remove drops a job and returns those that inherit another claim now.
-func (v *ActiveJobs) Remove(ref string) (reclaimed []string) {
+// Remove removes a job and returns the jobs whose urgency changed.
+func (v *ActiveJobs) Remove(ref string) (urgencyChanged []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.remove(ref)
 }
 
-func (v *ActiveJobs) remove(ref string) (reclaimed []string) {
-	reclaimed = v.dependencies.Remove(ref)
+func (v *ActiveJobs) remove(ref string) (urgencyChanged []string) {
+	urgencyChanged = v.dependencies.Remove(ref)
 	delete(v.jobs, ref)
 	if ended := v.ends[ref]; ended != nil {
 		close(ended)
 		delete(v.ends, ref)
 	}
-	return reclaimed
+	return urgencyChanged
 }
 
 // Forget makes the view one that was never listed. The jobs stay until each was removed,
@@ -179,25 +180,25 @@
 	return ended
 }
 
-// Claim returns what a job asks for itself and inherits from its dependents.
-func (v *ActiveJobs) Claim(ref string) fragment.Claim {
+// Urgency returns the urgency of an active job, including what it inherits from its dependents.
+func (v *ActiveJobs) Urgency(ref string) fragment.Urgency {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.dependencies.Claim(ref)
+	return v.dependencies.Urgency(ref)
 }
 
 // HasDependents reports whether active jobs depend directly on a job, active or not.
 func (v *ActiveJobs) HasDependents(ref string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return len(v.dependencies.After(ref)) > 0
+	return len(v.dependencies.Dependents(ref)) > 0
 }
 
 // Dependents returns the active jobs that depend directly on a job, active or not.
 func (v *ActiveJobs) Dependents(ref string) []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return slices.Collect(maps.Keys(v.dependencies.After(ref)))
+	return slices.Collect(maps.Keys(v.dependencies.Dependents(ref)))
 }
 
 // EndedDependencies returns the jobs that active jobs depend on directly and
@@ -206,7 +207,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var refs []string
-	v.dependencies.Each(func(ref string, _ map[string]struct{}) {
+	v.dependencies.EachDependency(func(ref string, _ map[string]struct{}) {
 		if _, active := v.jobs[ref]; !active {
 			refs = append(refs, ref)
 		}
--- a/internal/controller/clusterview/clusterview_test.go
+++ b/internal/controller/clusterview/clusterview_test.go
@@ -225,10 +225,10 @@
 		return record.ActiveJob{Spec: wire.Spec{Priority: priority, DependsOn: on}}
 	}
 	applyJob(t, v, "run-000001", spec("normal"), 1)
-	before := v.Claim("run-000001")
+	before := v.Urgency("run-000001")
 	change := applyJob(t, v, "run-000002", spec("urgent", "run-000001", "run-000009"), 2)
-	if !slices.Contains(change.Reclaimed, "run-000001") || v.Claim("run-000001").Rank <= before.Rank {
-		t.Errorf("reclaimed %v, claim %+v", change.Reclaimed, v.Claim("run-000001"))
+	if !slices.Contains(change.UrgencyChanged, "run-000001") || v.Urgency("run-000001").Rank <= before.Rank {
+		t.Errorf("jobs with a changed urgency %v, urgency %+v", change.UrgencyChanged, v.Urgency("run-000001"))
 	}
 	if got := v.EndedDependencies(); !slices.Equal(got, []string{"run-000009"}) {
 		t.Errorf("ended dependencies %v", got)
@@ -239,12 +239,12 @@
 	cancelled := spec("urgent", "run-000001", "run-000009")
 	cancelled.Cancelled = true
 	applyJob(t, v, "run-000002", cancelled, 3)
-	if got := v.Claim("run-000001"); got.Rank != before.Rank || !got.Needed {
-		t.Errorf("claim %+v although the dependent is cancelled", got)
+	if got := v.Urgency("run-000001"); got.Rank != before.Rank || !got.HasDependents {
+		t.Errorf("urgency %+v although the dependent is cancelled", got)
 	}
 	v.Remove("run-000002")
-	if v.HasDependents("run-000001") || len(v.EndedDependencies()) != 0 || v.Claim("run-000001") != before {
-		t.Errorf("claim %+v after the dependent's end", v.Claim("run-000001"))
+	if v.HasDependents("run-000001") || len(v.EndedDependencies()) != 0 || v.Urgency("run-000001") != before {
+		t.Errorf("urgency %+v after the dependent's end", v.Urgency("run-000001"))
 	}
 }
 
--- a/internal/controller/dependency_tracking.go
+++ b/internal/controller/dependency_tracking.go
@@ -100,13 +100,13 @@
 	return elsewhere
 }
 
-// passDemandOn tells the shards held here what jobs inherit from their dependents. The
+// applyInheritedUrgency sets the urgency of jobs in the shards that are held here. The
 // shards' lock is held.
-func (c *Controller) passDemandOn(refs []string) {
+func (c *Controller) applyInheritedUrgency(refs []string) {
 	for _, ref := range refs {
 		job, _ := c.activeJobs.Job(ref)
 		if shard := c.shards.GetLocked(job.Shard); shard != nil {
-			shard.SetInheritedClaim(ref, c.activeJobs.Claim(ref))
+			shard.SetInheritedUrgency(ref, c.activeJobs.Urgency(ref))
 		}
 	}
 }
--- a/internal/controller/shard_environment.go
+++ b/internal/controller/shard_environment.go
@@ -79,7 +79,7 @@
 // InheritDependenciesLocked implements shardhost.Environment.
 func (e shardEnvironment) InheritDependenciesLocked(shard *scheduler.Shard) {
 	for _, ref := range e.c.activeJobs.OfShard(shard.ID()) {
-		shard.SetInheritedClaim(ref, e.c.activeJobs.Claim(ref))
+		shard.SetInheritedUrgency(ref, e.c.activeJobs.Urgency(ref))
 	}
 }
 
--- /dev/null
+++ b/internal/fragment/dependencies_test.go
@@ -0,0 +1,79 @@
+package fragment
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// wantUrgency computes the urgency of a job recursively by its definition.
+func wantUrgency(active map[string]Job, ref string) Urgency {
+	urgency := active[ref].Urgency
+	for dependentRef, job := range active {
+		for _, r := range job.DependsOn {
+			if r != ref {
+				continue
+			}
+			urgency.HasDependents = true
+			dependent := wantUrgency(active, dependentRef)
+			urgency.Rank = max(urgency.Rank, dependent.Rank)
+			if start := dependent.Deadline.Add(-job.Estimate); !dependent.Deadline.IsZero() && (urgency.Deadline.IsZero() || start.Before(urgency.Deadline)) {
+				urgency.Deadline = start
+			}
+		}
+	}
+	return urgency
+}
+
+// Jobs are added in any order, changed and removed. At each step every active job has the highest
+// priority and the earliest deadline that follow from its dependents, and each job whose urgency
+// changed is returned.
+func TestNeeds(t *testing.T) {
+	start := time.Date(2026, 1, 5, 8, 0, 0, 0, time.UTC)
+	for seed := range uint64(30) {
+		rnd := rand.New(rand.NewPCG(seed, 1))
+		dependencies, active, urgencies := NewDependencies(), map[string]Job{}, map[string]Urgency{}
+		all := map[string]Job{} // the dependencies of a job never change
+		for range 150 {
+			i := rnd.IntN(20)
+			ref := fmt.Sprint("j", i)
+			var changed []string
+			if _, exists := active[ref]; exists && rnd.IntN(2) == 0 {
+				delete(active, ref)
+				delete(urgencies, ref)
+				changed = dependencies.Remove(ref)
+			} else {
+				job, known := all[ref]
+				if !known {
+					job = Job{Estimate: time.Duration(rnd.IntN(60)) * time.Second}
+					for r := range i { // only jobs that were accepted before
+						if rnd.IntN(6) == 0 {
+							job.DependsOn = append(job.DependsOn, fmt.Sprint("j", r))
+						}
+					}
+				}
+				job.Urgency = Urgency{Rank: rnd.IntN(4)}
+				if rnd.IntN(3) == 0 {
+					job.Deadline = start.Add(time.Duration(rnd.IntN(600)) * time.Second)
+				}
+				all[ref], active[ref] = job, job
+				changed = dependencies.Set(ref, job)
+			}
+			for _, r := range changed {
+				urgencies[r] = dependencies.Urgency(r)
+			}
+			for ref := range active {
+				if want := wantUrgency(active, ref); urgencies[ref] != want {
+					t.Fatalf("seed %d: last returned urgency of %s is %+v, want %+v", seed, ref, urgencies[ref], want)
+				}
+			}
+		}
+		for ref := range active {
+			dependencies.Remove(ref)
+		}
+		if len(dependencies.jobs)+len(dependencies.urgencies)+len(dependencies.dependents) > 0 {
+			t.Errorf("seed %d: entries are left after all jobs were removed", seed)
+		}
+	}
+}
--- a/internal/fragment/fragment.go
+++ b/internal/fragment/fragment.go
@@ -50,10 +50,10 @@
 	return n, nil
 }
 
-// After begins the pipeline of a job that waits for others, which were submitted
+// BeginAfter begins the pipeline of a job that waits for others, which were submitted
 // before it and are under way or over: a split into these and their join. The
 // job travels, as what follows any join, in one fragment.
-func After(job string, roots []string) *Pipeline {
+func BeginAfter(job string, roots []string) *Pipeline {
 	const split = "" // is no job
 	places := []Place{{Out: []string{split}}, {In: []string{job}}}
 	for _, r := range roots {
@@ -262,5 +262,5 @@
 	return false
 }
 
-// Over reports whether nothing is left to run.
-func (p *Pipeline) Over() bool { return len(p.pool) == 0 }
+// Done reports whether nothing is left to run.
+func (p *Pipeline) Done() bool { return len(p.pool) == 0 }
--- a/internal/fragment/fragment_test.go
+++ b/internal/fragment/fragment_test.go
@@ -83,7 +83,7 @@
 		t.Fatalf("ready %v, want the picked branch", got)
 	}
 	p.Finish("t7", "")
-	if !p.Over() {
+	if !p.Done() {
 		t.Fatal("not over")
 	}
 	if p.Finish("t7", "") {
@@ -120,14 +120,14 @@
 			t.Errorf("%s ran %d times", j, ran[j])
 		}
 	}
-	if !p.Over() {
+	if !p.Done() {
 		t.Error("not over")
 	}
 }
 
 // A job that is linked to no other is a pipeline of one.
 func TestSingle(t *testing.T) {
-	n, err := Linked([]string{"j"}, nil)
+	n, err := NetFromLinks([]string{"j"}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +135,7 @@
 	if got := p.Ready(); !slices.Equal(got, []string{"j"}) {
 		t.Fatalf("ready %v", got)
 	}
-	if p.Finish("j", ""); !p.Over() {
+	if p.Finish("j", ""); !p.Done() {
 		t.Fatal("not over")
 	}
 }
@@ -145,7 +145,7 @@
 func TestAfter(t *testing.T) {
 	roots := []string{"a", "b", "c"}
 	for _, order := range [][]string{{"a", "b", "c"}, {"c", "a", "b"}, {"b", "c", "a"}} {
-		p := After("job", roots)
+		p := BeginAfter("job", roots)
 		for i, r := range order {
 			if slices.Contains(p.Ready(), "job") {
 				t.Fatalf("ready after %v", order[:i])
@@ -166,15 +166,15 @@
 		if carried != 1 {
 			t.Errorf("the job travels in %d fragments", carried)
 		}
-		if !p.Finish("job", "") || !p.Over() {
+		if !p.Finish("job", "") || !p.Done() {
 			t.Error("not over after the job")
 		}
 	}
-	p := After("job", roots)
+	p := BeginAfter("job", roots)
 	p.Finish("a", "")
 	p.Abort("b")
 	p.Finish("c", "")
-	if len(p.Ready()) > 0 || p.Left()["job"] {
-		t.Errorf("ready %v, left %v though a root was cancelled", p.Ready(), p.Left())
+	if len(p.Ready()) > 0 || p.Remaining()["job"] {
+		t.Errorf("ready %v, left %v though a root was cancelled", p.Ready(), p.Remaining())
 	}
 }
--- a/internal/fragment/structure.go
+++ b/internal/fragment/structure.go
@@ -15,9 +15,9 @@
 // nothing leads to, or branches that do not meet as they parted.
 var ErrStructure = errors.New("fragment: not well structured")
 
-// Linked makes a net of links between jobs: the only job without a link to it
+// NetFromLinks makes a net of links between jobs: the only job without a link to it
 // begins, and those without a link from them end the pipeline.
-func Linked(jobs []string, links []Place) (*Net, error) {
+func NetFromLinks(jobs []string, links []Place) (*Net, error) {
 	known := map[string]bool{}
 	for _, j := range jobs {
 		if known[j] {
@@ -260,8 +260,8 @@
 	p.pool = kept
 }
 
-// Left returns the jobs that may still run, those that run now included.
-func (p *Pipeline) Left() map[string]bool {
+// Remaining returns the jobs that may still run, those that run now included.
+func (p *Pipeline) Remaining() map[string]bool {
 	out := map[string]bool{}
 	for _, f := range p.pool {
 		for t := range f.Jobs {
--- a/internal/fragment/structure_test.go
+++ b/internal/fragment/structure_test.go
@@ -64,7 +64,7 @@
 		r := rand.New(rand.NewPCG(seed, 7))
 		b := &builder{r: r}
 		b.block(3)
-		n, err := Linked(b.jobs, b.links)
+		n, err := NetFromLinks(b.jobs, b.links)
 		if err != nil {
 			t.Fatalf("seed %d: %v\n%v", seed, err, b.links)
 		}
@@ -126,7 +126,7 @@
 				}
 			}
 		}
-		if !p.Over() || len(p.Left()) != 0 {
+		if !p.Done() || len(p.Remaining()) != 0 {
 			t.Fatalf("seed %d: not over after %v", seed, done)
 		}
 	}
@@ -136,7 +136,7 @@
 // is behind it too, and leaves the other branches alone.
 func TestAbortEndsSuccessors(t *testing.T) {
 	for _, failed := range []string{"b", "c"} {
-		n, err := Linked([]string{"a", "b", "c", "d", "e"}, []Place{
+		n, err := NetFromLinks([]string{"a", "b", "c", "d", "e"}, []Place{
 			{In: []string{"a"}, Out: []string{"b"}}, {In: []string{"a"}, Out: []string{"c"}},
 			{In: []string{"b"}, Out: []string{"d"}}, {In: []string{"c"}, Out: []string{"d"}},
 			{In: []string{"d"}, Out: []string{"e"}},
@@ -148,12 +148,12 @@
 		p.Finish("a", "")
 		p.Abort(failed)
 		other := map[string]string{"b": "c", "c": "b"}[failed]
-		if got := p.Ready(); !slices.Equal(got, []string{other}) || len(p.Left()) != 1 {
-			t.Errorf("after %s: ready %v, left %v, want only %s", failed, got, p.Left(), other)
+		if got := p.Ready(); !slices.Equal(got, []string{other}) || len(p.Remaining()) != 1 {
+			t.Errorf("after %s: ready %v, left %v, want only %s", failed, got, p.Remaining(), other)
 		}
 		p.Finish(other, "")
-		if !p.Over() {
-			t.Errorf("after %s and %s: not over, left %v", failed, other, p.Left())
+		if !p.Done() {
+			t.Errorf("after %s and %s: not over, left %v", failed, other, p.Remaining())
 		}
 	}
 }
@@ -175,7 +175,7 @@
 		"no job":             {nil, nil},
 		"link without end":   {[]string{"a", "b"}, []Place{{In: []string{"a"}}, l("a", "b")}},
 	} {
-		if _, err := Linked(x.jobs, x.links); err == nil {
+		if _, err := NetFromLinks(x.jobs, x.links); err == nil {
 			t.Errorf("%s is taken for well structured", name)
 		}
 	}
--- a/internal/record/pipeline.go
+++ b/internal/record/pipeline.go
@@ -30,7 +30,7 @@
 	for _, l := range p.Links {
 		links = append(links, fragment.Place{In: l.From, Out: l.To})
 	}
-	return fragment.Linked(p.Jobs, links)
+	return fragment.NetFromLinks(p.Jobs, links)
 }
 
 // Replay applies to a running pipeline the ends that its record has, and then others that are
@@ -50,7 +50,7 @@
 		return i >= 0
 	}
 	for {
-		ready, may := run.Ready(), run.Left()
+		ready, may := run.Ready(), run.Remaining()
 		if !take(func(e PipelineJobEnd) bool { return slices.Contains(ready, e.Ref) }) &&
 			!take(func(e PipelineJobEnd) bool { return may[e.Ref] && e.State == wire.Cancelled }) {
 			return // the rest belongs to branches that were not taken
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -142,7 +142,7 @@
 		t.Fatalf("started %v: work of one priority gave way to its equal", got)
 	}
 	due := r.clock.Now().Add(time.Minute)
-	r.shard.SetInheritedClaim("run-000002", fragment.Claim{Rank: Rank("urgent"), Due: due})
+	r.shard.SetInheritedUrgency("run-000002", fragment.Urgency{Rank: Rank("urgent"), Deadline: due})
 	r.heartbeats(5)
 	if got := started(w); !slices.Contains(got, "run-000002") {
 		t.Fatalf("started %v: lower work did not give way", got)
@@ -151,7 +151,7 @@
 	if d := j.deadline(); d == nil || *d != due.Sub(j.accepted).Seconds() {
 		t.Errorf("its deadline is %v", d)
 	}
-	r.shard.SetInheritedClaim("run-000002", fragment.Claim{Rank: Rank("low"), Needed: true})
+	r.shard.SetInheritedUrgency("run-000002", fragment.Urgency{Rank: Rank("low"), HasDependents: true})
 	for rank, ms := range r.shard.inventory.byRank {
 		for m := range ms {
 			n := 0
@@ -174,7 +174,7 @@
 		w := r.addMachine("m1", "z1", false)
 		r.after(jobA)
 		r.heartbeats(2)
-		r.shard.SetInheritedClaim(jobA, fragment.Claim{Rank: Rank("normal"), Needed: needed})
+		r.shard.SetInheritedUrgency(jobA, fragment.Urgency{Rank: Rank("normal"), HasDependents: needed})
 		w.End(jobA+"/0", wire.Done)
 		rep := w.Report()
 		r.shard.Heartbeat(&rep, false, r.clock.Now())
--- a/internal/scheduler/pipeline.go
+++ b/internal/scheduler/pipeline.go
@@ -33,7 +33,7 @@
 // record: what it waits for has final records, which never change, and so every
 // owner comes to the same.
 func (s *Shard) awaitDependencies(j *Job) {
-	j.pipeline = &pipeline{run: fragment.After(j.ref, j.spec.DependsOn)}
+	j.pipeline = &pipeline{run: fragment.BeginAfter(j.ref, j.spec.DependsOn)}
 	for _, r := range j.spec.DependsOn {
 		if s.dependencies.dependents[r] == nil {
 			s.dependencies.dependents[r] = map[*Job]struct{}{}
@@ -68,22 +68,22 @@
 	delete(s.dependencies.dependents, ref)
 }
 
-// SetInheritedClaim gives a job what those that need it ask for.
-func (s *Shard) SetInheritedClaim(ref string, c fragment.Claim) {
+// SetInheritedUrgency sets the urgency of a job, including what it inherits from its dependents.
+func (s *Shard) SetInheritedUrgency(ref string, urgency fragment.Urgency) {
 	j := s.jobs[ref]
 	if j == nil {
 		return
 	}
-	if j.hasDependents = c.Needed; j.rank == c.Rank && j.deadlineAt.Equal(c.Due) {
+	if j.hasDependents = urgency.HasDependents; j.rank == urgency.Rank && j.deadlineAt.Equal(urgency.Deadline) {
 		return
 	}
 	for i := range j.tasks {
-		if m := j.tasks[i].machine; m != nil && j.rank != c.Rank {
+		if m := j.tasks[i].machine; m != nil && j.rank != urgency.Rank {
 			s.inventory.countTask(m, j.rank, -1)
-			s.inventory.countTask(m, c.Rank, 1)
+			s.inventory.countTask(m, urgency.Rank, 1)
 		}
 	}
-	j.rank, j.deadlineAt = c.Rank, c.Due
+	j.rank, j.deadlineAt = urgency.Rank, urgency.Deadline
 	s.placementDue = true
 }
 
@@ -175,7 +175,7 @@
 // cancelled one, or a branch that was not picked. Of one that was withdrawn these
 // are all: a withdrawal may have come no further than the pipeline's own record.
 func (s *Shard) cancelUnneeded(l *pipeline, now time.Time) {
-	left := l.run.Left()
+	left := l.run.Remaining()
 	for _, ref := range l.record.Jobs {
 		j := s.jobs[ref]
 		if j == nil || (l.record.State != wire.Cancelled && (!j.awaitsDependencies || (left[ref] && l.record.State == ""))) {
@@ -196,7 +196,7 @@
 	next := &pipeline{ref: l.ref, record: l.record, run: l.run.Clone(), endsOutsideRecord: l.endsOutsideRecord}
 	next.record.Ended = append(l.record.Ended[:len(l.record.Ended):len(l.record.Ended)], end)
 	l.record.ApplyEnd(next.run, end)
-	if next.run.Over() {
+	if next.run.Done() {
 		next.record.State = wire.Done
 		for _, e := range slices.Concat(next.record.Ended, l.endsOutsideRecord) {
 			if e.State == wire.Cancelled {
