--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -6,64 +6,64 @@
 	"bramblespur/internal/wire"
 )
 
-// Job is an unfinished job. Its tasks change state only in the task ledger, which keeps
-// the counts in progress right.
+// Job is an active job of the shard. Its tasks change state only through the task ledger, which
+// keeps the counts in progress consistent.
 type Job struct {
 	ref                 string
 	spec                *wire.Spec
 	accepted            time.Time
 	record              jobRecord
-	pipeline            *pipeline // singleJob unless it was submitted with one
-	awaitsDependencies  bool      // not released by its pipeline, or by the jobs that it names, yet
-	dependenciesEndedAt time.Time // when the last of these that is terminal ended
-	unneeded            bool      // its pipeline has no use for it any more
+	pipeline            *pipeline // singleJob unless it was submitted in a pipeline or has dependencies
+	awaitsDependencies  bool      // not yet released by its pipeline or its dependencies
+	dependenciesEndedAt time.Time // when the latest of its finished dependencies ended
+	unneeded            bool      // cancelled because its pipeline or a cancelled dependency leaves no use for it
 	cancelled           bool
-	withheld            bool // a record that can't be decoded may tell of its tasks
+	withheld            bool // a placement record that cannot be decoded may hold its tasks
 	tasks               []task
 	progress            jobProgress
-	ranges              []*taskRange // in order, apart
-	notBefore           time.Time    // not to be placed before, after failures
+	ranges              []*taskRange // in order, without overlaps
+	notBefore           time.Time    // earliest time of the next placement, after failures
 	faults              jobFaults
-	unplacedSince       time.Time // since when something waits that fits nowhere
+	unplacedSince       time.Time // since when it has found no machine with room; zero: it does not wait for machines
 	preemption          preemptionState
-	rank                int       // its priority, or a higher one of those that need it
-	deadlineAt          time.Time // when it is to be done, for itself and these; zero: whenever
-	hasDependents       bool      // others wait for its end
-	protected           bool      // started after too long a wait: not preempted any more
+	rank                int       // rank of its priority, or a higher one inherited from its dependents
+	deadlineAt          time.Time // earliest deadline of the job and its dependents; zero: only spec.DeadlineS applies
+	hasDependents       bool      // other jobs wait for its end
+	protected           bool      // placed after too long a wait: exempt from preemption
 }
 
-// jobRecord is what is known of a job's record in the state service.
+// jobRecord is the state of a job's active record in the state service.
 type jobRecord struct {
 	version        uint64
-	endTxn         *Txn // writes the job's end
-	versionUnknown bool // a reread is under way
-	retryAt        time.Time
+	endTxn         *Txn      // transaction in flight that writes the job's end; nil: none
+	versionUnknown bool      // a reread is in flight
+	retryAt        time.Time // no write before this time
 }
 
 // jobProgress counts a job's tasks by state; pending, placed and completed add up to all.
 type jobProgress struct {
 	pending, placed, completed int
 	running                    int            // placed tasks reported as running
-	firstPending               int            // no pending task before it
-	placedByZone               map[string]int // placed tasks by zone
+	firstPending               int            // no task before this index is pending
+	placedByZone               map[string]int // number of placed tasks by zone
 }
 
-// jobFaults is what failed tasks tell of a job.
+// jobFaults counts a job's failures, to find out whether the job or a machine is at fault.
 type jobFaults struct {
-	count    int             // since the job was found to be at fault itself
-	machines map[string]bool // where its tasks failed
+	count    int             // failures since the job itself was found to be at fault
+	machines map[string]bool // IDs of the machines on which its tasks failed
 }
 
-// preemptionState is when a job preempted others, or tried to.
+// preemptionState records when a job preempted others, or tried to.
 type preemptionState struct {
-	awaitedUntil time.Time // until when the room that was made is awaited
-	triedAt      time.Time // when preemption last found nothing
+	awaitedUntil time.Time // until when it waits for preempted tasks to free their resources
+	triedAt      time.Time // when preemption last found nothing to preempt
 }
 
-// highestRank is that of the highest priority: nothing goes before it.
+// highestRank is the rank of the highest priority.
 const highestRank = 3
 
-// Rank orders priorities.
+// Rank returns the rank of a priority: jobs of higher ranks are placed first. The lowest is 0.
 func Rank(priority string) int {
 	switch priority {
 	case "prod":
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -20,59 +20,59 @@
 	record          machineRecord
 	contact         contact
 	probes          probeState
-	inherited       bool      // may hold what an earlier owner started
-	reclaimedAt     time.Time // when the cloud takes it back; zero: no notice
+	inherited       bool      // may run tasks that an earlier owner started
+	reclaimedAt     time.Time // when the cloud reclaims it; zero: no notice
 	used            resources
 	tasks           map[taskKey]*task
-	images          []record.Image // believed to be cached, the latest used last
+	images          []record.Image // believed to be cached, the most recently used last
 	idleSince       time.Time
-	failedJobs      map[string]bool // jobs that failed here in a row
-	transferTo      int             // the shard that it goes to; -1: stays
+	failedJobs      map[string]bool // refs of jobs that failed here in a row
+	transferTo      int             // number of the shard that it is to be transferred to; -1: none
 	draining        bool            // to be released once it is empty
 	cordon          Cordon
-	cordonedLater   bool                    // new work goes elsewhere if it can
-	directStarts    map[string]*directStart // by task
-	retainedResults int                     // exited tasks in its last heartbeat that it may not forget
-	announceToken   bool                    // a command without orders is due, to bring our token there
+	cordonedLater   bool                    // to be cordoned later: new work avoids it if possible
+	directStarts    map[string]*directStart // by task name
+	retainedResults int                     // number of exited tasks in its last heartbeat that it may not forget yet
+	announceToken   bool                    // direct orders are due, even without commands, to bring it the owner's token
 	reservation     reservation
 	entry           inventoryEntry
 }
 
-// machineRecord is what is known of a machine's override record in the state service.
+// machineRecord is the state of a machine's override record in the state service.
 type machineRecord struct {
-	version        uint64 // 0 without one
-	txn            *Txn   // its transfer or a higher token, under way
-	versionUnknown bool   // a reread is under way
-	retryAt        time.Time
-	hasAddress     bool // the machine's address is on record
+	version        uint64    // 0: no override record
+	txn            *Txn      // transaction in flight that writes its transfer or a higher token; nil: none
+	versionUnknown bool      // a reread is in flight
+	retryAt        time.Time // no write before this time
+	hasAddress     bool      // the machine's address is recorded
 }
 
-// contact is what a machine's heartbeats and answers have shown.
+// contact is the state derived from a machine's heartbeats and answers.
 type contact struct {
-	incarnation      uint64 // of its agent
-	seq              uint64
-	up               bool
-	fenced           bool      // has reported our token
+	incarnation      uint64    // of its agent; 0: no heartbeat yet
+	seq              uint64    // sequence number of the last heartbeat accepted
+	up               bool      // has sent a heartbeat that was no late copy
+	fenced           bool      // has reported the fencing token of this owner
 	lastContactAt    time.Time // last heartbeat, or answer to a direct command or a probe
 	heartbeatAt      time.Time // last heartbeat that could be answered
-	steadySince      time.Time // since when it was heard without a gap
-	answeredAt       time.Time // when a heartbeat of this epoch was last answered
-	unreachableSince time.Time // since when no answer seems to reach it; zero: they do
-	missedStarts     int       // heartbeats in a row that lacked a start sent before
+	steadySince      time.Time // since when no gap between contacts was longer than SilentAfter
+	answeredAt       time.Time // when a heartbeat of this incarnation was last answered; zero: not yet
+	unreachableSince time.Time // since when no answer seems to reach it; zero: answers arrive
+	missedStarts     int       // heartbeats in a row that lacked a task whose start was sent before
 }
 
-// reservation is room on a machine for tasks of one job.
+// reservation keeps room on a machine for tasks of one job.
 type reservation struct {
-	job   string // empty: none
-	tasks int
-	until time.Time
+	job   string    // ref; empty: none
+	tasks int       // number of tasks that the room suffices for
+	until time.Time // when it expires
 }
 
-// inventoryEntry is how the inventory has indexed a machine.
+// inventoryEntry is the state of a machine in the inventory's indexes.
 type inventoryEntry struct {
 	indexed     bool
 	class       machineClass
-	tasksByRank [highestRank + 1]int
+	tasksByRank [highestRank + 1]int // number of tasks on the machine by rank
 }
 
 func (m *Machine) hasImage(name string) bool {
--- a/internal/scheduler/placement_records.go
+++ b/internal/scheduler/placement_records.go
@@ -11,116 +11,118 @@
 	"bramblespur/internal/wire"
 )
 
-// Placements and completions are recorded by ranges of tasks, several in a record.
+// Placements and completions are recorded by ranges of tasks. A placement record holds several
+// ranges.
 //
-// The first version has unsized records: it derives the size of their ranges from the
-// state service's limit of a value, so a record that another size was meant for
-// would lose placements, and tasks would run twice. Where a tighter limit is to
-// come, ranges state their size. As long as a controller may still be of the first
-// version, what is written is unsized, and read by both alike; from then on unsized
-// records are never rewritten. Each of their ranges goes, in pieces, to a sized
-// record when that is next written, and the unsized one is deleted once it tells
-// nothing any more. A range that two records tell counts as the one tells that it
-// was entered in later: so a crash between any two writes neither loses nor
-// doubles a placement.
+// The first version of the program writes unsized records: it derives the size of their ranges
+// from the value size limit of the state service. A record read with another size than it was
+// written with would lose placements, and tasks would run twice. Therefore, where a tighter limit
+// is to come, ranges state their size. As long as a controller may still be of the first version,
+// records are written unsized, and both versions read them alike. After that, unsized records are
+// never rewritten: each of their ranges moves, in pieces, to sized records, which are written as
+// usual, and an unsized record is deleted once all of its ranges have moved. Of a range that two
+// records hold, the one that it was entered in later counts, so that a crash between any two
+// writes neither loses nor duplicates a placement.
 
 const (
-	// unsizedPlacementBytes is what a placement takes at the most in an unsized record, in bytes.
+	// unsizedPlacementBytes is the maximum size of a placement in an unsized record, in bytes.
 	unsizedPlacementBytes = 64
-	// unsizedRangeOverhead is what a range costs in an unsized record besides its tasks, in tasks.
+	// unsizedRangeOverhead is the overhead of a range in an unsized record, counted in tasks.
 	unsizedRangeOverhead = 2
-	// sizedPlacementOverhead is what a placement takes besides its machine's name, and
-	// sizedRangeOverhead a range besides its placements and its job's name.
+	// sizedPlacementOverhead is the size of a placement without its machine's ID, and
+	// sizedRangeOverhead that of a range without its placements and its job's ref, both in a sized
+	// record and in bytes.
 	sizedPlacementOverhead = 16
 	sizedRangeOverhead     = 48
-	// recordOverhead is what a record takes besides its ranges.
+	// recordOverhead is the size of a sized record without its ranges, in bytes.
 	recordOverhead = 16
-	// maxJobRefBytes is that of the longest job id.
+	// maxJobRefBytes is the length of the longest job ref.
 	maxJobRefBytes = 22
 )
 
-// PlacementsPerRecord sizes an unsized record of placements so that it keeps to valueKB. The
-// size of unsized ranges follows from it: it must stay as it is.
+// PlacementsPerRecord returns how many placements an unsized record holds at most, so that its
+// size stays below valueKB KiB. The size of unsized ranges is derived from it, so this formula must
+// not change.
 func PlacementsPerRecord(valueKB float64) int {
 	return max(2*unsizedRangeOverhead, min(int(valueKB*1024/unsizedPlacementBytes), 256))
 }
 
-// unsizedRangeTasks is the most tasks of one job in one unsized record.
+// unsizedRangeTasks returns the number of tasks in an unsized range.
 func (c *Config) unsizedRangeTasks() int { return c.PlacementsPerRecord - unsizedRangeOverhead }
 
-// taskRange is a range of a job's tasks; its placements lie in a record.
+// taskRange is a range [first, end) of a job's tasks, whose placements one record holds.
 type taskRange struct {
 	job            *Job
 	first, end     int
 	record         *placementRecord
-	bytes          int              // what it may take there, in bytes
-	generation     int              // how often it was entered in a sized record
-	attempt        uint64           // highest ever used
-	previousRecord *placementRecord // the one that tells it until record is written
+	bytes          int              // upper bound of its size in the record, in bytes
+	generation     int              // of ranges that overlap, the one with the highest counts; raised with each entry in a sized record
+	attempt        uint64           // highest attempt ever used
+	previousRecord *placementRecord // the record that holds it in the state service until record is written; nil: none
 }
 
-// placementRecord is one record of placements, shared by ranges of several jobs.
+// placementRecord is a placement record, which holds ranges of several jobs.
 type placementRecord struct {
 	number         int
-	version        uint64 // 0: no record
-	sized          bool
-	unreadable     bool // its record can't be decoded, and is never written
-	usedBytes      int  // in bytes
-	ranges         map[string]*taskRange
-	movedOut       map[*taskRange]struct{} // ranges that went elsewhere and are not written there yet
-	dirty          bool
-	urgent         bool      // a start waits for it
-	forceWrite     bool      // a range must come here for its old record to be written
-	dirtySince     time.Time // when it became dirty
-	writtenAt      time.Time // when it was last written
-	txn            *Txn
-	versionUnknown bool // a transaction's outcome is unknown; a reread is under way
-	retryAt        time.Time
+	version        uint64                  // 0: not in the state service
+	sized          bool                    // its ranges state their size
+	unreadable     bool                    // it cannot be decoded, and is never written
+	usedBytes      int                     // sum of the bytes of its ranges
+	ranges         map[string]*taskRange   // by name: see rangeName
+	movedOut       map[*taskRange]struct{} // ranges that have moved to other records and are not yet written there
+	dirty          bool                    // it differs from the ledger
+	urgent         bool                    // a start waits for its write
+	forceWrite     bool                    // write it even without new starts or completions
+	dirtySince     time.Time               // when it became dirty
+	writtenAt      time.Time               // when it was last written
+	txn            *Txn                    // transaction in flight that writes or deletes it; nil: none
+	versionUnknown bool                    // a reread is in flight
+	retryAt        time.Time               // no write before this time
 }
 
-// placementLedger keeps the shard's placement records and which range of tasks is told by
-// which of them. Every task that was ever placed is in exactly one range, and every range in
-// one record; what a record may take stays within valueBytes.
+// placementLedger holds the shard's placement records and assigns ranges of tasks to them. Every
+// task that was ever placed is in exactly one range, and every range in exactly one record. The
+// bounded size of a record stays within valueBytes, unless it has only one range.
 type placementLedger struct {
 	cfg     *Config
 	token   uint64
 	records map[int]*placementRecord
-	// txnOps and valueBytes are the limits to write by: those of the settings,
-	// or less where the state service turned out to have others.
+	// txnOps and valueBytes are the limits that writes keep to: those of Config, or lower ones
+	// after the state service has rejected a transaction as too large.
 	txnOps, valueBytes int
-	longestMachineID   int                // of the machines' names
-	sizedAllowed       bool               // no controller of the first version is left
+	longestMachineID   int                // length of the longest ID of a machine of the shard
+	sizedAllowed       bool               // no controller of the first version is left: ranges may state their size
 	sized              bool               // ranges state their size
-	obsolete           []*placementRecord // to be deleted
+	obsolete           []*placementRecord // unsized records to be deleted
 }
 
 func newPlacementLedger(cfg *Config, token uint64) placementLedger {
 	return placementLedger{cfg: cfg, token: token, records: map[int]*placementRecord{}, txnOps: cfg.TxnOps, valueBytes: cfg.ValueBytes}
 }
 
-// AllowSizedRanges tells that no controller of the first version is left, so that ranges may state
-// their size where that is needed.
+// AllowSizedRanges allows ranges that state their size where they are needed. The caller must know
+// that no controller of the first version is left.
 func (s *Shard) AllowSizedRanges() { s.ledger.sizedAllowed = true }
 
-// UseSizedRanges makes ranges state their size from now on: no controller of the first version is
-// left.
+// UseSizedRanges makes ranges state their size from now on. The caller must know that no controller
+// of the first version is left.
 func (s *Shard) UseSizedRanges() {
 	if !s.ledger.sized {
 		s.ledger.sized, s.placementDue = true, true
 	}
 }
 
-// placementBytes is what a placement may take in a sized record.
+// placementBytes returns an upper bound of the size of a placement in a sized record, in bytes.
 func (l *placementLedger) placementBytes() int {
 	return sizedPlacementOverhead + max(l.longestMachineID, 8)
 }
 
-// sizedRangeTasks is the most tasks in a sized range.
+// sizedRangeTasks returns the maximum number of tasks in a sized range.
 func (l *placementLedger) sizedRangeTasks() int {
 	return max(1, min((l.valueBytes-recordOverhead-sizedRangeOverhead-maxJobRefBytes)/l.placementBytes(), l.cfg.unsizedRangeTasks()))
 }
 
-// rangeBytes is what a range may take in a record.
+// rangeBytes returns an upper bound of the size of a range in a sized or unsized record, in bytes.
 func (l *placementLedger) rangeBytes(c *taskRange, sized bool) int {
 	if sized {
 		return sizedRangeOverhead + len(c.job.ref) + (c.end-c.first)*l.placementBytes()
@@ -128,7 +130,7 @@
 	return (c.end - c.first + unsizedRangeOverhead) * unsizedPlacementBytes
 }
 
-// rangeAt returns the range that task i is in, nil if there is none yet.
+// rangeAt returns the range of task i, nil if there is none yet.
 func (j *Job) rangeAt(i int) *taskRange {
 	n := sort.Search(len(j.ranges), func(n int) bool { return j.ranges[n].end > i })
 	if n < len(j.ranges) && j.ranges[n].first <= i {
@@ -137,19 +139,19 @@
 	return nil
 }
 
-// insertRange adds a range to a job's, which are in order and apart.
+// insertRange adds a range to those of a job, which are in order and do not overlap.
 func (j *Job) insertRange(c *taskRange) {
 	n := sort.Search(len(j.ranges), func(n int) bool { return j.ranges[n].first > c.first })
 	j.ranges = slices.Insert(j.ranges, n, c)
 }
 
-// uncovered returns the spans of [first, end) that are in no range yet, each of
-// at most so many tasks.
-func (j *Job) uncovered(first, end, most int) [][2]int {
+// uncovered returns the spans of [first, end) that are in no range yet, each of at most
+// maxTasks tasks.
+func (j *Job) uncovered(first, end, maxTasks int) [][2]int {
 	var out [][2]int
 	add := func(a, b int) {
-		for ; a < b; a += most {
-			out = append(out, [2]int{a, min(a+most, b)})
+		for ; a < b; a += maxTasks {
+			out = append(out, [2]int{a, min(a+maxTasks, b)})
 		}
 	}
 	at := first
@@ -164,7 +166,8 @@
 	return out
 }
 
-// rangeOf returns the range of a task, a new one in the first record that has room.
+// rangeOf returns the range of task i. If there is none yet, it makes one and assigns it to the
+// first record with room.
 func (l *placementLedger) rangeOf(j *Job, i int) *taskRange {
 	if c := j.rangeAt(i); c != nil {
 		return c
@@ -182,10 +185,11 @@
 			return l.assign(&taskRange{job: j, first: span[0], end: span[1]}, nil)
 		}
 	}
-	panic(fmt.Sprintf("scheduler: %s/%d is in no range and in one", j.ref, i))
+	panic(fmt.Sprintf("scheduler: task %s/%d has no range, but no uncovered span contains it", j.ref, i))
 }
 
-// assignRange puts a range into a record, the first with room if none is named.
+// assign enters a range in a record, or in the first one with room if rec is nil, and returns the
+// range.
 func (l *placementLedger) assign(c *taskRange, rec *placementRecord) *taskRange {
 	if rec == nil {
 		rec = l.recordWithRoom(l.rangeBytes(c, l.sized), nil)
@@ -202,23 +206,24 @@
 	return c
 }
 
-// recordWithRoom returns the first record that may take a range. What is written keeps
-// to the tighter of the limits where it can: only a range that is larger by
-// itself gets a record of its own. What leaves a record does not come back to it, which
-// would wait for itself to be written.
-func (l *placementLedger) recordWithRoom(cost int, leaves *placementRecord) *placementRecord {
-	most := l.valueBytes
+// recordWithRoom returns the first record with room for a range of so many bytes, a new one if
+// there is none. Records keep to valueBytes where they can: only a range that alone exceeds it gets
+// a record to itself. A range that moves out of a record must not be entered there again, since
+// that record would wait for its own write: source is that record, nil if the range is new.
+func (l *placementLedger) recordWithRoom(bytes int, source *placementRecord) *placementRecord {
+	limit := l.valueBytes
 	if l.sized {
-		most -= recordOverhead
+		limit -= recordOverhead
 	}
 	for n := 0; ; n++ {
 		rec := l.record(n)
-		if rec != leaves && !rec.unreadable && rec.sized == l.sized && len(rec.movedOut) == 0 && (len(rec.ranges) == 0 || rec.usedBytes+cost <= most) {
+		if rec != source && !rec.unreadable && rec.sized == l.sized && len(rec.movedOut) == 0 && (len(rec.ranges) == 0 || rec.usedBytes+bytes <= limit) {
 			return rec
 		}
 	}
 }
 
+// record returns record n, a new one if there is none.
 func (l *placementLedger) record(n int) *placementRecord {
 	rec := l.records[n]
 	if rec == nil {
@@ -228,7 +233,8 @@
 	return rec
 }
 
-// rangeName is a range's name in its record.
+// rangeName returns the name of a range in its record: the job's ref with the index of the first
+// task if the record is sized, else with the number of the range.
 func (l *placementLedger) rangeName(c *taskRange) string {
 	if c.record.sized {
 		return record.RangeName(c.job.ref, c.first)
@@ -236,15 +242,15 @@
 	return record.RangeName(c.job.ref, c.first/l.cfg.unsizedRangeTasks())
 }
 
-// detachRange takes a range out of its record and its job.
+// detach removes a range from its record and its job.
 func (l *placementLedger) detach(c *taskRange) {
 	c.record.usedBytes -= c.bytes
 	delete(c.record.ranges, l.rangeName(c))
 	c.job.ranges = slices.DeleteFunc(c.job.ranges, func(o *taskRange) bool { return o == c })
 }
 
-// confirmRange notes that a range is written to its record: the one before tells it no
-// longer, or tells it in vain.
+// confirmWritten marks a range as written to its record: the previous record no longer holds it,
+// or its copy there no longer counts.
 func (l *placementLedger) confirmWritten(c *taskRange) {
 	if c.previousRecord != nil {
 		delete(c.previousRecord.movedOut, c)
@@ -252,9 +258,9 @@
 	}
 }
 
-// splitRange cuts a range into pieces and enters them in other records. The record that it
-// leaves is not written before they are there.
-func (l *placementLedger) split(c *taskRange, most int) {
+// split cuts a range into pieces of at most maxTasks tasks and enters them in other records. The
+// record that the range leaves is not written before the pieces are written there.
+func (l *placementLedger) split(c *taskRange, maxTasks int) {
 	old := c.record
 	l.detach(c)
 	from := c.previousRecord
@@ -262,13 +268,13 @@
 	if from == nil {
 		from = old
 	}
-	for first := c.first; first < c.end; first += most {
-		n := &taskRange{job: c.job, first: first, end: min(first+most, c.end), generation: c.generation, attempt: c.attempt, previousRecord: from}
+	for first := c.first; first < c.end; first += maxTasks {
+		n := &taskRange{job: c.job, first: first, end: min(first+maxTasks, c.end), generation: c.generation, attempt: c.attempt, previousRecord: from}
 		l.assign(n, l.recordWithRoom(l.rangeBytes(n, l.sized), old))
 		if from.version > 0 {
 			from.movedOut[n] = struct{}{}
 		} else {
-			n.previousRecord = nil // no record tells it
+			n.previousRecord = nil // no record in the state service holds it
 		}
 		for i := n.first; i < n.end; i++ {
 			if t := &c.job.tasks[i]; (t.state == placed && !t.recorded) || (t.state == completed && !t.completionRecorded) {
@@ -282,8 +288,8 @@
 	}
 }
 
-// retireUnsizedRecords makes the ranges of unsized records sized ones, and deletes the unsized records
-// that tell nothing any more.
+// retireUnsized moves the ranges of unsized records to sized records, and queues the unsized
+// records that are no longer needed for deletion.
 func (l *placementLedger) retireUnsized() {
 	for n, rec := range l.records {
 		if rec.sized || rec.unreadable || rec.txn != nil || rec.versionUnknown {
@@ -302,10 +308,10 @@
 	}
 }
 
-// splitOversizedRecord makes a record keep to the limit of a value: ranges that its record has no
-// room for go elsewhere. It reports false if the record must wait for that. What a
-// range takes is estimated well above what it does take, so this is for what
-// nobody expects, as machines' names that have grown.
+// splitOversized makes a sized record, whose encoding has size bytes, keep to the limit of a value:
+// it moves ranges that do not fit to other records. It returns false if the record must wait for
+// these to be written. The sizes of ranges are estimated well above the actual ones, so this
+// handles only unexpected growth, such as longer machine IDs.
 func (l *placementLedger) splitOversized(rec *placementRecord, size int) bool {
 	if !rec.sized || size <= l.valueBytes {
 		return true
@@ -328,7 +334,7 @@
 	return false
 }
 
-// loadedRange is a range as a record tells it.
+// loadedRange is a range as a record holds it.
 type loadedRange struct {
 	job        *Job
 	record     *placementRecord
@@ -336,7 +342,8 @@
 	recorded   record.TaskRange
 }
 
-// loadPlacements reads the records of placements.
+// loadPlacements decodes the placement records and returns their ranges of active jobs, those that
+// were entered later first.
 func (s *Shard) loadPlacements(entries []wire.Entry) ([]loadedRange, error) {
 	var out []loadedRange
 	for _, e := range entries {
@@ -357,25 +364,25 @@
 		rec := s.ledger.record(n)
 		rec.version, rec.sized = e.Version, r.Format == record.SizedRanges
 		if rec.sized {
-			s.UseSizedRanges() // who wrote it knew that the first version is gone
+			s.UseSizedRanges() // its writer knew that no controller of the first version was left
 		}
-		for name, run := range r.Ranges {
+		for name, recorded := range r.Ranges {
 			ref, n, ok := record.SplitRangeName(name)
 			j := s.jobs[ref]
 			if !ok || j == nil {
-				continue // left over from a finished job
+				continue // the range of a finished job
 			}
-			l := loadedRange{job: j, record: rec, first: n, end: n + run.Size, recorded: run}
+			l := loadedRange{job: j, record: rec, first: n, end: n + recorded.Size, recorded: recorded}
 			if !rec.sized {
-				per := s.cfg.unsizedRangeTasks()
-				l.first, l.end = n*per, (n+1)*per
+				size := s.cfg.unsizedRangeTasks()
+				l.first, l.end = n*size, (n+1)*size
 			}
 			if l.end = min(l.end, len(j.tasks)); l.first < l.end {
 				out = append(out, l)
 			}
 		}
 	}
-	// Of two that tell the same tasks the one entered later counts.
+	// Of two ranges with the same tasks the one that was entered later counts.
 	sort.Slice(out, func(a, b int) bool {
 		if x, y := out[a].recorded.Generation, out[b].recorded.Generation; x != y {
 			return x > y
--- a/internal/scheduler/shard.go
+++ b/internal/scheduler/shard.go
@@ -7,7 +7,8 @@
 	"bramblespur/internal/wire"
 )
 
-// Shard is the scheduling core of one shard.
+// Shard is the scheduling state of one shard. Its methods may be called only under the
+// caller's lock.
 type Shard struct {
 	cfg            *Config
 	id             int
@@ -16,7 +17,7 @@
 	ownershipLost  bool
 	inventory      inventory
 	jobs           map[string]*Job
-	endingJobs     map[string]*Job // jobs whose end is to be recorded
+	endingJobs     map[string]*Job // jobs whose terminal state is to be recorded
 	dependencies   dependencies
 	ledger         placementLedger
 	releases       releaseQueue
@@ -30,28 +31,29 @@
 	reconciliation reconciliation
 	unreadable     unreadableRecords
 	dataLoss       dataLossDetection
-	delayedStarts  map[*Machine]time.Time // when starts that are delayed there are due
-	writeBacklog   time.Duration          // how long changes wait for the state service's budget
-	// cancellationsUnknown: cancellations told elsewhere may be unknown here.
+	delayedStarts  map[*Machine]time.Time // when the delayed starts on a machine are due
+	writeBacklog   time.Duration          // how long writes wait for the request budget of the state service
+	// cancellationsUnknown is set while cancellations that other controllers have confirmed to
+	// users may not have reached this controller.
 	cancellationsUnknown bool
 	effects              Effects
-	placementDue         bool      // something changed that may allow a placement
-	nextWake             time.Time // when a Step is due though nothing changes; zero: never
+	placementDue         bool      // a change may allow a placement
+	nextWake             time.Time // when Step is due even without a change; zero: never
 }
 
-// placementPass is what one pass over the waiting jobs keeps.
+// placementPass is the state of one pass over the pending jobs.
 type placementPass struct {
-	gangByZone map[string]*Job // the gangs that machines are reserved for, by zone
+	gangByZone map[string]*Job // the gang for which machines of a zone are reserved
 	candidates candidateCache  // for the job whose tasks are being placed
 }
 
-// dependencies is what jobs of the shard wait for besides room.
+// dependencies holds the pipelines and jobs that jobs of the shard wait for.
 type dependencies struct {
-	pipelines  map[string]*pipeline         // those of several jobs
-	dependents map[string]map[*Job]struct{} // by dependency, the jobs here that wait for it
+	pipelines  map[string]*pipeline         // pipelines of several jobs, by ref
+	dependents map[string]map[*Job]struct{} // the jobs of this shard that depend on a job, by its ref
 }
 
-// New makes the core of a shard acquired under a token.
+// New returns the empty state of a shard that was acquired under a fencing token.
 func New(cfg *Config, id int, token uint64) *Shard {
 	return &Shard{
 		cfg: cfg, id: id, token: token,
@@ -78,7 +80,7 @@
 // OwnershipLost reports whether the shard was found to belong to another controller.
 func (s *Shard) OwnershipLost() bool { return s.ownershipLost }
 
-// ownershipCondition is the condition of every write: that the shard is still ours.
+// ownershipCondition returns the condition of every write: this controller still owns the shard.
 func (s *Shard) ownershipCondition() wire.Condition {
 	return wire.Condition{Key: record.ShardKey(s.id), Version: s.token}
 }
--- a/internal/scheduler/task.go
+++ b/internal/scheduler/task.go
@@ -12,38 +12,38 @@
 
 const (
 	pending   taskState = iota // has no machine
-	placed                     // has a machine; the task's flags tell how far its start has come
-	completed                  // for ever
+	placed                     // has a machine; the task's flags show the progress of its start
+	completed                  // final
 )
 
-// task is a task of a job. All but its state has a meaning only while it is placed, except
-// for completionRecorded.
+// task is a task of a job. Its fields are valid only while it is placed, except for state and
+// completionRecorded.
 type task struct {
 	state              taskState
-	recorded           bool // the placement is in the state service
-	recording          bool // the placement is in a transaction under way
-	completionRecorded bool // the completion is in the state service
-	inherited          bool // placed by an earlier owner: never started by us
-	reconciled         bool // what became of it after a failover is known
-	reported           bool // its machine has reported this attempt to us
-	sentIncarnation    uint64
-	sent               bool
-	phase              string // as reported
-	runningSince       time.Time
+	recorded           bool      // the placement is in the state service
+	recording          bool      // a transaction in flight writes the placement
+	completionRecorded bool      // the completion is in the state service
+	inherited          bool      // placed by an earlier owner or adopted: this owner never starts it
+	reconciled         bool      // its outcome in the reconciliation after a failover is known
+	reported           bool      // its machine has reported this attempt to this owner
+	sentIncarnation    uint64    // agent incarnation that the start was sent to
+	sent               bool      // its start was sent
+	phase              string    // state in the last report, a wire constant; empty: not reported
+	runningSince       time.Time // when it was first reported as running
 	attempt            uint64
 	machine            *Machine
-	stopping           bool // to be stopped; never taken back for an attempt
-	grace              time.Duration
-	trace              *startTrace // until it runs
+	stopping           bool          // to be stopped; never revoked for the attempt
+	grace              time.Duration // time that the stop leaves it to save
+	trace              *startTrace   // nil once it runs, and for inherited tasks
 }
 
-// startTrace is when a task's start passed what it has to pass.
+// startTrace holds when a task's start reached each of its stages.
 type startTrace struct {
 	placed, recorded, sent, reported time.Time
-	cached                           bool
+	cached                           bool // the machine was believed to have the image cached
 }
 
-// taskKey names a task in the shard.
+// taskKey identifies a task of the shard.
 type taskKey struct {
 	job   *Job
 	index int
@@ -51,10 +51,11 @@
 
 func (k taskKey) name() string { return TaskName(k.job.ref, k.index) }
 
-// TaskName names a task of a job.
+// TaskName returns the name of task i of the job ref: REF/INDEX.
 func TaskName(ref string, i int) string { return ref + "/" + strconv.Itoa(i) }
 
-// SplitTask splits a task's name.
+// SplitTask splits a task's name into the job's ref and the task's index. It returns ok false if
+// the name is not of the form REF/INDEX.
 func SplitTask(name string) (ref string, i int, ok bool) {
 	at := strings.LastIndexByte(name, '/')
 	if at < 0 {
--- a/internal/scheduler/task_ledger.go
+++ b/internal/scheduler/task_ledger.go
@@ -9,7 +9,7 @@
 	"bramblespur/internal/wire"
 )
 
-// placeTask sets task k on machine m in the ledger.
+// placeTask enters the placement of the pending task k on machine m in the ledger.
 func (s *Shard) placeTask(k taskKey, m *Machine, attempt uint64, now time.Time) *task {
 	j := k.job
 	t := &j.tasks[k.index]
@@ -34,7 +34,8 @@
 	return t
 }
 
-// unplaceTask removes task k from its machine: it was proven gone, or never recorded.
+// unplaceTask makes the placed task k pending again: it was proven gone, or its placement was
+// never recorded.
 func (s *Shard) unplaceTask(k taskKey, now time.Time) {
 	j := k.job
 	t := &j.tasks[k.index]
@@ -68,6 +69,7 @@
 	s.placementDue = true
 }
 
+// markCompleted makes a pending or placed task completed.
 func (s *Shard) markCompleted(k taskKey, now time.Time) {
 	j := k.job
 	t := &j.tasks[k.index]
@@ -88,19 +90,19 @@
 	s.placementDue = true
 }
 
-// queueIfTerminal notes that a job may be over: its end is recorded with the next Step.
+// queueIfTerminal queues a terminal job for the next Step, which records its end.
 func (s *Shard) queueIfTerminal(j *Job) {
 	if j.terminal() {
 		s.endingJobs[j.ref] = j
 	}
 }
 
-// terminal reports whether nothing of a job is left to run or to be proven gone.
+// terminal reports whether no task of a job is left to run or to be proven gone.
 func (j *Job) terminal() bool {
 	return (j.cancelled && j.progress.placed == 0 && !j.withheld) || (!j.cancelled && j.progress.completed == len(j.tasks))
 }
 
-// markRangeDirty marks the range of a task as changed.
+// markDirty marks the placement record of a task's range as changed and returns the range.
 func (l *placementLedger) markDirty(k taskKey, now time.Time) *taskRange {
 	c := l.rangeOf(k.job, k.index)
 	if !c.record.dirty {
@@ -109,6 +111,8 @@
 	return c
 }
 
+// nextAttempt returns the number of the next attempt of task i: above any attempt of its range,
+// or for a gang above any attempt of all its ranges.
 func (l *placementLedger) nextAttempt(j *Job, i int) uint64 {
 	if j.spec.Kind != wire.Gang {
 		return l.rangeOf(j, i).attempt + 1
@@ -120,7 +124,8 @@
 	return a + 1
 }
 
-// SetJob takes in an unfinished job's record, new or changed.
+// SetJob applies a new or changed record of an active job at a version. It ignores records of
+// other shards, and records that are no newer than the one known.
 func (s *Shard) SetJob(ref string, o record.ActiveJob, version uint64, now time.Time) {
 	if o.Shard != s.id {
 		return
@@ -156,7 +161,8 @@
 	s.placementDue = true
 }
 
-// releaseJob lets a held job start. What waits for it counts from then on.
+// releaseJob ends a job's wait for its dependencies: its waiting time for placement counts from
+// at.
 func (s *Shard) releaseJob(j *Job, at, now time.Time) {
 	if !j.awaitsDependencies {
 		return
@@ -168,7 +174,7 @@
 	s.placementDue = true
 }
 
-// cancelJob ends a job: its end is recorded once nothing of it runs.
+// cancelJob cancels a job and stops its tasks: its end is recorded once none of them is placed.
 func (s *Shard) cancelJob(j *Job, now time.Time) {
 	if j.cancelled {
 		return
@@ -185,7 +191,8 @@
 	s.queueIfTerminal(j)
 }
 
-// SetMachine takes in what the records say of a machine, new or changed.
+// SetMachine applies the merged records of a new or changed machine. It fails if the machine is
+// new and of a type that the configuration lacks.
 func (s *Shard) SetMachine(id string, v record.MachineView, now time.Time) error {
 	m := s.inventory.byID[id]
 	if v.Shard != s.id {
@@ -227,14 +234,14 @@
 	return nil
 }
 
-// DropMachine takes in that no record names a machine any more: it is gone.
+// DropMachine removes a machine that no record names any more: it is gone.
 func (s *Shard) DropMachine(id string, now time.Time) {
 	if m := s.inventory.byID[id]; m != nil {
 		s.removeMachine(m, now)
 	}
 }
 
-// removeMachine takes a machine out that is gone or another shard's.
+// removeMachine removes a machine that is gone or belongs to another shard. Its tasks are lost.
 func (s *Shard) removeMachine(m *Machine, now time.Time) {
 	for k := range m.tasks {
 		s.taskLost(k, now)
@@ -246,31 +253,33 @@
 	s.placementDue = true
 }
 
-// SetWriteBacklog tells how long changes wait for the state service's budget: the
-// longer, the more of them share a write.
+// SetWriteBacklog sets how long writes wait for the request budget of the state service: the
+// longer, the more changes share a write.
 func (s *Shard) SetWriteBacklog(d time.Duration) { s.writeBacklog = min(d, maxWriteBacklog) }
 
-// maxWriteBacklog bounds what a start waits for others on top of the usual.
+// maxWriteBacklog bounds how much longer than StartBatchDelay a start waits to share a write.
 const maxWriteBacklog = time.Second
 
-// SetCancellationsUnknown tells whether cancellations told to users by other controllers may
-// be unknown here: nothing is started then, not even what was recorded before.
-func (s *Shard) SetCancellationsUnknown(blind bool) { s.cancellationsUnknown = blind }
+// SetCancellationsUnknown sets whether cancellations that other controllers have confirmed to
+// users may not have reached this one. While they may not, no task is started, not even one
+// whose placement is recorded.
+func (s *Shard) SetCancellationsUnknown(unknown bool) { s.cancellationsUnknown = unknown }
 
-// HasMachine reports whether the shard holds a machine.
+// HasMachine reports whether a machine belongs to the shard.
 func (s *Shard) HasMachine(id string) bool { return s.inventory.byID[id] != nil }
 
-// HasJob reports whether the shard holds an unfinished job.
+// HasJob reports whether the shard holds an active job.
 func (s *Shard) HasJob(ref string) bool { return s.jobs[ref] != nil }
 
-// HasJobVersion reports whether the shard holds an unfinished job as its record of a version
-// tells, or a later one.
+// HasJobVersion reports whether the shard holds an active job at this version of its record or
+// a later one.
 func (s *Shard) HasJobVersion(ref string, version uint64) bool {
 	j := s.jobs[ref]
 	return j != nil && j.record.version >= version
 }
 
-// Status returns a job's state for display.
+// Status returns a job's state for status queries. It returns false if the shard does not hold
+// the job.
 func (s *Shard) Status(ref string) (wire.Status, bool) {
 	j := s.jobs[ref]
 	if j == nil {
@@ -283,7 +292,8 @@
 	return status, true
 }
 
-// stopTask asks for a task's end; it is never taken back for that attempt.
+// stopTask stops a placed task, which has the grace period to save. The stop is never revoked for
+// that attempt.
 func (s *Shard) stopTask(k taskKey, grace time.Duration, now time.Time) {
 	t := &k.job.tasks[k.index]
 	if t.state != placed {
@@ -303,10 +313,10 @@
 	}
 }
 
-// taskLost takes in that a placed task is proven gone without completing. A gang
-// that has not started keeps waiting, and a replacement under the same attempt
-// completes it; of one that runs, what was not saved is lost already, so the
-// rest only holds places and is ended.
+// taskLost makes a placed task pending that is proven gone without having completed. If its gang
+// is still assembling, the others keep waiting, and a replacement under the same attempt
+// completes the gang. If its gang runs, unsaved work is lost already and the other tasks only
+// occupy machines, so they are stopped.
 func (s *Shard) taskLost(k taskKey, now time.Time) {
 	s.reconciliation.recordOutcome(&k.job.tasks[k.index], reconcile.Missing)
 	s.recordInterruption(k)
@@ -316,6 +326,7 @@
 	}
 }
 
+// stopAttempt stops the placed tasks of a job without grace, except for those being stopped.
 func (s *Shard) stopAttempt(j *Job, now time.Time) {
 	for i := range j.tasks {
 		t := &j.tasks[i]
@@ -325,16 +336,16 @@
 	}
 }
 
-// assembling reports whether the placed tasks of a gang still wait for the
-// others of their attempt, as far as their heartbeats tell.
+// assembling reports whether, by the heartbeats received, all placed tasks of a gang still wait
+// for the others of their attempt.
 func (j *Job) assembling() bool {
 	for i := range j.tasks {
 		t := &j.tasks[i]
 		if t.state != placed {
 			continue
 		}
-		waits := t.phase == wire.Fetching || t.phase == wire.AwaitingGang || (t.phase == "" && !t.inherited)
-		if t.stopping || !waits {
+		waiting := t.phase == wire.Fetching || t.phase == wire.AwaitingGang || (t.phase == "" && !t.inherited)
+		if t.stopping || !waiting {
 			return false
 		}
 	}
