--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -138,7 +138,7 @@
 		if len(recorded()) > 0 {
 			t.Fatal("plans for itself though the leader asked a moment ago")
 		}
-		c.duties.LeaderAskedLocked(now.Add(-time.Minute))
+		c.duties.RecordLeaderContactLocked(now.Add(-time.Minute))
 		c.duties.PlanStandalone(ctx, now)
 		c.duties.PlanStandalone(ctx, now)
 		entries := recorded()
--- a/internal/controller/leader/addresses.go
+++ b/internal/controller/leader/addresses.go
@@ -111,6 +111,6 @@
 			l.log.Debug("addresses not recorded", "name", name, "err", err)
 			return // told and tried again
 		}
-		l.host.AppliedLocked(t, rev, time.Now())
+		l.host.ApplyOwnWritesLocked(t, rev, time.Now())
 	}()
 }
--- a/internal/controller/leader/harness_test.go
+++ b/internal/controller/leader/harness_test.go
@@ -78,43 +78,43 @@
 	}
 }
 
-func (h *fakeHost) AppliedLocked(t wire.Txn, revision uint64, _ time.Time) {
+func (h *fakeHost) ApplyOwnWritesLocked(t wire.Txn, revision uint64, _ time.Time) {
 	for _, op := range t.Then {
 		h.change(wire.Change{Put: op.Put, Value: op.Value, Delete: op.Delete, Version: revision})
 	}
 }
 
-func (h *fakeHost) IsLeaderLocked(time.Time) bool                          { return true }
-func (h *fakeHost) SafeModeLocked() bool                                   { return false }
-func (h *fakeHost) CandidacyLocked(time.Time) func(context.Context)        { return nil }
-func (h *fakeHost) LeaderLocked() (string, uint64)                         { return "c-0", h.leadership }
-func (h *fakeHost) ClusterLocked(now time.Time) Cluster                    { return Cluster{Self: "c-0", Now: now} }
-func (h *fakeHost) StepDown(context.Context)                               {}
-func (h *fakeHost) SummariesLocked(time.Time) []fleet.Summary              { return nil }
-func (h *fakeHost) OrderLocked(fleet.Order, time.Time) bool                { return false }
-func (h *fakeHost) TokenLocked(int) (uint64, bool)                         { return 0, false }
-func (h *fakeHost) OwnerLocked(int) string                                 { return "" }
-func (h *fakeHost) MayPlanLocked(time.Time) bool                           { return false }
-func (h *fakeHost) AcquireLocked(context.Context, int)                     {}
-func (h *fakeHost) TransferBackLocked(context.Context, int)                {}
-func (h *fakeHost) FleetLocked() *clusterview.Machines                     { return h.machines }
-func (h *fakeHost) FleetSeenLocked() bool                                  { return true }
-func (h *fakeHost) MachineTypesLocked() []wire.MachineType                 { return nil }
-func (h *fakeHost) AllowCloudCallLocked(time.Time) bool                    { return true }
-func (h *fakeHost) LostRecords(context.Context, map[string]string) bool    { return false }
-func (h *fakeHost) RatesLocked() config.State                              { return config.State{} }
-func (h *fakeHost) MemberLocked(string) bool                               { return false }
-func (h *fakeHost) LoadLocked(now time.Time) Load                          { return Load{At: now} }
-func (h *fakeHost) BehindLocked() bool                                     { return false }
-func (h *fakeHost) OrdersWaitingLocked() int                               { return 0 }
-func (h *fakeHost) OrderLimitLocked() (float64, bool)                      { return 0, false }
-func (h *fakeHost) SetOrderShareLocked(float64, time.Time)                 {}
-func (h *fakeHost) Store() statestore.Store                                { return h.store }
-func (h *fakeHost) Cloud() cloud.API                                       { return &h.cloud }
-func (h *fakeHost) Peers() map[string]peer.Caller                          { return nil }
-func (h *fakeHost) CheckSync(_ string, _ *peer.SyncReply, err error) error { return err }
-func (h *fakeHost) PingPeers()                                             {}
-func (h *fakeHost) AfterTurn(context.Context)                              {}
+func (h *fakeHost) IsLeaderLocked(time.Time) bool                               { return true }
+func (h *fakeHost) SafeModeLocked() bool                                        { return false }
+func (h *fakeHost) CandidacyLocked(time.Time) func(context.Context)             { return nil }
+func (h *fakeHost) LeaderLocked() (string, uint64)                              { return "c-0", h.leadership }
+func (h *fakeHost) ClusterLocked(now time.Time) Cluster                         { return Cluster{Self: "c-0", Now: now} }
+func (h *fakeHost) StepDown(context.Context)                                    {}
+func (h *fakeHost) SummariesLocked(time.Time) []fleet.Summary                   { return nil }
+func (h *fakeHost) OrderLocked(fleet.Order, time.Time) bool                     { return false }
+func (h *fakeHost) TokenLocked(int) (uint64, bool)                              { return 0, false }
+func (h *fakeHost) OwnerLocked(int) string                                      { return "" }
+func (h *fakeHost) MayPlanLocked(time.Time) bool                                { return false }
+func (h *fakeHost) AcquireLocked(context.Context, int)                          {}
+func (h *fakeHost) TransferBackLocked(context.Context, int)                     {}
+func (h *fakeHost) FleetLocked() *clusterview.Machines                          { return h.machines }
+func (h *fakeHost) FleetLoadedLocked() bool                                     { return true }
+func (h *fakeHost) MachineTypesLocked() []wire.MachineType                      { return nil }
+func (h *fakeHost) AllowCloudCallLocked(time.Time) bool                         { return true }
+func (h *fakeHost) CheckForLostRecords(context.Context, map[string]string) bool { return false }
+func (h *fakeHost) StateServiceLimitsLocked() config.State                      { return config.State{} }
+func (h *fakeHost) IsLiveMemberLocked(string) bool                              { return false }
+func (h *fakeHost) LoadLocked(now time.Time) Load                               { return Load{At: now} }
+func (h *fakeHost) BehindLocked() bool                                          { return false }
+func (h *fakeHost) TakeDelayedCommandsLocked() int                              { return 0 }
+func (h *fakeHost) CommandRateLocked() (float64, bool)                          { return 0, false }
+func (h *fakeHost) SetCommandRateShareLocked(float64, time.Time)                {}
+func (h *fakeHost) Store() statestore.Store                                     { return h.store }
+func (h *fakeHost) Cloud() cloud.API                                            { return &h.cloud }
+func (h *fakeHost) Peers() map[string]peer.Caller                               { return nil }
+func (h *fakeHost) CheckSync(_ string, _ *peer.SyncReply, err error) error      { return err }
+func (h *fakeHost) PingPeers()                                                  {}
+func (h *fakeHost) AfterTurn(context.Context)                                   {}
 func (h *fakeHost) ReadFleet(context.Context, statestore.Purpose) (*record.Fleet, error) {
 	machines := record.NewFleet()
 	for _, e := range h.machines.Entries() {
--- a/internal/controller/leader/host.go
+++ b/internal/controller/leader/host.go
@@ -67,37 +67,37 @@
 type Machines interface {
 	// FleetLocked returns the view of the records.
 	FleetLocked() *clusterview.Machines
-	// FleetSeenLocked reports whether there is such a view yet.
-	FleetSeenLocked() bool
+	// FleetLoadedLocked reports whether there is such a view yet.
+	FleetLoadedLocked() bool
 	// ReadFleet reads the records themselves.
 	ReadFleet(ctx context.Context, purpose statestore.Purpose) (*record.Fleet, error)
 	MachineTypesLocked() []wire.MachineType
-	// AppliedLocked brings the views to what a transaction of this controller wrote.
-	AppliedLocked(t wire.Txn, revision uint64, at time.Time)
+	// ApplyOwnWritesLocked brings the views to what a transaction of this controller wrote.
+	ApplyOwnWritesLocked(t wire.Txn, revision uint64, at time.Time)
 	// AllowCloudCallLocked reports whether a machine may be provisioned or released now.
 	AllowCloudCallLocked(now time.Time) bool
-	// LostRecords asks the agents of machines without records, by id, whether they worked
+	// CheckForLostRecords asks the agents of machines without records, by id, whether they worked
 	// here, and reports whether data was lost.
-	LostRecords(ctx context.Context, addresses map[string]string) bool
+	CheckForLostRecords(ctx context.Context, addresses map[string]string) bool
 }
 
 // Limits is what the controller and the services outside can bear.
 type Limits interface {
-	// RatesLocked returns the state service's limits for all controllers together.
-	RatesLocked() config.State
-	// MemberLocked reports whether a controller is alive by its member record.
-	MemberLocked(label string) bool
+	// StateServiceLimitsLocked returns the state service's limits for all controllers together.
+	StateServiceLimitsLocked() config.State
+	// IsLiveMemberLocked reports whether a controller is alive by its member record.
+	IsLiveMemberLocked(label string) bool
 	// LoadLocked returns this controller's own load.
 	LoadLocked(now time.Time) Load
 	// BehindLocked reports whether this controller is behind with its work.
 	BehindLocked() bool
-	// OrdersWaitingLocked returns how many direct commands had to wait since it was last asked.
-	OrdersWaitingLocked() int
-	// OrderLimitLocked returns the direct commands a second of all controllers, if they are
+	// TakeDelayedCommandsLocked returns how many direct commands had to wait since it was last asked.
+	TakeDelayedCommandsLocked() int
+	// CommandRateLocked returns the direct commands a second of all controllers, if they are
 	// limited.
-	OrderLimitLocked() (total float64, limited bool)
-	// SetOrderShareLocked sets this controller's part of them.
-	SetOrderShareLocked(share float64, now time.Time)
+	CommandRateLocked() (total float64, limited bool)
+	// SetCommandRateShareLocked sets this controller's part of them.
+	SetCommandRateShareLocked(share float64, now time.Time)
 }
 
 // Services is how the duties reach the world outside.
--- a/internal/controller/leader/inventory.go
+++ b/internal/controller/leader/inventory.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// knownLags is for how many of the list's lags a machine that is gone is not
+	// recentlyRecordedLags is for how many of the list's lags a machine that is gone is not
 	// taken for an unrecorded one.
-	knownLags = 6
-	// listLags is how many lags the cloud's list is old when it is read again.
-	listLags = 3.0
+	recentlyRecordedLags = 6
+	// listIntervalLags is how many lags the cloud's list is old when it is read again.
+	listIntervalLags = 3.0
 	// listCallShare is the part of the cloud's calls that may read its list.
 	listCallShare = 0.1
 	// listTimeout bounds one comparison with the cloud's list.
@@ -29,22 +29,22 @@
 // shards' lock guards it, but for nextListAt, which belongs to the goroutine that takes
 // the turns.
 type inventory struct {
-	unrecorded map[string]int       // listed, but not recorded, in so many lists in a row
-	known      map[string]time.Time // when a record last named the machine
-	nextListAt time.Time
+	unrecorded     map[string]int       // listed, but not recorded, in so many lists in a row
+	lastRecordedAt map[string]time.Time // when a record last named the machine
+	nextListAt     time.Time
 }
 
 func newInventory() inventory {
-	return inventory{unrecorded: map[string]int{}, known: map[string]time.Time{}}
+	return inventory{unrecorded: map[string]int{}, lastRecordedAt: map[string]time.Time{}}
 }
 
 // track notes which machines are recorded, so that those that are gone don't seem
 // unrecorded while the list still has them. Of those it forgets it drops the addresses.
 func (v *inventory) track(machines *clusterview.Machines, params config.Cloud, now time.Time, addresses map[string]string) {
-	machines.ForEach(func(id string, _ record.MachineView) { v.known[id] = now })
-	for id, at := range v.known {
-		if now.Sub(at) > time.Duration(knownLags)*config.Seconds(params.ListLagS) {
-			delete(v.known, id)
+	machines.ForEach(func(id string, _ record.MachineView) { v.lastRecordedAt[id] = now })
+	for id, at := range v.lastRecordedAt {
+		if now.Sub(at) > time.Duration(recentlyRecordedLags)*config.Seconds(params.ListLagS) {
+			delete(v.lastRecordedAt, id)
 			delete(addresses, id)
 		}
 	}
@@ -56,13 +56,13 @@
 	suspects := map[string]int{}
 	for _, m := range list {
 		_, recorded := machines.Machine(m.ID)
-		_, lately := v.known[m.ID]
-		if recorded || lately {
+		_, recordedRecently := v.lastRecordedAt[m.ID]
+		if recorded || recordedRecently {
 			delete(v.unrecorded, m.ID)
 		} else {
 			v.unrecorded[m.ID]++
 		}
-		evidence := reconcile.ListedMachine{Recorded: recorded, RecordedRecently: lately, TimesListed: v.unrecorded[m.ID], ProvisionPending: provisioning}
+		evidence := reconcile.ListedMachine{Recorded: recorded, RecordedRecently: recordedRecently, TimesListed: v.unrecorded[m.ID], ProvisionPending: provisioning}
 		if reconcile.ClassifyMachine(evidence).Action == reconcile.ReleaseMachine && len(suspects) < protocolMaxRelease {
 			suspects[m.ID] = v.unrecorded[m.ID]
 		}
@@ -70,9 +70,9 @@
 	return suspects
 }
 
-// confirm returns the suspects that the records themselves don't name, either: the view
+// confirmUnrecorded returns the suspects that the records themselves don't name, either: the view
 // may be behind.
-func confirm(suspects map[string]int, machines *record.Fleet) []string {
+func confirmUnrecorded(suspects map[string]int, machines *record.Fleet) []string {
 	provisioning := len(machines.UnfulfilledProvisions()) > 0
 	var unrecorded []string
 	for id, listed := range suspects {
@@ -91,7 +91,7 @@
 	l.host.Lock()
 	pages := 1 + l.host.FleetLocked().Len()/cloud.MaxPage
 	l.host.Unlock()
-	byLag := listLags * l.cfg.Params.Cloud.ListLagS
+	byLag := listIntervalLags * l.cfg.Params.Cloud.ListLagS
 	byCalls := float64(pages) / (listCallShare * l.cfg.Params.Cloud.RPS)
 	return config.Seconds(max(byLag, byCalls))
 }
@@ -118,8 +118,8 @@
 		l.log.Debug("fleet records not read", "err", err)
 		return
 	}
-	unrecorded := confirm(suspects, machines)
-	if len(unrecorded) > 0 && !l.host.LostRecords(ctx, addressesOf(list, unrecorded)) {
+	unrecorded := confirmUnrecorded(suspects, machines)
+	if len(unrecorded) > 0 && !l.host.CheckForLostRecords(ctx, addressesOf(list, unrecorded)) {
 		err := l.host.Cloud().Release(ctx, unrecorded)
 		l.log.Info("unrecorded machines released", "machines", unrecorded, "err", err)
 	}
--- a/internal/controller/leader/inventory_test.go
+++ b/internal/controller/leader/inventory_test.go
@@ -28,7 +28,7 @@
 		"recorded":                 {recorded: true, lists: 3},
 		"provisions are under way": {provisioning: true, lists: 3},
 		"released a moment ago":    {goneFor: time.Second, lists: 3},
-		"released long ago":        {goneFor: knownLags*5*time.Second + 1, lists: 2, want: true},
+		"released long ago":        {goneFor: recentlyRecordedLags*5*time.Second + 1, lists: 2, want: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			machines, now := clusterview.NewMachines(), time.Now()
@@ -38,7 +38,7 @@
 				machines.Apply([]wire.Change{{Put: record.ProvisionKey("p"), Value: record.Encode(rec), Version: 1}})
 			}
 			if x.goneFor > 0 {
-				v.known["m"] = now.Add(-x.goneFor)
+				v.lastRecordedAt["m"] = now.Add(-x.goneFor)
 			}
 			v.track(machines, config.Cloud{ListLagS: 5}, now, map[string]string{})
 			got := false
@@ -55,17 +55,17 @@
 // The view may be behind: the records themselves decide.
 func TestRecordsDecideOnSuspects(t *testing.T) {
 	suspects := map[string]int{"m": 2}
-	if got := confirm(suspects, record.NewFleet()); len(got) != 1 {
+	if got := confirmUnrecorded(suspects, record.NewFleet()); len(got) != 1 {
 		t.Errorf("%v unrecorded, want m", got)
 	}
 	recorded := record.NewFleet()
 	put(t, recorded, record.ProvisionKey("p"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"m"}})
-	if got := confirm(suspects, recorded); len(got) != 0 {
+	if got := confirmUnrecorded(suspects, recorded); len(got) != 0 {
 		t.Errorf("%v unrecorded, though its provision is there", got)
 	}
 	unanswered := record.NewFleet()
 	put(t, unanswered, record.ProvisionKey("p"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}})
-	if got := confirm(suspects, unanswered); len(got) != 0 {
+	if got := confirmUnrecorded(suspects, unanswered); len(got) != 0 {
 		t.Errorf("%v unrecorded, though a provision has not been answered", got)
 	}
 }
--- a/internal/controller/leader/leader.go
+++ b/internal/controller/leader/leader.go
@@ -25,12 +25,12 @@
 const (
 	syncInterval = time.Second // between turns
 	syncTimeout  = 1500 * time.Millisecond
-	// planIntervalBehind is how long a leader that is behind with its work waits between
+	// planIntervalWhenBehind is how long a leader that is behind with its work waits between
 	// plans.
-	planIntervalBehind = 3 * syncInterval
-	// reluctantTurns is how many turns without a leader a controller that does not
+	planIntervalWhenBehind = 3 * syncInterval
+	// overloadedCampaignDelayTurns is how many turns without a leader a controller that does not
 	// keep up leaves to others.
-	reluctantTurns = 4
+	overloadedCampaignDelayTurns = 4
 )
 
 // The leader provisions and releases; the others ask the cloud only for the machine types
@@ -64,7 +64,7 @@
 // New returns the duties of a controller.
 func New(host Host, cfg *config.Settings, pol *policy.Policy, log *slog.Logger) *Leader {
 	l := &Leader{host: host, cfg: cfg, policy: pol, log: log}
-	l.standalone.leaderAskedAt = time.Now()
+	l.standalone.leaderContactAt = time.Now()
 	return l
 }
 
@@ -123,7 +123,7 @@
 	}
 	*leaderless++
 	// One that is overloaded leads only if nobody else wants to.
-	if l.host.LoadLocked(now).Recovering && *leaderless <= reluctantTurns {
+	if l.host.LoadLocked(now).Recovering && *leaderless <= overloadedCampaignDelayTurns {
 		return false, nil
 	}
 	return false, campaign
@@ -157,8 +157,8 @@
 func (l *Leader) Turn(ctx context.Context) {
 	now := time.Now()
 	t := l.ensureTerm(now)
-	transfers, stay := l.reassignShards(ctx, t, now)
-	if !stay {
+	transfers, mayLead := l.reassignShards(ctx, t, now)
+	if !mayLead {
 		l.host.StepDown(ctx)
 		return
 	}
@@ -167,7 +167,7 @@
 	l.host.Lock()
 	now = time.Now()
 	l.grantQuotasLocked(t, demands, now)
-	if l.host.BehindLocked() && now.Sub(t.lastPlanAt) < planIntervalBehind {
+	if l.host.BehindLocked() && now.Sub(t.lastPlanAt) < planIntervalWhenBehind {
 		l.host.Unlock()
 		return
 	}
@@ -198,7 +198,7 @@
 		wg.Go(func() {
 			var r peer.SyncReply
 			args := peer.SyncArgs{From: l.cfg.Label, Claim: transfers.acquire[label], HandHome: transfers.back[label],
-				Requests: grants.Requests[label], Changes: grants.Changes[label], OrderRate: grants.Orders[label]}
+				Requests: grants.Requests[label], Changes: grants.Changes[label], OrderRate: grants.Commands[label]}
 			err := p.Call("Sync", args, &r, syncTimeout)
 			if l.host.CheckSync(label, &r, err) != nil {
 				return
@@ -207,7 +207,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			summaries = append(summaries, r.Summaries...)
-			demands[label] = Demand{Requests: r.Requests, Changes: r.Changes, OrdersWaiting: r.OrdersWaiting}
+			demands[label] = Demand{Requests: r.Requests, Changes: r.Changes, DelayedCommands: r.OrdersWaiting}
 		})
 	}
 	wg.Wait()
--- a/internal/controller/leader/load.go
+++ b/internal/controller/leader/load.go
@@ -8,8 +8,8 @@
 	"bramblespur/internal/controller/membership"
 )
 
-// loadFresh is how old a controller's word on its load may be to count.
-const loadFresh = membership.PeerFreshFor
+// loadValidFor is how old a controller's word on its load may be to count.
+const loadValidFor = membership.PeerFreshFor
 
 // Load is what a controller says of its own load.
 type Load struct {
@@ -19,10 +19,10 @@
 }
 
 // keepsUp reports whether the controller may have its shards back.
-func (l Load) keepsUp(now time.Time) bool { return now.Sub(l.At) < loadFresh && !l.Recovering }
+func (l Load) keepsUp(now time.Time) bool { return now.Sub(l.At) < loadValidFor && !l.Recovering }
 
 // hasRoom reports whether the controller could carry another shard.
-func (l Load) hasRoom(now time.Time) bool { return now.Sub(l.At) < loadFresh && l.HasRoom }
+func (l Load) hasRoom(now time.Time) bool { return now.Sub(l.At) < loadValidFor && l.HasRoom }
 
 // Loads is what the peers last told the leader of their load. Its lock is a leaf: it may be
 // taken while the shards' lock is held.
--- a/internal/controller/leader/provision.go
+++ b/internal/controller/leader/provision.go
@@ -98,7 +98,7 @@
 	}
 	now := time.Now()
 	ids = ids[:min(len(ids), len(rec.Shards))]
-	l.noteCapacity(t, rec, len(ids) == len(rec.Shards), now)
+	l.reportCapacity(t, rec, len(ids) == len(rec.Shards), now)
 	l.log.Info("machines provisioned", "name", name, "type", rec.Type, "zone", rec.Zone, "spot", rec.Spot, "asked", len(rec.Shards), "got", len(ids))
 	key := record.ProvisionKey(name)
 	op := wire.Op{Delete: key}
@@ -129,8 +129,8 @@
 	return nil, false
 }
 
-// noteCapacity tells the planner whether the cloud had all that a provision asked for.
-func (l *Leader) noteCapacity(t *term, rec record.Provision, enough bool, now time.Time) {
+// reportCapacity tells the planner whether the cloud had all that a provision asked for.
+func (l *Leader) reportCapacity(t *term, rec record.Provision, enough bool, now time.Time) {
 	l.host.Lock()
 	defer l.host.Unlock()
 	pool := fleet.ProvisionRequest{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}
@@ -148,7 +148,7 @@
 	for ctx.Err() == nil {
 		rev, err := l.host.Store().Txn(ctx, purpose, t)
 		if err == nil {
-			l.applied(t, rev, at)
+			l.applyOwnWrites(t, rev, at)
 			return
 		}
 		var conflict *statestore.ConflictError
@@ -159,11 +159,11 @@
 	}
 }
 
-func (l *Leader) applied(t wire.Txn, revision uint64, at time.Time) {
+func (l *Leader) applyOwnWrites(t wire.Txn, revision uint64, at time.Time) {
 	if at.IsZero() {
 		at = time.Now()
 	}
 	l.host.Lock()
 	defer l.host.Unlock()
-	l.host.AppliedLocked(t, revision, at)
+	l.host.ApplyOwnWritesLocked(t, revision, at)
 }
--- a/internal/controller/leader/provision_test.go
+++ b/internal/controller/leader/provision_test.go
@@ -153,7 +153,7 @@
 		t.Fatal(err)
 	}
 	host.Lock()
-	host.AppliedLocked(cleared, provision.Version+1, time.Now())
+	host.ApplyOwnWritesLocked(cleared, provision.Version+1, time.Now())
 	l.EndTermLocked() // its lease is not certain
 	host.Unlock()
 	if second := provisionOne(ctx, host, l); second == first {
--- a/internal/controller/leader/quota.go
+++ b/internal/controller/leader/quota.go
@@ -28,17 +28,17 @@
 // Demand is what a controller needed since the leader last asked.
 type Demand struct {
 	Requests, Changes int // of the state service
-	OrdersWaiting     int // direct commands that had to wait
+	DelayedCommands   int // direct commands that had to wait
 }
 
 // Grants is what the leader last granted, a second, by controller.
-type Grants struct{ Requests, Changes, Orders map[string]float64 }
+type Grants struct{ Requests, Changes, Commands map[string]float64 }
 
 // quotas is the leader's account of what it grants and lends. The shards' lock guards it.
 type quotas struct {
-	lender *statestore.LoanPool // lends changes
-	grants Grants
-	orders *ratelimit.ClusterShares // of the direct commands; nil until they are shared out
+	lender   *statestore.LoanPool // lends changes
+	grants   Grants
+	commands *ratelimit.ClusterShares // of the direct commands; nil until they are shared out
 }
 
 func newQuotas() quotas { return quotas{lender: statestore.NewLoanPool()} }
@@ -70,27 +70,27 @@
 	return fleet.FairShare(rps, requests), fleet.FairShare(writes, changes)
 }
 
-// shareOrders shares out the direct commands of all by what waited at each controller that
+// shareCommands shares out the direct commands of all by what waited at each controller that
 // answered.
-func (q *quotas) shareOrders(total float64, all controllers, demands map[string]Demand) map[string]float64 {
-	if q.orders == nil {
-		q.orders = ratelimit.NewClusterShares(total, all.labels)
+func (q *quotas) shareCommands(total float64, all controllers, demands map[string]Demand) map[string]float64 {
+	if q.commands == nil {
+		q.commands = ratelimit.NewClusterShares(total, all.labels)
 	}
-	q.orders.SetTotal(total)
+	q.commands.SetTotal(total)
 	waiting := map[string]float64{}
 	for _, label := range all.labels {
 		demand, answered := demands[label]
 		if !answered {
-			q.orders.MarkSilent(label)
+			q.commands.MarkSilent(label)
 			continue
 		}
-		waiting[label] = float64(demand.OrdersWaiting)
-		if share, granted := q.grants.Orders[label]; granted {
-			q.orders.Confirm(label, share)
+		waiting[label] = float64(demand.DelayedCommands)
+		if share, granted := q.grants.Commands[label]; granted {
+			q.commands.Confirm(label, share)
 		}
 	}
 	left := total * float64(len(waiting)) / float64(all.count)
-	return q.orders.Next(fleet.FairShare(left, waiting))
+	return q.commands.Next(fleet.FairShare(left, waiting))
 }
 
 // grantQuotasLocked shares out what all controllers may use, by what each needed since
@@ -102,26 +102,26 @@
 	}
 	t.lastSyncAt = now
 	demands[l.cfg.Label] = l.demandLocked()
-	l.host.SetOrderShareLocked(t.quotas.grants.Orders[l.cfg.Label], now) // as the others were told in this turn
+	l.host.SetCommandRateShareLocked(t.quotas.grants.Commands[l.cfg.Label], now) // as the others were told in this turn
 	t.quotas.grants = l.computeGrantsLocked(&t.quotas, demands, turn)
 	l.Grant.SetLocked(l.host.Store(), t.quotas.grants.Requests[l.cfg.Label], t.quotas.grants.Changes[l.cfg.Label], now)
 }
 
 // demandLocked is what this controller itself needed.
 func (l *Leader) demandLocked() Demand {
-	d := Demand{OrdersWaiting: l.host.OrdersWaitingLocked()}
+	d := Demand{DelayedCommands: l.host.TakeDelayedCommandsLocked()}
 	d.Requests, d.Changes = l.host.Store().TakeDemand()
 	return d
 }
 
 func (l *Leader) computeGrantsLocked(q *quotas, demands map[string]Demand, turn time.Duration) Grants {
-	limits := l.host.RatesLocked()
-	all := controllers{l.cfg.Params.Count, l.cfg.Labels(), l.host.MemberLocked}
+	limits := l.host.StateServiceLimitsLocked()
+	all := controllers{l.cfg.Params.Count, l.cfg.Labels(), l.host.IsLiveMemberLocked}
 	q.lender.SetLimit(l.cfg.Params.Count, limits.WriteRPS, time.Now())
 	requests, changes := all.shareRates(limits, demands, turn)
 	grants := Grants{Requests: requests, Changes: changes}
-	if total, limited := l.host.OrderLimitLocked(); limited {
-		grants.Orders = q.shareOrders(total, all, demands)
+	if total, limited := l.host.CommandRateLocked(); limited {
+		grants.Commands = q.shareCommands(total, all, demands)
 	}
 	return grants
 }
--- a/internal/controller/leader/reassignment.go
+++ b/internal/controller/leader/reassignment.go
@@ -25,24 +25,24 @@
 	// Behind says that this controller is behind with its work.
 	Behind bool
 	// LeaderFor is how long this controller has led.
-	LeaderFor time.Duration
-	Owners    map[int]string // by shard, as recorded
-	Preferred func(shard int) string
-	Members   map[string]Member // those alive
-	Loads     map[string]Load
-	Now       time.Time
+	LeaderFor      time.Duration
+	Owners         map[int]string // by shard, as recorded
+	PreferredOwner func(shard int) string
+	Members        map[string]Member // those alive
+	Loads          map[string]Load
+	Now            time.Time
 }
 
 // Member is another controller, or the leader itself, as its member record and its answers
 // show it.
 type Member struct {
-	Registered   bool // its record names an incarnation
-	Isolated     bool // it reaches neither peers nor workers
-	WithoutPeers bool
-	Overloaded   bool
-	Reachable    bool          // it answers this controller
-	ReachesState bool          // it reaches the state service
-	AnsweringFor time.Duration // without a failure
+	Registered          bool // its record names an incarnation
+	Isolated            bool // it reaches neither peers nor workers
+	WithoutPeers        bool
+	Overloaded          bool
+	Reachable           bool          // it answers this controller
+	ReachesStateService bool          // it reaches the state service
+	AnsweringFor        time.Duration // without a failure
 }
 
 // Reason says why a shard changes its owner.
@@ -90,10 +90,10 @@
 	return labels
 }
 
-// othersMeet reports whether other controllers hear each other: then one of
+// othersReachEachOther reports whether other controllers hear each other: then one of
 // them leads better than a leader that hears none. When all are alone, as when
 // connections between controllers are refused, nobody would.
-func (c *Cluster) othersMeet() bool {
+func (c *Cluster) othersReachEachOther() bool {
 	n := 0
 	for label, m := range c.Members {
 		if label != c.Self && !m.WithoutPeers {
@@ -107,7 +107,7 @@
 // off from the others, or behind with its work while one that it reaches has room.
 func (c *Cluster) shouldStepDown() bool {
 	reachable := c.reachable()
-	if c.Isolated || (len(reachable) == 1 && c.othersMeet() && c.LeaderFor > stepDownAfter) {
+	if c.Isolated || (len(reachable) == 1 && c.othersReachEachOther() && c.LeaderFor > stepDownAfter) {
 		return true
 	}
 	return c.Behind && slices.ContainsFunc(reachable, func(label string) bool { return c.Loads[label].hasRoom(c.Now) })
@@ -119,7 +119,7 @@
 // reach keeps its shards: between two partitioned zones there is nothing to gain.
 func (c *Cluster) reassign(r *rebalancer) []Reassignment {
 	reachable := c.reachable()
-	rebalanced, some := r.choose(c, reachable)
+	rebalanced, found := r.choose(c, reachable)
 	var out []Reassignment
 	for _, shard := range slices.Sorted(maps.Keys(c.Owners)) {
 		owner := c.Owners[shard]
@@ -127,10 +127,10 @@
 		switch {
 		case alive && member.Isolated && owner != c.Self:
 			out = append(out, Reassignment{shard, owner, fleet.ChooseOwner(reachable, c.Owners, ""), OwnerIsolated})
-		case some && rebalanced.Shard == shard:
+		case found && rebalanced.Shard == shard:
 			out = append(out, rebalanced)
-		case alive && owner != c.Preferred(shard) && c.stable(c.Preferred(shard)):
-			out = append(out, Reassignment{shard, owner, c.Preferred(shard), PreferredOwnerBack})
+		case alive && owner != c.PreferredOwner(shard) && c.stable(c.PreferredOwner(shard)):
+			out = append(out, Reassignment{shard, owner, c.PreferredOwner(shard), PreferredOwnerBack})
 		}
 	}
 	return out
@@ -147,7 +147,7 @@
 		return c.LeaderFor > PreferredOwnerStable
 	}
 	m := c.Members[label]
-	return m.AnsweringFor >= PreferredOwnerStable && m.Reachable && m.ReachesState && m.Registered && !m.Isolated
+	return m.AnsweringFor >= PreferredOwnerStable && m.Reachable && m.ReachesStateService && m.Registered && !m.Isolated
 }
 
 // transfers is what other controllers are asked to do with shards, by label.
--- a/internal/controller/leader/reassignment_test.go
+++ b/internal/controller/leader/reassignment_test.go
@@ -76,10 +76,10 @@
 func healthyCluster(now time.Time) Cluster {
 	labels := []string{"c-0", "c-1", "c-2"}
 	c := Cluster{Self: "c-0", LeaderFor: time.Hour, Now: now, Owners: map[int]string{}, Members: map[string]Member{}, Loads: map[string]Load{},
-		Preferred: func(shard int) string { return labels[shard] }}
+		PreferredOwner: func(shard int) string { return labels[shard] }}
 	for shard, label := range labels {
 		c.Owners[shard] = label
-		c.Members[label] = Member{Registered: true, Reachable: true, ReachesState: true, AnsweringFor: time.Hour}
+		c.Members[label] = Member{Registered: true, Reachable: true, ReachesStateService: true, AnsweringFor: time.Hour}
 		c.Loads[label] = Load{At: now}
 	}
 	return c
@@ -113,11 +113,11 @@
 			c.change("c-1", func(m *Member) { m.AnsweringFor = PreferredOwnerStable - 1 })
 		}, nil},
 		"it answers no more":           {func(c *Cluster) { away(c); c.change("c-1", func(m *Member) { m.Reachable = false }) }, nil},
-		"the state service refuses it": {func(c *Cluster) { away(c); c.change("c-1", func(m *Member) { m.ReachesState = false }) }, nil},
+		"the state service refuses it": {func(c *Cluster) { away(c); c.change("c-1", func(m *Member) { m.ReachesStateService = false }) }, nil},
 		"it is isolated":               {func(c *Cluster) { away(c); c.change("c-1", func(m *Member) { m.Isolated = true }) }, nil},
 		"it is no member":              {func(c *Cluster) { away(c); delete(c.Members, "c-1") }, nil},
 		"it does not keep up":          {func(c *Cluster) { away(c); c.Loads["c-1"] = Load{At: c.Now, Recovering: true} }, nil},
-		"its load is not known":        {func(c *Cluster) { away(c); c.Loads["c-1"] = Load{At: c.Now.Add(-loadFresh)} }, nil},
+		"its load is not known":        {func(c *Cluster) { away(c); c.Loads["c-1"] = Load{At: c.Now.Add(-loadValidFor)} }, nil},
 		"the leader is the preferred owner": {func(c *Cluster) { c.Owners[0] = "c-1" },
 			[]Reassignment{{0, "c-1", "c-0", PreferredOwnerBack}}},
 		"the leader is it, but new": {func(c *Cluster) { c.Owners[0] = "c-1"; c.LeaderFor = PreferredOwnerStable }, nil},
@@ -154,7 +154,7 @@
 		}, false},
 		"it is behind, another has room": {func(c *Cluster) { c.Behind = true; c.Loads["c-1"] = Load{At: c.Now, HasRoom: true} }, true},
 		"it is behind, nobody has room":  {func(c *Cluster) { c.Behind = true }, false},
-		"one had room a while ago":       {func(c *Cluster) { c.Behind = true; c.Loads["c-1"] = Load{At: c.Now.Add(-loadFresh), HasRoom: true} }, false},
+		"one had room a while ago":       {func(c *Cluster) { c.Behind = true; c.Loads["c-1"] = Load{At: c.Now.Add(-loadValidFor), HasRoom: true} }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := healthyCluster(time.Now())
--- a/internal/controller/leader/rebalance.go
+++ b/internal/controller/leader/rebalance.go
@@ -46,8 +46,8 @@
 	for _, shard := range slices.Sorted(maps.Keys(c.Owners)) {
 		owner := c.Owners[shard]
 		// Of several shards those that the owner took from others go first.
-		guest := c.Preferred(shard) != owner
-		if c.Members[owner].Overloaded && (guest || owned[owner] == 1) {
+		acquiredFromOther := c.PreferredOwner(shard) != owner
+		if c.Members[owner].Overloaded && (acquiredFromOther || owned[owner] == 1) {
 			r.last = Reassignment{shard, owner, fleet.ChooseOwner(withRoom, c.Owners, ""), OwnerOverloaded}
 			r.lastAt = c.Now
 			return r.last, true
--- a/internal/controller/leader/release.go
+++ b/internal/controller/leader/release.go
@@ -14,8 +14,8 @@
 	// protocolMaxRelease is the cloud's bound of one release.
 	protocolMaxRelease = 100
 	releaseTimeout     = 15 * time.Second
-	// releasePauseCalls: while machines are provisioned, every third call releases some.
-	releasePauseCalls = 3.0
+	// callsPerRelease: while machines are provisioned, every third call releases some.
+	callsPerRelease = 3.0
 	// Records of machines long gone are cleared this often, and more often where a
 	// transaction holds fewer operations than these.
 	clearInterval       = 5 * time.Second
@@ -35,7 +35,7 @@
 // provisioned, releases leave most of the cloud's calls to that: each takes more machines
 // the longer it waits.
 func (l *Leader) releaseDue(t *term, provisioning bool, now time.Time) bool {
-	pause := config.Seconds(releasePauseCalls / l.cfg.Params.Cloud.RPS)
+	pause := config.Seconds(callsPerRelease / l.cfg.Params.Cloud.RPS)
 	return !provisioning || now.Sub(t.releases.lastAt) >= pause
 }
 
@@ -103,7 +103,7 @@
 	t.releases.nextClearAt = now.Add(clearInterval)
 	l.host.Lock()
 	defer l.host.Unlock()
-	if !l.host.FleetSeenLocked() || t.releases.clearing {
+	if !l.host.FleetLoadedLocked() || t.releases.clearing {
 		return // before there is a view it may lack provisions
 	}
 	ops := l.writeLimits().TxnOps
@@ -124,6 +124,6 @@
 			l.log.Debug("old records not cleared", "err", err)
 			return
 		}
-		l.host.AppliedLocked(txn, rev, time.Now())
+		l.host.ApplyOwnWritesLocked(txn, rev, time.Now())
 	}()
 }
--- a/internal/controller/leader/standalone.go
+++ b/internal/controller/leader/standalone.go
@@ -22,14 +22,14 @@
 //
 // The shards' lock guards it.
 type standalone struct {
-	leaderAskedAt time.Time
-	sequence      int                               // numbers the requests, never used again under one token
-	planner       *fleet.Planner                    // nil while the leader reaches this controller
-	requested     map[string]fleet.ProvisionRequest // by name: recorded, not yet answered by the leader
+	leaderContactAt time.Time
+	sequence        int                               // numbers the requests, never used again under one token
+	planner         *fleet.Planner                    // nil while the leader reaches this controller
+	requested       map[string]fleet.ProvisionRequest // by name: recorded, not yet answered by the leader
 }
 
-// LeaderAskedLocked takes in that the leader has reached this controller.
-func (l *Leader) LeaderAskedLocked(now time.Time) { l.standalone.leaderAskedAt = now }
+// RecordLeaderContactLocked takes in that the leader has reached this controller.
+func (l *Leader) RecordLeaderContactLocked(now time.Time) { l.standalone.leaderContactAt = now }
 
 // PlanStandalone plans for the shards hosted here if the leader has not asked for them
 // lately.
@@ -37,7 +37,7 @@
 	l.host.Lock()
 	defer l.host.Unlock()
 	s := &l.standalone
-	if !l.host.MayPlanLocked(now) || l.host.IsLeaderLocked(now) || now.Sub(s.leaderAskedAt) < standaloneAfter {
+	if !l.host.MayPlanLocked(now) || l.host.IsLeaderLocked(now) || now.Sub(s.leaderContactAt) < standaloneAfter {
 		s.planner, s.requested = nil, nil
 		return
 	}
@@ -103,6 +103,6 @@
 			delete(requested, name) // if it was written all the same, the view tells
 			return
 		}
-		l.host.AppliedLocked(t, rev, time.Now())
+		l.host.ApplyOwnWritesLocked(t, rev, time.Now())
 	}()
 }
--- a/internal/controller/leader_calls.go
+++ b/internal/controller/leader_calls.go
@@ -28,7 +28,7 @@
 	for _, id := range a.HandHome {
 		c.transferBack(ctx, id)
 	}
-	c.duties.LeaderAskedLocked(now)
+	c.duties.RecordLeaderContactLocked(now)
 	c.duties.Grant.SetLocked(c.store, a.Requests, a.Changes, now)
 	c.reconciliation.SetShareLocked(a.OrderRate, now)
 	load := host.LoadLocked(now)
--- a/internal/controller/leader_host.go
+++ b/internal/controller/leader_host.go
@@ -55,13 +55,13 @@
 	c := h.c
 	cluster := leader.Cluster{
 		Self: c.cfg.Label, Isolated: c.member.Published().Isolated, Behind: c.overload.Behind(),
-		Owners: c.cluster.Owners(), Preferred: c.shards.PreferredOwner, Members: map[string]leader.Member{}, Now: now,
+		Owners: c.cluster.Owners(), PreferredOwner: c.shards.PreferredOwner, Members: map[string]leader.Member{}, Now: now,
 	}
 	for label, m := range c.cluster.Members() {
 		contact := c.peerHealth.Contact(label)
 		cluster.Members[label] = leader.Member{
 			Registered: m.Incarnation != 0, Isolated: m.Isolated, WithoutPeers: m.WithoutPeers, Overloaded: m.Overloaded,
-			Reachable: contact.Reachable(now), ReachesState: contact.ReachesStateService(now), AnsweringFor: contact.AnsweringFor(now),
+			Reachable: contact.Reachable(now), ReachesStateService: contact.ReachesStateService(now), AnsweringFor: contact.AnsweringFor(now),
 		}
 	}
 	return cluster
@@ -125,8 +125,8 @@
 // FleetLocked implements leader.Machines.
 func (h leaderHost) FleetLocked() *clusterview.Machines { return h.c.machines }
 
-// FleetSeenLocked implements leader.Machines.
-func (h leaderHost) FleetSeenLocked() bool { return h.c.machines.Loaded() }
+// FleetLoadedLocked implements leader.Machines.
+func (h leaderHost) FleetLoadedLocked() bool { return h.c.machines.Loaded() }
 
 // ReadFleet implements leader.Machines.
 func (h leaderHost) ReadFleet(ctx context.Context, purpose statestore.Purpose) (*record.Fleet, error) {
@@ -136,8 +136,8 @@
 // MachineTypesLocked implements leader.Machines.
 func (h leaderHost) MachineTypesLocked() []wire.MachineType { return h.c.shards.MachineTypesLocked() }
 
-// AppliedLocked implements leader.Machines.
-func (h leaderHost) AppliedLocked(t wire.Txn, revision uint64, at time.Time) {
+// ApplyOwnWritesLocked implements leader.Machines.
+func (h leaderHost) ApplyOwnWritesLocked(t wire.Txn, revision uint64, at time.Time) {
 	h.c.applyOwnWrites(t, revision, at)
 }
 
@@ -146,16 +146,16 @@
 	return h.c.reconciliation.AllowCloudCallLocked(now)
 }
 
-// LostRecords implements leader.Machines.
-func (h leaderHost) LostRecords(ctx context.Context, addresses map[string]string) bool {
+// CheckForLostRecords implements leader.Machines.
+func (h leaderHost) CheckForLostRecords(ctx context.Context, addresses map[string]string) bool {
 	return h.c.staleReads.AskUnrecordedMachines(ctx, addresses)
 }
 
-// RatesLocked implements leader.Limits.
-func (h leaderHost) RatesLocked() config.State { return h.c.clusterRates() }
+// StateServiceLimitsLocked implements leader.Limits.
+func (h leaderHost) StateServiceLimitsLocked() config.State { return h.c.clusterRates() }
 
-// MemberLocked implements leader.Limits.
-func (h leaderHost) MemberLocked(label string) bool {
+// IsLiveMemberLocked implements leader.Limits.
+func (h leaderHost) IsLiveMemberLocked(label string) bool {
 	_, alive := h.c.cluster.Member(label)
 	return alive
 }
@@ -168,16 +168,16 @@
 // BehindLocked implements leader.Limits.
 func (h leaderHost) BehindLocked() bool { return h.c.overload.Behind() }
 
-// OrdersWaitingLocked implements leader.Limits.
-func (h leaderHost) OrdersWaitingLocked() int { return h.c.reconciliation.TakeDelayedLocked() }
+// TakeDelayedCommandsLocked implements leader.Limits.
+func (h leaderHost) TakeDelayedCommandsLocked() int { return h.c.reconciliation.TakeDelayedLocked() }
 
-// OrderLimitLocked implements leader.Limits.
-func (h leaderHost) OrderLimitLocked() (total float64, limited bool) {
+// CommandRateLocked implements leader.Limits.
+func (h leaderHost) CommandRateLocked() (total float64, limited bool) {
 	return h.c.reconciliation.ClusterRateLocked()
 }
 
-// SetOrderShareLocked implements leader.Limits.
-func (h leaderHost) SetOrderShareLocked(share float64, now time.Time) {
+// SetCommandRateShareLocked implements leader.Limits.
+func (h leaderHost) SetCommandRateShareLocked(share float64, now time.Time) {
 	h.c.reconciliation.SetShareLocked(share, now)
 }
 
--- a/internal/controller/leader_host_test.go
+++ b/internal/controller/leader_host_test.go
@@ -11,11 +11,11 @@
 func TestLeaderSeesFleetOnceLoaded(t *testing.T) {
 	c := newTest(t, testkit.NewState())
 	host := leaderHost{c}
-	if host.FleetSeenLocked() {
+	if host.FleetLoadedLocked() {
 		t.Error("fleet seen before it was loaded")
 	}
 	c.machines.SetAsOf(time.Now())
-	if !host.FleetSeenLocked() {
+	if !host.FleetLoadedLocked() {
 		t.Error("fleet not seen though it was loaded")
 	}
 }
--- a/internal/controller/shardhost/acquisition_test.go
+++ b/internal/controller/shardhost/acquisition_test.go
@@ -58,7 +58,7 @@
 			continue
 		}
 		if reason.acquires() != acquires[reason] || reason.String() == "" {
-			t.Errorf("reason %q: acquires %v, want the opposite or a text", reason, reason.acquires())
+			t.Errorf("reason %q: acquires() = %v is wrong, or the text is empty", reason, reason.acquires())
 		}
 	}
 }
