--- a/internal/controller/drainer/shard_turn.go
+++ b/internal/controller/drainer/shard_turn.go
@@ -103,7 +103,7 @@
 	var steps drain.Steps
 	if d.readyLocked() {
 		builder.Machines = shard.DrainMachines(d.view.MayCordonMore(), now)
-		builder.Tokens, builder.Serving = d.ownerTokensLocked(), shard.Serving(now)
+		builder.Tokens, builder.Serving = d.ownerTokensLocked(), shard.ServingByZone(now)
 		builder.Zones = builder.KnownZones(d.machines.InUseByZone())
 		steps = drain.PlanSteps(&builder.Input, ledgers)
 	}
@@ -123,7 +123,7 @@
 	}
 	ledgers := drain.NewLedgers(d.view)
 	ledgers.AddLosses(losses)
-	ledgers.CloseRecovered(shard.ID(), shard.FateOf, now)
+	ledgers.CloseRecovered(shard.ID(), shard.OutcomeOf, now)
 	return ledgers
 }
 
--- a/internal/controller/drains_bench_test.go
+++ b/internal/controller/drains_bench_test.go
@@ -39,7 +39,7 @@
 				}
 				put(drain.PlanKey("all"), plan)
 				owned, _ := c.cluster.Shard(0)
-				serving, _ := drain.Serving{}.Update(owned.Version, version, shard.Serving(now))
+				serving, _ := drain.Serving{}.Update(owned.Version, version, shard.ServingByZone(now))
 				put(drain.ServingKey(0), serving)
 				put(drain.CordonsKey, cordons)
 			}
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -225,7 +225,7 @@
 	c := h.c
 	if c.shards.GetLocked(shard.ID()) == shard {
 		c.shards.RefreshAuthorityLocked(shard, now)
-		if orders, ok := shard.ParkedOrders(machine, now); ok {
+		if orders, ok := shard.ParkedResponse(machine, now); ok {
 			return transport.Response{Status: 200, Body: orders}
 		}
 	}
--- a/internal/controller/reconciliation/tracker.go
+++ b/internal/controller/reconciliation/tracker.go
@@ -191,9 +191,9 @@
 		progress, pending := shard.ReconciliationProgress()
 		counts.Merge(progress.Tally)
 		e.PendingTasks += progress.Pending
-		e.SilentMachines += progress.Unheard
-		e.PendingNames = append(e.PendingNames, progress.UnheardNames...)
-		if !pending || progress.Pending+progress.Unheard == 0 {
+		e.SilentMachines += progress.AwaitedMachines
+		e.PendingNames = append(e.PendingNames, progress.AwaitedMachineIDs...)
+		if !pending || progress.Pending+progress.AwaitedMachines == 0 {
 			t.finishedCounts.Merge(progress.Tally)
 			shard.EndReconciliation()
 			delete(t.pendingShards, id)
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -32,7 +32,7 @@
 		return s.appendPacedCommands(out, m, w, now)
 	}
 	for k, t := range m.tasks {
-		if s.hasCommand(k, t, m, w, now) {
+		if s.commandDue(k, t, m, w, now) {
 			out = append(out, t.command(k, m, now))
 		}
 	}
@@ -46,7 +46,7 @@
 		due = append(due, k)
 	}
 	slices.SortFunc(due, func(a, b taskKey) int {
-		return cmp.Or(cmp.Compare(s.paceClass(a), s.paceClass(b)), cmp.Compare(a.job.ref, b.job.ref), cmp.Compare(a.index, b.index))
+		return cmp.Or(cmp.Compare(s.commandPriority(a), s.commandPriority(b)), cmp.Compare(a.job.ref, b.job.ref), cmp.Compare(a.index, b.index))
 	})
 	left := s.cfg.CommandLimiter.Settings().CommandsPerWorker
 	for _, k := range due {
@@ -56,10 +56,10 @@
 			s.delayStarts(m, now.Add(s.cfg.HeartbeatInterval))
 			continue
 		}
-		if !s.hasCommand(k, t, m, w, now) {
+		if !s.commandDue(k, t, m, w, now) {
 			continue
 		}
-		if !s.cfg.CommandLimiter.Allow(s.paceClass(k), now) {
+		if !s.cfg.CommandLimiter.Allow(s.commandPriority(k), now) {
 			s.delayStarts(m, s.cfg.CommandLimiter.NextAllowedAt(now))
 			continue
 		}
@@ -71,21 +71,21 @@
 	return out
 }
 
-// paceClass tells how urgent the order for a task is. Those of a gang of which one was
+// commandPriority tells how urgent the order for a task is. Those of a gang of which one was
 // started follow it, as they wait for each other only for so long.
-func (s *Shard) paceClass(k taskKey) ratelimit.Priority {
+func (s *Shard) commandPriority(k taskKey) ratelimit.Priority {
 	t := &k.job.tasks[k.index]
 	switch {
 	case t.stopping && k.job.cancelled:
 		return ratelimit.Exempt
-	case k.job.spec.Kind == wire.Service, s.quotas.withinGuarantee(k.job, 0), k.job.spec.Kind == wire.Gang && k.job.startSent():
+	case k.job.spec.Kind == wire.Service, s.quotas.withinGuarantee(k.job, 0), k.job.spec.Kind == wire.Gang && k.job.anyStartSent():
 		return ratelimit.Urgent
 	}
 	return ratelimit.Routine
 }
 
-// startSent reports whether the start of one of a job's placed tasks was sent.
-func (j *Job) startSent() bool {
+// anyStartSent reports whether the start of one of a job's placed tasks was sent.
+func (j *Job) anyStartSent() bool {
 	return slices.ContainsFunc(j.tasks, func(t task) bool { return t.state == placed && t.sent })
 }
 
@@ -96,14 +96,14 @@
 	}
 }
 
-// hasCommand reports whether there is an order for a task.
-func (s *Shard) hasCommand(k taskKey, t *task, m *Machine, w commandKinds, now time.Time) bool {
+// commandDue reports whether there is an order for a task.
+func (s *Shard) commandDue(k taskKey, t *task, m *Machine, w commandKinds, now time.Time) bool {
 	switch {
 	case !t.recorded:
 		return false
 	case t.stopping:
 		return w == startsAndStops && !(t.phase == wire.Checkpointing && t.grace > 0)
-	case t.reported || t.inherited || s.ownershipLost || s.cancellationsUnknown || m.Phase != record.InUse || k.job.cancelled || !k.job.wholeRecorded():
+	case t.reported || t.inherited || s.ownershipLost || s.cancellationsUnknown || m.Phase != record.InUse || k.job.cancelled || !k.job.allPeersRecorded():
 		return false
 	}
 	if due := s.cfg.earliestStart(k, t); !t.sent && now.Before(due) {
--- a/internal/scheduler/direct_commands.go
+++ b/internal/scheduler/direct_commands.go
@@ -34,22 +34,22 @@
 )
 
 const (
-	// directStartWorth is the wait for a heartbeat from which on a command sent by
+	// minWaitForDirectStart is the wait for a heartbeat from which on a command sent by
 	// itself is worth its connection.
-	directStartWorth = time.Second
-	// raiseTokenAfter is how long an answer to a direct start is awaited before the
+	minWaitForDirectStart = time.Second
+	// directStartAnswerTimeout is how long an answer to a direct start is awaited before the
 	// machine gets a higher token.
-	raiseTokenAfter = 4 * time.Second
-	// raiseTokenRetained is how many attempts a worker keeps that it may not forget yet,
+	directStartAnswerTimeout = 4 * time.Second
+	// maxRetainedAttempts is how many attempts a worker keeps that it may not forget yet,
 	// before it gets a higher token for that.
-	raiseTokenRetained = 16
+	maxRetainedAttempts = 16
 )
 
 // DirectStarts makes the command that brings what is recorded for a machine to it at
 // once, if its next heartbeat is far.
 func (s *Shard) DirectStarts(id string, now time.Time) (DirectCommand, bool) {
 	m := s.inventory.byID[id]
-	if m == nil || m.Addr == "" || m.contact.incarnation == 0 || !s.cfg.usable(m, now) || s.cfg.HeartbeatInterval < 2*directStartWorth {
+	if m == nil || m.Addr == "" || m.contact.incarnation == 0 || !s.cfg.usable(m, now) || s.cfg.HeartbeatInterval < 2*minWaitForDirectStart {
 		return DirectCommand{}, false
 	}
 	d := DirectCommand{Machine: m.ID, Addr: m.Addr, Orders: wire.DirectOrders{Token: m.fencingToken(s), Session: m.contact.incarnation, Commands: s.startCommands(m, now)}}
@@ -124,9 +124,9 @@
 // or too many attempts that must not be forgotten, call for one. A silent
 // machine is not worth it: its epoch ends or it goes back.
 func (s *Shard) raiseToken(m *Machine, now time.Time) {
-	due := m.retainedResults >= raiseTokenRetained
+	due := m.retainedResults >= maxRetainedAttempts
 	for _, run := range m.directStarts {
-		if !run.answered && now.Sub(run.sentAt) > raiseTokenAfter && m.contact.lastContactAt.After(run.sentAt) {
+		if !run.answered && now.Sub(run.sentAt) > directStartAnswerTimeout && m.contact.lastContactAt.After(run.sentAt) {
 			due = true
 		}
 	}
--- a/internal/scheduler/direct_commands_test.go
+++ b/internal/scheduler/direct_commands_test.go
@@ -115,18 +115,18 @@
 	r.sendStart = func(d DirectCommand) { r.deliverCommand(d, true) }
 	w := r.addMachine("m1", "z1", false)
 	r.heartbeats(2)
-	for i := range 3 * raiseTokenRetained {
+	for i := range 3 * maxRetainedAttempts {
 		s := spec(fmt.Sprintf("run-0000%02d", i), "b", wire.Service, "prod", 1, 2)
 		r.submit(s)
 		r.heartbeats(2)
 		r.cancel(s)()
 		r.heartbeats(2)
-		if len(w.Tasks) > raiseTokenRetained+2 {
+		if len(w.Tasks) > maxRetainedAttempts+2 {
 			t.Fatalf("%d tasks are kept after %d jobs", len(w.Tasks), i+1)
 		}
 	}
-	if len(w.Started) != 3*raiseTokenRetained {
-		t.Fatalf("%d starts, want %d", len(w.Started), 3*raiseTokenRetained)
+	if len(w.Started) != 3*maxRetainedAttempts {
+		t.Fatalf("%d starts, want %d", len(w.Started), 3*maxRetainedAttempts)
 	}
 }
 
--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain.go
@@ -83,8 +83,8 @@
 	return out
 }
 
-// Serving counts the machines that take work now, or would but for a cordon, by zone.
-func (s *Shard) Serving(now time.Time) map[string]int {
+// ServingByZone counts the machines that take work now, or would but for a cordon, by zone.
+func (s *Shard) ServingByZone(now time.Time) map[string]int {
 	out := map[string]int{}
 	for _, m := range s.inventory.byID {
 		if s.cfg.outOfService(m, now) == NotRefused {
@@ -253,15 +253,15 @@
 	}
 }
 
-// FateOf tells what became of a unit whose disruption is open.
-func (s *Shard) FateOf(d drain.Disruption) drain.Outcome {
+// OutcomeOf tells what became of a unit whose disruption is open.
+func (s *Shard) OutcomeOf(d drain.Disruption) drain.Outcome {
 	j := s.jobs[d.Job]
 	if j == nil {
 		return drain.Recovered // its end is recorded
 	}
 	fate := drain.Unaffected
 	for _, k := range j.tasksOf(d.UnitID) {
-		switch k.fate(d.Attempt) {
+		switch k.outcomeOfDisruption(d.Attempt) {
 		case drain.StillInterrupted:
 			return drain.StillInterrupted
 		case drain.Recovered:
@@ -271,7 +271,7 @@
 	return fate
 }
 
-func (k taskKey) fate(attempt uint64) drain.Outcome {
+func (k taskKey) outcomeOfDisruption(attempt uint64) drain.Outcome {
 	t := &k.job.tasks[k.index]
 	switch {
 	case t.state == completed:
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -12,9 +12,9 @@
 
 // Dispositions of Report.
 const (
-	Answered HeartbeatDisposition = iota // 200 with the orders
-	Deposed                              // the worker has seen a higher token: not ours
-	NotMine                              // no such machine in this shard
+	Answered       HeartbeatDisposition = iota // 200 with the orders
+	Deposed                                    // the worker has seen a higher token: not ours
+	UnknownMachine                             // no such machine in this shard
 )
 
 // Heartbeat takes in a worker's heartbeat and returns the response. A direct heartbeat is
@@ -22,7 +22,7 @@
 func (s *Shard) Heartbeat(r *wire.Heartbeat, direct bool, now time.Time) (wire.Orders, HeartbeatDisposition) {
 	m := s.inventory.byID[r.Machine]
 	if m == nil {
-		return wire.Orders{}, NotMine
+		return wire.Orders{}, UnknownMachine
 	}
 	token := m.fencingToken(s)
 	freshness := reconcile.ClassifyHeartbeat(reconcile.PositionOf(r),
@@ -55,7 +55,7 @@
 		s.placementDue = true
 	}
 	var missed bool
-	orders.Commands, missed = s.appendReconciled(orders.Commands, m, r, direct, now)
+	orders.Commands, missed = s.appendReconciliationCommands(orders.Commands, m, r, direct, now)
 	if direct {
 		return orders, Answered
 	}
@@ -82,9 +82,9 @@
 	s.applyReclaimNotice(m, r, now)
 }
 
-// appendReconciled compares a heartbeat with the ledger and appends the commands that end or
+// appendReconciliationCommands compares a heartbeat with the ledger and appends the commands that end or
 // forget what has no place there. It reports whether the heartbeat lacks a start that was sent.
-func (s *Shard) appendReconciled(out []wire.Command, m *Machine, r *wire.Heartbeat, direct bool, now time.Time) (commands []wire.Command, missed bool) {
+func (s *Shard) appendReconciliationCommands(out []wire.Command, m *Machine, r *wire.Heartbeat, direct bool, now time.Time) (commands []wire.Command, missed bool) {
 	placedHere := make(map[taskKey]*wire.HeartbeatTask, len(r.Tasks))
 	orphans, retainedOrphans := s.reconcileReported(m, r, placedHere, now)
 	ended, missed, retainedEnded := s.reconcilePlaced(m, placedHere, direct, now)
@@ -116,7 +116,7 @@
 		m.contact.missedStarts = 0
 		return
 	}
-	if m.contact.missedStarts++; m.contact.missedStarts >= unreachableAfter {
+	if m.contact.missedStarts++; m.contact.missedStarts >= missedStartsUntilUnreachable {
 		s.markUnreachable(m, now)
 	}
 }
@@ -193,7 +193,7 @@
 		m.failedJobs = map[string]bool{}
 	}
 	m.failedJobs[j.ref] = true
-	if len(m.failedJobs) >= badMachineJobs {
+	if len(m.failedJobs) >= jobsUntilMachineFaulty {
 		m.draining = true
 	}
 }
@@ -201,14 +201,14 @@
 // avoids reports whether a job keeps off a machine where a task of it failed.
 func (j *Job) avoids(m *Machine) bool { return j.faults.machines[m.ID] && !j.atFault() }
 
-func (j *Job) atFault() bool { return len(j.faults.machines) >= badJobMachines }
+func (j *Job) atFault() bool { return len(j.faults.machines) >= machinesUntilJobAtFault }
 
 const (
-	// badJobMachines is on how many machines a job must fail to be at fault.
-	badJobMachines = 3
-	// badMachineJobs is how many jobs must fail in a row to give a machine up.
-	badMachineJobs = 2
-	maxBackoff     = 60 * time.Second
+	// machinesUntilJobAtFault is on how many machines a job must fail to be at fault.
+	machinesUntilJobAtFault = 3
+	// jobsUntilMachineFaulty is how many jobs must fail in a row to give a machine up.
+	jobsUntilMachineFaulty = 2
+	maxBackoff             = 60 * time.Second
 )
 
 func (c *Config) backoff(j *Job) time.Duration {
@@ -216,9 +216,9 @@
 	return min(d, maxBackoff)
 }
 
-// wholeRecorded reports whether all that must run together is recorded: a
+// allPeersRecorded reports whether all that must run together is recorded: a
 // gang's tasks start only when every one of them is.
-func (j *Job) wholeRecorded() bool {
+func (j *Job) allPeersRecorded() bool {
 	if j.spec.Kind != wire.Gang {
 		return true
 	}
--- a/internal/scheduler/long_poll.go
+++ b/internal/scheduler/long_poll.go
@@ -28,8 +28,8 @@
 // drops it.
 const maxLongPoll = 2500 * time.Millisecond
 
-// ParkedOrders returns the answer to a held heartbeat as things stand now.
-func (s *Shard) ParkedOrders(id string, now time.Time) (wire.Orders, bool) {
+// ParkedResponse returns the answer to a held heartbeat as things stand now.
+func (s *Shard) ParkedResponse(id string, now time.Time) (wire.Orders, bool) {
 	m := s.inventory.byID[id]
 	if m == nil {
 		return wire.Orders{}, false
--- a/internal/scheduler/machine_health.go
+++ b/internal/scheduler/machine_health.go
@@ -41,11 +41,11 @@
 	zoneCounts       map[silenceLimit]zoneCount // since the last check
 }
 
-// healthEvery is how often machines are looked over.
-const healthEvery = 250 * time.Millisecond
+// healthCheckInterval is how often machines are looked over.
+const healthCheckInterval = 250 * time.Millisecond
 
 func (s *Shard) checkHealth(now time.Time) {
-	if now.Sub(s.health.checkedAt) < healthEvery {
+	if now.Sub(s.health.checkedAt) < healthCheckInterval {
 		return
 	}
 	s.health.checkedAt = now
@@ -87,7 +87,7 @@
 		return "silent"
 	case s.neverBooted(m, now):
 		return "never came up"
-	case s.cfg.staysUnreachable(m, now):
+	case s.cfg.unreachableTooLong(m, now):
 		return "no answer reaches it"
 	}
 	return ""
@@ -123,7 +123,7 @@
 		return false
 	}
 	others := s.countZone(silenceLimit{m.Zone, limit}, now)
-	heard, quiet := others.heard, others.quiet-1 // it is one of the quiet ones itself
+	heard, quiet := others.heard, others.silent-1 // it is one of the quiet ones itself
 	if heard > 0 && heard >= quiet {
 		return true
 	}
@@ -140,7 +140,7 @@
 // leaseExpired reports whether a machine has been silent for so long that its lease is
 // over, unless somebody else answers it, though its zone is not partitioned from here.
 func (s *Shard) leaseExpired(m *Machine, now time.Time) bool {
-	return !s.health.partitionedZones[m.Zone] && now.Sub(m.contact.lastContactAt) > s.cfg.Lease+s.cfg.heartbeatDue()
+	return !s.health.partitionedZones[m.Zone] && now.Sub(m.contact.lastContactAt) > s.cfg.Lease+s.cfg.heartbeatTimeout()
 }
 
 // silenceLimit is a zone, and how long a machine there may be silent.
@@ -150,7 +150,7 @@
 }
 
 // zoneCount is how many machines of a zone are heard and how many are not.
-type zoneCount struct{ heard, quiet int }
+type zoneCount struct{ heard, silent int }
 
 // countZone counts a zone's machines once for all that are looked at together: when
 // a zone falls silent, that is all of its machines.
@@ -170,7 +170,7 @@
 		if o.contact.up && now.Sub(o.contact.lastContactAt) < at.limit/2 && now.Sub(o.contact.steadySince) > at.limit {
 			n.heard++
 		} else {
-			n.quiet++
+			n.silent++
 		}
 	}
 	s.health.zoneCounts[at] = n
@@ -231,7 +231,7 @@
 func (s *Shard) stopCommands(m *Machine, now time.Time) []wire.Command {
 	var out []wire.Command
 	for k, t := range m.tasks {
-		if t.stopping && t.recorded && s.cfg.CommandLimiter.Allow(s.paceClass(k), now) {
+		if t.stopping && t.recorded && s.cfg.CommandLimiter.Allow(s.commandPriority(k), now) {
 			out = append(out, stopCommand(k.name(), t.attempt, t.grace))
 		}
 	}
--- a/internal/scheduler/probe.go
+++ b/internal/scheduler/probe.go
@@ -35,21 +35,21 @@
 }
 
 const (
-	// overdueSlack is how long a heartbeat may be late besides the quarter of its
+	// heartbeatSlack is how long a heartbeat may be late besides the quarter of its
 	// interval that the protocol allows.
-	overdueSlack = 500 * time.Millisecond
-	// probePause is between two probes of one machine.
-	probePause = 500 * time.Millisecond
+	heartbeatSlack = 500 * time.Millisecond
+	// probeInterval is between two probes of one machine.
+	probeInterval = 500 * time.Millisecond
 	// probesUntilLost is how many probes in a row must fail: one packet may be lost.
 	probesUntilLost = 2
 )
 
-// heartbeatDue is how long after one heartbeat the next must have come.
-func (c *Config) heartbeatDue() time.Duration { return c.HeartbeatInterval*5/4 + overdueSlack }
+// heartbeatTimeout is how long after one heartbeat the next must have come.
+func (c *Config) heartbeatTimeout() time.Duration { return c.HeartbeatInterval*5/4 + heartbeatSlack }
 
-// failoverProbes is how often a machine is asked after a failover before its own heartbeat
+// maxFailoverProbes is how often a machine is asked after a failover before its own heartbeat
 // is awaited.
-const failoverProbes = 3
+const maxFailoverProbes = 3
 
 // awaitsFirstHeartbeat reports whether a machine was acquired and has not been heard since.
 // The token can only be brought to it with the epoch that it is in, so it is
@@ -65,10 +65,10 @@
 func (s *Shard) probeMachines(now time.Time) {
 	doubted := map[string]bool{}
 	for _, m := range s.inventory.byID {
-		if s.awaitsFirstHeartbeat(m) && m.probes.failed < failoverProbes && now.Sub(m.probes.endedAt) >= probePause {
+		if s.awaitsFirstHeartbeat(m) && m.probes.failed < maxFailoverProbes && now.Sub(m.probes.endedAt) >= probeInterval {
 			s.sendProbe(m, now)
 		}
-		if s.health.overloaded || !(m.contact.up || m.inherited) || m.Phase != record.InUse || m.Addr == "" || now.Sub(m.contact.lastContactAt) < s.cfg.heartbeatDue() {
+		if s.health.overloaded || !(m.contact.up || m.inherited) || m.Phase != record.InUse || m.Addr == "" || now.Sub(m.contact.lastContactAt) < s.cfg.heartbeatTimeout() {
 			continue
 		}
 		late := s.leaseExpired(m, now)
@@ -79,18 +79,18 @@
 		if m.probes.failed > 0 && !seen {
 			doubted[m.Zone] = true
 		}
-		if (m.probes.failed < probesUntilLost || seen || late && m.probes.unansweredPastLease < probesUntilLost) && now.Sub(m.probes.endedAt) >= probePause && !s.unresponsive(m, now) {
+		if (m.probes.failed < probesUntilLost || seen || late && m.probes.unansweredPastLease < probesUntilLost) && now.Sub(m.probes.endedAt) >= probeInterval && !s.unresponsive(m, now) {
 			s.sendProbe(m, now)
 		}
 	}
 	for zone := range doubted {
 		var witness *Machine
 		for _, m := range s.inventory.byID {
-			if m.Zone == zone && m.contact.up && m.Addr != "" && m.probes.failed == 0 && now.Sub(m.contact.lastContactAt) < s.cfg.heartbeatDue() && (witness == nil || m.contact.lastContactAt.After(witness.contact.lastContactAt)) {
+			if m.Zone == zone && m.contact.up && m.Addr != "" && m.probes.failed == 0 && now.Sub(m.contact.lastContactAt) < s.cfg.heartbeatTimeout() && (witness == nil || m.contact.lastContactAt.After(witness.contact.lastContactAt)) {
 				witness = m
 			}
 		}
-		if witness != nil && now.Sub(witness.probes.endedAt) >= probePause {
+		if witness != nil && now.Sub(witness.probes.endedAt) >= probeInterval {
 			s.sendProbe(witness, now)
 		}
 	}
@@ -132,6 +132,6 @@
 
 // unresponsive reports whether a machine did not answer while its zone did.
 func (s *Shard) unresponsive(m *Machine, now time.Time) bool {
-	return (m.contact.up || m.inherited) && now.Sub(m.contact.lastContactAt) >= s.cfg.heartbeatDue() && m.probes.failed >= probesUntilLost && !m.probes.inFlight &&
+	return (m.contact.up || m.inherited) && now.Sub(m.contact.lastContactAt) >= s.cfg.heartbeatTimeout() && m.probes.failed >= probesUntilLost && !m.probes.inFlight &&
 		m.probes.zoneAnswered && s.probes.zoneAnsweredAt[m.Zone].After(m.probes.endedAt)
 }
--- a/internal/scheduler/probe_test.go
+++ b/internal/scheduler/probe_test.go
@@ -26,7 +26,7 @@
 func (r *harness) advanceWithoutHeartbeats(d time.Duration, answers ...string) (asked int) {
 	r.probeResponders = answers
 	for end := r.clock.Now().Add(d); r.clock.Now().Before(end); {
-		r.clock.Advance(healthEvery)
+		r.clock.Advance(healthCheckInterval)
 		eff := r.shard.Step(r.clock.Now())
 		asked += len(eff.Probes)
 		r.answerProbes(eff)
@@ -61,7 +61,7 @@
 		r.addMachine("n1", "z2", false)
 		r.submit(spec("run-000001", "b", wire.Array, "normal", 8, 1))
 		r.heartbeats(4)
-		lostAfter := r.shard.cfg.heartbeatDue() + 2*time.Second
+		lostAfter := r.shard.cfg.heartbeatTimeout() + 2*time.Second
 		if r.advanceWithoutHeartbeats(lostAfter, x.answers...) == 0 {
 			t.Errorf("%s: nobody is asked", name)
 		}
@@ -96,7 +96,7 @@
 		if takeOver {
 			r.failOver()
 		}
-		r.advanceWithoutHeartbeats(2 * r.shard.cfg.heartbeatDue())
+		r.advanceWithoutHeartbeats(2 * r.shard.cfg.heartbeatTimeout())
 		r.probeResponders = ids
 		r.heartbeat(r.workers["m1"])
 		r.advanceWithoutHeartbeats(r.cfg.HeartbeatInterval, ids...)
@@ -120,7 +120,7 @@
 	}
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 6, 1))
 	r.heartbeats(4)
-	r.clock.Advance(r.shard.cfg.heartbeatDue())
+	r.clock.Advance(r.shard.cfg.heartbeatTimeout())
 	eff := r.shard.Step(r.clock.Now())
 	if len(eff.Probes) != len(ids) {
 		t.Fatalf("asks %v", eff.Probes)
@@ -146,12 +146,12 @@
 		r.addMachine(id, "z1", false)
 	}
 	r.heartbeats(2)
-	r.clock.Advance(r.shard.cfg.heartbeatDue())
+	r.clock.Advance(r.shard.cfg.heartbeatTimeout())
 	for range 3 {
 		if eff := r.shard.Step(r.clock.Now()); len(eff.Probes) > 2 || r.shard.probes.inFlight > 2 {
 			t.Fatalf("asks %v at once", eff.Probes)
 		}
-		r.clock.Advance(healthEvery)
+		r.clock.Advance(healthCheckInterval)
 	}
 }
 
@@ -171,7 +171,7 @@
 	r.submit(spec("run-000001", "b", wire.Service, "prod", 3, 1))
 	r.heartbeats(4)
 	r.failOver()
-	if n := r.advanceWithoutHeartbeats(healthEvery, "m1"); n != 2 {
+	if n := r.advanceWithoutHeartbeats(healthCheckInterval, "m1"); n != 2 {
 		t.Fatalf("%d machines asked, want 2", n)
 	}
 	now := r.clock.Now()
@@ -185,7 +185,7 @@
 	if m := r.shard.inventory.byID["m1"]; !m.contact.fenced || !r.shard.cfg.usable(m, now) {
 		t.Fatal("asked and told, but takes no work")
 	}
-	r.advanceWithoutHeartbeats(r.shard.cfg.heartbeatDue()+time.Second, "m1")
+	r.advanceWithoutHeartbeats(r.shard.cfg.heartbeatTimeout()+time.Second, "m1")
 	if r.phase("m1") > 0 || r.phase("m2") == 0 {
 		t.Errorf("phases %d and %d, want m2 given back", r.phase("m1"), r.phase("m2"))
 	}
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -134,12 +134,12 @@
 			s.taskLost(k, now)
 		}
 	case reconcile.FreePlacement:
-		s.exitedIncomplete(k, rt, m, now)
+		s.handleIncompleteExit(k, rt, m, now)
 	}
 }
 
-// exitedIncomplete takes in that a placed task has exited without having completed.
-func (s *Shard) exitedIncomplete(k taskKey, rt *wire.HeartbeatTask, m *Machine, now time.Time) {
+// handleIncompleteExit takes in that a placed task has exited without having completed.
+func (s *Shard) handleIncompleteExit(k taskKey, rt *wire.HeartbeatTask, m *Machine, now time.Time) {
 	j := k.job
 	switch rt.Why {
 	case wire.ExitError:
--- a/internal/scheduler/reconciliation_progress.go
+++ b/internal/scheduler/reconciliation_progress.go
@@ -21,17 +21,17 @@
 
 // Bounds of what is remembered during reconciliation.
 const (
-	maxOrphans = 4096
-	maxUnheard = 16 // machines that are named
+	maxOrphans           = 4096
+	maxAwaitedMachineIDs = 16 // machines that are named
 )
 
 // ReconciliationProgress is how far the reconciliation of a shard has come after it was acquired.
 type ReconciliationProgress struct {
-	Since        time.Time
-	Pending      int      // tasks of which nothing is proven yet
-	Unheard      int      // machines that have not reported under the shard's token
-	UnheardNames []string // some of them
-	Tally        reconcile.OutcomeCounts
+	Since             time.Time
+	Pending           int      // tasks of which nothing is proven yet
+	AwaitedMachines   int      // machines that have not reported under the shard's token
+	AwaitedMachineIDs []string // some of them
+	Tally             reconcile.OutcomeCounts
 }
 
 // beginReconciliation counts what is to be found out about.
@@ -57,12 +57,12 @@
 		if !m.inherited || m.contact.fenced || m.Phase != record.InUse || (!m.contact.up && len(m.tasks) == 0) {
 			continue
 		}
-		out.Unheard++
-		if len(out.UnheardNames) < maxUnheard {
-			out.UnheardNames = append(out.UnheardNames, m.ID)
+		out.AwaitedMachines++
+		if len(out.AwaitedMachineIDs) < maxAwaitedMachineIDs {
+			out.AwaitedMachineIDs = append(out.AwaitedMachineIDs, m.ID)
 		}
 	}
-	slices.Sort(out.UnheardNames)
+	slices.Sort(out.AwaitedMachineIDs)
 	return out, true
 }
 
--- a/internal/scheduler/restart_test.go
+++ b/internal/scheduler/restart_test.go
@@ -86,7 +86,7 @@
 		t.Errorf("%d orders after %v", r.started, took)
 	}
 	progress, settling := r.shard.ReconciliationProgress()
-	if !settling || progress.Pending+progress.Unheard > 0 {
+	if !settling || progress.Pending+progress.AwaitedMachines > 0 {
 		t.Errorf("still awaited after %v: %+v", took, progress)
 	}
 }
--- a/internal/scheduler/unreachable.go
+++ b/internal/scheduler/unreachable.go
@@ -6,10 +6,10 @@
 	"bramblespur/internal/wire"
 )
 
-// unreachableAfter is how many heartbeats in a row must lack a start sent before
+// missedStartsUntilUnreachable is how many heartbeats in a row must lack a start sent before
 // until its machine counts as one that no answer reaches. One answer may be
 // lost or late.
-const unreachableAfter = 2
+const missedStartsUntilUnreachable = 2
 
 // applyEpoch takes in the epoch of a heartbeat. A lease that ran out although its
 // worker's heartbeats were answered tells that no answer reaches the machine.
@@ -54,8 +54,8 @@
 	}
 }
 
-// staysUnreachable reports whether a machine is to be released because no answer was
+// unreachableTooLong reports whether a machine is to be released because no answer was
 // seen to reach it for longer than a lease, by which one would have shown.
-func (c *Config) staysUnreachable(m *Machine, now time.Time) bool {
+func (c *Config) unreachableTooLong(m *Machine, now time.Time) bool {
 	return !m.contact.unreachableSince.IsZero() && now.Sub(m.contact.unreachableSince) > c.Lease+2*c.HeartbeatInterval
 }
