--- a/internal/fragment/fragment.go
+++ b/internal/fragment/fragment.go
@@ -1,8 +1,11 @@
-// Package fragment is the algorithm of "Dynamic workflow model fragmentation
-// for distributed execution" (Tan and Fan, 2007), sections 2 and 3: after each
-// finished job the remainder of its fragment is cut into fragments, one for
-// each successor; of the branches of a parallel split only the first carries
-// what follows the join.
+// Package fragment decides which jobs of a pipeline may run. It implements the algorithm of
+// "Dynamic workflow model fragmentation for distributed execution" (Tan and Fan, 2007), sections 2
+// and 3: after each finished job the remainder of its fragment is cut into fragments, one for each
+// successor. Of the branches of a parallel split only the first carries the join and the jobs that
+// follow it.
+//
+// The package also checks that a pipeline is well structured (NetFromLinks), and computes the
+// urgency that jobs inherit from the jobs that depend on them (Dependencies).
 package fragment
 
 import (
@@ -10,21 +13,22 @@
 	"sort"
 )
 
-// Place links jobs: it is marked when one of In has finished, and one of Out
-// uses the mark up. Several Out make a choice.
+// Place links jobs. It is marked when one of the jobs In has finished, and one of the jobs Out
+// consumes the mark. Several jobs in Out make a choice.
 type Place struct {
 	In, Out []string
 }
 
-// Net is a pipeline as a workflow net: jobs are its transitions. The place
-// without In is its start.
+// Net is a pipeline as a workflow net, whose transitions are the jobs. The place without In is the
+// start place.
 type Net struct {
 	places []Place
-	in     map[string][]int // a job's input places
-	out    map[string][]int // a job's output places
+	in     map[string][]int // by job: the indexes of its input places
+	out    map[string][]int // by job: the indexes of its output places
 }
 
-// NewNet makes a net of places.
+// NewNet returns a net with places. It returns an error unless there is exactly one start place and
+// each job has an input place.
 func NewNet(places []Place) (*Net, error) {
 	n := &Net{places: places, in: map[string][]int{}, out: map[string][]int{}}
 	starts := 0
@@ -40,42 +44,42 @@
 		}
 	}
 	if starts != 1 {
-		return nil, fmt.Errorf("fragment: %d start places, want one", starts)
+		return nil, fmt.Errorf("fragment: %d start places, want 1", starts)
 	}
 	for t := range n.out {
 		if len(n.in[t]) == 0 {
-			return nil, fmt.Errorf("fragment: job %s has no input", t)
+			return nil, fmt.Errorf("fragment: job %s has no input place", t)
 		}
 	}
 	return n, nil
 }
 
-// BeginAfter begins the pipeline of a job that waits for others, which were submitted
-// before it and are under way or over: a split into these and their join. The
-// job travels, as what follows any join, in one fragment.
-func BeginAfter(job string, roots []string) *Pipeline {
-	const split = "" // is no job
+// BeginAfter starts the pipeline of a job that depends on others, which were submitted before it
+// and may have started or finished: a split into the dependencies, and the job as their join. As
+// any join, the job is carried by one fragment.
+func BeginAfter(job string, dependencies []string) *Pipeline {
+	const split = "" // not the ref of a job
 	places := []Place{{Out: []string{split}}, {In: []string{job}}}
-	for _, r := range roots {
-		places = append(places, Place{In: []string{split}, Out: []string{r}}, Place{In: []string{r}, Out: []string{job}})
+	for _, d := range dependencies {
+		places = append(places, Place{In: []string{split}, Out: []string{d}}, Place{In: []string{d}, Out: []string{job}})
 	}
 	n, err := NewNet(places)
 	if err != nil {
-		panic(err) // one split and one join are always sound
+		panic(err) // a net of one split and one join is always valid
 	}
 	p := Begin(n)
 	p.Finish(split, "")
 	return p
 }
 
-// Fragment is a part of a net, run from its source job on.
+// Fragment is a part of a net. Source is the job of it that runs first.
 type Fragment struct {
 	Source string
 	Jobs   map[string]bool
 }
 
-// reach is the paper's R and, with restricted jobs, its Algorithm 2: all jobs
-// of f reachable from t without entering a restricted one.
+// reach returns all jobs of f that are reachable from t without entering a restricted job. It is
+// the paper's R and, with restricted jobs, its Algorithm 2.
 func (n *Net) reach(t string, f Fragment, restricted map[string]bool) map[string]bool {
 	seen := map[string]bool{}
 	var visit func(string)
@@ -94,7 +98,8 @@
 	return seen
 }
 
-// joinOf is Algorithm 4: the job at which all branches of a split meet.
+// joinOf returns the job at which all branches of a split meet, and whether there is one. It is
+// Algorithm 4.
 func (n *Net) joinOf(split string, f Fragment) (string, bool) {
 	outs := n.out[split]
 	queue := append([]string(nil), n.places[outs[0]].Out...)
@@ -130,9 +135,9 @@
 	return "", false
 }
 
-// next is Algorithm 3: the fragments that follow f's source. An added
-// restriction (Algorithm 6) is every job already carried by an earlier branch
-// that has several inputs: a partial join, carried once.
+// next returns the fragments that follow f's source. It is Algorithm 3 with an added restriction
+// (Algorithm 6): a job with several inputs that an earlier branch carries, which is a partial join,
+// is not carried again.
 func (n *Net) next(f Fragment) []Fragment {
 	var list []Fragment
 	outs := n.out[f.Source]
@@ -167,14 +172,15 @@
 	return list
 }
 
-// Pipeline is a running net: its marking and its fragments.
+// Pipeline is the state of a net that runs: its marking and its fragments. The zero value is a
+// pipeline with nothing left to run. It is not safe for concurrent use.
 type Pipeline struct {
-	net   *Net
-	marks map[int]bool
-	pool  []Fragment
+	net       *Net
+	marks     map[int]bool // by index of the place
+	fragments []Fragment
 }
 
-// Begin starts a pipeline. Its first fragments wait in Ready.
+// Begin returns a new pipeline with the net's first jobs ready.
 func Begin(n *Net) *Pipeline {
 	p := &Pipeline{net: n, marks: map[int]bool{}}
 	all := Fragment{Jobs: map[string]bool{}}
@@ -185,18 +191,18 @@
 		if len(pl.In) == 0 {
 			p.marks[i] = true
 			for _, t := range pl.Out {
-				p.pool = append(p.pool, Fragment{Source: t, Jobs: n.reach(t, all, nil)})
+				p.fragments = append(p.fragments, Fragment{Source: t, Jobs: n.reach(t, all, nil)})
 			}
 		}
 	}
 	return p
 }
 
-// Ready returns the jobs that may run now: sources of fragments whose every
-// input place is marked.
+// Ready returns the jobs that may run now, sorted: the sources of fragments whose input places are
+// all marked.
 func (p *Pipeline) Ready() []string {
 	var jobs []string
-	for _, f := range p.pool {
+	for _, f := range p.fragments {
 		if p.enabled(f.Source) {
 			jobs = append(jobs, f.Source)
 		}
@@ -205,6 +211,7 @@
 	return jobs
 }
 
+// enabled reports whether all input places of a job are marked.
 func (p *Pipeline) enabled(t string) bool {
 	for _, i := range p.net.in[t] {
 		if !p.marks[i] {
@@ -214,11 +221,12 @@
 	return true
 }
 
-// Finish tells that a ready job is done. At a choice, pick names the job that
-// goes on. It reports whether the job was ready.
+// Finish records that a ready job is done. If a choice follows the job, pick is the job that is
+// chosen; otherwise it is empty. Finish reports whether the job was ready, and changes nothing if it
+// was not.
 func (p *Pipeline) Finish(job, pick string) bool {
 	at := -1
-	for i, f := range p.pool {
+	for i, f := range p.fragments {
 		if f.Source == job && p.enabled(job) {
 			at = i
 		}
@@ -226,23 +234,23 @@
 	if at < 0 {
 		return false
 	}
-	f := p.pool[at]
+	f := p.fragments[at]
 	for _, i := range p.net.in[job] {
 		delete(p.marks, i)
 	}
-	// Whatever shared a choice with this job can't run any more.
-	kept := p.pool[:0]
-	for _, g := range p.pool {
-		if g.Source != job && !p.rival(g.Source, job) {
+	// The other branches of a choice to which this job belongs can no longer run.
+	kept := p.fragments[:0]
+	for _, g := range p.fragments {
+		if g.Source != job && !p.alternatives(g.Source, job) {
 			kept = append(kept, g)
 		}
 	}
-	p.pool = kept
+	p.fragments = kept
 	for _, g := range p.net.next(f) {
-		if pick != "" && g.Source != pick && p.rival(g.Source, pick) {
+		if pick != "" && g.Source != pick && p.alternatives(g.Source, pick) {
 			continue
 		}
-		p.pool = append(p.pool, g)
+		p.fragments = append(p.fragments, g)
 	}
 	for _, i := range p.net.out[job] {
 		p.marks[i] = true
@@ -250,8 +258,8 @@
 	return true
 }
 
-// rival reports whether two jobs are branches of one choice.
-func (p *Pipeline) rival(a, b string) bool {
+// alternatives reports whether two jobs are branches of the same choice.
+func (p *Pipeline) alternatives(a, b string) bool {
 	for _, i := range p.net.in[a] {
 		for _, j := range p.net.in[b] {
 			if i == j && a != b {
@@ -262,5 +270,5 @@
 	return false
 }
 
-// Done reports whether nothing is left to run.
-func (p *Pipeline) Done() bool { return len(p.pool) == 0 }
+// Done reports whether no job is left to run.
+func (p *Pipeline) Done() bool { return len(p.fragments) == 0 }
--- a/internal/fragment/fragment_test.go
+++ b/internal/fragment/fragment_test.go
@@ -25,6 +25,7 @@
 	return n
 }
 
+// jobs returns the jobs of a fragment, sorted.
 func jobs(f Fragment) []string {
 	var out []string
 	for j := range f.Jobs {
@@ -34,8 +35,8 @@
 	return out
 }
 
-// The join and all behind it travel in the first branch only (F3); the other
-// is cut off before it (F4).
+// Only the fragment of the first branch (F3) carries the join and the jobs that follow it; that of
+// the other branch (F4) ends before the join.
 func TestOneBranchCarriesTheJoin(t *testing.T) {
 	p := Begin(figure2(t))
 	for _, j := range []string{"t1", "t2"} {
@@ -43,14 +44,14 @@
 			t.Fatalf("%s was not ready", j)
 		}
 	}
-	if len(p.pool) != 2 {
-		t.Fatalf("%d fragments after the split, want 2", len(p.pool))
+	if len(p.fragments) != 2 {
+		t.Fatalf("%d fragments after the split, want 2", len(p.fragments))
 	}
-	if got := jobs(p.pool[0]); !slices.Equal(got, []string{"t3", "t5", "t6", "t7"}) {
-		t.Errorf("F3 holds %v", got)
+	if got := jobs(p.fragments[0]); !slices.Equal(got, []string{"t3", "t5", "t6", "t7"}) {
+		t.Errorf("F3 has the jobs %v, want t3, t5, t6 and t7", got)
 	}
-	if got := jobs(p.pool[1]); !slices.Equal(got, []string{"t4"}) {
-		t.Errorf("F4 holds %v", got)
+	if got := jobs(p.fragments[1]); !slices.Equal(got, []string{"t4"}) {
+		t.Errorf("F4 has the jobs %v, want t4", got)
 	}
 }
 
@@ -64,11 +65,11 @@
 			t.Fatalf("ready %v after %s, want only %s", got, order[0], order[1])
 		}
 		if p.Finish("t5", "") {
-			t.Fatal("join ran early")
+			t.Fatal("the join could finish before both branches had")
 		}
 		p.Finish(order[1], "")
 		if got := p.Ready(); !slices.Equal(got, []string{"t5"}) {
-			t.Fatalf("ready %v after both branches", got)
+			t.Fatalf("ready %v after both branches, want t5", got)
 		}
 	}
 }
@@ -80,18 +81,19 @@
 	}
 	p.Finish("t5", "t7")
 	if got := p.Ready(); !slices.Equal(got, []string{"t7"}) {
-		t.Fatalf("ready %v, want the picked branch", got)
+		t.Fatalf("ready %v, want only t7, the chosen branch", got)
 	}
 	p.Finish("t7", "")
 	if !p.Done() {
-		t.Fatal("not over")
+		t.Fatal("not done after t7")
 	}
 	if p.Finish("t7", "") {
 		t.Fatal("a job finished twice")
 	}
 }
 
-// A split of three of which two meet early: the partial join is carried once.
+// Of a split into three branches, two meet before the join of all three. This partial join is
+// carried by one fragment only.
 func TestPartialJoinIsCarriedOnce(t *testing.T) {
 	n, err := NewNet([]Place{
 		{Out: []string{"s"}},
@@ -117,64 +119,64 @@
 	}
 	for _, j := range []string{"s", "a", "b", "c", "ab", "end"} {
 		if ran[j] != 1 {
-			t.Errorf("%s ran %d times", j, ran[j])
+			t.Errorf("%s ran %d times, want once", j, ran[j])
 		}
 	}
 	if !p.Done() {
-		t.Error("not over")
+		t.Error("not done although all jobs have finished")
 	}
 }
 
-// A job that is linked to no other is a pipeline of one.
-func TestSingle(t *testing.T) {
+// A job without links is a pipeline of one job.
+func TestSingleJob(t *testing.T) {
 	n, err := NetFromLinks([]string{"j"}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := Begin(n)
 	if got := p.Ready(); !slices.Equal(got, []string{"j"}) {
-		t.Fatalf("ready %v", got)
+		t.Fatalf("ready %v, want j", got)
 	}
 	if p.Finish("j", ""); !p.Done() {
-		t.Fatal("not over")
+		t.Fatal("not done after j")
 	}
 }
 
-// A job that names others is the join of a split into them: it is ready once all
-// are done, in whatever order, and never once one was cancelled.
-func TestAfter(t *testing.T) {
-	roots := []string{"a", "b", "c"}
+// A job that depends on others is the join of a split into them: it is ready once all of them are
+// done, in any order, and never if one of them was cancelled.
+func TestBeginAfter(t *testing.T) {
+	dependencies := []string{"a", "b", "c"}
 	for _, order := range [][]string{{"a", "b", "c"}, {"c", "a", "b"}, {"b", "c", "a"}} {
-		p := BeginAfter("job", roots)
+		p := BeginAfter("job", dependencies)
 		for i, r := range order {
 			if slices.Contains(p.Ready(), "job") {
-				t.Fatalf("ready after %v", order[:i])
+				t.Fatalf("the job is ready after %v only", order[:i])
 			}
 			if !p.Finish(r, "") {
 				t.Fatalf("%s was not ready", r)
 			}
 		}
 		if got := p.Ready(); len(got) != 1 || got[0] != "job" {
-			t.Fatalf("ready: %v", got)
+			t.Fatalf("ready %v, want only the job", got)
 		}
 		carried := 0
-		for _, f := range p.pool {
+		for _, f := range p.fragments {
 			if f.Jobs["job"] {
 				carried++
 			}
 		}
 		if carried != 1 {
-			t.Errorf("the job travels in %d fragments", carried)
+			t.Errorf("%d fragments carry the job, want 1", carried)
 		}
 		if !p.Finish("job", "") || !p.Done() {
-			t.Error("not over after the job")
+			t.Error("not done after the job")
 		}
 	}
-	p := BeginAfter("job", roots)
+	p := BeginAfter("job", dependencies)
 	p.Finish("a", "")
 	p.Abort("b")
 	p.Finish("c", "")
 	if len(p.Ready()) > 0 || p.Remaining()["job"] {
-		t.Errorf("ready %v, left %v though a root was cancelled", p.Ready(), p.Remaining())
+		t.Errorf("ready %v, remaining %v though a dependency was cancelled", p.Ready(), p.Remaining())
 	}
 }
--- a/internal/fragment/structure_test.go
+++ b/internal/fragment/structure_test.go
@@ -14,15 +14,18 @@
 	links []Place
 }
 
+// job adds a job and returns its name.
 func (b *builder) job() string {
 	j := fmt.Sprintf("t%d", len(b.jobs))
 	b.jobs = append(b.jobs, j)
 	return j
 }
 
+// link adds a link.
 func (b *builder) link(from, to []string) { b.links = append(b.links, Place{In: from, Out: to}) }
 
-// block returns the first and the last job of a new block.
+// block adds a random block with at most depth levels of blocks inside it and returns its first and
+// last job.
 func (b *builder) block(depth int) (first, last string) {
 	switch kind := b.r.IntN(4); {
 	case depth == 0 || kind == 0:
@@ -33,7 +36,7 @@
 		next, last := b.block(depth - 1)
 		b.link([]string{mid}, []string{next})
 		return first, last
-	case kind == 2: // all branches, and their join
+	case kind == 2: // a parallel split and its join
 		first, last = b.job(), b.job()
 		for range 2 + b.r.IntN(2) {
 			x, y := b.block(depth - 1)
@@ -41,7 +44,7 @@
 			b.link([]string{y}, []string{last})
 		}
 		return first, last
-	default: // one of several branches
+	default: // a choice
 		first, last = b.job(), b.job()
 		var heads, tails []string
 		for range 2 + b.r.IntN(2) {
@@ -54,12 +57,11 @@
 	}
 }
 
-// Whatever the pipeline, the order in which jobs finish and the branches
-// picked: what the fragments let run is what the token game of the net does,
-// every job that may run is the source of exactly one fragment, no join is
-// early and nothing runs twice. It holds across a take-over after any job, which
-// replays what has finished.
-func TestFragmentsPlayTheNet(t *testing.T) {
+// The jobs that fragments make ready are those that the token game of the net enables, for random
+// pipelines, orders in which jobs finish, and choices: each ready job is the source of exactly one
+// fragment, no join is ready early and no job runs twice. This also holds after a change of owner at
+// any point, when the finished jobs are replayed.
+func TestFragmentsFollowTheTokenGame(t *testing.T) {
 	for seed := range uint64(400) {
 		r := rand.New(rand.NewPCG(seed, 7))
 		b := &builder{r: r}
@@ -91,14 +93,14 @@
 				t.Fatalf("seed %d after %v: ready %v, want %v\n%v", seed, done, got, ready, b.links)
 			}
 			for _, j := range ready {
-				owners := 0
-				for _, f := range p.pool {
+				carriers := 0
+				for _, f := range p.fragments {
 					if f.Source == j {
-						owners++
+						carriers++
 					}
 				}
-				if owners != 1 {
-					t.Fatalf("seed %d: %s is the duty of %d fragments", seed, j, owners)
+				if carriers != 1 {
+					t.Fatalf("seed %d: %s is the source of %d fragments, want 1", seed, j, carriers)
 				}
 			}
 			if len(ready) == 0 {
@@ -127,13 +129,13 @@
 			}
 		}
 		if !p.Done() || len(p.Remaining()) != 0 {
-			t.Fatalf("seed %d: not over after %v", seed, done)
+			t.Fatalf("seed %d: no job is ready, but the pipeline is not done after %v", seed, done)
 		}
 	}
 }
 
-// A job that was cancelled takes all that follows it along, the join and what
-// is behind it too, and leaves the other branches alone.
+// When a job is cancelled, all jobs that follow it are aborted, including the join and its
+// successors. The other branches go on.
 func TestAbortEndsSuccessors(t *testing.T) {
 	for _, failed := range []string{"b", "c"} {
 		n, err := NetFromLinks([]string{"a", "b", "c", "d", "e"}, []Place{
@@ -149,34 +151,34 @@
 		p.Abort(failed)
 		other := map[string]string{"b": "c", "c": "b"}[failed]
 		if got := p.Ready(); !slices.Equal(got, []string{other}) || len(p.Remaining()) != 1 {
-			t.Errorf("after %s: ready %v, left %v, want only %s", failed, got, p.Remaining(), other)
+			t.Errorf("after %s was aborted: ready %v, remaining %v, want only %s", failed, got, p.Remaining(), other)
 		}
 		p.Finish(other, "")
 		if !p.Done() {
-			t.Errorf("after %s and %s: not over, left %v", failed, other, p.Remaining())
+			t.Errorf("after %s was aborted and %s finished: not done, remaining %v", failed, other, p.Remaining())
 		}
 	}
 }
 
 func TestStructureIsChecked(t *testing.T) {
 	l := func(from, to string) Place { return Place{In: []string{from}, Out: []string{to}} }
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		jobs  []string
 		links []Place
 	}{
-		"cycle":              {[]string{"a", "b", "c"}, []Place{l("a", "b"), l("b", "c"), l("c", "b")}},
-		"two beginnings":     {[]string{"a", "b", "c"}, []Place{l("a", "c"), l("b", "c")}},
-		"split without join": {[]string{"a", "b", "c"}, []Place{l("a", "b"), l("a", "c")}},
-		"join of a choice":   {[]string{"a", "b", "c", "d"}, []Place{{In: []string{"a"}, Out: []string{"b", "c"}}, l("b", "d"), l("c", "d")}},
-		"crossing branches":  {[]string{"a", "b", "c", "d", "e"}, []Place{l("a", "b"), l("a", "c"), l("b", "d"), l("c", "d"), l("b", "e"), l("d", "e")}},
-		"unknown job":        {[]string{"a"}, []Place{l("a", "x")}},
-		"job named twice":    {[]string{"a", "a"}, nil},
-		"to itself":          {[]string{"a"}, []Place{l("a", "a")}},
-		"no job":             {nil, nil},
-		"link without end":   {[]string{"a", "b"}, []Place{{In: []string{"a"}}, l("a", "b")}},
+		"cycle":               {[]string{"a", "b", "c"}, []Place{l("a", "b"), l("b", "c"), l("c", "b")}},
+		"two start jobs":      {[]string{"a", "b", "c"}, []Place{l("a", "c"), l("b", "c")}},
+		"split without join":  {[]string{"a", "b", "c"}, []Place{l("a", "b"), l("a", "c")}},
+		"join of a choice":    {[]string{"a", "b", "c", "d"}, []Place{{In: []string{"a"}, Out: []string{"b", "c"}}, l("b", "d"), l("c", "d")}},
+		"crossing branches":   {[]string{"a", "b", "c", "d", "e"}, []Place{l("a", "b"), l("a", "c"), l("b", "d"), l("c", "d"), l("b", "e"), l("d", "e")}},
+		"unknown job":         {[]string{"a"}, []Place{l("a", "x")}},
+		"job named twice":     {[]string{"a", "a"}, nil},
+		"link to itself":      {[]string{"a"}, []Place{l("a", "a")}},
+		"no jobs":             {nil, nil},
+		"link without an end": {[]string{"a", "b"}, []Place{{In: []string{"a"}}, l("a", "b")}},
 	} {
-		if _, err := NetFromLinks(x.jobs, x.links); err == nil {
-			t.Errorf("%s is taken for well structured", name)
+		if _, err := NetFromLinks(test.jobs, test.links); err == nil {
+			t.Errorf("%s: accepted, want an error", name)
 		}
 	}
 }
