--- a/internal/scheduler/data_loss.go
+++ b/internal/scheduler/data_loss.go
@@ -8,54 +8,56 @@
 	"bramblespur/internal/wire"
 )
 
-// Starts are recorded before workers hear of them, and a job's record goes only with its final
-// one. So workers that have what the records never knew tell of records that were lost. A
-// shard that detects data loss keeps such tasks as they are, starts nothing, and asks its shell to look for the
-// records. If several machines have tasks of which there is none, they were lost; if one alone
-// has, after a while that is its own error, and its tasks are orphan tasks.
-
-// dataLossDetection compares what workers report with the records, if it is enabled.
+// Starts are recorded before they are sent to workers, and the active record of a job is deleted only
+// when its finished record is written. So a worker that reports a task without a record points to
+// lost records. A shard that detects data loss leaves such tasks as they are, starts no tasks, and
+// asks its caller to look up the records. If several machines have tasks without records, records
+// were lost. If only one machine has, it counts after a while as an error of its worker, and the
+// tasks as orphan tasks.
+
+// dataLossDetection compares the reports of workers with the records, if it is enabled.
 type dataLossDetection struct {
 	enabled   bool
-	suspected map[string]*unrecordedTask // reported tasks that the records do not know
-	explained map[string]struct{}        // those that turned out to be of terminal jobs
-	// heartbeatsAwaitedUntil is until when starts may wait for heartbeats after a failover.
+	suspected map[string]*unrecordedTask // reported tasks without a record, by task name
+	explained map[string]struct{}        // reported tasks that other records explain, by task name
+	// heartbeatsAwaitedUntil is until when starts wait at most for heartbeats after a failover.
 	heartbeatsAwaitedUntil time.Time
 }
 
-// unrecordedTask is a reported task that the records do not know.
+// unrecordedTask is a reported task without a record.
 type unrecordedTask struct {
-	machine   string
-	since     time.Time
-	running   bool // it was not reported as exited
-	confirmed bool // there is no record that explains it
+	machine   string    // ID of the machine that reported it
+	since     time.Time // when it was first reported
+	running   bool      // it was not reported as exited
+	confirmed bool      // the lookup found no record that explains it
 }
 
-// Unrecorded is a reported task whose records are to be looked for.
+// Unrecorded is a reported task whose records are to be looked up.
 type Unrecorded struct {
 	Task, Machine     string
-	Attempt, Recorded uint64 // the attempt on the machine, and the highest on record
+	Attempt, Recorded uint64 // the attempt on the machine, and the highest attempt on record
 	KnownJob          bool   // the shard holds its job
 }
 
 const (
-	// maxUnrecordedTasks bounds the tasks that are remembered.
+	// maxUnrecordedTasks bounds the suspected and the explained tasks that a shard keeps.
 	maxUnrecordedTasks = 4096
-	// machinesToConfirmLoss is how many machines must have unrecorded tasks for records to be lost.
+	// machinesToConfirmLoss is how many machines must run unrecorded tasks before records count as lost.
 	machinesToConfirmLoss = 2
-	// heartbeatsToConfirmLoss is for how many intervals of heartbeats other machines may yet tell.
+	// heartbeatsToConfirmLoss is how many heartbeat intervals other machines have to report
+	// unrecorded tasks, too.
 	heartbeatsToConfirmLoss = 2
 )
 
-// DetectDataLoss makes the shard ask for what the records do not know.
+// DetectDataLoss makes the shard report unrecorded tasks in Effects.Unrecorded from now on.
 func (s *Shard) DetectDataLoss() { s.dataLoss.enable() }
 
 func (d *dataLossDetection) enable() {
 	d.enabled, d.suspected, d.explained = true, map[string]*unrecordedTask{}, map[string]struct{}{}
 }
 
-// ExplainUnrecorded takes in that records were found that explain a reported task: its job is
-// terminal, or another shard's.
+// ExplainUnrecorded notes that records explain an unrecorded task: its job is terminal or belongs to
+// another shard.
 func (s *Shard) ExplainUnrecorded(task string) {
 	s.dataLoss.explain(task)
 	s.placementDue = true
@@ -63,14 +65,14 @@
 
 func (d *dataLossDetection) explain(task string) {
 	if len(d.explained) >= maxUnrecordedTasks {
-		clear(d.explained) // what is reported again is looked for again
+		clear(d.explained) // tasks that are reported again are looked up again
 	}
 	d.explained[task] = struct{}{}
 	delete(d.suspected, task)
 }
 
-// ConfirmUnrecorded takes in that no record explains a reported task, and reports whether so
-// many machines have such tasks that the records must be lost.
+// ConfirmUnrecorded notes that no record explains an unrecorded task, and reports whether so many
+// machines run such tasks that records must be lost.
 func (s *Shard) ConfirmUnrecorded(task string) bool { return s.dataLoss.confirm(task) }
 
 func (d *dataLossDetection) confirm(task string) (recordsLost bool) {
@@ -86,8 +88,9 @@
 	return len(machines) >= machinesToConfirmLoss
 }
 
-// suspectDataLoss reports whether a reported task is one that the records should know and do
-// not, so that nothing may be done about it yet. The job is nil if the shard does not hold it.
+// suspectDataLoss reports whether a reported task lacks a record that it should have and this is
+// undecided, so that no command may be sent for it yet. The job is nil if the shard does not hold
+// it.
 func (s *Shard) suspectDataLoss(m *Machine, rt *wire.HeartbeatTask, j *Job, i int, now time.Time) bool {
 	if !s.dataLoss.enabled || (j != nil && (j.withheld || i >= len(j.tasks))) {
 		return false
@@ -108,8 +111,8 @@
 	return suspected
 }
 
-// suspect takes in that a machine reported a task that the records do not know. It reports
-// whether that is not decided yet, and whether its records are to be looked for from now on.
+// suspect notes a reported task without a record. It reports whether the cause is undecided, and
+// whether the task is new, so that its records are to be looked up.
 func (d *dataLossDetection) suspect(machine string, rt *wire.HeartbeatTask, heartbeatInterval time.Duration, now time.Time) (undecided, added bool) {
 	if _, explained := d.explained[rt.Task]; explained {
 		return false, false
@@ -124,7 +127,7 @@
 	return true, true
 }
 
-// undecided reports whether it is not decided why any of the suspected tasks is there.
+// undecided reports whether the cause is undecided for any of the suspected tasks.
 func (d *dataLossDetection) undecided(now time.Time, heartbeatInterval time.Duration) bool {
 	for _, suspect := range d.suspected {
 		if suspect.undecided(now, heartbeatInterval) {
@@ -134,15 +137,15 @@
 	return false
 }
 
-// undecided reports whether it is not decided yet why a task is there: after a while it is a
-// worker's own error.
+// undecided reports whether the cause is undecided: a confirmed task counts as an error of its worker
+// once heartbeatsToConfirmLoss intervals have passed.
 func (t *unrecordedTask) undecided(now time.Time, heartbeatInterval time.Duration) bool {
 	return !t.confirmed || now.Sub(t.since) < heartbeatsToConfirmLoss*heartbeatInterval
 }
 
-// awaitHeartbeats puts starts off after a failover if records of placements seem to be missing:
-// there are none though the shard has machines, or their numbers, which are given out in order,
-// have gaps. What runs by them is in the workers' first heartbeats.
+// awaitHeartbeats defers starts after a failover if placement records seem to be missing: there are
+// none although the shard has machines, or their numbers, which are assigned in order, have gaps.
+// The workers' first heartbeats report the tasks of missing records.
 func (s *Shard) awaitHeartbeats(placements []wire.Entry, now time.Time) {
 	if !s.dataLoss.enabled || len(s.inventory.byID) == 0 {
 		return
@@ -158,8 +161,8 @@
 	}
 }
 
-// awaitsHeartbeats reports whether starts are put off: records seem to be missing, or it is not
-// known yet why a worker has what they do not.
+// awaitsHeartbeats reports whether starts are deferred: placement records seem to be missing, or the
+// cause of an unrecorded task is undecided.
 func (s *Shard) awaitsHeartbeats(now time.Time) bool {
 	return (now.Before(s.dataLoss.heartbeatsAwaitedUntil) && s.inventory.awaitsInheritedMachines()) ||
 		s.dataLoss.undecided(now, s.cfg.HeartbeatInterval)
--- a/internal/scheduler/load_records.go
+++ b/internal/scheduler/load_records.go
@@ -10,9 +10,11 @@
 	"bramblespur/internal/wire"
 )
 
-// Load fills a newly acquired shard from its records. Placements of earlier
-// owners count as there until their machines answer under our token. A job's record that
-// can't be decoded is passed over; what one of placements may tell of is withheld.
+// Load fills a newly acquired shard from its records. Placements of earlier owners count as valid
+// until their machines report under this owner's token. A job record that cannot be decoded is
+// skipped, and jobs that an undecodable placement record may hold are withheld: MalformedRecords
+// returns the errors of both. Load fails on a machine of an unknown type, on a placement record of
+// an unknown format or key and, unless sized ranges are allowed, on an undecodable one.
 func (s *Shard) Load(fleet *record.Fleet, activeJobs, placements []wire.Entry, now time.Time) error {
 	var err error
 	fleet.ForEach(func(id string, v record.MachineView) {
@@ -30,7 +32,7 @@
 		o, err := decode[record.ActiveJob](e)
 		if err != nil {
 			s.reconciliation.malformed = append(s.reconciliation.malformed, err)
-			continue // that job waits for who mends its record; the others go on
+			continue // the job waits until an operator repairs its record; the others go on
 		}
 		s.SetJob(record.LastElement(e.Key), o, e.Version, now)
 	}
@@ -47,7 +49,7 @@
 	return nil
 }
 
-// loadRange takes in a range, or what is left of it by those that count before it.
+// loadRange enters a loaded range in the ledger, except for tasks in ranges that were entered later.
 func (s *Shard) loadRange(l loadedRange, now time.Time) {
 	j := l.job
 	fresh := j.uncovered(l.first, l.end, l.end-l.first)
@@ -57,51 +59,51 @@
 			c.attempt = max(c.attempt, l.recorded.Attempt)
 		}
 	}
-	counts := func(i int) bool {
+	isFresh := func(i int) bool {
 		return slices.ContainsFunc(fresh, func(within [2]int) bool { return within[0] <= i && i < within[1] })
 	}
 	for _, span := range l.recorded.Completed {
 		for i := max(0, span[0]); i <= span[1] && i < len(j.tasks); i++ {
-			if counts(i) {
+			if isFresh(i) {
 				s.markCompleted(taskKey{j, i}, now)
 				j.tasks[i].completionRecorded = true
 			}
 		}
 	}
 	for i, placement := range l.recorded.Placed {
-		if counts(i) && j.tasks[i].state == pending {
+		if isFresh(i) && j.tasks[i].state == pending {
 			s.loadPlacement(taskKey{j, i}, placement, now)
 		}
 	}
 }
 
-// assignLoaded enters the spans of a loaded range that no other tells: a whole range where it
-// is recorded, pieces elsewhere.
+// assignLoaded assigns the spans of a loaded range that no other range contains: a whole range to
+// the record that holds it, pieces to other records.
 func (l *placementLedger) assignLoaded(loaded loadedRange, fresh [][2]int) {
-	turn := loaded.recorded.Generation
+	generation := loaded.recorded.Generation
 	if len(fresh) == 1 && fresh[0] == [2]int{loaded.first, loaded.end} {
-		c := &taskRange{job: loaded.job, first: loaded.first, end: loaded.end, generation: turn}
+		c := &taskRange{job: loaded.job, first: loaded.first, end: loaded.end, generation: generation}
 		l.assign(c, loaded.record)
-		c.generation = turn
+		c.generation = generation
 		return
 	}
 	for _, span := range fresh {
-		c := &taskRange{job: loaded.job, first: span[0], end: span[1], generation: turn, previousRecord: loaded.record}
-		// A record that waits for what leaves it must not be where that goes.
+		c := &taskRange{job: loaded.job, first: span[0], end: span[1], generation: generation, previousRecord: loaded.record}
+		// The record waits for the pieces that leave it, so it must not be their destination.
 		l.assign(c, l.recordWithRoom(l.rangeBytes(c, l.sized), loaded.record))
 		loaded.record.movedOut[c] = struct{}{}
-		if loaded.record.sized { // which can't be written before this is
+		if loaded.record.sized { // it cannot be written before the pieces are
 			c.record.dirty, c.record.urgent, c.record.forceWrite = true, true, true
 		}
 	}
 }
 
-// loadPlacement takes in a recorded placement of a task.
+// loadPlacement enters the recorded placement of a pending task in the ledger.
 func (s *Shard) loadPlacement(k taskKey, placement record.TaskPlacement, now time.Time) {
 	m := s.inventory.byID[placement.Machine]
 	if m == nil {
-		// Released or empty when it was transferred: proven gone before. If its record was
-		// lost instead, its worker reports before this is over.
+		// The machine was released, or was empty when it was transferred: the task was proven
+		// gone before. If its record was lost instead, its worker reports within this time.
 		if s.dataLoss.enabled {
 			k.job.notBefore = now.Add(heartbeatsToConfirmLoss * s.cfg.HeartbeatInterval)
 		}
@@ -111,12 +113,13 @@
 	t.recorded, t.inherited = true, true
 	t.trace = nil
 	if k.job.cancelled {
-		// The cancellation came while nobody owned the shard: its record
-		// was read before these placements were.
+		// The job was cancelled while the shard had no owner: SetJob has applied the
+		// cancellation before the job's placements are loaded.
 		s.stopTask(k, 0, now)
 	}
 }
 
+// decode decodes the value of a record. Its error names the key.
 func decode[T any](e wire.Entry) (T, error) {
 	var v T
 	if err := json.Unmarshal(e.Value, &v); err != nil {
--- a/internal/scheduler/record_writes.go
+++ b/internal/scheduler/record_writes.go
@@ -9,16 +9,16 @@
 	"bramblespur/internal/wire"
 )
 
-// completionBacklogFactor is how much longer completions of jobs that go on wait for others,
-// in times that changes wait for the state service's budget. Their workers keep them
-// meanwhile, also for a new owner, and nobody waits for them, while each such write
-// is one that a user's request or a start does not get.
+// completionBacklogFactor is the multiple of the write backlog by which completions of jobs that go
+// on wait longer to share a write. Meanwhile their workers retain them, also for a new owner, and
+// nobody waits for them, whereas each such write uses up a request that a user or a start needs.
 const completionBacklogFactor = 8
 
-// retryAfter is the pause after a transaction that the state service refused.
+// retryAfter is the pause before a transaction is retried that was refused, had a conflict or got
+// no answer.
 const retryAfter = 300 * time.Millisecond
 
-// Purposes of transactions, for the log.
+// Purposes of transactions in the log.
 const (
 	purposeStart       = "start"
 	purposeCompletions = "completions"
@@ -29,14 +29,14 @@
 	purposeSplit       = "split"
 )
 
-// writeRecords makes the transactions that bring the records up to the ledger.
+// writeRecords adds to the effects the transactions that make the records agree with the ledger.
 func (s *Shard) writeRecords(now time.Time) {
 	for ref, j := range s.endingJobs {
 		if j.record.endTxn != nil || j.record.versionUnknown || now.Before(j.record.retryAt) {
 			continue
 		}
 		if !j.terminal() {
-			delete(s.endingJobs, ref) // a task counted as gone came back into the ledger
+			delete(s.endingJobs, ref) // one of its tasks is placed or unfinished again
 			continue
 		}
 		s.recordJobEnd(j, now)
@@ -48,9 +48,8 @@
 		if !rec.dirty || len(rec.movedOut) > 0 || rec.txn != nil || rec.versionUnknown || now.Before(rec.retryAt) {
 			continue
 		}
-		// Completions alone wait for others to share the write: a user may be
-		// told of the end a little later. Starts that come one shortly after
-		// the other share one, too.
+		// Completions without starts wait to share a write: the user may learn of the
+		// end a little later. Starts that follow each other shortly share one, too.
 		due := rec.dirtySince.Add(s.cfg.CompletionBatchDelay + completionBacklogFactor*s.writeBacklog)
 		if rec.urgent {
 			due = rec.writtenAt.Add(s.cfg.StartBatchDelay + s.writeBacklog)
@@ -65,7 +64,7 @@
 	s.writeReleases(now)
 }
 
-// deleteObsoleteRecords deletes unsized records that tell nothing any more.
+// deleteObsoleteRecords deletes the unsized records whose ranges have all moved to sized ones.
 func (s *Shard) deleteObsoleteRecords(now time.Time) {
 	for _, rec := range s.ledger.obsolete {
 		if now.Before(rec.retryAt) {
@@ -82,9 +81,9 @@
 	s.ledger.obsolete = nil
 }
 
-// recordJobEnd records a job's end: its state for ever, and no active record any more.
-// Its placements stay in their record until that is next written; without an open
-// job a Load passes over them.
+// recordJobEnd records a job's end: it writes the finished record and deletes the active one. The
+// job's placements stay in their record until that is next written; Load ignores placements of jobs
+// without an active record.
 func (s *Shard) recordJobEnd(j *Job, now time.Time) {
 	open := record.ActiveJobKey(j.ref)
 	rec := record.FinishedJob{State: wire.Done, Tasks: len(j.tasks), FinishedAt: now.UnixMilli()}
@@ -95,31 +94,31 @@
 	t.Body.If = []wire.Condition{s.ownershipCondition(), {Key: open, Version: j.record.version}}
 	t.Body.Then = []wire.Op{{Put: record.FinishedJobKey(j.ref), Value: record.Encode(rec)}, {Delete: open}}
 	if !s.addPipelineStep(t, j, now) {
-		return // when its pipeline's record is there
+		return // retried once the pipeline's record has been read
 	}
 	j.record.endTxn = t
 	s.effects.Txns = append(s.effects.Txns, t)
 }
 
-// writePlacements records the placements and completions of a record, with as many new
-// starts as there is room for conditions on their jobs and machines. Ends that
-// freed a place need no write of their own: the next start rewrites the record.
+// writePlacements writes a placement record, with as many new starts as the transaction has room
+// for conditions on their jobs and machines. Tasks that have left their machines need no write of
+// their own: the next start rewrites the record.
 func (s *Shard) writePlacements(placements *placementRecord, now time.Time) {
 	t := &Txn{placements: placements, Purpose: purposeCompletions}
 	conds := map[string]uint64{}
-	moved := placements.forceWrite
+	forced := placements.forceWrite
 	rec, left := s.ledger.buildPlacements(placements, t, conds)
 	if placements.sized {
 		rec.Format = record.SizedRanges
 	}
 	placements.dirty, placements.urgent, placements.forceWrite = left, left, false
-	if len(t.starts) == 0 && len(t.completions) == 0 && !moved {
+	if len(t.starts) == 0 && len(t.completions) == 0 && !forced {
 		return
 	}
 	value := record.Encode(rec)
 	if !s.ledger.splitOversized(placements, len(value)) {
 		placements.dirty, placements.urgent = true, true
-		s.wakeAt(now) // the records that take what has no room here come first
+		s.wakeAt(now) // the records to which ranges have moved are written first
 		return
 	}
 	placements.writtenAt = now
@@ -145,9 +144,9 @@
 	s.effects.Txns = append(s.effects.Txns, t)
 }
 
-// buildPlacements makes the record of some ranges, notes in a transaction which starts and
-// completions it brings, and adds the conditions that these rely on. It reports whether
-// starts were left out for want of room for their conditions.
+// buildPlacements returns the content of a placement record. It adds the ranges and the new starts
+// and completions to t, and the conditions of the starts to conds. It reports whether starts were
+// left out because there was no room for their conditions.
 func (l *placementLedger) buildPlacements(placements *placementRecord, t *Txn, conds map[string]uint64) (rec record.Placements, left bool) {
 	rec = record.Placements{Ranges: map[string]record.TaskRange{}}
 	for name, c := range placements.ranges {
@@ -159,10 +158,11 @@
 	return rec, left
 }
 
-// buildRange makes a range of a record. It reports whether all starts are in it.
+// buildRange returns the content of a range and does the same as buildPlacements for it. It reports
+// whether all new starts of the range are in it.
 func (l *placementLedger) buildRange(c *taskRange, t *Txn, conds map[string]uint64) (built record.TaskRange, complete bool) {
 	complete = true
-	room := 4*l.txnOps - 2 // for conditions
+	room := 4*l.txnOps - 2 // for conditions on jobs and machines
 	j := c.job
 	built = c.header()
 	for i := c.first; i < c.end; i++ {
@@ -190,7 +190,7 @@
 	return built, complete
 }
 
-// header is a range as it is recorded, without its placements.
+// header returns a range as it is recorded, without its placements and completions.
 func (c *taskRange) header() record.TaskRange {
 	built := record.TaskRange{Attempt: c.attempt}
 	if c.record.sized {
@@ -199,7 +199,7 @@
 	return built
 }
 
-// addPlacement adds a placed task to a range.
+// addPlacement adds the placement of task i to a range.
 func addPlacement(built *record.TaskRange, i int, t *task) {
 	if built.Placed == nil {
 		built.Placed = map[int]record.TaskPlacement{}
@@ -207,7 +207,7 @@
 	built.Placed[i] = record.TaskPlacement{Machine: t.machine.ID, Attempt: t.attempt}
 }
 
-// appendCompleted adds a task to spans of completed ones, which all come before it.
+// appendCompleted adds task i to spans of completed tasks with lower indexes.
 func appendCompleted(spans [][2]int, i int) [][2]int {
 	if l := len(spans); l > 0 && spans[l-1][1] == i-1 {
 		spans[l-1][1] = i
@@ -216,7 +216,8 @@
 	return append(spans, [2]int{i, i})
 }
 
-// addConditions adds conditions to those of a transaction if there is room for all.
+// addConditions adds all conditions in add to conds if conds then has no more than room of them, and
+// otherwise none. It reports whether it has added them.
 func addConditions(conds map[string]uint64, room int, add map[string]uint64) bool {
 	n := len(conds)
 	for k := range add {
@@ -233,9 +234,9 @@
 	return true
 }
 
-// recordTransfer records that a machine belongs to another shard from now on. Once
-// asked for, it is asked for again until it is known to be recorded, so that no
-// start can come before a late copy of it.
+// recordTransfer records that a machine belongs to another shard from now on. Once sent, the
+// transaction is retried until the transfer is known to be recorded, so that no start can be
+// recorded ahead of a late copy of it.
 func (s *Shard) recordTransfer(m *Machine) {
 	at := record.OverrideKey(m.ID)
 	t := &Txn{machine: m, Purpose: purposeTransfer, Routine: true}
@@ -245,7 +246,8 @@
 	s.effects.Txns = append(s.effects.Txns, t)
 }
 
-// overrideRecord is a machine's own record, with as many of its latest images as it holds.
+// overrideRecord returns a machine's override record for a shard, with as many of its most recently
+// used images as fit into a value.
 func (s *Shard) overrideRecord(m *Machine, shard int) record.Machine {
 	rec := record.Machine{Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot, Shard: shard, CreatedAt: m.provisionedAt.UnixMilli()}
 	last := func(n int) any {
@@ -256,20 +258,20 @@
 	return last(record.LargestFitting(s.ledger.valueBytes, 0, len(m.images), last)).(record.Machine)
 }
 
-// releaseMachine makes a machine leave for good. Only the answered release, as its
-// batch's record tells, proves gone what may run on it.
+// releaseMachine queues a machine for release to the cloud, and reports it with the reason why. Its
+// tasks are proven gone only once the record of its batch shows that the cloud has released it.
 func (s *Shard) releaseMachine(m *Machine, why string, now time.Time) {
 	s.effects.Released = append(s.effects.Released, MachineRelease{Machine: m.ID, Why: why, Tasks: len(m.tasks), Silent: now.Sub(m.contact.lastContactAt)})
 	m.Phase = record.Releasing
 	s.inventory.update(m)
 	if len(m.tasks) > 0 {
-		s.releases.addUrgent(m.ID, now) // its tasks wait for the proof
+		s.releases.addUrgent(m.ID, now) // its tasks wait to be proven gone
 		return
 	}
 	s.releases.addRoutine(m.ID, now, s.cfg.ReleaseBatchDelay)
 }
 
-// writeReleases records which machines are to be released. The leader asks the cloud.
+// writeReleases records which machines are to be released. The leader then releases them.
 func (s *Shard) writeReleases(now time.Time) {
 	s.releases.formBatch(s.ledger.valueBytes, now, func(batch int) string { return record.ReleaseKey(s.id, s.token, batch) })
 	b := s.releases.batch
@@ -283,7 +285,7 @@
 	s.effects.Txns = append(s.effects.Txns, t)
 }
 
-// reportJobEnd tells how long a job took.
+// reportJobEnd adds a job's end to the effects, for the log.
 func (s *Shard) reportJobEnd(j *Job, now time.Time) {
 	e := JobEnd{Ref: j.ref, Class: j.spec.Class, State: wire.Done, Took: now.Sub(j.accepted), Tasks: len(j.tasks),
 		Estimate: wire.Seconds(j.spec.EstimateS)}
@@ -296,7 +298,7 @@
 	s.effects.Ended = append(s.effects.Ended, e)
 }
 
-// removeJob takes a job out whose end is recorded.
+// removeJob removes a job whose end is recorded.
 func (s *Shard) removeJob(j *Job, now time.Time) {
 	for i := range j.tasks {
 		if j.tasks[i].state == placed {
--- a/internal/scheduler/recorded_state.go
+++ b/internal/scheduler/recorded_state.go
@@ -7,8 +7,8 @@
 	"bramblespur/internal/wire"
 )
 
-// Records returns the records of the shard's jobs and placements as they are known to have been
-// written, with their versions. What was under way is not among them.
+// Records returns the records of the shard's active jobs and placements, with their versions, as
+// they were last known to be written. It leaves out transactions in flight.
 func (s *Shard) Records() []wire.Entry {
 	var out []wire.Entry
 	add := func(key string, version uint64, v any) {
@@ -39,7 +39,7 @@
 	return out
 }
 
-// asRecorded is a range as its record tells it.
+// asRecorded returns a range as its record holds it.
 func (c *taskRange) asRecorded() record.TaskRange {
 	out := c.header()
 	for i := c.first; i < c.end; i++ {
--- a/internal/scheduler/releases.go
+++ b/internal/scheduler/releases.go
@@ -7,33 +7,33 @@
 	"bramblespur/internal/record"
 )
 
-// maxReleaseBatch is the cloud's bound of machines in one release.
+// maxReleaseBatch is the maximum number of machines in one release request to the cloud.
 const maxReleaseBatch = 100
 
-// releaseQueue is the machines that leave for good. They are recorded in batches, one at a
-// time; a batch's key is never used again.
+// releaseQueue holds the machines to be released to the cloud. They are recorded in batches, one
+// batch at a time; the key of a batch is never reused.
 type releaseQueue struct {
-	queued     []string  // machines to be released with the next batch
-	dueAt      time.Time // when that batch is due
-	batch      *releaseBatch
-	batchCount int // so far
+	queued     []string      // IDs of the machines for the next batch
+	dueAt      time.Time     // when that batch is due
+	batch      *releaseBatch // batch not yet known to be recorded; nil: none
+	batchCount int           // number of batches formed so far
 }
 
-// releaseBatch is a number of machines to be released with one record.
+// releaseBatch holds machines that one record releases.
 type releaseBatch struct {
-	key     string
-	ids     []string
-	txn     *Txn
-	retryAt time.Time
+	key     string    // of the record
+	ids     []string  // of the machines
+	txn     *Txn      // transaction in flight that writes the record; nil: none
+	retryAt time.Time // no write before this time
 }
 
-// addUrgent queues a machine for a batch that is due at once.
+// addUrgent queues a machine and makes the next batch due at once.
 func (q *releaseQueue) addUrgent(id string, now time.Time) {
 	q.dueAt = now
 	q.queued = append(q.queued, id)
 }
 
-// addRoutine queues a machine that may wait for others to share its batch.
+// addRoutine queues a machine that may wait for up to batchDelay to share its batch.
 func (q *releaseQueue) addRoutine(id string, now time.Time, batchDelay time.Duration) {
 	if len(q.queued) == 0 {
 		q.dueAt = now.Add(batchDelay)
@@ -41,8 +41,8 @@
 	q.queued = append(q.queued, id)
 }
 
-// formBatch makes the next batch if it is due and the one before is recorded. Its record keeps to
-// valueBytes, and its key is made of the number of the batch.
+// formBatch forms the next batch if it is due and the one before is recorded. Its record has at most
+// valueBytes bytes, and key returns the record's key for the number of the batch.
 func (q *releaseQueue) formBatch(valueBytes int, now time.Time, key func(batch int) string) {
 	if q.batch != nil || len(q.queued) == 0 || now.Before(q.dueAt) {
 		return
--- a/internal/scheduler/rereads.go
+++ b/internal/scheduler/rereads.go
@@ -7,6 +7,7 @@
 	"bramblespur/internal/wire"
 )
 
+// rereadJob requests a reread of a job's active record, unless one is in flight.
 func (e *Effects) rereadJob(j *Job) {
 	if !j.record.versionUnknown {
 		j.record.versionUnknown = true
@@ -14,6 +15,7 @@
 	}
 }
 
+// rereadPlacements requests a reread of a placement record, unless one is in flight.
 func (e *Effects) rereadPlacements(rec *placementRecord) {
 	if !rec.versionUnknown {
 		rec.versionUnknown = true
@@ -21,6 +23,7 @@
 	}
 }
 
+// rereadMachine requests a reread of a machine's override record, unless one is in flight.
 func (e *Effects) rereadMachine(m *Machine) {
 	if !m.record.versionUnknown {
 		m.record.versionUnknown = true
@@ -28,15 +31,16 @@
 	}
 }
 
-// JobRead takes in a job's active record as read back, nil when there is none.
+// JobRead applies the reread of a job's active record, nil if there is none. It fails if the record
+// cannot be decoded.
 func (s *Shard) JobRead(ref string, open *wire.Entry, now time.Time) error {
 	j := s.jobs[ref]
 	if j == nil || !j.record.versionUnknown {
 		return nil
 	}
 	if open == nil {
-		// Our final transaction was applied, or that of a controller which found a
-		// job that this one needs cancelled.
+		// The transaction that records the job's end was applied, or another controller found
+		// one of the job's dependencies cancelled and recorded the end.
 		s.removeJob(j, now)
 		if j.pipeline.ref != "" {
 			s.effects.rereadPipeline(j.pipeline)
@@ -56,7 +60,8 @@
 	return nil
 }
 
-// PlacementsRead takes in a placement record as read back, nil when there is none.
+// PlacementsRead applies the reread of placement record n, nil if there is none. It fails if the
+// record cannot be decoded, unless it could not be decoded by Load either.
 func (s *Shard) PlacementsRead(n int, e *wire.Entry, now time.Time) error {
 	placements := s.ledger.records[n]
 	if placements != nil && placements.unreadable {
@@ -81,8 +86,8 @@
 	changed := version != placements.version
 	placements.version = version
 	if t == nil {
-		// A write given up came late: what it recorded was never sent, and the
-		// next write clears it.
+		// An abandoned write was applied late: the starts that it recorded were never sent, and
+		// the next write removes them.
 		if changed {
 			placements.dirty, placements.urgent, placements.dirtySince = true, true, now
 		}
@@ -96,8 +101,8 @@
 	return nil
 }
 
-// applyReread takes in what a record that was read back has of a transaction whose outcome
-// was unknown: its ranges, and its starts if the record has changed since.
+// applyReread marks as written what a reread record holds of a transaction whose outcome was
+// unknown: its ranges, and its starts if the record has changed since.
 func (s *Shard) applyReread(t *Txn, rec record.Placements, changed bool) {
 	for _, c := range t.ranges {
 		if read, ok := rec.Ranges[s.ledger.rangeName(c)]; ok && read.Generation == c.generation {
@@ -113,7 +118,8 @@
 	}
 }
 
-// hasPlacement reports whether a record as it was read has a task's placement as the ledger has it.
+// hasPlacement reports whether rec, as read for a placement record, holds the same placement of a task
+// as the ledger.
 func (l *placementLedger) hasPlacement(placements *placementRecord, rec record.Placements, k taskKey) bool {
 	c := k.job.rangeAt(k.index)
 	if c == nil || c.record != placements {
@@ -124,8 +130,8 @@
 	return ok && task.machine != nil && placement.Attempt == task.attempt && placement.Machine == task.machine.ID
 }
 
-// MachineRead takes in a machine's own record as read back, nil when there is
-// none.
+// MachineRead applies the reread of a machine's override record, nil if there is none. It fails if
+// the record cannot be decoded.
 func (s *Shard) MachineRead(id string, e *wire.Entry, now time.Time) error {
 	m := s.inventory.byID[id]
 	if m == nil {
@@ -136,7 +142,7 @@
 	s.placementDue = true
 	if e == nil {
 		if m.record.version > 0 {
-			s.removeMachine(m, now) // records go only when the machine is gone
+			s.removeMachine(m, now) // override records are deleted only once the machine is gone
 		}
 		return nil
 	}
--- a/internal/scheduler/unreadable_records.go
+++ b/internal/scheduler/unreadable_records.go
@@ -9,36 +9,37 @@
 	"bramblespur/internal/wire"
 )
 
-// A record of placements that can't be decoded may tell of any task of the shard that runs or
-// has completed. The record is left as it is, and what it may tell of is withheld:
+// A placement record that cannot be decoded may hold any task of the shard that runs or has
+// completed. The record is left as it is, and the jobs that it may hold are withheld:
 //
-//   - Until every machine that the shard had has reported under its token, or is gone, nothing
-//     is started: what runs there unrecorded uses room and quota.
-//   - A reported task of a withheld job that has no place is adopted where it runs.
-//   - A withheld job that still has tasks without a place starts none of them: they may have
-//     completed. It waits until the record is restored or deleted.
+//   - Until every machine that the shard had when it was acquired has reported under the shard's
+//     token, or is gone, no task is started: unrecorded tasks there use resources and quota.
+//   - A pending task of a withheld job that a worker reports is adopted: it is placed where it runs.
+//   - A withheld job that still has pending tasks starts none of them: they may have completed. It
+//     waits until the record is restored or deleted.
 //
-// Jobs that were accepted after the record was last written can't be in it and go on. What is
-// recorded of withheld jobs from then on counts before what the record tells, should it be
-// restored: its ranges, each of one task, are entered with the shard's token as their turn,
-// which is a revision of the state service and so above any turn that was reached by single
-// steps before.
+// Jobs that were accepted after the record was last written cannot be in it and are not withheld.
+// Should the record be restored, the placements of withheld jobs that were recorded in the meantime
+// override it: their ranges, each of one task, are entered with the shard's token as generation.
+// That is a revision of the state service, and so above any generation that was reached by
+// increments before.
 
-// rereadUnreadableEvery is how often a record that can't be decoded is read again, in case
-// that somebody has restored or deleted it.
+// rereadUnreadableEvery is the interval at which a record that cannot be decoded is read again, in
+// case an operator has restored or deleted it.
 const rereadUnreadableEvery = 15 * time.Second
 
-// unreadableRecords is what a shard knows of its records of placements that can't be decoded.
+// unreadableRecords holds the shard's placement records that cannot be decoded.
 type unreadableRecords struct {
 	records        []*placementRecord
-	newestVersion  uint64 // the highest of their versions
-	awaitsMachines bool   // machines have not reported yet since the shard was acquired
-	rereadAt       time.Time
+	newestVersion  uint64    // highest of their versions
+	awaitsMachines bool      // inherited machines have yet to report: no task is started
+	rereadAt       time.Time // when the records are read again
 }
 
-// skipUnreadable takes in that a record of placements can't be decoded. Unsized ranges have no turns,
-// so that what is adopted could not be told from what a restored record tells: the shard turns to
-// sized ones, and as long as a controller of the first version may be there, the error stands.
+// skipUnreadable notes a placement record that cannot be decoded because of err. Unsized ranges have
+// no generation, so that adopted placements could not override those of a restored record. The
+// shard therefore uses sized ranges from now on; while a controller of the first version may still
+// be there, which forbids these, skipUnreadable returns err.
 func (s *Shard) skipUnreadable(e wire.Entry, err error) error {
 	if !s.ledger.sizedAllowed {
 		return err
@@ -56,23 +57,24 @@
 	return nil
 }
 
-// withholdJobs keeps the jobs from being started that a record which can't be decoded may tell of.
+// withholdJobs withholds the jobs that an undecodable placement record may hold.
 func (s *Shard) withholdJobs() {
 	if len(s.unreadable.records) == 0 {
 		return
 	}
 	s.unreadable.awaitsMachines = true
 	for _, j := range s.jobs {
-		// The record of a job that was cancelled or released may be newer than the job.
+		// Cancelling or releasing a job rewrites its record, so its version may be newer than the job.
 		rewritten := j.cancelled || j.pipeline != singleJob
 		j.withheld = rewritten || j.record.version <= s.unreadable.newestVersion
 	}
 }
 
-// overridingGeneration is a turn above that of any range on record.
+// overridingGeneration returns a generation above that of any range on record.
 func (l *placementLedger) overridingGeneration() int { return int(l.token) }
 
-// releaseWithheldJobs lets jobs go on of which nothing can be unknown any more.
+// releaseWithheldJobs releases the withheld jobs of which no unrecorded task can be left, and
+// schedules rereads of the undecodable records.
 func (s *Shard) releaseWithheldJobs(now time.Time) {
 	u := &s.unreadable
 	if len(u.records) == 0 {
@@ -99,7 +101,7 @@
 	}
 }
 
-// supersedeRecorded makes what is known of all of a job's tasks count before what the record tells.
+// supersedeRecorded makes the ranges of a job override those that an undecodable record may hold.
 func (l *placementLedger) supersedeRecorded(j *Job) {
 	for _, c := range j.ranges {
 		c.generation = max(c.generation, l.overridingGeneration())
@@ -107,14 +109,14 @@
 	}
 }
 
-// withheldRange is a range for a task of a withheld job: of that one alone, since nothing is
-// known of its neighbours.
+// withheldRange returns a new range for a task of a withheld job. It holds only that task, since the
+// states of its neighbors are unknown.
 func (l *placementLedger) withheldRange(j *Job, i int) *taskRange {
 	return &taskRange{job: j, first: i, end: i + 1, generation: l.overridingGeneration()}
 }
 
 // awaitsInheritedMachines reports whether a machine that the shard had when it was acquired has
-// neither reported under the shard's token nor is proven gone.
+// neither reported under the shard's token nor been proven gone.
 func (x *inventory) awaitsInheritedMachines() bool {
 	for _, m := range x.byID {
 		if m.inherited && !m.contact.fenced {
@@ -124,9 +126,9 @@
 	return false
 }
 
-// adoptWithheldTask takes in that a worker has a task of a withheld job that has no place on
-// record, or an outdated one: a higher attempt was only made once the one on record was proven
-// gone. It reports whether the task is placed there from now on.
+// adoptWithheldTask handles a reported task of a withheld job. If the task is pending, or placed
+// under a lower attempt, it is placed where it was reported: a higher attempt was only made once the
+// one on record was proven gone. It reports whether it has placed the task.
 func (s *Shard) adoptWithheldTask(k taskKey, m *Machine, rt *wire.HeartbeatTask, now time.Time) bool {
 	j := k.job
 	if !j.withheld || rt.State == wire.Exited {
@@ -142,15 +144,15 @@
 	}
 	t := s.placeTask(k, m, rt.Attempt, now)
 	t.recorded, t.inherited, t.trace = true, true, nil
-	j.rangeAt(k.index).record.forceWrite = true // to be written, though nothing is to be started
+	j.rangeAt(k.index).record.forceWrite = true // no new start causes the write
 	if j.cancelled {
 		s.stopTask(k, 0, now)
 	}
 	return true
 }
 
-// unreadableReread takes in a record that could not be decoded as it is now. If it was restored
-// or deleted, the shard is given up: whoever acquires it reads all records again.
+// unreadableReread handles the reread of an undecodable record: e is its present state, nil if it
+// was deleted. If it has changed, the shard is released: its next owner reads all records again.
 func (s *Shard) unreadableReread(rec *placementRecord, e *wire.Entry) {
 	if e == nil || e.Version != rec.version {
 		s.ownershipLost = true
--- a/internal/scheduler/versions.go
+++ b/internal/scheduler/versions.go
@@ -8,8 +8,8 @@
 	"bramblespur/internal/record"
 )
 
-// Version returns the version of a record as the shard knows it: of a job, a machine or a record
-// of its own; 0 if it knows none.
+// Version returns the version that the shard holds of the record at key: an active job record, an
+// override record or one of its placement records. It returns 0 if it holds none.
 func (s *Shard) Version(key string) uint64 {
 	last := record.LastElement(key)
 	switch {
@@ -30,11 +30,12 @@
 	return 0
 }
 
-// HadContactWithin reports whether a machine was heard in some time.
+// HadContactWithin reports whether a machine has sent heartbeats and its last contact is less than
+// d ago.
 func (s *Shard) HadContactWithin(id string, d time.Duration, now time.Time) bool {
 	m := s.inventory.byID[id]
 	return m != nil && m.contact.up && now.Sub(m.contact.lastContactAt) < d
 }
 
-// Lease is how long a worker's tasks outlive its last answered heartbeat.
+// Lease returns how long a worker's tasks outlive its last answered heartbeat.
 func (s *Shard) Lease() time.Duration { return s.cfg.Lease }
--- a/internal/scheduler/write_outcomes.go
+++ b/internal/scheduler/write_outcomes.go
@@ -9,9 +9,9 @@
 	"bramblespur/internal/wire"
 )
 
-// Applied takes in that a transaction succeeded.
+// Applied applies a transaction that succeeded, at a revision of the state service.
 func (s *Shard) Applied(t *Txn, revision uint64, now time.Time) {
-	s.OwnershipConfirmed(revision) // its condition held
+	s.OwnershipConfirmed(revision) // the condition on the shard's record held
 	switch {
 	case t.machine != nil:
 		t.machine.record.txn = nil
@@ -33,6 +33,7 @@
 	}
 }
 
+// placementsWritten marks the content of a placement record as written, or the record as deleted.
 func (s *Shard) placementsWritten(t *Txn, revision uint64, now time.Time) {
 	t.placements.txn = nil
 	t.placements.version = revision
@@ -43,11 +44,11 @@
 		s.ledger.confirmWritten(c)
 	}
 	for _, k := range t.starts {
-		other := &k.job.tasks[k.index]
-		if other.state == placed && other.recording {
-			other.recorded, other.recording = true, false
-			other.traceStep(func(st *startTrace) { st.recorded = now })
-			s.effects.StartsReady = append(s.effects.StartsReady, other.machine.ID)
+		task := &k.job.tasks[k.index]
+		if task.state == placed && task.recording {
+			task.recorded, task.recording = true, false
+			task.traceStep(func(st *startTrace) { st.recorded = now })
+			s.effects.StartsReady = append(s.effects.StartsReady, task.machine.ID)
 		}
 	}
 	for _, k := range t.completions {
@@ -55,15 +56,16 @@
 	}
 }
 
-// Conflict takes in that conditions failed: nothing was applied.
+// Conflict handles a transaction that was not applied because the conditions on the failed keys did
+// not hold.
 func (s *Shard) Conflict(t *Txn, failed []string, now time.Time) {
 	if slices.Contains(failed, record.ShardKey(s.id)) {
-		s.ownershipLost = true // somebody acquired the shard: every later write fails too
+		s.ownershipLost = true // another controller has acquired the shard: every later write fails too
 		return
 	}
 	switch {
 	case t.release != nil:
-		// Its name is ours alone: an earlier try was applied after all.
+		// Only this owner uses the key: an earlier attempt was applied after all.
 		s.releases.batch = nil
 	case t.machine != nil:
 		t.machine.record.txn = nil
@@ -78,14 +80,14 @@
 	}
 }
 
-// placementsConflict takes back the starts that can't be recorded as they are; the
-// others are tried again at once.
+// placementsConflict reverts the starts whose job or machine record has changed; the others are
+// retried at once.
 func (s *Shard) placementsConflict(t *Txn, failed []string, now time.Time) {
 	rec := t.placements
 	rec.txn = nil
-	bad := map[string]bool{}
+	failedKeys := map[string]bool{}
 	for _, k := range failed {
-		bad[k] = true
+		failedKeys[k] = true
 		if id, ok := strings.CutPrefix(k, record.OverridePrefix); ok {
 			if m := s.inventory.byID[id]; m != nil {
 				s.effects.rereadMachine(m)
@@ -99,15 +101,15 @@
 	}
 	s.revertWrite(t, now, func(k taskKey) bool {
 		m := k.job.tasks[k.index].machine
-		return bad[record.ActiveJobKey(k.job.ref)] || (m != nil && bad[record.OverrideKey(m.ID)])
+		return failedKeys[record.ActiveJobKey(k.job.ref)] || (m != nil && failedKeys[record.OverrideKey(m.ID)])
 	})
-	if bad[record.PlacementsKey(s.id, rec.number)] {
+	if failedKeys[record.PlacementsKey(s.id, rec.number)] {
 		s.effects.rereadPlacements(rec)
 	}
 }
 
-// Refused takes in that a transaction was not executed. The more waits for the
-// state service, the later it is asked again.
+// Refused handles a transaction that the state service refused without executing it. The longer the
+// write backlog, the later it is retried.
 func (s *Shard) Refused(t *Txn, now time.Time) {
 	at := now.Add(retryAfter + s.writeBacklog)
 	switch {
@@ -125,15 +127,15 @@
 	s.wakeAt(at)
 }
 
-// TooLarge takes in that the state service does not take a transaction of this
-// size. It is never sent again as it was: what is written from now on is smaller.
+// TooLarge handles a transaction that the state service rejected for its size. It is not retried as
+// it was: the limits that later writes keep to are lowered.
 func (s *Shard) TooLarge(t *Txn, now time.Time) {
 	largest := 0
 	for _, op := range t.Body.Then {
 		largest = max(largest, len(op.Value))
 	}
-	if least := unsizedPlacementBytes * 2 * unsizedRangeOverhead; largest > least {
-		s.ledger.valueBytes = min(s.ledger.valueBytes, max(least, largest*3/4))
+	if minBytes := unsizedPlacementBytes * 2 * unsizedRangeOverhead; largest > minBytes {
+		s.ledger.valueBytes = min(s.ledger.valueBytes, max(minBytes, largest*3/4))
 	}
 	if n := len(t.Body.Then); n > jobEndOps {
 		s.ledger.txnOps = min(s.ledger.txnOps, n-1)
@@ -141,15 +143,16 @@
 	s.Refused(t, now)
 }
 
-// jobEndOps is the changes in the transaction that ends a job.
+// jobEndOps is the number of operations in a transaction that records the end of a job without a
+// step of its pipeline.
 const jobEndOps = 2
 
-// Unknown takes in that a transaction may have been, or may yet be, applied.
-// The records are read back and decide.
+// Unknown handles a transaction that may have been applied, or may yet be. The records are read
+// again to find out.
 func (s *Shard) Unknown(t *Txn, now time.Time) {
 	switch {
 	case t.release != nil:
-		t.release.txn, t.release.retryAt = nil, now.Add(retryAfter) // the same again does no harm
+		t.release.txn, t.release.retryAt = nil, now.Add(retryAfter) // idempotent: it can be sent again
 	case t.machine != nil:
 		s.effects.rereadMachine(t.machine)
 	case t.job != nil:
@@ -160,23 +163,24 @@
 	}
 }
 
-// revertWrite makes a record's transaction undone: bad starts are taken back, which
-// were never recorded and so never sent, the others wait for the next write.
-func (s *Shard) revertWrite(t *Txn, now time.Time, bad func(taskKey) bool) {
+// revertWrite undoes the effects of a transaction of a placement record on the ledger. Starts for
+// which cancel returns true, and those of cancelled jobs, make their tasks pending again: they were
+// never recorded and so never sent. The other starts wait for the next write.
+func (s *Shard) revertWrite(t *Txn, now time.Time, cancel func(taskKey) bool) {
 	gangs := map[*Job]bool{}
 	for _, k := range t.starts {
-		other := &k.job.tasks[k.index]
-		if other.state != placed || !other.recording {
+		task := &k.job.tasks[k.index]
+		if task.state != placed || !task.recording {
 			continue
 		}
-		other.recording = false
-		if bad(k) || k.job.cancelled {
+		task.recording = false
+		if cancel(k) || k.job.cancelled {
 			s.unplaceTask(k, now)
 			gangs[k.job] = k.job.spec.Kind == wire.Gang
 		}
 	}
-	// A gang of which some could not be recorded is taken back as a whole:
-	// what is recorded already was not sent either.
+	// If a task of a gang could not be recorded, the whole gang becomes pending again: the
+	// starts of its recorded tasks were not sent either.
 	for j, gang := range gangs {
 		if !gang {
 			continue
