--- a/internal/scheduler/arrivals.go
+++ b/internal/scheduler/arrivals.go
@@ -7,18 +7,20 @@
 	"bramblespur/internal/wire"
 )
 
+// arrivalDecay is the time constant with which past arrivals decay.
 const arrivalDecay = 60 * time.Second
 
-// arrivalRate is how much work arrived lately, in machines' worth, decaying; what may use
-// spot machines is counted apart.
+// arrivalRate measures how much work has arrived lately, in machines: a task counts as the
+// part of a machine that it needs. The sums decay exponentially. Work that may use spot
+// machines is counted apart.
 type arrivalRate struct {
-	onDemand, spot float64
-	asOf           time.Time
+	onDemand, spot float64   // decayed sums, in machines
+	asOf           time.Time // up to when the sums have decayed
 }
 
-// record counts a job for the headroom if it is of the kind that must start
-// soon: no spot machine will do, or its team is guaranteed. What may use spot
-// machines is counted apart: they are what is kept ready for it.
+// record counts a job for the headroom if it has to start soon: it may not use spot
+// machines, or its team has a guarantee. Work that may use spot machines is counted apart,
+// since spot machines are kept ready for it.
 func (a *arrivalRate) record(j *Job, cfg *Config, now time.Time) {
 	t := cfg.Teams[j.spec.Team]
 	if j.spec.Spot && t.CPUs <= 0 && t.GPUs <= 0 {
@@ -44,11 +46,11 @@
 	}
 }
 
-// maxArrayArrivals bounds the tasks of an array that count as expected in ordinary
-// machines, which cost more: the rest of it starts where there is room.
+// maxArrayArrivals bounds how many tasks of an array count as arrivals for on-demand machines,
+// which cost more than spot machines: the other tasks start where there is room.
 const maxArrayArrivals = 2
 
-// decay brings the rate up to now.
+// decay applies the decay up to now.
 func (a *arrivalRate) decay(now time.Time) {
 	if !a.asOf.IsZero() {
 		f := math.Exp(-now.Sub(a.asOf).Seconds() / arrivalDecay.Seconds())
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -9,35 +9,36 @@
 	"bramblespur/internal/wire"
 )
 
-// With thousands of machines and tasks nothing that a heartbeat or a placement
-// brings about may look at all of them. What it looks for is indexed: machines by
-// their free room, by the images that they cache and by the priority of what runs
-// there, reserved ones by their job, and the jobs that wait.
+// A shard may have thousands of machines and tasks, so no heartbeat or placement may
+// examine all of them. The inventory has indexes instead: of the machines by their free
+// room, by the images that they cache and by the priority of their tasks, of the reserved
+// machines by job, and of the jobs with pending tasks.
 
-// machineClass is what machines have in common for a placement: their kind, whether
-// they take new work, and their free room, rounded down.
+// machineClass is what a group of machines has in common for a placement: their type and
+// zone, whether they take new work, and their free room, rounded down.
 type machineClass struct {
 	typ, zone  string
 	spot       bool
-	takesWork  bool // takes new work, as far as that does not depend on the time
+	takesWork  bool // takes new work, apart from conditions that depend on the time
 	cpus, gpus int
 }
 
 type machineSet map[*Machine]struct{}
 
-// inventory is the shard's machines. It finds those that may serve without walking all of
-// them: update must be called after each change of a machine's room or state.
+// inventory holds the shard's machines, with indexes to find machines for a task without
+// examining all of them. The caller has to call update after each change of a machine's
+// room or state.
 type inventory struct {
 	cfg         *Config
 	byID        map[string]*Machine
 	byRoom      map[machineClass]machineSet
 	byImage     map[string]machineSet
-	byRank      [highestRank + 1]machineSet // those with a task of this priority
+	byRank      [highestRank + 1]machineSet // the machines with a task of this priority
 	reserved    map[string]machineSet       // by the job that room is, or was, reserved for
-	commandsDue machineSet                  // for which a direct command is due
-	// evicting are those with a task that is being stopped.
+	commandsDue machineSet                  // the machines for which a direct command is due
+	// evicting holds the machines with a task that is being stopped.
 	evicting    machineSet
-	pendingJobs map[string]*Job // jobs with a task that has no place
+	pendingJobs map[string]*Job // the jobs with pending tasks, by reference
 	totalCPUs   float64         // of all machines
 	// candidatesExamined counts the machines and jobs that placements have examined, for tests.
 	candidatesExamined int
@@ -51,6 +52,7 @@
 	return x
 }
 
+// insert adds a machine to the set with key k, which it creates if there is none.
 func insert[K comparable](sets map[K]machineSet, k K, m *Machine) {
 	s := sets[k]
 	if s == nil {
@@ -60,6 +62,7 @@
 	s[m] = struct{}{}
 }
 
+// remove removes a machine from the set with key k, and the set once it is empty.
 func remove[K comparable](sets map[K]machineSet, k K, m *Machine) {
 	if s := sets[k]; s != nil {
 		delete(s, m)
@@ -69,6 +72,7 @@
 	}
 }
 
+// class returns the class to which a machine belongs now.
 func (m *Machine) class() machineClass {
 	f := freeRoom(m)
 	return machineClass{
@@ -78,7 +82,8 @@
 	}
 }
 
-// update puts a machine where it belongs after its room or its state has changed.
+// update indexes a machine anew after its room or its state has changed. It adds machines that
+// are not indexed yet.
 func (x *inventory) update(m *Machine) {
 	c := m.class()
 	if m.entry.indexed && c == m.entry.class {
@@ -96,7 +101,7 @@
 	insert(x.byRoom, c, m)
 }
 
-// drop forgets a machine.
+// drop removes a machine from all indexes.
 func (x *inventory) drop(m *Machine) {
 	if !m.entry.indexed {
 		return
@@ -115,7 +120,7 @@
 	delete(x.evicting, m)
 }
 
-// countTask counts a task of some priority on a machine, or one less.
+// countTask adds n, 1 or -1, to the number of tasks of a priority on a machine.
 func (x *inventory) countTask(m *Machine, rank, n int) {
 	if m.entry.tasksByRank[rank] += n; m.entry.tasksByRank[rank] > 0 {
 		x.byRank[rank][m] = struct{}{}
@@ -124,7 +129,7 @@
 	}
 }
 
-// updatePending notes whether a job has a task without a place.
+// updatePending updates pendingJobs after a job's number of pending tasks has changed.
 func (x *inventory) updatePending(j *Job) {
 	if j.progress.pending > 0 {
 		x.pendingJobs[j.ref] = j
@@ -133,8 +138,9 @@
 	}
 }
 
-// eachFeasibleMachine calls f for the machines that may have room for a task of s now. Machines
-// that only look as if they had are few: rooms are rounded down.
+// eachFeasibleMachine calls f for each machine that takes new work and has room for a task
+// with this spec now. It examines few machines that turn out to have too little room, since
+// machines are grouped by their free room, rounded down.
 func (x *inventory) eachFeasibleMachine(spec *wire.Spec, now time.Time, f func(*Machine)) {
 	for c, ms := range x.byRoom {
 		if !c.takesWork || (c.spot && !spec.Spot) || (spec.Zone != nil && *spec.Zone != c.zone) ||
@@ -150,8 +156,8 @@
 	}
 }
 
-// recordCachedImage takes in that an image was used on a machine, and which older ones
-// its cache can no longer hold.
+// recordCachedImage records that an image was used on a machine, and drops the least recently
+// used images that the machine's cache can no longer hold. gb is the size of the image.
 func (x *inventory) recordCachedImage(m *Machine, name string, gb float64) {
 	m.images = slices.DeleteFunc(m.images, func(i record.Image) bool { return i.Name == name })
 	m.images = append(m.images, record.Image{Name: name, GB: gb})
--- a/internal/scheduler/pipeline.go
+++ b/internal/scheduler/pipeline.go
@@ -11,12 +11,12 @@
 	"bramblespur/internal/wire"
 )
 
-// pipeline is a pipeline as its owner holds it: its fragments, in memory. The
-// records hold what has ended; the rest follows from that, so that a new owner
-// releases neither more nor less. A job's end, the pipeline's record and the
-// records of the jobs that this releases are one transaction.
+// pipeline is the owner's state of a pipeline: its record and, in memory, its fragments. The
+// records say which jobs have ended. Everything else follows from that, so that a new owner
+// releases the same jobs as the last one. A job's end, the pipeline's record and the
+// records of the jobs that the end releases are written in one transaction.
 type pipeline struct {
-	ref               string // empty for a job that is in no pipeline with others
+	ref               string // empty for a job that was submitted by itself
 	record            record.Pipeline
 	version           uint64 // 0: not read yet
 	run               *fragment.Pipeline
@@ -25,13 +25,14 @@
 	versionUnknown    bool                    // a reread is under way
 }
 
-// singleJob is the pipeline of each job that was submitted by itself. Its only fragment is
-// that job, and nothing follows it, so there is no state to keep for each.
+// singleJob is the pipeline of every job that was submitted by itself without dependencies.
+// Such a job is the only fragment and nothing follows it, so that all of them can share one
+// pipeline without state.
 var singleJob = &pipeline{}
 
-// awaitDependencies makes a job wait for those that it names. That it was held stays in its
-// record: what it waits for has final records, which never change, and so every
-// owner comes to the same.
+// awaitDependencies makes a job wait for the jobs that its spec names as dependencies. Its
+// record is not changed when they have ended: their final records never change, so every
+// owner comes to the same result.
 func (s *Shard) awaitDependencies(j *Job) {
 	j.pipeline = &pipeline{run: fragment.BeginAfter(j.ref, j.spec.DependsOn)}
 	for _, r := range j.spec.DependsOn {
@@ -42,15 +43,16 @@
 	}
 }
 
-// Dependencies returns the jobs, of this shard or others, that jobs here wait for.
+// Dependencies returns the jobs, of this shard or others, that jobs of this shard wait for.
 func (s *Shard) Dependencies() []string { return slices.Collect(maps.Keys(s.dependencies.dependents)) }
 
-// DependencyEnded takes in the final record of a job that others wait for.
+// DependencyEnded applies the final record of a job that jobs of this shard wait for: it
+// releases those that wait for no other job, or cancels them if that job was cancelled.
 func (s *Shard) DependencyEnded(ref string, end record.FinishedJob, now time.Time) {
 	for j := range s.dependencies.dependents[ref] {
 		if end.State != wire.Done {
-			// All that needs a cancelled job is cancelled with it. Nothing of it has
-			// run, so its end can be recorded at once.
+			// All dependents of a cancelled job are cancelled with it. None of their
+			// tasks has run, so their ends can be recorded at once.
 			j.pipeline.run.Abort(ref)
 			j.unneeded = true
 			s.cancelJob(j, now)
@@ -68,7 +70,8 @@
 	delete(s.dependencies.dependents, ref)
 }
 
-// SetInheritedUrgency sets the urgency of a job, including what it inherits from its dependents.
+// SetInheritedUrgency sets the priority and deadline that a job has for itself and for its
+// dependents, and whether it has dependents.
 func (s *Shard) SetInheritedUrgency(ref string, urgency fragment.Urgency) {
 	j := s.jobs[ref]
 	if j == nil {
@@ -87,7 +90,8 @@
 	s.placementDue = true
 }
 
-// deadline is when a job is to be done, in seconds since it began to wait.
+// deadline returns when a job has to be done, in seconds since it was accepted or released; nil
+// if it has no deadline.
 func (j *Job) deadline() *float64 {
 	if j.deadlineAt.IsZero() {
 		return j.spec.DeadlineS
@@ -103,15 +107,16 @@
 	return b
 }
 
-// JobRecordGone takes in that a job that is held here has no active record any more: some
-// controller found a job that it needs cancelled, and recorded its end.
+// JobRecordGone removes a job that awaits its dependencies after its active record was deleted:
+// another controller has found a dependency cancelled and recorded the job's end.
 func (s *Shard) JobRecordGone(ref string, now time.Time) {
 	if j := s.jobs[ref]; j != nil && j.awaitsDependencies && j.progress.placed == 0 && j.record.endTxn == nil && !j.record.versionUnknown {
 		s.removeJob(j, now)
 	}
 }
 
-// pipelineOf returns the pipeline of a job; its record is read when it is new.
+// pipelineOf returns the pipeline with a reference. If the shard does not hold it yet, it
+// creates it and asks for its record to be read.
 func (s *Shard) pipelineOf(ref string) *pipeline {
 	l := s.dependencies.pipelines[ref]
 	if l == nil {
@@ -122,6 +127,7 @@
 	return l
 }
 
+// rereadPipeline asks for a pipeline's record to be read, unless that is under way.
 func (e *Effects) rereadPipeline(l *pipeline) {
 	if !l.versionUnknown {
 		l.versionUnknown = true
@@ -129,8 +135,8 @@
 	}
 }
 
-// PipelineRead takes in a pipeline's record as read back, and the ends of those of its
-// jobs that it does not tell.
+// PipelineRead applies a pipeline's record as read back, and the ends of its jobs that the
+// record does not contain. It returns an error if there is no record or it can't be decoded.
 func (s *Shard) PipelineRead(ref string, e *wire.Entry, others []record.PipelineJobEnd, now time.Time) error {
 	l := s.dependencies.pipelines[ref]
 	if l == nil {
@@ -143,7 +149,7 @@
 	if err != nil {
 		return err
 	}
-	run := &fragment.Pipeline{} // of one that is over nothing is left
+	run := &fragment.Pipeline{} // has no jobs left, as a pipeline that is over
 	if rec.State == "" {
 		net, err := rec.Net()
 		if err != nil {
@@ -155,8 +161,9 @@
 	l.versionUnknown, l.writing = false, false
 	l.record, l.version, l.run, l.endsOutsideRecord = rec, e.Version, run, others
 	for _, ref := range run.Ready() {
-		// Released by a step that could not be recorded in one piece, if at all:
-		// else the record of the job itself says so.
+		// Without ends outside the record, the job's own record says that it is released.
+		// With them, the step that released it may have been too large to be recorded in
+		// one transaction.
 		if j := s.jobs[ref]; j != nil && len(others) > 0 {
 			s.releaseJob(j, now, now)
 		}
@@ -171,9 +178,10 @@
 	return nil
 }
 
-// cancelUnneeded ends the jobs that a pipeline has no use for any more: they follow a
-// cancelled one, or a branch that was not picked. Of one that was withdrawn these
-// are all: a withdrawal may have come no further than the pipeline's own record.
+// cancelUnneeded cancels the jobs that a pipeline no longer needs: those that follow a
+// cancelled job, and those on a branch that was not chosen. If the pipeline was withdrawn,
+// it cancels all of its jobs, since a withdrawal may have written only the pipeline's own
+// record.
 func (s *Shard) cancelUnneeded(l *pipeline, now time.Time) {
 	left := l.run.Remaining()
 	for _, ref := range l.record.Jobs {
@@ -186,8 +194,8 @@
 	}
 }
 
-// after returns the pipeline as it is once a job has ended, and the jobs that
-// this releases. The paper's algorithm decides.
+// after returns the pipeline as it is once a job has ended, and the jobs of the shard that
+// this end releases. The algorithm of the paper decides which these are.
 func (l *pipeline) after(j *Job, shard *Shard) (*pipeline, []*Job) {
 	end := record.PipelineJobEnd{Ref: j.ref, State: wire.Done}
 	if j.cancelled {
@@ -213,12 +221,13 @@
 	return next, releasable
 }
 
-// addPipelineStep adds to a job's end what it means for its pipeline. It reports false
-// if that can't be said yet.
+// addPipelineStep adds to the transaction of a job's end the changes that the end makes to its
+// pipeline and to the jobs that it releases. It reports false if the transaction can't be
+// written yet: the pipeline's record is not read, or another end is being recorded.
 func (s *Shard) addPipelineStep(t *Txn, j *Job, now time.Time) bool {
 	l := j.pipeline
 	if l.ref == "" || j.unneeded || l.record.State != "" {
-		return true // alone, or its pipeline is over without it
+		return true // the job has no pipeline, or its pipeline is over or no longer needs it
 	}
 	if l.version == 0 || l.versionUnknown || l.writing {
 		return false
@@ -239,9 +248,10 @@
 	}
 	large := func(op wire.Op) bool { return len(op.Value) > s.ledger.valueBytes }
 	if slices.ContainsFunc(ops, large) || len(t.Body.Then)+len(ops) > s.ledger.txnOps {
-		// Too much for one piece, as the first version may have accepted it. What
-		// is released follows from the jobs' final records, so the job's end is
-		// enough; its condition keeps it from passing a withdrawal.
+		// The step is too large for one transaction, since the first version accepted
+		// larger pipelines. It is enough to record the job's end: which jobs are released
+		// follows from the final records. The condition on the pipeline's record makes the
+		// transaction fail if the pipeline was withdrawn meanwhile.
 		next.record, next.endsOutsideRecord = l.record, append(slices.Clone(l.endsOutsideRecord), record.PipelineJobEnd{Ref: j.ref, State: t.jobState()})
 		for _, released := range releasable {
 			t.releasedJobs[released] = record.ActiveJob{}
@@ -256,7 +266,7 @@
 	return true
 }
 
-// jobState is the one that a job's end records.
+// jobState returns the terminal state that the end of the transaction's job records.
 func (t *Txn) jobState() string {
 	if t.job.cancelled {
 		return wire.Cancelled
@@ -264,7 +274,8 @@
 	return wire.Done
 }
 
-// applyPipelineStep takes in that a job's end was recorded with its pipeline's step.
+// applyPipelineStep applies the pipeline's step after the transaction of a job's end has
+// succeeded at a revision.
 func (s *Shard) applyPipelineStep(t *Txn, revision uint64, now time.Time) {
 	l := t.job.pipeline
 	if t.pipelineAfter == nil {
@@ -288,6 +299,7 @@
 	}
 }
 
+// activeJobsOf returns the jobs of a pipeline that have not ended.
 func (s *Shard) activeJobsOf(l *pipeline) []*Job {
 	var out []*Job
 	for _, ref := range l.record.Jobs {
@@ -298,8 +310,8 @@
 	return out
 }
 
-// pipelineStepFailed takes in that a job's end was not recorded, or perhaps was: its
-// pipeline's record decides.
+// pipelineStepFailed is called when the transaction of a job's end has failed. If its outcome
+// is not known, the pipeline's record is read again to find whether the end was recorded.
 func (s *Shard) pipelineStepFailed(j *Job, outcomeKnown bool) {
 	if l := j.pipeline; l.ref != "" {
 		if outcomeKnown {
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -10,7 +10,8 @@
 	"bramblespur/internal/wire"
 )
 
-// Summary tells the leader what waits and what the shard's machines do.
+// Summary returns the shard's report to the leader: its needs for machines, its recent arrivals
+// and the state of its machines.
 func (s *Shard) Summary(now time.Time) fleet.Summary {
 	s.arrivals.decay(now)
 	return fleet.Summary{
@@ -22,7 +23,7 @@
 	}
 }
 
-// needs are the needs for machines, the most urgent first, maxNeeds at the most.
+// needs returns the needs for machines, the most urgent first, at most maxNeeds.
 func (s *Shard) needs(now time.Time) []fleet.Need {
 	var needs []fleet.Need
 	for _, j := range s.inventory.pendingJobs {
@@ -42,8 +43,8 @@
 	return needs[:min(len(needs), maxNeeds)]
 }
 
-// unmetTasks is how many of a job's tasks wait for machines: neither for other jobs, nor for
-// their team's quota, nor for room that is reserved for them.
+// unmetTasks returns how many of a job's tasks wait for machines. Tasks that wait for other
+// jobs, for their team's quota or for room that is reserved for them do not count.
 func (s *Shard) unmetTasks(j *Job, now time.Time) int {
 	if !s.placeable(j, now) || now.Before(j.notBefore) {
 		return 0
@@ -64,7 +65,7 @@
 	return n
 }
 
-// machineSummaries describes the machines, by name.
+// machineSummaries describes the machines for the leader, sorted by ID.
 func (x *inventory) machineSummaries(now time.Time) []fleet.Machine {
 	machines := make([]fleet.Machine, 0, len(x.byID))
 	for _, m := range x.byID {
@@ -102,13 +103,13 @@
 		out.Lasting = out.Lasting || k.job.spec.Kind == wire.Service
 		out.TopRank = max(out.TopRank, k.job.rank)
 		if k.job.protected {
-			out.TopRank = max(out.TopRank, highestRank-1) // only services take its place
+			out.TopRank = max(out.TopRank, highestRank-1) // only services preempt it
 		}
 	}
 	return out
 }
 
-// need describes machines for n of a job's tasks.
+// need describes the machines that n of a job's tasks need.
 func (j *Job) need(n int) fleet.Need {
 	spec := j.spec
 	need := fleet.Need{
@@ -119,7 +120,7 @@
 		need.Zone = *spec.Zone
 	}
 	if zone := j.requiredZone(); zone != "" {
-		need.Zone = zone // the others have to follow
+		need.Zone = zone // where its placed tasks are
 	}
 	if spec.Spread {
 		need.ZoneLimit, need.InZone = j.zoneLimit(), maps.Clone(j.progress.placedByZone)
@@ -127,10 +128,11 @@
 	return need
 }
 
-// maxNeeds bounds what a summary tells.
+// maxNeeds bounds the number of needs in a summary.
 const maxNeeds = 64
 
-// ApplyFleetOrder carries out the leader's wish for a machine, as far as it still fits.
+// ApplyFleetOrder carries out the leader's order to release a machine or to transfer it to
+// another shard. It does nothing if the order no longer fits the state of the machine.
 func (s *Shard) ApplyFleetOrder(o fleet.Order, now time.Time) {
 	m := s.inventory.byID[o.Machine]
 	if s.unreadable.awaitsMachines || m == nil || m.transferTo >= 0 || m.draining || m.cordon != NotCordoned || m.Phase != record.InUse || m.record.txn != nil {
@@ -138,7 +140,7 @@
 	}
 	for k, t := range m.tasks {
 		if !o.Emptied && !t.stopping && (o.Below <= 0 || k.job.rank >= o.Below) {
-			return // in use by now
+			return // the machine is in use by now
 		}
 	}
 	defer s.inventory.update(m)
--- a/internal/scheduler/waits.go
+++ b/internal/scheduler/waits.go
@@ -9,28 +9,28 @@
 	"bramblespur/internal/wire"
 )
 
-// Refusal says why a machine takes no task of a job.
+// Refusal is the reason why a machine takes no task of a job.
 type Refusal string
 
-// Refusals. Where several hold, the first that is looked for is told: see refusal.
+// The refusals. If several apply, the one that is checked first is reported: see refusal.
 const (
 	NotRefused        Refusal = ""
-	RefusedKind       Refusal = "kind"             // the job does not allow its type, its zone or spot
-	RefusedNoRoom     Refusal = "no_room"          // what is placed there leaves too little
-	RefusedNotUp      Refusal = "not_up"           // it was never heard
+	RefusedKind       Refusal = "kind"             // the job does not allow its type or zone, or spot machines
+	RefusedNoRoom     Refusal = "no_room"          // the tasks placed there leave too little room
+	RefusedNotUp      Refusal = "not_up"           // it has sent no heartbeat yet
 	RefusedLeaving    Refusal = "leaving"          // it is being released or reclaimed
 	RefusedCordoned   Refusal = "cordoned"         // a drain cordoned it
-	RefusedTransfer   Refusal = "transfer"         // it goes to another shard
+	RefusedTransfer   Refusal = "transfer"         // it is being transferred to another shard
 	RefusedRecord     Refusal = "record_under_way" // its record is being written or read
-	RefusedNotReached Refusal = "not_reached"      // no answer seems to reach it
-	RefusedNotFenced  Refusal = "not_fenced"       // it has not reported our token since the failover
+	RefusedNotReached Refusal = "not_reached"      // responses and commands do not seem to reach it
+	RefusedNotFenced  Refusal = "not_fenced"       // it has not reported the owner's fencing token since the failover
 	RefusedSilent     Refusal = "silent"           // its heartbeat is overdue
-	RefusedZone       Refusal = "zone"             // the job's placed tasks leave no place in its zone
+	RefusedZone       Refusal = "zone"             // the job's placed tasks allow no more tasks in its zone
 	RefusedFault      Refusal = "failed_there"     // a task of the job failed there
 	RefusedReserved   Refusal = "reserved"         // it is reserved for a job that goes first
 )
 
-// unusable says why no new work at all may be placed on a machine.
+// unusable returns the reason why a machine takes no new tasks of any job now, or NotRefused.
 func (c *Config) unusable(m *Machine, now time.Time) Refusal {
 	switch {
 	case m.cordon != NotCordoned:
@@ -41,8 +41,8 @@
 	return c.outOfService(m, now)
 }
 
-// outOfService says why a machine takes no work, but for its cordon and for what lasts only until
-// its record is written or read.
+// outOfService returns the reason why a machine takes no new tasks now, apart from a cordon
+// and from a write or read of its record under way, or NotRefused.
 func (c *Config) outOfService(m *Machine, now time.Time) Refusal {
 	switch {
 	case !m.contact.up:
@@ -61,7 +61,7 @@
 	return NotRefused
 }
 
-// refusal says why a machine takes no task of a job now.
+// refusal returns the reason why a machine takes no task of a job now, or NotRefused.
 func (s *Shard) refusal(j *Job, m *Machine, now time.Time) Refusal {
 	room := freeRoom(m)
 	switch {
@@ -84,38 +84,39 @@
 	return NotRefused
 }
 
-// WaitReason says why a job's pending tasks are not placed.
+// WaitReason is the reason why a job's pending tasks are not placed.
 type WaitReason string
 
-// Reasons, in the order in which they are looked for.
+// The reasons, in the order in which they are checked.
 const (
 	NotHeldBack       WaitReason = ""
-	WaitsUnreadable   WaitReason = "unreadable_records" // machines are to report what such records may tell
-	WaitsHeartbeats   WaitReason = "heartbeats"         // records seem to be missing: workers' heartbeats tell
-	WaitsDependencies WaitReason = "dependencies"
-	WaitsWithheld     WaitReason = "withheld" // a record that can't be decoded may tell of its tasks
-	WaitsRecord       WaitReason = "record"   // its record is being read
-	WaitsGang         WaitReason = "gang"     // the gang's last attempt is not proven gone
-	WaitsBackoff      WaitReason = "backoff"  // after failures
-	WaitsLimit        WaitReason = "team_limit"
-	WaitsMachines     WaitReason = "machines"
+	WaitsUnreadable   WaitReason = "unreadable_records" // machines have yet to report the tasks that unreadable records may name
+	WaitsHeartbeats   WaitReason = "heartbeats"         // records seem to be missing: heartbeats have to show what runs
+	WaitsDependencies WaitReason = "dependencies"       // it is not released yet
+	WaitsWithheld     WaitReason = "withheld"           // a record that can't be decoded may name its tasks
+	WaitsRecord       WaitReason = "record"             // its record is being read
+	WaitsGang         WaitReason = "gang"               // tasks of the gang's last attempt are not proven gone
+	WaitsBackoff      WaitReason = "backoff"            // it is not to be placed yet after failures
+	WaitsLimit        WaitReason = "team_limit"         // its team's limit leaves too little
+	WaitsMachines     WaitReason = "machines"           // no machine takes its tasks
 )
 
-// WaitingJob tells why a job's pending tasks are not placed.
+// WaitingJob explains why a job's pending tasks are not placed.
 type WaitingJob struct {
 	Job, Team string
 	Waited    time.Duration // since it was accepted or released
-	Pending   int           // tasks
+	Pending   int           // number of pending tasks
 	Reason    WaitReason
 	// TeamCPUs and TeamGPUs are what the team's placed tasks use in this shard.
 	TeamCPUs, TeamGPUs float64
-	// Machines counts the shard's machines by why they take none of its tasks.
+	// Machines counts the shard's machines by the reason why they take none of the job's
+	// tasks; "none" counts those that would take one.
 	Machines map[Refusal]int
 }
 
-// LongestWaits explains the jobs that have waited longest for a place of a pending task, a few
-// at the most, as long as they have waited for some time. It looks at all machines for each of
-// these: it is for logs, not for every step.
+// LongestWaits explains the waits of the jobs with pending tasks that have waited longest, at
+// most most of them, and only jobs that have waited for atLeast. It examines all machines for
+// each of these jobs: it is meant for logs, not for every step.
 func (s *Shard) LongestWaits(atLeast time.Duration, most int, now time.Time) []WaitingJob {
 	var waiting []*Job
 	for _, j := range s.inventory.pendingJobs {
@@ -147,7 +148,8 @@
 	return out
 }
 
-// heldBack says why none of a job's tasks may be placed, whatever room there is.
+// heldBack returns the reason why none of a job's tasks may be placed, whatever room there is,
+// or NotHeldBack.
 func (j *Job) heldBack() WaitReason {
 	switch {
 	case j.awaitsDependencies:
@@ -157,11 +159,13 @@
 	case j.record.versionUnknown:
 		return WaitsRecord
 	case j.spec.Kind == wire.Gang && !j.assembling():
-		return WaitsGang // the old attempt must be gone, all of it
+		return WaitsGang // all tasks of the last attempt have to be gone first
 	}
 	return NotHeldBack
 }
 
+// waitReason returns the first reason that applies to a job with pending tasks. It is
+// WaitsMachines if no other does.
 func (s *Shard) waitReason(j *Job, now time.Time) WaitReason {
 	switch {
 	case s.unreadable.awaitsMachines:
