--- a/internal/controller/leader/addresses.go
+++ b/internal/controller/leader/addresses.go
@@ -14,8 +14,8 @@
 // concurrentAddressRecords bounds the provisions whose addresses are recorded in one turn.
 const concurrentAddressRecords = 3
 
-// recordAddressesLocked records the addresses of a provision's machines once all that will
-// come up have reported, a few provisions at a time.
+// recordAddressesLocked records the addresses of a provision's machines once all its machines that
+// will come up have reported. It does so for a few provisions in each turn.
 func (l *Leader) recordAddressesLocked(ctx context.Context, t *term, summaries []fleet.Summary) {
 	p := &t.provisions
 	p.learnAddresses(summaries)
@@ -23,7 +23,7 @@
 	left := concurrentAddressRecords
 	for name, r := range machines.ProvisionsWithoutAddresses() {
 		if p.recordingAddresses[name] {
-			continue // a second write would only find that the first came
+			continue // a second write would only conflict with the first
 		}
 		addresses, complete := p.addressesOf(machines, r.Rec.IDs)
 		if !complete {
@@ -37,13 +37,13 @@
 		}
 		rec, fits := withAddresses(r.Rec, addresses, l.writeLimits().Bytes())
 		if !fits {
-			continue // written before the limits were known, and too large by itself
+			continue // the record was written before the limits were known, and is too large without addresses
 		}
 		l.writeAddressesLocked(ctx, p, name, rec, r.Version)
 	}
 }
 
-// learnAddresses keeps the addresses that owners tell.
+// learnAddresses keeps the addresses of machines in the owners' summaries.
 func (p *provisions) learnAddresses(summaries []fleet.Summary) {
 	for _, summary := range summaries {
 		for _, m := range summary.Machines {
@@ -54,9 +54,9 @@
 	}
 }
 
-// learnListedAddresses keeps the addresses that the cloud's list tells and no owner does, for
-// provisions that are recorded without: a machine that is silent by now could not be asked whether
-// it is alive.
+// learnListedAddresses keeps the addresses in the cloud's list that no owner has reported, for the
+// machines of provisions recorded without addresses. Without its address, a machine that has
+// become silent could not be probed.
 func (p *provisions) learnListedAddresses(list []wire.ListedMachine, machines *clusterview.Machines) {
 	var ids []string
 	for _, r := range machines.ProvisionsWithoutAddresses() {
@@ -69,8 +69,9 @@
 	}
 }
 
-// addressesOf returns the addresses of machines, empty for those that never came up. It
-// returns false as long as one may yet come up, or if none did.
+// addressesOf returns the addresses of machines in the order of ids, with an empty address for each
+// machine that never came up. It returns false if a machine without an address may still come up,
+// or if no machine has an address.
 func (p *provisions) addressesOf(machines *clusterview.Machines, ids []string) ([]string, bool) {
 	addresses, some := make([]string, len(ids)), false
 	for i, id := range ids {
@@ -83,9 +84,9 @@
 	return addresses, some
 }
 
-// withAddresses returns a provision's record with as many addresses as there is room for.
-// Whose address finds none is asked for when it reports. It returns false if the record
-// is too large even so.
+// withAddresses returns a provision's record with as many of the addresses as a record of the given
+// size in bytes has room for. The addresses of the other machines are learned when they report. It
+// returns false if the record is too large even without addresses.
 func withAddresses(rec record.Provision, addresses []string, bytes int) (record.Provision, bool) {
 	some := func(n int) any {
 		rec.Addrs = make([]string, len(addresses))
@@ -96,6 +97,8 @@
 	return rec, len(record.Encode(rec)) <= bytes
 }
 
+// writeAddressesLocked begins to write a provision's record with its addresses, on condition that
+// the record still has the given version.
 func (l *Leader) writeAddressesLocked(ctx context.Context, p *provisions, name string, rec record.Provision, version uint64) {
 	t := wire.Txn{
 		If:   []wire.Condition{{Key: record.ProvisionKey(name), Version: version}},
@@ -108,8 +111,8 @@
 		defer l.host.Unlock()
 		delete(p.recordingAddresses, name)
 		if err != nil {
-			l.log.Debug("addresses not recorded", "name", name, "err", err)
-			return // told and tried again
+			l.log.Debug("machine addresses of a provision not recorded", "name", name, "err", err)
+			return // retried after the owners have reported the addresses again
 		}
 		l.host.ApplyOwnWritesLocked(t, rev, time.Now())
 	}()
--- a/internal/controller/leader/host.go
+++ b/internal/controller/leader/host.go
@@ -15,9 +15,8 @@
 	"bramblespur/internal/wire"
 )
 
-// Host is the controller that the duties run in. Lock and Unlock are those of the shards'
-// lock. Methods whose names end in Locked expect it held; the others must be called without
-// it.
+// Host is the interface between a Leader and its controller. Lock and Unlock operate on the shards'
+// lock. Methods whose names end in Locked expect it held; the others must be called without it.
 type Host interface {
 	sync.Locker
 	Election
@@ -27,90 +26,94 @@
 	Services
 }
 
-// Election is what the duties need to know of who leads.
+// Election gives access to the election of the leader, and to the state of the cluster that a
+// leader acts on.
 type Election interface {
 	// IsLeaderLocked reports whether this controller certainly is the leader.
 	IsLeaderLocked(now time.Time) bool
-	// SafeModeLocked reports whether suspected data loss suspends the duties.
+	// SafeModeLocked reports whether suspected data loss suspends the leader's duties.
 	SafeModeLocked() bool
-	// CandidacyLocked returns how to campaign against the leader record as it is seen now,
-	// nil if this controller must not.
+	// CandidacyLocked returns a function that campaigns to replace the leader record as it is
+	// seen now, or nil if this controller must not campaign.
 	CandidacyLocked(now time.Time) func(context.Context)
 	// LeaderLocked returns the leader's label and the version of its record.
 	LeaderLocked() (label string, version uint64)
-	// ClusterLocked returns all that the reassignment of shards depends on, but for Loads
-	// and LeaderFor.
+	// ClusterLocked returns the inputs to the reassignment of shards, except Loads and LeaderFor.
 	ClusterLocked(now time.Time) Cluster
-	// StepDown ends the term by EndTermLocked and deletes the leader record.
+	// StepDown ends the term by calling EndTermLocked and deletes the leader record.
 	StepDown(ctx context.Context)
 }
 
-// Shards is the shards that are hosted here, and the way to others.
+// Shards gives access to the shards that are hosted here, and to the ownership of the others.
 type Shards interface {
-	// SummariesLocked steps all shards hosted here and returns what they need and have.
+	// SummariesLocked runs a step of all shards hosted here and returns their summaries.
 	SummariesLocked(now time.Time) []fleet.Summary
-	// OrderLocked carries an order out and reports true if its shard is hosted here.
+	// OrderLocked carries an order out if its shard is hosted here, and returns false if it is
+	// not.
 	OrderLocked(o fleet.Order, now time.Time) bool
-	// TokenLocked returns the fencing token of a shard that is hosted here.
+	// TokenLocked returns the fencing token of a shard, and false if it is not hosted here.
 	TokenLocked(shard int) (token uint64, hosted bool)
-	// OwnerLocked returns a shard's owner by its record.
+	// OwnerLocked returns the label of a shard's owner according to its ownership record.
 	OwnerLocked(shard int) string
 	// MayPlanLocked reports whether shards are hosted here under a lease that is certain.
 	MayPlanLocked(now time.Time) bool
-	// AcquireLocked begins to acquire a shard, unless that is under way.
+	// AcquireLocked begins to acquire a shard, unless its acquisition is under way.
 	AcquireLocked(ctx context.Context, shard int)
-	// TransferBackLocked begins to give a shard to its preferred owner.
+	// TransferBackLocked begins to transfer a shard back to its preferred owner.
 	TransferBackLocked(ctx context.Context, shard int)
 }
 
-// Machines is the records of machines and what may be done with them.
+// Machines gives access to the records of machines, and decides what may be done with machines.
 type Machines interface {
-	// FleetLocked returns the view of the records.
+	// FleetLocked returns the view of the records of machines.
 	FleetLocked() *clusterview.Machines
-	// FleetLoadedLocked reports whether there is such a view yet.
+	// FleetLoadedLocked reports whether the view of the records of machines has been loaded.
 	FleetLoadedLocked() bool
-	// ReadFleet reads the records themselves.
+	// ReadFleet reads the records of machines from the state service, past the view.
 	ReadFleet(ctx context.Context, purpose statestore.Purpose) (*record.Fleet, error)
 	MachineTypesLocked() []wire.MachineType
-	// ApplyOwnWritesLocked brings the views to what a transaction of this controller wrote.
+	// ApplyOwnWritesLocked applies a transaction of this controller, which was committed at a
+	// revision, to the views.
 	ApplyOwnWritesLocked(t wire.Txn, revision uint64, at time.Time)
-	// AllowCloudCallLocked reports whether a machine may be provisioned or released now.
+	// AllowCloudCallLocked reports whether the rate limit allows to provision or release machines
+	// now.
 	AllowCloudCallLocked(now time.Time) bool
-	// CheckForLostRecords asks the agents of machines without records, by id, whether they worked
-	// here, and reports whether data was lost.
+	// CheckForLostRecords asks the agents of machines without records whether the machines worked
+	// for this cluster, and reports whether data was lost. The addresses are by machine id.
 	CheckForLostRecords(ctx context.Context, addresses map[string]string) bool
 }
 
-// Limits is what the controller and the services outside can bear.
+// Limits gives access to the load of this controller and to the limits that all controllers share.
 type Limits interface {
 	// StateServiceLimitsLocked returns the state service's limits for all controllers together.
 	StateServiceLimitsLocked() config.State
-	// IsLiveMemberLocked reports whether a controller is alive by its member record.
+	// IsLiveMemberLocked reports whether a controller is alive according to its member record.
 	IsLiveMemberLocked(label string) bool
 	// LoadLocked returns this controller's own load.
 	LoadLocked(now time.Time) Load
 	// BehindLocked reports whether this controller is behind with its work.
 	BehindLocked() bool
-	// TakeDelayedCommandsLocked returns how many direct commands had to wait since it was last asked.
+	// TakeDelayedCommandsLocked returns how many commands to workers were delayed by the rate
+	// limit since the last call.
 	TakeDelayedCommandsLocked() int
-	// CommandRateLocked returns the direct commands a second of all controllers, if they are
-	// limited.
+	// CommandRateLocked returns how many commands to workers all controllers together may send
+	// per second, and false if they are not limited.
 	CommandRateLocked() (total float64, limited bool)
-	// SetCommandRateShareLocked sets this controller's part of them.
+	// SetCommandRateShareLocked sets this controller's share of that rate, in commands per second.
 	SetCommandRateShareLocked(share float64, now time.Time)
 }
 
-// Services is how the duties reach the world outside.
+// Services gives access to the state service, the cloud and the other controllers.
 type Services interface {
 	Store() statestore.Store
 	Cloud() cloud.API
 	// Peers returns the other controllers by label.
 	Peers() map[string]peer.Caller
-	// CheckSync notes the outcome of a peer's sync for its health and returns the error of
-	// the call, or else that of a reply that makes no sense.
+	// CheckSync records the outcome of a sync for the peer's health. It returns the error of the
+	// call, or if that is nil, an error if the reply is malformed.
 	CheckSync(label string, r *peer.SyncReply, err error) error
-	// PingPeers learns which controllers answer, while another one leads.
+	// PingPeers checks which other controllers answer. It is called while another one leads.
 	PingPeers()
-	// AfterTurn does what follows each turn, whoever leads.
+	// AfterTurn is called after each turn, whichever controller leads.
 	AfterTurn(ctx context.Context)
 }
--- a/internal/controller/leader/inventory.go
+++ b/internal/controller/leader/inventory.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// recentlyRecordedLags is for how many of the list's lags a machine that is gone is not
-	// taken for an unrecorded one.
+	// recentlyRecordedLags is the time, in lags of the cloud's list, for which a machine whose
+	// record is gone does not count as unrecorded.
 	recentlyRecordedLags = 6
-	// listIntervalLags is how many lags the cloud's list is old when it is read again.
+	// listIntervalLags is the least time between two reads of the cloud's list, in lags of the list.
 	listIntervalLags = 3.0
-	// listCallShare is the part of the cloud's calls that may read its list.
+	// listCallShare is the share of the cloud's rate limit that may be used to read its list.
 	listCallShare = 0.1
 	// listTimeout bounds one comparison with the cloud's list.
 	listTimeout = 20 * time.Second
 )
 
-// inventory is the comparison of the cloud's list, which lags, with the records. The
-// shards' lock guards it, but for nextListAt, which belongs to the goroutine that takes
-// the turns.
+// inventory is the state of the comparison of the cloud's list of machines, which lags, with the
+// records. The shards' lock guards it, except for nextListAt, which belongs to the goroutine that
+// takes the turns.
 type inventory struct {
 	unrecorded     map[string]int       // listed, but not recorded, in so many lists in a row
 	lastRecordedAt map[string]time.Time // when a record last named the machine
@@ -38,8 +38,9 @@
 	return inventory{unrecorded: map[string]int{}, lastRecordedAt: map[string]time.Time{}}
 }
 
-// track notes which machines are recorded, so that those that are gone don't seem
-// unrecorded while the list still has them. Of those it forgets it drops the addresses.
+// track keeps which machines are recorded, so that machines whose records are gone do not count as
+// unrecorded while the cloud's list still has them. When it drops a machine, it also deletes the
+// machine's address from addresses.
 func (v *inventory) track(machines *clusterview.Machines, params config.Cloud, now time.Time, addresses map[string]string) {
 	machines.ForEach(func(id string, _ record.MachineView) { v.lastRecordedAt[id] = now })
 	for id, at := range v.lastRecordedAt {
@@ -50,8 +51,8 @@
 	}
 }
 
-// suspects returns those of a list that no record seems to name, with in how many lists
-// they were.
+// suspects returns the machines of the cloud's list that no record in the view names. The value of
+// each is the number of lists in a row that had it.
 func (v *inventory) suspects(list []wire.ListedMachine, machines *clusterview.Machines, provisioning bool) map[string]int {
 	suspects := map[string]int{}
 	for _, m := range list {
@@ -70,8 +71,8 @@
 	return suspects
 }
 
-// confirmUnrecorded returns the suspects that the records themselves don't name, either: the view
-// may be behind.
+// confirmUnrecorded returns the suspects that are not named in the records read from the state
+// service either, since the view may be behind.
 func confirmUnrecorded(suspects map[string]int, machines *record.Fleet) []string {
 	provisioning := len(machines.UnfulfilledProvisions()) > 0
 	var unrecorded []string
@@ -85,8 +86,8 @@
 	return unrecorded
 }
 
-// listInterval is how long after the cloud's list was read it is read again: the larger the
-// fleet, the more calls that takes, of which provisions and releases need most.
+// listInterval returns the time between two reads of the cloud's list. The larger the fleet, the
+// more calls each read takes, and provisions and releases need most of the calls.
 func (l *Leader) listInterval() time.Duration {
 	l.host.Lock()
 	pages := 1 + l.host.FleetLocked().Len()/cloud.MaxPage
@@ -96,14 +97,15 @@
 	return config.Seconds(max(byLag, byCalls))
 }
 
-// compareCloudList reads the cloud's list for addresses that are not recorded, and for machines
-// that nobody recorded, as a request executed late leaves them, which it releases.
+// compareCloudList reads the cloud's list of machines. It learns addresses that are not recorded,
+// and releases machines without a record, which remain when the cloud executes a request late. It
+// releases nothing if the machines show that records were lost.
 func (l *Leader) compareCloudList(ctx context.Context, t *term) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	list, err := l.host.Cloud().List(ctx)
 	if err != nil {
-		l.log.Debug("cloud's list not read", "err", err)
+		l.log.Debug("cloud's list of machines not read", "err", err)
 		return
 	}
 	l.host.Lock()
@@ -115,7 +117,7 @@
 	}
 	machines, err := l.host.ReadFleet(ctx, statestore.Routine("strangers"))
 	if err != nil {
-		l.log.Debug("fleet records not read", "err", err)
+		l.log.Debug("machine records not read", "err", err)
 		return
 	}
 	unrecorded := confirmUnrecorded(suspects, machines)
@@ -125,7 +127,8 @@
 	}
 }
 
-// addressesOf returns the addresses of some machines of a list.
+// addressesOf returns the addresses in a list of the machines with the given ids, by id. The address
+// of a machine that is not in the list is empty.
 func addressesOf(list []wire.ListedMachine, ids []string) map[string]string {
 	listed := map[string]string{}
 	for _, m := range list {
--- a/internal/controller/leader/leader.go
+++ b/internal/controller/leader/leader.go
@@ -1,12 +1,13 @@
-// Package leader holds the duties that one controller has for all: the reassignment of
-// shards, the quotas of the state service, scale out and in, and the comparison with the
-// cloud's list of machines. It owns what a leader remembers from turn to turn (its term),
-// which is dropped when the lease or the leadership is lost; a successor learns it again.
+// Package leader performs the duties that one controller, the leader, has for all controllers:
+// reassignment of shards, quotas of the state service, scale out and in, and the comparison of the
+// cloud's list of machines with the records. It owns the state that a leader keeps between its
+// turns (its term), which is dropped when the lease or the leadership is lost. A new leader starts
+// without it.
 //
 // Run is the only loop. Each turn syncs with all peers, then plans and acts within one
-// critical section of the shards' lock, since a plan is only true of the views and
-// shards that it was made from. A term's state is guarded by that lock, too. Whatever does
-// I/O goes on in goroutines that end with the context.
+// critical section of the shards' lock, since a plan is valid only for the views and shards that
+// it was made from. The shards' lock guards the state of a term, too. Input and output goes on in
+// goroutines that end with the context.
 package leader
 
 import (
@@ -25,52 +26,52 @@
 const (
 	syncInterval = time.Second // between turns
 	syncTimeout  = 1500 * time.Millisecond
-	// planIntervalWhenBehind is how long a leader that is behind with its work waits between
-	// plans.
+	// planIntervalWhenBehind is the time between plans of a leader that is behind with its work.
 	planIntervalWhenBehind = 3 * syncInterval
-	// overloadedCampaignDelayTurns is how many turns without a leader a controller that does not
-	// keep up leaves to others.
+	// overloadedCampaignDelayTurns is the number of turns without a leader in which an overloaded
+	// controller does not campaign, so that others can.
 	overloadedCampaignDelayTurns = 4
 )
 
-// The leader provisions and releases; the others ask the cloud only for the machine types
-// when they start. These are their parts of the cloud's calls.
+// The shares of the cloud's rate limit that the leader and another controller may use. The leader
+// provisions and releases machines; the others ask the cloud only for the machine types when they
+// start.
 const (
 	leaderCloudShare   = 0.95
 	FollowerCloudShare = 0.05
 )
 
-// Leader runs the duties on one controller, and what stands in for them while another
-// leads.
+// Leader performs the leader's duties on one controller. While another controller leads, it plans
+// provisions for this controller's own shards if the leader does not reach it.
 type Leader struct {
 	host   Host
 	cfg    *config.Settings
 	policy *policy.Policy
 	log    *slog.Logger
 
-	// Loads is what the peers last said of their load. It has a leaf lock of its own.
+	// Loads holds the loads that the peers last reported. It has a leaf lock of its own.
 	Loads Loads
-	// Grant is what this controller was last granted, by itself or another leader.
+	// Grant is the last grant that this controller received, from itself or another leader.
 	Grant ReceivedGrant
 
-	// The shards' lock guards these.
-	term       *term // nil while another controller leads
+	// The shards' lock guards the fields below.
+	term       *term // nil while this controller does not lead
 	standalone standalone
-	// provisionSequence numbers the provisions of this process. It outlives terms: one ends
-	// whenever the lease is not certain, and the next may be under the same leadership.
+	// provisionSequence numbers the provisions of this process. It outlives terms: a term ends
+	// whenever the lease is not certain, and the next one may be under the same leadership.
 	provisionSequence int
 }
 
-// New returns the duties of a controller.
+// New returns the Leader of a controller. Run starts it.
 func New(host Host, cfg *config.Settings, pol *policy.Policy, log *slog.Logger) *Leader {
 	l := &Leader{host: host, cfg: cfg, policy: pol, log: log}
 	l.standalone.leaderContactAt = time.Now()
 	return l
 }
 
-// term is what a leader remembers as long as it leads. The shards' lock guards it.
+// term is the state that a leader keeps as long as it leads. The shards' lock guards it.
 type term struct {
-	started    time.Time
+	started    time.Time // when this controller began to lead
 	lastSyncAt time.Time
 	lastPlanAt time.Time
 	planner    *fleet.Planner
@@ -81,10 +82,11 @@
 	inventory  inventory
 }
 
-// Run takes a turn a second until the context ends: as the leader, or as one who would
-// campaign if there were none.
+// Run takes a turn every syncInterval until the context ends. In each turn this controller acts as
+// the leader, campaigns if there is no leader and it may, or plans for its own shards if the leader
+// does not reach it.
 func (l *Leader) Run(ctx context.Context) {
-	leaderless := 0 // turns
+	leaderless := 0 // turns without a leader in which this controller could campaign
 	for retry.Sleep(ctx, syncInterval) {
 		leads, campaign := l.role(time.Now(), &leaderless)
 		switch {
@@ -104,8 +106,9 @@
 	}
 }
 
-// role tells whether this controller leads, or else how it is to campaign, if at all. It
-// counts the turns without a leader.
+// role reports whether this controller leads. If it does not and is to campaign, role returns the
+// function that does so. It counts in leaderless the turns in a row in which this controller could
+// campaign.
 func (l *Leader) role(now time.Time, leaderless *int) (leads bool, campaign func(context.Context)) {
 	l.host.Lock()
 	defer l.host.Unlock()
@@ -122,17 +125,18 @@
 		return leads, nil
 	}
 	*leaderless++
-	// One that is overloaded leads only if nobody else wants to.
+	// An overloaded controller campaigns only after the others had time to.
 	if l.host.LoadLocked(now).Recovering && *leaderless <= overloadedCampaignDelayTurns {
 		return false, nil
 	}
 	return false, campaign
 }
 
-// EndTermLocked forgets what this controller remembered as the leader.
+// EndTermLocked drops the state that this controller kept as the leader.
 func (l *Leader) EndTermLocked() { l.term = nil }
 
-// ensureTerm returns the present term, a new one if this controller has just come to lead.
+// ensureTerm returns the present term. It begins a new one if there is none, as when this
+// controller has just become the leader.
 func (l *Leader) ensureTerm(now time.Time) *term {
 	l.host.Lock()
 	defer l.host.Unlock()
@@ -153,7 +157,7 @@
 	}
 }
 
-// Turn is one turn of the leader. Run takes them; nobody else does but tests.
+// Turn takes one turn of the leader. Only Run and tests call it.
 func (l *Leader) Turn(ctx context.Context) {
 	now := time.Now()
 	t := l.ensureTerm(now)
@@ -187,8 +191,9 @@
 	}
 }
 
-// syncPeers asks every other controller for its shards and for what it needs of the state
-// service, and hands over what is to be acquired and transferred back and what is granted.
+// syncPeers syncs with all other controllers. It sends them the shards that they are to acquire or
+// transfer back, and their grants. It returns the summaries of their shards and the demands of the
+// controllers that answered, by label.
 func (l *Leader) syncPeers(transfers transfers, grants Grants) ([]fleet.Summary, map[string]Demand) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -214,8 +219,8 @@
 	return summaries, demands
 }
 
-// sendOrders brings orders to the owners of their shards, which need not wait for the
-// leader's next turn. One that is lost is planned again.
+// sendOrders sends orders to the owners of their shards at once, without waiting for the leader's
+// next turn. An order that is lost is planned again.
 func (l *Leader) sendOrders(byOwner map[string][]fleet.Order) {
 	for owner, orders := range byOwner {
 		p := l.host.Peers()[owner]
--- a/internal/controller/leader/load.go
+++ b/internal/controller/leader/load.go
@@ -8,30 +8,31 @@
 	"bramblespur/internal/controller/membership"
 )
 
-// loadValidFor is how old a controller's word on its load may be to count.
+// loadValidFor is how long a controller's report of its load is valid.
 const loadValidFor = membership.PeerFreshFor
 
-// Load is what a controller says of its own load.
+// Load is a controller's report of its own load.
 type Load struct {
-	At         time.Time
-	Recovering bool // it does not keep up, or has not done so for long
-	HasRoom    bool // it could carry another shard
+	At         time.Time // when the report was received
+	Recovering bool      // the controller does not keep up with its work, or has only just begun to
+	HasRoom    bool      // the controller could carry another shard
 }
 
-// keepsUp reports whether the controller may have its shards back.
+// keepsUp reports whether the controller keeps up with its work, so that its shards may be
+// transferred back to it.
 func (l Load) keepsUp(now time.Time) bool { return now.Sub(l.At) < loadValidFor && !l.Recovering }
 
 // hasRoom reports whether the controller could carry another shard.
 func (l Load) hasRoom(now time.Time) bool { return now.Sub(l.At) < loadValidFor && l.HasRoom }
 
-// Loads is what the peers last told the leader of their load. Its lock is a leaf: it may be
+// Loads holds the loads that the peers last reported to the leader. Its lock is a leaf: it may be
 // taken while the shards' lock is held.
 type Loads struct {
 	mu      sync.Mutex
 	byLabel map[string]Load
 }
 
-// Record takes in what a peer told.
+// Record stores the load that a peer reported, in place of its last one.
 func (l *Loads) Record(label string, load Load) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,7 +42,7 @@
 	l.byLabel[label] = load
 }
 
-// all returns a copy that may be changed.
+// all returns a copy of the loads by label, which the caller may change.
 func (l *Loads) all() map[string]Load {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/controller/leader/planning.go
+++ b/internal/controller/leader/planning.go
@@ -12,17 +12,18 @@
 	"bramblespur/internal/wire"
 )
 
-// Defaults of the leader's plan.
+// Defaults of the leader's plan. fleet.Config describes the intervals.
 const (
 	balanceInterval = 30 * time.Second
-	moveAfter       = 0 * time.Second // work that fits nowhere gets a free machine at once
-	preemptAfter    = 3 * time.Second // or one with work of lower priority after this
-	refusalPause    = 8 * time.Second
+	moveAfter       = 0 * time.Second // work that fits nowhere gets a free machine of another shard at once
+	preemptAfter    = 3 * time.Second // work that fits nowhere then gets a machine with work of lower priority
+	refusalPause    = 8 * time.Second // the first pause after the cloud had no capacity in a pool
 	// concurrentProvisions bounds the provisions that are under way.
 	concurrentProvisions = 3
 )
 
-// plannerConfigLocked is what the choices of machines depend on.
+// plannerConfigLocked returns the settings of the planner from the controller's settings, the policy
+// and the machine types.
 func (l *Leader) plannerConfigLocked() fleet.Config {
 	return fleet.Config{
 		Types: l.host.MachineTypesLocked(), Zones: l.cfg.Params.Zones,
@@ -42,11 +43,11 @@
 	}
 }
 
-// writeLimits are those to write by: how large a record and a transaction may be.
+// writeLimits returns the limits to apply to writes: the size of a record and of a transaction.
 func (l *Leader) writeLimits() config.State { return l.cfg.Params.State.Tight() }
 
-// planLocked plans with the summaries of all shards, carries out what concerns the shards
-// hosted here, begins provisions, and returns the orders for others, by owner.
+// planLocked plans with the summaries of all shards, carries out the orders for shards hosted here,
+// begins provisions, and returns the orders for other shards by the label of their owner.
 func (l *Leader) planLocked(ctx context.Context, t *term, summaries []fleet.Summary, now time.Time) map[string][]fleet.Order {
 	l.adoptProvisionsLocked(ctx, t)
 	t.inventory.track(l.host.FleetLocked(), l.cfg.Params.Cloud, now, t.provisions.addresses)
@@ -61,8 +62,8 @@
 			byOwner[owner] = append(byOwner[owner], o)
 		}
 	}
-	// A queue of requests would go stale before the cloud's few calls got to
-	// it: what is not asked for now is planned anew, with what came since.
+	// Requests are not queued, since a queue would be outdated before the rate limit of the cloud
+	// let its requests through. A request that is not made now is planned anew in a later turn.
 	for _, r := range selectRequests(requests, concurrentProvisions-len(t.provisions.underWay)) {
 		if l.host.AllowCloudCallLocked(now) {
 			l.startProvisionLocked(ctx, t, r)
@@ -71,7 +72,7 @@
 	return byOwner
 }
 
-// logPlan logs what was planned, and from what.
+// logPlan logs a plan and the summaries that it was made from.
 func (l *Leader) logPlan(summaries []fleet.Summary, orders []fleet.Order, requests []fleet.ProvisionRequest, underWay int) {
 	for _, summary := range summaries {
 		l.log.Debug("plan", "shard", summary.Part, "state", summary, "provisions", underWay)
@@ -84,9 +85,9 @@
 	}
 }
 
-// selectRequests returns the requests to make when there is room for n: the most urgent
-// first, and in the last place the largest, which brings most for a call. Small
-// urgent ones would else take every place for ever when much is missing.
+// selectRequests returns the n requests to make of a list that begins with the most urgent: the n-1
+// most urgent, and the largest of the others, which yields the most machines for a call. Otherwise
+// small urgent requests would always come before it when many machines are missing.
 func selectRequests(requests []fleet.ProvisionRequest, n int) []fleet.ProvisionRequest {
 	if n <= 0 || len(requests) <= n {
 		return requests[:min(len(requests), max(n, 0))]
@@ -100,8 +101,9 @@
 	return append(slices.Clone(requests[:n-1]), last)
 }
 
-// addPendingMachinesLocked adds to the summaries what is provisioned but not yet known to
-// the owners, so that nothing is provisioned twice.
+// addPendingMachinesLocked adds to the summaries the machines that are provisioned but that the
+// owners have not reported yet, so that nothing is provisioned twice. The machines of provisions
+// under way without an answer are added without an id.
 func (l *Leader) addPendingMachinesLocked(summaries []fleet.Summary, underWay map[string]record.Provision) {
 	p := newPendingMachines(summaries, l.host.MachineTypesLocked())
 	machines := l.host.FleetLocked()
@@ -116,7 +118,7 @@
 	}
 	for name, r := range underWay {
 		if rec, ok := machines.Provision(name); !ok || len(rec.IDs) == 0 {
-			unanswered[name] = r // those whose machines are known were counted above
+			unanswered[name] = r // machines of the other provisions were added above
 		}
 	}
 	for _, r := range unanswered {
@@ -129,8 +131,8 @@
 // pendingMachines adds machines to the summaries of their shards.
 type pendingMachines struct {
 	summaries []fleet.Summary
-	byShard   map[int]int // index of its summary
-	reported  map[string]bool
+	byShard   map[int]int     // index of each shard's summary
+	reported  map[string]bool // ids of the machines that the owners reported
 	types     []wire.MachineType
 }
 
@@ -145,6 +147,8 @@
 	return p
 }
 
+// add adds a machine to the summary of its shard. It does nothing if there is no summary of the
+// shard or the machine type is unknown.
 func (p *pendingMachines) add(id, typ, zone string, spot bool, shard int) {
 	i, ok := p.byShard[shard]
 	if !ok {
--- a/internal/controller/leader/provision.go
+++ b/internal/controller/leader/provision.go
@@ -18,19 +18,21 @@
 )
 
 const (
-	// protocolMaxProvision is the cloud's bound of one request.
+	// protocolMaxProvision is the highest number of machines that the cloud accepts in one request.
 	protocolMaxProvision = 50
-	// cloudRetryDelay and recordRetryDelay are how long it is until a call is made again.
+	// cloudRetryDelay and recordRetryDelay are the pauses before a failed call to the cloud and a
+	// failed write of a record are retried.
 	cloudRetryDelay  = time.Second
 	recordRetryDelay = 500 * time.Millisecond
 )
 
-// provisions is the provisions that a leader carries out. The shards' lock guards it.
+// provisions holds the provisions that a leader carries out. The shards' lock guards it.
 type provisions struct {
 	underWay map[string]record.Provision // by name
-	// addresses are those of machines, as their owners tell them.
+	// addresses holds the addresses of machines by id, as their owners or the cloud's list have
+	// them.
 	addresses map[string]string
-	// recordingAddresses are the provisions whose addresses are being recorded.
+	// recordingAddresses holds the names of the provisions whose addresses are being recorded.
 	recordingAddresses map[string]bool
 }
 
@@ -38,8 +40,8 @@
 	return provisions{underWay: map[string]record.Provision{}, addresses: map[string]string{}, recordingAddresses: map[string]bool{}}
 }
 
-// MaxProvision is how many machines a provision may ask for, so that its record of so many
-// bytes has room for their names and addresses, of the size they usually have.
+// MaxProvision returns how many machines a provision may ask for, so that their ids and addresses,
+// if of the usual size, fit into a record of recordBytes.
 func MaxProvision(recordBytes int) int {
 	id, addr := "i-"+strings.Repeat("0", 8), "255.255.255.255:65535"
 	return record.LargestFitting(recordBytes, 1, protocolMaxProvision, func(n int) any {
@@ -48,9 +50,10 @@
 	})
 }
 
-// startProvisionLocked begins a provision. Its record comes first, under the leadership it
-// was decided under, and whoever leads next repeats the request. A name is never used again: the
-// cloud would answer it with the machines of the first request, which may be gone.
+// startProvisionLocked begins a provision. It first writes the provision's record, on condition that
+// the leadership is still the one under which the provision was decided; the next leader repeats
+// the request if this one cannot complete it. The name of a provision is never reused: the cloud
+// would answer with the machines of the first request, which may be gone.
 func (l *Leader) startProvisionLocked(ctx context.Context, t *term, r fleet.ProvisionRequest) {
 	_, leadership := l.host.LeaderLocked()
 	l.provisionSequence++
@@ -63,7 +66,7 @@
 			Then: []wire.Op{{Put: record.ProvisionKey(name), Value: record.Encode(rec)}},
 		})
 		if err != nil {
-			// Perhaps written all the same: then the next leader finishes it.
+			// The record may have been written nevertheless: then the next leader finishes the provision.
 			l.forgetProvision(t, name)
 			return
 		}
@@ -71,8 +74,8 @@
 	}()
 }
 
-// adoptProvisionsLocked carries out provisions that others recorded: an earlier leader, or
-// owners that this one does not reach.
+// adoptProvisionsLocked begins to carry out the provisions that an earlier leader recorded, and those
+// recorded by owners that this leader does not reach.
 func (l *Leader) adoptProvisionsLocked(ctx context.Context, t *term) {
 	for name, r := range l.host.FleetLocked().UnfulfilledProvisions() {
 		if _, ok := t.provisions.underWay[name]; !ok {
@@ -82,14 +85,16 @@
 	}
 }
 
+// forgetProvision removes a provision from those under way.
 func (l *Leader) forgetProvision(t *term, name string) {
 	l.host.Lock()
 	defer l.host.Unlock()
 	delete(t.provisions.underWay, name)
 }
 
-// finishProvision carries out a provision whose record was written in a version, and
-// records what it brought.
+// finishProvision carries out a provision and records the machines that the cloud provided, on
+// condition that the provision's record still has the given version. If the cloud provided none, it
+// deletes the record.
 func (l *Leader) finishProvision(ctx context.Context, t *term, name string, rec record.Provision, version uint64) {
 	defer l.forgetProvision(t, name)
 	ids, ok := l.callCloud(ctx, t, name, rec)
@@ -109,7 +114,8 @@
 	l.commit(ctx, statestore.Urgent("rental"), wire.Txn{If: []wire.Condition{{Key: key, Version: version}}, Then: []wire.Op{op}}, now)
 }
 
-// callCloud asks the cloud until it answers, or until the term ends.
+// callCloud requests a provision from the cloud until the cloud answers. It returns the ids of the
+// machines, none if the cloud has no capacity, or false if the term or the context ended first.
 func (l *Leader) callCloud(ctx context.Context, t *term, name string, rec record.Provision) (ids []string, ok bool) {
 	request := wire.ProvisionRequest{Request: name, Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot, Count: len(rec.Shards)}
 	for ctx.Err() == nil {
@@ -129,7 +135,7 @@
 	return nil, false
 }
 
-// reportCapacity tells the planner whether the cloud had all that a provision asked for.
+// reportCapacity reports to the planner whether the cloud provided all machines of a provision.
 func (l *Leader) reportCapacity(t *term, rec record.Provision, enough bool, now time.Time) {
 	l.host.Lock()
 	defer l.host.Unlock()
@@ -141,9 +147,10 @@
 	t.planner.CapacityRefused(pool, now)
 }
 
-// commit makes a transaction until it is answered. A conflict means that it was made
-// already: by this controller with no answer, or by another leader. The views come to it at
-// the time that is given, or if there is none at that of the answer.
+// commit retries a transaction until it is applied or conflicts, and applies it to the views. A
+// conflict means that the transaction was applied before: by this controller, which got no answer,
+// or by another leader. The views record it as of the given time, or if that is zero, as of the
+// answer.
 func (l *Leader) commit(ctx context.Context, purpose statestore.Purpose, t wire.Txn, at time.Time) {
 	for ctx.Err() == nil {
 		rev, err := l.host.Store().Txn(ctx, purpose, t)
@@ -159,6 +166,8 @@
 	}
 }
 
+// applyOwnWrites applies a committed transaction to the views as of the given time, or the present
+// if that is zero.
 func (l *Leader) applyOwnWrites(t wire.Txn, revision uint64, at time.Time) {
 	if at.IsZero() {
 		at = time.Now()
--- a/internal/controller/leader/quota.go
+++ b/internal/controller/leader/quota.go
@@ -10,49 +10,51 @@
 	"bramblespur/internal/statestore"
 )
 
-// The state service's limits hold for all controllers together. Every one may
-// use an equal share; the leader, which asks each what it needs, grants it what the
-// others leave, and lends changes to those that need several at once.
+// The state service's limits hold for all controllers together. Each controller may use an equal
+// share. The leader asks each controller for its demand, grants each what the others leave unused, and
+// lends changes to controllers that need several at once.
 
 const (
-	// GrantLifetime is how long a grant of the leader counts.
+	// GrantLifetime is how long a grant of the leader is valid.
 	GrantLifetime = 4 * time.Second
-	// grantedShare is the part of the limits that is granted: what is in flight
-	// when grants change must not exceed them.
+	// grantedShare is the share of the limits that is granted. The rest is for requests that are in
+	// flight when grants change, so that the limits are not exceeded.
 	grantedShare = 0.95
-	// loanTimeout bounds a request for a loan. Changes wait for it, and without an answer
-	// for their own part of the limit.
+	// loanTimeout bounds a request for a loan. Changes wait for the loan, and if there is no answer,
+	// for this controller's own share of the limit.
 	loanTimeout = 400 * time.Millisecond
 )
 
-// Demand is what a controller needed since the leader last asked.
+// Demand is a controller's demand since the leader last asked for it.
 type Demand struct {
-	Requests, Changes int // of the state service
-	DelayedCommands   int // direct commands that had to wait
+	Requests, Changes int // requests to and changes in the state service
+	DelayedCommands   int // commands to workers that the rate limit delayed
 }
 
-// Grants is what the leader last granted, a second, by controller.
+// Grants holds the rates per second that the leader last granted, by the label of the controller:
+// requests to the state service, changes in it, and commands to workers.
 type Grants struct{ Requests, Changes, Commands map[string]float64 }
 
-// quotas is the leader's account of what it grants and lends. The shards' lock guards it.
+// quotas holds the leader's grants and loans. The shards' lock guards it.
 type quotas struct {
 	lender   *statestore.LoanPool // lends changes
 	grants   Grants
-	commands *ratelimit.ClusterShares // of the direct commands; nil until they are shared out
+	commands *ratelimit.ClusterShares // shares of the command rate; nil until it is shared out
 }
 
 func newQuotas() quotas { return quotas{lender: statestore.NewLoanPool()} }
 
-// controllers is all that share a quota.
+// controllers describes all controllers, which share the quotas.
 type controllers struct {
 	count  int
 	labels []string
 	alive  func(label string) bool // by its member record
 }
 
-// shareRates shares out the state service's limits by what each controller needed in the last
-// turn. One that is alive but did not answer may be using its equal share, so that is left
-// to it.
+// shareRates divides the state service's limits by the demands of the last turn, which took the
+// given time. It returns the requests and changes per second granted to each controller that
+// answered. A controller that is alive but did not answer may be using its equal share, so this
+// share is not granted to others.
 func (c controllers) shareRates(limits config.State, demands map[string]Demand, turn time.Duration) (requests, changes map[string]float64) {
 	rps, writes := limits.RPS*grantedShare, limits.WriteRPS*(grantedShare-statestore.LoanShare)
 	requests, changes = map[string]float64{}, map[string]float64{}
@@ -70,8 +72,8 @@
 	return fleet.FairShare(rps, requests), fleet.FairShare(writes, changes)
 }
 
-// shareCommands shares out the direct commands of all by what waited at each controller that
-// answered.
+// shareCommands divides the total rate of commands to workers, per second, by the number of commands
+// that were delayed at each controller that answered. It returns the rate for each of these.
 func (q *quotas) shareCommands(total float64, all controllers, demands map[string]Demand) map[string]float64 {
 	if q.commands == nil {
 		q.commands = ratelimit.NewClusterShares(total, all.labels)
@@ -93,8 +95,8 @@
 	return q.commands.Next(fleet.FairShare(left, waiting))
 }
 
-// grantQuotasLocked shares out what all controllers may use, by what each needed since
-// the last turn.
+// grantQuotasLocked computes the grants of all controllers from their demands since the last turn,
+// and applies this controller's own. syncPeers sends the others theirs in the next turn.
 func (l *Leader) grantQuotasLocked(t *term, demands map[string]Demand, now time.Time) {
 	turn := syncInterval
 	if !t.lastSyncAt.IsZero() {
@@ -102,12 +104,12 @@
 	}
 	t.lastSyncAt = now
 	demands[l.cfg.Label] = l.demandLocked()
-	l.host.SetCommandRateShareLocked(t.quotas.grants.Commands[l.cfg.Label], now) // as the others were told in this turn
+	l.host.SetCommandRateShareLocked(t.quotas.grants.Commands[l.cfg.Label], now) // from the grants that the others received in this turn
 	t.quotas.grants = l.computeGrantsLocked(&t.quotas, demands, turn)
 	l.Grant.SetLocked(l.host.Store(), t.quotas.grants.Requests[l.cfg.Label], t.quotas.grants.Changes[l.cfg.Label], now)
 }
 
-// demandLocked is what this controller itself needed.
+// demandLocked returns this controller's own demand since the last call.
 func (l *Leader) demandLocked() Demand {
 	d := Demand{DelayedCommands: l.host.TakeDelayedCommandsLocked()}
 	d.Requests, d.Changes = l.host.Store().TakeDemand()
@@ -126,7 +128,8 @@
 	return grants
 }
 
-// Lend reports whether another controller may make changes beyond its grant.
+// Lend reports whether a controller may make changes beyond its grant. It returns false if this
+// controller does not lead. It takes the shards' lock.
 func (l *Leader) Lend(a peer.LoanArgs) bool {
 	l.host.Lock()
 	defer l.host.Unlock()
@@ -134,7 +137,8 @@
 	return l.host.IsLeaderLocked(now) && l.term != nil && l.term.quotas.lender.Lend(a.Changes, a.Modest, now)
 }
 
-// Borrow asks the leader for changes beyond this controller's grant.
+// Borrow asks the leader for changes beyond this controller's grant, and reports whether it lent
+// them. It must be called without the shards' lock.
 func (l *Leader) Borrow(changes int, modest bool) bool {
 	a := peer.LoanArgs{From: l.cfg.Label, Changes: changes, Modest: modest}
 	l.host.Lock()
@@ -155,11 +159,12 @@
 	return lent
 }
 
-// ReceivedGrant is what this controller was last granted of the state service. The
+// ReceivedGrant records when this controller last received a grant for the state service. The
 // shards' lock guards it.
 type ReceivedGrant struct{ at time.Time }
 
-// SetLocked takes in a grant; 0 means that none was made.
+// SetLocked applies a grant of requests and changes per second. It does nothing if either is 0,
+// which means that no grant was made.
 func (g *ReceivedGrant) SetLocked(store statestore.Store, requests, changes float64, now time.Time) {
 	if requests > 0 && changes > 0 {
 		g.at = now
@@ -167,7 +172,8 @@
 	}
 }
 
-// ExpireLocked falls back to an equal share once no leader makes a grant.
+// ExpireLocked falls back to an equal share of the limits once the last grant is older than
+// GrantLifetime.
 func (g *ReceivedGrant) ExpireLocked(store statestore.Store, limits config.State, controllers int, now time.Time) {
 	if now.Sub(g.at) > GrantLifetime {
 		store.SetLimits(limits.RPS/float64(controllers), limits.WriteRPS/float64(controllers))
--- a/internal/controller/leader/reassignment.go
+++ b/internal/controller/leader/reassignment.go
@@ -10,56 +10,61 @@
 )
 
 const (
-	// PreferredOwnerStable is how long a returned controller answers, or a new leader
-	// leads, before a shard goes back to its preferred owner.
+	// PreferredOwnerStable is how long a returned controller must answer before a shard is
+	// transferred back to it as the preferred owner. For the leader itself it is how long it must
+	// have led.
 	PreferredOwnerStable = 20 * time.Second
-	// stepDownAfter is how long a leader that reaches nobody keeps its office.
+	// stepDownAfter is how long a leader that reaches no other controller leads before it may step
+	// down for that.
 	stepDownAfter = 4 * time.Second
 )
 
-// Cluster is what the reassignment of shards depends on.
+// Cluster holds the inputs to the reassignment of shards.
 type Cluster struct {
-	Self string
-	// Isolated says that this controller reaches neither peers nor workers.
+	Self string // this controller's label
+	// Isolated reports that this controller reaches neither peers nor workers.
 	Isolated bool
-	// Behind says that this controller is behind with its work.
+	// Behind reports that this controller is behind with its work.
 	Behind bool
 	// LeaderFor is how long this controller has led.
-	LeaderFor      time.Duration
-	Owners         map[int]string // by shard, as recorded
+	LeaderFor time.Duration
+	Owners    map[int]string // labels of the recorded owners, by shard
+	// PreferredOwner returns the label of a shard's preferred owner.
 	PreferredOwner func(shard int) string
-	Members        map[string]Member // those alive
-	Loads          map[string]Load
+	Members        map[string]Member // the live members, by label
+	Loads          map[string]Load   // the last known loads, by label
 	Now            time.Time
 }
 
-// Member is another controller, or the leader itself, as its member record and its answers
-// show it.
+// Member is the state of a controller, which may be the leader itself, according to its member
+// record and its answers to this controller.
 type Member struct {
-	Registered          bool // its record names an incarnation
-	Isolated            bool // it reaches neither peers nor workers
-	WithoutPeers        bool
-	Overloaded          bool
+	Registered          bool          // its member record names an incarnation
+	Isolated            bool          // it reaches neither peers nor workers
+	WithoutPeers        bool          // it reaches no other controller
+	Overloaded          bool          // it does not keep up with its work
 	Reachable           bool          // it answers this controller
 	ReachesStateService bool          // it reaches the state service
-	AnsweringFor        time.Duration // without a failure
+	AnsweringFor        time.Duration // how long it has answered this controller without a failure
 }
 
-// Reason says why a shard changes its owner.
+// Reason is the reason why a shard changes its owner.
 type Reason int
 
 // Reasons of a reassignment.
 const (
-	// OwnerIsolated: no worker reaches the owner, so another one acquires the shard.
+	// OwnerIsolated means that no worker reaches the owner, so that another controller acquires
+	// the shard.
 	OwnerIsolated Reason = iota + 1
-	// OwnerOverloaded: the owner does not keep up, and one with room acquires the shard.
+	// OwnerOverloaded means that the owner does not keep up, and a controller with room acquires
+	// the shard.
 	OwnerOverloaded
-	// PreferredOwnerBack: the preferred owner is stable again, and the owner gives the
-	// shard back to it.
+	// PreferredOwnerBack means that the preferred owner is stable again, and the owner transfers
+	// the shard back to it.
 	PreferredOwnerBack
 )
 
-// String returns the reason for the log.
+// String returns the text of the reason for the log.
 func (r Reason) String() string {
 	switch r {
 	case OwnerIsolated:
@@ -72,14 +77,14 @@
 	return "none"
 }
 
-// Reassignment is a shard that is to change its owner.
+// Reassignment is the decision that a shard changes its owner.
 type Reassignment struct {
 	Shard    int
-	From, To string
+	From, To string // labels of the present and the next owner
 	Reason   Reason
 }
 
-// reachable returns the controllers that could take a shard, the leader among them.
+// reachable returns the labels of the controllers that could acquire a shard, including the leader.
 func (c *Cluster) reachable() []string {
 	labels := []string{c.Self}
 	for label, m := range c.Members {
@@ -90,9 +95,9 @@
 	return labels
 }
 
-// othersReachEachOther reports whether other controllers hear each other: then one of
-// them leads better than a leader that hears none. When all are alone, as when
-// connections between controllers are refused, nobody would.
+// othersReachEachOther reports whether at least two other controllers reach peers. Then one of them
+// leads better than a leader that reaches none. If no controller reaches another, as when
+// connections between controllers are refused, none would lead better.
 func (c *Cluster) othersReachEachOther() bool {
 	n := 0
 	for label, m := range c.Members {
@@ -103,8 +108,9 @@
 	return n > 1
 }
 
-// shouldStepDown reports whether another controller leads better than this one: it is cut
-// off from the others, or behind with its work while one that it reaches has room.
+// shouldStepDown reports whether another controller would lead better than this one, since this
+// one is cut off from the others, or is behind with its work while a controller that it reaches has
+// room.
 func (c *Cluster) shouldStepDown() bool {
 	reachable := c.reachable()
 	if c.Isolated || (len(reachable) == 1 && c.othersReachEachOther() && c.LeaderFor > stepDownAfter) {
@@ -113,10 +119,11 @@
 	return c.Behind && slices.ContainsFunc(reachable, func(label string) bool { return c.Loads[label].hasRoom(c.Now) })
 }
 
-// reassign decides which shards change their owners, in their order: those of isolated
-// owners go to somebody who hears, those of overloaded ones to somebody who keeps up, and
-// those away from a stable preferred owner go back. An owner that only the leader can't
-// reach keeps its shards: between two partitioned zones there is nothing to gain.
+// reassign decides which shards change their owners, and returns these in the order of their
+// numbers. The shards of isolated owners go to reachable controllers, a shard of an overloaded owner
+// goes to a controller with room, and shards whose preferred owner is stable go back to it. An owner
+// that only the leader cannot reach keeps its shards: between two partitioned zones nothing would be
+// gained.
 func (c *Cluster) reassign(r *rebalancer) []Reassignment {
 	reachable := c.reachable()
 	rebalanced, found := r.choose(c, reachable)
@@ -136,9 +143,10 @@
 	return out
 }
 
-// stable reports whether a preferred owner may have its shard back. One that answers but is
-// refused by the state service could not acquire it, and another would, for ever in turn.
-// One that does not keep up would lose it again.
+// stable reports whether a shard may be transferred back to this preferred owner. A controller that
+// answers but is refused by the state service could not acquire the shard: another one would, and
+// the shard would be transferred back and forth. A controller that does not keep up would lose the
+// shard again.
 func (c *Cluster) stable(label string) bool {
 	if !c.Loads[label].keepsUp(c.Now) {
 		return false
@@ -150,12 +158,12 @@
 	return m.AnsweringFor >= PreferredOwnerStable && m.Reachable && m.ReachesStateService && m.Registered && !m.Isolated
 }
 
-// transfers is what other controllers are asked to do with shards, by label.
+// transfers holds the shards that other controllers are asked to acquire or transfer back, by label.
 type transfers struct{ acquire, back map[string][]int }
 
-// reassignShards decides which shards change their owners, begins what concerns this
-// controller, and returns what the others are to do. It returns false if this controller
-// should not lead any more.
+// reassignShards decides which shards change their owners. It begins the acquisitions and transfers
+// of this controller and returns those of the others. It returns false if this controller should
+// step down.
 func (l *Leader) reassignShards(ctx context.Context, t *term, now time.Time) (transfers, bool) {
 	l.host.Lock()
 	defer l.host.Unlock()
@@ -179,6 +187,7 @@
 	return others, true
 }
 
+// clusterLocked returns the inputs to the reassignment of shards, with all loads.
 func (l *Leader) clusterLocked(t *term, now time.Time) Cluster {
 	cluster := l.host.ClusterLocked(now)
 	cluster.LeaderFor = now.Sub(t.started)
--- a/internal/controller/leader/rebalance.go
+++ b/internal/controller/leader/rebalance.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	// rebalancePause is how long the leader waits after one shard for what that changes
-	// before it picks the next.
+	// rebalancePause is how long the leader waits for the effect of a rebalanced shard before it
+	// chooses the next one.
 	rebalancePause = 10 * time.Second
-	// maxShardsAfterRebalance is how many shards a controller may own with one taken from
-	// an overloaded owner: else one after the other would be overloaded.
+	// maxShardsAfterRebalance is how many shards a controller may own after it acquired one of an
+	// overloaded owner. With more, one controller after the other would be overloaded.
 	maxShardsAfterRebalance = 2
 )
 
-// rebalancer has a controller with room acquire a shard of an overloaded owner. The shard
-// goes back only after its preferred owner has kept up for a while, so that it changes
-// hands once for as long as the cause lasts.
+// rebalancer chooses a shard of an overloaded owner for a controller with room to acquire. The
+// shard goes back only after its preferred owner has kept up for a while, so that it changes its
+// owner only once while the cause of the overload lasts.
 type rebalancer struct {
-	last   Reassignment
-	lastAt time.Time
+	last   Reassignment // the last choice
+	lastAt time.Time    // when it was made
 }
 
-// choose picks a shard of an overloaded owner and who acquires it, or goes on with what it
-// picked last until that shows. It returns false if there is nothing to do or nobody has
-// room.
+// choose returns the next shard of an overloaded owner to reassign, with its next owner. During
+// rebalancePause it returns the last choice until the view shows its effect. It returns false if
+// there is nothing to reassign or no reachable controller has room.
 func (r *rebalancer) choose(c *Cluster, reachable []string) (Reassignment, bool) {
 	if c.Now.Sub(r.lastAt) < rebalancePause {
 		pending := c.Owners[r.last.Shard] == r.last.From
@@ -45,7 +45,7 @@
 	}
 	for _, shard := range slices.Sorted(maps.Keys(c.Owners)) {
 		owner := c.Owners[shard]
-		// Of several shards those that the owner took from others go first.
+		// If the owner has several shards, those that it acquired from other owners go first.
 		acquiredFromOther := c.PreferredOwner(shard) != owner
 		if c.Members[owner].Overloaded && (acquiredFromOther || owned[owner] == 1) {
 			r.last = Reassignment{shard, owner, fleet.ChooseOwner(withRoom, c.Owners, ""), OwnerOverloaded}
--- a/internal/controller/leader/standalone.go
+++ b/internal/controller/leader/standalone.go
@@ -12,27 +12,27 @@
 	"bramblespur/internal/wire"
 )
 
-// standaloneAfter is how long an owner waits for the leader before it plans itself.
+// standaloneAfter is how long after the leader's last contact an owner plans for itself.
 const standaloneAfter = 3 * time.Second
 
-// standalone is scale out without a leader. Where the leader does not reach an owner, as
-// when connections between controllers are refused, the owner plans for its own shards and
-// records what it would have provisioned. The leader finds such records in its view and
-// carries them out as it would its own: the cloud's calls stay with it alone.
+// standalone is the state of scale out without contact to the leader. If the leader does not reach
+// an owner, as when connections between controllers are refused, the owner plans for its own shards
+// and records the provisions that it needs. The leader finds these records in its view and carries
+// them out like its own, so that only the leader calls the cloud.
 //
 // The shards' lock guards it.
 type standalone struct {
-	leaderContactAt time.Time
-	sequence        int                               // numbers the requests, never used again under one token
+	leaderContactAt time.Time                         // when the leader last reached this controller
+	sequence        int                               // numbers the provisions, so that names are not reused under one token
 	planner         *fleet.Planner                    // nil while the leader reaches this controller
-	requested       map[string]fleet.ProvisionRequest // by name: recorded, not yet answered by the leader
+	requested       map[string]fleet.ProvisionRequest // recorded provisions without an answer of the leader, by name
 }
 
-// RecordLeaderContactLocked takes in that the leader has reached this controller.
+// RecordLeaderContactLocked records that the leader reached this controller.
 func (l *Leader) RecordLeaderContactLocked(now time.Time) { l.standalone.leaderContactAt = now }
 
-// PlanStandalone plans for the shards hosted here if the leader has not asked for them
-// lately.
+// PlanStandalone plans for the shards hosted here if the leader has not reached this controller for
+// standaloneAfter. It must be called without the shards' lock, once per turn.
 func (l *Leader) PlanStandalone(ctx context.Context, now time.Time) {
 	l.host.Lock()
 	defer l.host.Unlock()
@@ -43,7 +43,7 @@
 	}
 	if s.planner == nil {
 		s.planner, s.requested = fleet.NewPlanner(l.plannerConfigLocked()), map[string]fleet.ProvisionRequest{}
-		return // the next turn plans: a leader may just have changed
+		return // plan in the next turn, since the leader may just have changed
 	}
 	s.applyAnswers(l.host.FleetLocked(), now)
 	summaries := l.host.SummariesLocked(now)
@@ -61,13 +61,14 @@
 	}
 }
 
-// applyAnswers tells the planner which of the requests the leader has granted or refused.
+// applyAnswers reports to the planner the requested provisions that were granted or refused
+// according to their records, and removes them from requested.
 func (s *standalone) applyAnswers(machines *clusterview.Machines, now time.Time) {
 	for name, r := range s.requested {
 		rec, ok := machines.Provision(name)
 		switch {
 		case ok && len(rec.IDs) == 0:
-			continue // not answered yet
+			continue // the leader has not answered yet
 		case ok && len(rec.IDs) == len(r.Shards):
 			s.planner.CapacityGranted(r)
 		default:
@@ -77,8 +78,8 @@
 	}
 }
 
-// requestProvisionLocked records a provision under the token of a shard hosted here, for the
-// leader to carry out.
+// requestProvisionLocked begins to record a provision for the leader to carry out, on condition that
+// the first of its shards is still owned under the same token.
 func (l *Leader) requestProvisionLocked(ctx context.Context, r fleet.ProvisionRequest) {
 	shard := r.Shards[0]
 	token, hosted := l.host.TokenLocked(shard)
@@ -100,7 +101,7 @@
 		l.host.Lock()
 		defer l.host.Unlock()
 		if err != nil {
-			delete(requested, name) // if it was written all the same, the view tells
+			delete(requested, name) // if the record was written nevertheless, it arrives through the watch
 			return
 		}
 		l.host.ApplyOwnWritesLocked(t, rev, time.Now())
