--- a/internal/controller/drainer/shard_turn.go
+++ b/internal/controller/drainer/shard_turn.go
@@ -69,7 +69,7 @@
 		plan, known := d.view.Plan(cordon.Drain)
 		if cordoned && known && !plan.Rec.State.Terminal() {
 			if ready && plan.Rec.State == drain.Active {
-				return scheduler.CordonedForReturn, false
+				return scheduler.CordonedForRelease, false
 			}
 			return scheduler.Cordoned, false
 		}
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -10,37 +10,38 @@
 	"bramblespur/internal/wire"
 )
 
-// commandKinds says what the orders to a machine are.
+// commandKinds selects the commands for a machine.
 type commandKinds bool
 
-// Kinds of orders.
+// Kinds of commands.
 const (
 	startsOnly     commandKinds = false
 	startsAndStops commandKinds = true
 )
 
-// startCommands returns the starts of recorded tasks that the machine has not shown.
+// startCommands returns the starts of recorded tasks that the machine has not reported, up to
+// maxCommands of them.
 func (s *Shard) startCommands(m *Machine, now time.Time) []wire.Command {
 	out := s.appendCommands(nil, m, startsOnly, now)
 	return out[:min(len(out), maxCommands)]
 }
 
-// appendCommands adds what an answer to a machine carries for the tasks in the ledger. While
-// orders are paced the urgent ones come first, and a worker gets a few starts at a time.
-func (s *Shard) appendCommands(out []wire.Command, m *Machine, w commandKinds, now time.Time) []wire.Command {
+// appendCommands appends the commands for the tasks that are placed on a machine. While commands
+// are rate limited the urgent ones come first, and a worker gets a few starts at a time.
+func (s *Shard) appendCommands(out []wire.Command, m *Machine, kinds commandKinds, now time.Time) []wire.Command {
 	if s.cfg.CommandLimiter.Active() {
-		return s.appendPacedCommands(out, m, w, now)
+		return s.appendRateLimitedCommands(out, m, kinds, now)
 	}
 	for k, t := range m.tasks {
-		if s.commandDue(k, t, m, w, now) {
+		if s.commandDue(k, t, m, kinds, now) {
 			out = append(out, t.command(k, m, now))
 		}
 	}
 	return out
 }
 
-// appendPacedCommands does the same within the pace.
-func (s *Shard) appendPacedCommands(out []wire.Command, m *Machine, w commandKinds, now time.Time) []wire.Command {
+// appendRateLimitedCommands is appendCommands under the rate limit.
+func (s *Shard) appendRateLimitedCommands(out []wire.Command, m *Machine, kinds commandKinds, now time.Time) []wire.Command {
 	var due []taskKey
 	for k := range m.tasks {
 		due = append(due, k)
@@ -48,15 +49,15 @@
 	slices.SortFunc(due, func(a, b taskKey) int {
 		return cmp.Or(cmp.Compare(s.commandPriority(a), s.commandPriority(b)), cmp.Compare(a.job.ref, b.job.ref), cmp.Compare(a.index, b.index))
 	})
-	left := s.cfg.CommandLimiter.Settings().CommandsPerWorker
+	startsLeft := s.cfg.CommandLimiter.Settings().CommandsPerWorker
 	for _, k := range due {
 		t := m.tasks[k]
 		isStart := !t.stopping
-		if isStart && left <= 0 {
+		if isStart && startsLeft <= 0 {
 			s.delayStarts(m, now.Add(s.cfg.HeartbeatInterval))
 			continue
 		}
-		if !s.commandDue(k, t, m, w, now) {
+		if !s.commandDue(k, t, m, kinds, now) {
 			continue
 		}
 		if !s.cfg.CommandLimiter.Allow(s.commandPriority(k), now) {
@@ -65,14 +66,15 @@
 		}
 		out = append(out, t.command(k, m, now))
 		if isStart {
-			left--
+			startsLeft--
 		}
 	}
 	return out
 }
 
-// commandPriority tells how urgent the order for a task is. Those of a gang of which one was
-// started follow it, as they wait for each other only for so long.
+// commandPriority returns the priority of the command for a task. Once the start of one task of a
+// gang was sent, the other starts are urgent, because the tasks wait for each other only for a
+// limited time.
 func (s *Shard) commandPriority(k taskKey) ratelimit.Priority {
 	t := &k.job.tasks[k.index]
 	switch {
@@ -89,20 +91,21 @@
 	return slices.ContainsFunc(j.tasks, func(t task) bool { return t.state == placed && t.sent })
 }
 
-// delayStarts makes a machine be looked at again for starts that wait.
+// delayStarts schedules another look at a machine for its delayed starts, at until or earlier.
 func (s *Shard) delayStarts(m *Machine, until time.Time) {
 	if due, ok := s.delayedStarts[m]; !ok || until.Before(due) {
 		s.delayedStarts[m] = until
 	}
 }
 
-// commandDue reports whether there is an order for a task.
-func (s *Shard) commandDue(k taskKey, t *task, m *Machine, w commandKinds, now time.Time) bool {
+// commandDue reports whether a command for a task is to be sent now. A start that must wait is
+// scheduled for when it is due.
+func (s *Shard) commandDue(k taskKey, t *task, m *Machine, kinds commandKinds, now time.Time) bool {
 	switch {
 	case !t.recorded:
 		return false
 	case t.stopping:
-		return w == startsAndStops && !(t.phase == wire.Checkpointing && t.grace > 0)
+		return kinds == startsAndStops && !(t.phase == wire.Checkpointing && t.grace > 0)
 	case t.reported || t.inherited || s.ownershipLost || s.cancellationsUnknown || m.Phase != record.InUse || k.job.cancelled || !k.job.allPeersRecorded():
 		return false
 	}
@@ -113,7 +116,7 @@
 	return true
 }
 
-// command returns the order that there is for a task, and notes that a start is sent.
+// command returns the command for a task. A start is marked as sent.
 func (t *task) command(k taskKey, m *Machine, now time.Time) wire.Command {
 	if t.stopping {
 		return stopCommand(k.name(), t.attempt, t.grace)
--- a/internal/scheduler/direct_commands.go
+++ b/internal/scheduler/direct_commands.go
@@ -7,19 +7,18 @@
 	"bramblespur/internal/wire"
 )
 
-// A start normally rides on a heartbeat's answer, which its worker drops after 4 s.
-// Where heartbeats are far apart it goes straight to the worker instead. Such a
-// command may be executed late, and even twice, as long as its token and epoch
-// still match. So whoever sent one does not take its task for gone, nor let the
-// worker forget the attempt, until a higher token or a newer epoch was
-// reported, or the machine is gone.
+// A start is normally sent in the response to a heartbeat, which the worker drops after 4 s. If
+// heartbeats are far apart it is sent directly to the worker instead. A direct command may be
+// executed late, and even twice, as long as its token and incarnation still match. So the owner
+// that sent one neither counts its task as gone nor lets the worker forget the attempt until the
+// worker has reported a higher token or a newer incarnation, or the machine is gone.
 
-// directStart is a start that was sent straight to a worker.
+// directStart is a start that was sent directly to a worker.
 type directStart struct {
 	attempt  uint64
 	token    uint64
 	sentAt   time.Time
-	answered bool // it was carried out, though a copy may still come
+	answered bool // the worker has carried it out, though a copy may still arrive
 }
 
 // CommandOutcome is how a direct command ended.
@@ -27,26 +26,26 @@
 
 // Outcomes of direct commands.
 const (
-	NoAnswer CommandOutcome = iota // it may have been carried out, or may be later
-	NotSent                        // it never left
+	NoAnswer CommandOutcome = iota // it may have been carried out, or may still be
+	NotSent                        // it was never sent
 	Executed
-	Refused // the token or the epoch was not the worker's any more
+	Refused // its token or incarnation was no longer the worker's
 )
 
 const (
-	// minWaitForDirectStart is the wait for a heartbeat from which on a command sent by
-	// itself is worth its connection.
+	// minWaitForDirectStart is the shortest wait for a heartbeat that is worth the connection
+	// for a direct start.
 	minWaitForDirectStart = time.Second
 	// directStartAnswerTimeout is how long an answer to a direct start is awaited before the
 	// machine gets a higher token.
 	directStartAnswerTimeout = 4 * time.Second
-	// maxRetainedAttempts is how many attempts a worker keeps that it may not forget yet,
-	// before it gets a higher token for that.
+	// maxRetainedAttempts is how many attempts that it may not forget yet a worker may retain.
+	// At that number it gets a higher token.
 	maxRetainedAttempts = 16
 )
 
-// DirectStarts makes the command that brings what is recorded for a machine to it at
-// once, if its next heartbeat is far.
+// DirectStarts returns a direct command with the starts that are recorded for a machine, if there
+// are any and the machine's next heartbeat may be far off.
 func (s *Shard) DirectStarts(id string, now time.Time) (DirectCommand, bool) {
 	m := s.inventory.byID[id]
 	if m == nil || m.Addr == "" || m.contact.incarnation == 0 || !s.cfg.usable(m, now) || s.cfg.HeartbeatInterval < 2*minWaitForDirectStart {
@@ -65,36 +64,36 @@
 	return d, true
 }
 
-// CommandDone takes in how a direct command ended.
+// CommandDone records the outcome of a direct command.
 func (s *Shard) CommandDone(d DirectCommand, o CommandOutcome, now time.Time) {
 	m := s.inventory.byID[d.Machine]
 	if m == nil {
 		return
 	}
 	for _, c := range d.Orders.Commands {
-		run := m.directStarts[c.Task]
-		if c.Op != wire.Start || run == nil || run.attempt != c.Attempt || run.token != d.Orders.Token {
+		start := m.directStarts[c.Task]
+		if c.Op != wire.Start || start == nil || start.attempt != c.Attempt || start.token != d.Orders.Token {
 			continue
 		}
 		switch o {
 		case Executed:
-			run.answered = true
+			start.answered = true
 		case NotSent, Refused:
-			if !run.answered {
+			if !start.answered {
 				delete(m.directStarts, c.Task) // a copy of it is refused as well
 			}
 		}
 	}
 }
 
-// dropOutdatedStarts drops the direct starts that can't be carried out any more, as a
-// heartbeat shows: its epoch is newer or it has seen a higher token.
+// dropOutdatedStarts drops the direct starts that, as a heartbeat shows, can no longer be carried
+// out: its incarnation is newer, or its token is higher.
 func (m *Machine) dropOutdatedStarts(r *wire.Heartbeat) {
 	if r.Session > m.contact.incarnation {
 		m.directStarts = nil
 	}
-	for name, run := range m.directStarts {
-		if r.Token > run.token {
+	for name, start := range m.directStarts {
+		if r.Token > start.token {
 			delete(m.directStarts, name)
 		}
 	}
@@ -102,13 +101,13 @@
 
 // mayStartLate reports whether an attempt may still be started by a direct command.
 func (m *Machine) mayStartLate(task string, attempt uint64) bool {
-	run := m.directStarts[task]
-	return run != nil && run.attempt == attempt
+	start := m.directStarts[task]
+	return start != nil && start.attempt == attempt
 }
 
-// mayForget reports whether the worker may forget an exited attempt: a late
-// start would begin it anew. A result is kept, so a completed task of a job
-// that is known not to be cancelled would only exit once more.
+// mayForget reports whether the worker may forget an exited attempt. It may not while a late
+// start could run the attempt again. A completed task of a job that is known not to be cancelled
+// is an exception: its result is kept, so it would only exit once more.
 func (s *Shard) mayForget(m *Machine, rt *wire.HeartbeatTask, j *Job) bool {
 	if !m.mayStartLate(rt.Task, rt.Attempt) {
 		return true
@@ -120,13 +119,13 @@
 	return false
 }
 
-// raiseToken gives a machine a higher token where a direct start without an answer,
-// or too many attempts that must not be forgotten, call for one. A silent
-// machine is not worth it: its epoch ends or it goes back.
+// raiseToken gives a machine a higher token if a direct start was not answered, or if the machine
+// retains too many attempts that must not be forgotten. A silent machine needs none: its
+// incarnation ends or it is released.
 func (s *Shard) raiseToken(m *Machine, now time.Time) {
 	due := m.retainedResults >= maxRetainedAttempts
-	for _, run := range m.directStarts {
-		if !run.answered && now.Sub(run.sentAt) > directStartAnswerTimeout && m.contact.lastContactAt.After(run.sentAt) {
+	for _, start := range m.directStarts {
+		if !start.answered && now.Sub(start.sentAt) > directStartAnswerTimeout && m.contact.lastContactAt.After(start.sentAt) {
 			due = true
 		}
 	}
@@ -141,10 +140,10 @@
 	s.effects.Txns = append(s.effects.Txns, t)
 }
 
-// directStartsAnswered reports whether no unanswered direct start is left for a machine.
+// directStartsAnswered reports whether all direct starts that were sent to a machine are answered.
 func (m *Machine) directStartsAnswered() bool {
-	for _, run := range m.directStarts {
-		if !run.answered {
+	for _, start := range m.directStarts {
+		if !start.answered {
 			return false
 		}
 	}
--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain.go
@@ -16,7 +16,7 @@
 const (
 	NotCordoned       Cordon = iota
 	Cordoned                 // takes no new work
-	CordonedForReturn        // and is released once it is empty
+	CordonedForRelease        // and is released once it is empty
 )
 
 // Interruption is a unit of work that stopped without having ended or been cancelled.
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -10,15 +10,15 @@
 // HeartbeatDisposition says how to answer a heartbeat.
 type HeartbeatDisposition int
 
-// Dispositions of Report.
+// Dispositions that Shard.Heartbeat returns.
 const (
-	Answered       HeartbeatDisposition = iota // 200 with the orders
-	Deposed                                    // the worker has seen a higher token: not ours
-	UnknownMachine                             // no such machine in this shard
+	Answered       HeartbeatDisposition = iota // answer 200 with the returned commands
+	Deposed                                    // the worker has seen a higher token: another owner answers it
+	UnknownMachine                             // the shard has no such machine
 )
 
-// Heartbeat takes in a worker's heartbeat and returns the response. A direct heartbeat is
-// the answer to a command; it gets no orders.
+// Heartbeat applies a worker's heartbeat and returns the response to it. A direct heartbeat is
+// itself the answer to a direct command or a probe, so that the worker gets no response to it.
 func (s *Shard) Heartbeat(r *wire.Heartbeat, direct bool, now time.Time) (wire.Orders, HeartbeatDisposition) {
 	m := s.inventory.byID[r.Machine]
 	if m == nil {
@@ -32,18 +32,18 @@
 	}
 	orders := wire.Orders{Token: token, Commands: []wire.Command{}}
 	if freshness == reconcile.Stale {
-		return orders, Answered // it settles, starts and renews nothing
+		return orders, Answered // an outdated heartbeat changes nothing and gets no commands
 	}
 	defer s.inventory.update(m)
-	// After a failover nobody remembers the last heartbeat, so the first ones may
-	// be late copies: only one under our own token proves the machine alive.
+	// After a failover the new owner does not have the position of the last heartbeat, so the
+	// first ones may be late copies: only one under our own token proves the machine alive.
 	live := freshness == reconcile.Current || !m.inherited
 	s.recordContact(m, r, direct, live, now)
 	if freshness == reconcile.UnderLowerToken {
-		// What earlier owners recorded here is settled only by a heartbeat under
-		// our token. Our own starts need not wait for it on a machine that was
-		// provisioned or moved to us: an earlier owner can have sent nothing that is
-		// not among the records we read.
+		// Placements of earlier owners are reconciled only with a heartbeat under our
+		// token. Our own starts need not wait for one on a machine that was provisioned
+		// for this shard or transferred to it: an earlier owner can only have sent
+		// starts that are in the records we read.
 		if !direct && live {
 			orders.Commands = append(orders.Commands, s.startCommands(m, now)...)
 		}
@@ -67,10 +67,11 @@
 	return orders, Answered
 }
 
-// recordContact takes in what a heartbeat shows of its machine besides the tasks there.
+// recordContact records what a heartbeat shows about its machine, apart from the tasks there.
+// It is live if it proves the machine alive, that is, if it is not a late copy.
 func (s *Shard) recordContact(m *Machine, r *wire.Heartbeat, direct, live bool, now time.Time) {
 	m.dropOutdatedStarts(r)
-	s.applyEpoch(m, r, now)
+	s.applyIncarnation(m, r, now)
 	m.contact.seq = r.Seq
 	m.Addr = r.Addr
 	if live {
@@ -82,8 +83,9 @@
 	s.applyReclaimNotice(m, r, now)
 }
 
-// appendReconciliationCommands compares a heartbeat with the ledger and appends the commands that end or
-// forget what has no place there. It reports whether the heartbeat lacks a start that was sent.
+// appendReconciliationCommands compares a heartbeat with the ledger and appends the commands that
+// stop or forget tasks without a placement on the machine. It reports whether the heartbeat lacks
+// a task whose start was sent.
 func (s *Shard) appendReconciliationCommands(out []wire.Command, m *Machine, r *wire.Heartbeat, direct bool, now time.Time) (commands []wire.Command, missed bool) {
 	placedHere := make(map[taskKey]*wire.HeartbeatTask, len(r.Tasks))
 	orphans, retainedOrphans := s.reconcileReported(m, r, placedHere, now)
@@ -93,14 +95,14 @@
 	return append(out, ended...), missed
 }
 
-// markAlive takes in that a machine sent a heartbeat that is no late copy.
+// markAlive records that a machine sent a heartbeat that is not a late copy.
 func (s *Shard) markAlive(m *Machine, direct bool, now time.Time) {
 	if !m.contact.up || now.Sub(m.contact.lastContactAt) > s.cfg.SilentAfter {
 		m.contact.steadySince = now
 	}
 	m.contact.lastContactAt = now
 	m.probes.failed, m.probes.unansweredPastLease = 0, 0
-	if !direct || !m.contact.fenced { // one that was told our token reports at once
+	if !direct || !m.contact.fenced { // a worker that is told our token sends a heartbeat at once
 		m.contact.heartbeatAt = now
 	}
 	if !m.contact.up {
@@ -109,8 +111,8 @@
 	}
 }
 
-// countMissedStart counts the heartbeats in a row that lack a start sent before: after some the
-// machine counts as unreachable.
+// countMissedStart counts the heartbeats in a row that lack a task whose start was sent. After
+// missedStartsUntilUnreachable of them the machine counts as unreachable.
 func (s *Shard) countMissedStart(m *Machine, missed bool, now time.Time) {
 	if !missed {
 		m.contact.missedStarts = 0
@@ -121,8 +123,8 @@
 	}
 }
 
-// maxCommands keeps an answer's line well below 64 KiB; the rest goes with the
-// next heartbeat.
+// maxCommands keeps the line of a response well below 64 KiB. The remaining commands go with
+// the response to the next heartbeat.
 const maxCommands = 300
 
 func stopCommand(name string, attempt uint64, grace time.Duration) wire.Command {
@@ -130,22 +132,23 @@
 	return wire.Command{Op: wire.Stop, Task: name, Attempt: attempt, GraceS: &g}
 }
 
+// completeTask marks a task as completed, or all tasks of its gang.
 func (s *Shard) completeTask(k taskKey, now time.Time) {
 	if k.job.spec.Kind == wire.Service {
-		return // a service has no end of its own
+		return // a service never completes by itself
 	}
 	if k.job.spec.Kind != wire.Gang {
 		s.markCompleted(k, now)
 		return
 	}
-	// A gang's tasks complete together: where one is done, all are. Their
-	// machines keep their places until they report so themselves.
+	// A gang's tasks complete together: once one is done, all are.
 	for i := range k.job.tasks {
 		s.markCompleted(taskKey{k.job, i}, now)
 	}
 }
 
-// setPhase takes in what a heartbeat says of a placed task.
+// setPhase sets the phase that a heartbeat reports of a placed task, and adjusts the job's count
+// of running tasks.
 func (t *task) setPhase(j *Job, phase string) {
 	if t.phase == wire.Running {
 		j.progress.running--
@@ -155,14 +158,14 @@
 	}
 }
 
-// traceStep notes one of the steps of a start that is still followed.
+// traceStep calls note with the trace of a task's start, if the start is still traced.
 func (t *task) traceStep(note func(*startTrace)) {
 	if t.trace != nil {
 		note(t.trace)
 	}
 }
 
-// reportTaskStart tells how a task came to run.
+// reportTaskStart reports in the effects how long each step of a task's start took, and ends its trace.
 func (s *Shard) reportTaskStart(k taskKey, t *task, now time.Time) {
 	stages := t.trace
 	if stages == nil {
@@ -176,9 +179,10 @@
 	})
 }
 
-// countFailure takes in an error. Errors of several jobs on one machine put the blame
-// on it; a job failing on several machines is at fault itself, backs off and
-// burns no more machines. Until that is settled a job avoids where it failed.
+// countFailure counts a failure of a task of j on m. If several jobs fail on one machine, the
+// machine is at fault and is drained. A job that fails on several machines is at fault itself:
+// it backs off, and its failures no longer count against machines. Until one or the other is
+// known, a job avoids the machines on which it failed.
 func (s *Shard) countFailure(j *Job, m *Machine, now time.Time) {
 	if j.faults.machines == nil {
 		j.faults.machines = map[string]bool{}
@@ -198,26 +202,30 @@
 	}
 }
 
-// avoids reports whether a job keeps off a machine where a task of it failed.
+// avoids reports whether a job is not to be placed on a machine because a task of it failed there.
 func (j *Job) avoids(m *Machine) bool { return j.faults.machines[m.ID] && !j.atFault() }
 
+// atFault reports whether a job's failures are its own fault and not that of its machines.
 func (j *Job) atFault() bool { return len(j.faults.machines) >= machinesUntilJobAtFault }
 
 const (
-	// machinesUntilJobAtFault is on how many machines a job must fail to be at fault.
+	// machinesUntilJobAtFault is on how many machines a job must fail to be at fault itself.
 	machinesUntilJobAtFault = 3
-	// jobsUntilMachineFaulty is how many jobs must fail in a row to give a machine up.
+	// jobsUntilMachineFaulty is how many jobs must fail on a machine, with no completion in
+	// between, until it is drained and released.
 	jobsUntilMachineFaulty = 2
 	maxBackoff             = 60 * time.Second
 )
 
+// backoff returns how long a job waits after a failure. The time doubles with each failure since
+// the job was found to be at fault, up to maxBackoff.
 func (c *Config) backoff(j *Job) time.Duration {
 	d := c.HeartbeatInterval << min(j.faults.count, 6)
 	return min(d, maxBackoff)
 }
 
-// allPeersRecorded reports whether all that must run together is recorded: a
-// gang's tasks start only when every one of them is.
+// allPeersRecorded reports whether the placements of all tasks that must run together are
+// recorded: a gang's tasks start only once each of them is.
 func (j *Job) allPeersRecorded() bool {
 	if j.spec.Kind != wire.Gang {
 		return true
@@ -230,7 +238,7 @@
 	return true
 }
 
-// applyReclaimNotice takes in that the cloud will take a machine back.
+// applyReclaimNotice records that the cloud will reclaim a machine, and drains it.
 func (s *Shard) applyReclaimNotice(m *Machine, r *wire.Heartbeat, now time.Time) {
 	if r.NoticeS == nil || !m.reclaimedAt.IsZero() {
 		return
--- a/internal/scheduler/machine_health.go
+++ b/internal/scheduler/machine_health.go
@@ -7,7 +7,7 @@
 	"bramblespur/internal/wire"
 )
 
-// Step does what is due and returns what the shell has to carry out. It is
+// Step does the work that is due and returns the effects that the caller has to carry out. It is
 // cheap when nothing has changed.
 func (s *Shard) Step(now time.Time) Effects {
 	if !s.ownershipLost {
@@ -26,24 +26,26 @@
 	return out
 }
 
-// wakeAt makes a later Step look again at t.
+// wakeAt schedules a placement pass for the first Step at or after t.
 func (s *Shard) wakeAt(t time.Time) {
 	if s.nextWake.IsZero() || t.Before(s.nextWake) {
 		s.nextWake = t
 	}
 }
 
-// health is what the shard knows of its machines' zones and of its own controller.
+// health is the state that the checks of the shard's machines depend on.
 type health struct {
 	checkedAt        time.Time
-	partitionedZones map[string]bool            // no controller there can be reached from here
-	overloaded       bool                       // this controller falls behind: see lossReason
-	zoneCounts       map[silenceLimit]zoneCount // since the last check
+	partitionedZones map[string]bool            // zones none of whose controllers can be reached from this one
+	overloaded       bool                       // this controller is overloaded: see lossReason
+	zoneCounts       map[silenceLimit]zoneCount // each counted once per check
 }
 
-// healthCheckInterval is how often machines are looked over.
+// healthCheckInterval is the time between two checks of the machines.
 const healthCheckInterval = 250 * time.Millisecond
 
+// checkHealth probes machines that are overdue, and releases, drains or transfers those for which
+// that is due, once per healthCheckInterval.
 func (s *Shard) checkHealth(now time.Time) {
 	if now.Sub(s.health.checkedAt) < healthCheckInterval {
 		return
@@ -55,7 +57,7 @@
 		if m.record.txn != nil || m.record.versionUnknown || m.Phase != record.InUse || now.Before(m.record.retryAt) {
 			continue
 		}
-		// Only the answered return proves gone what may run there.
+		// Tasks that may run on a lost machine are proven gone only once its release is confirmed.
 		switch why := s.lossReason(m, now); {
 		case why != "":
 			s.releaseMachine(m, why, now)
@@ -64,7 +66,7 @@
 			if len(m.tasks) == 0 {
 				s.releaseMachine(m, "drained", now)
 			}
-		case m.cordon == CordonedForReturn && len(m.tasks) == 0:
+		case m.cordon == CordonedForRelease && len(m.tasks) == 0:
 			s.releaseMachine(m, "drained", now)
 		case m.transferTo >= 0 && len(m.tasks) == 0 && m.contact.fenced && m.directStartsAnswered():
 			s.recordTransfer(m)
@@ -74,9 +76,9 @@
 	}
 }
 
-// lossReason returns why a machine is lost, or nothing. While this controller falls
-// behind, heartbeats and responses wait unread and silence proves little: only a machine
-// that says nothing for several leases is lost then.
+// lossReason returns why a machine is lost, or an empty string if it is not. While this
+// controller is overloaded, heartbeats and responses wait unread and silence proves little: then
+// a machine is lost only if it has been silent for several leases.
 func (s *Shard) lossReason(m *Machine, now time.Time) string {
 	switch {
 	case s.health.overloaded && now.Sub(m.contact.lastContactAt) < overloadedLeases*s.cfg.Lease:
@@ -93,29 +95,30 @@
 	return ""
 }
 
-// overloadedLeases is how many leases a machine may be silent while this controller
-// falls behind: by then another owns the shard, or none keeps up.
+// overloadedLeases is how many leases a machine may be silent while this controller is
+// overloaded: by then another one owns the shard, or none keeps up.
 const overloadedLeases = 4
 
-// SetOverloaded tells whether this controller falls behind with what it is sent.
-func (s *Shard) SetOverloaded(behind bool) { s.health.overloaded = behind }
+// SetOverloaded sets whether this controller is overloaded, that is, falls behind with the
+// messages that it receives.
+func (s *Shard) SetOverloaded(overloaded bool) { s.health.overloaded = overloaded }
 
-// SetPartitionedZones tells the zones of which no controller can be reached from here.
+// SetPartitionedZones sets the zones none of whose controllers can be reached from this one.
 func (s *Shard) SetPartitionedZones(zones map[string]bool) { s.health.partitionedZones = zones }
 
-// silent reports whether a machine is lost: its worker says nothing while
-// others in its zone do. When all of the shard's machines in a zone are silent there
-// is nothing to compare with: they may have died together, or can't be heard from
-// here. Then each is asked again once its lease is over, after which it has lost its
-// tasks if nobody else answers it; what it did not answer before proves nothing, since
-// this controller may have stood still or a partition just have ended. When none of the zone's
-// controllers answers either, the fault is rather the network's between us, and it gets
-// several times that.
+// silent reports whether a machine is lost because it is silent while others in its zone are
+// heard. If all of the shard's machines in a zone are silent, there is nothing to compare with:
+// they may have died together, or be partitioned from this controller. Then each is probed again
+// once its lease has expired, by which it has lost its tasks unless another controller answers
+// it. Probes that it did not answer before prove nothing, since this controller may have been
+// paused or a partition may just have ended. If none of the zone's controllers can be reached
+// either, a partition is the more likely cause, and the machine may be silent for several times
+// as long.
 func (s *Shard) silent(m *Machine, now time.Time) bool {
 	limit := s.cfg.SilentAfter
 	if !m.contact.up {
 		if len(m.tasks) == 0 {
-			return false // perhaps still booting: see overdue
+			return false // perhaps still booting: see neverBooted
 		}
 		limit += s.cfg.Lease / 2 // its worker has yet to find its new owner
 	}
@@ -123,37 +126,37 @@
 		return false
 	}
 	others := s.countZone(silenceLimit{m.Zone, limit}, now)
-	heard, quiet := others.heard, others.silent-1 // it is one of the quiet ones itself
-	if heard > 0 && heard >= quiet {
+	heard, silent := others.heard, others.silent-1 // without the machine itself
+	if heard > 0 && heard >= silent {
 		return true
 	}
-	patience := s.cfg.Lease + limit
+	maxSilence := s.cfg.Lease + limit
 	switch {
 	case s.health.partitionedZones[m.Zone]:
-		patience *= 3
+		maxSilence *= 3
 	case m.Addr != "":
 		return m.probes.unansweredPastLease >= probesUntilLost
 	}
-	return now.Sub(m.contact.lastContactAt) > patience
+	return now.Sub(m.contact.lastContactAt) > maxSilence
 }
 
-// leaseExpired reports whether a machine has been silent for so long that its lease is
-// over, unless somebody else answers it, though its zone is not partitioned from here.
+// leaseExpired reports whether a machine has been silent for so long that its lease has expired,
+// unless another controller answers it. It is false if the machine's zone is partitioned from here.
 func (s *Shard) leaseExpired(m *Machine, now time.Time) bool {
 	return !s.health.partitionedZones[m.Zone] && now.Sub(m.contact.lastContactAt) > s.cfg.Lease+s.cfg.heartbeatTimeout()
 }
 
-// silenceLimit is a zone, and how long a machine there may be silent.
+// silenceLimit is a zone and how long a machine there may be silent.
 type silenceLimit struct {
 	zone  string
 	limit time.Duration
 }
 
-// zoneCount is how many machines of a zone are heard and how many are not.
+// zoneCount is how many machines of a zone are heard and how many are silent.
 type zoneCount struct{ heard, silent int }
 
-// countZone counts a zone's machines once for all that are looked at together: when
-// a zone falls silent, that is all of its machines.
+// countZone counts a zone's heard and silent machines, once per check: when a zone falls silent,
+// all of its machines need the count.
 func (s *Shard) countZone(at silenceLimit, now time.Time) zoneCount {
 	if n, ok := s.health.zoneCounts[at]; ok {
 		return n
@@ -163,10 +166,10 @@
 		if o.Zone != at.zone || (!o.contact.up && len(o.tasks) == 0) {
 			continue
 		}
-		// Machines partitioned together fall silent within one heartbeat's time: only
-		// one heard well after another speaks against that. When the partition ends they
-		// come back one by one: only one heard for as long as those that are silent
-		// are given does.
+		// Machines that are partitioned together fall silent within one heartbeat interval
+		// of each other, so only a machine that was heard well after the silent ones
+		// disproves a partition. When a partition ends they return one by one, so it must
+		// also have been heard without a gap for longer than the silent ones may be silent.
 		if o.contact.up && now.Sub(o.contact.lastContactAt) < at.limit/2 && now.Sub(o.contact.steadySince) > at.limit {
 			n.heard++
 		} else {
@@ -177,13 +180,14 @@
 	return n
 }
 
-// neverBooted reports whether a machine never came up.
+// neverBooted reports whether a machine has not been heard since it was provisioned, for longer
+// than it may boot.
 func (s *Shard) neverBooted(m *Machine, now time.Time) bool {
 	limit := time.Duration(s.cfg.BootFactor * m.Type.BootS * float64(time.Second))
 	return !m.contact.up && len(m.tasks) == 0 && !s.health.partitionedZones[m.Zone] && now.Sub(m.provisionedAt) > limit && now.Sub(m.contact.lastContactAt) > s.cfg.Lease
 }
 
-// evictAll stops in an orderly way what runs on a machine that is to be empty.
+// evictAll evicts all tasks of a machine that is being drained.
 func (s *Shard) evictAll(m *Machine, now time.Time) {
 	for k, t := range m.tasks {
 		if !t.stopping {
@@ -192,7 +196,7 @@
 	}
 }
 
-// evictTask stops a task, a gang's with all its mates, with time to save.
+// evictTask stops a task, or all tasks of its gang, with time to save a checkpoint.
 func (s *Shard) evictTask(k taskKey, now time.Time) {
 	j := k.job
 	grace := j.gracePeriod()
@@ -203,6 +207,8 @@
 	s.stopTask(k, grace, now)
 }
 
+// gracePeriod returns how long a task of the job gets to save a checkpoint when it is stopped: 0 if
+// the job saves none.
 func (j *Job) gracePeriod() time.Duration {
 	if j.spec.CheckpointS <= 0 {
 		return 0
@@ -210,8 +216,8 @@
 	return wire.Seconds(j.spec.SaveS + 0.5)
 }
 
-// sendStops sends stops straight to the workers: a heartbeat may be seconds away,
-// and a gang's tasks must be told within a short time of each other.
+// sendStops sends stops and tokens directly to the workers: a heartbeat may be seconds away, and
+// a gang's tasks must be stopped within a short time of each other.
 func (s *Shard) sendStops(now time.Time) {
 	for m := range s.inventory.commandsDue {
 		delete(s.inventory.commandsDue, m)
@@ -226,8 +232,8 @@
 	}
 }
 
-// stopCommands returns the stops for a machine. What has to wait for the pace goes with a later
-// heartbeat's response.
+// stopCommands returns the stops for a machine that the rate limit allows now. The others go with
+// the response to a later heartbeat.
 func (s *Shard) stopCommands(m *Machine, now time.Time) []wire.Command {
 	var out []wire.Command
 	for k, t := range m.tasks {
--- a/internal/scheduler/unreachable.go
+++ b/internal/scheduler/unreachable.go
@@ -11,9 +11,9 @@
 // lost or late.
 const missedStartsUntilUnreachable = 2
 
-// applyEpoch takes in the epoch of a heartbeat. A lease that ran out although its
+// applyIncarnation takes in the epoch of a heartbeat. A lease that ran out although its
 // worker's heartbeats were answered tells that no answer reaches the machine.
-func (s *Shard) applyEpoch(m *Machine, r *wire.Heartbeat, now time.Time) {
+func (s *Shard) applyIncarnation(m *Machine, r *wire.Heartbeat, now time.Time) {
 	if r.Session == m.contact.incarnation {
 		// An epoch that outlives the lease was renewed: answers arrive.
 		if !m.contact.unreachableSince.IsZero() && now.Sub(m.contact.unreachableSince) > s.cfg.Lease+s.cfg.HeartbeatInterval {
