--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain.go
@@ -9,42 +9,42 @@
 	"bramblespur/internal/wire"
 )
 
-// Cordon says whether a machine takes new work, and whether it goes back once empty.
+// Cordon says whether a machine takes new work, and whether it is released once it is empty.
 type Cordon uint8
 
 // Cordons of a machine.
 const (
-	NotCordoned       Cordon = iota
-	Cordoned                 // takes no new work
-	CordonedForRelease        // and is released once it is empty
+	NotCordoned        Cordon = iota
+	Cordoned                  // takes no new work
+	CordonedForRelease        // takes no new work and is released once it is empty
 )
 
-// Interruption is a unit of work that stopped without having ended or been cancelled.
+// Interruption is a unit of work that stopped without having completed or been cancelled.
 type Interruption struct {
 	drain.Disruption
 	Team string
 }
 
-// drainState is what a shard knows of drains.
+// drainState is a shard's state of drains.
 type drainState struct {
-	cordonsAsOf        uint64 // of the drains' view, as of which the cordons are
-	watchInterruptions bool
-	// replacements are the tasks, by job, for which room is to be found ahead.
+	cordonsAsOf        uint64 // see CordonsAsOf
+	watchInterruptions bool   // interruptions are reported in the effects
+	// replacements counts by job the tasks for which room is to be found before their eviction.
 	replacements map[*Job]int
 }
 
-// WatchInterruptions sets whether interruptions of running work are told.
+// WatchInterruptions sets whether interruptions of running work are reported in the effects.
 func (s *Shard) WatchInterruptions(watch bool) { s.drains.watchInterruptions = watch }
 
-// CordonsAsOf returns the changes of the drains' view as of which the cordons were set.
+// CordonsAsOf returns how many changes of the drains' view are reflected in the cordons.
 func (s *Shard) CordonsAsOf() uint64 { return s.drains.cordonsAsOf }
 
-// SetCordons sets which machines are cordoned and which are to be later, as of a number
-// of changes of the drains' view.
-func (s *Shard) SetCordons(changes uint64, of func(m *Machine) (c Cordon, later bool)) {
+// SetCordons sets each machine's cordon and whether it is to be cordoned later, as cordonOf returns
+// them. They reflect so many changes of the drains' view.
+func (s *Shard) SetCordons(changes uint64, cordonOf func(m *Machine) (c Cordon, later bool)) {
 	s.drains.cordonsAsOf = changes
 	for _, m := range s.inventory.byID {
-		c, later := of(m)
+		c, later := cordonOf(m)
 		if m.cordon == c && m.cordonedLater == later {
 			continue
 		}
@@ -57,8 +57,8 @@
 // ProvisionedAt returns when a machine was provisioned.
 func (m *Machine) ProvisionedAt() time.Time { return m.provisionedAt }
 
-// DrainMachines returns the shard's machines that are cordoned, and with later also those
-// that are to be, with their work, as the planner of drains needs to know them.
+// DrainMachines returns the shard's cordoned machines and the units of work on them, as input for
+// the planner of drains. With later it includes the machines that are to be cordoned later.
 func (s *Shard) DrainMachines(later bool, now time.Time) []*drain.Machine {
 	units := map[drain.UnitID]*drain.Unit{}
 	var out []*drain.Machine
@@ -67,14 +67,14 @@
 			continue
 		}
 		dm := &drain.Machine{ID: m.ID, Type: m.Type.Name, Zone: m.Zone, Rented: m.provisionedAt, Reachable: s.cfg.responsive(m, now)}
-		had := map[drain.UnitID]bool{}
+		added := map[drain.UnitID]bool{}
 		for k := range m.tasks {
 			id := unitOf(k)
 			if units[id] == nil {
 				units[id] = s.drainUnit(k, now)
 			}
-			if !had[id] {
-				had[id] = true
+			if !added[id] {
+				added[id] = true
 				dm.Units = append(dm.Units, units[id])
 			}
 		}
@@ -94,12 +94,13 @@
 	return out
 }
 
-// responsive reports whether a machine is heard and reached, so that it can carry out a stop.
+// responsive reports whether a machine's heartbeats arrive and responses reach it, so that it can
+// carry out a stop.
 func (c *Config) responsive(m *Machine, now time.Time) bool {
 	return m.contact.up && m.contact.fenced && m.contact.unreachableSince.IsZero() && now.Sub(m.contact.heartbeatAt) < c.suspectAfter()
 }
 
-// unitOf returns the unit that a task is interrupted with.
+// unitOf returns the unit of work that a task is interrupted with: its whole gang, or itself.
 func unitOf(k taskKey) drain.UnitID {
 	if k.job.spec.Kind == wire.Gang {
 		return drain.UnitID{Job: k.job.ref, Task: drain.WholeGang}
@@ -149,7 +150,8 @@
 	return u
 }
 
-// workLost is the work that is lost if a unit is stopped now with time to save, for all tasks.
+// workLost returns how much work of all tasks of a unit is lost if it is stopped now with time to
+// save a checkpoint.
 func workLost(spec *wire.Spec, u *drain.Unit) time.Duration {
 	if !u.Running || u.Service {
 		return 0
@@ -161,12 +163,12 @@
 	return loss * time.Duration(u.Tasks)
 }
 
-// hasRoomFor reports whether n tasks of a job fit on machines that take new work now: also on
-// those that are to be drained later, or on others only.
-func (x *inventory) hasRoomFor(j *Job, n int, avoided bool, now time.Time) bool {
-	zone := j.requiredZone() // the others of the gang stay there
+// hasRoomFor reports whether n tasks of a job fit on machines that take new work now. Machines that
+// are to be cordoned later count only with includeLater.
+func (x *inventory) hasRoomFor(j *Job, n int, includeLater bool, now time.Time) bool {
+	zone := j.requiredZone() // where the other tasks of the gang stay
 	x.eachFeasibleMachine(j.spec, now, func(m *Machine) {
-		if n <= 0 || (m.cordonedLater && !avoided) || m.reservedForOther(j, now) || (zone != "" && m.Zone != zone) {
+		if n <= 0 || (m.cordonedLater && !includeLater) || m.reservedForOther(j, now) || (zone != "" && m.Zone != zone) {
 			return
 		}
 		n -= freeRoom(m).capacity(j.spec, n)
@@ -174,7 +176,7 @@
 	return n <= 0
 }
 
-// SetReplacements tells for which units room is to be found before they are evicted.
+// SetReplacements sets the units for which room is to be found before they are evicted.
 func (s *Shard) SetReplacements(units []*drain.Unit) {
 	s.drains.replacements = nil
 	for _, u := range units {
@@ -187,8 +189,8 @@
 	}
 }
 
-// replacementNeeds are the needs for machines ahead of evictions. They come after what
-// waits already, and take nothing from other work.
+// replacementNeeds returns the demand for machines ahead of evictions. It ranks after that of the
+// jobs that wait already, and takes nothing from other work.
 func (s *Shard) replacementNeeds() []fleet.Need {
 	var out []fleet.Need
 	for j, n := range s.drains.replacements {
@@ -203,8 +205,8 @@
 	return out
 }
 
-// discountCordoned takes the tasks on cordoned machines out of a count by zone: what replaces
-// them may come to where they are.
+// discountCordoned subtracts the tasks on cordoned machines from a count by zone: their
+// replacements may run in the same zones.
 func (j *Job) discountCordoned(inZone map[string]int) {
 	if inZone == nil {
 		return
@@ -216,8 +218,8 @@
 	}
 }
 
-// Evict stops a unit as a grant says, with time to save where that loses less. It does
-// nothing if the unit is not there any more under that attempt, or stops already.
+// Evict stops a unit for a granted disruption, with time to save a checkpoint if that loses less
+// work. It does nothing if the unit is no longer placed under that attempt or is already stopping.
 func (s *Shard) Evict(d drain.Disruption, now time.Time) {
 	j := s.jobs[d.Job]
 	if j == nil {
@@ -236,16 +238,16 @@
 	}
 }
 
-// reserveElsewhere reserves room for an evicted task, so that others don't take it first.
+// reserveElsewhere reserves room for an evicted task, so that other jobs do not take it first.
 func (s *Shard) reserveElsewhere(j *Job, now time.Time) {
 	var best *Machine
-	top := 0.0
+	bestScore := 0.0
 	s.inventory.eachFeasibleMachine(j.spec, now, func(m *Machine) {
 		if m.reservation.job != "" || !j.allowsZone(m.Zone) {
 			return
 		}
-		if v := j.score(m); best == nil || v > top || (v == top && m.ID < best.ID) {
-			best, top = m, v
+		if score := j.score(m); best == nil || score > bestScore || (score == bestScore && m.ID < best.ID) {
+			best, bestScore = m, score
 		}
 	})
 	if best != nil {
@@ -253,24 +255,25 @@
 	}
 }
 
-// OutcomeOf tells what became of a unit whose disruption is open.
+// OutcomeOf returns the outcome of an open disruption.
 func (s *Shard) OutcomeOf(d drain.Disruption) drain.Outcome {
 	j := s.jobs[d.Job]
 	if j == nil {
 		return drain.Recovered // its end is recorded
 	}
-	fate := drain.Unaffected
+	outcome := drain.Unaffected
 	for _, k := range j.tasksOf(d.UnitID) {
 		switch k.outcomeOfDisruption(d.Attempt) {
 		case drain.StillInterrupted:
 			return drain.StillInterrupted
 		case drain.Recovered:
-			fate = drain.Recovered
+			outcome = drain.Recovered
 		}
 	}
-	return fate
+	return outcome
 }
 
+// outcomeOfDisruption returns the outcome of a disruption for a task that was running under attempt.
 func (k taskKey) outcomeOfDisruption(attempt uint64) drain.Outcome {
 	t := &k.job.tasks[k.index]
 	switch {
@@ -281,12 +284,13 @@
 	case t.attempt > attempt:
 		return drain.Recovered
 	case t.attempt == attempt && t.reported && t.machine.contact.fenced:
-		return drain.Unaffected // a stop of an earlier owner would be refused
+		return drain.Unaffected // the worker would refuse a stop by an earlier owner
 	}
 	return drain.StillInterrupted
 }
 
-// recordInterruption tells that a running task is proven gone without having ended.
+// recordInterruption reports a running task that is proven gone without having completed, if
+// interruptions are watched.
 func (s *Shard) recordInterruption(k taskKey) {
 	t := &k.job.tasks[k.index]
 	if !s.drains.watchInterruptions || k.job.cancelled || (t.phase != wire.Running && t.phase != wire.Checkpointing) {
--- a/internal/scheduler/long_poll.go
+++ b/internal/scheduler/long_poll.go
@@ -6,9 +6,9 @@
 	"bramblespur/internal/wire"
 )
 
-// LongPollTimeout says how long a heartbeat's answer may be kept back so that a start that
-// is decided meanwhile reaches the machine at once. A machine without tasks has
-// nothing to tell; one with some tells of their ends a little later.
+// LongPollTimeout returns how long the response to a heartbeat may be parked so that a start that
+// is decided meanwhile reaches the machine at once; 0 if it may not be parked. A machine without
+// tasks has nothing to report; one with tasks reports their ends a little later.
 func (s *Shard) LongPollTimeout(id string, now time.Time) time.Duration {
 	m := s.inventory.byID[id]
 	if m == nil || !s.cfg.usable(m, now) || !m.contact.fenced {
@@ -17,18 +17,18 @@
 	if len(m.tasks) == 0 {
 		return min(s.cfg.HeartbeatInterval*4/5, maxLongPoll)
 	}
-	f := freeRoom(m)
-	if f.cpus < m.Type.CPUs/4 || (m.Type.GPUs > 0 && f.gpus < m.Type.GPUs/4) {
+	free := freeRoom(m)
+	if free.cpus < m.Type.CPUs/4 || (m.Type.GPUs > 0 && free.gpus < m.Type.GPUs/4) {
 		return 0
 	}
 	return s.cfg.HeartbeatInterval / 4
 }
 
-// maxLongPoll keeps a held answer well below the 4 s after which a worker
-// drops it.
+// maxLongPoll keeps the delay of a parked response well below the 4 s after which a worker drops it.
 const maxLongPoll = 2500 * time.Millisecond
 
-// ParkedResponse returns the answer to a held heartbeat as things stand now.
+// ParkedResponse returns the parked response to a machine's heartbeat, with the starts that are due
+// now, and false if the shard has no such machine.
 func (s *Shard) ParkedResponse(id string, now time.Time) (wire.Orders, bool) {
 	m := s.inventory.byID[id]
 	if m == nil {
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -8,17 +8,17 @@
 	"bramblespur/internal/wire"
 )
 
-// Contradiction is a claim of a worker that disagrees with what is known, for the log. What
-// users were told stays.
+// Contradiction is a worker's claim about a task that disagrees with what is known, for the log.
+// It does not change what users were told.
 type Contradiction struct {
 	Task, Machine, Known, Claimed string
 }
 
 // reconcileReported compares the tasks of a current heartbeat with the ledger. Those that are
-// placed on the machine under the same attempt it puts into placedHere; the map is the
-// caller's, so that a small one needs no allocation. Of the others it returns the commands
-// that end or forget them, and how many must be kept.
-func (s *Shard) reconcileReported(m *Machine, r *wire.Heartbeat, placedHere map[taskKey]*wire.HeartbeatTask, now time.Time) (commands []wire.Command, kept int) {
+// placed on the machine under the same attempt are added to placedHere, a map of the caller so
+// that a small one needs no allocation. For the others it returns the commands that stop or forget
+// them, and how many of them the worker must retain.
+func (s *Shard) reconcileReported(m *Machine, r *wire.Heartbeat, placedHere map[taskKey]*wire.HeartbeatTask, now time.Time) (commands []wire.Command, retained int) {
 	for i := range r.Tasks {
 		rt := &r.Tasks[i]
 		ref, n, ok := SplitTask(rt.Task)
@@ -29,7 +29,7 @@
 			continue
 		}
 		if s.suspectDataLoss(m, rt, j, n, now) {
-			kept++
+			retained++
 			continue
 		}
 		claim := reconcile.ReportedTask{State: rt.State, Why: rt.Why, JobKnown: known}
@@ -43,12 +43,12 @@
 		if claim.State == wire.Exited && !(claim.Why == wire.Done && known && !claim.CompletionRecorded) {
 			claim.CannotRestart = s.mayForget(m, rt, j)
 		}
-		f := reconcile.ClassifyReported(claim)
-		s.recordOrphanOutcome(m, rt, f.Outcome)
-		switch f.Action {
+		result := reconcile.ClassifyReported(claim)
+		s.recordOrphanOutcome(m, rt, result.Outcome)
+		switch result.Action {
 		case reconcile.RecordCompletion:
 			if j.tasks[n].state == pending {
-				s.completeTask(taskKey{j, n}, now) // of whatever attempt: the result is kept
+				s.completeTask(taskKey{j, n}, now) // under whichever attempt: the result counts
 			}
 		case reconcile.Stop:
 			s.cfg.CommandLimiter.Allow(ratelimit.Exempt, now) // its job may have been cancelled
@@ -56,10 +56,10 @@
 		case reconcile.Forget:
 			commands = append(commands, wire.Command{Op: wire.Forget, Task: rt.Task, Attempt: rt.Attempt})
 		case reconcile.RetainResult:
-			kept++
+			retained++
 		}
 	}
-	return commands, kept
+	return commands, retained
 }
 
 // isPlacedOn reports whether a task is placed on a machine under an attempt.
@@ -68,9 +68,9 @@
 }
 
 // reconcilePlaced compares the tasks that are placed on the machine with a current heartbeat.
-// It returns commands that forget those that ended in vain, whether the heartbeat lacks a start
-// that was sent before, and how many ended ones must be kept.
-func (s *Shard) reconcilePlaced(m *Machine, reported map[taskKey]*wire.HeartbeatTask, direct bool, now time.Time) (commands []wire.Command, missed bool, kept int) {
+// It returns the commands that forget tasks which exited without having completed, whether the
+// heartbeat lacks a task whose start was sent, and how many exited tasks the worker must retain.
+func (s *Shard) reconcilePlaced(m *Machine, reported map[taskKey]*wire.HeartbeatTask, direct bool, now time.Time) (commands []wire.Command, missed bool, retained int) {
 	for k, t := range m.tasks {
 		rt := reported[k]
 		if rt == nil {
@@ -81,31 +81,31 @@
 		if rt.State != wire.Exited || rt.Why == wire.Done {
 			continue
 		}
-		// Its place is free already and its attempt is never started again.
+		// Its placement is freed already, and its attempt is never started again.
 		if !s.mayForget(m, rt, k.job) {
-			kept++
+			retained++
 			continue
 		}
 		commands = append(commands, wire.Command{Op: wire.Forget, Task: rt.Task, Attempt: rt.Attempt})
 	}
-	return commands, missed, kept
+	return commands, missed, retained
 }
 
-// reconcileAbsent takes in that a heartbeat lacks a placed task. It reports whether the task's start was
-// sent and did not arrive.
+// reconcileAbsent handles a placed task that a heartbeat lacks. It reports whether the task's start
+// was sent and did not arrive.
 func (s *Shard) reconcileAbsent(k taskKey, t *task, m *Machine, direct bool, now time.Time) bool {
-	f := reconcile.ClassifyAbsent(reconcile.AbsentTask{
+	result := reconcile.ClassifyAbsent(reconcile.AbsentTask{
 		PlacementRecorded: t.recorded && !t.recording, PlacedByPredecessor: t.inherited, SeenBefore: t.reported, StartSent: t.sent,
 		SentToEarlierIncarnation: t.sentIncarnation != m.contact.incarnation, AnswersDirectCommand: direct, Stopping: t.stopping,
 		StartMayArrive: t.sent && !direct && m.mayStartLate(k.name(), t.attempt),
 	})
-	if f.Action == reconcile.FreePlacement {
+	if result.Action == reconcile.FreePlacement {
 		s.taskLost(k, now)
 	}
-	return f.Action == reconcile.ResendStart
+	return result.Action == reconcile.ResendStart
 }
 
-// reconcilePresent takes in what a heartbeat says of a task that is where the records say.
+// reconcilePresent applies what a heartbeat reports of a task that is placed on the machine.
 func (s *Shard) reconcilePresent(k taskKey, t *task, rt *wire.HeartbeatTask, m *Machine, now time.Time) {
 	j := k.job
 	if !t.reported && t.sent {
@@ -124,13 +124,13 @@
 		s.inventory.recordCachedImage(m, j.spec.Image, j.spec.ImageGB)
 	}
 	t.setPhase(j, rt.State)
-	f := reconcile.ClassifyReported(reconcile.ReportedTask{State: rt.State, Why: rt.Why, JobKnown: true, Placed: true})
-	s.reconciliation.recordOutcome(t, f.Outcome)
-	switch f.Action {
+	result := reconcile.ClassifyReported(reconcile.ReportedTask{State: rt.State, Why: rt.Why, JobKnown: true, Placed: true})
+	s.reconciliation.recordOutcome(t, result.Outcome)
+	switch result.Action {
 	case reconcile.RecordCompletion:
 		m.failedJobs = nil
 		s.completeTask(k, now)
-		if t.state == placed { // a service's task that ended all the same
+		if t.state == placed { // a service's task, which is not marked as completed
 			s.taskLost(k, now)
 		}
 	case reconcile.FreePlacement:
@@ -138,7 +138,7 @@
 	}
 }
 
-// handleIncompleteExit takes in that a placed task has exited without having completed.
+// handleIncompleteExit handles a placed task that has exited without having completed.
 func (s *Shard) handleIncompleteExit(k taskKey, rt *wire.HeartbeatTask, m *Machine, now time.Time) {
 	j := k.job
 	switch rt.Why {
@@ -151,6 +151,6 @@
 	}
 	s.taskLost(k, now)
 	if j.spec.Kind == wire.Gang && (rt.Why == wire.ExitStopped || rt.Why == wire.ExitGangPeersLost || rt.Why == wire.ExitGangIncomplete) {
-		s.stopAttempt(j, now) // the attempt is over for all of them
+		s.stopAttempt(j, now) // the attempt has failed for all tasks of the gang
 	}
 }
--- a/internal/scheduler/reconciliation_progress.go
+++ b/internal/scheduler/reconciliation_progress.go
@@ -9,32 +9,32 @@
 	"bramblespur/internal/wire"
 )
 
-// reconciliation is what became of what a shard's owner found on record when it acquired the shard.
+// reconciliation is the state of the reconciliation of a shard that was acquired.
 type reconciliation struct {
-	since   time.Time // zero: it is over
-	pending int       // placements of earlier owners without an outcome
+	since   time.Time // when it began; zero: it has ended
+	pending int       // placements of earlier owners that have no outcome yet
 	tally   reconcile.OutcomeCounts
-	orphans map[string]bool // tasks in heartbeats that are not on record, each counted once
-	// malformed is what is wrong with records that were passed over.
+	orphans map[string]bool // reported tasks that are not on record on their machine, each counted once
+	// malformed has an error for each record that could not be decoded and was skipped.
 	malformed []error
 }
 
-// Bounds of what is remembered during reconciliation.
+// Bounds of the state during reconciliation.
 const (
 	maxOrphans           = 4096
-	maxAwaitedMachineIDs = 16 // machines that are named
+	maxAwaitedMachineIDs = 16 // in ReconciliationProgress
 )
 
 // ReconciliationProgress is how far the reconciliation of a shard has come after it was acquired.
 type ReconciliationProgress struct {
 	Since             time.Time
-	Pending           int      // tasks of which nothing is proven yet
-	AwaitedMachines   int      // machines that have not reported under the shard's token
-	AwaitedMachineIDs []string // some of them
+	Pending           int      // placements of earlier owners that have no outcome yet
+	AwaitedMachines   int      // machines that have yet to report under the shard's token
+	AwaitedMachineIDs []string // some of these, sorted
 	Tally             reconcile.OutcomeCounts
 }
 
-// beginReconciliation counts what is to be found out about.
+// beginReconciliation begins the reconciliation and counts the placements of earlier owners.
 func (s *Shard) beginReconciliation(now time.Time) {
 	s.reconciliation.since, s.reconciliation.orphans = now, map[string]bool{}
 	for _, m := range s.inventory.byID {
@@ -46,7 +46,7 @@
 	}
 }
 
-// ReconciliationProgress tells how far it has come; there is nothing to tell once it is over.
+// ReconciliationProgress returns the progress of the reconciliation, and false once it has ended.
 func (s *Shard) ReconciliationProgress() (ReconciliationProgress, bool) {
 	progress := &s.reconciliation
 	if progress.since.IsZero() {
@@ -69,13 +69,13 @@
 // HasMachines reports whether the shard has any machine.
 func (s *Shard) HasMachines() bool { return len(s.inventory.byID) > 0 }
 
-// MalformedRecords returns what is wrong with records that were passed over when the shard was loaded.
+// MalformedRecords returns an error for each record that was skipped when the shard was loaded.
 func (s *Shard) MalformedRecords() []error { return s.reconciliation.malformed }
 
-// EndReconciliation forgets what was found out.
+// EndReconciliation ends the reconciliation and drops its state.
 func (s *Shard) EndReconciliation() { s.reconciliation = reconciliation{} }
 
-// recordOutcome counts the outcome of a placement of an earlier owner, once.
+// recordOutcome counts the outcome of a placement of an earlier owner, only the first time.
 func (r *reconciliation) recordOutcome(t *task, v reconcile.Outcome) {
 	if r.since.IsZero() || !t.inherited || t.reconciled {
 		return
@@ -85,8 +85,8 @@
 	r.tally.Add(v)
 }
 
-// recordOrphanOutcome counts the outcome of a task in a heartbeat that is not on record there, once, and
-// tells of a contradiction.
+// recordOrphanOutcome counts the outcome of a reported task that is not on record on its machine,
+// only the first time, and adds a contradiction to the effects.
 func (s *Shard) recordOrphanOutcome(m *Machine, rt *wire.HeartbeatTask, v reconcile.Outcome) {
 	if s.reconciliation.since.IsZero() || s.reconciliation.orphans[rt.Task] || len(s.reconciliation.orphans) >= maxOrphans {
 		return
@@ -99,7 +99,7 @@
 	}
 }
 
-// describeTask tells what the ledger has of a task.
+// describeTask describes the state of a task in the ledger, for the log.
 func (s *Shard) describeTask(name string) string {
 	ref, n, ok := SplitTask(name)
 	j := s.jobs[ref]
@@ -112,5 +112,5 @@
 	case completed:
 		return "done"
 	}
-	return "without a place"
+	return "not placed"
 }
--- a/internal/scheduler/unreachable.go
+++ b/internal/scheduler/unreachable.go
@@ -6,16 +6,15 @@
 	"bramblespur/internal/wire"
 )
 
-// missedStartsUntilUnreachable is how many heartbeats in a row must lack a start sent before
-// until its machine counts as one that no answer reaches. One answer may be
-// lost or late.
+// missedStartsUntilUnreachable is how many heartbeats in a row must lack a task whose start was sent
+// until the machine counts as unreachable: a single response may be lost or late.
 const missedStartsUntilUnreachable = 2
 
-// applyIncarnation takes in the epoch of a heartbeat. A lease that ran out although its
-// worker's heartbeats were answered tells that no answer reaches the machine.
+// applyIncarnation applies the incarnation of a heartbeat. If the lease of the one before expired
+// although its heartbeats were answered, no response seems to reach the machine.
 func (s *Shard) applyIncarnation(m *Machine, r *wire.Heartbeat, now time.Time) {
 	if r.Session == m.contact.incarnation {
-		// An epoch that outlives the lease was renewed: answers arrive.
+		// The lease of an incarnation that outlives it was renewed: responses arrive.
 		if !m.contact.unreachableSince.IsZero() && now.Sub(m.contact.unreachableSince) > s.cfg.Lease+s.cfg.HeartbeatInterval {
 			s.markReached(m)
 		}
@@ -29,9 +28,8 @@
 	m.contact.missedStarts = 0
 }
 
-// markUnreachable notes that no answer or command seems to reach a machine whose heartbeats
-// arrive: it gets no more work, and what is there is freed as ever only by what
-// proves it gone.
+// markUnreachable records that no response or command seems to reach a machine whose heartbeats
+// arrive. It gets no more work. As always, a task there is freed only once it is proven gone.
 func (s *Shard) markUnreachable(m *Machine, now time.Time) {
 	if !m.contact.unreachableSince.IsZero() {
 		return
@@ -40,12 +38,12 @@
 	s.placementDue = true
 	for k, t := range m.tasks {
 		if t.sent && !t.reported {
-			s.stopTask(k, 0, now) // not repeated: the next heartbeat proves it absent
+			s.stopTask(k, 0, now) // its start is not repeated, so that the next heartbeat proves it absent
 		}
 	}
 }
 
-// markReached notes that an answer was seen to arrive at a machine.
+// markReached records that a response or command is known to have reached a machine.
 func (s *Shard) markReached(m *Machine) {
 	m.contact.missedStarts = 0
 	if !m.contact.unreachableSince.IsZero() {
@@ -54,8 +52,8 @@
 	}
 }
 
-// unreachableTooLong reports whether a machine is to be released because no answer was
-// seen to reach it for longer than a lease, by which one would have shown.
+// unreachableTooLong reports whether a machine is to be released because it has been unreachable
+// for longer than a lease: by then a response that arrived would have shown.
 func (c *Config) unreachableTooLong(m *Machine, now time.Time) bool {
 	return !m.contact.unreachableSince.IsZero() && now.Sub(m.contact.unreachableSince) > c.Lease+2*c.HeartbeatInterval
 }
