--- a/internal/scheduler/deposed_test.go
+++ b/internal/scheduler/deposed_test.go
@@ -18,15 +18,15 @@
 // sight of it, makes a write after its successor has read the records. The other
 // conditions of these writes hold, since the successor has changed none of those records.
 
-// deposed is a shard whose owner does not know yet that another one has followed.
-type deposed struct {
+// deposedHarness is a shard whose owner does not know yet that another one has followed.
+type deposedHarness struct {
 	*harness
-	old *Shard
+	oldOwner *Shard
 }
 
 // depose makes a new owner and keeps the old one.
-func depose(r *harness) *deposed {
-	d := &deposed{harness: r, old: r.shard}
+func depose(r *harness) *deposedHarness {
+	d := &deposedHarness{harness: r, oldOwner: r.shard}
 	r.failOver()
 	return d
 }
@@ -45,42 +45,42 @@
 	return nil
 }
 
-// late carries out a transaction of the old owner and tells it what came of it. It
+// commitLate carries out a transaction of the old owner and tells it what came of it. It
 // reports whether the transaction failed on the shard's record.
-func (d *deposed) late(t *Txn) bool {
+func (d *deposedHarness) commitLate(t *Txn) bool {
 	d.t.Helper()
 	now := d.clock.Now()
 	revision, err := d.state.Txn(context.Background(), statestore.Urgent("test"), t.Body)
 	var conflict *statestore.ConflictError
 	if errors.As(err, &conflict) {
-		d.old.Conflict(t, conflict.Keys, now)
+		d.oldOwner.Conflict(t, conflict.Keys, now)
 		return slices.Contains(conflict.Keys, record.ShardKey(d.id))
 	}
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	d.old.Applied(t, revision, now)
+	d.oldOwner.Applied(t, revision, now)
 	return false
 }
 
-// reportToOld lets a worker that has not heard the new owner report to the old one.
-func (d *deposed) reportToOld(w *testkit.Worker) {
+// reportToOldOwner lets a worker that has not heard the new owner report to the old one.
+func (d *deposedHarness) reportToOldOwner(w *testkit.Worker) {
 	report := w.Report()
-	if orders, verdict := d.old.Heartbeat(&report, false, d.clock.Now()); verdict == Answered {
+	if orders, verdict := d.oldOwner.Heartbeat(&report, false, d.clock.Now()); verdict == Answered {
 		w.Obey(orders)
 	}
 }
 
-// showToOld shows the old owner a machine as it is on record now, and has its worker report there.
-func (d *deposed) showToOld(w *testkit.Worker) {
+// notifyOldOwner shows the old owner a machine as it is on record now, and has its worker report there.
+func (d *deposedHarness) notifyOldOwner(w *testkit.Worker) {
 	d.t.Helper()
 	view, _ := d.fleet.Machine(w.ID)
-	if err := d.old.SetMachine(w.ID, view, d.clock.Now()); err != nil {
+	if err := d.oldOwner.SetMachine(w.ID, view, d.clock.Now()); err != nil {
 		d.t.Fatal(err)
 	}
 	for range 3 {
 		d.clock.Advance(d.cfg.HeartbeatInterval)
-		d.reportToOld(w)
+		d.reportToOldOwner(w)
 	}
 }
 
@@ -93,14 +93,14 @@
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	start := r.nextTxn()
 	d := depose(r)
-	refused := d.late(start)
-	d.reportToOld(w1)
+	refused := d.commitLate(start)
+	d.reportToOldOwner(w1)
 	w2 := r.addMachine("m2", "z1", false)
 	r.heartbeats(4, w2)
 	if at := r.runningOn("run-000001/0"); at != "m2" {
 		t.Errorf("the task is on %q, want m2, where its owner started it", at)
 	}
-	if !refused || !d.old.OwnershipLost() {
+	if !refused || !d.oldOwner.OwnershipLost() {
 		t.Error("a start was recorded by an owner that has a successor")
 	}
 }
@@ -119,12 +119,12 @@
 		t.Fatal("not started by the successor")
 	}
 	e := r.state.Put(record.ActiveJobKey(s.Ref), record.ActiveJob{Spec: s, Shard: r.id, Cancelled: true})
-	d.old.SetJob(s.Ref, record.ActiveJob{Spec: s, Shard: r.id, Cancelled: true}, e.Version, r.clock.Now())
-	eff := d.old.Step(r.clock.Now())
+	d.oldOwner.SetJob(s.Ref, record.ActiveJob{Spec: s, Shard: r.id, Cancelled: true}, e.Version, r.clock.Now())
+	eff := d.oldOwner.Step(r.clock.Now())
 	if len(eff.Txns) != 1 {
 		t.Fatalf("%d transactions of the old owner, want the job's end", len(eff.Txns))
 	}
-	refused := d.late(eff.Txns[0])
+	refused := d.commitLate(eff.Txns[0])
 	if at := r.runningOn("run-000001/0"); at != "" && r.get(record.FinishedJobKey(s.Ref)) != nil {
 		t.Errorf("the end is recorded while the task runs on %s", at)
 	}
@@ -147,7 +147,7 @@
 	if r.runningOn("run-000001/0") != "m1" {
 		t.Fatal("not started by the successor")
 	}
-	refused := d.late(move)
+	refused := d.commitLate(move)
 	if e := r.get(record.OverrideKey("m1")); e != nil {
 		r.applyRecord(*e)
 	}
@@ -178,7 +178,7 @@
 	if r.runningOn("run-000001/0") != "m1" {
 		t.Fatal("not started by the successor")
 	}
-	refused := d.late(back)
+	refused := d.commitLate(back)
 	r.releaseMachines()
 	if len(r.cloud.Returned) != 0 {
 		t.Errorf("%v went back with a task on it", r.cloud.Returned)
@@ -188,9 +188,9 @@
 	}
 }
 
-// refusedTurn plays a turn of an owner that the state service refuses alone: nothing is
+// stepWithWritesRefused plays a turn of an owner that the state service refuses alone: nothing is
 // written, and what it wants to read is read later. It returns that.
-func (r *harness) refusedTurn(workers ...*testkit.Worker) (rereads []string) {
+func (r *harness) stepWithWritesRefused(workers ...*testkit.Worker) (rereads []string) {
 	now := r.clock.Now()
 	for _, w := range workers {
 		report := w.Report()
@@ -226,7 +226,7 @@
 	var rereads []string
 	for range 12 {
 		other.heartbeats(1)
-		rereads = append(rereads, r.refusedTurn(stays)...)
+		rereads = append(rereads, r.stepWithWritesRefused(stays)...)
 	}
 	if other.runningOn("run-000001/0") != "m1" {
 		t.Fatal("not started by the part that the machine has moved to")
@@ -273,12 +273,12 @@
 	if w.Token != raised.Version {
 		t.Fatalf("the worker has token %d, want %d", w.Token, raised.Version)
 	}
-	d.showToOld(w)
+	d.notifyOldOwner(w)
 	if r.runningOn("run-000001/0") != "m1" {
 		t.Error("an owner that has a successor stopped the successor's task")
 	}
 	report := w.Report()
-	if _, verdict := d.old.Heartbeat(&report, false, r.clock.Now()); verdict != Deposed {
+	if _, verdict := d.oldOwner.Heartbeat(&report, false, r.clock.Now()); verdict != Deposed {
 		t.Errorf("a heartbeat under the successor's token: verdict %d, want %d", verdict, Deposed)
 	}
 }
@@ -297,7 +297,7 @@
 	if r.runningOn("run-000001/0") != "m1" {
 		t.Fatal("not started by the successor")
 	}
-	d.showToOld(w)
+	d.notifyOldOwner(w)
 	if r.runningOn("run-000001/0") != "m1" {
 		t.Error("an owner that has a successor stopped the successor's task")
 	}
--- a/internal/scheduler/placement_records_test.go
+++ b/internal/scheduler/placement_records_test.go
@@ -14,11 +14,11 @@
 // ranges are moved, also cut, and nothing is lost meanwhile.
 func TestSizedRecordIsSplitWhenTooLarge(t *testing.T) {
 	for seed := range uint64(20) {
-		outgrow(t, rand.New(rand.NewPCG(seed, 3)))
+		checkSplitOfOutgrownRecords(t, rand.New(rand.NewPCG(seed, 3)))
 	}
 }
 
-func outgrow(t *testing.T, rnd *rand.Rand) {
+func checkSplitOfOutgrownRecords(t *testing.T, rnd *rand.Rand) {
 	const most = 1024
 	r := newHarness(t)
 	r.cfg.ValueBytes = most
@@ -35,14 +35,14 @@
 	for i := range 40 {
 		r.addMachine(fmt.Sprintf("i-%080d", i), "z1", false)
 	}
-	r.afterTxn = r.known
+	r.afterTxn = r.checkNewOwnerLoadsAllTasks
 	for beat := range 30 {
 		if beat < 20 {
 			r.state.HoldTxns = rnd.IntN(3) // not carried out, and nobody says so
 			r.workers["m1"].End(fmt.Sprintf("run-00000%d/%d", rnd.IntN(2), rnd.IntN(8)), wire.Done)
 		}
 		r.heartbeat()
-		r.oneOwner()
+		r.checkNoTaskRunsTwice()
 		if rnd.IntN(7) == 0 {
 			r.failOver()
 			r.shard.UseSizedRanges()
@@ -66,7 +66,7 @@
 
 // A range that leaves a record goes to another, and until it is written there the record
 // that tells it is not written without it, whatever else changes in it.
-func TestRecordWaitsForRangesThatLeft(t *testing.T) {
+func TestRecordWaitsForMovedRanges(t *testing.T) {
 	r := newHarness(t)
 	r.failOver()
 	r.shard.UseSizedRanges()
--- a/internal/scheduler/unreadable_records_test.go
+++ b/internal/scheduler/unreadable_records_test.go
@@ -16,13 +16,13 @@
 // runs on a machine, and of another with one task done and one to be started again.
 type unreadableHarness struct {
 	*harness
-	worker     *testkit.Worker
-	runs, half wire.Spec
-	key        string
-	intact     []byte
+	worker                 *testkit.Worker
+	runningJob, partialJob wire.Spec
+	recordKey              string
+	intactValue            []byte
 }
 
-func newUnreadableRig(t *testing.T) *unreadableHarness {
+func newUnreadableHarness(t *testing.T) *unreadableHarness {
 	t.Helper()
 	r := newHarness(t)
 	r.sizedRangesAllowed = true
@@ -30,18 +30,18 @@
 	w := r.addMachine("m1", "z1", false)
 	r.heartbeats(2)
 	u := &unreadableHarness{
-		harness: r, worker: w, key: record.PlacementsKey(r.id, 0),
-		runs: spec("run-000001", "b", wire.Array, "normal", 1, 1),
-		half: spec("run-000002", "b", wire.Array, "normal", 2, 1),
+		harness: r, worker: w, recordKey: record.PlacementsKey(r.id, 0),
+		runningJob: spec("run-000001", "b", wire.Array, "normal", 1, 1),
+		partialJob: spec("run-000002", "b", wire.Array, "normal", 2, 1),
 	}
-	r.submit(u.runs)
-	r.submit(u.half)
+	r.submit(u.runningJob)
+	r.submit(u.partialJob)
 	r.heartbeats(3)
 	w.End("run-000002/0", wire.Done)
 	w.End("run-000002/1", wire.ExitError)
 	r.heartbeats(1)
-	u.intact = slices.Clone(r.get(u.key).Value)
-	u.state.Put(u.key, "nonsense")
+	u.intactValue = slices.Clone(r.get(u.recordKey).Value)
+	u.state.Put(u.recordKey, "nonsense")
 	r.failOver()
 	return u
 }
@@ -49,7 +49,7 @@
 // What runs by a record that can't be decoded is adopted where it is, what may have completed
 // is not started again, and new jobs go on once all machines have reported.
 func TestUnreadablePlacementsAreIsolated(t *testing.T) {
-	u := newUnreadableRig(t)
+	u := newUnreadableHarness(t)
 	if len(u.shard.MalformedRecords()) != 1 {
 		t.Fatalf("told of %v", u.shard.MalformedRecords())
 	}
@@ -73,17 +73,17 @@
 	}
 	u.worker.End("run-000001/0", wire.Done)
 	u.heartbeats(3)
-	if u.jobState(u.runs.Ref) != wire.Done || u.jobState(u.half.Ref) != wire.Pending {
-		t.Errorf("the jobs are %q and %q, want done and pending", u.jobState(u.runs.Ref), u.jobState(u.half.Ref))
+	if u.jobState(u.runningJob.Ref) != wire.Done || u.jobState(u.partialJob.Ref) != wire.Pending {
+		t.Errorf("the jobs are %q and %q, want done and pending", u.jobState(u.runningJob.Ref), u.jobState(u.partialJob.Ref))
 	}
-	if string(u.get(u.key).Value) != `"nonsense"` {
+	if string(u.get(u.recordKey).Value) != `"nonsense"` {
 		t.Error("the damaged record was written")
 	}
 }
 
 // An adopted task is on record: the next owner finds it also while its machine is silent.
 func TestAdoptedPlacementIsRecorded(t *testing.T) {
-	u := newUnreadableRig(t)
+	u := newUnreadableHarness(t)
 	u.heartbeats(4)
 	u.failOver()
 	if got := u.runningOn("run-000001/0"); got != "m1" {
@@ -93,18 +93,18 @@
 
 // A cancellation is told only once nothing of the job can run unseen.
 func TestUnreadablePlacementsHoldCancellations(t *testing.T) {
-	u := newUnreadableRig(t)
+	u := newUnreadableHarness(t)
 	other := u.addMachine("m2", "z1", false)
-	u.cancel(u.runs)()
-	u.cancel(u.half)()
+	u.cancel(u.runningJob)()
+	u.cancel(u.partialJob)()
 	u.heartbeats(4, other)
-	for _, spec := range []wire.Spec{u.runs, u.half} {
+	for _, spec := range []wire.Spec{u.runningJob, u.partialJob} {
 		if u.get(record.FinishedJobKey(spec.Ref)) != nil {
 			t.Fatalf("%s has ended while its machine is silent", spec.Ref)
 		}
 	}
 	u.heartbeats(6)
-	for _, spec := range []wire.Spec{u.runs, u.half} {
+	for _, spec := range []wire.Spec{u.runningJob, u.partialJob} {
 		if u.get(record.FinishedJobKey(spec.Ref)) == nil {
 			t.Errorf("the end of %s is not recorded", spec.Ref)
 		}
@@ -116,39 +116,39 @@
 
 // What was recorded since counts before what a restored record tells: a task that has completed
 // meanwhile is not started again.
-func TestRestoredPlacementsCountLast(t *testing.T) {
-	u := newUnreadableRig(t)
-	u.state.Put(u.key, json.RawMessage(u.intact))
+func TestNewPlacementsOverrideRestoredRecord(t *testing.T) {
+	u := newUnreadableHarness(t)
+	u.state.Put(u.recordKey, json.RawMessage(u.intactValue))
 	u.failOver()
 	u.heartbeats(6) // the second task of the other job runs again
 	if u.runningOn("run-000002/1") != "m1" {
 		t.Fatal("not started")
 	}
-	u.intact = slices.Clone(u.get(u.key).Value)
-	u.state.Put(u.key, "nonsense")
+	u.intactValue = slices.Clone(u.get(u.recordKey).Value)
+	u.state.Put(u.recordKey, "nonsense")
 	u.failOver()
 	u.heartbeats(2)
 	u.worker.End("run-000002/1", wire.Done)
 	u.heartbeats(6)
 	started := len(u.worker.Started)
-	u.state.Put(u.key, json.RawMessage(u.intact))
+	u.state.Put(u.recordKey, json.RawMessage(u.intactValue))
 	u.failOver()
 	u.heartbeats(6)
 	if again := u.worker.Started[started:]; len(again) > 0 {
 		t.Errorf("started %v again", again)
 	}
-	if u.jobState(u.half.Ref) != wire.Done {
+	if u.jobState(u.partialJob.Ref) != wire.Done {
 		t.Error("the job does not end")
 	}
 }
 
 // Once somebody has restored the record, or deleted it, the shard is read again and all goes
 // on.
-func TestUnreadablePlacementsAreReadAgain(t *testing.T) {
+func TestUnreadablePlacementsAreReread(t *testing.T) {
 	mend := map[string]func(u *unreadableHarness){
-		"restored": func(u *unreadableHarness) { u.state.Put(u.key, json.RawMessage(u.intact)) },
+		"restored": func(u *unreadableHarness) { u.state.Put(u.recordKey, json.RawMessage(u.intactValue)) },
 		"deleted": func(u *unreadableHarness) {
-			remove := wire.Txn{Then: []wire.Op{{Delete: u.key}}}
+			remove := wire.Txn{Then: []wire.Op{{Delete: u.recordKey}}}
 			if _, err := u.state.Txn(context.Background(), statestore.Urgent("test"), remove); err != nil {
 				u.t.Fatal(err)
 			}
@@ -156,7 +156,7 @@
 	}
 	for name, f := range mend {
 		t.Run(name, func(t *testing.T) {
-			u := newUnreadableRig(t)
+			u := newUnreadableHarness(t)
 			u.heartbeats(4)
 			f(u)
 			for range 20 {
@@ -172,7 +172,7 @@
 			u.worker.End("run-000002/0", wire.Done)
 			u.worker.End("run-000002/1", wire.Done)
 			u.heartbeats(3)
-			if u.jobState(u.runs.Ref) != wire.Done || u.jobState(u.half.Ref) != wire.Done {
+			if u.jobState(u.runningJob.Ref) != wire.Done || u.jobState(u.partialJob.Ref) != wire.Done {
 				t.Error("the jobs do not end")
 			}
 		})
--- a/internal/scheduler/upgrade_test.go
+++ b/internal/scheduler/upgrade_test.go
@@ -20,9 +20,9 @@
 	tightBytes, tightOps = 2 << 10, 5
 )
 
-// upgradeHarness is a shard of which the first version wrote the records, as
+// newUpgradeHarness is a shard of which the first version wrote the records, as
 // testdata/production.json holds them.
-func upgradeHarness(t testing.TB) *harness {
+func newUpgradeHarness(t testing.TB) *harness {
 	t.Helper()
 	data, err := os.ReadFile("testdata/production.json")
 	if err != nil {
@@ -45,18 +45,18 @@
 	return r
 }
 
-// facts are what the records tell of a shard's tasks.
-type facts struct {
-	on   map[string]record.TaskPlacement
-	done map[string]bool
+// recordedTasks are what the records tell of a shard's tasks.
+type recordedTasks struct {
+	placements map[string]record.TaskPlacement
+	completed  map[string]bool
 }
 
-// unsizedFacts is the first version's reading of records: the key's number counts
+// decodeUnsizedRecords is the first version's reading of records: the key's number counts
 // ranges of so many tasks, later fields are unknown, and every range counts.
-func unsizedFacts(t testing.TB, slots []wire.Entry, per int) facts {
+func decodeUnsizedRecords(t testing.TB, placementEntries []wire.Entry, per int) recordedTasks {
 	t.Helper()
-	f := facts{on: map[string]record.TaskPlacement{}, done: map[string]bool{}}
-	for _, e := range slots {
+	f := recordedTasks{placements: map[string]record.TaskPlacement{}, completed: map[string]bool{}}
+	for _, e := range placementEntries {
 		var s struct {
 			Runs map[string]struct {
 				Attempt uint64                       `json:"a"`
@@ -76,11 +76,11 @@
 				if i < n*per || i >= (n+1)*per {
 					t.Fatalf("%s: task %d in range %s", e.Key, i, name)
 				}
-				f.on[fmt.Sprint(ref, "/", i)] = pl
+				f.placements[fmt.Sprint(ref, "/", i)] = pl
 			}
 			for _, span := range run.Done {
 				for i := span[0]; i <= span[1]; i++ {
-					f.done[fmt.Sprint(ref, "/", i)] = true
+					f.completed[fmt.Sprint(ref, "/", i)] = true
 				}
 			}
 		}
@@ -88,29 +88,31 @@
 	return f
 }
 
-// shardFacts is what the shard holds as recorded.
-func shardFacts(shard *Shard) facts {
-	f := facts{on: map[string]record.TaskPlacement{}, done: map[string]bool{}}
+// recordedInLedger is what the shard holds as recorded.
+func recordedInLedger(shard *Shard) recordedTasks {
+	f := recordedTasks{placements: map[string]record.TaskPlacement{}, completed: map[string]bool{}}
 	for _, j := range shard.jobs {
 		for i := range j.tasks {
 			switch t := &j.tasks[i]; {
 			case t.state == placed && t.recorded:
-				f.on[taskKey{j, i}.name()] = record.TaskPlacement{Machine: t.machine.ID, Attempt: t.attempt}
+				f.placements[taskKey{j, i}.name()] = record.TaskPlacement{Machine: t.machine.ID, Attempt: t.attempt}
 			case t.state == completed && t.completionRecorded:
-				f.done[taskKey{j, i}.name()] = true
+				f.completed[taskKey{j, i}.name()] = true
 			}
 		}
 	}
 	return f
 }
 
-func (f facts) equal(g facts) bool { return maps.Equal(f.on, g.on) && maps.Equal(f.done, g.done) }
+func (f recordedTasks) equal(g recordedTasks) bool {
+	return maps.Equal(f.placements, g.placements) && maps.Equal(f.completed, g.completed)
+}
 
 func (r *harness) slots() []wire.Entry { return r.list(record.ShardPlacementsPrefix(0)) }
 
-// runAs lets workers run what is recorded, as they did under the first version.
-func (r *harness) runAs(f facts) {
-	for task, pl := range f.on {
+// runPlacedTasks lets workers run what is recorded, as they did under the first version.
+func (r *harness) runPlacedTasks(f recordedTasks) {
+	for task, pl := range f.placements {
 		r.workers[pl.Machine].Tasks[task] = &testkit.WorkerTask{Attempt: pl.Attempt, State: wire.Running}
 	}
 }
@@ -118,20 +120,20 @@
 // Records of the first version are read as it meant them, and as long as it may
 // come back, what is written is plain and tells it the same.
 func TestUpgradeReadsAndKeepsUnsizedRecords(t *testing.T) {
-	r := upgradeHarness(t)
-	before := unsizedFacts(t, r.slots(), r.cfg.unsizedRangeTasks())
-	if len(before.on) < 200 || len(before.done) < 50 {
-		t.Fatalf("testdata: %d placements, %d completions", len(before.on), len(before.done))
+	r := newUpgradeHarness(t)
+	before := decodeUnsizedRecords(t, r.slots(), r.cfg.unsizedRangeTasks())
+	if len(before.placements) < 200 || len(before.completed) < 50 {
+		t.Fatalf("testdata: %d placements, %d completions", len(before.placements), len(before.completed))
 	}
-	if got := shardFacts(r.shard); !got.equal(before) {
-		t.Fatalf("read %d placements and %d completions, want %d and %d", len(got.on), len(got.done), len(before.on), len(before.done))
+	if got := recordedInLedger(r.shard); !got.equal(before) {
+		t.Fatalf("read %d placements and %d completions, want %d and %d", len(got.placements), len(got.completed), len(before.placements), len(before.completed))
 	}
 	if j := r.shard.jobs["run-000008"]; j == nil || !j.awaitsDependencies {
 		t.Fatal("a held job without a pipeline was let go")
 	}
-	r.runAs(before)
+	r.runPlacedTasks(before)
 	for round := range 6 {
-		r.endSome(round)
+		r.endSomeTasks(round)
 		r.heartbeats(2)
 		for _, e := range r.slots() {
 			var s record.Placements
@@ -139,8 +141,8 @@
 				t.Fatalf("%s: format %d, %v", e.Key, s.Format, err)
 			}
 		}
-		if got, want := unsizedFacts(t, r.slots(), r.cfg.unsizedRangeTasks()), shardFacts(r.shard); !maps.Equal(onLive(r, got.on), want.on) {
-			t.Fatalf("round %d: the first version would read %d placements, want %d", round, len(got.on), len(want.on))
+		if got, want := decodeUnsizedRecords(t, r.slots(), r.cfg.unsizedRangeTasks()), recordedInLedger(r.shard); !maps.Equal(stillInLedger(r, got.placements), want.placements) {
+			t.Fatalf("round %d: the first version would read %d placements, want %d", round, len(got.placements), len(want.placements))
 		}
 		if round%2 == 1 {
 			r.failOver() // perhaps by the first version: nothing but the records counts
@@ -148,10 +150,10 @@
 	}
 }
 
-// onLive leaves the placements that count: of tasks that are proven gone the
+// stillInLedger leaves the placements that count: of tasks that are proven gone the
 // record is rewritten with the next start only.
-func onLive(r *harness, on map[string]record.TaskPlacement) map[string]record.TaskPlacement {
-	live := shardFacts(r.shard).on
+func stillInLedger(r *harness, on map[string]record.TaskPlacement) map[string]record.TaskPlacement {
+	live := recordedInLedger(r.shard).placements
 	out := map[string]record.TaskPlacement{}
 	for task, pl := range on {
 		if live[task] == pl {
@@ -161,8 +163,8 @@
 	return out
 }
 
-// endSome lets about a tenth of what runs end.
-func (r *harness) endSome(seed int) {
+// endSomeTasks lets about a tenth of what runs end.
+func (r *harness) endSomeTasks(seed int) {
 	names := slices.Sorted(maps.Keys(r.workers))
 	n := seed
 	for _, id := range names {
@@ -175,8 +177,8 @@
 	}
 }
 
-// oneOwner checks that no task runs in two places, whatever the records say.
-func (r *harness) oneOwner() {
+// checkNoTaskRunsTwice checks that no task runs in two places, whatever the records say.
+func (r *harness) checkNoTaskRunsTwice() {
 	r.t.Helper()
 	at := map[string]string{}
 	for id, w := range r.workers {
@@ -198,8 +200,8 @@
 func TestUpgradeSplitsUnsizedRecords(t *testing.T) {
 	for seed := range uint64(12) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
-		r := upgradeHarness(t)
-		r.runAs(unsizedFacts(t, r.slots(), r.cfg.unsizedRangeTasks()))
+		r := newUpgradeHarness(t)
+		r.runPlacedTasks(decodeUnsizedRecords(t, r.slots(), r.cfg.unsizedRangeTasks()))
 		r.state.Limit(wideBytes, wideOps)
 		// The limits fall after any of the writes from then on.
 		at, falls, writes := rnd.IntN(6), rnd.IntN(25), 0
@@ -227,15 +229,15 @@
 			if round >= at {
 				r.shard.UseSizedRanges()
 			}
-			r.endSome(rnd.IntN(10))
+			r.endSomeTasks(rnd.IntN(10))
 			r.heartbeat()
-			r.oneOwner()
+			r.checkNoTaskRunsTwice()
 		}
 		r.state.Release()
 		for range 200 {
 			r.endAll()
 			r.heartbeat()
-			r.oneOwner()
+			r.checkNoTaskRunsTwice()
 		}
 		if got := r.jobState("run-000001"); got != wire.Done {
 			t.Errorf("seed %d: the array is %q in the end", seed, got)
@@ -252,8 +254,8 @@
 	}
 }
 
-// known checks that whoever acquired the shard now would know of all that runs.
-func (r *harness) known() {
+// checkNewOwnerLoadsAllTasks checks that whoever acquired the shard now would know of all that runs.
+func (r *harness) checkNewOwnerLoadsAllTasks() {
 	r.t.Helper()
 	next := New(r.cfg, 0, r.shard.token)
 	if r.shard.ledger.sized {
@@ -262,16 +264,16 @@
 	if err := next.Load(r.fleet, r.list(record.ActiveJobPrefix), r.slots(), r.clock.Now()); err != nil {
 		r.t.Fatal(err)
 	}
-	got := shardFacts(next)
+	got := recordedInLedger(next)
 	for id, w := range r.workers {
 		for task, wt := range w.Tasks {
-			if want := (record.TaskPlacement{Machine: id, Attempt: wt.Attempt}); wt.State != wire.Exited && got.on[task] != want {
-				r.t.Fatalf("%s runs on %v, and a new owner would find it on %v", task, want, got.on[task])
+			if want := (record.TaskPlacement{Machine: id, Attempt: wt.Attempt}); wt.State != wire.Exited && got.placements[task] != want {
+				r.t.Fatalf("%s runs on %v, and a new owner would find it on %v", task, want, got.placements[task])
 			}
 		}
 	}
-	for task := range shardFacts(r.shard).done {
-		if ref, _, _ := SplitTask(task); r.shard.jobs[ref].record.endTxn == nil && !got.done[task] {
+	for task := range recordedInLedger(r.shard).completed {
+		if ref, _, _ := SplitTask(task); r.shard.jobs[ref].record.endTxn == nil && !got.completed[task] {
 			r.t.Fatalf("%s is done, and a new owner would start it again", task)
 		}
 	}
@@ -282,13 +284,13 @@
 func TestUpgradeFactsSurviveEveryStep(t *testing.T) {
 	for seed := range uint64(8) {
 		rnd := rand.New(rand.NewPCG(seed, 2))
-		r := upgradeHarness(t)
-		r.runAs(unsizedFacts(t, r.slots(), r.cfg.unsizedRangeTasks()))
+		r := newUpgradeHarness(t)
+		r.runPlacedTasks(decodeUnsizedRecords(t, r.slots(), r.cfg.unsizedRangeTasks()))
 		r.heartbeats(2)
 		r.state.Limit(tightBytes, tightOps)
 		r.shard.UseSizedRanges()
 		steps := 0
-		r.afterTxn = func() { steps++; r.known() }
+		r.afterTxn = func() { steps++; r.checkNewOwnerLoadsAllTasks() }
 		for range 40 {
 			// One range at a time: the others are still told by the unsized record.
 			at := rnd.IntN(5) * 60
@@ -304,7 +306,7 @@
 				r.shard.UseSizedRanges()
 			}
 			r.heartbeat()
-			r.oneOwner()
+			r.checkNoTaskRunsTwice()
 		}
 		if steps < 25 {
 			t.Fatalf("seed %d: only %d writes", seed, steps)
