--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -1,5 +1,7 @@
-// Package ratelimit is pure: it releases commands to workers after a restart no faster than a
-// bound that all controllers share, slowly at first and faster as answers arrive.
+// Package ratelimit bounds the rate of commands to workers after a restart. All controllers
+// together stay below one bound: the leader divides it into shares (ClusterShares), and each
+// controller keeps to its share (Limiter), starting at a fraction that grows as workers acknowledge
+// commands. The package does no I/O, reads no clock and takes no locks.
 package ratelimit
 
 import (
@@ -8,85 +10,90 @@
 	"time"
 )
 
-// Priority ranks what waits for the limiter.
+// Priority is the priority of a command at a Limiter.
 type Priority uint8
 
 // Priorities of commands, the most urgent first.
 const (
-	// Exempt are stops that a rule has a time limit for. They are never held back; what
-	// they take, the others lack.
+	// Exempt is the priority of stops that must be sent within a time limit. They are never
+	// delayed, but count, so that fewer other commands are released.
 	Exempt Priority = iota
-	// Urgent are starts of services and of guaranteed work.
+	// Urgent is the priority of starts of services and of guaranteed work.
 	Urgent
-	// Routine is everything else.
+	// Routine is the priority of all other commands.
 	Routine
 )
 
-// Settings bound the rate.
+// Settings are the operators' bounds on commands.
 type Settings struct {
-	// CommandsPerSecond is how many commands all controllers together may release in any second; 0:
-	// by the fleet's size.
+	// CommandsPerSecond is how many commands all controllers together may release in any second.
+	// If it is 0, the bound depends on the size of the fleet.
 	CommandsPerSecond float64
-	// CommandsPerWorker is how many starts one answer to a worker may carry.
+	// CommandsPerWorker is how many starts one response to a worker may carry.
 	CommandsPerWorker int
-	// LimitFor is how long the bound holds: what waits then is released faster and
-	// faster.
+	// LimitFor is how long the bound holds. Commands still delayed after that are released at a
+	// rate that keeps growing.
 	LimitFor time.Duration
 }
 
-// Defaults of what the operators leave out.
+// Defaults for settings that the operators leave out.
 const (
 	DefaultCommandsPerWorker = 16
 	DefaultLimitFor          = 30 * time.Second
-	// A fleet may be told all that it has to do in a few seconds: one command for each two
-	// machines a second, and no fewer than so many.
-	commandsPerMachine   = 0.5
+	// commandsPerMachine is the default number of commands per second and machine of the fleet, so
+	// that the commands for the whole fleet take only a few seconds.
+	commandsPerMachine = 0.5
+	// minCommandsPerSecond is the lowest default, however small the fleet is.
 	minCommandsPerSecond = 30.0
 )
 
-// ClusterRate is how many commands all controllers may release in a second.
+// ClusterRate returns how many commands all controllers together may release per second, given the
+// number of machines in the fleet.
 func (s *Settings) ClusterRate(machines int) float64 {
 	return cmp.Or(s.CommandsPerSecond, max(minCommandsPerSecond, commandsPerMachine*float64(machines)))
 }
 
 const (
-	// initialFactor is the part of its rate with which a controller begins.
+	// initialFactor is the fraction of its share that a controller may release at first.
 	initialFactor = 0.25
-	// acksToDouble is how many answers in a row let it release twice as much.
+	// acksToDouble is the number of acknowledgements after which a controller may release twice as
+	// many commands.
 	acksToDouble = 8
-	// urgentReserve is the part of what has been saved up that is left to urgent commands.
+	// urgentReserve is the fraction of the token bucket's capacity that routine commands leave to
+	// urgent ones.
 	urgentReserve = 0.25
 )
 
-// Limiter is one controller's token bucket of commands to workers. It holds from a restart until reconciliation is over; before and
-// after, everything is released, and so it is by a nil one. It is not safe for concurrent use.
+// Limiter is one controller's token bucket of commands to workers. It is active from a restart until
+// reconciliation is complete. An inactive or nil Limiter releases every command at once. A Limiter is
+// not safe for concurrent use.
 type Limiter struct {
 	settings   Settings
 	active     bool
-	share      float64 // of the commands of all controllers, a second
-	factor     float64 // of that, by the answers so far
-	acks       int
+	share      float64 // commands per second that this controller may release at most
+	factor     float64 // fraction of the share that may be released, given the acknowledgements so far
+	acks       int     // acknowledgements since the factor was last raised
 	commands   tokenBucket
-	probes     tokenBucket // questions to workers, which count apart
-	delayed    int         // commands that waited since the last call of TakeDelayed
-	anyDelayed bool        // one waited since the last call of TakeAnyDelayed
-	perSecond  []int
-	startedAt  time.Time // when the first second of perSecond began
-	extendedAt time.Time // when it was last started or extended
+	probes     tokenBucket // probes of workers, which are limited separately
+	delayed    int         // number of times that a command was delayed since the last call of TakeDelayed
+	anyDelayed bool        // whether a command was delayed since the last call of TakeAnyDelayed
+	perSecond  []int       // commands released in each second since startedAt
+	startedAt  time.Time
+	extendedAt time.Time // when Start was last called
 }
 
-// New returns a limiter that releases everything.
+// New returns an inactive Limiter. Settings that are 0 get their defaults.
 func New(s Settings) *Limiter {
 	s.CommandsPerWorker = cmp.Or(s.CommandsPerWorker, DefaultCommandsPerWorker)
 	s.LimitFor = cmp.Or(s.LimitFor, DefaultLimitFor)
 	return &Limiter{settings: s}
 }
 
-// Settings returns the bounds.
+// Settings returns the settings with their defaults.
 func (l *Limiter) Settings() *Settings { return &l.settings }
 
-// Start starts to hold commands back, with nothing saved up, or goes on doing so for as long
-// again.
+// Start makes the limiter active, with an empty bucket for commands and a share in commands per
+// second. If it is active already, Start only restarts the time for which the bound holds.
 func (l *Limiter) Start(share float64, now time.Time) {
 	if l.active {
 		l.extendedAt = now
@@ -96,20 +103,20 @@
 		commands: tokenBucket{filledAt: now}, probes: tokenBucket{tokens: share, filledAt: now}}
 }
 
-// Stop releases everything from now on.
+// Stop makes the limiter inactive.
 func (l *Limiter) Stop() { l.active = false }
 
-// Active reports whether commands are held back.
+// Active reports whether commands are limited.
 func (l *Limiter) Active() bool { return l != nil && l.active }
 
-// SetShare sets this controller's part of the commands of all.
+// SetShare sets this controller's share of the commands of all controllers, in commands per second.
 func (l *Limiter) SetShare(share float64, now time.Time) {
 	l.refillCommands(now)
 	l.probes.refill(l.share, max(1, l.share), now)
 	l.share = share
 }
 
-// Acknowledge counts that a worker has carried out a command.
+// Acknowledge records that a worker has carried out a command.
 func (l *Limiter) Acknowledge() {
 	if !l.Active() || l.factor >= 1 {
 		return
@@ -119,29 +126,30 @@
 	}
 }
 
-// burstFraction is the part of a second's commands that may be saved up; the rest comes within a
-// second, so that no second has more than the share.
+// burstFraction is the bucket's capacity, as a fraction of the commands per second. The bucket is
+// refilled at the rate of the remaining fraction, so that no second has more commands than the share.
 const burstFraction = 0.25
 
-// tokenBucket is what has been saved up.
+// tokenBucket is a token bucket. One token allows one command or probe.
 type tokenBucket struct {
 	tokens   float64
-	filledAt time.Time // as of when
+	filledAt time.Time // when tokens was last brought up to date
 }
 
-// refill saves up at a rate, up to a capacity.
+// refill adds the tokens since the last refill, given a rate in tokens per second and a capacity.
 func (b *tokenBucket) refill(rate, capacity float64, now time.Time) {
 	b.tokens = min(capacity, b.tokens+rate*max(0, now.Sub(b.filledAt).Seconds()))
 	b.filledAt = now
 }
 
-// refillCommands saves up commands with time.
+// refillCommands refills the bucket for commands at the current rate.
 func (l *Limiter) refillCommands(now time.Time) {
 	l.commands.refill((1-burstFraction)*l.rate(now), l.capacity(now), now)
 }
 
-// AllowProbe reports whether a worker may be asked for its heartbeat now, and counts it if so.
-// Calls go at the full share from the beginning: they are what answers come from.
+// AllowProbe reports whether a worker may be probed for its heartbeat now, and counts the probe if
+// so. Probes are released at the full share from the beginning, since the answers of workers depend
+// on them.
 func (l *Limiter) AllowProbe(now time.Time) bool {
 	if !l.Active() {
 		return true
@@ -154,30 +162,31 @@
 	return true
 }
 
-// rate is how many commands may be released in a second. What still waits after LimitFor
-// would come too late by the rules: from then on the rate doubles each second.
+// rate returns how many commands may be released per second. Commands that are still delayed after
+// LimitFor would be too late, so from then on the rate doubles each second.
 func (l *Limiter) rate(now time.Time) float64 {
 	late := (now.Sub(l.extendedAt) - l.settings.LimitFor).Seconds()
 	return l.share * l.factor * math.Exp2(min(max(0, late), maxDoublings))
 }
 
-// maxDoublings bounds the exponent; by then nothing waits.
+// maxDoublings bounds the exponent. By then no command is delayed.
 const maxDoublings = 20
 
-// capacity is what may be saved up: one command at least, else none would ever be released.
+// capacity returns the capacity of the bucket for commands. It is at least one command, since
+// otherwise none would ever be released.
 func (l *Limiter) capacity(now time.Time) float64 { return max(1, burstFraction*l.rate(now)) }
 
 // Allow reports whether a command may be released now, and counts it if so.
-func (l *Limiter) Allow(c Priority, now time.Time) bool {
+func (l *Limiter) Allow(priority Priority, now time.Time) bool {
 	if !l.Active() {
 		return true
 	}
 	l.refillCommands(now)
 	reserve := 0.0
-	if most := l.capacity(now); c == Routine && most >= 1/urgentReserve {
-		reserve = urgentReserve * most
+	if capacity := l.capacity(now); priority == Routine && capacity >= 1/urgentReserve {
+		reserve = urgentReserve * capacity
 	}
-	if c != Exempt && l.commands.tokens-reserve < 1 {
+	if priority != Exempt && l.commands.tokens-reserve < 1 {
 		l.delayed++
 		l.anyDelayed = true
 		return false
@@ -187,44 +196,48 @@
 	return true
 }
 
-// maxCountedSeconds bounds the seconds of which commands are counted.
+// maxCountedSeconds bounds the length of perSecond. Later commands count in its last second.
 const maxCountedSeconds = 120
 
+// countReleased counts a released command in perSecond.
 func (l *Limiter) countReleased(now time.Time) {
-	n := min(int(now.Sub(l.startedAt)/time.Second), maxCountedSeconds-1)
-	for len(l.perSecond) <= n {
+	second := min(int(now.Sub(l.startedAt)/time.Second), maxCountedSeconds-1)
+	for len(l.perSecond) <= second {
 		l.perSecond = append(l.perSecond, 0)
 	}
-	l.perSecond[max(n, 0)]++
+	l.perSecond[max(second, 0)]++
 }
 
-// ReleasedPerSecond returns the commands that were released in each second from some moment on.
+// ReleasedPerSecond returns how many commands were released in each second, beginning with the second
+// of from.
 func (l *Limiter) ReleasedPerSecond(from time.Time) []int {
 	first := max(0, int(from.Sub(l.startedAt)/time.Second))
 	return l.perSecond[min(first, len(l.perSecond)):]
 }
 
-// TakeDelayed returns how many times a command had to wait since the last call.
+// TakeDelayed returns how many times a command was delayed since the last call.
 func (l *Limiter) TakeDelayed() int {
 	n := l.delayed
 	l.delayed = 0
 	return n
 }
 
-// Overdue reports whether the time is over within which all should have been reconciled.
+// Overdue reports whether LimitFor, within which reconciliation should have been completed, has
+// passed since the last call of Start.
 func (l *Limiter) Overdue(now time.Time) bool { return now.Sub(l.extendedAt) > l.settings.LimitFor }
 
-// TakeAnyDelayed reports whether a command had to wait since the last call.
+// TakeAnyDelayed reports whether a command was delayed since the last call.
 func (l *Limiter) TakeAnyDelayed() bool {
-	held := l.anyDelayed
+	delayed := l.anyDelayed
 	l.anyDelayed = false
-	return held
+	return delayed
 }
 
-// minRate keeps waits finite.
+// minRate is the lowest rate, in commands per second, from which NextAllowedAt computes a wait, which
+// keeps the wait finite.
 const minRate = 0.1
 
-// NextAllowedAt returns when the next command may be released.
+// NextAllowedAt returns the earliest time at which the bucket has a token for the next command.
 func (l *Limiter) NextAllowedAt(now time.Time) time.Time {
 	wait := max(0, 1-l.commands.tokens) / max((1-burstFraction)*l.rate(now), minRate)
 	return now.Add(time.Duration(wait * float64(time.Second)))
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -8,24 +8,25 @@
 
 var start = time.Date(2026, 1, 5, 8, 0, 0, 0, time.UTC)
 
-func begun(share float64) *Limiter {
-	p := New(Settings{})
-	p.Start(share, start)
-	return p
+// newActive returns a limiter that became active at start.
+func newActive(share float64) *Limiter {
+	limiter := New(Settings{})
+	limiter.Start(share, start)
+	return limiter
 }
 
-// However commands are requested and whatever is answered, no second has more than the share.
+// No second has more commands than the share, for random requests and acknowledgements.
 func TestNoSecondAboveTheShare(t *testing.T) {
 	for seed := range uint64(50) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		share := 4 + r.Float64()*200
-		p := begun(share)
+		limiter := newActive(share)
 		var released []time.Time
 		for now := start; now.Before(start.Add(20 * time.Second)); now = now.Add(time.Duration(r.IntN(30)) * time.Millisecond) {
 			for range r.IntN(12) {
-				if p.Allow([]Priority{Urgent, Routine}[r.IntN(2)], now) {
+				if limiter.Allow([]Priority{Urgent, Routine}[r.IntN(2)], now) {
 					released = append(released, now)
-					p.Acknowledge()
+					limiter.Acknowledge()
 				}
 			}
 		}
@@ -35,67 +36,68 @@
 				first++
 			}
 			if n := i - first + 1; float64(n) > share+1 {
-				t.Fatalf("seed %d: %d orders in a second, share %.1f", seed, n, share)
+				t.Fatalf("seed %d: %d commands in a second, want at most 1 more than the share %.1f", seed, n, share)
 			}
 		}
 		if got := float64(len(released)); got < share/2*15 {
-			t.Errorf("seed %d: %v orders in 20 s at %.1f a second", seed, got, share)
+			t.Errorf("seed %d: %v commands in 20 s with a share of %.1f per second", seed, got, share)
 		}
 	}
 }
 
-// What a rule limits is never held back, and what is urgent goes before the rest.
+// Exempt commands are never delayed, and routine commands leave a reserve to urgent ones.
 func TestUrgentFirst(t *testing.T) {
-	p := begun(256)
-	now := start.Add(10 * time.Second) // all that may be saved up is
+	limiter := newActive(256)
+	now := start.Add(10 * time.Second) // the bucket is full
 	routine := 0
-	for p.Allow(Routine, now) {
+	for limiter.Allow(Routine, now) {
 		routine++
 	}
 	urgent := 0
-	for p.Allow(Urgent, now) {
+	for limiter.Allow(Urgent, now) {
 		urgent++
 	}
 	if urgent < 2 {
-		t.Errorf("after %d others only %d urgent orders are left", routine, urgent)
+		t.Errorf("%d urgent commands released after %d routine ones, want at least 2", urgent, routine)
 	}
 	for range 100 {
-		if !p.Allow(Exempt, now) {
-			t.Fatal("a stop with a time limit is held back")
+		if !limiter.Allow(Exempt, now) {
+			t.Fatal("an exempt command was delayed")
 		}
 	}
-	if p.Allow(Urgent, now.Add(time.Second)) {
-		t.Error("what the stops took is not taken from the others")
+	if limiter.Allow(Urgent, now.Add(time.Second)) {
+		t.Error("an urgent command was released although exempt ones had used up the tokens")
 	}
-	if !p.TakeAnyDelayed() || p.TakeAnyDelayed() || p.TakeDelayed() == 0 || p.TakeDelayed() != 0 {
-		t.Error("what waits is not told, or told twice")
+	if !limiter.TakeAnyDelayed() || limiter.TakeAnyDelayed() || limiter.TakeDelayed() == 0 || limiter.TakeDelayed() != 0 {
+		t.Error("delayed commands were not counted, or counted twice")
 	}
 }
 
-// Questions to workers keep to the same rate, and take nothing from the commands.
-func TestCallsCountApart(t *testing.T) {
-	p := begun(64)
-	calls := 0
+// Probes are limited to the same rate as commands, but separately from them.
+func TestProbesAreLimitedSeparately(t *testing.T) {
+	limiter := newActive(64)
+	probes := 0
 	for now := start.Add(time.Second); now.Before(start.Add(2 * time.Second)); now = now.Add(10 * time.Millisecond) {
-		for p.AllowProbe(now) {
-			calls++
+		for limiter.AllowProbe(now) {
+			probes++
 		}
 	}
-	if calls < 64 || calls > 128 { // what was saved up, and what came
-		t.Errorf("%d calls in a second", calls)
+	if probes < 64 || probes > 128 { // a full bucket, and one second's refill
+		t.Errorf("%d probes in a second, want 64 to 128", probes)
 	}
-	if !p.Allow(Urgent, start.Add(2*time.Second)) {
-		t.Error("no order is left after the calls")
+	if !limiter.Allow(Urgent, start.Add(2*time.Second)) {
+		t.Error("a command was delayed after probes")
 	}
 }
 
-// It begins slowly, grows as answers come, and doubles without end once that took too long.
+// The rate starts low, grows with acknowledgements, and doubles each second after LimitFor. An inactive
+// or nil limiter delays nothing.
 func TestRamp(t *testing.T) {
-	p := begun(80)
+	limiter := newActive(80)
 	count := func(from time.Time) int {
 		n := 0
 		for now := from; now.Before(from.Add(time.Second)); now = now.Add(10 * time.Millisecond) {
-			for p.Allow(Urgent, now) {
+			for limiter.Allow(Urgent, now) {
 				n++
 			}
 		}
@@ -103,44 +105,44 @@
 	}
 	slow := count(start)
 	for range 4 * acksToDouble {
-		p.Acknowledge()
+		limiter.Acknowledge()
 	}
 	count(start.Add(time.Second))
 	fast := count(start.Add(2 * time.Second))
 	late := count(start.Add(DefaultLimitFor + 4*time.Second))
 	if slow > 20 || fast < 2*slow || late < 4*fast {
-		t.Errorf("%d, then %d, then %d orders in a second", slow, fast, late)
+		t.Errorf("commands in a second: %d at first, %d after acknowledgements, %d after LimitFor", slow, fast, late)
 	}
-	if p.NextAllowedAt(start.Add(DefaultLimitFor+6*time.Second)).Sub(start) > time.Minute {
-		t.Error("the next order is far off")
+	if limiter.NextAllowedAt(start.Add(DefaultLimitFor+6*time.Second)).Sub(start) > time.Minute {
+		t.Error("the next command is allowed only after more than a minute")
 	}
-	p.Stop()
+	limiter.Stop()
 	for range 1000 {
-		if !p.Allow(Routine, start.Add(time.Minute)) {
-			t.Fatal("held back after the pace ended")
+		if !limiter.Allow(Routine, start.Add(time.Minute)) {
+			t.Fatal("a command was delayed by a stopped limiter")
 		}
 	}
 	var none *Limiter
 	if none.Active() || !none.Allow(Routine, start) {
-		t.Error("no pace holds orders back")
+		t.Error("a nil limiter is active or delays a command")
 	}
 }
 
-// The bound follows the fleet unless the operators set it.
-func TestTotal(t *testing.T) {
+// The bound depends on the size of the fleet unless the operators set it.
+func TestClusterRate(t *testing.T) {
 	for machines, want := range map[int]float64{0: minCommandsPerSecond, 30: minCommandsPerSecond, 4000: 2000} {
 		if got := (&Settings{}).ClusterRate(machines); got != want {
-			t.Errorf("%d machines: %v, want %v", machines, got, want)
+			t.Errorf("%d machines: %v commands per second, want %v", machines, got, want)
 		}
 	}
 	if got := (&Settings{CommandsPerSecond: 7}).ClusterRate(4000); got != 7 {
-		t.Errorf("%v, want what is set", got)
+		t.Errorf("%v commands per second, want the 7 that are set", got)
 	}
 }
 
-// Whoever answers or does not, all that may be in use together never passes the total, and a
-// share that nobody needs any more comes to who does.
-func TestSharesStaySafe(t *testing.T) {
+// The shares in use never exceed the total together, whichever controllers answer. A share that a
+// controller no longer needs goes to those that need it.
+func TestSharesNeverExceedTheTotal(t *testing.T) {
 	labels := []string{"a", "b", "c"}
 	for seed := range uint64(100) {
 		r := rand.New(rand.NewPCG(seed, 2))
@@ -149,20 +151,20 @@
 		for range 50 {
 			w := []float64{r.Float64(), r.Float64(), r.Float64()}
 			sum := w[0] + w[1] + w[2]
-			given := s.Next(map[string]float64{"a": 30 * w[0] / sum, "b": 30 * w[1] / sum, "c": 30 * w[2] / sum})
+			granted := s.Next(map[string]float64{"a": 30 * w[0] / sum, "b": 30 * w[1] / sum, "c": 30 * w[2] / sum})
 			for _, l := range labels {
 				switch r.IntN(4) {
 				case 0: // the call was lost
 					s.MarkSilent(l)
-				case 1: // its answer was
-					inUse[l] = given[l]
+				case 1: // the answer was lost
+					inUse[l] = granted[l]
 					s.MarkSilent(l)
 				default:
-					inUse[l] = given[l]
-					s.Confirm(l, given[l])
+					inUse[l] = granted[l]
+					s.Confirm(l, granted[l])
 				}
 				if total := inUse["a"] + inUse["b"] + inUse["c"]; total > 30+1e-9 {
-					t.Fatalf("seed %d: %v in use together", seed, inUse)
+					t.Fatalf("seed %d: shares in use %v, want a sum of at most 30", seed, inUse)
 				}
 			}
 		}
@@ -174,6 +176,6 @@
 		}
 	}
 	if got := s.Next(map[string]float64{"a": 26, "b": 2, "c": 2})["a"]; got < 25.9 {
-		t.Errorf("a has %v of the 26 that the others leave", got)
+		t.Errorf("a has a share of %v, want the 26 that the others leave", got)
 	}
 }
