--- a/internal/fleet/summary.go
+++ b/internal/fleet/summary.go
@@ -21,7 +21,7 @@
 type Need struct {
 	Job      string
 	Image    string
-	CPUs     float64 // per task, as GPUs and MemoryGB
+	CPUs     float64 // per task, like GPUs and MemoryGB
 	GPUs     float64
 	MemoryGB float64
 	Types    []string // machine types that the job may use; nil: any
@@ -66,7 +66,7 @@
 	Moving   bool // being transferred to shard To, once it is empty
 	To       int
 	Lasting  bool    // runs services, which end only when their users cancel them
-	CPUs     float64 // free, as GPUs and MemoryGB
+	CPUs     float64 // free, like GPUs and MemoryGB
 	GPUs     float64
 	MemoryGB float64
 	Tasks    int           // number of tasks on it
