--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -58,7 +58,7 @@
 		urgent++
 	}
 	if urgent < 2 {
-		t.Errorf("%d urgent commands released after %d routine ones, want at least 2", urgent, routine)
+		t.Errorf("after %d routine commands %d urgent ones were released, want at least 2", routine, urgent)
 	}
 	for range 100 {
 		if !limiter.Allow(Exempt, now) {
