--- a/internal/controller/leader/harness_test.go
+++ b/internal/controller/leader/harness_test.go
@@ -19,23 +19,23 @@
 	"bramblespur/internal/wire"
 )
 
-// fakeHost is a controller without shards of its own.
+// fakeHost is a controller that leads and hosts no shards.
 type fakeHost struct {
 	sync.Mutex
 	t        *testing.T
 	store    statestore.Store
 	cloud    listingCloud
 	machines *clusterview.Machines
-	// leadership is the version of the leader's record.
+	// leadership is the version of the leader record.
 	leadership uint64
 }
 
 var _ Host = (*fakeHost)(nil)
 
-// listingCloud lists all machines that it ever provisioned.
+// listingCloud is a cloud whose list contains all machines that it ever provisioned.
 type listingCloud struct {
 	testkit.Cloud
-	addresses map[string]string // of listed machines
+	addresses map[string]string // addresses in the list, by machine id
 }
 
 func (c *listingCloud) List(context.Context) ([]wire.ListedMachine, error) {
@@ -48,7 +48,7 @@
 	return list, nil
 }
 
-// newTestLeader returns the duties of the controller c-0, which is the only one.
+// newTestLeader returns the Leader of controller c-0, which is the only one, and its fake host.
 func newTestLeader(t *testing.T, store statestore.Store) (*fakeHost, *Leader) {
 	t.Helper()
 	pol, err := policy.Load("")
@@ -61,18 +61,19 @@
 	return host, New(host, cfg, pol, slog.New(slog.DiscardHandler))
 }
 
-// put returns how to write a machine's record and have the host see it.
-func (h *fakeHost) put(state *testkit.State) func(key string, v any) {
+// recordWriter returns a function that writes a record of machines to the state service and applies
+// it to the host's view.
+func (h *fakeHost) recordWriter(state *testkit.State) func(key string, v any) {
 	return func(key string, v any) {
 		h.t.Helper()
 		e := state.Put(key, v)
 		h.Lock()
 		defer h.Unlock()
-		h.change(e.Change())
+		h.applyChange(e.Change())
 	}
 }
 
-func (h *fakeHost) change(e wire.Change) {
+func (h *fakeHost) applyChange(e wire.Change) {
 	if _, errs := h.machines.Apply([]wire.Change{e}); len(errs) > 0 {
 		h.t.Error(errs)
 	}
@@ -80,7 +81,7 @@
 
 func (h *fakeHost) ApplyOwnWritesLocked(t wire.Txn, revision uint64, _ time.Time) {
 	for _, op := range t.Then {
-		h.change(wire.Change{Put: op.Put, Value: op.Value, Delete: op.Delete, Version: revision})
+		h.applyChange(wire.Change{Put: op.Put, Value: op.Value, Delete: op.Delete, Version: revision})
 	}
 }
 
--- a/internal/controller/leader/inventory_test.go
+++ b/internal/controller/leader/inventory_test.go
@@ -11,15 +11,15 @@
 	"bramblespur/internal/wire"
 )
 
-// A machine in the cloud's list is released only if nobody records it, did so lately or is
-// provisioning, and it is in two lists in a row: the list lags.
+// A machine in the cloud's list is suspected to be unrecorded only if no record names it or named it
+// recently, no provision is under way, and it is in two lists in a row, since the list lags.
 func TestUnrecordedMachinesOfTheList(t *testing.T) {
 	list := []wire.ListedMachine{{ID: "m", Addr: "m:1"}}
 	for name, x := range map[string]struct {
 		recorded     bool
-		goneFor      time.Duration // since a record named it; 0: none ever did
+		goneFor      time.Duration // since a record last named the machine; 0 if none ever did
 		provisioning bool
-		lists        int
+		lists        int // how many times the list is read
 		want         bool
 	}{
 		"in one list":              {lists: 1},
@@ -52,25 +52,26 @@
 	}
 }
 
-// The view may be behind: the records themselves decide.
+// Suspects count as unrecorded only if the records read from the state service do not name them
+// either and no provision there is without an answer, since the view may be behind.
 func TestRecordsDecideOnSuspects(t *testing.T) {
 	suspects := map[string]int{"m": 2}
 	if got := confirmUnrecorded(suspects, record.NewFleet()); len(got) != 1 {
-		t.Errorf("%v unrecorded, want m", got)
+		t.Errorf("unrecorded machines %v, want m", got)
 	}
 	recorded := record.NewFleet()
 	put(t, recorded, record.ProvisionKey("p"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"m"}})
 	if got := confirmUnrecorded(suspects, recorded); len(got) != 0 {
-		t.Errorf("%v unrecorded, though its provision is there", got)
+		t.Errorf("unrecorded machines %v, want none: the record of a provision names the machine", got)
 	}
 	unanswered := record.NewFleet()
 	put(t, unanswered, record.ProvisionKey("p"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}})
 	if got := confirmUnrecorded(suspects, unanswered); len(got) != 0 {
-		t.Errorf("%v unrecorded, though a provision has not been answered", got)
+		t.Errorf("unrecorded machines %v, want none: a provision has not been answered", got)
 	}
 }
 
-// The leader releases what nobody recorded, and nothing else.
+// The leader releases the machines without a record, and no others.
 func TestCompareCloudList(t *testing.T) {
 	state := testkit.NewState()
 	host, l := newTestLeader(t, state)
@@ -83,7 +84,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	host.put(state)(record.ProvisionKey("own"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: own})
+	host.recordWriter(state)(record.ProvisionKey("own"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: own})
 	for range 2 {
 		l.compareCloudList(t.Context(), term)
 	}
@@ -92,7 +93,7 @@
 	}
 }
 
-// put adds a record to those that were read.
+// put adds a record to a fleet that was read from the state service.
 func put(t *testing.T, machines *record.Fleet, key string, v any) {
 	t.Helper()
 	if _, err := machines.Apply(wire.Change{Put: key, Value: record.Encode(v), Version: 1}); err != nil {
--- a/internal/controller/leader/provision_test.go
+++ b/internal/controller/leader/provision_test.go
@@ -14,44 +14,44 @@
 	"bramblespur/internal/wire"
 )
 
-// When much is missing at once, the most urgent requests come first, but the
-// largest is not put off for ever.
+// When many machines are missing at once, the most urgent requests come first, but one place is
+// left to the largest, which would otherwise never be made.
 func TestLargestProvisionHasAPlace(t *testing.T) {
-	rent := func(zone string, n int) fleet.ProvisionRequest {
+	request := func(zone string, n int) fleet.ProvisionRequest {
 		return fleet.ProvisionRequest{Zone: zone, Shards: make([]int, n)}
 	}
-	rents := []fleet.ProvisionRequest{rent("a", 3), rent("b", 2), rent("c", 4), rent("d", 50), rent("e", 9)}
+	requests := []fleet.ProvisionRequest{request("a", 3), request("b", 2), request("c", 4), request("d", 50), request("e", 9)}
 	for n, want := range map[int]string{-1: "", 0: "", 1: "d", 2: "ad", 3: "abd", 4: "abcd", 5: "abcde", 9: "abcde"} {
 		got := ""
-		for _, r := range selectRequests(rents, n) {
+		for _, r := range selectRequests(requests, n) {
 			got += r.Zone
 		}
 		if got != want {
-			t.Errorf("room for %d: %q, want %q", n, got, want)
+			t.Errorf("room for %d requests: zones %q selected, want %q", n, got, want)
 		}
 	}
 }
 
-// slowState is a state service whose transactions wait until they are let go.
+// slowState is a state service whose transactions announce themselves on arrived, and wait until
+// release is closed or receives a value.
 type slowState struct {
 	*testkit.State
-	asked, let chan struct{}
+	arrived, release chan struct{}
 }
 
 func (s *slowState) Txn(ctx context.Context, purpose statestore.Purpose, t wire.Txn) (uint64, error) {
-	s.asked <- struct{}{}
-	<-s.let
+	s.arrived <- struct{}{}
+	<-s.release
 	return s.State.Txn(ctx, purpose, t)
 }
 
-// While changes wait for the state service's budget the leader's turns go on: what
-// waits to be written is not written once more by each, which would only conflict
-// and use the budget up.
+// While writes wait for the rate limit of the state service, the leader's turns go on. A turn does
+// not repeat a write that is under way, which would only conflict and use up the rate limit.
 func TestLeaderWritesOnce(t *testing.T) {
 	ctx := context.Background()
 	state := testkit.NewState()
 	host, l := newTestLeader(t, state)
-	put := host.put(state)
+	put := host.recordWriter(state)
 	put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"a"}})
 	put(record.ProvisionKey("gone"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"b"}, Addrs: []string{"b:1"}})
 	put(record.ReleaseKey(0, 1, 1), record.Release{IDs: []string{"b"}, Done: true})
@@ -67,58 +67,58 @@
 	for i := range 4 {
 		turn(i)
 	}
-	<-slow.asked
-	<-slow.asked
-	close(slow.let)
-	for i, writes := 4, 2; ; i++ { // the last of the records goes with a later turn
+	<-slow.arrived
+	<-slow.arrived
+	close(slow.release)
+	for i, writes := 4, 2; ; i++ { // the last of the old records is deleted in a later turn
 		host.Lock()
 		v, _ := host.machines.Machine("a")
 		left := len(host.machines.Versions())
 		host.Unlock()
 		turn(i)
 		runtime.Gosched()
-		for len(slow.asked) > 0 {
-			<-slow.asked
+		for len(slow.arrived) > 0 {
+			<-slow.arrived
 			writes++
 		}
 		if v.Addr == "a:1" && left == 1 {
 			if writes != 3 {
-				t.Errorf("%d writes, want one for the address and two for what is gone", writes)
+				t.Errorf("%d writes, want 3: one for the address and two to delete old records", writes)
 			}
 			return
 		}
 	}
 }
 
-// A provision's addresses are recorded once every machine that will come up has told
-// its own, and not again.
+// The addresses of a provision's machines are recorded once, when the address of every machine that
+// will come up is known.
 func TestAddressesAreRecorded(t *testing.T) {
 	ctx := context.Background()
 	state := testkit.NewState()
 	host, l := newTestLeader(t, state)
-	put := host.put(state)
+	put := host.recordWriter(state)
 	put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0, 0, 0}, IDs: []string{"a", "b", "c"}})
 	term := l.ensureTerm(time.Now())
-	tell := func(id, addr string) {
+	report := func(id, addr string) {
 		host.Lock()
 		defer host.Unlock()
 		l.recordAddressesLocked(ctx, term, []fleet.Summary{{Machines: []fleet.Machine{{ID: id, Addr: addr}}}})
 	}
-	tell("a", "a:1")
-	tell("b", "b:1")
+	report("a", "a:1")
+	report("b", "b:1")
 	if len(host.machines.ProvisionsWithoutAddresses()) != 1 || len(term.provisions.addresses) != 2 {
-		t.Fatal("recorded though a machine may yet come up")
+		t.Fatal("the addresses were recorded although machine c may still come up")
 	}
-	put(record.ReleaseKey(0, 1, 1), record.Release{IDs: []string{"c"}}) // it never did
-	tell("b", "b:1")
-	for { // the write is another goroutine's
+	put(record.ReleaseKey(0, 1, 1), record.Release{IDs: []string{"c"}}) // c never came up
+	report("b", "b:1")
+	for { // another goroutine writes the record
 		host.Lock()
 		left := len(host.machines.ProvisionsWithoutAddresses())
 		v, _ := host.machines.Machine("a")
 		host.Unlock()
 		if left == 0 {
 			if v.Addr != "a:1" {
-				t.Fatalf("got %+v", v)
+				t.Fatalf("the view has machine a as %+v, want address a:1", v)
 			}
 			break
 		}
@@ -126,17 +126,17 @@
 	}
 	e, err := state.Get(ctx, statestore.Urgent("test"), record.ProvisionKey("r"))
 	if err != nil || !strings.Contains(string(e.Value), `"addrs":["a:1","b:1",""]`) {
-		t.Fatalf("record %s, %v", e.Value, err)
+		t.Fatalf("provision record %s, error %v, want addresses a:1, b:1 and an empty one", e.Value, err)
 	}
 }
 
-// The cloud answers a request that it has seen before with the machines of then. A leader that was
-// not certain of its lease for a moment, as in an outage of the state service, goes on under the
-// same leadership; it numbered its provisions from one again, so that names came back whose
-// records had been cleared: nothing was rented, and the planner waited for machines that were gone
-// until each counted as never booted. What showed it: "machines provisioned name=c-2-12-7" twice in
-// one log, two minutes apart, each later "machine released why=never came up", while "job waits
-// reason=machines" named as many machines as not_up.
+// The cloud answers a repeated request with the machines that it provided the first time. A leader
+// whose lease is not certain for a moment, as in an outage of the state service, begins a new term
+// under the same leadership. If it numbered its provisions from one again, it would reuse names
+// whose records had been cleared: nothing would be provisioned, and the planner would wait for
+// machines that are gone until each counted as never booted. In the log this shows as the same name
+// twice in "machines provisioned" ("name=c-2-12-7", two minutes apart), each followed by "machine
+// released why=never came up", while "job waits reason=machines" gives as many machines as not_up.
 func TestProvisionNamesAreNotReusedAfterLeaseGap(t *testing.T) {
 	ctx := context.Background()
 	state := testkit.NewState()
@@ -154,17 +154,18 @@
 	}
 	host.Lock()
 	host.ApplyOwnWritesLocked(cleared, provision.Version+1, time.Now())
-	l.EndTermLocked() // its lease is not certain
+	l.EndTermLocked() // as when its lease is not certain
 	host.Unlock()
 	if second := provisionOne(ctx, host, l); second == first {
-		t.Errorf("%s is used twice, the cloud answered with %v", first, host.cloud.Rentals)
+		t.Errorf("provision record %s is used twice, the cloud's provisions are %v", first, host.cloud.Rentals)
 	}
 	if len(host.cloud.Rentals) != 2 {
-		t.Errorf("provisioned %v, want two machines", host.cloud.Rentals)
+		t.Errorf("the cloud's provisions are %v, want two", host.cloud.Rentals)
 	}
 }
 
-// provisionOne has a leader provision one machine, and returns the record's key.
+// provisionOne has a leader provision one machine, waits until that is done, and returns the key of
+// the provision's record.
 func provisionOne(ctx context.Context, host *fakeHost, l *Leader) (key string) {
 	term := l.ensureTerm(time.Now())
 	host.Lock()
@@ -173,7 +174,7 @@
 		key = record.ProvisionKey(name)
 	}
 	host.Unlock()
-	for { // it is carried out by another goroutine
+	for { // another goroutine carries the provision out
 		host.Lock()
 		left := len(term.provisions.underWay)
 		host.Unlock()
@@ -184,17 +185,17 @@
 	}
 }
 
-// A machine whose address is on no record can't be asked by an owner that never heard it: if it is
-// dead it counts as alive for several leases longer, and again after each change of the owner,
-// while its tasks hold their team's quota. An address was learned from its owner alone and was
-// lost with the leader. The cloud's list tells it, too. Chance schedules showed it (far-1999):
-// "job waits job=run-000004 reason=team_limit team_gpus=4" while i-000003, silent since 00:21 and
-// without an address, had two of the four; "machine released machine=i-000003 why=silent" came at
-// 03:53 after two failovers.
+// An owner that never received a heartbeat of a machine cannot probe it if its address is not
+// recorded. If the machine is dead, it counts as alive for several leases longer, and again after
+// each change of the owner, while its tasks use up their team's quota. Addresses were learned from
+// owners alone and were lost with the leader, so they are also learned from the cloud's list. Random
+// schedule far-1999 showed the fault: "job waits job=run-000004 reason=team_limit team_gpus=4" while
+// machine i-000003, silent since 00:21 and without an address, had two of the four GPUs; "machine
+// released machine=i-000003 why=silent" came at 03:53, after two failovers.
 func TestAddressesAreLearnedFromCloudList(t *testing.T) {
 	state := testkit.NewState()
 	host, l := newTestLeader(t, state)
-	put := host.put(state)
+	put := host.recordWriter(state)
 	put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0, 0}, IDs: []string{"a", "b"}})
 	host.cloud.Rentals = map[string][]string{"r": {"a", "b"}}
 	host.cloud.addresses = map[string]string{"a": "a:1", "b": "b:1"}
@@ -205,9 +206,9 @@
 	writing := len(term.provisions.recordingAddresses)
 	host.Unlock()
 	if writing != 1 {
-		t.Fatal("the addresses are not recorded, though the cloud's list told what owners did not")
+		t.Fatal("the addresses are not being recorded, although the cloud's list has the one that no owner reported")
 	}
-	for { // the write is another goroutine's
+	for { // another goroutine writes the record
 		host.Lock()
 		a, _ := host.machines.Machine("a")
 		b, _ := host.machines.Machine("b")
@@ -217,7 +218,7 @@
 			continue
 		}
 		if a.Addr != "a:2" || b.Addr != "b:1" {
-			t.Errorf("recorded %q and %q, want a:2 as the owner tells and b:1 as the list does", a.Addr, b.Addr)
+			t.Errorf("recorded addresses %q and %q, want a:2 from the owner and b:1 from the list", a.Addr, b.Addr)
 		}
 		return
 	}
