--- a/internal/scheduler/allocations_test.go
+++ b/internal/scheduler/allocations_test.go
@@ -13,9 +13,9 @@
 
 // Bounds are about half as much again as was measured, so that twice the work fails.
 const (
-	reportAllocs = 1    // measured: 0
-	machineBytes = 2300 // 1500
-	summaryBytes = 270  // 180
+	heartbeatAllocs        = 1    // measured: 0
+	bytesPerMachine        = 2300 // 1500
+	summaryBytesPerMachine = 270  // 180
 )
 
 // startAllocs bounds a start by the machines of its shard: 506, 1073 and 1577 were
@@ -67,8 +67,8 @@
 		if m := r.shard.inventory.byID[id]; m.contact.seq != rep.Seq || !m.contact.fenced {
 			t.Fatal("the report was not taken in")
 		}
-		if got > reportAllocs {
-			t.Errorf("%d machines: %.0f allocations for a report, want %d at most", machines, got, reportAllocs)
+		if got > heartbeatAllocs {
+			t.Errorf("%d machines: %.0f allocations for a report, want %d at most", machines, got, heartbeatAllocs)
 		}
 	}
 }
@@ -83,8 +83,8 @@
 	r.workers, r.state, r.fleet = map[string]*testkit.Worker{"i-003999": r.workers["i-003999"]}, nil, nil // the test's own
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	if got := (after.HeapAlloc - before.HeapAlloc) / maxMachinesPerShard; got > machineBytes {
-		t.Errorf("%d bytes for a machine, want %d at most", got, machineBytes)
+	if got := (after.HeapAlloc - before.HeapAlloc) / maxMachinesPerShard; got > bytesPerMachine {
+		t.Errorf("%d bytes for a machine, want %d at most", got, bytesPerMachine)
 	}
 	now := r.clock.Now()
 	r.shard.Step(now)
@@ -96,14 +96,14 @@
 		}
 		r.shard.Step(now)
 	})
-	if len(rep.Tasks) != 2 || got > reportAllocs {
-		t.Errorf("%.0f allocations for a report of %d tasks, want %d at most", got, len(rep.Tasks), reportAllocs)
+	if len(rep.Tasks) != 2 || got > heartbeatAllocs {
+		t.Errorf("%.0f allocations for a report of %d tasks, want %d at most", got, len(rep.Tasks), heartbeatAllocs)
 	}
 	runtime.ReadMemStats(&before)
 	summary := r.shard.Summary(now)
 	runtime.ReadMemStats(&after)
-	if got := (after.TotalAlloc - before.TotalAlloc) / maxMachinesPerShard; got > summaryBytes || len(summary.Machines) != maxMachinesPerShard {
-		t.Errorf("%d bytes to tell of a machine, want %d at most; %d machines", got, summaryBytes, len(summary.Machines))
+	if got := (after.TotalAlloc - before.TotalAlloc) / maxMachinesPerShard; got > summaryBytesPerMachine || len(summary.Machines) != maxMachinesPerShard {
+		t.Errorf("%d bytes to tell of a machine, want %d at most; %d machines", got, summaryBytesPerMachine, len(summary.Machines))
 	}
 }
 
@@ -122,8 +122,8 @@
 	runtime.KeepAlive(small)
 	runtime.KeepAlive(large)
 	got := int64(b-a) / 1800
-	if got > machineBytes {
-		t.Errorf("%d bytes for a machine, want %d at most", got, machineBytes)
+	if got > bytesPerMachine {
+		t.Errorf("%d bytes for a machine, want %d at most", got, bytesPerMachine)
 	}
 }
 
@@ -139,8 +139,8 @@
 	}
 	runtime.ReadMemStats(&after)
 	got := (after.TotalAlloc - before.TotalAlloc) / (summaries * machines)
-	if got > summaryBytes {
-		t.Errorf("%d bytes allocated to tell of a machine, want %d at most", got, summaryBytes)
+	if got > summaryBytesPerMachine {
+		t.Errorf("%d bytes allocated to tell of a machine, want %d at most", got, summaryBytesPerMachine)
 	}
 }
 
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -12,16 +12,16 @@
 	"bramblespur/internal/wire"
 )
 
-// after records a job that names others, as a controller does.
-func (r *harness) after(ref string, roots ...string) wire.Spec {
+// submitAfter records a job that names others, as a controller does.
+func (r *harness) submitAfter(ref string, roots ...string) wire.Spec {
 	s := spec(ref, "b", wire.Array, "normal", 1, 0)
 	s.CPUs, s.MemoryGB, s.DependsOn = 1, 1, roots
 	r.putActiveJob(record.ActiveJob{Spec: s, AcceptedAt: r.clock.Now().UnixMilli(), AwaitsDependencies: len(roots) > 0})()
 	return s
 }
 
-// tellEnds tells the shard which of the jobs that it waits for are over.
-func (r *harness) tellEnds() {
+// reportDependencyEnds tells the shard which of the jobs that it waits for are over.
+func (r *harness) reportDependencyEnds() {
 	for _, ref := range r.shard.Dependencies() {
 		if e := r.get(record.FinishedJobKey(ref)); e != nil {
 			j, err := decode[record.FinishedJob](*e)
@@ -36,9 +36,9 @@
 func TestJobWaitsForEveryDependency(t *testing.T) {
 	r := newHarness(t)
 	w := r.addMachine("m1", "z1", false)
-	r.after(jobA)
-	r.after(jobB)
-	r.after(jobC, jobA, jobB)
+	r.submitAfter(jobA)
+	r.submitAfter(jobB)
+	r.submitAfter(jobC, jobA, jobB)
 	r.heartbeats(3)
 	before := r.shard.arrivals.onDemand
 	if summary := r.shard.Summary(r.clock.Now()); slices.ContainsFunc(summary.Needs, func(n fleet.Need) bool { return n.Job == jobC }) {
@@ -46,18 +46,18 @@
 	}
 	w.End(jobA+"/0", wire.Done)
 	r.heartbeats(2)
-	r.tellEnds()
+	r.reportDependencyEnds()
 	r.heartbeats(2)
-	if got := started(w); slices.Contains(got, jobC) {
+	if got := startedJobs(w); slices.Contains(got, jobC) {
 		t.Fatalf("started %v with a root left", got)
 	}
 	w.End(jobB+"/0", wire.Done)
 	r.heartbeat()
 	over := r.clock.Now()
 	r.heartbeat()
-	r.tellEnds()
+	r.reportDependencyEnds()
 	r.heartbeats(2)
-	if got := started(w); !slices.Contains(got, jobC) {
+	if got := startedJobs(w); !slices.Contains(got, jobC) {
 		t.Fatalf("started %v, want the job after both", got)
 	}
 	if r.shard.arrivals.onDemand <= before {
@@ -74,14 +74,14 @@
 func TestCancellationReachesAllDependents(t *testing.T) {
 	r := newHarness(t)
 	w := r.addMachine("m1", "z1", false)
-	a := r.after(jobA)
-	r.after(jobB, jobA)
-	r.after(jobC, jobB)
+	a := r.submitAfter(jobA)
+	r.submitAfter(jobB, jobA)
+	r.submitAfter(jobC, jobB)
 	r.heartbeats(2)
 	r.cancel(a)()
 	for range 4 {
 		r.heartbeat()
-		r.tellEnds()
+		r.reportDependencyEnds()
 	}
 	for _, ref := range []string{jobA, jobB, jobC} {
 		if r.get(record.ActiveJobKey(ref)) != nil || r.jobState(ref) != wire.Cancelled {
@@ -89,13 +89,13 @@
 		}
 	}
 	// Who comes after the cascade has passed is caught as well.
-	r.after(jobD, jobC)
-	r.tellEnds()
+	r.submitAfter(jobD, jobC)
+	r.reportDependencyEnds()
 	r.heartbeats(2)
 	if r.jobState(jobD) != wire.Cancelled || len(r.shard.dependencies.dependents) > 0 {
 		t.Errorf("a later one is %q, and %d are waited for", r.jobState(jobD), len(r.shard.dependencies.dependents))
 	}
-	if got := started(w); !slices.Equal(got, []string{jobA}) {
+	if got := startedJobs(w); !slices.Equal(got, []string{jobA}) {
 		t.Errorf("started %v", got)
 	}
 }
@@ -104,8 +104,8 @@
 // gone here, too, whether its own end was under way or not.
 func TestWaitingJobEndedElsewhereIsRemoved(t *testing.T) {
 	r := newHarness(t)
-	r.after(jobA)
-	r.after(jobB, jobA)
+	r.submitAfter(jobA)
+	r.submitAfter(jobB, jobA)
 	e := r.get(record.ActiveJobKey(jobB))
 	_, err := r.state.Txn(t.Context(), statestore.Urgent("test"), wire.Txn{
 		If:   []wire.Condition{{Key: e.Key, Version: e.Version}},
@@ -119,7 +119,7 @@
 	if r.shard.HasJob(jobB) {
 		t.Error("still held after its record was found gone")
 	}
-	r.after(jobC, jobA)
+	r.submitAfter(jobC, jobA)
 	r.shard.JobRecordGone(jobC, r.clock.Now())
 	r.shard.JobRecordGone(jobA, r.clock.Now()) // runs, so only its owner ends it
 	if r.shard.HasJob(jobC) || !r.shard.HasJob(jobA) {
@@ -138,13 +138,13 @@
 	step := spec("run-000002", "b", wire.Array, "low", 1, 1)
 	r.submit(step)
 	r.heartbeats(4)
-	if got := started(w); slices.Contains(got, "run-000002") {
+	if got := startedJobs(w); slices.Contains(got, "run-000002") {
 		t.Fatalf("started %v: work of one priority gave way to its equal", got)
 	}
 	due := r.clock.Now().Add(time.Minute)
 	r.shard.SetInheritedUrgency("run-000002", fragment.Urgency{Rank: Rank("urgent"), Deadline: due})
 	r.heartbeats(5)
-	if got := started(w); !slices.Contains(got, "run-000002") {
+	if got := startedJobs(w); !slices.Contains(got, "run-000002") {
 		t.Fatalf("started %v: lower work did not give way", got)
 	}
 	j := r.shard.jobs["run-000002"]
@@ -172,7 +172,7 @@
 	for _, needed := range []bool{false, true} {
 		r := newHarness(t)
 		w := r.addMachine("m1", "z1", false)
-		r.after(jobA)
+		r.submitAfter(jobA)
 		r.heartbeats(2)
 		r.shard.SetInheritedUrgency(jobA, fragment.Urgency{Rank: Rank("normal"), HasDependents: needed})
 		w.End(jobA+"/0", wire.Done)
--- a/internal/scheduler/feasibility_test.go
+++ b/internal/scheduler/feasibility_test.go
@@ -117,7 +117,7 @@
 }
 
 // The leader is told of jobs of which nothing ran for minutes, and of no others.
-func TestSummaryTellsWhatStarves(t *testing.T) {
+func TestSummaryReportsStarvedJobs(t *testing.T) {
 	r := newHarness(t)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	starved := func() bool {
--- a/internal/scheduler/gang_start_delay_test.go
+++ b/internal/scheduler/gang_start_delay_test.go
@@ -9,18 +9,18 @@
 	"bramblespur/internal/wire"
 )
 
-// gangPlay plays how the tasks of a gang fetch, and how they wait for each other.
-type gangPlay struct {
-	r       *harness
-	ref     string
-	fetch   time.Duration // where the image is not cached
-	cached  string        // the machine that caches it
-	started map[*testkit.WorkerTask]time.Time
-	has     map[*testkit.WorkerTask]time.Time // since when a task has its image
+// gangSimulation plays how the tasks of a gang fetch, and how they wait for each other.
+type gangSimulation struct {
+	r         *harness
+	ref       string
+	fetchTime time.Duration // where the image is not cached
+	cached    string        // the machine that caches it
+	startedAt map[*testkit.WorkerTask]time.Time
+	fetchedAt map[*testkit.WorkerTask]time.Time // since when a task has its image
 }
 
 // advance plays the tasks up to now.
-func (g *gangPlay) advance() {
+func (g *gangSimulation) advance() {
 	now := g.r.clock.Now()
 	for id, w := range g.r.workers {
 		for name, t := range w.Tasks {
@@ -28,23 +28,23 @@
 			if ref != g.ref || t.State == wire.Exited {
 				continue
 			}
-			if g.started[t].IsZero() {
-				g.started[t] = now
+			if g.startedAt[t].IsZero() {
+				g.startedAt[t] = now
 				t.State = wire.Fetching
 			}
-			if t.State == wire.Fetching && (id == g.cached || now.Sub(g.started[t]) >= g.fetch) {
+			if t.State == wire.Fetching && (id == g.cached || now.Sub(g.startedAt[t]) >= g.fetchTime) {
 				t.State = wire.AwaitingGang
-				g.has[t] = now
+				g.fetchedAt[t] = now
 			}
-			if t.State == wire.AwaitingGang && now.Sub(g.has[t]) > g.r.cfg.GangWait {
+			if t.State == wire.AwaitingGang && now.Sub(g.fetchedAt[t]) > g.r.cfg.GangWait {
 				t.State, t.Why = wire.Exited, wire.ExitGangIncomplete
 			}
 		}
 	}
 }
 
-// gathered returns how many tasks of the gang have their image and wait, by attempt.
-func (g *gangPlay) gathered() map[uint64]int {
+// awaitingPeers returns how many tasks of the gang have their image and wait, by attempt.
+func (g *gangSimulation) awaitingPeers() map[uint64]int {
 	n := map[uint64]int{}
 	for _, w := range g.r.workers {
 		for name, t := range w.Tasks {
@@ -81,20 +81,20 @@
 			gang := spec("run-000002", "b", wire.Gang, "urgent", 2, 2)
 			gang.ImageGB = before.ImageGB
 			r.submit(gang)
-			play := &gangPlay{r: r, ref: gang.Ref, fetch: 45 * time.Second, cached: "m1",
-				started: map[*testkit.WorkerTask]time.Time{}, has: map[*testkit.WorkerTask]time.Time{}}
+			simulation := &gangSimulation{r: r, ref: gang.Ref, fetchTime: 45 * time.Second, cached: "m1",
+				startedAt: map[*testkit.WorkerTask]time.Time{}, fetchedAt: map[*testkit.WorkerTask]time.Time{}}
 			if direct {
 				r.sendStart = func(d DirectCommand) {
 					w := r.workers[d.Machine]
 					w.Obey(wire.Orders{Token: d.Orders.Token, Commands: d.Orders.Commands})
-					play.advance()
+					simulation.advance()
 					r.deliverCommand(d, true)
 				}
 			}
 			for range 60 {
 				r.heartbeat()
-				play.advance()
-				if play.gathered()[1] == 2 {
+				simulation.advance()
+				if simulation.awaitingPeers()[1] == 2 {
 					return
 				}
 			}
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// gangOfTwo submits a gang and adds the two machines that it needs.
-func (r *harness) gangOfTwo() wire.Spec {
+// submitGangOfTwo submits a gang and adds the two machines that it needs.
+func (r *harness) submitGangOfTwo() wire.Spec {
 	r.t.Helper()
 	s := spec("run-000001", "b", wire.Gang, "urgent", 2, 2)
 	r.submit(s)
@@ -53,7 +53,7 @@
 // same attempt.
 func TestGangReplacement(t *testing.T) {
 	r := newHarness(t)
-	r.gangOfTwo()
+	r.submitGangOfTwo()
 	r.heartbeats(2)
 	a, b := r.runningOn("run-000001/0"), r.runningOn("run-000001/1")
 	if a == "" || b == "" {
@@ -75,7 +75,7 @@
 // A gang is done when one of its tasks is: they complete together.
 func TestGangDoneTogether(t *testing.T) {
 	r := newHarness(t)
-	spec := r.gangOfTwo()
+	spec := r.submitGangOfTwo()
 	r.heartbeats(4)
 	w := r.workers[r.runningOn("run-000001/0")]
 	w.End("run-000001/0", wire.Done)
@@ -108,7 +108,7 @@
 
 // The largest gang starts within four minutes although smaller ones of its
 // priority never end to come and no machine can be added.
-func TestLargestGangIsServed(t *testing.T) {
+func TestLargestGangIsNotStarved(t *testing.T) {
 	r := newHarness(t)
 	for i := range 4 {
 		r.addMachine(fmt.Sprintf("m%d", i), "z1", false)
@@ -120,11 +120,11 @@
 			r.submit(spec(fmt.Sprintf("run-1%05d", n), "b", wire.Gang, "urgent", 1, 2))
 		}
 	}
-	r.play(20, 8, small)
+	r.runWithArrivals(20, 8, small)
 	large := spec("run-000001", "b", wire.Gang, "urgent", 4, 2)
 	large.OneZone = true
 	r.submit(large)
-	r.play(int(4*time.Minute/r.cfg.HeartbeatInterval), 8, small)
+	r.runWithArrivals(int(4*time.Minute/r.cfg.HeartbeatInterval), 8, small)
 	started := 0
 	for _, w := range r.workers {
 		for _, s := range w.Started {
@@ -155,7 +155,7 @@
 		accepted[s.Ref] = r.clock.Now()
 		r.submit(s)
 	}
-	r.play(int(14*time.Minute/r.cfg.HeartbeatInterval), 25, func(beat int) {
+	r.runWithArrivals(int(14*time.Minute/r.cfg.HeartbeatInterval), 25, func(beat int) {
 		for _, w := range r.workers {
 			for name := range w.Tasks {
 				if ref, _, _ := SplitTask(name); began[ref].IsZero() {
--- a/internal/scheduler/pipeline_test.go
+++ b/internal/scheduler/pipeline_test.go
@@ -34,16 +34,16 @@
 		Choices: []wire.Choice{{At: jobA, Done: jobB, Cancelled: jobC}}}
 }
 
-// pipeline submits a pipeline as a controller records it.
-func (r *harness) pipeline(p record.Pipeline) {
+// submitPipeline submits a submitPipeline as a controller records it.
+func (r *harness) submitPipeline(p record.Pipeline) {
 	r.state.Put(record.PipelineKey("pipe-000001"), p)
 	for i, ref := range p.Jobs {
 		r.putActiveJob(record.ActiveJob{Spec: spec(ref, "b", wire.Array, "normal", 1, 1), AcceptedAt: r.clock.Now().UnixMilli(), Pipeline: "pipe-000001", AwaitsDependencies: i > 0})()
 	}
 }
 
-// endAll lets whatever runs complete.
-func (r *harness) endAll() {
+// endRunningTasks lets whatever runs complete.
+func (r *harness) endRunningTasks() {
 	for _, w := range r.workers {
 		for name, t := range w.Tasks {
 			if t.State == wire.Running {
@@ -53,7 +53,7 @@
 	}
 }
 
-func started(w *testkit.Worker) []string {
+func startedJobs(w *testkit.Worker) []string {
 	var out []string
 	for _, s := range w.Started {
 		ref, _, _ := strings.Cut(s, "/")
@@ -62,7 +62,7 @@
 	return out
 }
 
-func (r *harness) pipeState() string {
+func (r *harness) pipelineState() string {
 	rec, err := decode[record.Pipeline](*r.get(record.PipelineKey("pipe-000001")))
 	if err != nil {
 		r.t.Fatal(err)
@@ -73,27 +73,27 @@
 // Jobs are released step by step: the join waits for both branches, and each
 // job runs once, also when the shard is acquired after any number of heartbeats.
 func TestPipelineStepByStep(t *testing.T) {
-	for crash := range 12 {
+	for failoverEvery := range 12 {
 		r := newHarness(t)
 		w := r.addMachine("m1", "z1", false)
-		r.pipeline(diamond())
+		r.submitPipeline(diamond())
 		for beat := range 40 {
-			if crash > 0 && beat%crash == crash-1 && beat < 24 {
+			if failoverEvery > 0 && beat%failoverEvery == failoverEvery-1 && beat < 24 {
 				r.failOver()
 			}
 			r.heartbeat()
-			got := started(w)
+			got := startedJobs(w)
 			if slices.Contains(got, jobD) && (r.jobState(jobB) != wire.Done || r.jobState(jobC) != wire.Done) {
-				t.Fatalf("claims each %d reports: the join started before both branches were done: %v", crash, got)
+				t.Fatalf("claims each %d reports: the join started before both branches were done: %v", failoverEvery, got)
 			}
-			r.endAll()
+			r.endRunningTasks()
 		}
-		got := started(w)
+		got := startedJobs(w)
 		slices.Sort(got)
-		if !slices.Equal(got, []string{jobA, jobB, jobC, jobD}) || r.pipeState() != wire.Done {
-			t.Errorf("claims each %d reports: started %v, pipeline %q", crash, got, r.pipeState())
+		if !slices.Equal(got, []string{jobA, jobB, jobC, jobD}) || r.pipelineState() != wire.Done {
+			t.Errorf("claims each %d reports: started %v, pipeline %q", failoverEvery, got, r.pipelineState())
 		}
-		if len(r.shard.dependencies.pipelines) > 0 && crash == 0 {
+		if len(r.shard.dependencies.pipelines) > 0 && failoverEvery == 0 {
 			t.Errorf("%d pipelines kept after the end", len(r.shard.dependencies.pipelines))
 		}
 	}
@@ -103,47 +103,47 @@
 func TestPipelineEndsSuccessors(t *testing.T) {
 	r := newHarness(t)
 	w := r.addMachine("m1", "z1", false)
-	r.pipeline(diamond())
+	r.submitPipeline(diamond())
 	r.heartbeats(2)
-	r.endAll()
+	r.endRunningTasks()
 	r.heartbeats(3)
 	r.putActiveJob(record.ActiveJob{Spec: spec(jobB, "b", wire.Array, "normal", 1, 1), Pipeline: "pipe-000001", Cancelled: true})()
 	r.heartbeats(3)
-	r.endAll()
+	r.endRunningTasks()
 	r.heartbeats(5)
 	for ref, want := range map[string]string{jobA: wire.Done, jobB: wire.Cancelled, jobC: wire.Done, jobD: wire.Cancelled} {
 		if got := r.jobState(ref); got != want {
 			t.Errorf("%s is %q, want %q", ref, got, want)
 		}
 	}
-	if slices.Contains(started(w), jobD) || r.pipeState() != wire.Cancelled {
-		t.Errorf("started %v, pipeline %q", started(w), r.pipeState())
+	if slices.Contains(startedJobs(w), jobD) || r.pipelineState() != wire.Cancelled {
+		t.Errorf("started %v, pipeline %q", startedJobs(w), r.pipelineState())
 	}
 }
 
 // At a choice only the branch of the job's outcome goes on.
 func TestPipelineChoosesByOutcome(t *testing.T) {
 	for _, x := range []struct {
-		cancel     bool
-		runs, dies string
+		cancel        bool
+		runs, skipped string
 	}{{false, jobB, jobC}, {true, jobC, jobB}} {
 		r := newHarness(t)
 		w := r.addMachine("m1", "z1", false)
-		r.pipeline(fork())
+		r.submitPipeline(fork())
 		r.heartbeats(2)
 		if x.cancel {
 			r.putActiveJob(record.ActiveJob{Spec: spec(jobA, "b", wire.Array, "normal", 1, 1), Pipeline: "pipe-000001", Cancelled: true})()
 		}
 		for range 16 {
-			r.endAll()
+			r.endRunningTasks()
 			r.heartbeat()
 		}
-		got := started(w)
-		if !slices.Contains(got, x.runs) || slices.Contains(got, x.dies) || !slices.Contains(got, jobD) {
+		got := startedJobs(w)
+		if !slices.Contains(got, x.runs) || slices.Contains(got, x.skipped) || !slices.Contains(got, jobD) {
 			t.Errorf("cancelled %t: started %v", x.cancel, got)
 		}
-		if r.jobState(x.dies) != wire.Cancelled || r.jobState(jobD) != wire.Done {
-			t.Errorf("cancelled %t: %s is %q, the last %q", x.cancel, x.dies, r.jobState(x.dies), r.jobState(jobD))
+		if r.jobState(x.skipped) != wire.Cancelled || r.jobState(jobD) != wire.Done {
+			t.Errorf("cancelled %t: %s is %q, the last %q", x.cancel, x.skipped, r.jobState(x.skipped), r.jobState(jobD))
 		}
 	}
 }
@@ -153,26 +153,26 @@
 func TestPipelineWithdrawnAndLostAnswers(t *testing.T) {
 	r := newHarness(t)
 	w := r.addMachine("m1", "z1", false)
-	r.pipeline(diamond())
+	r.submitPipeline(diamond())
 	r.heartbeats(2)
 	rec := diamond()
 	rec.State = wire.Cancelled
 	r.state.Put(record.PipelineKey("pipe-000001"), rec) // not told to the owner
-	r.endAll()
+	r.endRunningTasks()
 	r.heartbeats(6)
-	if got := started(w); !slices.Equal(got, []string{jobA}) {
+	if got := startedJobs(w); !slices.Equal(got, []string{jobA}) {
 		t.Fatalf("started %v after the withdrawal", got)
 	}
 	for lost := range 4 {
 		r := newHarness(t)
 		w := r.addMachine("m1", "z1", false)
-		r.pipeline(diamond())
+		r.submitPipeline(diamond())
 		for beat := range 40 {
 			if beat%4 == lost {
 				r.state.LoseAnswers = 1
 			}
 			r.heartbeat()
-			r.endAll()
+			r.endRunningTasks()
 			for _, ref := range diamond().Jobs { // as the watch tells
 				if e := r.get(record.ActiveJobKey(ref)); e != nil {
 					o, err := decode[record.ActiveJob](*e)
@@ -183,16 +183,16 @@
 				}
 			}
 		}
-		got := started(w)
+		got := startedJobs(w)
 		slices.Sort(got)
-		if fmt.Sprint(got) != fmt.Sprint([]string{jobA, jobB, jobC, jobD}) || r.pipeState() != wire.Done {
-			t.Errorf("answer %d of 4 lost: started %v, pipeline %q", lost, got, r.pipeState())
+		if fmt.Sprint(got) != fmt.Sprint([]string{jobA, jobB, jobC, jobD}) || r.pipelineState() != wire.Done {
+			t.Errorf("answer %d of 4 lost: started %v, pipeline %q", lost, got, r.pipelineState())
 		}
 	}
 }
 
-// wide is a pipeline with a split into so many jobs, and its join.
-func wide(n int) record.Pipeline {
+// splitAndJoin is a pipeline with a split into so many jobs, and its join.
+func splitAndJoin(n int) record.Pipeline {
 	p := record.Pipeline{Jobs: []string{"run-000000"}}
 	last := fmt.Sprintf("run-%06d", n+1)
 	for i := range n {
@@ -207,7 +207,7 @@
 // What the first version accepted under wider limits comes to its end under the
 // tighter ones, though neither its record nor its steps fit: each job once, the
 // join last, whoever owns the shard and whatever answers are lost.
-func TestPipelineInPieces(t *testing.T) {
+func TestOversizedPipeline(t *testing.T) {
 	for seed := range uint64(10) {
 		rnd := rand.New(rand.NewPCG(seed, 5))
 		r := newHarness(t)
@@ -215,11 +215,11 @@
 		r.failOver()
 		r.shard.UseSizedRanges()
 		w := r.addMachine("m1", "z1", false)
-		p := wide(13)
+		p := splitAndJoin(13)
 		if size := len(record.Encode(p)); size < 1024 || !p.NeedsSplitCommits(1024, 5) {
 			t.Fatalf("a record of %d bytes is not too large", size)
 		}
-		r.pipeline(p)
+		r.submitPipeline(p)
 		r.state.Limit(1024, 5)
 		last := p.Jobs[len(p.Jobs)-1]
 		for beat := range 120 {
@@ -237,40 +237,40 @@
 				r.state.Release()
 			}
 			r.heartbeat()
-			if slices.Contains(started(w), last) {
+			if slices.Contains(startedJobs(w), last) {
 				for _, ref := range p.Jobs[:len(p.Jobs)-1] {
 					if r.jobState(ref) != wire.Done {
 						t.Fatalf("seed %d: the join started while %s is %q", seed, ref, r.jobState(ref))
 					}
 				}
 			}
-			r.endAll()
+			r.endRunningTasks()
 		}
 		for _, ref := range p.Jobs {
 			if got := r.jobState(ref); got != wire.Done {
 				t.Errorf("seed %d: %s is %q", seed, ref, got)
 			}
 		}
-		if r.pipeState() != wire.Done || r.invalid > 0 {
-			t.Errorf("seed %d: the pipeline is %q, and %d writes were too large", seed, r.pipeState(), r.invalid)
+		if r.pipelineState() != wire.Done || r.invalid > 0 {
+			t.Errorf("seed %d: the pipeline is %q, and %d writes were too large", seed, r.pipelineState(), r.invalid)
 		}
 	}
 }
 
 // A cancelled job of such a pipeline ends what follows it; a withdrawal that came no
 // further than the pipeline's own record ends all.
-func TestPipelineInPiecesEnds(t *testing.T) {
+func TestOversizedPipelineIsCancelled(t *testing.T) {
 	for _, withdrawn := range []bool{false, true} {
 		r := newHarness(t)
 		r.cfg.PlacementsPerRecord, r.cfg.TxnOps, r.cfg.ValueBytes = PlacementsPerRecord(16), 5, 1024
 		r.failOver()
 		r.shard.UseSizedRanges()
 		r.addMachine("m1", "z1", false)
-		p := wide(13)
-		r.pipeline(p)
+		p := splitAndJoin(13)
+		r.submitPipeline(p)
 		r.state.Limit(1024, 5)
 		r.heartbeats(2)
-		r.endAll()
+		r.endRunningTasks()
 		r.heartbeats(3)
 		if withdrawn {
 			over := p
@@ -285,7 +285,7 @@
 		for range 20 {
 			r.heartbeat()
 			if !withdrawn {
-				r.endAll()
+				r.endRunningTasks()
 			}
 		}
 		for i, ref := range p.Jobs {
@@ -297,8 +297,8 @@
 				t.Errorf("withdrawn %t: %s is %q, want %q", withdrawn, ref, got, want)
 			}
 		}
-		if r.pipeState() != wire.Cancelled || len(r.shard.jobs) > 0 {
-			t.Errorf("withdrawn %t: the pipeline is %q with %d jobs left", withdrawn, r.pipeState(), len(r.shard.jobs))
+		if r.pipelineState() != wire.Cancelled || len(r.shard.jobs) > 0 {
+			t.Errorf("withdrawn %t: the pipeline is %q with %d jobs left", withdrawn, r.pipelineState(), len(r.shard.jobs))
 		}
 	}
 }
--- a/internal/scheduler/placement_records_test.go
+++ b/internal/scheduler/placement_records_test.go
@@ -49,7 +49,7 @@
 		}
 	}
 	for range 10 {
-		r.endAll()
+		r.endRunningTasks()
 		r.heartbeat()
 	}
 	for i := range 4 {
@@ -119,7 +119,7 @@
 	s.CPUs = 1
 	r.submit(s)
 	for range 40 {
-		r.endAll()
+		r.endRunningTasks()
 		r.heartbeat()
 		r.clock.Advance(time.Second)
 	}
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestKindsOfMachine(t *testing.T) {
+func TestMachineConstraints(t *testing.T) {
 	r := newHarness(t)
 	r.addMachine("m1", "z1", true)
 	zone := "z2"
@@ -42,7 +42,7 @@
 }
 
 // Higher work takes the place of lower, which saves first.
-func TestLowerWorkIsPreempted(t *testing.T) {
+func TestLowerPriorityIsPreempted(t *testing.T) {
 	r := newHarness(t)
 	w := r.addMachine("m1", "z1", false)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 2, 1))
@@ -75,8 +75,8 @@
 	}
 }
 
-// newRigWithSlowFetches has machines to which an image takes 20 s.
-func newRigWithSlowFetches(t testing.TB) *harness {
+// newHarnessWithSlowFetches has machines to which an image takes 20 s.
+func newHarnessWithSlowFetches(t testing.TB) *harness {
 	t.Helper()
 	r := newHarness(t)
 	typ := r.cfg.Types["big"]
@@ -88,7 +88,7 @@
 // A service goes to a machine that caches its image even where lower work has
 // to be preempted there, rather than fetch it on a free one.
 func TestServicePreemptsWhereItsImageIsCached(t *testing.T) {
-	r := newRigWithSlowFetches(t)
+	r := newHarnessWithSlowFetches(t)
 	r.addMachine("m1", "z1", false)
 	first := spec("run-000001", "b", wire.Service, "prod", 1, 2)
 	first.Image = "web"
@@ -119,7 +119,7 @@
 // Room that was made where the image is not cached is used at once: a service
 // does not wait on it for room with the image.
 func TestServiceUsesRoomMadeForIt(t *testing.T) {
-	r := newRigWithSlowFetches(t)
+	r := newHarnessWithSlowFetches(t)
 	r.addMachine("m1", "z1", false)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 2, 1))
 	r.heartbeats(20)
@@ -132,10 +132,10 @@
 	}
 }
 
-// play lets tasks end after so many beats and calls arrive before each.
-func (r *harness) play(beats, life int, arrive func(beat int)) {
+// runWithArrivals lets tasks end after so many beats and calls arrive before each.
+func (r *harness) runWithArrivals(heartbeats, lifetime int, arrive func(beat int)) {
 	began := map[string]int{}
-	for beat := range beats {
+	for beat := range heartbeats {
 		arrive(beat)
 		for _, w := range r.workers {
 			for name, t := range w.Tasks {
@@ -145,7 +145,7 @@
 				if _, ok := began[name]; !ok {
 					began[name] = beat
 				}
-				if beat-began[name] >= life {
+				if beat-began[name] >= lifetime {
 					w.End(name, wire.Done)
 				}
 			}
@@ -156,14 +156,14 @@
 
 // Low work is served as well, though higher work asks for more than there is
 // all the time, and it is not taken off again.
-func TestLowWorkIsServed(t *testing.T) {
+func TestLowPriorityIsNotStarved(t *testing.T) {
 	r := newHarness(t)
 	for i := range 4 {
 		r.addMachine(fmt.Sprintf("m%d", i), "z1", false)
 	}
 	n, low := 0, 0
 	done := 0
-	r.play(400, 10, func(beat int) {
+	r.runWithArrivals(400, 10, func(beat int) {
 		n++
 		r.submit(spec(fmt.Sprintf("run-1%05d", n), "b", wire.Gang, "urgent", 1, 2))
 		if beat%40 == 0 && beat < 200 {
@@ -184,7 +184,7 @@
 // Work without cards goes beside work with cards that is preempted for no gang, though
 // another machine caches its image: not on one whose work may have to go, nor on one
 // that a gang could use as a whole.
-func TestWithoutCardsBesideWhatStays(t *testing.T) {
+func TestTaskWithoutGPUsGoesBesideUnpreemptibleTasks(t *testing.T) {
 	place := func(with string) string {
 		r := newHarness(t)
 		r.addMachine("m1", "z1", false)
--- a/internal/scheduler/random_graph_test.go
+++ b/internal/scheduler/random_graph_test.go
@@ -114,7 +114,7 @@
 		if !ok {
 			return
 		}
-		p.owner(ref).after(ref, p.graph.dependencies[ref]...)
+		p.owner(ref).submitAfter(ref, p.graph.dependencies[ref]...)
 	}
 	if n < graphDisturbRounds && len(p.graph.refs) > 0 {
 		p.disturb()
@@ -122,10 +122,10 @@
 	turn := p.shards[p.rnd.IntN(len(p.shards))]
 	if p.rnd.IntN(2) == 0 || n > graphEndingRounds {
 		for _, r := range p.shards {
-			r.endAll()
+			r.endRunningTasks()
 		}
 	}
-	turn.tellEnds()
+	turn.reportDependencyEnds()
 	turn.heartbeat()
 	p.check()
 }
@@ -167,8 +167,8 @@
 	p.state.Release()
 	for range graphRestPerJob * len(p.graph.refs) {
 		for _, r := range p.shards {
-			r.endAll()
-			r.tellEnds()
+			r.endRunningTasks()
+			r.reportDependencyEnds()
 			r.heartbeat()
 		}
 		p.check()
@@ -184,7 +184,7 @@
 			p.t.Fatalf("seed %d: shard %d: %v", p.seed, r.id, err)
 		}
 		for _, w := range r.workers {
-			for _, ref := range started(w)[p.checked[w]:] {
+			for _, ref := range startedJobs(w)[p.checked[w]:] {
 				p.checkDependenciesDone(ref)
 			}
 			p.checked[w] = len(w.Started)
--- a/internal/scheduler/upgrade_test.go
+++ b/internal/scheduler/upgrade_test.go
@@ -235,7 +235,7 @@
 		}
 		r.state.Release()
 		for range 200 {
-			r.endAll()
+			r.endRunningTasks()
 			r.heartbeat()
 			r.checkNoTaskRunsTwice()
 		}
