--- a/internal/controller/election/election_test.go
+++ b/internal/controller/election/election_test.go
@@ -17,7 +17,7 @@
 	"bramblespur/internal/wire"
 )
 
-// process is a process that takes part in an election, with its own view.
+// process is a process that campaigns, with a view of its own.
 type process struct {
 	*Election
 	view *clusterview.Cluster
@@ -32,8 +32,8 @@
 	return process{New(label, func() statestore.Store { return state }, lease, view, &sync.Mutex{}, slog.New(slog.DiscardHandler)), view}
 }
 
-// A leader is one incarnation: after a restart the label alone does not lead,
-// and what the earlier process requests late fails.
+// A leader is an incarnation of a controller: after a restart a controller does not lead because of
+// its label alone, and late requests of the earlier process fail.
 func TestLeaderIsAnIncarnation(t *testing.T) {
 	ctx := context.Background()
 	state := testkit.NewState()
@@ -41,21 +41,21 @@
 	before.Campaign(ctx, record.Versioned[record.Leader]{})
 	now := time.Now()
 	if !before.IsLeader(now) {
-		t.Fatal("does not lead")
+		t.Fatal("the process does not lead after it campaigned")
 	}
 	elected := before.view.Leader()
-	after.view.SetLeader(elected.Rec, elected.Version) // as the watch tells the next process
+	after.view.SetLeader(elected.Rec, elected.Version) // as the watch of the next process does
 	if after.IsLeader(now) {
-		t.Fatal("leads by its label")
+		t.Fatal("the next process leads because of its label")
 	}
 	after.Campaign(ctx, after.view.Leader())
 	if !after.IsLeader(now) {
-		t.Fatal("the next process can't lead")
+		t.Fatal("the next process does not lead after it campaigned")
 	}
 	stale := before.view.Leader()
 	before.Campaign(ctx, stale) // late
 	if e, err := state.Get(ctx, statestore.Urgent("test"), record.LeaderKey); err != nil || e.Version != after.view.Leader().Version {
-		t.Fatalf("record %+v, %v: the earlier process took the lead back", e, err)
+		t.Fatalf("record %+v, error %v: want the record of the next process after the earlier one campaigned late", e, err)
 	}
 	if _, err := state.Txn(ctx, statestore.Urgent("test"), wire.Txn{
 		If:   []wire.Condition{{Key: record.ProvisionKey("x")}, {Key: record.LeaderKey, Version: stale.Version}},
@@ -65,8 +65,8 @@
 	}
 }
 
-// Only a vacant lead, or that of an earlier process of the same label, is campaigned for,
-// and not for a while after stepping down.
+// A process may campaign only if there is no leader or the leader has the same label, if its lease
+// has not expired, and not for a while after it stepped down.
 func TestMayCampaign(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
@@ -83,23 +83,23 @@
 		first.Campaign(ctx, first.view.Leader())
 		elected := first.view.Leader()
 		second.view.SetLeader(elected.Rec, elected.Version)
-		check(second, "another leads", false)
+		check(second, "another controller leads", false)
 		ended := false
 		first.StepDown(ctx, func() { ended = true })
 		if !ended {
-			t.Error("the term goes on")
+			t.Error("stepping down did not end the term")
 		}
 		if e, err := state.Get(ctx, statestore.Urgent("test"), record.LeaderKey); !errors.Is(err, statestore.ErrNotFound) {
-			t.Errorf("record %+v, %v after stepping down", e, err)
+			t.Errorf("record %+v, error %v after stepping down, want no record", e, err)
 		}
 		check(first, "just stepped down", false)
 		time.Sleep(abstainAfterStepDown)
-		check(first, "at the end of the pause", false)
+		check(first, "at the end of the abstention", false)
 		time.Sleep(time.Nanosecond)
-		check(first, "after the pause", true)
+		check(first, "after the abstention", true)
 		time.Sleep(membership.LeaseTTL)
 		if _, may := first.MayCampaign(time.Now()); may {
-			t.Error("may campaign without a lease")
+			t.Error("may campaign although the lease has expired")
 		}
 	})
 }
