--- a/internal/scheduler/data_loss_test.go
+++ b/internal/scheduler/data_loss_test.go
@@ -9,8 +9,8 @@
 	"bramblespur/internal/wire"
 )
 
-// A task that the records do not know is looked for once, and stays undecided until it is
-// explained, or is confirmed and other machines have had the time to tell the same.
+// The records of an unrecorded task are looked up once. The task stays undecided until it is explained,
+// or is confirmed and other machines have had the time to report unrecorded tasks, too.
 func TestUnrecordedTaskIsUndecidedUntilExplainedOrOld(t *testing.T) {
 	const interval = 2 * time.Second
 	now := testkit.NewClock().Now()
@@ -18,29 +18,29 @@
 	var d dataLossDetection
 	d.enable()
 	if undecided, added := d.suspect("m1", task("run-000001/0"), interval, now); !undecided || !added {
-		t.Fatalf("undecided %t, looked for %t", undecided, added)
+		t.Fatalf("first report: undecided %t, looked up %t, want both", undecided, added)
 	}
 	if undecided, added := d.suspect("m1", task("run-000001/0"), interval, now.Add(time.Hour)); !undecided || added {
-		t.Fatalf("once more: undecided %t, looked for %t", undecided, added)
+		t.Fatalf("second report: undecided %t, looked up %t, want only undecided", undecided, added)
 	}
 	if d.confirm("run-000001/0") {
-		t.Error("one machine is enough for records to be lost")
+		t.Error("records count as lost after the reports of one machine")
 	}
 	if !d.undecided(now.Add(heartbeatsToConfirmLoss*interval-1), interval) || d.undecided(now.Add(heartbeatsToConfirmLoss*interval), interval) {
-		t.Error("it is not decided when other machines have had their time")
+		t.Error("a confirmed task is not undecided for exactly heartbeatsToConfirmLoss intervals")
 	}
 	d.suspect("m2", task("run-000001/1"), interval, now)
 	if !d.confirm("run-000001/1") {
-		t.Error("two machines are not enough for records to be lost")
+		t.Error("records do not count as lost after the reports of two machines")
 	}
 	d.suspect("m3", task("run-000001/2"), interval, now)
 	d.explain("run-000001/2")
 	if undecided, added := d.suspect("m3", task("run-000001/2"), interval, now); undecided || added {
-		t.Errorf("explained: undecided %t, looked for %t", undecided, added)
+		t.Errorf("explained task: undecided %t, looked up %t, want neither", undecided, added)
 	}
 }
 
-// What is remembered is bounded; beyond that nothing is decided.
+// The suspected tasks are bounded; further tasks are undecided and not looked up.
 func TestUnrecordedTasksAreBounded(t *testing.T) {
 	now := testkit.NewClock().Now()
 	var d dataLossDetection
@@ -49,6 +49,6 @@
 		d.suspect("m1", &wire.HeartbeatTask{Task: fmt.Sprint("run-000001/", i)}, time.Second, now)
 	}
 	if undecided, added := d.suspect("m1", &wire.HeartbeatTask{Task: "run-000002/0"}, time.Second, now); !undecided || added || len(d.suspected) != maxUnrecordedTasks {
-		t.Errorf("undecided %t, looked for %t, %d remembered", undecided, added, len(d.suspected))
+		t.Errorf("undecided %t, looked up %t, want only undecided; %d tasks are suspected", undecided, added, len(d.suspected))
 	}
 }
--- a/internal/scheduler/deposed_test.go
+++ b/internal/scheduler/deposed_test.go
@@ -13,25 +13,25 @@
 	"bramblespur/internal/wire"
 )
 
-// The tests below guard the condition of each write on its shard's record: an owner
-// that another one has followed without its knowledge, as when only its peers lost
-// sight of it, makes a write after its successor has read the records. The other
-// conditions of these writes hold, since the successor has changed none of those records.
+// These tests guard the condition of each write on its shard's record: an owner that has a successor
+// without having noticed, for example because only its peers lost contact with it, makes a write
+// after the successor has loaded the records. The other conditions of these writes hold, since the
+// successor has changed none of those records.
 
-// deposedHarness is a shard whose owner does not know yet that another one has followed.
+// deposedHarness is a shard with a new owner, and an old owner that has not noticed this.
 type deposedHarness struct {
 	*harness
 	oldOwner *Shard
 }
 
-// depose makes a new owner and keeps the old one.
+// depose gives the shard a new owner and keeps the old one.
 func depose(r *harness) *deposedHarness {
 	d := &deposedHarness{harness: r, oldOwner: r.shard}
 	r.failOver()
 	return d
 }
 
-// nextTxn returns the next transaction that the shard's owner makes by itself.
+// nextTxn steps the shard until it wants to write, and returns that transaction.
 func (r *harness) nextTxn() *Txn {
 	r.t.Helper()
 	for range 4 {
@@ -41,12 +41,12 @@
 		}
 		r.clock.Advance(r.cfg.HeartbeatInterval / 2)
 	}
-	r.t.Fatal("no transaction")
+	r.t.Fatal("no transaction in 4 steps")
 	return nil
 }
 
-// commitLate carries out a transaction of the old owner and tells it what came of it. It
-// reports whether the transaction failed on the shard's record.
+// commitLate carries out a transaction of the old owner and passes the outcome to it. It reports
+// whether the condition on the shard's record failed.
 func (d *deposedHarness) commitLate(t *Txn) bool {
 	d.t.Helper()
 	now := d.clock.Now()
@@ -63,7 +63,7 @@
 	return false
 }
 
-// reportToOldOwner lets a worker that has not heard the new owner report to the old one.
+// reportToOldOwner sends a heartbeat of a worker to the old owner.
 func (d *deposedHarness) reportToOldOwner(w *testkit.Worker) {
 	report := w.Report()
 	if orders, verdict := d.oldOwner.Heartbeat(&report, false, d.clock.Now()); verdict == Answered {
@@ -71,7 +71,8 @@
 	}
 }
 
-// notifyOldOwner shows the old owner a machine as it is on record now, and has its worker report there.
+// notifyOldOwner applies a machine's present record to the old owner and sends it three heartbeats of
+// the worker.
 func (d *deposedHarness) notifyOldOwner(w *testkit.Worker) {
 	d.t.Helper()
 	view, _ := d.fleet.Machine(w.ID)
@@ -84,8 +85,8 @@
 	}
 }
 
-// A start that the old owner records after its successor has read the records would
-// run beside the one that the successor decides on.
+// If the old owner could record a start after its successor has loaded the records, the task would
+// run twice: there and where the successor starts it.
 func TestDeposedOwnerRecordsNoStart(t *testing.T) {
 	r := newHarness(t)
 	w1 := r.addMachine("m1", "z1", false)
@@ -98,15 +99,15 @@
 	w2 := r.addMachine("m2", "z1", false)
 	r.heartbeats(4, w2)
 	if at := r.runningOn("run-000001/0"); at != "m2" {
-		t.Errorf("the task is on %q, want m2, where its owner started it", at)
+		t.Errorf("the task is on %q, want m2, where the new owner started it", at)
 	}
 	if !refused || !d.oldOwner.OwnershipLost() {
 		t.Error("a start was recorded by an owner that has a successor")
 	}
 }
 
-// An end that the old owner records, in whose ledger no task of the job is left, would
-// be told to the user while the successor's task runs.
+// If the old owner, whose ledger has no placed task of a job, could record the job's end, the user
+// would see that end while a task started by the successor runs.
 func TestDeposedOwnerEndsNoJob(t *testing.T) {
 	r := newHarness(t)
 	s := spec("run-000001", "b", wire.Array, "normal", 1, 1)
@@ -133,8 +134,8 @@
 	}
 }
 
-// A machine that the old owner moves to another shard, since it knows of nothing
-// there, would take the successor's task with it, which then runs twice.
+// If the old owner, whose ledger has no task on a machine, could transfer the machine to another
+// shard, the successor's task there would be transferred with it and then run twice.
 func TestDeposedOwnerTransfersNoMachine(t *testing.T) {
 	r := newHarness(t)
 	w1 := r.addMachine("m1", "z1", false)
@@ -151,8 +152,8 @@
 	if e := r.get(record.OverrideKey("m1")); e != nil {
 		r.applyRecord(*e)
 	}
-	// The next start on the machine is conditioned on its record, which tells its owner
-	// that it has moved.
+	// The next start on the machine is conditional on its record, so that the new owner would
+	// notice a transfer.
 	r.submit(spec("run-000002", "b", wire.Array, "normal", 1, 1))
 	r.heartbeats(2, w1)
 	w2 := r.addMachine("m2", "z1", false)
@@ -161,11 +162,11 @@
 		t.Errorf("the task is on %q, want m1", at)
 	}
 	if !refused {
-		t.Error("a machine was moved by an owner that has a successor")
+		t.Error("a machine was transferred by an owner that has a successor")
 	}
 }
 
-// A machine that the old owner releases would end the successor's task.
+// If the old owner could release a machine, the successor's task there would be lost.
 func TestDeposedOwnerReleasesNoMachine(t *testing.T) {
 	r := newHarness(t)
 	r.addMachine("m1", "z1", false)
@@ -181,15 +182,16 @@
 	refused := d.commitLate(back)
 	r.releaseMachines()
 	if len(r.cloud.Returned) != 0 {
-		t.Errorf("%v went back with a task on it", r.cloud.Returned)
+		t.Errorf("%v was released with a task on it", r.cloud.Returned)
 	}
 	if !refused {
-		t.Error("a machine was given back by an owner that has a successor")
+		t.Error("a machine was released by an owner that has a successor")
 	}
 }
 
-// stepWithWritesRefused plays a turn of an owner that the state service refuses alone: nothing is
-// written, and what it wants to read is read later. It returns that.
+// stepWithWritesRefused handles heartbeats and steps the shard while the state service refuses the
+// requests of its owner only: all writes are refused. It returns the machines whose records are to
+// be read again.
 func (r *harness) stepWithWritesRefused(workers ...*testkit.Worker) (rereads []string) {
 	now := r.clock.Now()
 	for _, w := range workers {
@@ -206,10 +208,10 @@
 	return effects.RereadMachines
 }
 
-// A move without an answer is read back before anything else is done with the machine.
-// Taken for refused, the machine would count as this shard's as long as the state service
-// refuses its owner alone: it says nothing there, since it reports to the shard that it
-// has moved to, and would be released with that shard's task on it.
+// After a transfer without an answer the machine's record is read again before the shard does
+// anything else with the machine. If the transfer counted as refused, the machine would stay in the
+// old shard as long as the state service refuses only that shard's owner. It would be silent there,
+// since it reports to the new shard, and would be released with a task of the new shard on it.
 func TestTransferWithoutAnswerIsNotTakenForRefused(t *testing.T) {
 	r := newHarness(t)
 	moved, stays := r.addMachine("m1", "z1", false), r.addMachine("m2", "z1", false)
@@ -229,9 +231,9 @@
 		rereads = append(rereads, r.stepWithWritesRefused(stays)...)
 	}
 	if other.runningOn("run-000001/0") != "m1" {
-		t.Fatal("not started by the part that the machine has moved to")
+		t.Fatal("not started by the shard that the machine was transferred to")
 	}
-	for _, id := range rereads { // the state service serves it again
+	for _, id := range rereads { // the state service serves the old shard's owner again
 		if err := r.shard.MachineRead(id, r.get(record.OverrideKey(id)), r.clock.Now()); err != nil {
 			t.Fatal(err)
 		}
@@ -239,23 +241,24 @@
 	r.heartbeats(3, stays)
 	other.heartbeats(2)
 	if len(r.cloud.Returned) != 0 {
-		t.Errorf("%v went back while run-000001/0 runs there", r.cloud.Returned)
+		t.Errorf("%v was released while run-000001/0 runs there", r.cloud.Returned)
 	}
 	if other.runningOn("run-000001/0") != "m1" || len(moved.Started) != 1 {
-		t.Errorf("starts %v", moved.Started)
+		t.Errorf("starts on m1 are %v, want one, whose task still runs", moved.Started)
 	}
 	if r.shard.HasMachine("m1") {
-		t.Error("the machine still counts as the old part's")
+		t.Error("the old shard still has the machine")
 	}
 }
 
-// A machine's token is raised by rewriting its record. The watch of machines' records may come
-// before that of ownership records: then an owner that has a successor sees the machine's new
-// version first. It took that for its own token, believed the machine's heartbeats, ended what its
-// successor had started there, and with the detection of data loss on believed in a loss, as the
-// attempts were above those that it knew. Without its lease it could have started nothing.
+// A machine's token is raised by rewriting its override record. The watch of machine records may be
+// ahead of the watch of ownership records: then an owner that has a successor sees the machine's new
+// version first. It used that version as its own token, accepted the machine's heartbeats and
+// stopped the tasks that its successor had started there. With data loss detection it also
+// suspected a data loss, since the attempts were above those in its ledger. Without its lease it
+// could not have started a task.
 //
-// Chance schedules showed it (far-115, "refused alone" for 40 s and then served again):
+// Random schedules showed this (far-115, "refused alone" for 40 s and then served again):
 // "task not in the records task=run-000001/3 machine=i-000015 shard=2 token=155 attempt=12
 // recorded=10", while the heartbeat had token 236, which c-0 had given the machine as the owner of
 // the shard under token 175.
@@ -283,7 +286,8 @@
 	}
 }
 
-// The same for a machine that was transferred to the shard after it had a new owner.
+// The same as TestDeposedOwnerTakesNoRaisedToken, for a machine that was transferred to the shard
+// after the shard had a new owner.
 func TestDeposedOwnerTakesNoTransferredMachine(t *testing.T) {
 	r := newHarness(t)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
--- a/internal/scheduler/failover_test.go
+++ b/internal/scheduler/failover_test.go
@@ -8,46 +8,46 @@
 	"bramblespur/internal/wire"
 )
 
-// A new owner knows from the records what may run where, and starts nothing
-// twice even when the machine is silent for long.
+// A new owner loads from the records which tasks may run on which machine, and starts no task twice
+// even if the machine is silent for long.
 func TestFailoverKeepsPlacements(t *testing.T) {
 	r := newHarness(t)
 	w1 := r.addMachine("m1", "z1", false)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	r.heartbeats(3)
 	if r.runningOn("run-000001/0") != "m1" {
-		t.Fatal("not started")
+		t.Fatal("the task was not started on m1")
 	}
 	w2 := r.addMachine("m2", "z1", false)
 	r.failOver()
 	r.heartbeats(8, w2)
 	if len(w2.Started) != 0 {
-		t.Fatalf("started on a second machine: %v", w2.Started)
+		t.Fatalf("started %v on a second machine, want none", w2.Started)
 	}
 	r.heartbeats(2, w1)
 	if r.runningOn("run-000001/0") != "m1" || len(w1.Started) != 1 {
-		t.Fatalf("task did not go on where it was: %v", w1.Started)
+		t.Fatalf("starts on m1 are %v, want one, whose task still runs", w1.Started)
 	}
 }
 
-// Crash between record and command: the next owner sees that the task never
-// arrived, and starts it under a new attempt.
+// The owner crashes between recording and sending a start: the next owner finds that the start never
+// arrived, and starts the task under a new attempt.
 func TestCrashBetweenRecordAndCommand(t *testing.T) {
 	r, w := newHarnessWithMachine(t)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	r.carryOutEffects()
 	if len(w.Started) != 0 {
-		t.Fatal("started too early for this test")
+		t.Fatal("the task was started before the failover")
 	}
 	r.failOver()
 	r.heartbeats(4)
 	if !slices.Equal(w.Started, []string{"run-000001/0#2"}) {
-		t.Fatalf("starts %v, want attempt 2 only", w.Started)
+		t.Fatalf("starts %v, want only attempt 2", w.Started)
 	}
 }
 
-// The late answer of a deposed owner carries a lower token and does nothing;
-// its late write fails on the shard's record.
+// A late response of a deposed owner carries a lower token and has no effect. A worker that reports
+// the new owner's token to the deposed owner gets no response from it.
 func TestDeposedOwnerDoesNothing(t *testing.T) {
 	r, w := newHarnessWithMachine(t)
 	old := r.shard
@@ -56,12 +56,12 @@
 	rep := w.Report()
 	late, _ := old.Heartbeat(&rep, false, r.clock.Now())
 	if len(late.Commands) == 0 {
-		t.Fatal("no start to be late")
+		t.Fatal("the response carries no start to be delayed")
 	}
 	r.failOver()
 	r.heartbeats(1)
 	if w.Obey(late) {
-		t.Fatal("the worker took an answer under the old token")
+		t.Fatal("the worker obeyed a response under the old token")
 	}
 	r.heartbeats(3)
 	if len(w.Started) != 1 {
@@ -69,12 +69,12 @@
 	}
 	rep = w.Report()
 	if _, v := old.Heartbeat(&rep, false, r.clock.Now()); v != Deposed {
-		t.Fatalf("old owner's verdict %v, want Deposed", v)
+		t.Fatalf("the old owner's disposition is %v, want Deposed", v)
 	}
 }
 
-// A cancellation that came while nobody owned the shard: its record is read
-// before the placements are, and they must be stopped all the same.
+// A job is cancelled while the shard has no owner: the next owner loads the job's record before its
+// placements, and must nevertheless stop its tasks.
 func TestCancelWhileUnowned(t *testing.T) {
 	r := newHarness(t)
 	r.addMachine("m1", "z1", false)
@@ -85,16 +85,16 @@
 	r.failOver()
 	r.heartbeats(3)
 	if at := r.runningOn(s.Ref + "/0"); at != "" {
-		t.Fatalf("still on %s", at)
+		t.Fatalf("the cancelled task still runs on %s", at)
 	}
 	r.heartbeats(2)
 	if r.shard.HasJob(s.Ref) {
-		t.Fatal("cancelled job never ends")
+		t.Fatal("the cancelled job did not end")
 	}
 }
 
-// All controllers crash at once, again and again, at every step of a job: it is
-// started at most once at a time and ends.
+// All controllers crash at once, repeatedly, at every step of a job: each of its tasks runs at most
+// once at a time, and the job ends.
 func TestCrashAtEveryStep(t *testing.T) {
 	for crash := range 8 {
 		r := newHarness(t)
@@ -114,7 +114,7 @@
 			}
 		}
 		if r.jobState(s.Ref) != wire.Done {
-			t.Errorf("crash at step %d: job not done", crash)
+			t.Errorf("crash at step %d: the job did not finish", crash)
 		}
 		if len(w.Started) != 2 {
 			t.Errorf("crash at step %d: starts %v, want two", crash, w.Started)
@@ -122,8 +122,8 @@
 	}
 }
 
-// After a failover nobody remembers the last heartbeat. A late copy of an old one
-// settles, frees and starts nothing and does not count as a sign of life.
+// After a failover no controller holds the position of the last heartbeat. A late copy of an old
+// heartbeat must not reconcile, free or start a task, and does not count as contact with the machine.
 func TestLateCopyAfterFailoverProvesNothing(t *testing.T) {
 	r := newHarness(t)
 	w1, w2 := r.addMachine("m1", "z1", false), r.addMachine("m2", "z1", false)
@@ -143,9 +143,9 @@
 	late := func() {
 		rep := empty
 		if o, _ := r.shard.Heartbeat(&rep, false, r.clock.Now()); len(o.Commands) != 0 {
-			t.Fatalf("a late copy was answered with %v", o.Commands)
+			t.Fatalf("a late copy was answered with %v, want no commands", o.Commands)
 		}
-		empty.Seq-- // another copy, older still
+		empty.Seq-- // the next copy is older still
 		r.carryOutEffects()
 	}
 	r.submit(spec("run-000002", "b", wire.Array, "normal", 4, 1))
@@ -158,7 +158,7 @@
 		t.Fatalf("the task is on %q after late copies, want %q", got, at)
 	}
 	if len(w2.Started) > 2 {
-		t.Fatalf("starts %v: the task of the silent machine runs twice", w2.Started)
+		t.Fatalf("starts %v, want at most two: the task of the silent machine runs twice", w2.Started)
 	}
 	for range 15 {
 		r.clock.Advance(r.cfg.HeartbeatInterval)
@@ -166,21 +166,21 @@
 		r.heartbeat(w2)
 	}
 	if !slices.Equal(r.cloud.Returned, []string{at}) {
-		t.Fatalf("returned %v, want the silent machine, whatever late copies say", r.cloud.Returned)
+		t.Fatalf("released %v, want the silent machine despite the late copies", r.cloud.Returned)
 	}
 }
 
-// A job's record that can't be decoded is passed over and told, and the other jobs go on.
+// A job record that cannot be decoded is skipped and reported, and the other jobs go on.
 func TestMalformedJobIsIsolated(t *testing.T) {
 	r, _ := newHarnessWithMachine(t)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	r.state.Put(record.ActiveJobKey("run-000002"), "nonsense")
 	r.failOver()
 	if got := r.shard.MalformedRecords(); len(got) != 1 {
-		t.Errorf("told of %v", got)
+		t.Errorf("malformed records %v, want one", got)
 	}
 	r.heartbeats(3)
 	if r.runningOn("run-000001/0") == "" || r.get(record.ActiveJobKey("run-000002")) == nil {
-		t.Error("the other job does not run, or the record is gone")
+		t.Error("the other job does not run, or the malformed record was deleted")
 	}
 }
--- a/internal/scheduler/releases_test.go
+++ b/internal/scheduler/releases_test.go
@@ -9,19 +9,19 @@
 	"bramblespur/internal/testkit"
 )
 
-const releaseTestLimit = 64 << 10 // of a record, in bytes
+const releaseTestLimit = 64 << 10 // size limit of a record, in bytes
 
 func releaseTestKey(batch int) string { return fmt.Sprint("batch-", batch) }
 
-// Machines that may wait share a batch; one whose tasks wait for the proof takes all with it
-// at once. A batch is cut only when the one before is recorded.
+// Machines that may wait share a batch. A machine whose tasks wait to be proven gone makes the batch
+// with all queued machines due at once. A batch is formed only once the one before is recorded.
 func TestReleaseQueueSharesBatches(t *testing.T) {
 	now := testkit.NewClock().Now()
 	var q releaseQueue
 	q.addRoutine("m1", now, time.Second)
 	q.addRoutine("m2", now.Add(time.Second/2), time.Second)
 	if q.formBatch(releaseTestLimit, now.Add(time.Second-1), releaseTestKey); q.batch != nil {
-		t.Fatalf("cut %v before it was due", q.batch.ids)
+		t.Fatalf("formed batch %v before it was due", q.batch.ids)
 	}
 	q.addUrgent("m3", now.Add(time.Second/2))
 	q.formBatch(releaseTestLimit, now.Add(time.Second/2), releaseTestKey)
@@ -30,7 +30,7 @@
 	}
 	q.addUrgent("m4", now)
 	if q.formBatch(releaseTestLimit, now.Add(time.Hour), releaseTestKey); q.batch.key != "batch-1" {
-		t.Fatal("a batch was cut before the one before was recorded")
+		t.Fatal("a batch was formed before the one before was recorded")
 	}
 	q.batch = nil
 	q.formBatch(releaseTestLimit, now.Add(time.Hour), releaseTestKey)
@@ -39,7 +39,7 @@
 	}
 }
 
-// No batch has more machines than the cloud releases at a time.
+// No batch has more machines than the cloud releases in one request.
 func TestReleaseBatchKeepsToTheCloudsBound(t *testing.T) {
 	now := testkit.NewClock().Now()
 	var q releaseQueue
@@ -48,6 +48,6 @@
 	}
 	q.formBatch(releaseTestLimit, now, releaseTestKey)
 	if len(q.batch.ids) != maxReleaseBatch || len(q.queued) != 1 {
-		t.Errorf("a batch of %d, and %d wait", len(q.batch.ids), len(q.queued))
+		t.Errorf("batch of %d machines, %d queued, want one queued", len(q.batch.ids), len(q.queued))
 	}
 }
--- a/internal/scheduler/unreadable_records_test.go
+++ b/internal/scheduler/unreadable_records_test.go
@@ -12,8 +12,8 @@
 	"bramblespur/internal/wire"
 )
 
-// unreadableHarness is a shard whose only record of placements is damaged: it told of a job that
-// runs on a machine, and of another with one task done and one to be started again.
+// unreadableHarness is a shard whose only placement record is damaged. It held a job that runs on a
+// machine, and another job with one completed task and one task to be started again.
 type unreadableHarness struct {
 	*harness
 	worker                 *testkit.Worker
@@ -46,30 +46,30 @@
 	return u
 }
 
-// What runs by a record that can't be decoded is adopted where it is, what may have completed
-// is not started again, and new jobs go on once all machines have reported.
+// Running tasks whose record cannot be decoded are adopted where they run, tasks that may have
+// completed are not started again, and new jobs start once all machines have reported.
 func TestUnreadablePlacementsAreIsolated(t *testing.T) {
 	u := newUnreadableHarness(t)
 	if len(u.shard.MalformedRecords()) != 1 {
-		t.Fatalf("told of %v", u.shard.MalformedRecords())
+		t.Fatalf("malformed records %v, want one", u.shard.MalformedRecords())
 	}
 	started := len(u.worker.Started)
 	other := u.addMachine("m2", "z1", false)
 	u.submit(spec("run-000003", "b", wire.Array, "normal", 1, 1))
 	u.heartbeats(4, other)
 	if len(other.Started) != 0 {
-		t.Fatalf("started %v while a machine is silent", other.Started)
+		t.Fatalf("started %v while a machine is silent, want none", other.Started)
 	}
 	u.heartbeats(4)
 	if u.runningOn("run-000001/0") != "m1" {
-		t.Error("the running task was not adopted")
+		t.Error("the running task was not adopted on m1")
 	}
 	if u.runningOn("run-000003/0") == "" {
-		t.Error("a new job does not start")
+		t.Error("the new job was not started")
 	}
 	all := append(slices.Clone(u.worker.Started[started:]), other.Started...)
 	if !slices.Equal(all, []string{"run-000003/0#1"}) {
-		t.Errorf("started %v, want the new job alone", all)
+		t.Errorf("started %v, want only the new job", all)
 	}
 	u.worker.End("run-000001/0", wire.Done)
 	u.heartbeats(3)
@@ -77,21 +77,21 @@
 		t.Errorf("the jobs are %q and %q, want done and pending", u.jobState(u.runningJob.Ref), u.jobState(u.partialJob.Ref))
 	}
 	if string(u.get(u.recordKey).Value) != `"nonsense"` {
-		t.Error("the damaged record was written")
+		t.Error("the damaged record was overwritten")
 	}
 }
 
-// An adopted task is on record: the next owner finds it also while its machine is silent.
+// An adopted placement is recorded: the next owner loads it even while its machine is silent.
 func TestAdoptedPlacementIsRecorded(t *testing.T) {
 	u := newUnreadableHarness(t)
 	u.heartbeats(4)
 	u.failOver()
 	if got := u.runningOn("run-000001/0"); got != "m1" {
-		t.Fatalf("after another take-over the task is on %q", got)
+		t.Fatalf("after another failover the task is on %q, want m1", got)
 	}
 }
 
-// A cancellation is told only once nothing of the job can run unseen.
+// A cancellation is confirmed only once no unreported task of the job can run.
 func TestUnreadablePlacementsHoldCancellations(t *testing.T) {
 	u := newUnreadableHarness(t)
 	other := u.addMachine("m2", "z1", false)
@@ -100,7 +100,7 @@
 	u.heartbeats(4, other)
 	for _, spec := range []wire.Spec{u.runningJob, u.partialJob} {
 		if u.get(record.FinishedJobKey(spec.Ref)) != nil {
-			t.Fatalf("%s has ended while its machine is silent", spec.Ref)
+			t.Fatalf("the end of %s is recorded while its machine is silent", spec.Ref)
 		}
 	}
 	u.heartbeats(6)
@@ -114,15 +114,15 @@
 	}
 }
 
-// What was recorded since counts before what a restored record tells: a task that has completed
-// meanwhile is not started again.
+// Placements recorded since the damage override those of the restored record: a task that has
+// completed in the meantime is not started again.
 func TestNewPlacementsOverrideRestoredRecord(t *testing.T) {
 	u := newUnreadableHarness(t)
 	u.state.Put(u.recordKey, json.RawMessage(u.intactValue))
 	u.failOver()
-	u.heartbeats(6) // the second task of the other job runs again
+	u.heartbeats(6) // starts the second task of the partial job again
 	if u.runningOn("run-000002/1") != "m1" {
-		t.Fatal("not started")
+		t.Fatal("the second task was not started on m1")
 	}
 	u.intactValue = slices.Clone(u.get(u.recordKey).Value)
 	u.state.Put(u.recordKey, "nonsense")
@@ -135,17 +135,16 @@
 	u.failOver()
 	u.heartbeats(6)
 	if again := u.worker.Started[started:]; len(again) > 0 {
-		t.Errorf("started %v again", again)
+		t.Errorf("started %v again, want none", again)
 	}
 	if u.jobState(u.partialJob.Ref) != wire.Done {
-		t.Error("the job does not end")
+		t.Error("the partial job did not finish")
 	}
 }
 
-// Once somebody has restored the record, or deleted it, the shard is read again and all goes
-// on.
+// Once the record is restored or deleted, the shard is loaded again and its jobs go on.
 func TestUnreadablePlacementsAreReread(t *testing.T) {
-	mend := map[string]func(u *unreadableHarness){
+	repairs := map[string]func(u *unreadableHarness){
 		"restored": func(u *unreadableHarness) { u.state.Put(u.recordKey, json.RawMessage(u.intactValue)) },
 		"deleted": func(u *unreadableHarness) {
 			remove := wire.Txn{Then: []wire.Op{{Delete: u.recordKey}}}
@@ -154,11 +153,11 @@
 			}
 		},
 	}
-	for name, f := range mend {
+	for name, repair := range repairs {
 		t.Run(name, func(t *testing.T) {
 			u := newUnreadableHarness(t)
 			u.heartbeats(4)
-			f(u)
+			repair(u)
 			for range 20 {
 				u.heartbeat()
 				if u.shard.OwnershipLost() {
@@ -166,14 +165,14 @@
 				}
 			}
 			if u.runningOn("run-000001/0") != "m1" {
-				t.Error("the running task is not where it was")
+				t.Error("the running task is no longer on m1")
 			}
 			u.worker.End("run-000001/0", wire.Done)
 			u.worker.End("run-000002/0", wire.Done)
 			u.worker.End("run-000002/1", wire.Done)
 			u.heartbeats(3)
 			if u.jobState(u.runningJob.Ref) != wire.Done || u.jobState(u.partialJob.Ref) != wire.Done {
-				t.Error("the jobs do not end")
+				t.Error("the jobs did not finish")
 			}
 		})
 	}
--- a/internal/scheduler/upgrade_test.go
+++ b/internal/scheduler/upgrade_test.go
@@ -14,14 +14,15 @@
 	"bramblespur/internal/wire"
 )
 
-// The limits of the state service before and after they fall.
+// The limits of the state service, in bytes of a value and operations of a transaction, before and
+// after they are lowered.
 const (
 	wideBytes, wideOps   = 16 << 10, 16
 	tightBytes, tightOps = 2 << 10, 5
 )
 
-// newUpgradeHarness is a shard of which the first version wrote the records, as
-// testdata/production.json holds them.
+// newUpgradeHarness returns a shard whose records were written by the first version of the program, from
+// testdata/production.json.
 func newUpgradeHarness(t testing.TB) *harness {
 	t.Helper()
 	data, err := os.ReadFile("testdata/production.json")
@@ -45,18 +46,18 @@
 	return r
 }
 
-// recordedTasks are what the records tell of a shard's tasks.
+// recordedTasks holds the placements and completions in a shard's records, by task name.
 type recordedTasks struct {
 	placements map[string]record.TaskPlacement
 	completed  map[string]bool
 }
 
-// decodeUnsizedRecords is the first version's reading of records: the key's number counts
-// ranges of so many tasks, later fields are unknown, and every range counts.
-func decodeUnsizedRecords(t testing.TB, placementEntries []wire.Entry, per int) recordedTasks {
+// decodeUnsizedRecords reads placement records as the first version does: the number in a range's name
+// counts ranges of rangeTasks tasks, fields added later are unknown, and every range counts.
+func decodeUnsizedRecords(t testing.TB, entries []wire.Entry, rangeTasks int) recordedTasks {
 	t.Helper()
 	f := recordedTasks{placements: map[string]record.TaskPlacement{}, completed: map[string]bool{}}
-	for _, e := range placementEntries {
+	for _, e := range entries {
 		var s struct {
 			Runs map[string]struct {
 				Attempt uint64                       `json:"a"`
@@ -73,7 +74,7 @@
 				t.Fatalf("%s: range %q", e.Key, name)
 			}
 			for i, pl := range run.On {
-				if i < n*per || i >= (n+1)*per {
+				if i < n*rangeTasks || i >= (n+1)*rangeTasks {
 					t.Fatalf("%s: task %d in range %s", e.Key, i, name)
 				}
 				f.placements[fmt.Sprint(ref, "/", i)] = pl
@@ -88,7 +89,7 @@
 	return f
 }
 
-// recordedInLedger is what the shard holds as recorded.
+// recordedInLedger returns the placements and completions that the shard's ledger holds as recorded.
 func recordedInLedger(shard *Shard) recordedTasks {
 	f := recordedTasks{placements: map[string]record.TaskPlacement{}, completed: map[string]bool{}}
 	for _, j := range shard.jobs {
@@ -110,26 +111,26 @@
 
 func (r *harness) slots() []wire.Entry { return r.list(record.ShardPlacementsPrefix(0)) }
 
-// runPlacedTasks lets workers run what is recorded, as they did under the first version.
+// runPlacedTasks makes the workers run the placed tasks, as they did under the first version.
 func (r *harness) runPlacedTasks(f recordedTasks) {
 	for task, pl := range f.placements {
 		r.workers[pl.Machine].Tasks[task] = &testkit.WorkerTask{Attempt: pl.Attempt, State: wire.Running}
 	}
 }
 
-// Records of the first version are read as it meant them, and as long as it may
-// come back, what is written is plain and tells it the same.
+// Records of the first version are read as it wrote them. As long as it may be deployed again,
+// records are written unsized, and it reads the same placements from them.
 func TestUpgradeReadsAndKeepsUnsizedRecords(t *testing.T) {
 	r := newUpgradeHarness(t)
 	before := decodeUnsizedRecords(t, r.slots(), r.cfg.unsizedRangeTasks())
 	if len(before.placements) < 200 || len(before.completed) < 50 {
-		t.Fatalf("testdata: %d placements, %d completions", len(before.placements), len(before.completed))
+		t.Fatalf("testdata: %d placements and %d completions, want at least 200 and 50", len(before.placements), len(before.completed))
 	}
 	if got := recordedInLedger(r.shard); !got.equal(before) {
 		t.Fatalf("read %d placements and %d completions, want %d and %d", len(got.placements), len(got.completed), len(before.placements), len(before.completed))
 	}
 	if j := r.shard.jobs["run-000008"]; j == nil || !j.awaitsDependencies {
-		t.Fatal("a held job without a pipeline was let go")
+		t.Fatal("run-000008 was released before its dependencies had ended")
 	}
 	r.runPlacedTasks(before)
 	for round := range 6 {
@@ -138,20 +139,20 @@
 		for _, e := range r.slots() {
 			var s record.Placements
 			if err := json.Unmarshal(e.Value, &s); err != nil || s.Format != 0 {
-				t.Fatalf("%s: format %d, %v", e.Key, s.Format, err)
+				t.Fatalf("%s: format %d, error %v, want format 0", e.Key, s.Format, err)
 			}
 		}
 		if got, want := decodeUnsizedRecords(t, r.slots(), r.cfg.unsizedRangeTasks()), recordedInLedger(r.shard); !maps.Equal(stillInLedger(r, got.placements), want.placements) {
 			t.Fatalf("round %d: the first version would read %d placements, want %d", round, len(got.placements), len(want.placements))
 		}
 		if round%2 == 1 {
-			r.failOver() // perhaps by the first version: nothing but the records counts
+			r.failOver() // the new owner has only the records, as one of the first version would
 		}
 	}
 }
 
-// stillInLedger leaves the placements that count: of tasks that are proven gone the
-// record is rewritten with the next start only.
+// stillInLedger returns those placements that the ledger holds, too. The records may still hold others,
+// of tasks that are proven gone: they are rewritten only with the next start.
 func stillInLedger(r *harness, on map[string]record.TaskPlacement) map[string]record.TaskPlacement {
 	live := recordedInLedger(r.shard).placements
 	out := map[string]record.TaskPlacement{}
@@ -163,7 +164,7 @@
 	return out
 }
 
-// endSomeTasks lets about a tenth of what runs end.
+// endSomeTasks completes about a tenth of the running tasks.
 func (r *harness) endSomeTasks(seed int) {
 	names := slices.Sorted(maps.Keys(r.workers))
 	n := seed
@@ -177,7 +178,7 @@
 	}
 }
 
-// checkNoTaskRunsTwice checks that no task runs in two places, whatever the records say.
+// checkNoTaskRunsTwice checks that no task runs on two workers, whatever the records hold.
 func (r *harness) checkNoTaskRunsTwice() {
 	r.t.Helper()
 	at := map[string]string{}
@@ -194,16 +195,16 @@
 	}
 }
 
-// Once the first version is gone the large records are taken apart, in steps that
-// fit the limits that are to come. A new owner after any of them, an answer that
-// gets lost, and a write that comes late lose nothing and start nothing twice.
+// Once no controller of the first version is left, the unsized records are split by writes that keep
+// to the lower limits to come. A failover after any of these writes, a lost answer or a delayed
+// write loses no placement and starts no task twice.
 func TestUpgradeSplitsUnsizedRecords(t *testing.T) {
 	for seed := range uint64(12) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
 		r := newUpgradeHarness(t)
 		r.runPlacedTasks(decodeUnsizedRecords(t, r.slots(), r.cfg.unsizedRangeTasks()))
 		r.state.Limit(wideBytes, wideOps)
-		// The limits fall after any of the writes from then on.
+		// The limits are lowered after a random number of the writes from then on.
 		at, falls, writes := rnd.IntN(6), rnd.IntN(25), 0
 		r.afterTxn = func() {
 			if writes++; r.shard.ledger.sized && writes > falls {
@@ -212,7 +213,7 @@
 		}
 		for round := range 60 {
 			if round >= at {
-				r.shard.UseSizedRanges() // each controller's word is there for every owner
+				r.shard.UseSizedRanges() // every owner reads the formats that all controllers have recorded
 			}
 			if round < 40 {
 				switch rnd.IntN(5) {
@@ -240,12 +241,12 @@
 			r.checkNoTaskRunsTwice()
 		}
 		if got := r.jobState("run-000001"); got != wire.Done {
-			t.Errorf("seed %d: the array is %q in the end", seed, got)
+			t.Errorf("seed %d: the array is %q at the end, want done", seed, got)
 		}
 		for _, e := range r.slots() {
 			var s record.Placements
 			if err := json.Unmarshal(e.Value, &s); err != nil || s.Format != record.SizedRanges || len(e.Value) > tightBytes {
-				t.Errorf("seed %d: %s has format %d and %d bytes, %v", seed, e.Key, s.Format, len(e.Value), err)
+				t.Errorf("seed %d: %s has format %d and %d bytes, error %v", seed, e.Key, s.Format, len(e.Value), err)
 			}
 		}
 		if r.invalid > 0 {
@@ -254,12 +255,13 @@
 	}
 }
 
-// checkNewOwnerLoadsAllTasks checks that whoever acquired the shard now would know of all that runs.
+// checkNewOwnerLoadsAllTasks checks that an owner that acquired the shard now would load all running and
+// all completed tasks.
 func (r *harness) checkNewOwnerLoadsAllTasks() {
 	r.t.Helper()
 	next := New(r.cfg, 0, r.shard.token)
 	if r.shard.ledger.sized {
-		next.UseSizedRanges() // as the controller knows from the words of all
+		next.UseSizedRanges() // as the controller does once all have recorded that format
 	}
 	if err := next.Load(r.fleet, r.list(record.ActiveJobPrefix), r.slots(), r.clock.Now()); err != nil {
 		r.t.Fatal(err)
@@ -268,19 +270,19 @@
 	for id, w := range r.workers {
 		for task, wt := range w.Tasks {
 			if want := (record.TaskPlacement{Machine: id, Attempt: wt.Attempt}); wt.State != wire.Exited && got.placements[task] != want {
-				r.t.Fatalf("%s runs on %v, and a new owner would find it on %v", task, want, got.placements[task])
+				r.t.Fatalf("%s runs on %v, but a new owner would load it on %v", task, want, got.placements[task])
 			}
 		}
 	}
 	for task := range recordedInLedger(r.shard).completed {
 		if ref, _, _ := SplitTask(task); r.shard.jobs[ref].record.endTxn == nil && !got.completed[task] {
-			r.t.Fatalf("%s is done, and a new owner would start it again", task)
+			r.t.Fatalf("%s has completed, but a new owner would start it again", task)
 		}
 	}
 }
 
-// After each single write, plain and stated records together tell a new owner all
-// that runs and all that is done, also while ranges move one by one.
+// After each single write, unsized and sized records together hold all running and all completed
+// tasks for a new owner, even while ranges are moved one by one.
 func TestUpgradeFactsSurviveEveryStep(t *testing.T) {
 	for seed := range uint64(8) {
 		rnd := rand.New(rand.NewPCG(seed, 2))
@@ -292,7 +294,7 @@
 		steps := 0
 		r.afterTxn = func() { steps++; r.checkNewOwnerLoadsAllTasks() }
 		for range 40 {
-			// One range at a time: the others are still told by the unsized record.
+			// One range at a time: the unsized record still holds the others.
 			at := rnd.IntN(5) * 60
 			for _, w := range r.workers {
 				for task, wt := range w.Tasks {
@@ -309,7 +311,7 @@
 			r.checkNoTaskRunsTwice()
 		}
 		if steps < 25 {
-			t.Fatalf("seed %d: only %d writes", seed, steps)
+			t.Fatalf("seed %d: %d writes, want at least 25", seed, steps)
 		}
 	}
 }
