--- a/internal/controller/leader/planning.go
+++ b/internal/controller/leader/planning.go
@@ -85,9 +85,10 @@
 	}
 }
 
-// selectRequests returns the n requests to make of a list that begins with the most urgent: the n-1
-// most urgent, and the largest of the others, which yields the most machines for a call. Otherwise
-// small urgent requests would always come before it when many machines are missing.
+// selectRequests returns n of the requests, which begin with the most urgent: the n-1 most urgent
+// and the largest of the others, which yields the most machines for one call. Otherwise small urgent
+// requests would take every place as long as many machines are missing, and the largest would
+// never be made.
 func selectRequests(requests []fleet.ProvisionRequest, n int) []fleet.ProvisionRequest {
 	if n <= 0 || len(requests) <= n {
 		return requests[:min(len(requests), max(n, 0))]
--- a/internal/controller/leader/quota.go
+++ b/internal/controller/leader/quota.go
@@ -11,7 +11,7 @@
 )
 
 // The state service's limits hold for all controllers together. Each controller may use an equal
-// share. The leader asks each controller for its demand, grants each what the others leave unused, and
+// share. The leader asks each controller for its demand, grants it what the others leave unused, and
 // lends changes to controllers that need several at once.
 
 const (
@@ -138,7 +138,8 @@
 }
 
 // Borrow asks the leader for changes beyond this controller's grant, and reports whether it lent
-// them. It must be called without the shards' lock.
+// them. A modest request leaves part of the loans to controllers that need many changes at once.
+// Borrow must be called without the shards' lock.
 func (l *Leader) Borrow(changes int, modest bool) bool {
 	a := peer.LoanArgs{From: l.cfg.Label, Changes: changes, Modest: modest}
 	l.host.Lock()
--- a/internal/controller/leader/reassignment.go
+++ b/internal/controller/leader/reassignment.go
@@ -14,8 +14,8 @@
 	// transferred back to it as the preferred owner. For the leader itself it is how long it must
 	// have led.
 	PreferredOwnerStable = 20 * time.Second
-	// stepDownAfter is how long a leader that reaches no other controller leads before it may step
-	// down for that.
+	// stepDownAfter is how long a controller must have led before it steps down because it reaches
+	// no other controller.
 	stepDownAfter = 4 * time.Second
 )
 
--- a/internal/controller/shardhost/acquisition.go
+++ b/internal/controller/shardhost/acquisition.go
@@ -24,8 +24,8 @@
 const (
 	// OwnedByLiveMember means that the lease of the recorded owner stands.
 	OwnedByLiveMember Reason = iota
-	// JustStarted means that the owner is gone, but may have restarted together with this
-	// controller, which has just started.
+	// JustStarted means that this controller has just started. If the owner is gone, it may have
+	// restarted together with this controller.
 	JustStarted
 	// ViewOutdated means that the view is not recent, so that the owner may have come back since.
 	ViewOutdated
@@ -76,7 +76,7 @@
 // controller acquires it.
 type candidate struct {
 	self           string // this controller's label
-	preferredOwner string // its label
+	preferredOwner string // label of the shard's preferred owner
 	ownership      Ownership
 	recorded       bool          // the shard has an ownership record
 	ownerLives     bool          // the lease of the recorded owner stands
--- a/internal/controller/shardhost/reread.go
+++ b/internal/controller/shardhost/reread.go
@@ -127,7 +127,7 @@
 
 // confirmOwnership reads a shard's ownership record after a record with the given revision was seen.
 // If the ownership record is unchanged, it confirms to the shard that it was owned at that revision.
-// Otherwise the later ownership record is applied, which drops the shard.
+// A later ownership record is applied, which drops the shard. A missing one is checked for data loss.
 func (h *Host) confirmOwnership(shard *scheduler.Shard, revision uint64) {
 	var entry *wire.Entry
 	read := h.RetryWhileServed(shard, func(ctx context.Context) (err error) {
