--- a/internal/controller/account_test.go
+++ b/internal/controller/account_test.go
@@ -107,7 +107,7 @@
 func takeOverPart(t testing.TB, c *Controller, state *countingState, held record.Versioned[record.Shard], inc uint64) {
 	t.Helper()
 	state.reset()
-	if err := c.shards.FailOver(context.Background(), 0, held, inc); err != nil {
+	if err := c.shards.Acquire(context.Background(), 0, held, inc); err != nil {
 		t.Fatal(err)
 	}
 	for state.lists.Load() < takeOverLists { // the last is another goroutine's, and must not count as a later one's
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -121,7 +121,7 @@
 		state, cl := testkit.NewState(), &testkit.Cloud{}
 		c, leading := newTest(t, state), newTest(t, state)
 		c.submit(body(t, nil))
-		if err := c.shards.FailOver(ctx, 0, shardhost.Ownership{}, 1); err != nil {
+		if err := c.shards.Acquire(ctx, 0, shardhost.Ownership{}, 1); err != nil {
 			t.Fatal(err)
 		}
 		recorded := func() []wire.Entry {
--- a/internal/controller/leader_calls.go
+++ b/internal/controller/leader_calls.go
@@ -22,7 +22,7 @@
 	}
 	for _, id := range a.Claim {
 		if c.shards.GetLocked(id) == nil && !c.shards.AcquiringLocked(id) && c.shards.SchedulerConfigLocked() != nil && c.leaseCertain(now) {
-			c.shards.AcquireLocked(ctx, id, shardhost.AssignedByLeader)
+			c.shards.StartAcquisitionLocked(ctx, id, shardhost.AssignedByLeader)
 		}
 	}
 	for _, id := range a.HandHome {
--- a/internal/controller/leader_host.go
+++ b/internal/controller/leader_host.go
@@ -115,7 +115,7 @@
 // AcquireLocked implements leader.Shards.
 func (h leaderHost) AcquireLocked(ctx context.Context, shard int) {
 	if !h.c.shards.AcquiringLocked(shard) {
-		h.c.shards.AcquireLocked(ctx, shard, shardhost.AssignedByLeader)
+		h.c.shards.StartAcquisitionLocked(ctx, shard, shardhost.AssignedByLeader)
 	}
 }
 
--- a/internal/controller/lean_test.go
+++ b/internal/controller/lean_test.go
@@ -104,7 +104,7 @@
 	c.shards.DropLocked(0)
 	c.mu.Unlock()
 	state.reset()
-	if err := c.shards.FailOver(context.Background(), 0, held, 2); err != nil {
+	if err := c.shards.Acquire(context.Background(), 0, held, 2); err != nil {
 		t.Fatal(err)
 	}
 	for state.lists.Load() < takeOverLists { // the last is another goroutine's
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -66,7 +66,7 @@
 	state := testkit.NewState()
 	c := newTest(t, state)
 	c.submit(body(t, nil))
-	if err := c.shards.FailOver(context.Background(), 0, shardhost.Ownership{}, 1); err != nil {
+	if err := c.shards.Acquire(context.Background(), 0, shardhost.Ownership{}, 1); err != nil {
 		t.Fatal(err)
 	}
 	shard := c.shards.GetLocked(0)
@@ -79,7 +79,7 @@
 		t.Fatal("still owner after another's claim")
 	}
 	// A claim on an outdated view fails.
-	if err := c.shards.FailOver(context.Background(), 0, shardhost.Ownership{}, 1); err == nil {
+	if err := c.shards.Acquire(context.Background(), 0, shardhost.Ownership{}, 1); err == nil {
 		t.Fatal("claimed under a version that is gone")
 	}
 	if got, err := state.Get(context.Background(), statestore.Urgent("test"), record.ShardKey(0)); err != nil || got.Version != e.Version {
@@ -95,7 +95,7 @@
 	state := testkit.NewState()
 	c := newTest(t, state)
 	setViewsAsOf(c, time.Now())
-	if err := c.shards.FailOver(ctx, 0, shardhost.Ownership{}, 1); err != nil {
+	if err := c.shards.Acquire(ctx, 0, shardhost.Ownership{}, 1); err != nil {
 		t.Fatal(err)
 	}
 	e := state.Put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"m"}})
--- a/internal/controller/messages_test.go
+++ b/internal/controller/messages_test.go
@@ -40,7 +40,7 @@
 	c := newTest(t, state)
 	c.store = store
 	setViewsAsOf(c, time.Now())
-	if err := c.shards.FailOver(context.Background(), 0, shardhost.Ownership{}, 1); err != nil {
+	if err := c.shards.Acquire(context.Background(), 0, shardhost.Ownership{}, 1); err != nil {
 		t.Fatal(err)
 	}
 	return c
--- a/internal/controller/shardhost/acquire.go
+++ b/internal/controller/shardhost/acquire.go
@@ -42,15 +42,15 @@
 	typesRetry = time.Second            // of the machine types
 )
 
-// AcquireLocked begins to acquire a shard in the background. The caller must check first that no
+// StartAcquisitionLocked begins to acquire a shard in the background. The caller must check first that no
 // acquisition of the shard is under way.
-func (h *Host) AcquireLocked(ctx context.Context, id int, reason Reason) {
+func (h *Host) StartAcquisitionLocked(ctx context.Context, id int, reason Reason) {
 	h.acquiring[id] = true
 	seen, _ := h.env.OwnershipLocked(id)
 	incarnation := h.env.Incarnation()
 	h.log.Debug("acquiring shard", "shard", id, "reason", reason)
 	go func() {
-		err := h.FailOver(ctx, id, seen, incarnation)
+		err := h.Acquire(ctx, id, seen, incarnation)
 		h.mu.Lock()
 		delete(h.acquiring, id)
 		h.mu.Unlock()
@@ -60,10 +60,10 @@
 	}()
 }
 
-// FailOver writes the ownership record of a shard, reads the shard's records and begins to serve
+// Acquire writes the ownership record of a shard, reads the shard's records and begins to serve
 // it. It fails if the ownership record is no longer the one in seen. The other errors are
 // ErrLostWhileLoading, ErrSafeModeBegan, *AcquiredByOtherError and those of the context.
-func (h *Host) FailOver(ctx context.Context, id int, seen Ownership, incarnation uint64) error {
+func (h *Host) Acquire(ctx context.Context, id int, seen Ownership, incarnation uint64) error {
 	token, err := h.recordOwnership(ctx, id, seen, incarnation)
 	if err != nil {
 		return fmt.Errorf("record ownership: %w", err)
--- a/internal/controller/shardhost/acquire_test.go
+++ b/internal/controller/shardhost/acquire_test.go
@@ -32,7 +32,7 @@
 func TestFencingTokenIsRevisionOfOwnership(t *testing.T) {
 	state := testkit.NewState()
 	h, env := newHost(t, state)
-	if err := h.FailOver(t.Context(), 0, Ownership{}, 7); err != nil {
+	if err := h.Acquire(t.Context(), 0, Ownership{}, 7); err != nil {
 		t.Fatal(err)
 	}
 	entry, err := state.Get(t.Context(), statestore.Urgent("test"), record.ShardKey(0))
@@ -54,7 +54,7 @@
 	state := testkit.NewState()
 	h, env := newHost(t, state)
 	other := state.Put(record.ShardKey(0), record.Shard{Owner: "c-1"})
-	err := h.FailOver(t.Context(), 0, Ownership{}, 1)
+	err := h.Acquire(t.Context(), 0, Ownership{}, 1)
 	var conflict *statestore.ConflictError
 	if !errors.As(err, &conflict) || served(h) != nil {
 		t.Fatalf("error %v, want a conflict and no shard served", err)
@@ -72,7 +72,7 @@
 		h.setOwnership(0, record.Shard{Owner: "c-1"}, 1000)
 		return nil
 	}}
-	err := h.FailOver(t.Context(), 0, Ownership{}, 1)
+	err := h.Acquire(t.Context(), 0, Ownership{}, 1)
 	var other *AcquiredByOtherError
 	if !errors.As(err, &other) || other.Owner != "c-1" || other.Token != 1000 {
 		t.Fatalf("error %v, want that c-1 acquired the shard under token 1000", err)
@@ -90,7 +90,7 @@
 		h.setOwnership(0, record.Shard{Owner: "c-1"}, 1000)
 		return errors.New("no response")
 	}}
-	if err := h.FailOver(t.Context(), 0, Ownership{}, 1); !errors.Is(err, ErrLostWhileLoading) {
+	if err := h.Acquire(t.Context(), 0, Ownership{}, 1); !errors.Is(err, ErrLostWhileLoading) {
 		t.Fatalf("error %v, want ErrLostWhileLoading", err)
 	}
 }
@@ -99,7 +99,7 @@
 func TestSafeModeBeganWhileLoading(t *testing.T) {
 	h, env := newHost(t, testkit.NewState())
 	env.safeMode = true
-	if err := h.FailOver(t.Context(), 0, Ownership{}, 1); !errors.Is(err, ErrSafeModeBegan) || served(h) != nil {
+	if err := h.Acquire(t.Context(), 0, Ownership{}, 1); !errors.Is(err, ErrSafeModeBegan) || served(h) != nil {
 		t.Fatalf("error %v, want ErrSafeModeBegan and no shard served", err)
 	}
 }
--- a/internal/controller/shardhost/acquisition.go
+++ b/internal/controller/shardhost/acquisition.go
@@ -151,7 +151,7 @@
 			h.unrecordedSince = now
 		}
 		if reason.acquires() {
-			h.AcquireLocked(ctx, id, reason)
+			h.StartAcquisitionLocked(ctx, id, reason)
 		}
 	}
 }
--- a/internal/controller/shardhost/ownership_test.go
+++ b/internal/controller/shardhost/ownership_test.go
@@ -15,7 +15,7 @@
 // was written after the acquisition. It returns the shard and the version of the machine's record.
 func serveShardWithNewMachine(t *testing.T, host *Host, state *testkit.State) (*scheduler.Shard, uint64) {
 	t.Helper()
-	if err := host.FailOver(context.Background(), 0, Ownership{}, 1); err != nil {
+	if err := host.Acquire(context.Background(), 0, Ownership{}, 1); err != nil {
 		t.Fatal(err)
 	}
 	shard := served(host)
--- a/internal/controller/user_requests_test.go
+++ b/internal/controller/user_requests_test.go
@@ -248,7 +248,7 @@
 		},
 		"restart": func(s *testkit.State, c *Controller) *Controller { return newTest(t, s) },
 		"take over": func(s *testkit.State, c *Controller) *Controller {
-			if err := c.shards.FailOver(ctx, 0, shardRecord(c, 0), 2); err != nil {
+			if err := c.shards.Acquire(ctx, 0, shardRecord(c, 0), 2); err != nil {
 				t.Error(err)
 			}
 			return c
--- a/internal/controller/view_watches_test.go
+++ b/internal/controller/view_watches_test.go
@@ -49,7 +49,7 @@
 	provision("r", "m")
 	state.Put(record.OverrideKey("m"), record.Machine{Type: "big", Zone: "z"})
 	state.Put(record.ReleaseKey(9, 9, 9), record.Release{IDs: []string{"x"}})
-	if err := c.shards.FailOver(ctx, 0, shardhost.Ownership{}, 1); err != nil {
+	if err := c.shards.Acquire(ctx, 0, shardhost.Ownership{}, 1); err != nil {
 		t.Fatal(err)
 	}
 	entries, rev, err := state.List(ctx, statestore.Urgent("test"), record.FleetPrefix)
