--- a/internal/fleet/bin.go
+++ b/internal/fleet/bin.go
@@ -11,7 +11,7 @@
 type bin struct {
 	Machine
 	shard    int
-	promised bool // assigned to a demand
+	assigned bool // used by a demand
 	original *bin // for an entry of planning.emptied: the machine with its tasks
 }
 
@@ -42,5 +42,5 @@
 	b.CPUs -= n.CPUs
 	b.GPUs -= n.GPUs
 	b.MemoryGB -= n.MemoryGB
-	b.promised = true
+	b.assigned = true
 }
--- a/internal/fleet/placement.go
+++ b/internal/fleet/placement.go
@@ -47,7 +47,7 @@
 
 // movable reports whether a machine belongs to another shard and may be transferred for a demand.
 func movable(b *bin, d *demand) bool {
-	return b.shard != d.shard && b.Up && b.Usable && b.For == "" && !b.promised
+	return b.shard != d.shard && b.Up && b.Usable && b.For == "" && !b.assigned
 }
 
 // preemptible returns the machines of other shards whose tasks all have a lower priority than a
@@ -83,12 +83,12 @@
 // placeOn assigns room on bins to as many of a demand's tasks as possible, or for a gang to all
 // or none, and lowers its Count by their number. It reports whether no tasks are left.
 func (p *planning) placeOn(d *demand, bins []*bin) bool {
-	p.promise(d, p.assign(d, bins))
+	p.assign(d, p.findBins(d, bins))
 	return d.Count == 0
 }
 
-// promise assigns room for one of a demand's tasks on each bin of a list.
-func (p *planning) promise(d *demand, bins []*bin) {
+// assign uses the room of one of a demand's tasks on each bin of a list.
+func (p *planning) assign(d *demand, bins []*bin) {
 	for _, b := range bins {
 		b.use(&d.Need)
 		d.addToZone(b.Zone)
@@ -96,16 +96,16 @@
 	d.Count -= len(bins)
 }
 
-// assign finds bins for as many of a demand's tasks as possible, or for a gang for all of them or
+// findBins finds bins for as many of a demand's tasks as possible, or for a gang for all of them or
 // none. The result has one entry for each task, so that a bin may occur several times.
-func (p *planning) assign(d *demand, bins []*bin) []*bin {
+func (p *planning) findBins(d *demand, bins []*bin) []*bin {
 	zones := []string{""}
 	if d.OneZone {
 		zones = p.cfg.Zones
 	}
 	var best []*bin
 	for _, zone := range zones {
-		if found := assignInZone(&d.Need, bins, zone); len(found) > len(best) {
+		if found := findBinsInZone(&d.Need, bins, zone); len(found) > len(best) {
 			best = found
 		}
 	}
@@ -115,8 +115,8 @@
 	return best
 }
 
-// assignInZone finds bins for a need in one zone, or in any if zone is empty, as assign does.
-func assignInZone(n *Need, bins []*bin, zone string) []*bin {
+// findBinsInZone finds bins for a need in one zone, or in any if zone is empty, as findBins does.
+func findBinsInZone(n *Need, bins []*bin, zone string) []*bin {
 	var found []*bin
 	trial := *n
 	trial.InZone = maps.Clone(n.InZone)
@@ -144,7 +144,7 @@
 	if len(others) == 0 {
 		return nil
 	}
-	found := p.assign(d, append(slices.Clone(p.withRoom[d.shard]), others...))
+	found := p.findBins(d, append(slices.Clone(p.withRoom[d.shard]), others...))
 	var orders []Order
 	for _, b := range found {
 		if b.original != nil {
--- a/internal/fleet/rebalance.go
+++ b/internal/fleet/rebalance.go
@@ -24,7 +24,7 @@
 			continue
 		}
 		served[d.shard] = true
-		b.promised = true
+		b.assigned = true
 		free.move(b, d.shard)
 		orders = append(orders, Order{Part: b.shard, Machine: b.ID, To: d.shard, Emptied: true})
 	}
--- a/internal/fleet/scale_in.go
+++ b/internal/fleet/scale_in.go
@@ -26,7 +26,7 @@
 func (p *planning) idle() []*bin {
 	var idle []*bin
 	for _, b := range p.unused {
-		if b.Up && b.For == "" && !b.promised {
+		if b.Up && b.For == "" && !b.assigned {
 			idle = append(idle, b)
 		}
 	}
--- a/internal/fleet/scale_out.go
+++ b/internal/fleet/scale_out.go
@@ -109,12 +109,12 @@
 	for _, o := range offers { // the cheapest first
 		inZone := &demand{d.Need, d.shard}
 		inZone.Gang, inZone.Zone = false, o.zone
-		found := p.assign(inZone, append(slices.Clone(p.withRoom[d.shard]), added...))
+		found := p.findBins(inZone, append(slices.Clone(p.withRoom[d.shard]), added...))
 		if zone == "" || len(found) > len(most) {
 			zone, most = o.zone, found
 		}
 	}
-	p.promise(d, most)
+	p.assign(d, most)
 	return slices.DeleteFunc(offers, func(o offer) bool { return o.zone != zone })
 }
 
@@ -146,7 +146,7 @@
 	total := 0
 	for _, bins := range [][]*bin{p.unused, p.toProvision} {
 		for _, b := range bins {
-			if b.Spot == spot && b.Tasks == 0 && !b.promised {
+			if b.Spot == spot && b.Tasks == 0 && !b.assigned {
 				missing[b.shard]--
 				total++
 			}
