--- a/internal/scheduler/feasibility_test.go
+++ b/internal/scheduler/feasibility_test.go
@@ -8,15 +8,15 @@
 	"bramblespur/internal/wire"
 )
 
-// gangOf is a gang of one zone whose tasks need a machine each.
+// gangOf returns a gang that is bound to one zone and whose tasks need a whole machine each.
 func gangOf(ref string, tasks int) wire.Spec {
 	s := spec(ref, "b", wire.Gang, "urgent", tasks, 2)
 	s.OneZone = true
 	return s
 }
 
-// A gang for which the shard will not have enough machines keeps none from others:
-// where no more can be provisioned, machines would else stand idle for as long as it waits.
+// A gang for which the shard will never have enough machines reserves none. Otherwise, where
+// no more machines can be provisioned, machines would be idle for as long as the gang waits.
 func TestInfeasibleGangReservesNothing(t *testing.T) {
 	for name, busy := range map[string]bool{"too few machines": false, "a service on one of them": true} {
 		r := newHarness(t)
@@ -40,16 +40,16 @@
 		r.submit(spec("run-000004", "b", wire.Array, "normal", 1, 1))
 		r.heartbeats(int((infeasibleAfter + gangReservation + 4*time.Second) / r.cfg.HeartbeatInterval))
 		if r.runningOn("run-000003/0") == "" || r.runningOn("run-000003/1") == "" {
-			t.Errorf("%s: the small gang waits beside machines kept for one of %d", name, large)
+			t.Errorf("%s: the small gang waits for machines reserved for a gang of %d", name, large)
 		}
 		if r.runningOn("run-000004/0") == "" {
-			t.Errorf("%s: the array waits beside machines kept for a gang of %d", name, large)
+			t.Errorf("%s: the array waits for machines reserved for a gang of %d", name, large)
 		}
 	}
 }
 
-// An array that had waited too long places its next task as soon as one ends, and
-// nothing takes its place: its machines don't come free for a gang.
+// A protected array places its next task as soon as one ends, and is not preempted, so the
+// machines that it uses do not become free for a gang.
 func TestGangDoesNotAwaitAnArrayThatGoesOn(t *testing.T) {
 	r := newHarness(t)
 	r.addMachine("m0", "z1", false)
@@ -63,12 +63,12 @@
 	r.addMachine("m1", "z1", false)
 	r.heartbeats(int((infeasibleAfter + gangReservation + 4*time.Second) / r.cfg.HeartbeatInterval))
 	if r.runningOn("run-000003/0") != "m1" {
-		t.Error("the small gang waits beside a machine kept for one of 2")
+		t.Error("the small gang waits for a machine reserved for a gang of 2")
 	}
 }
 
-// What has not booted yet, and what ends by itself, does count: a gang goes on
-// gathering for as long as that takes.
+// Machines that still boot count as room for a gang: it keeps its reservations until they
+// have booted.
 func TestGangAwaitsMachinesThatBoot(t *testing.T) {
 	r := newHarness(t)
 	for _, id := range []string{"m0", "m1"} {
@@ -81,7 +81,7 @@
 	r.submit(gangOf("run-000003", 2))
 	r.heartbeats(int((infeasibleAfter + 3*gangReservation) / r.cfg.HeartbeatInterval))
 	if r.runningOn("run-000003/0") != "" {
-		t.Fatal("the small gang took what the large one gathered")
+		t.Fatal("the small gang took machines that the large one had reserved")
 	}
 	r.workers["m2"] = late
 	r.heartbeats(4)
@@ -92,8 +92,8 @@
 	}
 }
 
-// A machine that goes to another shard once it is empty takes no new work, and stops
-// none.
+// A machine that is to be transferred to another shard once it is empty takes no new tasks,
+// and the tasks there are not stopped.
 func TestMachineLeavesAsItEmpties(t *testing.T) {
 	r := newHarness(t)
 	w := r.addMachine("m1", "z1", false)
@@ -104,19 +104,19 @@
 	r.shard.ApplyFleetOrder(fleet.Order{Machine: "m1", To: 1, Emptied: true}, r.clock.Now())
 	r.heartbeats(3)
 	if summary := r.shard.Summary(r.clock.Now()); len(summary.Machines) != 1 || !summary.Machines[0].Moving || summary.Machines[0].To != 1 {
-		t.Fatalf("summary %+v, want it to tell where the machine goes", summary.Machines)
+		t.Fatalf("summary of machines %+v, want m1 on its way to shard 1", summary.Machines)
 	}
 	if r.runningOn("run-000001/1") != "m1" || r.runningOn("run-000001/2") != "" {
-		t.Fatalf("tasks on %q and %q, want the one that ran, and no new one", r.runningOn("run-000001/1"), r.runningOn("run-000001/2"))
+		t.Fatalf("tasks 1 and 2 are on %q and %q, want the one that ran on m1 and no new one", r.runningOn("run-000001/1"), r.runningOn("run-000001/2"))
 	}
 	w.End("run-000001/1", wire.Done)
 	r.heartbeats(3)
 	if summary := r.shard.Summary(r.clock.Now()); len(summary.Machines) != 0 {
-		t.Fatalf("%+v has not gone", summary.Machines)
+		t.Fatalf("the shard still holds machines %+v, want none", summary.Machines)
 	}
 }
 
-// The leader is told of jobs of which nothing ran for minutes, and of no others.
+// The summary marks a job as starved once none of its tasks has run for agedAfter.
 func TestSummaryReportsStarvedJobs(t *testing.T) {
 	r := newHarness(t)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
@@ -125,16 +125,16 @@
 		return len(needs) == 1 && needs[0].Starved
 	}
 	if starved() {
-		t.Fatal("it starves at once")
+		t.Fatal("the job counts as starved at once")
 	}
 	r.clock.Advance(agedAfter + time.Second)
 	if !starved() {
-		t.Fatal("it does not starve after minutes")
+		t.Fatal("the job does not count as starved once agedAfter has passed")
 	}
 }
 
-// Work that had waited too long keeps its machines from urgent work of other shards,
-// not from services, which users wait for all the time.
+// The summary gives a machine with protected tasks a priority that keeps it from urgent jobs of
+// other shards, but not from services, which users always wait for.
 func TestOnlyServicesPreemptProtectedJobs(t *testing.T) {
 	r := newHarness(t)
 	r.addMachine("m1", "z1", false)
@@ -144,6 +144,6 @@
 	array := r.shard.jobs["run-000001"]
 	r.shard.protection.add(array)
 	if top := r.shard.Summary(r.clock.Now()).Machines[0].TopRank; top < Rank("urgent") || top >= Rank("prod") {
-		t.Errorf("priority %d is told for it", top)
+		t.Errorf("the summary gives the machine priority %d, want that of urgent jobs at least and less than that of prod", top)
 	}
 }
--- a/internal/scheduler/gang_start_delay_test.go
+++ b/internal/scheduler/gang_start_delay_test.go
@@ -9,17 +9,17 @@
 	"bramblespur/internal/wire"
 )
 
-// gangSimulation plays how the tasks of a gang fetch, and how they wait for each other.
+// gangSimulation simulates how the tasks of a gang fetch their image and wait for each other.
 type gangSimulation struct {
 	r         *harness
 	ref       string
-	fetchTime time.Duration // where the image is not cached
+	fetchTime time.Duration // how long a fetch takes
 	cached    string        // the machine that caches it
 	startedAt map[*testkit.WorkerTask]time.Time
 	fetchedAt map[*testkit.WorkerTask]time.Time // since when a task has its image
 }
 
-// advance plays the tasks up to now.
+// advance brings the tasks up to the present time of the clock.
 func (g *gangSimulation) advance() {
 	now := g.r.clock.Now()
 	for id, w := range g.r.workers {
@@ -43,7 +43,7 @@
 	}
 }
 
-// awaitingPeers returns how many tasks of the gang have their image and wait, by attempt.
+// awaitingPeers counts, by attempt, the gang's tasks that have their image and wait for the others.
 func (g *gangSimulation) awaitingPeers() map[uint64]int {
 	n := map[uint64]int{}
 	for _, w := range g.r.workers {
@@ -56,10 +56,11 @@
 	return n
 }
 
-// A gang of which some machines cache the image and others fetch it for longer than
-// the gang's tasks wait for each other starts all the same. Where all are started
-// together those with the image give up first, the fetch is given up with them, and
-// every later attempt ends alike: a day's log had nineteen, each 30 s after the last.
+// A gang starts under its first attempt even if some of its machines cache the image and others
+// fetch it for longer than the gang's tasks wait for each other. If all tasks were started
+// together, those with the image would give up first and end the fetches with them, and
+// every later attempt would fail in the same way: a day's log had nineteen such attempts, each
+// 30 s after the last.
 func TestGangWaitsForSlowFetch(t *testing.T) {
 	for name, direct := range map[string]bool{"by reports": false, "by direct starts": true} {
 		t.Run(name, func(t *testing.T) {
@@ -98,13 +99,13 @@
 					return
 				}
 			}
-			t.Fatalf("the gang never gathered under its first attempt: m1 started %v, m2 %v", m1.Started, r.workers["m2"].Started)
+			t.Fatalf("the gang's tasks were never all ready under attempt 1: m1 started %v, m2 %v", m1.Started, r.workers["m2"].Started)
 		})
 	}
 }
 
-// A delayed start is brought to its machine when it is due, without waiting for the
-// machine's next heartbeat: that may be seconds away.
+// A delayed start is sent to its machine when it is due. It does not wait for the machine's
+// next heartbeat, which may be seconds away.
 func TestDelayedStartWakesItsMachine(t *testing.T) {
 	r := newHarness(t)
 	m := r.addMachine("m1", "z1", false)
@@ -112,18 +113,18 @@
 	due := r.clock.Now().Add(5 * time.Second)
 	r.shard.delayedStarts[r.shard.inventory.byID["m1"]] = due
 	if eff := r.shard.Step(due.Add(-time.Millisecond)); len(eff.StartsReady) != 0 {
-		t.Fatalf("woken before it is due: %v", eff.StartsReady)
+		t.Fatalf("starts ready on %v before one is due, want none", eff.StartsReady)
 	}
 	if eff := r.shard.Step(due); !slices.Equal(eff.StartsReady, []string{"m1"}) {
-		t.Fatalf("woke %v when m1 was due", eff.StartsReady)
+		t.Fatalf("starts ready on %v, want m1", eff.StartsReady)
 	}
 	if eff := r.shard.Step(due.Add(time.Second)); len(eff.StartsReady) != 0 {
-		t.Fatalf("woken twice: %v", eff.StartsReady)
+		t.Fatalf("starts ready on %v again, want none", eff.StartsReady)
 	}
 }
 
-// What need not wait for others is started at once: a gang whose image all of its
-// machines cache, and one whose fetch is short.
+// Starts on machines that cache the image are delayed only for fetches that take longer than
+// the planned share of GangWait.
 func TestShortFetchDelaysNothing(t *testing.T) {
 	r := newHarness(t)
 	r.cfg.GangWait = 30 * time.Second
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -18,15 +18,15 @@
 	r.addMachine("m2", "z2", false)
 	r.heartbeats(4)
 	if r.runningOn("run-000001/0") != "" || r.runningOn("run-000001/1") != "" {
-		t.Fatal("gang started over two zones")
+		t.Fatal("the gang started in two zones")
 	}
 	r.addMachine("m3", "z2", false)
 	r.heartbeats(4)
 	a, b := r.runningOn("run-000001/0"), r.runningOn("run-000001/1")
 	if a == b || a == "m1" || b == "m1" || a == "" || b == "" {
-		t.Fatalf("gang on %q and %q, want m2 and m3", a, b)
+		t.Fatalf("the gang is on %q and %q, want m2 and m3", a, b)
 	}
-	// One machine's epoch ends: the whole attempt must go before the next.
+	// The lease of one machine expires: the whole attempt has to end before the next begins.
 	lost := r.workers[a]
 	r.expireLease(lost)
 	r.heartbeats(5)
@@ -39,7 +39,7 @@
 	}
 }
 
-// submitGangOfTwo submits a gang and adds the two machines that it needs.
+// submitGangOfTwo submits a gang of two tasks and adds the two machines that it needs.
 func (r *harness) submitGangOfTwo() wire.Spec {
 	r.t.Helper()
 	s := spec("run-000001", "b", wire.Gang, "urgent", 2, 2)
@@ -49,15 +49,15 @@
 	return s
 }
 
-// While a gang waits for its last task, one that is lost is replaced under the
-// same attempt.
+// If a task is lost while the gang waits for its last task, it is replaced under the same
+// attempt.
 func TestGangReplacement(t *testing.T) {
 	r := newHarness(t)
 	r.submitGangOfTwo()
 	r.heartbeats(2)
 	a, b := r.runningOn("run-000001/0"), r.runningOn("run-000001/1")
 	if a == "" || b == "" {
-		t.Fatal("gang not started")
+		t.Fatal("the gang did not start")
 	}
 	r.workers[a].Tasks["run-000001/0"].State = wire.AwaitingGang
 	r.workers[b].Tasks["run-000001/1"].State = wire.Fetching
@@ -65,14 +65,14 @@
 	r.expireLease(r.workers[b])
 	r.heartbeats(4)
 	if got := r.workers[a].Tasks["run-000001/0"]; got == nil || got.Attempt != 1 || got.State != wire.AwaitingGang {
-		t.Fatalf("the waiting task was disturbed: %+v", got)
+		t.Fatalf("the waiting task is %+v, want attempt 1 to wait on", got)
 	}
 	if got := r.workers[b].Tasks["run-000001/1"]; got == nil || got.Attempt != 1 {
-		t.Fatalf("replacement %+v, want attempt 1", got)
+		t.Fatalf("the replacement is %+v, want attempt 1", got)
 	}
 }
 
-// A gang is done when one of its tasks is: they complete together.
+// The tasks of a gang complete together: once one task is done, the gang is done.
 func TestGangDoneTogether(t *testing.T) {
 	r := newHarness(t)
 	spec := r.submitGangOfTwo()
@@ -81,12 +81,12 @@
 	w.End("run-000001/0", wire.Done)
 	r.heartbeats(1, w)
 	if r.jobState(spec.Ref) != wire.Done {
-		t.Fatal("gang not done")
+		t.Fatal("the gang is not done although one of its tasks is")
 	}
 }
 
-// Machines that come one by one are reserved for the gang that waits: smaller work
-// of its priority and below can't starve it.
+// Machines that become ready one by one are reserved for a gang that waits, so that smaller
+// jobs of its priority or a lower one can't starve it.
 func TestMachinesAreReservedForGang(t *testing.T) {
 	r := newHarness(t)
 	g := spec("run-000001", "b", wire.Gang, "urgent", 3, 2)
@@ -101,13 +101,13 @@
 	r.heartbeats(2)
 	for i := range 3 {
 		if name := fmt.Sprintf("run-000001/%d", i); r.runningOn(name) == "" {
-			t.Errorf("%s was starved by smaller work", name)
+			t.Errorf("%s does not run: smaller jobs took its machine", name)
 		}
 	}
 }
 
-// The largest gang starts within four minutes although smaller ones of its
-// priority never end to come and no machine can be added.
+// The largest gang starts within four minutes, although smaller gangs of its priority keep
+// arriving and no machine can be added.
 func TestLargestGangIsNotStarved(t *testing.T) {
 	r := newHarness(t)
 	for i := range 4 {
@@ -134,13 +134,13 @@
 		}
 	}
 	if started < 4 {
-		t.Fatalf("%d of the largest gang's 4 tasks started in four minutes", started)
+		t.Fatalf("%d of the largest gang's 4 tasks started in four minutes, want all", started)
 	}
 }
 
-// Where more gangs wait than fit for minutes, the largest begin within four
-// minutes: small ones that have waited too long as well take nothing from what a
-// larger one has reserved, and do not go past it.
+// The largest gangs begin within four minutes even if for minutes more gangs wait than fit.
+// Small gangs that have waited too long as well neither take machines that a larger
+// gang has reserved nor overtake it.
 func TestLargestGangsAreNotOvertaken(t *testing.T) {
 	r := newHarness(t)
 	r.cfg.Urgency = func(s *wire.Spec, waited time.Duration, _ *float64) float64 { return s.EstimateS - waited.Seconds() }
@@ -177,7 +177,7 @@
 		if !ok {
 			t.Errorf("%s never began", ref)
 		} else if first.Sub(at) > 4*time.Minute && strings.HasPrefix(ref, fmt.Sprint("run-", largest)) {
-			t.Errorf("%s, one of the largest, began after %v", ref, first.Sub(at))
+			t.Errorf("%s, one of the largest gangs, began after %v, want 4 minutes at most", ref, first.Sub(at))
 		}
 	}
 }
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -22,7 +22,7 @@
 		}
 	}
 	if n != 2 {
-		t.Fatalf("%d of 3 in one zone, want 2", n)
+		t.Fatalf("%d of 3 tasks run in one zone, want 2", n)
 	}
 }
 
@@ -30,18 +30,19 @@
 	r := newHarness(t)
 	r.addMachine("m1", "z1", true)
 	zone := "z2"
-	s := spec("run-000001", "b", wire.Array, "normal", 1, 1) // no spot
+	s := spec("run-000001", "b", wire.Array, "normal", 1, 1) // may not use spot machines
 	z := spec("run-000002", "b", wire.Array, "normal", 1, 1)
-	z.Spot, z.Zone = true, &zone // wrong zone
+	z.Spot, z.Zone = true, &zone // bound to another zone
 	r.submit(s)
 	r.submit(z)
 	r.heartbeats(4)
 	if got := r.workers["m1"].Started; len(got) != 0 {
-		t.Fatalf("started %v on a machine that no job allows", got)
+		t.Fatalf("started %v on a machine that neither job allows, want none", got)
 	}
 }
 
-// Higher work takes the place of lower, which saves first.
+// A task of a higher priority preempts one of a lower priority, which saves a checkpoint first,
+// but none of its own priority.
 func TestLowerPriorityIsPreempted(t *testing.T) {
 	r := newHarness(t)
 	w := r.addMachine("m1", "z1", false)
@@ -50,20 +51,20 @@
 	r.submit(spec("run-000002", "b", wire.Service, "prod", 1, 1))
 	r.heartbeats(6)
 	if r.runningOn("run-000002/0") != "m1" {
-		t.Fatalf("prod task waits: %v", w.Started)
+		t.Fatalf("the prod task does not run on m1; started %v", w.Started)
 	}
 	if r.runningOn("run-000001/0") != "" && r.runningOn("run-000001/1") != "" {
-		t.Fatal("nothing gave way")
+		t.Fatal("both tasks of priority normal run, want one preempted")
 	}
-	// Its equal does not.
+	// A job of the same priority preempts nothing.
 	r.submit(spec("run-000003", "b", wire.Service, "prod", 2, 1))
 	r.heartbeats(6)
 	if r.runningOn("run-000002/0") != "m1" {
-		t.Fatal("equal priority was preempted")
+		t.Fatal("a task was preempted for a job of its own priority")
 	}
 }
 
-// The order in which a team is served: a guarantee before borrowing.
+// A team within its guarantee goes before a team without one.
 func TestGuaranteeGoesFirst(t *testing.T) {
 	r := newHarness(t)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 2, 1))
@@ -71,11 +72,11 @@
 	w := r.addMachine("m1", "z1", false)
 	r.heartbeats(3)
 	if r.runningOn("run-000002/0") == "" || r.runningOn("run-000002/1") == "" {
-		t.Fatalf("guaranteed team waits: %v", w.Started)
+		t.Fatalf("the tasks of the team with a guarantee do not both run; started %v", w.Started)
 	}
 }
 
-// newHarnessWithSlowFetches has machines to which an image takes 20 s.
+// newHarnessWithSlowFetches returns a harness whose machines take 20 s to fetch an image.
 func newHarnessWithSlowFetches(t testing.TB) *harness {
 	t.Helper()
 	r := newHarness(t)
@@ -85,8 +86,8 @@
 	return r
 }
 
-// A service goes to a machine that caches its image even where lower work has
-// to be preempted there, rather than fetch it on a free one.
+// A service goes to a machine that caches its image, even if tasks of a lower priority have to
+// be preempted there, rather than fetch the image on a free machine.
 func TestServicePreemptsWhereItsImageIsCached(t *testing.T) {
 	r := newHarnessWithSlowFetches(t)
 	r.addMachine("m1", "z1", false)
@@ -108,16 +109,16 @@
 	r.submit(again)
 	r.heartbeats(4)
 	if a, b := r.runningOn("run-000003/0"), r.runningOn("run-000003/1"); a != "m1" || b != "m1" {
-		t.Fatalf("on %q and %q, want both on the machine with the image", a, b)
+		t.Fatalf("the service's tasks are on %q and %q, want both on m1, which caches the image", a, b)
 	}
 	r.heartbeats(4)
 	if a, b := r.runningOn("run-000002/0"), r.runningOn("run-000002/1"); a != "m2" || b != "m2" {
-		t.Fatalf("the array is on %q and %q, want it to go on elsewhere", a, b)
+		t.Fatalf("the array's tasks are on %q and %q, want both on m2", a, b)
 	}
 }
 
-// Room that was made where the image is not cached is used at once: a service
-// does not wait on it for room with the image.
+// A service uses room made for it on a machine without its image at once. It does not wait
+// there for room on a machine that caches the image.
 func TestServiceUsesRoomMadeForIt(t *testing.T) {
 	r := newHarnessWithSlowFetches(t)
 	r.addMachine("m1", "z1", false)
@@ -128,11 +129,12 @@
 	r.submit(s)
 	r.heartbeats(4)
 	if got := r.runningOn("run-000002/0"); got != "m1" {
-		t.Fatalf("on %q after 8 s, want the machine on which others gave way", got)
+		t.Fatalf("the service is on %q after 8 s, want m1, where tasks were preempted for it", got)
 	}
 }
 
-// runWithArrivals lets tasks end after so many beats and calls arrive before each.
+// runWithArrivals runs for a number of heartbeats, before each of which it calls arrive with
+// the heartbeat's number. Each task is done after it has run for lifetime heartbeats.
 func (r *harness) runWithArrivals(heartbeats, lifetime int, arrive func(beat int)) {
 	began := map[string]int{}
 	for beat := range heartbeats {
@@ -154,8 +156,8 @@
 	}
 }
 
-// Low work is served as well, though higher work asks for more than there is
-// all the time, and it is not taken off again.
+// Jobs of a low priority are done as well, although jobs of a higher priority always ask for
+// more machines than there are: once placed, they are not preempted.
 func TestLowPriorityIsNotStarved(t *testing.T) {
 	r := newHarness(t)
 	for i := range 4 {
@@ -177,13 +179,13 @@
 		}
 	}
 	if done < low {
-		t.Fatalf("%d of %d low jobs done while higher ones never ended", done, low)
+		t.Fatalf("%d of %d jobs of priority low are done while urgent ones kept arriving, want all", done, low)
 	}
 }
 
-// Work without cards goes beside work with cards that is preempted for no gang, though
-// another machine caches its image: not on one whose work may have to go, nor on one
-// that a gang could use as a whole.
+// A task without GPUs goes beside a task with GPUs that is not preempted for a gang, although
+// other machines cache its image. It goes neither to a machine whose tasks may be preempted,
+// nor to an unused one, since a gang could use either as a whole.
 func TestTaskWithoutGPUsGoesBesideUnpreemptibleTasks(t *testing.T) {
 	place := func(with string) string {
 		r := newHarness(t)
@@ -198,7 +200,7 @@
 		r.submit(spec("run-000002", "b", wire.Gang, "urgent", 1, 2))
 		r.heartbeats(2)
 		if r.runningOn("run-000001/0") != "m1" || r.runningOn("run-000001/1") != "m1" || r.runningOn("run-000002/0") == "" {
-			t.Fatalf("the array is on %s, the gang on %s", r.runningOn("run-000001/0"), r.runningOn("run-000002/0"))
+			t.Fatalf("the array is on %q, want m1; the gang is on %q, want any machine", r.runningOn("run-000001/0"), r.runningOn("run-000002/0"))
 		}
 		s := spec("run-000003", "b", wire.Array, "low", 1, 0)
 		s.CPUs, s.MemoryGB, s.Image = 1, 1, "step"
@@ -211,7 +213,7 @@
 		r.heartbeats(2)
 		switch r.runningOn("run-000003/0") {
 		case "":
-			t.Fatal("it does not run")
+			t.Fatal("the task without GPUs does not run")
 		case "m1":
 			return "array's"
 		case r.runningOn("run-000002/0"):
@@ -221,13 +223,13 @@
 	}
 	for _, priority := range []string{"normal", "low"} {
 		if got := place(priority); got != "gang's" {
-			t.Errorf("beside an array of priority %s it went to the %s machine", priority, got)
+			t.Errorf("with an array of priority %s the task without GPUs went to the %s machine, want the gang's", priority, got)
 		}
 	}
 }
 
-// What a job's tasks that run leave to the others is told to the leader: a job of
-// one zone waits for a machine there, and one that is spread for one elsewhere.
+// A need names the zones that a job's placed tasks leave to its other tasks: a job bound to
+// one zone needs a machine in that zone, and a job that is spread one in another zone.
 func TestNeedsNameTheZonesLeft(t *testing.T) {
 	r := newHarness(t)
 	one := spec("run-000001", "b", wire.Array, "prod", 3, 1)
@@ -246,22 +248,22 @@
 		case "run-000001":
 			found++
 			if n.Zone != "z2" {
-				t.Errorf("the array's other task is wanted in %q, want z2", n.Zone)
+				t.Errorf("the array needs a machine in zone %q, want z2", n.Zone)
 			}
 		case "run-000002":
 			found++
 			if n.ZoneLimit != 1 || n.InZone["z1"] != 1 {
-				t.Errorf("the service's need: %+v, want one a zone with one in z1", n)
+				t.Errorf("the service's need is %+v, want a zone limit of 1 and one task in z1", n)
 			}
 		}
 	}
 	if found != 2 {
-		t.Errorf("%d needs told, want 2", found)
+		t.Errorf("the summary has needs of %d of the jobs, want 2", found)
 	}
 }
 
-// Room is made, and machines are reserved, only where a job may still go: work in
-// another zone is neither stopped nor kept from others for it.
+// A job preempts tasks and reserves machines only in zones where it may still be placed. In
+// other zones no task is stopped for it and no machine is kept from other jobs.
 func TestNothingIsPreemptedInAnotherZone(t *testing.T) {
 	for kind, n := range map[string]int{wire.Array: 3, wire.Service: 2} {
 		r := newHarness(t)
@@ -278,7 +280,7 @@
 		for i := range 2 {
 			name := fmt.Sprintf("run-000002/%d", i)
 			if at := r.runningOn(name); at == "" || (kind == wire.Array && at != "m2") {
-				t.Errorf("%s: %s is on %q: its place was kept or taken for what can't use it", kind, name, at)
+				t.Errorf("%s: %s is on %q: its room was reserved or preempted for a job that can't use it", kind, name, at)
 			}
 		}
 	}
