--- a/internal/scheduler/direct_commands_test.go
+++ b/internal/scheduler/direct_commands_test.go
@@ -81,7 +81,7 @@
 
 // A copy of a direct start that was carried out comes after its task was
 // stopped and started elsewhere: the worker has not forgotten the attempt.
-func TestCopyOfDirectStart(t *testing.T) {
+func TestCopyOfDirectStartStartsNothing(t *testing.T) {
 	r := newHarness(t)
 	var sent []DirectCommand
 	r.sendStart = func(d DirectCommand) { sent = append(sent, d); r.deliverCommand(d, true) }
--- a/internal/scheduler/machine_health_test.go
+++ b/internal/scheduler/machine_health_test.go
@@ -82,7 +82,7 @@
 }
 
 // Errors on one machine end it; errors of one job everywhere hold the job back.
-func TestErrorsFindTheirCause(t *testing.T) {
+func TestFailuresAreAttributedToJobOrMachine(t *testing.T) {
 	r := newHarness(t)
 	for _, id := range []string{"m1", "m2", "m3", "m4", "m5"} {
 		r.addMachine(id, "z1", false)
--- a/internal/scheduler/overloaded_test.go
+++ b/internal/scheduler/overloaded_test.go
@@ -10,7 +10,7 @@
 // A controller that falls behind reads reports late: it must not take machines that
 // it has not heard lately for lost, nor ask them all, which makes it later still. Once
 // it keeps up, and also where it never does, dead ones are released.
-func TestOverloadedShardTakesNoMachineForSilent(t *testing.T) {
+func TestOverloadedShardReleasesNoSilentMachine(t *testing.T) {
 	for name, keepsUpAgain := range map[string]bool{"keeps up again": true, "never does": false} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t)
--- a/internal/scheduler/random_graph_test.go
+++ b/internal/scheduler/random_graph_test.go
@@ -15,14 +15,14 @@
 // Bounds of a random graph: how many are generated, over how many shards, and in which of the
 // rounds jobs are submitted, owners and writes are disturbed, and all tasks end at once.
 const (
-	graphSeeds         = 25
-	graphShards        = 3
-	graphMachines      = 2 // of each shard
-	graphRounds        = 120
-	graphSubmitRounds  = 60
-	graphDisturbRounds = 80
-	graphEndingRounds  = 90
-	graphRestPerJob    = 12 // rounds after which nothing may be stuck
+	graphSeeds              = 25
+	graphShards             = 3
+	graphMachines           = 2 // of each shard
+	graphRounds             = 120
+	graphSubmitRounds       = 60
+	graphDisturbRounds      = 80
+	graphEndingRounds       = 90
+	graphSettleRoundsPerJob = 12 // rounds after which nothing may be stuck
 )
 
 // dependencyGraph is the model: which jobs were submitted, after which others, and which of
@@ -51,9 +51,9 @@
 	return ref, true
 }
 
-// wanted returns each job's final state: cancelled are those whose cancellation came in time,
+// wantedStates returns each job's final state: cancelled are those whose cancellation came in time,
 // and all that follow them.
-func (g *dependencyGraph) wanted(final func(ref string) string) map[string]string {
+func (g *dependencyGraph) wantedStates(final func(ref string) string) map[string]string {
 	want := map[string]string{}
 	for _, ref := range g.refs {
 		want[ref] = wire.Done
@@ -65,8 +65,8 @@
 	return want
 }
 
-// graphPlay plays a random graph over several shards.
-type graphPlay struct {
+// graphTest plays a random graph over several shards.
+type graphTest struct {
 	t       *testing.T
 	seed    uint64
 	rnd     *rand.Rand
@@ -76,9 +76,9 @@
 	checked map[*testkit.Worker]int // so many of a worker's starts were checked
 }
 
-func newGraphPlay(t *testing.T, seed uint64) *graphPlay {
+func newGraphTest(t *testing.T, seed uint64) *graphTest {
 	t.Helper()
-	p := &graphPlay{
+	p := &graphTest{
 		t: t, seed: seed, rnd: rand.New(rand.NewPCG(seed, 4)), state: testkit.NewState(), checked: map[*testkit.Worker]int{},
 		graph: dependencyGraph{dependencies: map[string][]string{}, cancelled: map[string]bool{}},
 	}
@@ -94,13 +94,13 @@
 	return p
 }
 
-// owner is the shard of a job.
-func (p *graphPlay) owner(ref string) *harness {
+// ownerOf is the shard of a job.
+func (p *graphTest) ownerOf(ref string) *harness {
 	return p.shards[int(record.Hash(ref))%len(p.shards)]
 }
 
-// final is a job's final state, empty if it has none yet.
-func (p *graphPlay) final(ref string) string {
+// finalState is a job's finalState state, empty if it has none yet.
+func (p *graphTest) finalState(ref string) string {
 	if p.shards[0].get(record.FinishedJobKey(ref)) == nil {
 		return ""
 	}
@@ -108,13 +108,13 @@
 }
 
 // round lets one of the shards take a turn, after something was submitted or disturbed.
-func (p *graphPlay) round(n int) {
+func (p *graphTest) round(n int) {
 	if n < graphSubmitRounds && p.rnd.IntN(2) == 0 {
 		ref, ok := p.graph.generate(p.rnd)
 		if !ok {
 			return
 		}
-		p.owner(ref).submitAfter(ref, p.graph.dependencies[ref]...)
+		p.ownerOf(ref).submitAfter(ref, p.graph.dependencies[ref]...)
 	}
 	if n < graphDisturbRounds && len(p.graph.refs) > 0 {
 		p.disturb()
@@ -131,7 +131,7 @@
 }
 
 // disturb cancels a job, lets a shard fail over, or loses, delays or releases writes.
-func (p *graphPlay) disturb() {
+func (p *graphTest) disturb() {
 	switch ref := p.graph.refs[p.rnd.IntN(len(p.graph.refs))]; p.rnd.IntN(8) {
 	case 0:
 		p.cancel(ref)
@@ -147,7 +147,7 @@
 }
 
 // cancel cancels a job that has not ended.
-func (p *graphPlay) cancel(ref string) {
+func (p *graphTest) cancel(ref string) {
 	p.t.Helper()
 	e := p.shards[0].get(record.ActiveJobKey(ref))
 	if e == nil {
@@ -158,14 +158,14 @@
 		p.t.Fatal(err)
 	}
 	p.graph.cancelled[ref] = true
-	tell := p.owner(ref).cancel(o.Spec)
+	tell := p.ownerOf(ref).cancel(o.Spec)
 	tell()
 }
 
-// rest lets all shards go on undisturbed until nothing can be left to do.
-func (p *graphPlay) rest() {
+// settle lets all shards go on undisturbed until nothing can be left to do.
+func (p *graphTest) settle() {
 	p.state.Release()
-	for range graphRestPerJob * len(p.graph.refs) {
+	for range graphSettleRoundsPerJob * len(p.graph.refs) {
 		for _, r := range p.shards {
 			r.endRunningTasks()
 			r.reportDependencyEnds()
@@ -177,7 +177,7 @@
 
 // check asserts that what was started since the last time had all its dependencies done, and
 // that the shards are consistent.
-func (p *graphPlay) check() {
+func (p *graphTest) check() {
 	p.t.Helper()
 	for _, r := range p.shards {
 		if err := checkInvariants(r.shard); err != nil {
@@ -192,10 +192,10 @@
 	}
 }
 
-func (p *graphPlay) checkDependenciesDone(ref string) {
+func (p *graphTest) checkDependenciesDone(ref string) {
 	p.t.Helper()
 	for _, dependency := range p.graph.dependencies[ref] {
-		if state := p.final(dependency); state != wire.Done {
+		if state := p.finalState(dependency); state != wire.Done {
 			p.t.Fatalf("seed %d: %s was started while %s is %q", p.seed, ref, dependency, state)
 		}
 	}
@@ -203,11 +203,11 @@
 
 // checkEnd asserts that each job has the final state that the model wants, and that no shard
 // holds anything any more.
-func (p *graphPlay) checkEnd() {
+func (p *graphTest) checkEnd() {
 	p.t.Helper()
-	want := p.graph.wanted(p.final)
+	want := p.graph.wantedStates(p.finalState)
 	for _, ref := range p.graph.refs {
-		if got := p.final(ref); got != want[ref] {
+		if got := p.finalState(ref); got != want[ref] {
 			p.t.Errorf("seed %d: %s after %v is %q, want %q", p.seed, ref, p.graph.dependencies[ref], got, want[ref])
 		}
 	}
@@ -223,11 +223,11 @@
 // and nothing else, and in the end nothing is stuck.
 func TestDependenciesHoldInRandomGraphsAcrossShards(t *testing.T) {
 	for seed := range uint64(graphSeeds) {
-		p := newGraphPlay(t, seed)
+		p := newGraphTest(t, seed)
 		for n := range graphRounds {
 			p.round(n)
 		}
-		p.rest()
+		p.settle()
 		p.checkEnd()
 	}
 }
--- a/internal/scheduler/random_history_test.go
+++ b/internal/scheduler/random_history_test.go
@@ -18,50 +18,50 @@
 // of what ran where.
 type history struct {
 	*harness
-	r       *rand.Rand
-	jobs    map[string]wire.Spec
-	ended   map[string]bool       // tasks that completed, by the workers
-	asked   map[string]bool       // jobs whose users asked for their end
-	finals  map[string]string     // final records as they first were
-	copies  []wire.Heartbeat      // reports to come once more
-	deposed []*Shard              // earlier owners that don't know it yet
-	late    map[string]lateAnswer // by machine
-	rented  int
-	intact  map[string]json.RawMessage // records of placements that are damaged now
+	rnd                   *rand.Rand
+	jobs                  map[string]wire.Spec
+	ended                 map[string]bool         // tasks that completed, by the workers
+	cancellationRequested map[string]bool         // jobs whose users asked for their end
+	finalRecords          map[string]string       // final records as they first were
+	heartbeatCopies       []wire.Heartbeat        // reports to come once more
+	deposed               []*Shard                // earlier owners that don't know it yet
+	lateResponses         map[string]lateResponse // by machine
+	provisioned           int
+	originals             map[string]json.RawMessage // records of placements that are damaged now
 }
 
-// lateAnswer is an answer on its way, and the report that it answers.
-type lateAnswer struct {
+// lateResponse is an answer on its way, and the report that it answers.
+type lateResponse struct {
 	session, seq uint64
 	orders       wire.Orders
 }
 
-// happenings are what may happen next.
-var happenings = []func(h *history){
-	func(h *history) { h.submitOne() }, func(h *history) { h.submitOne() },
-	func(h *history) { h.reportOne() }, func(h *history) { h.reportOne() }, func(h *history) { h.reportOne() }, func(h *history) { h.reportOne() },
-	func(h *history) { h.endOne(wire.Done) }, func(h *history) { h.endOne(wire.Done) },
-	func(h *history) { h.endOne(wire.ExitError) },
-	func(h *history) { h.takeOver() },
-	func(h *history) { h.replay() }, func(h *history) { h.replay() },
-	func(h *history) { h.answerLate() },
+// randomSteps are what may happen next.
+var randomSteps = []func(h *history){
+	func(h *history) { h.submitJob() }, func(h *history) { h.submitJob() },
+	func(h *history) { h.sendHeartbeat() }, func(h *history) { h.sendHeartbeat() }, func(h *history) { h.sendHeartbeat() }, func(h *history) { h.sendHeartbeat() },
+	func(h *history) { h.endRunningTask(wire.Done) }, func(h *history) { h.endRunningTask(wire.Done) },
+	func(h *history) { h.endRunningTask(wire.ExitError) },
+	func(h *history) { h.replaceOwner() },
+	func(h *history) { h.replayHeartbeat() }, func(h *history) { h.replayHeartbeat() },
+	func(h *history) { h.deliverLateResponses() },
 	func(h *history) { h.expireLease(h.worker()) },
-	func(h *history) { h.cancelOne() },
-	func(h *history) { h.state.LoseAnswers = h.r.IntN(3) },
-	func(h *history) { h.state.HoldTxns = h.r.IntN(2) },
+	func(h *history) { h.cancelJob() },
+	func(h *history) { h.state.LoseAnswers = h.rnd.IntN(3) },
+	func(h *history) { h.state.HoldTxns = h.rnd.IntN(2) },
 	func(h *history) { h.state.Release(); h.carryOutEffects() },
 	func(h *history) { h.heartbeat() },
 }
 
 func (h *history) worker() *testkit.Worker {
 	names := slices.Sorted(maps.Keys(h.workers))
-	return h.workers[names[h.r.IntN(len(names))]]
+	return h.workers[names[h.rnd.IntN(len(names))]]
 }
 
-func (h *history) submitOne() {
+func (h *history) submitJob() {
 	ref := fmt.Sprintf("run-%06d", len(h.jobs))
-	s := spec(ref, "b", wire.Array, "normal", 1+h.r.IntN(3), 1)
-	if h.r.IntN(4) == 0 {
+	s := spec(ref, "b", wire.Array, "normal", 1+h.rnd.IntN(3), 1)
+	if h.rnd.IntN(4) == 0 {
 		s = spec(ref, "b", wire.Gang, "normal", 2, 1)
 	}
 	h.jobs[ref] = s
@@ -69,66 +69,66 @@
 	h.carryOutEffects()
 }
 
-// reportOne lets a worker report. Its answer arrives, is lost, or comes late; a copy of the
+// sendHeartbeat lets a worker report. Its answer arrives, is lost, or comes late; a copy of the
 // report may come once more.
-func (h *history) reportOne() {
+func (h *history) sendHeartbeat() {
 	w := h.worker()
 	h.clock.Advance(h.cfg.HeartbeatInterval)
 	rep := w.Report()
-	if h.r.IntN(3) == 0 {
-		h.copies = append(h.copies, rep)
+	if h.rnd.IntN(3) == 0 {
+		h.heartbeatCopies = append(h.heartbeatCopies, rep)
 	}
 	to := h.shard
-	if n := len(h.deposed); n > 0 && h.r.IntN(4) == 0 {
-		to = h.deposed[h.r.IntN(n)]
+	if n := len(h.deposed); n > 0 && h.rnd.IntN(4) == 0 {
+		to = h.deposed[h.rnd.IntN(n)]
 	}
 	o, v := to.Heartbeat(&rep, false, h.clock.Now())
 	switch {
-	case v != Answered || h.r.IntN(5) == 0:
-	case h.r.IntN(6) == 0:
-		h.late[w.ID] = lateAnswer{rep.Session, rep.Seq, o}
+	case v != Answered || h.rnd.IntN(5) == 0:
+	case h.rnd.IntN(6) == 0:
+		h.lateResponses[w.ID] = lateResponse{rep.Session, rep.Seq, o}
 	default:
 		w.Obey(o)
 	}
 	h.carryOutEffects()
 }
 
-// answerLate brings an answer that was late. Its worker takes it if it has heard nothing
+// deliverLateResponses brings an answer that was late. Its worker takes it if it has heard nothing
 // since, else it has dropped it.
-func (h *history) answerLate() {
-	for _, id := range slices.Sorted(maps.Keys(h.late)) {
-		a := h.late[id]
+func (h *history) deliverLateResponses() {
+	for _, id := range slices.Sorted(maps.Keys(h.lateResponses)) {
+		a := h.lateResponses[id]
 		if w := h.workers[id]; w != nil && w.Session == a.session && w.Seq == a.seq {
 			w.Obey(a.orders)
 		}
 	}
-	clear(h.late)
+	clear(h.lateResponses)
 }
 
-// replay brings a copy of an old heartbeat to the owner or to one that is none any more.
-func (h *history) replay() {
-	if len(h.copies) == 0 {
+// replayHeartbeat brings a copy of an old heartbeat to the owner or to one that is none any more.
+func (h *history) replayHeartbeat() {
+	if len(h.heartbeatCopies) == 0 {
 		return
 	}
-	rep := h.copies[h.r.IntN(len(h.copies))]
+	rep := h.heartbeatCopies[h.rnd.IntN(len(h.heartbeatCopies))]
 	for _, shard := range append(h.deposed, h.shard) {
 		shard.Heartbeat(&rep, false, h.clock.Now())
 	}
 	h.carryOutEffects()
 }
 
-func (h *history) endOne(why string) {
+func (h *history) endRunningTask(why string) {
 	w := h.worker()
 	for _, name := range slices.Sorted(maps.Keys(w.Tasks)) {
 		if t := w.Tasks[name]; t.State == wire.Running {
-			h.end(name, t.Attempt, why)
+			h.endTask(name, t.Attempt, why)
 			return
 		}
 	}
 }
 
-// end ends a task; the tasks of a gang's attempt complete together.
-func (h *history) end(name string, attempt uint64, why string) {
+// endTask ends a task; the tasks of a gang's attempt complete together.
+func (h *history) endTask(name string, attempt uint64, why string) {
 	ref, _, _ := strings.Cut(name, "/")
 	gang := h.jobs[ref].Kind == wire.Gang && why == wire.Done
 	if gang && h.running(ref, attempt) < h.jobs[ref].Tasks {
@@ -157,8 +157,8 @@
 	return n
 }
 
-// leaveMates lets gang tasks exit whose attempt is not complete, as workers do after a while.
-func (h *history) leaveMates() {
+// exitIncompleteGangs lets gang tasks exit whose attempt is not complete, as workers do after a while.
+func (h *history) exitIncompleteGangs() {
 	for _, w := range h.workers {
 		for name, t := range w.Tasks {
 			ref, _, _ := strings.Cut(name, "/")
@@ -169,23 +169,23 @@
 	}
 }
 
-// takeOver ends the owner: the next one knows only the records.
-func (h *history) takeOver() {
+// replaceOwner ends the owner: the next one knows only the records.
+func (h *history) replaceOwner() {
 	h.deposed = append(h.deposed[max(0, len(h.deposed)-1):], h.shard)
 	h.failOver()
 	h.carryOutEffects()
 }
 
-func (h *history) cancelOne() {
+func (h *history) cancelJob() {
 	refs := slices.Sorted(maps.Keys(h.jobs))
 	if len(refs) == 0 {
 		return
 	}
-	ref := refs[h.r.IntN(len(refs))]
-	if h.get(record.ActiveJobKey(ref)) == nil || h.asked[ref] {
+	ref := refs[h.rnd.IntN(len(refs))]
+	if h.get(record.ActiveJobKey(ref)) == nil || h.cancellationRequested[ref] {
 		return
 	}
-	h.asked[ref] = true
+	h.cancellationRequested[ref] = true
 	h.cancel(h.jobs[ref])()
 	h.carryOutEffects()
 }
@@ -198,34 +198,34 @@
 		delete(h.workers, id)
 	}
 	for len(h.workers) < historyMachines {
-		h.rented++
-		h.addMachine(fmt.Sprint("m", h.rented), "z1", false)
+		h.provisioned++
+		h.addMachine(fmt.Sprint("m", h.provisioned), "z1", false)
 	}
 }
 
-// damage makes a record of placements unreadable and ends the owner.
-func (h *history) damage() {
+// damagePlacementRecord makes a record of placements unreadable and ends the owner.
+func (h *history) damagePlacementRecord() {
 	slots := h.list(record.ShardPlacementsPrefix(h.id))
 	if len(slots) == 0 {
 		return
 	}
-	e := slots[h.r.IntN(len(slots))]
-	if h.intact[e.Key] != nil {
+	e := slots[h.rnd.IntN(len(slots))]
+	if h.originals[e.Key] != nil {
 		return
 	}
-	h.intact[e.Key] = slices.Clone(e.Value)
+	h.originals[e.Key] = slices.Clone(e.Value)
 	h.state.Put(e.Key, "damaged")
-	h.takeOver()
+	h.replaceOwner()
 }
 
-// restore brings the damaged records back; their owner finds that out by itself, or ends.
-func (h *history) restore() {
-	for _, key := range slices.Sorted(maps.Keys(h.intact)) {
-		h.state.Put(key, h.intact[key])
-		delete(h.intact, key)
+// restorePlacementRecords brings the damaged records back; their owner finds that out by itself, or ends.
+func (h *history) restorePlacementRecords() {
+	for _, key := range slices.Sorted(maps.Keys(h.originals)) {
+		h.state.Put(key, h.originals[key])
+		delete(h.originals, key)
 	}
-	if h.r.IntN(2) == 0 {
-		h.takeOver()
+	if h.rnd.IntN(2) == 0 {
+		h.replaceOwner()
 	}
 }
 
@@ -254,10 +254,10 @@
 		if final == nil {
 			continue
 		}
-		if had, ok := h.finals[ref]; ok && had != string(final.Value) {
+		if had, ok := h.finalRecords[ref]; ok && had != string(final.Value) {
 			return fmt.Errorf("%s ended as %s and then as %s", ref, had, final.Value)
 		}
-		h.finals[ref] = string(final.Value)
+		h.finalRecords[ref] = string(final.Value)
 		if err := h.checkEnd(ref, spec); err != nil {
 			return err
 		}
@@ -267,7 +267,7 @@
 
 func (h *history) checkEnd(ref string, spec wire.Spec) error {
 	if h.jobState(ref) == wire.Cancelled {
-		if !h.asked[ref] {
+		if !h.cancellationRequested[ref] {
 			return fmt.Errorf("%s is cancelled though nobody asked", ref)
 		}
 		for _, w := range h.workers {
@@ -287,18 +287,18 @@
 	return nil
 }
 
-// calm lets everything be heard and end, after which no job may be left.
-func (h *history) calm() error {
+// settle lets everything be heard and end, after which no job may be left.
+func (h *history) settle() error {
 	h.state.LoseAnswers, h.state.HoldTxns = 0, 0
 	h.state.Release()
-	h.restore()
+	h.restorePlacementRecords()
 	for n := range 200 {
 		h.heartbeat()
 		if h.shard.OwnershipLost() {
 			h.failOver()
 		}
 		if n%5 == 4 {
-			h.leaveMates()
+			h.exitIncompleteGangs()
 		}
 		h.replaceMachines()
 		if err := h.check(); err != nil {
@@ -314,15 +314,15 @@
 		for _, w := range h.workers {
 			for name, t := range maps.Clone(w.Tasks) {
 				if t.State == wire.Running {
-					h.end(name, t.Attempt, wire.Done)
+					h.endTask(name, t.Attempt, wire.Done)
 				}
 			}
 		}
 	}
-	return fmt.Errorf("not all jobs have ended: %s", h.openJobs())
+	return fmt.Errorf("not all jobs have ended: %s", h.activeJobs())
 }
 
-func (h *history) openJobs() string {
+func (h *history) activeJobs() string {
 	var out []string
 	for ref := range h.jobs {
 		if h.get(record.ActiveJobKey(ref)) != nil {
@@ -342,21 +342,21 @@
 
 // newHistory begins the history of a seed.
 func newHistory(t *testing.T, seed uint64) *history {
-	return &history{harness: newHarness(t), r: rand.New(rand.NewPCG(seed, 3)), jobs: map[string]wire.Spec{}, ended: map[string]bool{},
-		asked: map[string]bool{}, finals: map[string]string{}, late: map[string]lateAnswer{}, intact: map[string]json.RawMessage{}}
+	return &history{harness: newHarness(t), rnd: rand.New(rand.NewPCG(seed, 3)), jobs: map[string]wire.Spec{}, ended: map[string]bool{},
+		cancellationRequested: map[string]bool{}, finalRecords: map[string]string{}, lateResponses: map[string]lateResponse{}, originals: map[string]json.RawMessage{}}
 }
 
 // play plays the history with so many of the happenings and returns what was wrong.
 func (h *history) play(happenings []func(h *history)) error {
 	h.replaceMachines()
 	for n := range historySteps {
-		happenings[h.r.IntN(len(happenings))](h)
+		happenings[h.rnd.IntN(len(happenings))](h)
 		h.replaceMachines()
 		if err := h.check(); err != nil {
 			return fmt.Errorf("step %d: %w", n, err)
 		}
 	}
-	return h.calm()
+	return h.settle()
 }
 
 // Whatever the order in which owners end, reports come, late, doubled or to who is no owner
@@ -364,7 +364,7 @@
 // no end is recorded that was none, and no job is lost.
 func TestAnyHistorySettles(t *testing.T) {
 	for seed := range uint64(historySeeds) {
-		if err := newHistory(t, seed).play(happenings); err != nil {
+		if err := newHistory(t, seed).play(randomSteps); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
@@ -372,8 +372,8 @@
 
 // The same while records of placements are damaged, and restored as they were.
 func TestAnyHistorySettlesWithDamagedPlacements(t *testing.T) {
-	damaging := append(slices.Clone(happenings),
-		func(h *history) { h.damage() }, func(h *history) { h.damage() }, func(h *history) { h.restore() })
+	damaging := append(slices.Clone(randomSteps),
+		func(h *history) { h.damagePlacementRecord() }, func(h *history) { h.damagePlacementRecord() }, func(h *history) { h.restorePlacementRecords() })
 	for seed := range uint64(historySeeds) {
 		h := newHistory(t, seed)
 		h.sizedRangesAllowed = true
--- a/internal/scheduler/restart_test.go
+++ b/internal/scheduler/restart_test.go
@@ -44,7 +44,7 @@
 func (r *busyRestart) run() (peak int, took time.Duration) {
 	begun := r.clock.Now()
 	const slices = 20 // of an interval of heartbeats
-	for ; r.starting() && took < 10*time.Minute; took = r.clock.Now().Sub(begun) {
+	for ; r.startsRemain() && took < 10*time.Minute; took = r.clock.Now().Sub(begun) {
 		r.clock.Advance(r.cfg.HeartbeatInterval / slices)
 		turn := int(r.clock.Now().Sub(begun)/(r.cfg.HeartbeatInterval/slices)) % slices
 		for i := turn; i < r.machines; i += slices {
@@ -70,8 +70,8 @@
 	return peak, took
 }
 
-// starting reports whether less has been ordered than came while nobody listened.
-func (r *busyRestart) starting() bool { return r.started < r.machines/40*40 }
+// startsRemain reports whether less has been ordered than came while nobody listened.
+func (r *busyRestart) startsRemain() bool { return r.started < r.machines/40*40 }
 
 // A full fleet that reports at once after a restart gets its orders within the bound, and
 // still has them all well within the time to settle.
@@ -82,7 +82,7 @@
 	if most := int(p.Settings().ClusterRate(maxMachinesPerShard)); peak > most {
 		t.Errorf("%d orders in a second, of %d", peak, most)
 	}
-	if r.starting() || took > ratelimit.DefaultLimitFor {
+	if r.startsRemain() || took > ratelimit.DefaultLimitFor {
 		t.Errorf("%d orders after %v", r.started, took)
 	}
 	progress, settling := r.shard.ReconciliationProgress()
--- a/internal/scheduler/safety_test.go
+++ b/internal/scheduler/safety_test.go
@@ -105,7 +105,7 @@
 }
 
 // An expired epoch proves its tasks gone.
-func TestNewEpochFreesTasks(t *testing.T) {
+func TestNewIncarnationFreesTasks(t *testing.T) {
 	r := newHarness(t)
 	w := r.addMachine("m1", "z1", false)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
@@ -118,7 +118,7 @@
 }
 
 // The team's limit counts tasks that can't be reached.
-func TestLimitCountsUnreachable(t *testing.T) {
+func TestQuotaLimitCountsUnreachableTasks(t *testing.T) {
 	r := newHarness(t)
 	r.addMachine("m1", "z1", false)
 	r.addMachine("m2", "z1", false)
@@ -134,7 +134,7 @@
 
 // Old tasks count for zones as long as they are in place: with same_place no
 // other task may start in another zone, with scatter none beyond half in one.
-func TestZonesCountOldTasks(t *testing.T) {
+func TestOneZoneCountsTasksOfEarlierOwner(t *testing.T) {
 	r := newHarness(t)
 	s := spec("run-000001", "b", wire.Array, "normal", 2, 2)
 	s.OneZone = true
@@ -159,7 +159,7 @@
 }
 
 // With scatter, a task that can't be reached still counts for its zone.
-func TestSpreadCountsOldTasks(t *testing.T) {
+func TestSpreadCountsTasksOfEarlierOwner(t *testing.T) {
 	r := newHarness(t)
 	s := spec("run-000001", "b", wire.Service, "prod", 3, 1)
 	s.Spread = true
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/scale_test.go
@@ -59,7 +59,7 @@
 
 // What a heartbeat or a task's end brings about looks at the jobs that wait and at
 // the machines that may serve them, not at all machines.
-func TestPlacementExaminesFew(t *testing.T) {
+func TestPlacementExaminesFewMachines(t *testing.T) {
 	const machines, waiting = 600, 60
 	r := newBusyShard(t, machines, waiting)
 	r.clock.Advance(preemptionRetry)
