--- a/internal/scheduler/direct_commands_test.go
+++ b/internal/scheduler/direct_commands_test.go
@@ -7,8 +7,8 @@
 	"bramblespur/internal/wire"
 )
 
-// deliverCommand carries a direct command out, as its worker would, and tells the
-// shard unless the answer is lost.
+// deliverCommand delivers a direct command to its worker. If answered, the shard gets the outcome;
+// otherwise the answer is lost.
 func (r *harness) deliverCommand(d DirectCommand, answered bool) {
 	w := r.workers[d.Machine]
 	if w.Session != d.Orders.Session || !w.Obey(wire.Orders{Token: d.Orders.Token, Commands: d.Orders.Commands}) {
@@ -24,8 +24,8 @@
 	}
 }
 
-// A start sent straight to the worker runs without waiting for a heartbeat, and
-// its repetition in an answer starts nothing twice.
+// A start that is sent directly to the worker does not wait for a heartbeat, and its repetition in a
+// response starts nothing twice.
 func TestDirectStartRunsWithoutHeartbeat(t *testing.T) {
 	r := newHarness(t)
 	r.sendStart = func(d DirectCommand) { r.deliverCommand(d, true) }
@@ -34,20 +34,20 @@
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 2, 1))
 	r.carryOutEffects()
 	if len(w.Started) != 2 {
-		t.Fatalf("starts %v before the next report, want both", w.Started)
+		t.Fatalf("starts %v before the next heartbeat, want both", w.Started)
 	}
 	r.heartbeats(2)
 	w.End("run-000001/0", wire.Done)
 	w.End("run-000001/1", wire.Done)
 	r.heartbeats(4)
 	if len(w.Started) != 2 || r.jobState("run-000001") != wire.Done {
-		t.Fatalf("starts %v, state %s", w.Started, r.jobState("run-000001"))
+		t.Fatalf("starts %v, state %s, want two starts and done", w.Started, r.jobState("run-000001"))
 	}
 }
 
-// A direct start without an answer may come late. Its task keeps its place, and
-// its job is not over, until the worker has seen a higher token; from then on
-// the late command does nothing.
+// A direct start that was not answered may arrive late. Its task keeps its placement, and its job
+// does not end, until the worker has seen a higher token. From then on the late command does
+// nothing.
 func TestLateDirectStart(t *testing.T) {
 	r := newHarness(t)
 	var late []DirectCommand
@@ -63,7 +63,7 @@
 	r.cancel(s)()
 	r.heartbeats(1)
 	if !r.shard.HasJob(s.Ref) {
-		t.Fatal("the job is over though its start may still come")
+		t.Fatal("job ended although its start may still arrive")
 	}
 	before := w.Token
 	for range 6 {
@@ -71,7 +71,7 @@
 		r.heartbeat()
 	}
 	if w.Token <= before || r.shard.HasJob(s.Ref) {
-		t.Fatalf("token %d, before %d: want a higher one, and the job's end after it", w.Token, before)
+		t.Fatalf("token %d, was %d: want a higher token and then the end of the job", w.Token, before)
 	}
 	r.deliverCommand(late[0], false)
 	if len(w.Started) != 0 {
@@ -79,8 +79,8 @@
 	}
 }
 
-// A copy of a direct start that was carried out comes after its task was
-// stopped and started elsewhere: the worker has not forgotten the attempt.
+// A copy of a direct start that was carried out may arrive after its task was stopped and started
+// elsewhere. It starts nothing, because the worker has not forgotten the attempt.
 func TestCopyOfDirectStartStartsNothing(t *testing.T) {
 	r := newHarness(t)
 	var sent []DirectCommand
@@ -91,25 +91,25 @@
 	r.carryOutEffects()
 	r.heartbeats(1)
 	r.submit(spec("run-000002", "b", wire.Service, "prod", 1, 2))
-	r.heartbeats(4) // takes the array's place
+	r.heartbeats(4) // preempts the array
 	w2 := r.addMachine("m2", "z1", false)
 	r.heartbeats(4)
 	if r.runningOn("run-000001/0") != "m2" || r.runningOn("run-000002/0") != "m1" {
-		t.Fatalf("starts %v and %v", w1.Started, w2.Started)
+		t.Fatalf("starts %v and %v, want the array on m2 and the service on m1", w1.Started, w2.Started)
 	}
 	r.deliverCommand(sent[0], false)
 	if got := r.runningOn("run-000001/0"); got != "m2" {
-		t.Fatalf("the task is on %q", got)
+		t.Fatalf("the task runs on %q, want m2", got)
 	}
-	// A new epoch forgets all, and takes no command of the old one.
+	// A new incarnation has no attempts, and refuses commands for the one before.
 	r.expireLease(w1)
 	r.deliverCommand(sent[0], false)
 	if got := r.runningOn("run-000001/0"); got != "m2" {
-		t.Fatalf("the task is on %q", got)
+		t.Fatalf("the task runs on %q, want m2", got)
 	}
 }
 
-// Attempts that may not be forgotten do not pile up: a higher token ends that.
+// Attempts that the worker may not forget do not accumulate: a higher token lets it forget them.
 func TestRetainedAttemptsAreCleared(t *testing.T) {
 	r := newHarness(t)
 	r.sendStart = func(d DirectCommand) { r.deliverCommand(d, true) }
@@ -122,7 +122,7 @@
 		r.cancel(s)()
 		r.heartbeats(2)
 		if len(w.Tasks) > maxRetainedAttempts+2 {
-			t.Fatalf("%d tasks are kept after %d jobs", len(w.Tasks), i+1)
+			t.Fatalf("worker retains %d tasks after %d jobs, want few", len(w.Tasks), i+1)
 		}
 	}
 	if len(w.Started) != 3*maxRetainedAttempts {
@@ -130,7 +130,7 @@
 	}
 }
 
-// A failover makes every direct start of the earlier owner void.
+// After a failover the worker refuses direct starts of the earlier owner.
 func TestFailoverVoidsDirectStarts(t *testing.T) {
 	r := newHarness(t)
 	var late []DirectCommand
@@ -145,6 +145,6 @@
 	r.heartbeats(4)
 	r.deliverCommand(late[0], false)
 	if n := len(w1.Started) + len(w2.Started); n != 1 {
-		t.Fatalf("starts %v and %v, want one", w1.Started, w2.Started)
+		t.Fatalf("starts %v and %v, want one in all", w1.Started, w2.Started)
 	}
 }
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -12,7 +12,7 @@
 	"bramblespur/internal/wire"
 )
 
-// harness plays one shard against a scripted state service, cloud and workers.
+// harness runs one shard against a simulated state service, cloud and workers.
 type harness struct {
 	t       testing.TB
 	id      int // of the shard
@@ -23,15 +23,16 @@
 	shard   *Shard
 	fleet   *record.Fleet
 	workers map[string]*testkit.Worker
-	// invalid counts transactions that the state service did not take for their size.
+	// invalid counts transactions that the state service refused as too large.
 	invalid int
 	// afterTxn, if set, is called after each transaction.
 	afterTxn func()
-	// probeResponders are the machines that answer probes.
+	// probeResponders are the IDs of the machines that answer probes.
 	probeResponders []string
-	// sizedRangesAllowed says that no controller of the first version is left.
+	// sizedRangesAllowed is whether shards are loaded with AllowSizedRanges, as when no controller
+	// of the first version is left.
 	sizedRangesAllowed bool
-	// sendStart, if set, carries direct starts to their workers.
+	// sendStart, if set, delivers direct starts to their workers.
 	sendStart func(d DirectCommand)
 }
 
@@ -39,7 +40,8 @@
 	return newShardHarness(t, 0, testkit.NewClock(), testkit.NewState())
 }
 
-// newShardHarness plays one of several shards that share a state service.
+// newShardHarness returns the harness of one of several shards that share a clock and a state
+// service.
 func newShardHarness(t testing.TB, id int, clock *testkit.Clock, state *testkit.State) *harness {
 	r := &harness{t: t, id: id, clock: clock, state: state, cloud: &testkit.Cloud{}, workers: map[string]*testkit.Worker{}}
 	r.cfg = &Config{
@@ -53,7 +55,8 @@
 	return r
 }
 
-// newHarnessWithMachine has one machine, m1, which has reported twice and runs nothing.
+// newHarnessWithMachine returns a harness with one machine, m1, which has sent two heartbeats and
+// runs nothing.
 func newHarnessWithMachine(t testing.TB) (*harness, *testkit.Worker) {
 	t.Helper()
 	r := newHarness(t)
@@ -62,7 +65,7 @@
 	return r, w
 }
 
-// failOver makes a new owner: a new token and only what the records hold.
+// failOver replaces the shard's owner: the new one has a new token and loads only the records.
 func (r *harness) failOver() {
 	r.t.Helper()
 	e := r.state.Put(record.ShardKey(r.id), record.Shard{Owner: "x"})
@@ -97,7 +100,7 @@
 	return ids
 }
 
-// applyRecord tells the shard what changed in the fleet's records, as the watch does.
+// applyRecord applies a changed record of the fleet to the shard, as the watch does.
 func (r *harness) applyRecord(e wire.Entry) {
 	r.t.Helper()
 	for _, id := range r.applyToFleet(e) {
@@ -109,7 +112,7 @@
 	}
 }
 
-// releaseMachines plays the leader: what is to be released is, and that is recorded.
+// releaseMachines acts as the leader: it carries out pending releases and records that.
 func (r *harness) releaseMachines() {
 	r.t.Helper()
 	if r.state.Down {
@@ -126,6 +129,7 @@
 	}
 }
 
+// addMachine records a machine as provisioned for the shard and returns its worker.
 func (r *harness) addMachine(id, zone string, spot bool) *testkit.Worker {
 	r.t.Helper()
 	r.applyRecord(r.state.Put(record.ProvisionKey(id), record.Provision{Type: "big", Zone: zone, Spot: spot, Shards: []int{r.id}, IDs: []string{id}, CreatedAt: r.clock.Now().UnixMilli()}))
@@ -143,18 +147,19 @@
 	r.putActiveJob(record.ActiveJob{Spec: spec, AcceptedAt: r.clock.Now().UnixMilli()})()
 }
 
+// putActiveJob writes a job's record; tell applies it to the shard, as the watch does.
 func (r *harness) putActiveJob(o record.ActiveJob) (tell func()) {
 	o.Shard = r.id
 	e := r.state.Put(record.ActiveJobKey(o.Spec.Ref), o)
 	return func() { r.shard.SetJob(o.Spec.Ref, o, e.Version, r.clock.Now()) }
 }
 
-// cancel writes a cancellation as any controller does; tell brings it to the owner.
+// cancel records a cancellation, as any controller does; tell applies it to the shard.
 func (r *harness) cancel(spec wire.Spec) (tell func()) {
 	return r.putActiveJob(record.ActiveJob{Spec: spec, Cancelled: true})
 }
 
-// carryOutEffects carries out all effects until there are none.
+// carryOutEffects steps the shard and carries out its effects until there are none.
 func (r *harness) carryOutEffects() {
 	ctx := context.Background()
 	for range 50 {
@@ -226,10 +231,10 @@
 			r.shard.Heartbeat(&rep, true, now)
 		}
 	}
-	r.t.Fatal("effects never end")
+	r.t.Fatal("the shard still has effects after 50 steps")
 }
 
-// missingEnds returns the ends of a pipeline's jobs that its record does not tell.
+// missingEnds returns the ends of a pipeline's jobs that its record lacks.
 func (r *harness) missingEnds(e *wire.Entry) []record.PipelineJobEnd {
 	rec, err := decode[record.Pipeline](*e)
 	if err != nil {
@@ -248,6 +253,7 @@
 	return out
 }
 
+// get returns the entry of a key, or nil if there is none.
 func (r *harness) get(key string) *wire.Entry {
 	e, err := r.state.Get(context.Background(), statestore.Urgent("test"), key)
 	if err != nil {
@@ -256,13 +262,14 @@
 	return &e
 }
 
-// expireLease lets a lease run out in which no report was answered.
+// expireLease lets a worker's lease expire, during which no heartbeat was answered.
 func (r *harness) expireLease(w *testkit.Worker) {
 	r.clock.Advance(r.cfg.Lease)
 	w.Expire()
 }
 
-// heartbeat lets workers report once, and carries out what follows.
+// heartbeat advances the clock by one heartbeat interval, lets the given workers, or all, send a
+// heartbeat each, and carries out the effects.
 func (r *harness) heartbeat(ws ...*testkit.Worker) {
 	r.t.Helper()
 	r.clock.Advance(r.cfg.HeartbeatInterval)
@@ -288,7 +295,7 @@
 	}
 }
 
-// heartbeatAndEndTasks lets all workers report once, and then ends all tasks of one of them.
+// heartbeatAndEndTasks lets all workers send a heartbeat, and then ends all tasks of w.
 func (r *harness) heartbeatAndEndTasks(w *testkit.Worker) {
 	r.t.Helper()
 	r.heartbeat()
@@ -297,21 +304,24 @@
 	}
 }
 
-// runningOn returns where a task runs, asserting that it is in one place at most.
+// runningOn returns the machine on which a task runs, empty if none. It fails the test if the task
+// runs on more than one.
 func (r *harness) runningOn(task string) string {
 	r.t.Helper()
-	at := ""
+	machine := ""
 	for id, w := range r.workers {
 		if t := w.Tasks[task]; t != nil && t.State != wire.Exited {
-			if at != "" {
-				r.t.Fatalf("%s runs on %s and on %s", task, at, id)
+			if machine != "" {
+				r.t.Fatalf("%s runs on %s and on %s", task, machine, id)
 			}
-			at = id
+			machine = id
 		}
 	}
-	return at
+	return machine
 }
 
+// jobState returns the state of a job by its records: its final state, wire.Cancelled if it is being
+// cancelled, or wire.Pending.
 func (r *harness) jobState(ref string) string {
 	r.t.Helper()
 	if e := r.get(record.FinishedJobKey(ref)); e != nil {
@@ -323,7 +333,7 @@
 	}
 	e := r.get(record.ActiveJobKey(ref))
 	if e == nil {
-		r.t.Fatalf("%s is in no record", ref)
+		r.t.Fatalf("job %s has no record", ref)
 		return ""
 	}
 	if o, err := decode[record.ActiveJob](*e); err != nil || o.Cancelled {
@@ -338,13 +348,13 @@
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 3, 1))
 	r.heartbeats(3)
 	if r.runningOn("run-000001/0") != "m1" || r.runningOn("run-000001/1") != "m1" || r.runningOn("run-000001/2") != "" {
-		t.Fatalf("want two tasks on the machine's two cards, got %v", w.Started)
+		t.Fatalf("started %v, want the first two tasks, one on each GPU", w.Started)
 	}
 	w.End("run-000001/0", wire.Done)
 	w.End("run-000001/1", wire.Done)
 	r.heartbeats(3)
 	if got := r.jobState("run-000001"); got != wire.Pending {
-		t.Fatalf("state %q with a task left", got)
+		t.Fatalf("state %q before the last task has completed, want pending", got)
 	}
 	w.End("run-000001/2", wire.Done)
 	r.heartbeats(3)
@@ -352,11 +362,11 @@
 		t.Fatalf("state %q, want done", got)
 	}
 	if len(w.Tasks) != 0 {
-		t.Fatalf("not forgotten: %v", w.Tasks)
+		t.Fatalf("worker still has %v, want all tasks forgotten", w.Tasks)
 	}
 }
 
-// The largest job that the protocol allows keeps its records small.
+// The placement records of the largest job that the protocol allows stay within the size limit.
 func TestLargestArray(t *testing.T) {
 	r := newHarness(t)
 	r.cfg.PlacementsPerRecord, r.cfg.ValueBytes = PlacementsPerRecord(16), 16<<10
@@ -370,19 +380,19 @@
 	}
 	runs, _, err := r.state.List(context.Background(), statestore.Urgent("test"), record.PlacementsPrefix)
 	if err != nil || len(runs) == 0 {
-		t.Fatalf("%d records, %v", len(runs), err)
+		t.Fatalf("%d placement records, error %v, want some", len(runs), err)
 	}
 	for _, e := range runs {
 		if len(e.Value) > 16<<10 {
-			t.Errorf("record %s has %d bytes", e.Key, len(e.Value))
+			t.Errorf("record %s has %d bytes, want 16 KiB at most", e.Key, len(e.Value))
 		}
 	}
 	if st, ok := r.shard.Status(s.Ref); !ok || st.Done < 300 {
-		t.Fatalf("status %+v", st)
+		t.Fatalf("status %+v, want 300 tasks done at least", st)
 	}
 }
 
-// A job of many ranges ends in one piece and keeps to the limits of records.
+// A job whose placements take many ranges is done in the end, within the limits of records.
 func TestLargeArray(t *testing.T) {
 	r := newHarness(t)
 	s := spec("run-000001", "b", wire.Array, "normal", 40, 0)
@@ -395,5 +405,5 @@
 			return
 		}
 	}
-	t.Fatal("never done")
+	t.Fatal("job not done after 30 heartbeats")
 }
--- a/internal/scheduler/machine_health_test.go
+++ b/internal/scheduler/machine_health_test.go
@@ -10,8 +10,8 @@
 	"bramblespur/internal/wire"
 )
 
-// A silent machine is released while others are heard, and only that frees
-// its tasks; when all are silent, none is.
+// A silent machine is released while others of its zone are heard, and only that frees its tasks.
+// If all are silent, none is released.
 func TestSilentMachineIsReleasedWhileOthersAreHeard(t *testing.T) {
 	r := newHarness(t)
 	r.addMachine("m1", "z1", false)
@@ -22,21 +22,21 @@
 	r.clock.Advance(10 * time.Second)
 	r.carryOutEffects()
 	if len(r.cloud.Returned) != 0 {
-		t.Fatalf("returned %v though all were silent", r.cloud.Returned)
+		t.Fatalf("released %v while all machines were silent, want none", r.cloud.Returned)
 	}
 	r.heartbeats(8, w2)
 	if !slices.Equal(r.cloud.Returned, []string{"m1"}) {
-		t.Fatalf("returned %v, want m1", r.cloud.Returned)
+		t.Fatalf("released %v, want m1", r.cloud.Returned)
 	}
 	delete(r.workers, "m1")
 	r.heartbeats(2)
 	if r.runningOn("run-000001/0") != "m2" {
-		t.Fatal("not started again after the return")
+		t.Fatal("task not started on m2 after the release of m1")
 	}
 }
 
-// Machines partitioned together fall silent one shortly after the other: the first
-// must not be given up because the rest was heard a moment later.
+// Machines that are partitioned together fall silent shortly after one another. The first must not
+// be released because the others were heard a moment later.
 func TestZoneThatFallsSilentIsKept(t *testing.T) {
 	r := newHarness(t)
 	w1, w2, w3 := r.addMachine("m1", "z1", false), r.addMachine("m2", "z1", false), r.addMachine("m3", "z1", false)
@@ -49,15 +49,15 @@
 		r.carryOutEffects()
 	}
 	if len(r.cloud.Returned) != 0 {
-		t.Fatalf("returned %v", r.cloud.Returned)
+		t.Fatalf("released %v, want none", r.cloud.Returned)
 	}
 }
 
-// After a partition the machines of a zone come back one by one: those that were
-// heard first must not make the others count as lost, neither to an owner that
-// knew them nor to one that acquired the shard meanwhile.
+// After a partition the machines of a zone return one by one. Those that are heard first must not
+// make the others count as lost, neither for an owner that heard them before nor for one that
+// acquired the shard meanwhile.
 func TestZoneThatComesBackIsKept(t *testing.T) {
-	for _, takeOver := range []bool{false, true} {
+	for _, failover := range []bool{false, true} {
 		r := newHarness(t)
 		var ws []*testkit.Worker
 		for i := range 6 {
@@ -65,7 +65,7 @@
 		}
 		r.submit(spec("run-000001", "b", wire.Service, "prod", 6, 2))
 		r.heartbeats(10)
-		if takeOver {
+		if failover {
 			r.failOver()
 		}
 		r.clock.Advance(15 * time.Second)
@@ -76,12 +76,13 @@
 		}
 		r.heartbeats(3)
 		if len(r.cloud.Returned) != 0 {
-			t.Errorf("take-over %t: returned %v", takeOver, r.cloud.Returned)
+			t.Errorf("failover %t: released %v, want none", failover, r.cloud.Returned)
 		}
 	}
 }
 
-// Errors on one machine end it; errors of one job everywhere hold the job back.
+// Failures of several jobs on one machine release the machine. Failures of one job on all machines
+// make the job back off and release none.
 func TestFailuresAreAttributedToJobOrMachine(t *testing.T) {
 	r := newHarness(t)
 	for _, id := range []string{"m1", "m2", "m3", "m4", "m5"} {
@@ -95,14 +96,14 @@
 		r.heartbeat()
 	}
 	if len(r.cloud.Returned) > 0 {
-		t.Fatalf("a bad job burned machines: %v", r.cloud.Returned)
+		t.Fatalf("failures of one job released %v, want no machine", r.cloud.Returned)
 	}
 	n := 0
 	for _, w := range r.workers {
 		n += len(w.Started)
 	}
 	if n > 12 {
-		t.Fatalf("%d tries of a job failing everywhere", n)
+		t.Fatalf("%d attempts of a job that fails on all machines, want 12 at most", n)
 	}
 	r = newHarness(t)
 	bad := r.addMachine("m1", "z1", false)
@@ -117,11 +118,11 @@
 		r.heartbeat()
 	}
 	if !slices.Equal(r.cloud.Returned, []string{"m1"}) {
-		t.Fatalf("returned %v, want the faulty machine", r.cloud.Returned)
+		t.Fatalf("released %v, want the faulty machine m1", r.cloud.Returned)
 	}
 }
 
-// Only an empty machine moves, and its record goes with conditions.
+// A spot machine with a reclaim notice is drained and released.
 func TestReclaimNoticeSavesAndReleases(t *testing.T) {
 	r := newHarness(t)
 	w := r.addMachine("m1", "z1", true)
@@ -133,19 +134,19 @@
 	w.Notice = &left
 	r.heartbeats(4)
 	if len(w.Tasks) != 0 || !slices.Equal(r.cloud.Returned, []string{"m1"}) {
-		t.Fatalf("tasks %v, returned %v", w.Tasks, r.cloud.Returned)
+		t.Fatalf("tasks %v, released %v, want no task and m1 released", w.Tasks, r.cloud.Returned)
 	}
 }
 
-// heartbeatUnanswered lets a worker report without any answer reaching it.
+// heartbeatUnanswered lets a worker send a heartbeat whose response is lost.
 func (r *harness) heartbeatUnanswered(w *testkit.Worker) {
 	rep := w.Report()
 	r.shard.Heartbeat(&rep, false, r.clock.Now())
 }
 
-// A machine whose heartbeats arrive but which no answer reaches gets no more work
-// once starts don't show, and goes back; its tasks run elsewhere only then, or
-// when its heartbeats prove them absent.
+// A machine whose heartbeats arrive but which no response reaches gets no more work once its
+// heartbeats lack tasks whose starts were sent, and is released. Its tasks run elsewhere only
+// then, or when its heartbeats prove them absent.
 func TestUnreachableMachineIsReleased(t *testing.T) {
 	r, w1 := newHarnessWithMachine(t)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 2, 1))
@@ -164,7 +165,7 @@
 	}
 	w1.Expire()
 	if len(w1.Started) != 0 || len(w2.Started) != 2 {
-		t.Fatalf("starts %v and %v, want two on the machine that hears", w1.Started, w2.Started)
+		t.Fatalf("starts %v and %v, want two, on the reachable machine m2", w1.Started, w2.Started)
 	}
 	for range 20 {
 		w2.End("run-000001/0", wire.Done)
@@ -175,15 +176,15 @@
 		r.heartbeat(w2)
 	}
 	if !slices.Equal(r.cloud.Returned, []string{"m1"}) {
-		t.Fatalf("returned %v, want the machine that hears nothing", r.cloud.Returned)
+		t.Fatalf("released %v, want the unreachable machine m1", r.cloud.Returned)
 	}
 	if len(w2.Started) != 4 {
 		t.Fatalf("starts %v, want all four tasks on m2", w2.Started)
 	}
 }
 
-// A lease that ran out though every heartbeat was answered marks such a machine,
-// too; one answer seen to arrive clears it.
+// A machine also counts as unreachable if its lease expires although every heartbeat was answered.
+// Once a response is known to have reached it, it is used again.
 func TestUnreachableMachineRecovers(t *testing.T) {
 	r, w := newHarnessWithMachine(t)
 	for range 10 {
@@ -195,19 +196,19 @@
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	r.heartbeats(5)
 	if len(w.Started) != 0 {
-		t.Fatalf("started %v on a machine that may hear nothing", w.Started)
+		t.Fatalf("started %v on an unreachable machine", w.Started)
 	}
-	r.heartbeats(8) // the epoch outlives its lease: answers arrive
+	r.heartbeats(8) // the incarnation outlives its lease: responses arrive
 	if len(w.Started) != 1 || len(r.cloud.Returned) != 0 {
-		t.Fatalf("starts %v, returned %v: want the machine used again", w.Started, r.cloud.Returned)
+		t.Fatalf("starts %v, released %v, want one start and no release", w.Started, r.cloud.Returned)
 	}
 }
 
-// Machines of a zone that die together leave nobody of the zone to compare them with.
-// They are released all the same once their leases are surely over, also by an owner
-// that acquired them dead, and their tasks start elsewhere.
+// If all machines of a zone die together, there is no other machine of the zone to compare them
+// with. They are released once their leases have certainly expired, also by an owner that acquired
+// the shard after they had died, and their tasks start elsewhere.
 func TestMachinesOfADeadZoneAreReleased(t *testing.T) {
-	for _, takeOver := range []bool{false, true} {
+	for _, failover := range []bool{false, true} {
 		r := newHarness(t)
 		r.cfg.MaxProbes = 8
 		r.addMachine("m1", "z1", false)
@@ -219,32 +220,32 @@
 		r.heartbeats(2)
 		delete(r.workers, "m1")
 		delete(r.workers, "m2")
-		if takeOver {
+		if failover {
 			r.failOver()
 		}
-		given := func(id string) bool { return r.shard.inventory.byID[id] == nil || r.phase(id) > 0 }
+		released := func(id string) bool { return r.shard.inventory.byID[id] == nil || r.phase(id) > 0 }
 		r.probeResponders = []string{"m3", "m4"}
 		for i := range 40 {
 			r.heartbeats(1)
-			if early := r.cfg.HeartbeatInterval * time.Duration(i+1); early < r.cfg.Lease && (given("m1") || given("m2")) {
-				t.Fatalf("take-over %t: given back after %v", takeOver, early)
+			if early := r.cfg.HeartbeatInterval * time.Duration(i+1); early < r.cfg.Lease && (released("m1") || released("m2")) {
+				t.Fatalf("failover %t: released after %v, before the lease expired", failover, early)
 			}
 		}
-		if !given("m1") || !given("m2") {
-			t.Errorf("take-over %t: dead machines are kept", takeOver)
+		if !released("m1") || !released("m2") {
+			t.Errorf("failover %t: dead machines not released", failover)
 		}
 		for i := range 4 {
 			if at := r.runningOn(fmt.Sprintf("run-000001/%d", i)); at != "m3" && at != "m4" {
-				t.Errorf("take-over %t: task %d is on %q", takeOver, i, at)
+				t.Errorf("failover %t: task %d runs on %q, want m3 or m4", failover, i, at)
 			}
 		}
 	}
 }
 
-// When a partition of a zone ends, what its machines did not answer within the partition proves
-// nothing, however long it was: they are asked anew.
+// When the partition of a zone ends, the probes that its machines did not answer during the
+// partition prove nothing, however long it was: they are probed again.
 func TestEndOfPartitionReleasesNoMachine(t *testing.T) {
-	for name, back := range map[string]bool{"they answer": true, "they died within the cut": false} {
+	for name, alive := range map[string]bool{"they answer": true, "they died during the partition": false} {
 		r := newHarness(t)
 		r.cfg.MaxProbes = 8
 		r.addMachine("m1", "z1", false)
@@ -256,22 +257,22 @@
 			r.advanceWithoutHeartbeats(r.cfg.HeartbeatInterval)
 		}
 		if r.phase("m1")+r.phase("m2") > 0 {
-			t.Fatalf("%s: given back within the cut", name)
+			t.Fatalf("%s: released during the partition", name)
 		}
 		r.shard.SetPartitionedZones(nil)
 		var answers []string
-		if back {
+		if alive {
 			answers = []string{"m1", "m2"}
 		}
 		r.advanceWithoutHeartbeats(r.cfg.HeartbeatInterval, answers...)
-		if back && r.phase("m1")+r.phase("m2") > 0 {
-			t.Errorf("%s: given back as the cut ended", name)
+		if alive && r.phase("m1")+r.phase("m2") > 0 {
+			t.Errorf("%s: released when the partition ended", name)
 		}
 		for range 6 {
 			r.advanceWithoutHeartbeats(r.cfg.HeartbeatInterval, answers...)
 		}
-		if given := r.shard.inventory.byID["m1"] == nil || r.phase("m1") > 0; given == back {
-			t.Errorf("%s: given back %t", name, given)
+		if released := r.shard.inventory.byID["m1"] == nil || r.phase("m1") > 0; released == alive {
+			t.Errorf("%s: released %t, want the opposite", name, released)
 		}
 	}
 }
--- a/internal/scheduler/probe_test.go
+++ b/internal/scheduler/probe_test.go
@@ -9,49 +9,51 @@
 	"bramblespur/internal/wire"
 )
 
-// answerProbes lets the machines that answer probes do so.
+// answerProbes ends the probes in the effects: those of probeResponders with an answer, the others
+// without one.
 func (r *harness) answerProbes(eff Effects) {
-	for _, q := range eff.Probes {
-		if slices.Contains(r.probeResponders, q.Machine) {
-			rep := r.workers[q.Machine].Report()
-			r.shard.ProbeAnswered(q.Machine, &rep, r.clock.Now())
+	for _, probe := range eff.Probes {
+		if slices.Contains(r.probeResponders, probe.Machine) {
+			rep := r.workers[probe.Machine].Report()
+			r.shard.ProbeAnswered(probe.Machine, &rep, r.clock.Now())
 		} else {
-			r.shard.ProbeAnswered(q.Machine, nil, r.clock.Now())
+			r.shard.ProbeAnswered(probe.Machine, nil, r.clock.Now())
 		}
 	}
 }
 
-// advanceWithoutHeartbeats lets a time go by in which only some machines answer probes, and none
-// reports. It returns how many probes there were.
-func (r *harness) advanceWithoutHeartbeats(d time.Duration, answers ...string) (asked int) {
-	r.probeResponders = answers
+// advanceWithoutHeartbeats advances the clock by d, during which no machine sends heartbeats and
+// only the given ones answer probes. It returns the number of probes.
+func (r *harness) advanceWithoutHeartbeats(d time.Duration, responders ...string) (probes int) {
+	r.probeResponders = responders
 	for end := r.clock.Now().Add(d); r.clock.Now().Before(end); {
 		r.clock.Advance(healthCheckInterval)
 		eff := r.shard.Step(r.clock.Now())
-		asked += len(eff.Probes)
+		probes += len(eff.Probes)
 		r.answerProbes(eff)
 		for _, t := range eff.Txns {
 			r.shard.Applied(t, r.state.Put("x", 1).Version, r.clock.Now())
 		}
 	}
-	return asked
+	return probes
 }
 
+// phase returns a machine's phase: above 0 it is no longer in use.
 func (r *harness) phase(id string) int { return int(r.shard.inventory.byID[id].Phase) }
 
-// A machine whose report is overdue and that does not answer is lost as soon as
-// another of its zone answers; without such a witness it may be the controller
-// that is partitioned, and one that answers is alive whatever became of its heartbeats.
+// A machine whose heartbeat is overdue and that does not answer probes is lost as soon as another
+// of its zone answers. If none does, the controller may be partitioned and no machine is lost. A
+// machine that answers is alive even if its heartbeats are lost.
 func TestOverdueMachinesAreAsked(t *testing.T) {
 	for name, x := range map[string]struct {
 		answers []string
 		lost    []string
 	}{
-		"one died":           {[]string{"m2", "m3"}, []string{"m1"}},
-		"most died together": {[]string{"m3"}, []string{"m1", "m2"}},
-		"all out of reach":   {nil, nil},
-		"reports go astray":  {[]string{"m1", "m2", "m3"}, nil},
-		"only another zone":  {[]string{"n1"}, nil},
+		"one died":                  {[]string{"m2", "m3"}, []string{"m1"}},
+		"most died together":        {[]string{"m3"}, []string{"m1", "m2"}},
+		"all unreachable":           {nil, nil},
+		"heartbeats are lost":       {[]string{"m1", "m2", "m3"}, nil},
+		"only another zone answers": {[]string{"n1"}, nil},
 	} {
 		r := newHarness(t)
 		r.cfg.MaxProbes = 8
@@ -63,26 +65,26 @@
 		r.heartbeats(4)
 		lostAfter := r.shard.cfg.heartbeatTimeout() + 2*time.Second
 		if r.advanceWithoutHeartbeats(lostAfter, x.answers...) == 0 {
-			t.Errorf("%s: nobody is asked", name)
+			t.Errorf("%s: no machine is probed", name)
 		}
 		for _, id := range []string{"m1", "m2", "m3", "n1"} {
 			if (r.phase(id) > 0) != slices.Contains(x.lost, id) {
-				t.Errorf("%s: %s is in phase %d", name, id, r.phase(id))
+				t.Errorf("%s: %s is in phase %d, want only the lost machines released", name, id, r.phase(id))
 			}
 		}
 		r.advanceWithoutHeartbeats(2*r.cfg.SilentAfter, x.answers...)
 		for _, id := range x.answers {
 			if r.phase(id) > 0 {
-				t.Errorf("%s: %s is given back though it answers", name, id)
+				t.Errorf("%s: %s is released although it answers probes", name, id)
 			}
 		}
 	}
 }
 
-// When a zone's cut ends, what its machines did not answer while it lasted does
-// not count: the first that answers must not make the others lost.
+// When the partition of a zone ends, the probes that its machines did not answer during it do not
+// count: the first machine that answers must not make the others count as lost.
 func TestEndOfPartitionCountsForAllMachines(t *testing.T) {
-	for _, takeOver := range []bool{false, true} {
+	for _, failover := range []bool{false, true} {
 		r := newHarness(t)
 		r.cfg.MaxProbes = 8
 		ids := []string{"m1", "m2", "m3", "m4"}
@@ -93,7 +95,7 @@
 		}
 		r.submit(spec("run-000001", "b", wire.Service, "prod", 8, 1))
 		r.heartbeats(4)
-		if takeOver {
+		if failover {
 			r.failOver()
 		}
 		r.advanceWithoutHeartbeats(2 * r.shard.cfg.heartbeatTimeout())
@@ -102,14 +104,14 @@
 		r.advanceWithoutHeartbeats(r.cfg.HeartbeatInterval, ids...)
 		for _, id := range ids {
 			if r.phase(id) > 0 {
-				t.Errorf("take-over %t: %s is given back", takeOver, id)
+				t.Errorf("failover %t: %s is released", failover, id)
 			}
 		}
 	}
 }
 
-// A controller that stood still has heard nobody: nobody is lost by that, since
-// everybody answers once it goes on, and a probe that it sent before proves
+// A controller that was paused has heard no machine meanwhile. No machine counts as lost because of
+// that: all of them answer once the controller continues, and probes that it sent before prove
 // nothing.
 func TestPausedControllerReleasesNoMachine(t *testing.T) {
 	r := newHarness(t)
@@ -123,22 +125,22 @@
 	r.clock.Advance(r.shard.cfg.heartbeatTimeout())
 	eff := r.shard.Step(r.clock.Now())
 	if len(eff.Probes) != len(ids) {
-		t.Fatalf("asks %v", eff.Probes)
+		t.Fatalf("probes %v, want one of each machine", eff.Probes)
 	}
-	r.clock.Advance(40 * time.Second) // it stands still
-	for _, q := range eff.Probes {
-		r.shard.ProbeAnswered(q.Machine, nil, r.clock.Now())
+	r.clock.Advance(40 * time.Second) // the controller is paused
+	for _, probe := range eff.Probes {
+		r.shard.ProbeAnswered(probe.Machine, nil, r.clock.Now())
 	}
 	r.advanceWithoutHeartbeats(r.cfg.HeartbeatInterval, ids...)
 	r.heartbeats(3)
 	for _, id := range ids {
 		if r.phase(id) > 0 {
-			t.Errorf("%s is given back", id)
+			t.Errorf("%s is released, want it kept", id)
 		}
 	}
 }
 
-// Only so many machines are asked at a time: each takes a socket.
+// At most MaxProbes machines are probed at a time: each probe takes a socket.
 func TestProbesAreBounded(t *testing.T) {
 	r := newHarness(t)
 	r.cfg.MaxProbes = 2
@@ -149,16 +151,15 @@
 	r.clock.Advance(r.shard.cfg.heartbeatTimeout())
 	for range 3 {
 		if eff := r.shard.Step(r.clock.Now()); len(eff.Probes) > 2 || r.shard.probes.inFlight > 2 {
-			t.Fatalf("asks %v at once", eff.Probes)
+			t.Fatalf("probes %v at once, want two at most", eff.Probes)
 		}
 		r.clock.Advance(healthCheckInterval)
 	}
 }
 
-// After a failover the machines whose addresses are recorded are asked, and
-// brought the new token, before any of them has reported: one that answers takes
-// work at once, one that doesn't while its zone does is lost without the patience
-// that a worker looking for its new owner gets.
+// After a failover the machines whose addresses are recorded are probed and sent the new token
+// before any of them has sent a heartbeat. One that answers takes work at once. One that does not,
+// while its zone does, is lost without the longer time that a worker looking for its new owner gets.
 func TestFailoverProbesMachines(t *testing.T) {
 	r := newHarness(t)
 	r.cfg.MaxProbes = 8
@@ -172,21 +173,21 @@
 	r.heartbeats(4)
 	r.failOver()
 	if n := r.advanceWithoutHeartbeats(healthCheckInterval, "m1"); n != 2 {
-		t.Fatalf("%d machines asked, want 2", n)
+		t.Fatalf("%d machines probed, want 2", n)
 	}
 	now := r.clock.Now()
 	eff := r.shard.Step(now)
 	if len(eff.DirectCommands) != 1 || eff.DirectCommands[0].Machine != "m1" || len(eff.DirectCommands[0].Orders.Commands) != 0 {
-		t.Fatalf("sends %+v", eff.DirectCommands)
+		t.Fatalf("direct commands %+v, want one without commands, to m1", eff.DirectCommands)
 	}
 	w1.Obey(wire.Orders{Token: eff.DirectCommands[0].Orders.Token})
 	rep := w1.Report()
 	r.shard.Heartbeat(&rep, true, now)
 	if m := r.shard.inventory.byID["m1"]; !m.contact.fenced || !r.shard.cfg.usable(m, now) {
-		t.Fatal("asked and told, but takes no work")
+		t.Fatal("m1 was probed and has the new token, but takes no work")
 	}
 	r.advanceWithoutHeartbeats(r.shard.cfg.heartbeatTimeout()+time.Second, "m1")
 	if r.phase("m1") > 0 || r.phase("m2") == 0 {
-		t.Errorf("phases %d and %d, want m2 given back", r.phase("m1"), r.phase("m2"))
+		t.Errorf("phases %d and %d of m1 and m2, want only m2 released", r.phase("m1"), r.phase("m2"))
 	}
 }
