--- a/internal/scheduler/machine_health_test.go
+++ b/internal/scheduler/machine_health_test.go
@@ -272,7 +272,7 @@
 			r.advanceWithoutHeartbeats(r.cfg.HeartbeatInterval, answers...)
 		}
 		if released := r.shard.inventory.byID["m1"] == nil || r.phase("m1") > 0; released == alive {
-			t.Errorf("%s: released %t, want the opposite", name, released)
+			t.Errorf("%s: released %t, want that only of machines that died", name, released)
 		}
 	}
 }
