--- a/internal/scheduler/config.go
+++ b/internal/scheduler/config.go
@@ -12,7 +12,7 @@
 	Name             string
 	CPUs, GPUs       float64 // guarantee; 0: none
 	MaxCPUs, MaxGPUs float64 // limit; 0: none
-	Share            float64 // weight in the fair share
+	Share            float64 // fair share, relative to the shares of other teams
 }
 
 // Config holds the settings that all shards of a controller use.
--- a/internal/scheduler/data_loss.go
+++ b/internal/scheduler/data_loss.go
@@ -97,8 +97,8 @@
 	}
 	recorded := uint64(0)
 	if j != nil {
-		if c := j.rangeAt(i); c != nil {
-			recorded = c.attempt
+		if r := j.rangeAt(i); r != nil {
+			recorded = r.attempt
 		}
 		if rt.Attempt <= recorded {
 			return false
--- a/internal/scheduler/effects.go
+++ b/internal/scheduler/effects.go
@@ -45,7 +45,7 @@
 	// ConfirmOwnershipAt is a revision of the state service at which this controller must be
 	// shown to own the shard by reading the ownership record; 0: none. See OwnershipConfirmed.
 	ConfirmOwnershipAt uint64
-	StartsReady        []string         // machines for which a start is ready
+	StartsReady        []string         // IDs of the machines for which a start is ready
 	Started            []TaskStart      // tasks reported as running for the first time
 	Ended              []JobEnd         // jobs whose terminal state was recorded
 	Released           []MachineRelease // machines to be released
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -11,7 +11,7 @@
 type Job struct {
 	ref                 string
 	spec                *wire.Spec
-	accepted            time.Time
+	accepted            time.Time // when it was accepted, or released by its dependencies: its wait counts from then
 	record              jobRecord
 	pipeline            *pipeline // singleJob unless it was submitted in a pipeline or has dependencies
 	awaitsDependencies  bool      // not yet released by its pipeline or its dependencies
--- a/internal/scheduler/load_records.go
+++ b/internal/scheduler/load_records.go
@@ -54,9 +54,9 @@
 	j := l.job
 	fresh := j.uncovered(l.first, l.end, l.end-l.first)
 	s.ledger.assignLoaded(l, fresh)
-	for _, c := range j.ranges {
-		if c.first < l.end && l.first < c.end {
-			c.attempt = max(c.attempt, l.recorded.Attempt)
+	for _, r := range j.ranges {
+		if r.first < l.end && l.first < r.end {
+			r.attempt = max(r.attempt, l.recorded.Attempt)
 		}
 	}
 	isFresh := func(i int) bool {
@@ -82,18 +82,18 @@
 func (l *placementLedger) assignLoaded(loaded loadedRange, fresh [][2]int) {
 	generation := loaded.recorded.Generation
 	if len(fresh) == 1 && fresh[0] == [2]int{loaded.first, loaded.end} {
-		c := &taskRange{job: loaded.job, first: loaded.first, end: loaded.end, generation: generation}
-		l.assign(c, loaded.record)
-		c.generation = generation
+		r := &taskRange{job: loaded.job, first: loaded.first, end: loaded.end, generation: generation}
+		l.assign(r, loaded.record)
+		r.generation = generation
 		return
 	}
 	for _, span := range fresh {
-		c := &taskRange{job: loaded.job, first: span[0], end: span[1], generation: generation, previousRecord: loaded.record}
+		r := &taskRange{job: loaded.job, first: span[0], end: span[1], generation: generation, previousRecord: loaded.record}
 		// The record waits for the pieces that leave it, so it must not be their destination.
-		l.assign(c, l.recordWithRoom(l.rangeBytes(c, l.sized), loaded.record))
-		loaded.record.movedOut[c] = struct{}{}
+		l.assign(r, l.recordWithRoom(l.rangeBytes(r, l.sized), loaded.record))
+		loaded.record.movedOut[r] = struct{}{}
 		if loaded.record.sized { // it cannot be written before the pieces are
-			c.record.dirty, c.record.urgent, c.record.forceWrite = true, true, true
+			r.record.dirty, r.record.urgent, r.record.forceWrite = true, true, true
 		}
 	}
 }
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -16,16 +16,16 @@
 	Spot            bool
 	Addr            string
 	Phase           record.Phase
-	provisionedAt   time.Time
+	provisionedAt   time.Time // when it was requested from the cloud
 	record          machineRecord
 	contact         contact
 	probes          probeState
 	inherited       bool      // may run tasks that an earlier owner started
 	reclaimedAt     time.Time // when the cloud reclaims it; zero: no notice
-	used            resources
+	used            resources // of the tasks placed on it
 	tasks           map[taskKey]*task
-	images          []record.Image // believed to be cached, the most recently used last
-	idleSince       time.Time
+	images          []record.Image  // believed to be cached, the most recently used last
+	idleSince       time.Time       // since when no task is placed on it; zero: tasks are placed on it
 	failedJobs      map[string]bool // refs of jobs that failed here in a row
 	transferTo      int             // number of the shard that it is to be transferred to; -1: none
 	draining        bool            // to be released once it is empty
--- a/internal/scheduler/placement_records.go
+++ b/internal/scheduler/placement_records.go
@@ -41,7 +41,7 @@
 )
 
 // PlacementsPerRecord returns how many placements an unsized record holds at most, so that its
-// size stays below valueKB KiB. The size of unsized ranges is derived from it, so this formula must
+// size stays within valueKB KiB. The size of unsized ranges is derived from it, so this formula must
 // not change.
 func PlacementsPerRecord(valueKB float64) int {
 	return max(2*unsizedRangeOverhead, min(int(valueKB*1024/unsizedPlacementBytes), 256))
@@ -81,8 +81,9 @@
 }
 
 // placementLedger holds the shard's placement records and assigns ranges of tasks to them. Every
-// task that was ever placed is in exactly one range, and every range in exactly one record. The
-// bounded size of a record stays within valueBytes, unless it has only one range.
+// task that was ever placed is in exactly one range, and every range in exactly one record. Ranges
+// are assigned so that the estimated size of a record stays within valueBytes, unless the record has
+// only one range.
 type placementLedger struct {
 	cfg     *Config
 	token   uint64
@@ -123,11 +124,11 @@
 }
 
 // rangeBytes returns an upper bound of the size of a range in a sized or unsized record, in bytes.
-func (l *placementLedger) rangeBytes(c *taskRange, sized bool) int {
+func (l *placementLedger) rangeBytes(r *taskRange, sized bool) int {
 	if sized {
-		return sizedRangeOverhead + len(c.job.ref) + (c.end-c.first)*l.placementBytes()
+		return sizedRangeOverhead + len(r.job.ref) + (r.end-r.first)*l.placementBytes()
 	}
-	return (c.end - c.first + unsizedRangeOverhead) * unsizedPlacementBytes
+	return (r.end - r.first + unsizedRangeOverhead) * unsizedPlacementBytes
 }
 
 // rangeAt returns the range of task i, nil if there is none yet.
@@ -140,9 +141,9 @@
 }
 
 // insertRange adds a range to those of a job, which are in order and do not overlap.
-func (j *Job) insertRange(c *taskRange) {
-	n := sort.Search(len(j.ranges), func(n int) bool { return j.ranges[n].first > c.first })
-	j.ranges = slices.Insert(j.ranges, n, c)
+func (j *Job) insertRange(r *taskRange) {
+	n := sort.Search(len(j.ranges), func(n int) bool { return j.ranges[n].first > r.first })
+	j.ranges = slices.Insert(j.ranges, n, r)
 }
 
 // uncovered returns the spans of [first, end) that are in no range yet, each of at most
@@ -155,12 +156,12 @@
 		}
 	}
 	at := first
-	for _, c := range j.ranges {
-		if c.end <= at || c.first >= end {
+	for _, r := range j.ranges {
+		if r.end <= at || r.first >= end {
 			continue
 		}
-		add(at, c.first)
-		at = c.end
+		add(at, r.first)
+		at = r.end
 	}
 	add(at, end)
 	return out
@@ -169,8 +170,8 @@
 // rangeOf returns the range of task i. If there is none yet, it makes one and assigns it to the
 // first record with room.
 func (l *placementLedger) rangeOf(j *Job, i int) *taskRange {
-	if c := j.rangeAt(i); c != nil {
-		return c
+	if r := j.rangeAt(i); r != nil {
+		return r
 	}
 	if j.withheld {
 		return l.assign(l.withheldRange(j, i), nil)
@@ -190,20 +191,20 @@
 
 // assign enters a range in a record, or in the first one with room if rec is nil, and returns the
 // range.
-func (l *placementLedger) assign(c *taskRange, rec *placementRecord) *taskRange {
+func (l *placementLedger) assign(r *taskRange, rec *placementRecord) *taskRange {
 	if rec == nil {
-		rec = l.recordWithRoom(l.rangeBytes(c, l.sized), nil)
+		rec = l.recordWithRoom(l.rangeBytes(r, l.sized), nil)
 	}
-	c.record, c.bytes = rec, l.rangeBytes(c, rec.sized)
+	r.record, r.bytes = rec, l.rangeBytes(r, rec.sized)
 	if rec.sized {
-		c.generation++
+		r.generation++
 	}
-	rec.ranges[l.rangeName(c)] = c
-	rec.usedBytes += c.bytes
-	if c.job.rangeAt(c.first) != c {
-		c.job.insertRange(c)
+	rec.ranges[l.rangeName(r)] = r
+	rec.usedBytes += r.bytes
+	if r.job.rangeAt(r.first) != r {
+		r.job.insertRange(r)
 	}
-	return c
+	return r
 }
 
 // recordWithRoom returns the first record with room for a range of so many bytes, a new one if
@@ -235,55 +236,55 @@
 
 // rangeName returns the name of a range in its record: the job's ref with the index of the first
 // task if the record is sized, else with the number of the range.
-func (l *placementLedger) rangeName(c *taskRange) string {
-	if c.record.sized {
-		return record.RangeName(c.job.ref, c.first)
+func (l *placementLedger) rangeName(r *taskRange) string {
+	if r.record.sized {
+		return record.RangeName(r.job.ref, r.first)
 	}
-	return record.RangeName(c.job.ref, c.first/l.cfg.unsizedRangeTasks())
+	return record.RangeName(r.job.ref, r.first/l.cfg.unsizedRangeTasks())
 }
 
 // detach removes a range from its record and its job.
-func (l *placementLedger) detach(c *taskRange) {
-	c.record.usedBytes -= c.bytes
-	delete(c.record.ranges, l.rangeName(c))
-	c.job.ranges = slices.DeleteFunc(c.job.ranges, func(o *taskRange) bool { return o == c })
+func (l *placementLedger) detach(r *taskRange) {
+	r.record.usedBytes -= r.bytes
+	delete(r.record.ranges, l.rangeName(r))
+	r.job.ranges = slices.DeleteFunc(r.job.ranges, func(o *taskRange) bool { return o == r })
 }
 
 // confirmWritten marks a range as written to its record: the previous record no longer holds it,
 // or its copy there no longer counts.
-func (l *placementLedger) confirmWritten(c *taskRange) {
-	if c.previousRecord != nil {
-		delete(c.previousRecord.movedOut, c)
-		c.previousRecord = nil
+func (l *placementLedger) confirmWritten(r *taskRange) {
+	if r.previousRecord != nil {
+		delete(r.previousRecord.movedOut, r)
+		r.previousRecord = nil
 	}
 }
 
 // split cuts a range into pieces of at most maxTasks tasks and enters them in other records. The
 // record that the range leaves is not written before the pieces are written there.
-func (l *placementLedger) split(c *taskRange, maxTasks int) {
-	old := c.record
-	l.detach(c)
-	from := c.previousRecord
-	l.confirmWritten(c)
-	if from == nil {
-		from = old
+func (l *placementLedger) split(r *taskRange, maxTasks int) {
+	source := r.record
+	l.detach(r)
+	holder := r.previousRecord
+	l.confirmWritten(r)
+	if holder == nil {
+		holder = source
 	}
-	for first := c.first; first < c.end; first += maxTasks {
-		n := &taskRange{job: c.job, first: first, end: min(first+maxTasks, c.end), generation: c.generation, attempt: c.attempt, previousRecord: from}
-		l.assign(n, l.recordWithRoom(l.rangeBytes(n, l.sized), old))
-		if from.version > 0 {
-			from.movedOut[n] = struct{}{}
+	for first := r.first; first < r.end; first += maxTasks {
+		piece := &taskRange{job: r.job, first: first, end: min(first+maxTasks, r.end), generation: r.generation, attempt: r.attempt, previousRecord: holder}
+		l.assign(piece, l.recordWithRoom(l.rangeBytes(piece, l.sized), source))
+		if holder.version > 0 {
+			holder.movedOut[piece] = struct{}{}
 		} else {
-			n.previousRecord = nil // no record in the state service holds it
+			piece.previousRecord = nil // no record in the state service holds it
 		}
-		for i := n.first; i < n.end; i++ {
-			if t := &c.job.tasks[i]; (t.state == placed && !t.recorded) || (t.state == completed && !t.completionRecorded) {
-				n.record.urgent = n.record.urgent || t.state == placed
-				n.record.dirty = true
+		for i := piece.first; i < piece.end; i++ {
+			if t := &r.job.tasks[i]; (t.state == placed && !t.recorded) || (t.state == completed && !t.completionRecorded) {
+				piece.record.urgent = piece.record.urgent || t.state == placed
+				piece.record.dirty = true
 			}
 		}
-		if from.sized {
-			n.record.dirty, n.record.urgent, n.record.forceWrite = true, true, true
+		if holder.sized {
+			piece.record.dirty, piece.record.urgent, piece.record.forceWrite = true, true, true
 		}
 	}
 }
@@ -295,8 +296,8 @@
 		if rec.sized || rec.unreadable || rec.txn != nil || rec.versionUnknown {
 			continue
 		}
-		for _, c := range rec.ranges {
-			l.split(c, l.sizedRangeTasks())
+		for _, r := range rec.ranges {
+			l.split(r, l.sizedRangeTasks())
 		}
 		if len(rec.movedOut) == 0 {
 			if rec.version == 0 {
@@ -316,20 +317,20 @@
 	if !rec.sized || size <= l.valueBytes {
 		return true
 	}
-	var all []*taskRange
-	for _, c := range rec.ranges {
-		all = append(all, c)
+	var ranges []*taskRange
+	for _, r := range rec.ranges {
+		ranges = append(ranges, r)
 	}
-	sort.Slice(all, func(a, b int) bool { return l.rangeName(all[a]) < l.rangeName(all[b]) })
-	if len(all) == 1 {
-		if c := all[0]; c.end-c.first > 1 {
-			l.split(c, (c.end-c.first+1)/2)
+	sort.Slice(ranges, func(a, b int) bool { return l.rangeName(ranges[a]) < l.rangeName(ranges[b]) })
+	if len(ranges) == 1 {
+		if r := ranges[0]; r.end-r.first > 1 {
+			l.split(r, (r.end-r.first+1)/2)
 			return false
 		}
 		return true
 	}
-	for _, c := range all[len(all)/2:] {
-		l.split(c, c.end-c.first)
+	for _, r := range ranges[len(ranges)/2:] {
+		l.split(r, r.end-r.first)
 	}
 	return false
 }
--- a/internal/scheduler/record_writes.go
+++ b/internal/scheduler/record_writes.go
@@ -71,10 +71,10 @@
 			s.wakeAt(rec.retryAt)
 			continue
 		}
-		at := record.PlacementsKey(s.id, rec.number)
+		key := record.PlacementsKey(s.id, rec.number)
 		t := &Txn{placements: rec, deletesRecord: true, Purpose: purposeSplit, Routine: true}
-		t.Body.If = []wire.Condition{s.ownershipCondition(), {Key: at, Version: rec.version}}
-		t.Body.Then = []wire.Op{{Delete: at}}
+		t.Body.If = []wire.Condition{s.ownershipCondition(), {Key: key, Version: rec.version}}
+		t.Body.Then = []wire.Op{{Delete: key}}
 		rec.txn = t
 		s.effects.Txns = append(s.effects.Txns, t)
 	}
@@ -85,14 +85,14 @@
 // job's placements stay in their record until that is next written; Load ignores placements of jobs
 // without an active record.
 func (s *Shard) recordJobEnd(j *Job, now time.Time) {
-	open := record.ActiveJobKey(j.ref)
+	activeKey := record.ActiveJobKey(j.ref)
 	rec := record.FinishedJob{State: wire.Done, Tasks: len(j.tasks), FinishedAt: now.UnixMilli()}
 	if j.cancelled {
 		rec.State, rec.Tasks = wire.Cancelled, 0
 	}
 	t := &Txn{job: j, Purpose: purposeJobEnd, Routine: !j.cancelled && !j.hasDependents} // a user waits for a cancellation
-	t.Body.If = []wire.Condition{s.ownershipCondition(), {Key: open, Version: j.record.version}}
-	t.Body.Then = []wire.Op{{Put: record.FinishedJobKey(j.ref), Value: record.Encode(rec)}, {Delete: open}}
+	t.Body.If = []wire.Condition{s.ownershipCondition(), {Key: activeKey, Version: j.record.version}}
+	t.Body.Then = []wire.Op{{Put: record.FinishedJobKey(j.ref), Value: record.Encode(rec)}, {Delete: activeKey}}
 	if !s.addPipelineStep(t, j, now) {
 		return // retried once the pipeline's record has been read
 	}
@@ -105,9 +105,9 @@
 // their own: the next start rewrites the record.
 func (s *Shard) writePlacements(placements *placementRecord, now time.Time) {
 	t := &Txn{placements: placements, Purpose: purposeCompletions}
-	conds := map[string]uint64{}
+	conditions := map[string]uint64{}
 	forced := placements.forceWrite
-	rec, left := s.ledger.buildPlacements(placements, t, conds)
+	rec, left := s.ledger.buildPlacements(placements, t, conditions)
 	if placements.sized {
 		rec.Format = record.SizedRanges
 	}
@@ -126,17 +126,17 @@
 	if len(t.starts) > 0 {
 		t.Purpose, t.Routine = purposeStart, false
 	}
-	at := record.PlacementsKey(s.id, placements.number)
-	t.Body.If = []wire.Condition{s.ownershipCondition(), {Key: at, Version: placements.version}}
-	keys := make([]string, 0, len(conds))
-	for k := range conds {
+	key := record.PlacementsKey(s.id, placements.number)
+	t.Body.If = []wire.Condition{s.ownershipCondition(), {Key: key, Version: placements.version}}
+	keys := make([]string, 0, len(conditions))
+	for k := range conditions {
 		keys = append(keys, k)
 	}
 	sort.Strings(keys)
 	for _, k := range keys {
-		t.Body.If = append(t.Body.If, wire.Condition{Key: k, Version: conds[k]})
+		t.Body.If = append(t.Body.If, wire.Condition{Key: k, Version: conditions[k]})
 	}
-	t.Body.Then = []wire.Op{{Put: at, Value: value}}
+	t.Body.Then = []wire.Op{{Put: key, Value: value}}
 	for _, k := range t.starts {
 		k.job.tasks[k.index].recording = true
 	}
@@ -145,14 +145,14 @@
 }
 
 // buildPlacements returns the content of a placement record. It adds the ranges and the new starts
-// and completions to t, and the conditions of the starts to conds. It reports whether starts were
+// and completions to t, and the conditions of the starts to conditions. It reports whether starts were
 // left out because there was no room for their conditions.
-func (l *placementLedger) buildPlacements(placements *placementRecord, t *Txn, conds map[string]uint64) (rec record.Placements, left bool) {
+func (l *placementLedger) buildPlacements(placements *placementRecord, t *Txn, conditions map[string]uint64) (rec record.Placements, left bool) {
 	rec = record.Placements{Ranges: map[string]record.TaskRange{}}
-	for name, c := range placements.ranges {
-		built, complete := l.buildRange(c, t, conds)
+	for name, r := range placements.ranges {
+		built, complete := l.buildRange(r, t, conditions)
 		left = left || !complete
-		t.ranges = append(t.ranges, c)
+		t.ranges = append(t.ranges, r)
 		rec.Ranges[name] = built
 	}
 	return rec, left
@@ -160,17 +160,17 @@
 
 // buildRange returns the content of a range and does the same as buildPlacements for it. It reports
 // whether all new starts of the range are in it.
-func (l *placementLedger) buildRange(c *taskRange, t *Txn, conds map[string]uint64) (built record.TaskRange, complete bool) {
+func (l *placementLedger) buildRange(r *taskRange, t *Txn, conditions map[string]uint64) (built record.TaskRange, complete bool) {
 	complete = true
 	room := 4*l.txnOps - 2 // for conditions on jobs and machines
-	j := c.job
-	built = c.header()
-	for i := c.first; i < c.end; i++ {
+	j := r.job
+	built = r.header()
+	for i := r.first; i < r.end; i++ {
 		k := taskKey{j, i}
 		task := &j.tasks[i]
 		switch task.state {
 		case placed:
-			if !task.recorded && !addConditions(conds, room, map[string]uint64{
+			if !task.recorded && !addConditions(conditions, room, map[string]uint64{
 				record.ActiveJobKey(j.ref): j.record.version, record.OverrideKey(task.machine.ID): task.machine.record.version,
 			}) {
 				complete = false
@@ -191,10 +191,10 @@
 }
 
 // header returns a range as it is recorded, without its placements and completions.
-func (c *taskRange) header() record.TaskRange {
-	built := record.TaskRange{Attempt: c.attempt}
-	if c.record.sized {
-		built.Size, built.Generation = c.end-c.first, c.generation
+func (r *taskRange) header() record.TaskRange {
+	built := record.TaskRange{Attempt: r.attempt}
+	if r.record.sized {
+		built.Size, built.Generation = r.end-r.first, r.generation
 	}
 	return built
 }
@@ -216,12 +216,12 @@
 	return append(spans, [2]int{i, i})
 }
 
-// addConditions adds all conditions in add to conds if conds then has no more than room of them, and
+// addConditions adds all conditions in add to conditions if these are then no more than room, and
 // otherwise none. It reports whether it has added them.
-func addConditions(conds map[string]uint64, room int, add map[string]uint64) bool {
-	n := len(conds)
+func addConditions(conditions map[string]uint64, room int, add map[string]uint64) bool {
+	n := len(conditions)
 	for k := range add {
-		if _, ok := conds[k]; !ok {
+		if _, ok := conditions[k]; !ok {
 			n++
 		}
 	}
@@ -229,7 +229,7 @@
 		return false
 	}
 	for k, v := range add {
-		conds[k] = v
+		conditions[k] = v
 	}
 	return true
 }
@@ -238,10 +238,10 @@
 // transaction is retried until the transfer is known to be recorded, so that no start can be
 // recorded ahead of a late copy of it.
 func (s *Shard) recordTransfer(m *Machine) {
-	at := record.OverrideKey(m.ID)
+	key := record.OverrideKey(m.ID)
 	t := &Txn{machine: m, Purpose: purposeTransfer, Routine: true}
-	t.Body.If = []wire.Condition{s.ownershipCondition(), {Key: at, Version: m.record.version}}
-	t.Body.Then = []wire.Op{{Put: at, Value: record.Encode(s.overrideRecord(m, m.transferTo))}}
+	t.Body.If = []wire.Condition{s.ownershipCondition(), {Key: key, Version: m.record.version}}
+	t.Body.Then = []wire.Op{{Put: key, Value: record.Encode(s.overrideRecord(m, m.transferTo))}}
 	m.record.txn = t
 	s.effects.Txns = append(s.effects.Txns, t)
 }
@@ -292,8 +292,8 @@
 	if j.cancelled {
 		e.State = wire.Cancelled
 	}
-	for _, c := range j.ranges {
-		e.Attempts = max(e.Attempts, int(c.attempt))
+	for _, r := range j.ranges {
+		e.Attempts = max(e.Attempts, int(r.attempt))
 	}
 	s.effects.Ended = append(s.effects.Ended, e)
 }
@@ -305,13 +305,13 @@
 			s.unplaceTask(taskKey{j, i}, now)
 		}
 	}
-	for _, c := range slices.Clone(j.ranges) {
-		s.ledger.detach(c)
-		s.ledger.confirmWritten(c)
+	for _, r := range slices.Clone(j.ranges) {
+		s.ledger.detach(r)
+		s.ledger.confirmWritten(r)
 	}
-	for _, r := range j.spec.DependsOn {
-		if delete(s.dependencies.dependents[r], j); len(s.dependencies.dependents[r]) == 0 {
-			delete(s.dependencies.dependents, r)
+	for _, ref := range j.spec.DependsOn {
+		if delete(s.dependencies.dependents[ref], j); len(s.dependencies.dependents[ref]) == 0 {
+			delete(s.dependencies.dependents, ref)
 		}
 	}
 	delete(s.jobs, j.ref)
--- a/internal/scheduler/recorded_state.go
+++ b/internal/scheduler/recorded_state.go
@@ -29,9 +29,9 @@
 		if placements.sized {
 			rec.Format = record.SizedRanges
 		}
-		for name, c := range placements.ranges {
-			if c.previousRecord == nil {
-				rec.Ranges[name] = c.asRecorded()
+		for name, r := range placements.ranges {
+			if r.previousRecord == nil {
+				rec.Ranges[name] = r.asRecorded()
 			}
 		}
 		add(record.PlacementsKey(s.id, n), placements.version, rec)
@@ -40,10 +40,10 @@
 }
 
 // asRecorded returns a range as its record holds it.
-func (c *taskRange) asRecorded() record.TaskRange {
-	out := c.header()
-	for i := c.first; i < c.end; i++ {
-		switch t := &c.job.tasks[i]; {
+func (r *taskRange) asRecorded() record.TaskRange {
+	out := r.header()
+	for i := r.first; i < r.end; i++ {
+		switch t := &r.job.tasks[i]; {
 		case t.state == placed && t.recorded:
 			addPlacement(&out, i, t)
 		case t.state == completed:
--- a/internal/scheduler/rereads.go
+++ b/internal/scheduler/rereads.go
@@ -33,12 +33,12 @@
 
 // JobRead applies the reread of a job's active record, nil if there is none. It fails if the record
 // cannot be decoded.
-func (s *Shard) JobRead(ref string, open *wire.Entry, now time.Time) error {
+func (s *Shard) JobRead(ref string, e *wire.Entry, now time.Time) error {
 	j := s.jobs[ref]
 	if j == nil || !j.record.versionUnknown {
 		return nil
 	}
-	if open == nil {
+	if e == nil {
 		// The transaction that records the job's end was applied, or another controller found
 		// one of the job's dependencies cancelled and recorded the end.
 		s.removeJob(j, now)
@@ -47,7 +47,7 @@
 		}
 		return nil
 	}
-	o, err := decode[record.ActiveJob](*open)
+	o, err := decode[record.ActiveJob](*e)
 	if err != nil {
 		return err
 	}
@@ -55,7 +55,7 @@
 	j.record.endTxn = nil
 	j.record.retryAt = now.Add(retryAfter)
 	s.wakeAt(j.record.retryAt)
-	s.SetJob(ref, o, open.Version, now)
+	s.SetJob(ref, o, e.Version, now)
 	s.placementDue = true
 	return nil
 }
@@ -104,9 +104,9 @@
 // applyReread marks as written what a reread record holds of a transaction whose outcome was
 // unknown: its ranges, and its starts if the record has changed since.
 func (s *Shard) applyReread(t *Txn, rec record.Placements, changed bool) {
-	for _, c := range t.ranges {
-		if read, ok := rec.Ranges[s.ledger.rangeName(c)]; ok && read.Generation == c.generation {
-			s.ledger.confirmWritten(c)
+	for _, r := range t.ranges {
+		if read, ok := rec.Ranges[s.ledger.rangeName(r)]; ok && read.Generation == r.generation {
+			s.ledger.confirmWritten(r)
 		}
 	}
 	for _, k := range t.starts {
@@ -121,11 +121,11 @@
 // hasPlacement reports whether rec, as read for a placement record, holds the same placement of a task
 // as the ledger.
 func (l *placementLedger) hasPlacement(placements *placementRecord, rec record.Placements, k taskKey) bool {
-	c := k.job.rangeAt(k.index)
-	if c == nil || c.record != placements {
+	r := k.job.rangeAt(k.index)
+	if r == nil || r.record != placements {
 		return false
 	}
-	placement, ok := rec.Ranges[l.rangeName(c)].Placed[k.index]
+	placement, ok := rec.Ranges[l.rangeName(r)].Placed[k.index]
 	task := &k.job.tasks[k.index]
 	return ok && task.machine != nil && placement.Attempt == task.attempt && placement.Machine == task.machine.ID
 }
--- a/internal/scheduler/shard.go
+++ b/internal/scheduler/shard.go
@@ -11,10 +11,10 @@
 // caller's lock.
 type Shard struct {
 	cfg            *Config
-	id             int
-	token          uint64
+	id             int    // number of the shard
+	token          uint64 // fencing token: the version of the ownership record that acquired the shard
 	ownership      ownership
-	ownershipLost  bool
+	ownershipLost  bool // the shard is given up: Step does no more work, and no start is sent
 	inventory      inventory
 	jobs           map[string]*Job
 	endingJobs     map[string]*Job // jobs whose terminal state is to be recorded
--- a/internal/scheduler/task_ledger.go
+++ b/internal/scheduler/task_ledger.go
@@ -27,9 +27,9 @@
 	s.quotas.charge(spec)
 	m.idleSince = time.Time{}
 	s.inventory.update(m)
-	c := s.ledger.markDirty(k, now)
-	c.attempt = max(c.attempt, attempt)
-	c.record.urgent = true
+	r := s.ledger.markDirty(k, now)
+	r.attempt = max(r.attempt, attempt)
+	r.record.urgent = true
 	t.trace = &startTrace{placed: now, cached: m.hasImage(spec.Image)}
 	return t
 }
@@ -104,11 +104,11 @@
 
 // markDirty marks the placement record of a task's range as changed and returns the range.
 func (l *placementLedger) markDirty(k taskKey, now time.Time) *taskRange {
-	c := l.rangeOf(k.job, k.index)
-	if !c.record.dirty {
-		c.record.dirty, c.record.dirtySince = true, now
+	r := l.rangeOf(k.job, k.index)
+	if !r.record.dirty {
+		r.record.dirty, r.record.dirtySince = true, now
 	}
-	return c
+	return r
 }
 
 // nextAttempt returns the number of the next attempt of task i: above any attempt of its range,
@@ -118,8 +118,8 @@
 		return l.rangeOf(j, i).attempt + 1
 	}
 	var a uint64
-	for _, c := range j.ranges {
-		a = max(a, c.attempt)
+	for _, r := range j.ranges {
+		a = max(a, r.attempt)
 	}
 	return a + 1
 }
--- a/internal/scheduler/unreadable_records.go
+++ b/internal/scheduler/unreadable_records.go
@@ -103,9 +103,9 @@
 
 // supersedeRecorded makes the ranges of a job override those that an undecodable record may hold.
 func (l *placementLedger) supersedeRecorded(j *Job) {
-	for _, c := range j.ranges {
-		c.generation = max(c.generation, l.overridingGeneration())
-		c.record.dirty, c.record.forceWrite = true, true
+	for _, r := range j.ranges {
+		r.generation = max(r.generation, l.overridingGeneration())
+		r.record.dirty, r.record.forceWrite = true, true
 	}
 }
 
--- a/internal/scheduler/write_outcomes.go
+++ b/internal/scheduler/write_outcomes.go
@@ -40,8 +40,8 @@
 	if t.deletesRecord {
 		delete(s.ledger.records, t.placements.number)
 	}
-	for _, c := range t.ranges {
-		s.ledger.confirmWritten(c)
+	for _, r := range t.ranges {
+		s.ledger.confirmWritten(r)
 	}
 	for _, k := range t.starts {
 		task := &k.job.tasks[k.index]
