--- a/internal/scheduler/allocations_test.go
+++ b/internal/scheduler/allocations_test.go
@@ -11,18 +11,19 @@
 	"bramblespur/internal/wire"
 )
 
-// Bounds are about half as much again as was measured, so that twice the work fails.
+// Each bound is about one and a half times the usual figure, so that twice the work fails.
 const (
 	heartbeatAllocs        = 1    // measured: 0
 	bytesPerMachine        = 2300 // 1500
 	summaryBytesPerMachine = 270  // 180
 )
 
-// startAllocs bounds a start by the machines of its shard: 506, 1073 and 1577 were
-// measured, nearly all for encoding the placement record.
+// startAllocs bounds the allocations for one start, by the number of machines of the shard. The
+// usual figures are 506, 1073 and 1577, nearly all for encoding the placement record.
 var startAllocs = map[int]float64{40: 760, 400: 1600, 1600: 2400}
 
-// fleetHarness is a shard of so many machines, with so many tasks running on each 40.
+// fleetHarness returns a harness whose shard has a number of machines, with a number of tasks
+// running on every 40 of them.
 func fleetHarness(t testing.TB, machines, tasks int) *harness {
 	r := newHarness(t)
 	r.cfg.PlacementsPerRecord, r.cfg.ValueBytes, r.cfg.TxnOps = PlacementsPerRecord(16), 16<<10, 24
@@ -45,8 +46,8 @@
 	return r
 }
 
-// A report that tells nothing new costs the same few allocations whatever the
-// fleet's size: those of its answer and of what it is compared by.
+// A heartbeat that reports no change costs the same few allocations whatever the size of the
+// fleet: those of its response and of its comparison with the ledger.
 func TestHeartbeatAllocationsDoNotGrowWithTheFleet(t *testing.T) {
 	for _, machines := range []int{40, 400} {
 		r := fleetHarness(t, machines, 80)
@@ -60,31 +61,31 @@
 		got := testing.AllocsPerRun(200, func() {
 			rep.Seq++
 			if _, v := r.shard.Heartbeat(&rep, false, now); v != Answered {
-				t.Fatal("not answered")
+				t.Fatal("the heartbeat was not answered")
 			}
 			r.shard.Step(now)
 		})
 		if m := r.shard.inventory.byID[id]; m.contact.seq != rep.Seq || !m.contact.fenced {
-			t.Fatal("the report was not taken in")
+			t.Fatal("the heartbeat was not applied")
 		}
 		if got > heartbeatAllocs {
-			t.Errorf("%d machines: %.0f allocations for a report, want %d at most", machines, got, heartbeatAllocs)
+			t.Errorf("%d machines: %.0f allocations for a heartbeat, want %d at most", machines, got, heartbeatAllocs)
 		}
 	}
 }
 
-// The core of the largest fleet: reports, starts of what ended and what the leader is told
-// cost what they cost in small ones, and a machine with its tasks holds as little.
+// In the largest fleet a heartbeat, the summary for the leader and the memory for a machine
+// with its tasks cost no more than in small fleets.
 func TestLargestFleetCostsWhatSmallOnesDo(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	r := fleetHarness(t, maxMachinesPerShard, 80)
-	r.workers, r.state, r.fleet = map[string]*testkit.Worker{"i-003999": r.workers["i-003999"]}, nil, nil // the test's own
+	r.workers, r.state, r.fleet = map[string]*testkit.Worker{"i-003999": r.workers["i-003999"]}, nil, nil // so that the memory that only the test uses is not counted
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if got := (after.HeapAlloc - before.HeapAlloc) / maxMachinesPerShard; got > bytesPerMachine {
-		t.Errorf("%d bytes for a machine, want %d at most", got, bytesPerMachine)
+		t.Errorf("%d bytes of memory for each machine, want %d at most", got, bytesPerMachine)
 	}
 	now := r.clock.Now()
 	r.shard.Step(now)
@@ -92,26 +93,26 @@
 	got := testing.AllocsPerRun(200, func() {
 		rep.Seq++
 		if _, v := r.shard.Heartbeat(&rep, false, now); v != Answered {
-			t.Fatal("not answered")
+			t.Fatal("the heartbeat was not answered")
 		}
 		r.shard.Step(now)
 	})
 	if len(rep.Tasks) != 2 || got > heartbeatAllocs {
-		t.Errorf("%.0f allocations for a report of %d tasks, want %d at most", got, len(rep.Tasks), heartbeatAllocs)
+		t.Errorf("%.0f allocations for a heartbeat with %d tasks, want 2 tasks and %d allocations at most", got, len(rep.Tasks), heartbeatAllocs)
 	}
 	runtime.ReadMemStats(&before)
 	summary := r.shard.Summary(now)
 	runtime.ReadMemStats(&after)
 	if got := (after.TotalAlloc - before.TotalAlloc) / maxMachinesPerShard; got > summaryBytesPerMachine || len(summary.Machines) != maxMachinesPerShard {
-		t.Errorf("%d bytes to tell of a machine, want %d at most; %d machines", got, summaryBytesPerMachine, len(summary.Machines))
+		t.Errorf("%d bytes allocated for each machine in a summary, want %d at most; %d machines in it", got, summaryBytesPerMachine, len(summary.Machines))
 	}
 }
 
-// A machine with its two tasks holds few bytes.
+// A machine with its two tasks takes little memory.
 func TestBytesPerMachine(t *testing.T) {
 	held := func(machines int) (*harness, uint64) {
 		r := fleetHarness(t, machines, 80)
-		r.workers, r.state, r.fleet = nil, nil, nil // the test's own
+		r.workers, r.state, r.fleet = nil, nil, nil // so that the memory that only the test uses is not counted
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
@@ -123,11 +124,11 @@
 	runtime.KeepAlive(large)
 	got := int64(b-a) / 1800
 	if got > bytesPerMachine {
-		t.Errorf("%d bytes for a machine, want %d at most", got, bytesPerMachine)
+		t.Errorf("%d bytes of memory for each machine, want %d at most", got, bytesPerMachine)
 	}
 }
 
-// What the leader is told each second takes little more than it fills.
+// A summary, which the leader gets each second, allocates little more than its own size.
 func TestSummaryBytes(t *testing.T) {
 	const machines, summaries = 400, 10
 	r := fleetHarness(t, machines, 80)
@@ -140,12 +141,12 @@
 	runtime.ReadMemStats(&after)
 	got := (after.TotalAlloc - before.TotalAlloc) / (summaries * machines)
 	if got > summaryBytesPerMachine {
-		t.Errorf("%d bytes allocated to tell of a machine, want %d at most", got, summaryBytesPerMachine)
+		t.Errorf("%d bytes allocated for each machine in a summary, want %d at most", got, summaryBytesPerMachine)
 	}
 }
 
-// A job of one task costs, until its start is recorded, allocations by the
-// tasks that share its placement record, not by the machines or by all that runs.
+// The allocations for a job of one task until its start is recorded depend on the number of
+// tasks that share its placement record, not on the number of machines or of all tasks.
 func TestStartAllocations(t *testing.T) {
 	for machines, most := range startAllocs {
 		r := fleetHarness(t, machines, 60)
@@ -161,11 +162,11 @@
 				slots++
 			}
 			if j := r.shard.jobs[s.Ref]; j == nil || !j.tasks[0].recorded {
-				t.Fatal("not started")
+				t.Fatal("the job's start was not recorded")
 			}
 		})
 		if slots != n {
-			t.Errorf("%d machines: %d starts took %d writes", machines, n, slots)
+			t.Errorf("%d machines: %d starts took %d writes, want one each", machines, n, slots)
 		}
 		if got > most {
 			t.Errorf("%d machines: %.0f allocations for a job and its start, want %g at most", machines, got, most)
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -12,7 +12,7 @@
 	"bramblespur/internal/wire"
 )
 
-// submitAfter records a job that names others, as a controller does.
+// submitAfter records a job that depends on the given jobs, as a controller does.
 func (r *harness) submitAfter(ref string, roots ...string) wire.Spec {
 	s := spec(ref, "b", wire.Array, "normal", 1, 0)
 	s.CPUs, s.MemoryGB, s.DependsOn = 1, 1, roots
@@ -20,7 +20,7 @@
 	return s
 }
 
-// reportDependencyEnds tells the shard which of the jobs that it waits for are over.
+// reportDependencyEnds reports the ends of the jobs that the shard waits for.
 func (r *harness) reportDependencyEnds() {
 	for _, ref := range r.shard.Dependencies() {
 		if e := r.get(record.FinishedJobKey(ref)); e != nil {
@@ -49,7 +49,7 @@
 	r.reportDependencyEnds()
 	r.heartbeats(2)
 	if got := startedJobs(w); slices.Contains(got, jobC) {
-		t.Fatalf("started %v with a root left", got)
+		t.Fatalf("started %v while a dependency had not ended", got)
 	}
 	w.End(jobB+"/0", wire.Done)
 	r.heartbeat()
@@ -58,16 +58,16 @@
 	r.reportDependencyEnds()
 	r.heartbeats(2)
 	if got := startedJobs(w); !slices.Contains(got, jobC) {
-		t.Fatalf("started %v, want the job after both", got)
+		t.Fatalf("started %v, want the dependent job as well", got)
 	}
 	if r.shard.arrivals.onDemand <= before {
-		t.Error("its release is no arrival")
+		t.Error("the release of the dependent job does not count as an arrival")
 	}
 	if j := r.shard.jobs[jobC]; j.accepted.Sub(over).Abs() > time.Second {
-		t.Errorf("it counts as waiting since %v, want since its last root was done at %v", j.accepted, over)
+		t.Errorf("the dependent job counts as waiting since %v, want since its last dependency was done at %v", j.accepted, over)
 	}
 	if o, err := decode[record.ActiveJob](*r.get(record.ActiveJobKey(jobC))); err != nil || !o.AwaitsDependencies {
-		t.Error("its record says that it is not held any more")
+		t.Error("the record of the dependent job says that it no longer awaits dependencies, want it unchanged")
 	}
 }
 
@@ -85,23 +85,23 @@
 	}
 	for _, ref := range []string{jobA, jobB, jobC} {
 		if r.get(record.ActiveJobKey(ref)) != nil || r.jobState(ref) != wire.Cancelled {
-			t.Errorf("%s is %q", ref, r.jobState(ref))
+			t.Errorf("%s is %q, want cancelled without an active record", ref, r.jobState(ref))
 		}
 	}
-	// Who comes after the cascade has passed is caught as well.
+	// A dependent that is submitted after the others were cancelled is cancelled as well.
 	r.submitAfter(jobD, jobC)
 	r.reportDependencyEnds()
 	r.heartbeats(2)
 	if r.jobState(jobD) != wire.Cancelled || len(r.shard.dependencies.dependents) > 0 {
-		t.Errorf("a later one is %q, and %d are waited for", r.jobState(jobD), len(r.shard.dependencies.dependents))
+		t.Errorf("a dependent submitted later is %q, want cancelled; %d jobs are waited for, want none", r.jobState(jobD), len(r.shard.dependencies.dependents))
 	}
 	if got := startedJobs(w); !slices.Equal(got, []string{jobA}) {
-		t.Errorf("started %v", got)
+		t.Errorf("started %v, want only the first job", got)
 	}
 }
 
-// A job that another controller has ended, since it found a root cancelled, is
-// gone here, too, whether its own end was under way or not.
+// If another controller found a dependency of a waiting job cancelled and has ended the job, the
+// shard removes the job, whether its own write of the end was under way or not.
 func TestWaitingJobEndedElsewhereIsRemoved(t *testing.T) {
 	r := newHarness(t)
 	r.submitAfter(jobA)
@@ -115,20 +115,20 @@
 		t.Fatal(err)
 	}
 	r.shard.DependencyEnded(jobA, record.FinishedJob{State: wire.Cancelled}, r.clock.Now())
-	r.heartbeats(2) // its own write conflicts
+	r.heartbeats(2) // the shard's own write of the end conflicts
 	if r.shard.HasJob(jobB) {
-		t.Error("still held after its record was found gone")
+		t.Error("the shard still holds the job after its record was found deleted")
 	}
 	r.submitAfter(jobC, jobA)
 	r.shard.JobRecordGone(jobC, r.clock.Now())
-	r.shard.JobRecordGone(jobA, r.clock.Now()) // runs, so only its owner ends it
+	r.shard.JobRecordGone(jobA, r.clock.Now()) // awaits no dependency, so only its owner ends it
 	if r.shard.HasJob(jobC) || !r.shard.HasJob(jobA) {
-		t.Error("a job that waited is still there, or one that runs is not")
+		t.Error("the shard still holds the job that awaited dependencies, or no longer holds the other")
 	}
 }
 
-// A job that inherits a priority goes before others of its own, and takes the
-// place of what is lower; without heirs it is as before.
+// A job that inherits a higher priority from its dependents preempts tasks of a lower priority.
+// Once it inherits none, its tasks are indexed under its own priority again.
 func TestInheritedPriorityPreempts(t *testing.T) {
 	r := newHarness(t)
 	w := r.addMachine("m1", "z1", false)
@@ -139,17 +139,17 @@
 	r.submit(step)
 	r.heartbeats(4)
 	if got := startedJobs(w); slices.Contains(got, "run-000002") {
-		t.Fatalf("started %v: work of one priority gave way to its equal", got)
+		t.Fatalf("started %v: a task was preempted for a job of its own priority", got)
 	}
 	due := r.clock.Now().Add(time.Minute)
 	r.shard.SetInheritedUrgency("run-000002", fragment.Urgency{Rank: Rank("urgent"), Deadline: due})
 	r.heartbeats(5)
 	if got := startedJobs(w); !slices.Contains(got, "run-000002") {
-		t.Fatalf("started %v: lower work did not give way", got)
+		t.Fatalf("started %v: no task of a lower priority was preempted", got)
 	}
 	j := r.shard.jobs["run-000002"]
 	if d := j.deadline(); d == nil || *d != due.Sub(j.accepted).Seconds() {
-		t.Errorf("its deadline is %v", d)
+		t.Errorf("the deadline is %v, want the inherited one", d)
 	}
 	r.shard.SetInheritedUrgency("run-000002", fragment.Urgency{Rank: Rank("low"), HasDependents: true})
 	for rank, ms := range r.shard.inventory.byRank {
@@ -167,7 +167,8 @@
 	}
 }
 
-// The end that others wait for does not let other writes pass.
+// The write of a job's end is routine, so that other writes may go before it, unless other jobs
+// wait for that end.
 func TestEndWithDependentsIsNotRoutine(t *testing.T) {
 	for _, needed := range []bool{false, true} {
 		r := newHarness(t)
@@ -181,7 +182,7 @@
 		eff := r.shard.Step(r.clock.Now())
 		i := slices.IndexFunc(eff.Txns, func(t *Txn) bool { return t.Purpose == purposeJobEnd })
 		if i < 0 || eff.Txns[i].Routine == needed {
-			t.Errorf("needed %t: %d writes, the end routine or missing", needed, len(eff.Txns))
+			t.Errorf("has dependents %t: want among %d writes a job end whose Routine is the opposite", needed, len(eff.Txns))
 		}
 	}
 }
--- a/internal/scheduler/pipeline_test.go
+++ b/internal/scheduler/pipeline_test.go
@@ -12,7 +12,7 @@
 	"bramblespur/internal/wire"
 )
 
-// Short names of a pipeline's jobs.
+// The references of a pipeline's jobs.
 const (
 	jobA = "run-00000a"
 	jobB = "run-00000b"
@@ -22,19 +22,21 @@
 
 func link(from, to string) wire.Link { return wire.Link{From: []string{from}, To: []string{to}} }
 
-// diamond is a split after the first job and its join.
+// diamond returns a pipeline that splits after the first job into two branches and joins them
+// in the last job.
 func diamond() record.Pipeline {
 	return record.Pipeline{Jobs: []string{jobA, jobB, jobC, jobD}, Links: []wire.Link{link(jobA, jobB), link(jobA, jobC), link(jobB, jobD), link(jobC, jobD)}}
 }
 
-// fork is a choice after the first job: done goes on with B, cancelled with C.
+// fork returns a pipeline with a choice after the first job: it goes on with jobB if that job
+// is done, and with jobC if it is cancelled.
 func fork() record.Pipeline {
 	return record.Pipeline{Jobs: []string{jobA, jobB, jobC, jobD},
 		Links:   []wire.Link{{From: []string{jobA}, To: []string{jobB, jobC}}, {From: []string{jobB, jobC}, To: []string{jobD}}},
 		Choices: []wire.Choice{{At: jobA, Done: jobB, Cancelled: jobC}}}
 }
 
-// submitPipeline submits a submitPipeline as a controller records it.
+// submitPipeline records a pipeline and its jobs, as a controller does.
 func (r *harness) submitPipeline(p record.Pipeline) {
 	r.state.Put(record.PipelineKey("pipe-000001"), p)
 	for i, ref := range p.Jobs {
@@ -42,7 +44,7 @@
 	}
 }
 
-// endRunningTasks lets whatever runs complete.
+// endRunningTasks completes all running tasks.
 func (r *harness) endRunningTasks() {
 	for _, w := range r.workers {
 		for name, t := range w.Tasks {
@@ -53,6 +55,7 @@
 	}
 }
 
+// startedJobs returns the job of each task that a worker has started, in the order of the starts.
 func startedJobs(w *testkit.Worker) []string {
 	var out []string
 	for _, s := range w.Started {
@@ -70,8 +73,8 @@
 	return rec.State
 }
 
-// Jobs are released step by step: the join waits for both branches, and each
-// job runs once, also when the shard is acquired after any number of heartbeats.
+// Jobs are released step by step: the join waits for both branches, and each job runs once,
+// even if the shard fails over after every few heartbeats.
 func TestPipelineStepByStep(t *testing.T) {
 	for failoverEvery := range 12 {
 		r := newHarness(t)
@@ -84,22 +87,22 @@
 			r.heartbeat()
 			got := startedJobs(w)
 			if slices.Contains(got, jobD) && (r.jobState(jobB) != wire.Done || r.jobState(jobC) != wire.Done) {
-				t.Fatalf("claims each %d reports: the join started before both branches were done: %v", failoverEvery, got)
+				t.Fatalf("failover every %d heartbeats: the join started before both branches were done: %v", failoverEvery, got)
 			}
 			r.endRunningTasks()
 		}
 		got := startedJobs(w)
 		slices.Sort(got)
 		if !slices.Equal(got, []string{jobA, jobB, jobC, jobD}) || r.pipelineState() != wire.Done {
-			t.Errorf("claims each %d reports: started %v, pipeline %q", failoverEvery, got, r.pipelineState())
+			t.Errorf("failover every %d heartbeats: started %v, pipeline %q, want each job once and done", failoverEvery, got, r.pipelineState())
 		}
 		if len(r.shard.dependencies.pipelines) > 0 && failoverEvery == 0 {
-			t.Errorf("%d pipelines kept after the end", len(r.shard.dependencies.pipelines))
+			t.Errorf("the shard still holds %d pipelines after their end, want none", len(r.shard.dependencies.pipelines))
 		}
 	}
 }
 
-// A cancelled job ends all that follows it, and nothing else.
+// If a job is cancelled, all jobs that follow it are cancelled, and no others.
 func TestPipelineEndsSuccessors(t *testing.T) {
 	r := newHarness(t)
 	w := r.addMachine("m1", "z1", false)
@@ -117,11 +120,11 @@
 		}
 	}
 	if slices.Contains(startedJobs(w), jobD) || r.pipelineState() != wire.Cancelled {
-		t.Errorf("started %v, pipeline %q", startedJobs(w), r.pipelineState())
+		t.Errorf("started %v, pipeline %q, want it cancelled and its last job not started", startedJobs(w), r.pipelineState())
 	}
 }
 
-// At a choice only the branch of the job's outcome goes on.
+// At a choice only the branch chosen by the job's outcome runs; the other is cancelled.
 func TestPipelineChoosesByOutcome(t *testing.T) {
 	for _, x := range []struct {
 		cancel        bool
@@ -140,16 +143,16 @@
 		}
 		got := startedJobs(w)
 		if !slices.Contains(got, x.runs) || slices.Contains(got, x.skipped) || !slices.Contains(got, jobD) {
-			t.Errorf("cancelled %t: started %v", x.cancel, got)
+			t.Errorf("first job cancelled %t: started %v, want the chosen branch and the last job", x.cancel, got)
 		}
 		if r.jobState(x.skipped) != wire.Cancelled || r.jobState(jobD) != wire.Done {
-			t.Errorf("cancelled %t: %s is %q, the last %q", x.cancel, x.skipped, r.jobState(x.skipped), r.jobState(jobD))
+			t.Errorf("first job cancelled %t: %s is %q, want cancelled; the last job is %q, want done", x.cancel, x.skipped, r.jobState(x.skipped), r.jobState(jobD))
 		}
 	}
 }
 
-// A withdrawn pipeline releases nothing more, whatever its owner knew, and the
-// answer of a step that got lost neither repeats nor loses it.
+// A withdrawn pipeline releases no more jobs, even if its owner has not seen the withdrawal. If
+// the answer to a step's transaction is lost, the step is neither repeated nor lost.
 func TestPipelineWithdrawnAndLostAnswers(t *testing.T) {
 	r := newHarness(t)
 	w := r.addMachine("m1", "z1", false)
@@ -157,11 +160,11 @@
 	r.heartbeats(2)
 	rec := diamond()
 	rec.State = wire.Cancelled
-	r.state.Put(record.PipelineKey("pipe-000001"), rec) // not told to the owner
+	r.state.Put(record.PipelineKey("pipe-000001"), rec) // the owner does not see this change
 	r.endRunningTasks()
 	r.heartbeats(6)
 	if got := startedJobs(w); !slices.Equal(got, []string{jobA}) {
-		t.Fatalf("started %v after the withdrawal", got)
+		t.Fatalf("started %v after the withdrawal, want only the first job", got)
 	}
 	for lost := range 4 {
 		r := newHarness(t)
@@ -173,7 +176,7 @@
 			}
 			r.heartbeat()
 			r.endRunningTasks()
-			for _, ref := range diamond().Jobs { // as the watch tells
+			for _, ref := range diamond().Jobs { // as the watch reports them
 				if e := r.get(record.ActiveJobKey(ref)); e != nil {
 					o, err := decode[record.ActiveJob](*e)
 					if err != nil {
@@ -186,12 +189,13 @@
 		got := startedJobs(w)
 		slices.Sort(got)
 		if fmt.Sprint(got) != fmt.Sprint([]string{jobA, jobB, jobC, jobD}) || r.pipelineState() != wire.Done {
-			t.Errorf("answer %d of 4 lost: started %v, pipeline %q", lost, got, r.pipelineState())
+			t.Errorf("answer %d of 4 lost: started %v, pipeline %q, want each job once and done", lost, got, r.pipelineState())
 		}
 	}
 }
 
-// splitAndJoin is a pipeline with a split into so many jobs, and its join.
+// splitAndJoin returns a pipeline that splits after the first job into n jobs and joins them
+// in the last job.
 func splitAndJoin(n int) record.Pipeline {
 	p := record.Pipeline{Jobs: []string{"run-000000"}}
 	last := fmt.Sprintf("run-%06d", n+1)
@@ -204,9 +208,9 @@
 	return p
 }
 
-// What the first version accepted under wider limits comes to its end under the
-// tighter ones, though neither its record nor its steps fit: each job once, the
-// join last, whoever owns the shard and whatever answers are lost.
+// A pipeline that the first version accepted under wider limits comes to its end under the
+// tighter ones, although neither its record nor its steps fit. Each job runs once and
+// the join last, even if the shard fails over and answers are lost.
 func TestOversizedPipeline(t *testing.T) {
 	for seed := range uint64(10) {
 		rnd := rand.New(rand.NewPCG(seed, 5))
@@ -217,7 +221,7 @@
 		w := r.addMachine("m1", "z1", false)
 		p := splitAndJoin(13)
 		if size := len(record.Encode(p)); size < 1024 || !p.NeedsSplitCommits(1024, 5) {
-			t.Fatalf("a record of %d bytes is not too large", size)
+			t.Fatalf("the pipeline's record of %d bytes fits the limits, want one too large", size)
 		}
 		r.submitPipeline(p)
 		r.state.Limit(1024, 5)
@@ -248,17 +252,18 @@
 		}
 		for _, ref := range p.Jobs {
 			if got := r.jobState(ref); got != wire.Done {
-				t.Errorf("seed %d: %s is %q", seed, ref, got)
+				t.Errorf("seed %d: %s is %q, want done", seed, ref, got)
 			}
 		}
 		if r.pipelineState() != wire.Done || r.invalid > 0 {
-			t.Errorf("seed %d: the pipeline is %q, and %d writes were too large", seed, r.pipelineState(), r.invalid)
+			t.Errorf("seed %d: the pipeline is %q, want done; %d writes were too large, want none", seed, r.pipelineState(), r.invalid)
 		}
 	}
 }
 
-// A cancelled job of such a pipeline ends what follows it; a withdrawal that came no
-// further than the pipeline's own record ends all.
+// If a job of an oversized pipeline is cancelled, the jobs that follow it are cancelled. If the
+// pipeline is withdrawn, all its jobs are cancelled, even if the withdrawal wrote only the
+// pipeline's own record.
 func TestOversizedPipelineIsCancelled(t *testing.T) {
 	for _, withdrawn := range []bool{false, true} {
 		r := newHarness(t)
@@ -298,7 +303,7 @@
 			}
 		}
 		if r.pipelineState() != wire.Cancelled || len(r.shard.jobs) > 0 {
-			t.Errorf("withdrawn %t: the pipeline is %q with %d jobs left", withdrawn, r.pipelineState(), len(r.shard.jobs))
+			t.Errorf("withdrawn %t: the pipeline is %q, want cancelled; %d jobs are left, want none", withdrawn, r.pipelineState(), len(r.shard.jobs))
 		}
 	}
 }
--- a/internal/scheduler/waits_test.go
+++ b/internal/scheduler/waits_test.go
@@ -7,8 +7,8 @@
 	"bramblespur/internal/wire"
 )
 
-// Each reason why a machine takes none of a job's tasks is told as it is brought about, and
-// placement keeps off the machine for each of them.
+// Each reason why a machine takes none of a job's tasks is reported when it applies, and no
+// task is placed on the machine then.
 func TestRefusals(t *testing.T) {
 	for want, change := range map[Refusal]func(r *harness, j *Job, m *Machine){
 		RefusedKind:       func(_ *harness, j *Job, _ *Machine) { j.spec.Types = []string{"small"} },
@@ -44,36 +44,37 @@
 	}
 }
 
-// The jobs that have waited longest are told first, with what holds them.
+// LongestWaits returns the jobs that have waited longest first, with the reason for each, and
+// no cancelled jobs.
 func TestLongestWaits(t *testing.T) {
 	r := newHarness(t)
 	r.addMachine("m1", "z1", false)
 	r.addMachine("m2", "z1", false)
 	r.addMachine("m3", "z1", false)
 	r.heartbeats(2)
-	r.submit(spec("run-000001", "a", wire.Array, "normal", 5, 1)) // its team may use four cards
+	r.submit(spec("run-000001", "a", wire.Array, "normal", 5, 1)) // its team's limit is four GPUs
 	r.clock.Advance(time.Second)
-	r.submit(spec("run-000002", "b", wire.Array, "normal", 1, 3)) // no machine has three
+	r.submit(spec("run-000002", "b", wire.Array, "normal", 1, 3)) // no machine has three GPUs
 	r.heartbeats(3)
 	r.submit(spec("run-000003", "b", wire.Array, "normal", 1, 3))
 	waits := r.shard.LongestWaits(4*time.Second, 9, r.clock.Now())
 	if len(waits) != 2 {
-		t.Fatalf("%+v, want the two that have waited for 4 s", waits)
+		t.Fatalf("longest waits %+v, want the two jobs that have waited for 4 s", waits)
 	}
 	if w := waits[0]; w.Job != "run-000001" || w.Reason != WaitsLimit || w.Pending != 1 || w.TeamGPUs != 4 {
-		t.Errorf("%+v, want one task of run-000001 beyond the limit", w)
+		t.Errorf("first wait %+v, want one task of run-000001 that exceeds its team's limit", w)
 	}
 	if w := waits[1]; w.Job != "run-000002" || w.Reason != WaitsMachines || w.Machines[RefusedNoRoom] != 3 {
-		t.Errorf("%+v, want run-000002 without room on 3 machines", w)
+		t.Errorf("second wait %+v, want run-000002 without room on 3 machines", w)
 	}
 	if waits := r.shard.LongestWaits(0, 1, r.clock.Now()); len(waits) != 1 || waits[0].Job != "run-000001" {
-		t.Errorf("%+v, want one", waits)
+		t.Errorf("longest waits %+v, want only that of run-000001", waits)
 	}
 	cancelled := spec("run-000001", "a", wire.Array, "normal", 5, 1)
 	r.cancel(cancelled)()
 	for _, w := range r.shard.LongestWaits(0, 9, r.clock.Now()) {
 		if w.Job == "run-000001" {
-			t.Errorf("%+v is cancelled", w)
+			t.Errorf("longest waits contain %+v, want no cancelled job", w)
 		}
 	}
 }
