--- a/internal/scheduler/deposed_test.go
+++ b/internal/scheduler/deposed_test.go
@@ -66,7 +66,7 @@
 // reportToOldOwner sends a heartbeat of a worker to the old owner.
 func (d *deposedHarness) reportToOldOwner(w *testkit.Worker) {
 	report := w.Report()
-	if orders, verdict := d.oldOwner.Heartbeat(&report, false, d.clock.Now()); verdict == Answered {
+	if orders, disposition := d.oldOwner.Heartbeat(&report, false, d.clock.Now()); disposition == Answered {
 		w.Obey(orders)
 	}
 }
@@ -117,7 +117,7 @@
 	r.addMachine("m1", "z1", false)
 	r.heartbeats(3)
 	if r.runningOn("run-000001/0") == "" {
-		t.Fatal("not started by the successor")
+		t.Fatal("the successor did not start the task")
 	}
 	e := r.state.Put(record.ActiveJobKey(s.Ref), record.ActiveJob{Spec: s, Shard: r.id, Cancelled: true})
 	d.oldOwner.SetJob(s.Ref, record.ActiveJob{Spec: s, Shard: r.id, Cancelled: true}, e.Version, r.clock.Now())
@@ -146,7 +146,7 @@
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	r.heartbeats(3)
 	if r.runningOn("run-000001/0") != "m1" {
-		t.Fatal("not started by the successor")
+		t.Fatal("the successor did not start the task")
 	}
 	refused := d.commitLate(move)
 	if e := r.get(record.OverrideKey("m1")); e != nil {
@@ -177,7 +177,7 @@
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	r.heartbeats(3)
 	if r.runningOn("run-000001/0") != "m1" {
-		t.Fatal("not started by the successor")
+		t.Fatal("the successor did not start the task")
 	}
 	refused := d.commitLate(back)
 	r.releaseMachines()
@@ -196,7 +196,7 @@
 	now := r.clock.Now()
 	for _, w := range workers {
 		report := w.Report()
-		if orders, verdict := r.shard.Heartbeat(&report, false, now); verdict == Answered {
+		if orders, disposition := r.shard.Heartbeat(&report, false, now); disposition == Answered {
 			w.Obey(orders)
 		}
 	}
@@ -231,7 +231,7 @@
 		rereads = append(rereads, r.stepWithWritesRefused(stays)...)
 	}
 	if other.runningOn("run-000001/0") != "m1" {
-		t.Fatal("not started by the shard that the machine was transferred to")
+		t.Fatal("the shard that the machine was transferred to did not start the task")
 	}
 	for _, id := range rereads { // the state service serves the old shard's owner again
 		if err := r.shard.MachineRead(id, r.get(record.OverrideKey(id)), r.clock.Now()); err != nil {
@@ -268,7 +268,7 @@
 	d := depose(r)
 	r.heartbeats(3)
 	if r.runningOn("run-000001/0") != "m1" {
-		t.Fatal("not started by the successor")
+		t.Fatal("the successor did not start the task")
 	}
 	raised := r.state.Put(record.OverrideKey("m1"), record.Machine{Type: "big", Zone: "z1", Shard: r.id})
 	r.applyRecord(raised)
@@ -281,8 +281,8 @@
 		t.Error("an owner that has a successor stopped the successor's task")
 	}
 	report := w.Report()
-	if _, verdict := d.oldOwner.Heartbeat(&report, false, r.clock.Now()); verdict != Deposed {
-		t.Errorf("a heartbeat under the successor's token: verdict %d, want %d", verdict, Deposed)
+	if _, disposition := d.oldOwner.Heartbeat(&report, false, r.clock.Now()); disposition != Deposed {
+		t.Errorf("a heartbeat under the successor's token: disposition %d, want %d", disposition, Deposed)
 	}
 }
 
@@ -299,7 +299,7 @@
 	r.applyRecord(arrives)
 	r.heartbeats(3)
 	if r.runningOn("run-000001/0") != "m1" {
-		t.Fatal("not started by the successor")
+		t.Fatal("the successor did not start the task")
 	}
 	d.notifyOldOwner(w)
 	if r.runningOn("run-000001/0") != "m1" {
--- a/internal/scheduler/failover_test.go
+++ b/internal/scheduler/failover_test.go
@@ -47,7 +47,8 @@
 }
 
 // A late response of a deposed owner carries a lower token and has no effect. A worker that reports
-// the new owner's token to the deposed owner gets no response from it.
+// the new owner's token to the deposed owner is not answered by it. The tests in deposed_test.go cover
+// late writes, which fail on the shard's record.
 func TestDeposedOwnerDoesNothing(t *testing.T) {
 	r, w := newHarnessWithMachine(t)
 	old := r.shard
--- a/internal/scheduler/record_writes.go
+++ b/internal/scheduler/record_writes.go
@@ -36,7 +36,7 @@
 			continue
 		}
 		if !j.terminal() {
-			delete(s.endingJobs, ref) // one of its tasks is placed or unfinished again
+			delete(s.endingJobs, ref) // a task that counted as gone is in the ledger again
 			continue
 		}
 		s.recordJobEnd(j, now)
@@ -107,11 +107,11 @@
 	t := &Txn{placements: placements, Purpose: purposeCompletions}
 	conditions := map[string]uint64{}
 	forced := placements.forceWrite
-	rec, left := s.ledger.buildPlacements(placements, t, conditions)
+	rec, startsLeftOut := s.ledger.buildPlacements(placements, t, conditions)
 	if placements.sized {
 		rec.Format = record.SizedRanges
 	}
-	placements.dirty, placements.urgent, placements.forceWrite = left, left, false
+	placements.dirty, placements.urgent, placements.forceWrite = startsLeftOut, startsLeftOut, false
 	if len(t.starts) == 0 && len(t.completions) == 0 && !forced {
 		return
 	}
@@ -145,17 +145,17 @@
 }
 
 // buildPlacements returns the content of a placement record. It adds the ranges and the new starts
-// and completions to t, and the conditions of the starts to conditions. It reports whether starts were
-// left out because there was no room for their conditions.
-func (l *placementLedger) buildPlacements(placements *placementRecord, t *Txn, conditions map[string]uint64) (rec record.Placements, left bool) {
+// and completions to t, and the conditions that the starts rely on to conditions. It reports whether
+// starts were left out because there was no room for their conditions.
+func (l *placementLedger) buildPlacements(placements *placementRecord, t *Txn, conditions map[string]uint64) (rec record.Placements, startsLeftOut bool) {
 	rec = record.Placements{Ranges: map[string]record.TaskRange{}}
 	for name, r := range placements.ranges {
 		built, complete := l.buildRange(r, t, conditions)
-		left = left || !complete
+		startsLeftOut = startsLeftOut || !complete
 		t.ranges = append(t.ranges, r)
 		rec.Ranges[name] = built
 	}
-	return rec, left
+	return rec, startsLeftOut
 }
 
 // buildRange returns the content of a range and does the same as buildPlacements for it. It reports
