--- a/internal/drain/ledger_test.go
+++ b/internal/drain/ledger_test.go
@@ -92,14 +92,14 @@
 	for i := range 4 {
 		l.AddLosses([]Loss{{Disruption{UnitID: UnitID{Job: "j", Task: i}, At: start.UnixMilli()}, "team"}})
 	}
-	if got := l.of("team").Available(budget, "", start); got != -2 {
+	if got := l.forTeam("team").Available(budget, "", start); got != -2 {
 		t.Errorf("room for %d after four losses, want -2", got)
 	}
 	l.CloseRecovered(0, func(Disruption) Outcome { return Recovered }, start)
-	if got := l.of("team").Available(budget, "", start.Add(time.Minute)); got != -1 {
+	if got := l.forTeam("team").Available(budget, "", start.Add(time.Minute)); got != -1 {
 		t.Errorf("room for %d in the window of four losses, want -1", got)
 	}
-	if got := l.of("team").Available(budget, "", start.Add(time.Minute+time.Millisecond)); got != 2 {
+	if got := l.forTeam("team").Available(budget, "", start.Add(time.Minute+time.Millisecond)); got != 2 {
 		t.Errorf("room for %d after the window, want 2", got)
 	}
 }
@@ -126,7 +126,7 @@
 		var grants []wire.Txn
 		for part := range 2 {
 			owner := state.Put([]string{"ctl/parts/0", "ctl/parts/1"}[part], part)
-			in := Input{Now: start, Settings: testSettings(1), View: view, Shard: part, Bytes: 1 << 14,
+			in := Input{Now: start, Settings: testSettings(1), View: view, Shard: part, MaxRecordBytes: 1 << 14,
 				Machines: []*Machine{testMachine("m", task(part))}}
 			a := TxnBuilder{Input: in, Owner: wire.Condition{Key: owner.Key, Version: owner.Version}, MachineGone: func(string) bool { return false }}
 			ledgers := NewLedgers(view)
--- a/internal/drain/ledgers.go
+++ b/internal/drain/ledgers.go
@@ -36,8 +36,8 @@
 	return &Ledgers{view: view, byTeam: map[string]*Ledger{}, changed: map[string]bool{}}
 }
 
-// of returns a team's ledger, to be changed.
-func (l *Ledgers) of(team string) *Ledger {
+// forTeam returns a team's ledger, to be changed.
+func (l *Ledgers) forTeam(team string) *Ledger {
 	if l.byTeam[team] == nil {
 		copied := l.view.Ledger(team).Rec.Clone()
 		copied.Team = team
@@ -52,7 +52,7 @@
 // AddLosses adds losses.
 func (l *Ledgers) AddLosses(losses []Loss) {
 	for _, x := range losses {
-		if l.of(x.Team).Add(x.Disruption) {
+		if l.forTeam(x.Team).Add(x.Disruption) {
 			l.markChanged(x.Team)
 		}
 	}
@@ -62,7 +62,7 @@
 // that are over which have stopped nothing.
 func (l *Ledgers) CloseRecovered(shard int, fate func(Disruption) Outcome, now time.Time) {
 	for _, team := range l.teams() {
-		ledger := l.of(team)
+		ledger := l.forTeam(team)
 		for _, d := range ledger.Clone().Open {
 			if d.Shard != shard {
 				continue
@@ -95,11 +95,11 @@
 func (l *Ledgers) closeUnaffected(team string, d Disruption, now time.Time) {
 	switch {
 	case d.Drain == "":
-		l.of(team).Close(d.UnitID, now)
+		l.forTeam(team).Close(d.UnitID, now)
 	case l.view.evictionPending(d):
 		return
 	default:
-		l.of(team).Withdraw(d.UnitID)
+		l.forTeam(team).Withdraw(d.UnitID)
 	}
 	l.markChanged(team)
 }
--- a/internal/drain/measure_test.go
+++ b/internal/drain/measure_test.go
@@ -44,7 +44,7 @@
 	s := &simulation{zones: map[string]int{}}
 	var all []*Machine
 	for i := range machines {
-		m := &Machine{ID: fmt.Sprintf("i-%05d", i), Type: "big", Zone: string(rune('a' + i%3)), Rented: start.Add(-time.Hour), Reachable: true}
+		m := &Machine{ID: fmt.Sprintf("i-%05d", i), Type: "big", Zone: string(rune('a' + i%3)), ProvisionedAt: start.Add(-time.Hour), Reachable: true}
 		s.zones[m.Zone]++
 		all = append(all, m)
 	}
@@ -81,7 +81,7 @@
 		u.Estimate = estimate
 	}
 	if r.IntN(10) < 7 {
-		u.Checkpoint, u.SaveTime = time.Duration(60+r.IntN(240))*time.Second, 5*time.Second
+		u.CheckpointInterval, u.SaveTime = time.Duration(60+r.IntN(240))*time.Second, 5*time.Second
 	}
 	s.units = append(s.units, x)
 	for _, m := range on {
@@ -125,8 +125,8 @@
 	loss := u.RunTime
 	if u.Service {
 		loss = 0
-	} else if u.Checkpoint > 0 {
-		loss = min(u.RunTime%u.Checkpoint, u.SaveTime)
+	} else if u.CheckpointInterval > 0 {
+		loss = min(u.RunTime%u.CheckpointInterval, u.SaveTime)
 	}
 	return loss * time.Duration(u.Tasks)
 }
@@ -153,7 +153,7 @@
 	now := start
 	for ; len(s.machines) > 0; now = now.Add(simStep) {
 		s.at(now, v)
-		in := &Input{Now: now, Settings: settings, View: v, Machines: s.machines, Zones: allServing(s.zones), Bytes: 1 << 20}
+		in := &Input{Now: now, Settings: settings, View: v, Machines: s.machines, Zones: allServing(s.zones), MaxRecordBytes: 1 << 20}
 		ledgers := NewLedgers(v)
 		ledgers.CloseRecovered(0, func(d Disruption) Outcome {
 			if now.Before(byID[d.UnitID].back) {
@@ -228,7 +228,7 @@
 			continue
 		}
 		o.evictions++
-		if u.Checkpoint == 0 && !u.Service {
+		if u.CheckpointInterval == 0 && !u.Service {
 			o.lost += start.Sub(u.began) * time.Duration(u.Tasks)
 		}
 	}
--- a/internal/drain/serving_test.go
+++ b/internal/drain/serving_test.go
@@ -137,7 +137,7 @@
 	build := func(serving map[string]int) ([]Write, Steps) {
 		v := servingView(t, Serving{Token: 3, Plans: 7, Zones: map[string]int{"a": 2}}, Serving{Token: 4, Plans: 7, Zones: map[string]int{"a": 2}})
 		b := &TxnBuilder{
-			Input: Input{Now: start, Settings: testSettings(1), View: v, Bytes: 1 << 14, Machines: []*Machine{testMachine("m1"), testMachine("m2")}},
+			Input: Input{Now: start, Settings: testSettings(1), View: v, MaxRecordBytes: 1 << 14, Machines: []*Machine{testMachine("m1"), testMachine("m2")}},
 			Owner: wire.Condition{Key: record.ShardKey(0), Version: 3}, MachineGone: func(string) bool { return false },
 			Tokens: map[int]uint64{0: 3, 1: 4}, Serving: serving,
 		}
@@ -170,7 +170,7 @@
 // Where no machine may be spared the drain shows why.
 func TestZoneHoldsDrain(t *testing.T) {
 	p := testPlan(func(*Plan) {})
-	in := &Input{Now: start, Settings: testSettings(1), View: viewOf(t, p), Bytes: 1 << 14,
+	in := &Input{Now: start, Settings: testSettings(1), View: viewOf(t, p), MaxRecordBytes: 1 << 14,
 		Machines: []*Machine{testMachine("m1")}, Zones: map[string]Zone{"a": {Recorded: 3, Serving: 1}}}
 	s := PlanSteps(in, NewLedgers(in.View))
 	if len(s.Cordon) != 0 || len(s.Held) != 1 || s.Held[0].Reason != HoldZone {
--- a/internal/drain/steps.go
+++ b/internal/drain/steps.go
@@ -14,14 +14,14 @@
 	Service     bool
 	Tasks       int // that stop together
 	// TasksOnCordoned is how many of them are on machines that are cordoned.
-	TasksOnCordoned int
-	Running         bool          // as far as heartbeats tell
-	RunTime         time.Duration // since it began to run
-	Estimate        time.Duration // of its run time; 0: it has no end of its own
-	Checkpoint      time.Duration // interval of its checkpoints; 0: it never saves
-	SaveTime        time.Duration // what saving takes
-	LostWork        time.Duration // work of all its tasks that is lost if it is stopped now
-	Stopping        bool
+	TasksOnCordoned    int
+	Running            bool          // as far as heartbeats tell
+	RunTime            time.Duration // since it began to run
+	Estimate           time.Duration // of its run time; 0: it has no end of its own
+	CheckpointInterval time.Duration // interval of its checkpoints; 0: it never saves
+	SaveTime           time.Duration // what saving takes
+	LostWork           time.Duration // work of all its tasks that is lost if it is stopped now
+	Stopping           bool
 	// FitsElsewhere says that its tasks fit elsewhere now, HasSelectedRoom the same with
 	// machines that are to be drained later.
 	FitsElsewhere, FitsOnSelected bool
@@ -31,7 +31,7 @@
 // Machine is a machine of a shard, with the work that is on it.
 type Machine struct {
 	ID, Type, Zone string
-	Rented         time.Time
+	ProvisionedAt  time.Time
 	Reachable      bool // its heartbeats arrive and responses reach it
 	Units          []*Unit
 }
@@ -44,8 +44,8 @@
 	Shard    int
 	Machines []*Machine      // of the shard
 	Zones    map[string]Zone // the machines of all shards, by zone
-	// Bytes is the largest record that may be written.
-	Bytes int
+	// MaxRecordBytes is the largest record that may be written.
+	MaxRecordBytes int
 }
 
 // HeldMachine is a machine of which some work waits, for whatever stands most in the way.
@@ -185,11 +185,11 @@
 // checkpointDue reports whether a unit is about to save by itself, after which stopping it
 // loses next to nothing.
 func checkpointDue(u *Unit) bool {
-	if !u.Running || u.Checkpoint <= 0 {
+	if !u.Running || u.CheckpointInterval <= 0 {
 		return false
 	}
-	left := u.Checkpoint - u.RunTime%u.Checkpoint
-	return left <= checkpointWait*u.SaveTime && left < u.Checkpoint/2
+	left := u.CheckpointInterval - u.RunTime%u.CheckpointInterval
+	return left <= checkpointWait*u.SaveTime && left < u.CheckpointInterval/2
 }
 
 // grant takes what the budgets allow of the units that may go, those that lose least first.
@@ -217,7 +217,7 @@
 
 // grantEviction adds a unit to its team's ledger if the budget allows it, or says why not.
 func (in *Input) grantEviction(c candidate, ledgers *Ledgers) (Eviction, HoldReason) {
-	l := ledgers.of(c.unit.Team)
+	l := ledgers.forTeam(c.unit.Team)
 	if l.OpenDisruption(c.unit.UnitID) != nil {
 		return Eviction{}, HoldStopping // granted, or lost, and not back yet
 	}
@@ -230,7 +230,7 @@
 		d.Forced = true
 	}
 	l.Add(d)
-	if encodedSize(l) > in.Bytes {
+	if encodedSize(l) > in.MaxRecordBytes {
 		l.Withdraw(d.UnitID)
 		return Eviction{}, HoldBudgetExhausted // the record holds no more at a time
 	}
@@ -256,7 +256,7 @@
 		}
 		var selected []*Machine
 		for _, m := range in.Machines {
-			if _, taken := cordons[m.ID]; !taken && p.Rec.Selects(m.ID, m.Type, m.Zone, m.Rented) {
+			if _, taken := cordons[m.ID]; !taken && p.Rec.Selects(m.ID, m.Type, m.Zone, m.ProvisionedAt) {
 				selected = append(selected, m)
 			}
 		}
--- a/internal/drain/steps_test.go
+++ b/internal/drain/steps_test.go
@@ -22,7 +22,7 @@
 }
 
 func testMachine(id string, units ...*Unit) *Machine {
-	return &Machine{ID: id, Type: "big", Zone: "a", Rented: start.Add(-time.Hour), Reachable: true, Units: units}
+	return &Machine{ID: id, Type: "big", Zone: "a", ProvisionedAt: start.Add(-time.Hour), Reachable: true, Units: units}
 }
 
 // task is a unit that only the budget may hold.
@@ -73,8 +73,12 @@
 		{name: "gang's last stretch, waited for long", unit: stretch, after: 3 * time.Hour},
 		{name: "gang's last stretch, past finish-by", unit: stretch, plan: finishBy(time.Minute), after: time.Hour},
 		{name: "gang over its estimate by half", unit: func(u *Unit) { stretch(u); u.RunTime = 3 * time.Hour }, plan: finishBy(9 * time.Hour)},
-		{name: "checkpoint due", unit: func(u *Unit) { u.Checkpoint, u.SaveTime, u.RunTime = time.Minute, 5*time.Second, 55*time.Second }, want: HoldCheckpointDue},
-		{name: "checkpoint just made", unit: func(u *Unit) { u.Checkpoint, u.SaveTime, u.RunTime = time.Minute, 5*time.Second, 61*time.Second }},
+		{name: "checkpoint due", unit: func(u *Unit) {
+			u.CheckpointInterval, u.SaveTime, u.RunTime = time.Minute, 5*time.Second, 55*time.Second
+		}, want: HoldCheckpointDue},
+		{name: "checkpoint just made", unit: func(u *Unit) {
+			u.CheckpointInterval, u.SaveTime, u.RunTime = time.Minute, 5*time.Second, 61*time.Second
+		}},
 		{name: "no room", unit: func(u *Unit) { u.FitsElsewhere = false }, want: HoldNoCapacity},
 		{name: "room on machines drained later", unit: func(u *Unit) { u.FitsElsewhere, u.FitsOnSelected = false, true }, want: HoldNoCapacity},
 		{name: "the same after the wait", unit: func(u *Unit) { u.FitsElsewhere, u.FitsOnSelected = false, true }, after: 10 * time.Minute},
@@ -93,7 +97,7 @@
 					x.plan(p)
 				}
 			})
-			in := &Input{Now: start.Add(x.after), Settings: testSettings(1), View: viewOf(t, p, "m"), Bytes: 1 << 14, Machines: []*Machine{testMachine("m", u)}}
+			in := &Input{Now: start.Add(x.after), Settings: testSettings(1), View: viewOf(t, p, "m"), MaxRecordBytes: 1 << 14, Machines: []*Machine{testMachine("m", u)}}
 			s := PlanSteps(in, NewLedgers(in.View))
 			got := HoldReason("")
 			if len(s.Held) > 0 {
@@ -119,7 +123,7 @@
 				p.Force, p.FinishBy = true, start.Add(time.Minute).UnixMilli()
 			}
 		})
-		in := &Input{Now: start.Add(time.Hour), Settings: testSettings(x.atOnce), View: viewOf(t, p, "m"), Bytes: 1 << 14,
+		in := &Input{Now: start.Add(time.Hour), Settings: testSettings(x.atOnce), View: viewOf(t, p, "m"), MaxRecordBytes: 1 << 14,
 			Machines: []*Machine{testMachine("m", task(0), task(1), task(2))}}
 		ledgers := NewLedgers(in.View)
 		for i := range x.inUse {
--- a/internal/drain/txn_builder.go
+++ b/internal/drain/txn_builder.go
@@ -58,9 +58,9 @@
 
 // ledgerWrite writes a team's ledger, with what is granted to a drain, if anything is.
 func (b *TxnBuilder) ledgerWrite(team string, steps Steps, ledgers *Ledgers) (Write, bool) {
-	l := ledgers.of(team)
+	l := ledgers.forTeam(team)
 	l.Expire(b.Settings.Budget(team), b.Now)
-	if !l.ShrinkTo(func(l *Ledger) int { return encodedSize(l) }, b.Bytes) {
+	if !l.ShrinkTo(func(l *Ledger) int { return encodedSize(l) }, b.MaxRecordBytes) {
 		return Write{}, false
 	}
 	w := Write{Txn: wire.Txn{If: []wire.Condition{b.Owner}}, Team: team}
@@ -185,7 +185,7 @@
 	added := 0
 	for _, id := range steps.Cordon {
 		c.Machines[id] = Cordon{Drain: steps.Drain, Since: b.Now.UnixMilli(), Shard: b.Shard, Zone: zones[id]}
-		if encodedSize(c) > b.Bytes {
+		if encodedSize(c) > b.MaxRecordBytes {
 			delete(c.Machines, id)
 			break
 		}
@@ -230,10 +230,10 @@
 	}
 	usage := map[string]BudgetUse{}
 	for team := range c.Teams {
-		usage[team] = ledgers.of(team).Usage(b.Settings.Budget(team), b.Now)
+		usage[team] = ledgers.forTeam(team).Usage(b.Settings.Budget(team), b.Now)
 	}
 	c.AddSample(b.Now, usage)
-	if !c.ShrinkTo(func(c *Progress) int { return encodedSize(c) }, b.Bytes) {
+	if !c.ShrinkTo(func(c *Progress) int { return encodedSize(c) }, b.MaxRecordBytes) {
 		return // too many teams for one record: the report goes without
 	}
 	b.putIfVersion(w, ProgressKey(name, b.Shard), held.Version, c)
--- a/internal/drainctl/dryrun.go
+++ b/internal/drainctl/dryrun.go
@@ -38,7 +38,7 @@
 	for id, v := range inService(fleet) {
 		zones[v.Zone]++
 		if selects(&p, id, v) {
-			selected = append(selected, &drain.Machine{ID: id, Type: v.Type, Zone: v.Zone, Rented: time.UnixMilli(v.CreatedAt), Units: work[id]})
+			selected = append(selected, &drain.Machine{ID: id, Type: v.Type, Zone: v.Zone, ProvisionedAt: time.UnixMilli(v.CreatedAt), Units: work[id]})
 		}
 	}
 	var steps []Step
--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain.go
@@ -66,7 +66,7 @@
 		if m.Phase != record.InUse || (m.cordon == NotCordoned && !(later && m.cordonedLater)) {
 			continue
 		}
-		dm := &drain.Machine{ID: m.ID, Type: m.Type.Name, Zone: m.Zone, Rented: m.provisionedAt, Reachable: s.cfg.responsive(m, now)}
+		dm := &drain.Machine{ID: m.ID, Type: m.Type.Name, Zone: m.Zone, ProvisionedAt: m.provisionedAt, Reachable: s.cfg.responsive(m, now)}
 		added := map[drain.UnitID]bool{}
 		for k := range m.tasks {
 			id := unitOf(k)
@@ -129,7 +129,7 @@
 	t := &j.tasks[k.index]
 	u := &drain.Unit{
 		UnitID: unitOf(k), Team: spec.Team, Class: spec.Class, Attempt: t.attempt, Service: spec.Kind == wire.Service, Tasks: 1,
-		Estimate: wire.Seconds(spec.EstimateS), Checkpoint: wire.Seconds(spec.CheckpointS), SaveTime: wire.Seconds(spec.SaveS),
+		Estimate: wire.Seconds(spec.EstimateS), CheckpointInterval: wire.Seconds(spec.CheckpointS), SaveTime: wire.Seconds(spec.SaveS),
 		Running: t.phase == wire.Running, Stopping: t.stopping || j.cancelled, OtherReplicasUp: j.progress.running >= len(j.tasks)-1,
 	}
 	if u.Running {
@@ -157,8 +157,8 @@
 		return 0
 	}
 	loss := u.RunTime
-	if u.Checkpoint > 0 {
-		loss = min(u.RunTime%u.Checkpoint, u.SaveTime)
+	if u.CheckpointInterval > 0 {
+		loss = min(u.RunTime%u.CheckpointInterval, u.SaveTime)
 	}
 	return loss * time.Duration(u.Tasks)
 }
