--- a/internal/scheduler/overloaded_test.go
+++ b/internal/scheduler/overloaded_test.go
@@ -7,9 +7,9 @@
 	"bramblespur/internal/wire"
 )
 
-// A controller that falls behind reads reports late: it must not take machines that
-// it has not heard lately for lost, nor ask them all, which makes it later still. Once
-// it keeps up, and also where it never does, dead ones are released.
+// An overloaded controller reads heartbeats late. It must neither count the machines that it has not
+// heard lately as lost, nor probe them all, which would add to its load. Dead machines are released
+// once it keeps up again, and later also if it never does.
 func TestOverloadedShardReleasesNoSilentMachine(t *testing.T) {
 	for name, keepsUpAgain := range map[string]bool{"keeps up again": true, "never does": false} {
 		t.Run(name, func(t *testing.T) {
@@ -19,28 +19,28 @@
 			r.submit(spec("run-000001", "b", wire.Array, "normal", 4, 1))
 			r.heartbeats(4)
 			r.shard.SetOverloaded(true)
-			quiet := r.clock.Now()
-			asked := 0
-			for r.clock.Now().Sub(quiet) < 2*r.cfg.Lease {
+			silentSince := r.clock.Now()
+			probes := 0
+			for r.clock.Now().Sub(silentSince) < 2*r.cfg.Lease {
 				r.heartbeat(w2)
-				asked += r.advanceWithoutHeartbeats(r.cfg.HeartbeatInterval, "m2")
+				probes += r.advanceWithoutHeartbeats(r.cfg.HeartbeatInterval, "m2")
 			}
 			if m := r.shard.inventory.byID[dead.ID]; m == nil || r.phase(dead.ID) > 0 {
-				t.Fatal("given back while nothing tells that it is lost")
+				t.Fatal("m1 was released although its silence proves nothing while overloaded")
 			}
-			if asked > 0 {
-				t.Errorf("%d machines asked", asked)
+			if probes > 0 {
+				t.Errorf("%d probes while overloaded, want none", probes)
 			}
 			if keepsUpAgain {
 				r.shard.SetOverloaded(false)
-				quiet = r.clock.Now().Add(-overloadedLeases * r.cfg.Lease)
+				silentSince = r.clock.Now().Add(-overloadedLeases * r.cfg.Lease)
 			}
-			for r.clock.Now().Sub(quiet) < overloadedLeases*r.cfg.Lease+10*time.Second {
+			for r.clock.Now().Sub(silentSince) < overloadedLeases*r.cfg.Lease+10*time.Second {
 				r.heartbeat(w2)
 				r.advanceWithoutHeartbeats(r.cfg.HeartbeatInterval, "m2")
 			}
 			if m := r.shard.inventory.byID[dead.ID]; m != nil && r.phase(dead.ID) == 0 {
-				t.Error("never given back")
+				t.Error("m1 was not released, want it released as lost")
 			}
 		})
 	}
--- a/internal/scheduler/random_graph_test.go
+++ b/internal/scheduler/random_graph_test.go
@@ -12,8 +12,8 @@
 	"bramblespur/internal/wire"
 )
 
-// Bounds of a random graph: how many are generated, over how many shards, and in which of the
-// rounds jobs are submitted, owners and writes are disturbed, and all tasks end at once.
+// Bounds of the random graphs: how many are generated, over how many shards, and in which rounds
+// jobs are submitted, owners and writes are disturbed, and all tasks end at once.
 const (
 	graphSeeds              = 25
 	graphShards             = 3
@@ -22,18 +22,18 @@
 	graphSubmitRounds       = 60
 	graphDisturbRounds      = 80
 	graphEndingRounds       = 90
-	graphSettleRoundsPerJob = 12 // rounds after which nothing may be stuck
+	graphSettleRoundsPerJob = 12 // rounds per job after which all jobs must have ended
 )
 
-// dependencyGraph is the model: which jobs were submitted, after which others, and which of
-// them users cancelled.
+// dependencyGraph is the model of the test: the jobs that were submitted, their dependencies, and
+// which of the jobs users cancelled.
 type dependencyGraph struct {
-	refs         []string // dependencies come before what names them
+	refs         []string // each after its dependencies
 	dependencies map[string][]string
 	cancelled    map[string]bool
 }
 
-// generate adds a job after some that are there. It reports false if the name is taken.
+// generate adds a job with random dependencies on earlier jobs. It reports false if the name is taken.
 func (g *dependencyGraph) generate(rnd *rand.Rand) (ref string, ok bool) {
 	ref = fmt.Sprintf("run-%06d", rnd.IntN(1e6))
 	if g.dependencies[ref] != nil {
@@ -51,21 +51,21 @@
 	return ref, true
 }
 
-// wantedStates returns each job's final state: cancelled are those whose cancellation came in time,
-// and all that follow them.
+// wantedStates returns the final state that each job must have: the jobs whose cancellation came in
+// time and all their dependents are cancelled, the others are done.
 func (g *dependencyGraph) wantedStates(final func(ref string) string) map[string]string {
 	want := map[string]string{}
 	for _, ref := range g.refs {
 		want[ref] = wire.Done
-		follows := slices.ContainsFunc(g.dependencies[ref], func(d string) bool { return want[d] == wire.Cancelled })
-		if follows || g.cancelled[ref] && final(ref) == wire.Cancelled {
+		dependencyCancelled := slices.ContainsFunc(g.dependencies[ref], func(d string) bool { return want[d] == wire.Cancelled })
+		if dependencyCancelled || g.cancelled[ref] && final(ref) == wire.Cancelled {
 			want[ref] = wire.Cancelled
 		}
 	}
 	return want
 }
 
-// graphTest plays a random graph over several shards.
+// graphTest runs a random graph over several shards.
 type graphTest struct {
 	t       *testing.T
 	seed    uint64
@@ -73,7 +73,7 @@
 	state   *testkit.State
 	shards  []*harness
 	graph   dependencyGraph
-	checked map[*testkit.Worker]int // so many of a worker's starts were checked
+	checked map[*testkit.Worker]int // how many of a worker's starts were checked
 }
 
 func newGraphTest(t *testing.T, seed uint64) *graphTest {
@@ -85,7 +85,7 @@
 	clock := testkit.NewClock()
 	for id := range graphShards {
 		r := newShardHarness(t, id, clock, p.state)
-		r.cfg.SilentAfter, r.cfg.BootFactor = time.Hour, 1e3 // shards take turns, which takes a while
+		r.cfg.SilentAfter, r.cfg.BootFactor = time.Hour, 1e3 // a shard sends no heartbeats while others have their turns
 		for m := range graphMachines {
 			r.addMachine(fmt.Sprintf("m%d-%d", id, m), "z1", false)
 		}
@@ -94,12 +94,12 @@
 	return p
 }
 
-// ownerOf is the shard of a job.
+// ownerOf returns the shard of a job.
 func (p *graphTest) ownerOf(ref string) *harness {
 	return p.shards[int(record.Hash(ref))%len(p.shards)]
 }
 
-// finalState is a job's finalState state, empty if it has none yet.
+// finalState returns a job's final state, empty if it has none yet.
 func (p *graphTest) finalState(ref string) string {
 	if p.shards[0].get(record.FinishedJobKey(ref)) == nil {
 		return ""
@@ -107,7 +107,7 @@
 	return p.shards[0].jobState(ref)
 }
 
-// round lets one of the shards take a turn, after something was submitted or disturbed.
+// round may submit a job and disturb the shards; then one of the shards has a turn.
 func (p *graphTest) round(n int) {
 	if n < graphSubmitRounds && p.rnd.IntN(2) == 0 {
 		ref, ok := p.graph.generate(p.rnd)
@@ -130,7 +130,7 @@
 	p.check()
 }
 
-// disturb cancels a job, lets a shard fail over, or loses, delays or releases writes.
+// disturb cancels a job, fails a shard over, or loses, delays or releases writes.
 func (p *graphTest) disturb() {
 	switch ref := p.graph.refs[p.rnd.IntN(len(p.graph.refs))]; p.rnd.IntN(8) {
 	case 0:
@@ -162,7 +162,7 @@
 	tell()
 }
 
-// settle lets all shards go on undisturbed until nothing can be left to do.
+// settle runs all shards undisturbed for as many rounds as all jobs may need to end.
 func (p *graphTest) settle() {
 	p.state.Release()
 	for range graphSettleRoundsPerJob * len(p.graph.refs) {
@@ -175,8 +175,8 @@
 	}
 }
 
-// check asserts that what was started since the last time had all its dependencies done, and
-// that the shards are consistent.
+// check asserts that the shards are consistent and that all dependencies of each job started since
+// the last check are done.
 func (p *graphTest) check() {
 	p.t.Helper()
 	for _, r := range p.shards {
@@ -196,31 +196,31 @@
 	p.t.Helper()
 	for _, dependency := range p.graph.dependencies[ref] {
 		if state := p.finalState(dependency); state != wire.Done {
-			p.t.Fatalf("seed %d: %s was started while %s is %q", p.seed, ref, dependency, state)
+			p.t.Fatalf("seed %d: job %s was started while its dependency %s is %q, want done", p.seed, ref, dependency, state)
 		}
 	}
 }
 
-// checkEnd asserts that each job has the final state that the model wants, and that no shard
-// holds anything any more.
+// checkEnd asserts that each job has the final state that the model wants, and that the shards hold
+// no jobs or dependents any more.
 func (p *graphTest) checkEnd() {
 	p.t.Helper()
 	want := p.graph.wantedStates(p.finalState)
 	for _, ref := range p.graph.refs {
 		if got := p.finalState(ref); got != want[ref] {
-			p.t.Errorf("seed %d: %s after %v is %q, want %q", p.seed, ref, p.graph.dependencies[ref], got, want[ref])
+			p.t.Errorf("seed %d: job %s with dependencies %v is %q, want %q", p.seed, ref, p.graph.dependencies[ref], got, want[ref])
 		}
 	}
 	for _, r := range p.shards {
 		if jobs, dependents := len(r.shard.jobs), len(r.shard.dependencies.dependents); jobs+dependents > 0 {
-			p.t.Errorf("seed %d: shard %d still holds %d jobs and waits for %d", p.seed, r.id, jobs, dependents)
+			p.t.Errorf("seed %d: shard %d still has %d jobs and %d dependencies that jobs wait for, want none", p.seed, r.id, jobs, dependents)
 		}
 	}
 }
 
-// Random graphs over three shards, with failovers, cancellations, lost and late writes:
-// nothing starts before all its dependencies are done, a cancellation reaches all that follows
-// and nothing else, and in the end nothing is stuck.
+// Random graphs over three shards, with failovers, cancellations, and lost and late writes: no job
+// starts before all its dependencies are done, a cancellation reaches all dependents and no other
+// job, and all jobs end.
 func TestDependenciesHoldInRandomGraphsAcrossShards(t *testing.T) {
 	for seed := range uint64(graphSeeds) {
 		p := newGraphTest(t, seed)
--- a/internal/scheduler/random_history_test.go
+++ b/internal/scheduler/random_history_test.go
@@ -14,29 +14,29 @@
 	"bramblespur/internal/wire"
 )
 
-// history is a generated course of records, reports and ends, with a ground truth of its own
-// of what ran where.
+// history is a random sequence of submissions, heartbeats, failovers, faults and ends of tasks. It
+// keeps its own account of which tasks completed on the workers.
 type history struct {
 	*harness
 	rnd                   *rand.Rand
 	jobs                  map[string]wire.Spec
-	ended                 map[string]bool         // tasks that completed, by the workers
-	cancellationRequested map[string]bool         // jobs whose users asked for their end
-	finalRecords          map[string]string       // final records as they first were
-	heartbeatCopies       []wire.Heartbeat        // reports to come once more
-	deposed               []*Shard                // earlier owners that don't know it yet
+	ended                 map[string]bool         // tasks that completed on a worker
+	cancellationRequested map[string]bool         // by job
+	finalRecords          map[string]string       // final records as first written, by job
+	heartbeatCopies       []wire.Heartbeat        // heartbeats that may be delivered again
+	deposed               []*Shard                // earlier owners that have not noticed the failover
 	lateResponses         map[string]lateResponse // by machine
 	provisioned           int
-	originals             map[string]json.RawMessage // records of placements that are damaged now
+	originals             map[string]json.RawMessage // damaged placement records, as they were, by key
 }
 
-// lateResponse is an answer on its way, and the report that it answers.
+// lateResponse is a delayed response, and the position of the heartbeat that it answers.
 type lateResponse struct {
 	session, seq uint64
 	orders       wire.Orders
 }
 
-// randomSteps are what may happen next.
+// randomSteps are the steps of a history. A step is drawn by its index: keep the order.
 var randomSteps = []func(h *history){
 	func(h *history) { h.submitJob() }, func(h *history) { h.submitJob() },
 	func(h *history) { h.sendHeartbeat() }, func(h *history) { h.sendHeartbeat() }, func(h *history) { h.sendHeartbeat() }, func(h *history) { h.sendHeartbeat() },
@@ -69,8 +69,8 @@
 	h.carryOutEffects()
 }
 
-// sendHeartbeat lets a worker report. Its answer arrives, is lost, or comes late; a copy of the
-// report may come once more.
+// sendHeartbeat lets a random worker send a heartbeat, to the owner or an earlier one. The response
+// arrives, is lost, or is delayed; a copy of the heartbeat may be delivered again.
 func (h *history) sendHeartbeat() {
 	w := h.worker()
 	h.clock.Advance(h.cfg.HeartbeatInterval)
@@ -93,8 +93,8 @@
 	h.carryOutEffects()
 }
 
-// deliverLateResponses brings an answer that was late. Its worker takes it if it has heard nothing
-// since, else it has dropped it.
+// deliverLateResponses delivers the delayed responses. A worker obeys one only if it has not sent
+// another heartbeat since; otherwise it has dropped the response.
 func (h *history) deliverLateResponses() {
 	for _, id := range slices.Sorted(maps.Keys(h.lateResponses)) {
 		a := h.lateResponses[id]
@@ -105,7 +105,7 @@
 	clear(h.lateResponses)
 }
 
-// replayHeartbeat brings a copy of an old heartbeat to the owner or to one that is none any more.
+// replayHeartbeat delivers a copy of an old heartbeat to the owner and to the earlier owners.
 func (h *history) replayHeartbeat() {
 	if len(h.heartbeatCopies) == 0 {
 		return
@@ -117,6 +117,7 @@
 	h.carryOutEffects()
 }
 
+// endRunningTask ends a running task of a random worker.
 func (h *history) endRunningTask(why string) {
 	w := h.worker()
 	for _, name := range slices.Sorted(maps.Keys(w.Tasks)) {
@@ -132,7 +133,7 @@
 	ref, _, _ := strings.Cut(name, "/")
 	gang := h.jobs[ref].Kind == wire.Gang && why == wire.Done
 	if gang && h.running(ref, attempt) < h.jobs[ref].Tasks {
-		return // it is not complete
+		return // the attempt is incomplete
 	}
 	for _, w := range h.workers {
 		for other, t := range w.Tasks {
@@ -145,6 +146,7 @@
 	}
 }
 
+// running counts the running tasks of an attempt of a job.
 func (h *history) running(ref string, attempt uint64) int {
 	n := 0
 	for _, w := range h.workers {
@@ -157,7 +159,7 @@
 	return n
 }
 
-// exitIncompleteGangs lets gang tasks exit whose attempt is not complete, as workers do after a while.
+// exitIncompleteGangs lets the running tasks of incomplete gangs exit, as workers do after a while.
 func (h *history) exitIncompleteGangs() {
 	for _, w := range h.workers {
 		for name, t := range w.Tasks {
@@ -169,7 +171,7 @@
 	}
 }
 
-// replaceOwner ends the owner: the next one knows only the records.
+// replaceOwner deposes the owner: the next one loads only the records.
 func (h *history) replaceOwner() {
 	h.deposed = append(h.deposed[max(0, len(h.deposed)-1):], h.shard)
 	h.failOver()
@@ -190,10 +192,9 @@
 	h.carryOutEffects()
 }
 
-// replaceMachines takes out the machines that were released, with all on them, and provisions
-// others.
+// replaceMachines removes the machines that were released, with their tasks, and provisions others.
 func (h *history) replaceMachines() {
-	h.releaseMachines() // also what was recorded late
+	h.releaseMachines() // also those whose release was recorded late
 	for _, id := range h.cloud.Returned {
 		delete(h.workers, id)
 	}
@@ -203,7 +204,7 @@
 	}
 }
 
-// damagePlacementRecord makes a record of placements unreadable and ends the owner.
+// damagePlacementRecord makes a placement record unreadable and deposes the owner.
 func (h *history) damagePlacementRecord() {
 	slots := h.list(record.ShardPlacementsPrefix(h.id))
 	if len(slots) == 0 {
@@ -218,7 +219,7 @@
 	h.replaceOwner()
 }
 
-// restorePlacementRecords brings the damaged records back; their owner finds that out by itself, or ends.
+// restorePlacementRecords restores the damaged records. The owner finds out by itself, or is deposed.
 func (h *history) restorePlacementRecords() {
 	for _, key := range slices.Sorted(maps.Keys(h.originals)) {
 		h.state.Put(key, h.originals[key])
@@ -229,7 +230,7 @@
 	}
 }
 
-// check compares the records with the ground truth, and what the owner derives with its ledger.
+// check compares the records with what the workers did, and checks the owner's invariants.
 func (h *history) check() error {
 	if err := checkInvariants(h.shard); err != nil {
 		return err
@@ -244,18 +245,18 @@
 				}
 			}
 			if places > 1 {
-				return fmt.Errorf("%s runs in %d places", name, places)
+				return fmt.Errorf("task %s runs on %d machines, want one at most", name, places)
 			}
 		}
 		open, final := h.get(record.ActiveJobKey(ref)), h.get(record.FinishedJobKey(ref))
 		if (open == nil) == (final == nil) {
-			return fmt.Errorf("%s is in both records or in none", ref)
+			return fmt.Errorf("job %s has both an active and a final record, or neither", ref)
 		}
 		if final == nil {
 			continue
 		}
 		if had, ok := h.finalRecords[ref]; ok && had != string(final.Value) {
-			return fmt.Errorf("%s ended as %s and then as %s", ref, had, final.Value)
+			return fmt.Errorf("job %s ended as %s and then as %s, want the first to stay", ref, had, final.Value)
 		}
 		h.finalRecords[ref] = string(final.Value)
 		if err := h.checkEnd(ref, spec); err != nil {
@@ -265,15 +266,17 @@
 	return nil
 }
 
+// checkEnd checks a job that has a final record: a cancelled one must have been asked for and run
+// nowhere, and all tasks of one that is done must have completed.
 func (h *history) checkEnd(ref string, spec wire.Spec) error {
 	if h.jobState(ref) == wire.Cancelled {
 		if !h.cancellationRequested[ref] {
-			return fmt.Errorf("%s is cancelled though nobody asked", ref)
+			return fmt.Errorf("job %s is cancelled although no cancellation was requested", ref)
 		}
 		for _, w := range h.workers {
 			for name, t := range w.Tasks {
 				if strings.HasPrefix(name, ref+"/") && t.State != wire.Exited {
-					return fmt.Errorf("%s runs on %s after its end was recorded", name, w.ID)
+					return fmt.Errorf("task %s runs on %s after the end of its job was recorded", name, w.ID)
 				}
 			}
 		}
@@ -281,13 +284,14 @@
 	}
 	for i := range spec.Tasks {
 		if name := fmt.Sprintf("%s/%d", ref, i); !h.ended[name] {
-			return fmt.Errorf("%s is done without %s", ref, name)
+			return fmt.Errorf("job %s is done although task %s has not completed", ref, name)
 		}
 	}
 	return nil
 }
 
-// settle lets everything be heard and end, after which no job may be left.
+// settle ends all faults and lets heartbeats arrive and tasks complete until no job is left. It returns
+// an error if jobs are left after many heartbeats.
 func (h *history) settle() error {
 	h.state.LoseAnswers, h.state.HoldTxns = 0, 0
 	h.state.Release()
@@ -319,9 +323,10 @@
 			}
 		}
 	}
-	return fmt.Errorf("not all jobs have ended: %s", h.activeJobs())
+	return fmt.Errorf("jobs that have not ended after 200 heartbeats: %s", h.activeJobs())
 }
 
+// activeJobs lists the jobs that have not ended.
 func (h *history) activeJobs() string {
 	var out []string
 	for ref := range h.jobs {
@@ -340,17 +345,17 @@
 	historyMachines = 4
 )
 
-// newHistory begins the history of a seed.
+// newHistory returns the empty history of a seed.
 func newHistory(t *testing.T, seed uint64) *history {
 	return &history{harness: newHarness(t), rnd: rand.New(rand.NewPCG(seed, 3)), jobs: map[string]wire.Spec{}, ended: map[string]bool{},
 		cancellationRequested: map[string]bool{}, finalRecords: map[string]string{}, lateResponses: map[string]lateResponse{}, originals: map[string]json.RawMessage{}}
 }
 
-// play plays the history with so many of the happenings and returns what was wrong.
-func (h *history) play(happenings []func(h *history)) error {
+// play runs randomly drawn steps, checks after each, and then settles. It returns the first violation.
+func (h *history) play(steps []func(h *history)) error {
 	h.replaceMachines()
 	for n := range historySteps {
-		happenings[h.rnd.IntN(len(happenings))](h)
+		steps[h.rnd.IntN(len(steps))](h)
 		h.replaceMachines()
 		if err := h.check(); err != nil {
 			return fmt.Errorf("step %d: %w", n, err)
@@ -359,9 +364,9 @@
 	return h.settle()
 }
 
-// Whatever the order in which owners end, reports come, late, doubled or to who is no owner
-// any more, and writes are answered or not: no task runs on two machines, no answer changes,
-// no end is recorded that was none, and no job is lost.
+// Failovers, heartbeats that arrive late, twice or at an earlier owner, and writes with and without
+// answers, in any order: no task runs on two machines, no final state changes, no job ends before
+// its tasks, and all jobs end.
 func TestAnyHistorySettles(t *testing.T) {
 	for seed := range uint64(historySeeds) {
 		if err := newHistory(t, seed).play(randomSteps); err != nil {
@@ -370,7 +375,7 @@
 	}
 }
 
-// The same while records of placements are damaged, and restored as they were.
+// The same holds while placement records are damaged, and later restored as they were.
 func TestAnyHistorySettlesWithDamagedPlacements(t *testing.T) {
 	damaging := append(slices.Clone(randomSteps),
 		func(h *history) { h.damagePlacementRecord() }, func(h *history) { h.damagePlacementRecord() }, func(h *history) { h.restorePlacementRecords() })
--- a/internal/scheduler/restart_test.go
+++ b/internal/scheduler/restart_test.go
@@ -9,13 +9,13 @@
 	"bramblespur/internal/wire"
 )
 
-// busyRestart is a fleet of which, while nobody listened, every second machine's tasks have
-// ended and as much work has come as there is room for. Its new owner then hears all machines,
-// each once in an interval of heartbeats, until all that waits has started.
+// busyRestart is a shard whose controllers were all down. Meanwhile the tasks of every second
+// machine have completed, and as many new ones were submitted as there is room for. The new owner
+// then gets a heartbeat of each machine per interval until all waiting tasks have started.
 type busyRestart struct {
 	*harness
 	machines int
-	started  int // orders so far
+	started  int // starts sent so far
 	seconds  map[int]int
 }
 
@@ -40,14 +40,14 @@
 	return r
 }
 
-// run plays the restart and returns the most orders in a second, and how long it took.
+// run runs the restart and returns the most starts sent in a second, and how long it took.
 func (r *busyRestart) run() (peak int, took time.Duration) {
-	begun := r.clock.Now()
-	const slices = 20 // of an interval of heartbeats
-	for ; r.startsRemain() && took < 10*time.Minute; took = r.clock.Now().Sub(begun) {
+	begin := r.clock.Now()
+	const slices = 20 // parts of a heartbeat interval, in each of which some machines send theirs
+	for ; r.startsRemain() && took < 10*time.Minute; took = r.clock.Now().Sub(begin) {
 		r.clock.Advance(r.cfg.HeartbeatInterval / slices)
-		turn := int(r.clock.Now().Sub(begun)/(r.cfg.HeartbeatInterval/slices)) % slices
-		for i := turn; i < r.machines; i += slices {
+		slice := int(r.clock.Now().Sub(begin)/(r.cfg.HeartbeatInterval/slices)) % slices
+		for i := slice; i < r.machines; i += slices {
 			w := r.workers[fmt.Sprintf("i-%06d", i)]
 			rep := w.Report()
 			orders, v := r.shard.Heartbeat(&rep, false, r.clock.Now())
@@ -56,7 +56,7 @@
 			}
 			for _, c := range orders.Commands {
 				if c.Op == wire.Start {
-					r.seconds[int(r.clock.Now().Sub(begun)/time.Second)]++
+					r.seconds[int(r.clock.Now().Sub(begin)/time.Second)]++
 					r.started++
 				}
 			}
@@ -70,29 +70,29 @@
 	return peak, took
 }
 
-// startsRemain reports whether less has been ordered than came while nobody listened.
+// startsRemain reports whether fewer starts were sent than tasks submitted before the restart.
 func (r *busyRestart) startsRemain() bool { return r.started < r.machines/40*40 }
 
-// A full fleet that reports at once after a restart gets its orders within the bound, and
-// still has them all well within the time to settle.
+// If all machines of the largest shard send heartbeats right after a restart, commands are sent
+// within the rate limit, and all of them within the time for which the limit applies.
 func TestLargestFleetRestartsWithinTheRateLimit(t *testing.T) {
 	p := ratelimit.New(ratelimit.Settings{})
 	r := newBusyRestart(t, maxMachinesPerShard, p)
 	peak, took := r.run()
 	if most := int(p.Settings().ClusterRate(maxMachinesPerShard)); peak > most {
-		t.Errorf("%d orders in a second, of %d", peak, most)
+		t.Errorf("%d starts sent in a second, want %d at most", peak, most)
 	}
 	if r.startsRemain() || took > ratelimit.DefaultLimitFor {
-		t.Errorf("%d orders after %v", r.started, took)
+		t.Errorf("%d starts sent after %v, want all of them sooner", r.started, took)
 	}
 	progress, settling := r.shard.ReconciliationProgress()
 	if !settling || progress.Pending+progress.AwaitedMachines > 0 {
-		t.Errorf("still awaited after %v: %+v", took, progress)
+		t.Errorf("reconciliation after %v: %+v, want nothing awaited", took, progress)
 	}
 }
 
-// BenchmarkRestart tells the most orders in a second, and how long a restart takes in bubble
-// time, with and without a pace.
+// BenchmarkRestart reports the most starts sent in a second and how long a restart takes in
+// simulated time, with and without a rate limit.
 func BenchmarkRestart(b *testing.B) {
 	for _, machines := range []int{40, 320, maxMachinesPerShard} {
 		for _, paced := range []bool{false, true} {
--- a/internal/scheduler/safety_test.go
+++ b/internal/scheduler/safety_test.go
@@ -14,38 +14,39 @@
 	"bramblespur/internal/wire"
 )
 
-// A start goes out only after its record: nothing runs while the state service
-// refuses, and a start whose transaction failed is never sent.
+// A start is sent only once its placement is recorded: nothing runs while the state service is down,
+// and a start whose transaction failed is never sent.
 func TestNoStartWithoutRecord(t *testing.T) {
 	r, w := newHarnessWithMachine(t)
 	r.state.Down = true
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	r.heartbeats(4)
 	if len(w.Started) != 0 {
-		t.Fatalf("started without a record: %v", w.Started)
+		t.Fatalf("started %v without a placement record", w.Started)
 	}
 	r.state.Down = false
 	r.heartbeats(3)
 	if r.runningOn("run-000001/0") != "m1" {
-		t.Fatal("not started after the outage")
+		t.Fatal("task not started on m1 after the outage")
 	}
 }
 
-// A start given up for want of an answer must not be applied later.
+// A transaction of a start that was given up without an answer must not be applied later.
 func TestLateTransactionStartsNothing(t *testing.T) {
 	r, w := newHarnessWithMachine(t)
 	r.state.HoldTxns = 1
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
-	r.carryOutEffects() // its start is held, given up, and placed anew
+	r.carryOutEffects() // the transaction is held and given up, and the task is placed again
 	r.heartbeats(3)
 	if got := r.state.Release(); len(got) != 1 || got[0] == nil {
-		t.Fatalf("a late start was still applied: %v", got)
+		t.Fatalf("outcomes of the late transaction %v, want one failure", got)
 	}
 	if len(w.Started) != 1 {
 		t.Fatalf("starts %v, want one", w.Started)
 	}
 }
 
+// If the answer to a transaction is lost, its outcome is read from the records.
 func TestLostAnswerIsReadBack(t *testing.T) {
 	r, w := newHarnessWithMachine(t)
 	r.state.LoseAnswers = 1
@@ -63,22 +64,22 @@
 	}
 }
 
-// A cancellation the owner has not heard of makes its start fail.
+// A cancellation that the owner has not received yet makes the transaction of a start fail.
 func TestCancelRacesStart(t *testing.T) {
 	r, w := newHarnessWithMachine(t)
 	s := spec("run-000001", "b", wire.Array, "normal", 1, 1)
 	r.submit(s)
-	r.cancel(s) // not told: the shard is about to record a start
+	r.cancel(s) // not applied to the shard, which is about to record a start
 	r.heartbeats(4)
 	if len(w.Started) != 0 {
 		t.Fatalf("started after the cancellation: %v", w.Started)
 	}
 	if r.jobState(s.Ref) != wire.Cancelled {
-		t.Fatal("cancellation undone")
+		t.Fatal("the cancelled job has another state")
 	}
 }
 
-// Reports order by epoch and sequence: an old one proves nothing.
+// Heartbeats are ordered by incarnation and sequence number: an old one proves nothing.
 func TestLateHeartbeatIsIgnored(t *testing.T) {
 	r, w := newHarnessWithMachine(t)
 	empty := w.Report()
@@ -91,20 +92,20 @@
 	}
 }
 
-// A start whose answer was lost is repeated under the same attempt.
+// A start is sent again under the same attempt if the response that carried it was lost.
 func TestLostStartIsRepeated(t *testing.T) {
 	r, w := newHarnessWithMachine(t)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	r.carryOutEffects()
 	rep := w.Report()
-	r.shard.Heartbeat(&rep, false, r.clock.Now()) // the answer is lost
+	r.shard.Heartbeat(&rep, false, r.clock.Now()) // the response is lost
 	r.heartbeats(2)
 	if !slices.Equal(w.Started, []string{"run-000001/0#1"}) {
-		t.Fatalf("starts %v", w.Started)
+		t.Fatalf("starts %v, want the first attempt once", w.Started)
 	}
 }
 
-// An expired epoch proves its tasks gone.
+// A new incarnation proves the tasks of the one before gone.
 func TestNewIncarnationFreesTasks(t *testing.T) {
 	r := newHarness(t)
 	w := r.addMachine("m1", "z1", false)
@@ -117,7 +118,7 @@
 	}
 }
 
-// The team's limit counts tasks that can't be reached.
+// A team's limit counts tasks on machines that are not heard.
 func TestQuotaLimitCountsUnreachableTasks(t *testing.T) {
 	r := newHarness(t)
 	r.addMachine("m1", "z1", false)
@@ -128,12 +129,12 @@
 	r.submit(spec("run-000002", "a", wire.Array, "prod", 2, 1))
 	r.heartbeats(3, w3)
 	if len(w3.Started) != 0 {
-		t.Fatalf("over the limit: %v", w3.Started)
+		t.Fatalf("started %v over the team's limit", w3.Started)
 	}
 }
 
-// Old tasks count for zones as long as they are in place: with same_place no
-// other task may start in another zone, with scatter none beyond half in one.
+// Tasks that an earlier owner placed count for zones as long as they are placed: with OneZone no
+// other task of the job starts in another zone.
 func TestOneZoneCountsTasksOfEarlierOwner(t *testing.T) {
 	r := newHarness(t)
 	s := spec("run-000001", "b", wire.Array, "normal", 2, 2)
@@ -142,10 +143,10 @@
 	w1 := r.addMachine("m1", "z1", false)
 	r.heartbeats(3)
 	if r.runningOn("run-000001/0") != "m1" {
-		t.Fatal("not started")
+		t.Fatal("task 0 not started on m1")
 	}
 	r.addMachine("m2", "z2", false)
-	r.failOver() // the new owner has not heard m1 yet
+	r.failOver() // the new owner has had no heartbeat of m1 yet
 	r.heartbeats(3, r.workers["m2"])
 	if got := r.workers["m2"].Started; len(got) != 0 {
 		t.Fatalf("started %v in a second zone", got)
@@ -154,11 +155,12 @@
 	w1.End("run-000001/0", wire.Done)
 	r.heartbeats(3)
 	if r.runningOn("run-000001/1") == "" {
-		t.Fatal("the second task never started")
+		t.Fatal("task 1 not started after the end of task 0")
 	}
 }
 
-// With scatter, a task that can't be reached still counts for its zone.
+// With Spread, at most half of a job's tasks may start in one zone; a task on a machine that is not
+// heard still counts.
 func TestSpreadCountsTasksOfEarlierOwner(t *testing.T) {
 	r := newHarness(t)
 	s := spec("run-000001", "b", wire.Service, "prod", 3, 1)
@@ -170,12 +172,12 @@
 	r.failOver()
 	r.heartbeats(3, r.workers["m2"])
 	if got := r.workers["m2"].Started; len(got) != 0 {
-		t.Fatalf("started %v: more than half in one zone", got)
+		t.Fatalf("started %v, with more than half of the tasks in one zone", got)
 	}
 }
 
-// While cancellations told elsewhere may be unknown, nothing is started, not
-// even what was recorded before; stops still go out.
+// While the owner may lack cancellations that other controllers accepted, nothing is started, not
+// even tasks whose placements were recorded before.
 func TestNothingStartsWhileCancellationsAreUnknown(t *testing.T) {
 	r, w := newHarnessWithMachine(t)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
@@ -183,17 +185,16 @@
 	r.shard.SetCancellationsUnknown(true)
 	r.heartbeats(3)
 	if len(w.Started) != 0 {
-		t.Fatalf("started %v", w.Started)
+		t.Fatalf("started %v while cancellations are unknown", w.Started)
 	}
 	r.shard.SetCancellationsUnknown(false)
 	r.heartbeats(1)
 	if len(w.Started) != 1 {
-		t.Fatalf("starts %v after the views came back", w.Started)
+		t.Fatalf("starts %v once cancellations are known, want one", w.Started)
 	}
 }
 
-// Starts of many jobs share one write, and a cancelled one among them does not
-// hold the others up.
+// Starts of many jobs share one write, and a cancelled job among them does not delay the others.
 func TestStartsShareWrites(t *testing.T) {
 	r := newHarness(t)
 	r.cfg.PlacementsPerRecord, r.cfg.ValueBytes = 200, 200*unsizedPlacementBytes
@@ -206,12 +207,12 @@
 		s := spec(fmt.Sprintf("run-00000%d", i), "b", wire.Array, "normal", 1, 1)
 		r.submit(s)
 		if i == 3 {
-			r.cancel(s) // not told to the owner
+			r.cancel(s) // not applied to the shard
 		}
 	}
 	eff := r.shard.Step(r.clock.Now())
 	if len(eff.Txns) != 1 || len(eff.Txns[0].Body.Then) != 1 {
-		t.Fatalf("%d transactions for six starts, want one with one change", len(eff.Txns))
+		t.Fatalf("%d transactions for six starts, want one with one operation", len(eff.Txns))
 	}
 	_, err := r.state.Txn(context.Background(), statestore.Urgent("test"), eff.Txns[0].Body)
 	var conflict *statestore.ConflictError
@@ -234,26 +235,25 @@
 	}
 }
 
-// A return whose answer got lost is recorded once, and its machines never come
-// back into use.
+// A release whose transaction was not answered is recorded, and its machine is never used again.
 func TestReleaseWithoutAnswer(t *testing.T) {
-	for _, script := range []func(*testkit.State){
+	for _, disturb := range []func(*testkit.State){
 		func(s *testkit.State) { s.LoseAnswers = 1 },
 		func(s *testkit.State) { s.HoldTxns = 1 },
 	} {
 		r, w := newHarnessWithMachine(t)
 		r.shard.ApplyFleetOrder(fleet.Order{Machine: "m1", To: fleet.ReleaseToCloud}, r.clock.Now())
-		script(r.state)
+		disturb(r.state)
 		r.heartbeats(1)
 		r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 		r.heartbeats(4)
 		r.state.Release()
 		r.heartbeats(2)
 		if len(w.Started) != 0 {
-			t.Fatalf("started %v on a machine given back", w.Started)
+			t.Fatalf("started %v on a released machine", w.Started)
 		}
 		if len(r.cloud.Returned) == 0 || r.shard.HasMachine("m1") {
-			t.Fatalf("returned %v", r.cloud.Returned)
+			t.Fatalf("released %v, want m1", r.cloud.Returned)
 		}
 	}
 }
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -10,27 +10,27 @@
 	"bramblespur/internal/wire"
 )
 
-// The most machines that one shard may come to hold, when one controller takes
-// over all shards of the largest deployment.
+// maxMachinesPerShard is the most machines that one shard may have, when one controller has acquired
+// all shards of the largest deployment.
 const maxMachinesPerShard = 4000
 
-// newBusyShard makes a shard of many machines in two zones, all of them busy, with jobs
-// that wait for room.
+// newBusyShard returns a shard of many machines in two zones, all of them busy, and so many jobs that
+// wait for room.
 func newBusyShard(t testing.TB, machines, waiting int) *harness {
 	r := newHarness(t)
 	r.cfg.PlacementsPerRecord, r.cfg.ValueBytes, r.cfg.TxnOps = PlacementsPerRecord(16), 16<<10, 24
 	r.failOver()
 	r.cfg.PreemptAfter = time.Second
 	delete(r.cfg.Teams, "a")
-	for at := 0; at < machines; at += 50 {
-		zone := []string{"z1", "z2"}[at/50%2]
-		rental := record.Provision{Type: "big", Zone: zone, CreatedAt: r.clock.Now().UnixMilli()}
-		for i := at; i < min(at+50, machines); i++ {
+	for first := 0; first < machines; first += 50 {
+		zone := []string{"z1", "z2"}[first/50%2]
+		provision := record.Provision{Type: "big", Zone: zone, CreatedAt: r.clock.Now().UnixMilli()}
+		for i := first; i < min(first+50, machines); i++ {
 			id := fmt.Sprintf("i-%06d", i)
-			rental.IDs, rental.Shards = append(rental.IDs, id), append(rental.Shards, 0)
+			provision.IDs, provision.Shards = append(provision.IDs, id), append(provision.Shards, 0)
 			r.workers[id] = testkit.NewWorker(id, "big", zone, false)
 		}
-		r.applyRecord(r.state.Put(record.ProvisionKey(fmt.Sprint("r", at)), rental))
+		r.applyRecord(r.state.Put(record.ProvisionKey(fmt.Sprint("r", first)), provision))
 	}
 	r.heartbeat()
 	for i := range machines / 40 {
@@ -57,13 +57,13 @@
 	return r
 }
 
-// What a heartbeat or a task's end brings about looks at the jobs that wait and at
-// the machines that may serve them, not at all machines.
+// Placement after a heartbeat or the end of a task examines the waiting jobs and the machines that
+// may run them, not all machines.
 func TestPlacementExaminesFewMachines(t *testing.T) {
 	const machines, waiting = 600, 60
 	r := newBusyShard(t, machines, waiting)
 	r.clock.Advance(preemptionRetry)
-	r.carryOutEffects() // room for what waits was just sought in vain
+	r.carryOutEffects() // preemption for the waiting jobs has just been tried in vain
 	r.shard.inventory.candidatesExamined = 0
 	w := r.workers["i-000007"]
 	for name := range w.Tasks {
@@ -73,14 +73,14 @@
 	rep := w.Report()
 	r.shard.Heartbeat(&rep, false, r.clock.Now())
 	if eff := r.shard.Step(r.clock.Now()); len(eff.Txns) == 0 {
-		t.Fatal("nothing placed where a task ended")
+		t.Fatal("no task placed where another one ended")
 	}
 	if r.shard.inventory.candidatesExamined > 2*waiting {
-		t.Errorf("looked at %d machines and jobs, with %d jobs waiting and %d machines", r.shard.inventory.candidatesExamined, waiting, machines)
+		t.Errorf("examined %d machines and jobs with %d waiting jobs and %d machines, want two per waiting job at most", r.shard.inventory.candidatesExamined, waiting, machines)
 	}
 }
 
-// BenchmarkHeartbeat is a heartbeat in which nothing has changed.
+// BenchmarkHeartbeat measures a heartbeat in which nothing has changed.
 func BenchmarkHeartbeat(b *testing.B) {
 	r := newBusyShard(b, maxMachinesPerShard, 100)
 	b.ReportAllocs()
@@ -93,7 +93,7 @@
 	}
 }
 
-// BenchmarkTaskEnds is a heartbeat of a task's end, after which the next one is
+// BenchmarkTaskEnds measures a heartbeat that reports the end of a task, after which another one is
 // placed.
 func BenchmarkTaskEnds(b *testing.B) {
 	r := newBusyShard(b, maxMachinesPerShard, 100)
@@ -118,8 +118,8 @@
 	}
 }
 
-// BenchmarkHealth is a turn of the timer in which nothing is due: each machine is looked
-// at, as four times a second.
+// BenchmarkHealth measures a step in which nothing is due but the check of each machine, as four
+// times a second.
 func BenchmarkHealth(b *testing.B) {
 	r := newBusyShard(b, maxMachinesPerShard, 0)
 	now := r.clock.Now()
@@ -130,7 +130,7 @@
 	}
 }
 
-// BenchmarkSummary is what the leader is told each second.
+// BenchmarkSummary measures the summary that the leader gets each second.
 func BenchmarkSummary(b *testing.B) {
 	r := newBusyShard(b, maxMachinesPerShard, 100)
 	b.ReportAllocs()
