--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -17,7 +17,8 @@
 	"bramblespur/internal/wire"
 )
 
-// connections is how many connections a client keeps for requests, and as many for watches.
+// connections is the number of connections that a client keeps for requests, and as many again
+// for watches.
 const connections = 4
 
 // Client is a Store over HTTP. It is safe for concurrent use.
@@ -25,14 +26,15 @@
 	requestScheduler
 	requests   *httpwire.Client
 	watches    *httpwire.Client
-	writeBurst int // of changes
+	writeBurst int // changed keys
 
 	usageMu sync.Mutex
-	usage   map[string]Usage
+	usage   map[string]Usage // by name of purpose
 }
 
-// New returns a client that keeps to an equal share of the store's limits, which so many
-// controllers have together. Writes beyond it may come from a lender, which is optional.
+// New returns a client of the state service at an address. Its initial limits are an equal share
+// of rps requests and writeRPS changed keys per second, which all controllers have together.
+// Writes beyond its share may come from the lender, which may be nil.
 func New(addr string, controllers int, rps, writeRPS float64, lender Lender) *Client {
 	c := &Client{
 		requestScheduler: requestScheduler{requestTokens: rate.NewLimiter(0, 0), writeTokens: rate.NewLimiter(0, 0), lender: lender},
@@ -48,18 +50,19 @@
 
 var _ Store = (*Client)(nil)
 
-// minRequestBurst is the burst of requests of the smallest share.
+// minRequestBurst is the smallest burst of requests, however small the share is.
 const minRequestBurst = 3
 
-// SetLimits implements Store. Bursts of requests are of half a second's worth: the store
-// allows a second's for all controllers together. A process begins with empty buckets.
+// SetLimits implements Store. The burst of requests is half a second's worth of them: the state
+// service allows a second's worth for all controllers together. A process begins with empty
+// buckets.
 func (c *Client) SetLimits(rps, writeRPS float64) {
 	c.setLimit(c.requestTokens, rps, max(minRequestBurst, int(rps/2)))
 	c.setLimit(c.writeTokens, writeRPS, c.writeBurst)
 }
 
 // TakeDemand implements Store.
-func (c *Client) TakeDemand() (requests, changes int) { return c.takeDemand() }
+func (c *Client) TakeDemand() (requests, writes int) { return c.takeDemand() }
 
 // Backlog implements Store.
 func (c *Client) Backlog() time.Duration { return c.backlog() }
@@ -79,12 +82,12 @@
 	c.usage[purpose] = c.usage[purpose].add(used)
 }
 
-// callTimeout bounds one request: answers normally take milliseconds, at times a few hundred,
-// and a connection can hang in silence.
+// callTimeout bounds one request. Answers normally take milliseconds, at times a few hundred,
+// and a connection can hang without an error.
 const callTimeout = 2500 * time.Millisecond
 
-// admit waits for tokens for a request and its writes, if it makes any. A refused request has
-// used none.
+// admit waits for tokens for a request and for its writes, if it makes any. It returns ErrRefused,
+// and uses no tokens, if the request cannot be admitted before its deadline.
 func (c *Client) admit(ctx context.Context, writes int, purpose Purpose) error {
 	if !c.requestScheduler.admit(ctx, writes, purpose) {
 		c.addUsage(purpose.Name, Usage{Refused: 1})
@@ -98,8 +101,9 @@
 	return c.execute(ctx, purpose, method, target, Usage{}, in, out)
 }
 
-// execute makes a request that changes as many keys as used says. Writes wait for tokens as
-// long as their callers do; a query's wait counts towards its timeout.
+// execute makes a request that puts and deletes as many keys as counted in used. Writes wait for
+// tokens as long as their callers do; a query's wait counts towards callTimeout. It returns the
+// status and the body of the response; see decode.
 func (c *Client) execute(ctx context.Context, purpose Purpose, method, target string, used Usage, in, out any) (int, []byte, error) {
 	writes := used.writes()
 	if writes > 0 {
@@ -118,7 +122,7 @@
 	if in != nil {
 		var err error
 		if body, err = json.Marshal(in); err != nil {
-			return 0, nil, fmt.Errorf("encode: %w", err)
+			return 0, nil, fmt.Errorf("encode request: %w", err)
 		}
 	}
 	resp, err := c.requests.Do(ctx, method, target, body)
@@ -130,8 +134,8 @@
 	return c.decode(resp, err, out)
 }
 
-// decode decodes a successful response, and returns ErrRefused for a request that was
-// certainly not executed. Other statuses are the caller's to judge.
+// decode decodes a successful response into out, and returns ErrRefused for a request that was
+// certainly not executed. Responses with other statuses are returned for the caller to interpret.
 func (c *Client) decode(resp httpwire.Response, err error, out any) (int, []byte, error) {
 	if errors.Is(err, httpwire.ErrNotSent) {
 		return 0, nil, fmt.Errorf("%w: %v", ErrRefused, err)
@@ -167,7 +171,7 @@
 	return e, nil
 }
 
-// MaxPage is the most keys in a page.
+// MaxPage is the largest number of keys in a page of ListPage.
 const MaxPage = 1000
 
 // List implements Store.
--- a/internal/statestore/errors.go
+++ b/internal/statestore/errors.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// Errors of requests. One that is none of these, nor a ConflictError, leaves open whether the
-// request was, or later will be, carried out.
+// Errors of requests. Any other error, except a ConflictError, leaves open whether the request
+// was executed or will still be executed.
 var (
 	ErrNotFound = errors.New("statestore: not found")
 	ErrRefused  = errors.New("statestore: not executed") // 429, 503, or never sent
@@ -15,18 +15,19 @@
 	ErrInvalid  = errors.New("statestore: request refused as malformed")
 )
 
-// ConflictError says which conditions of a transaction failed.
+// ConflictError is returned for a transaction whose conditions failed. Keys are those of the failed
+// conditions.
 type ConflictError struct{ Keys []string }
 
 // Error implements error.
 func (e *ConflictError) Error() string { return fmt.Sprintf("statestore: conflict on %v", e.Keys) }
 
-// Outcome is what became of a transaction.
+// Outcome says whether a transaction was applied.
 type Outcome int
 
 // Outcomes of transactions.
 const (
-	// Unknown: the request may have been carried out, or be carried out later.
+	// Unknown: the transaction may have been applied, or may be applied later.
 	Unknown Outcome = iota
 	// Applied: all changes were made.
 	Applied
@@ -34,7 +35,7 @@
 	NotApplied
 )
 
-// String returns an outcome's name.
+// String returns the outcome in words, for logs and messages.
 func (o Outcome) String() string {
 	switch o {
 	case Applied:
@@ -46,7 +47,7 @@
 	}
 }
 
-// OutcomeOf returns the outcome of a transaction by the error that Store.Txn returned.
+// OutcomeOf returns the outcome of a transaction for which Store.Txn returned err.
 func OutcomeOf(err error) Outcome {
 	var conflict *ConflictError
 	switch {
@@ -58,9 +59,9 @@
 	return Unknown
 }
 
-// Answered reports whether a request got an answer that would be no other if it were made
-// again at once: it succeeded, or the store said what is wrong about it. A refusal for want
-// of capacity is no answer.
+// Answered reports whether a request got an answer that would be the same if the request were
+// repeated at once: it succeeded, or it failed with ErrNotFound, ErrTooOld, ErrInvalid or a
+// ConflictError. A refusal for lack of capacity is not such an answer.
 func Answered(err error) bool {
 	var conflict *ConflictError
 	return err == nil || errors.Is(err, ErrNotFound) || errors.Is(err, ErrTooOld) || errors.Is(err, ErrInvalid) || errors.As(err, &conflict)
--- a/internal/statestore/guard.go
+++ b/internal/statestore/guard.go
@@ -11,12 +11,12 @@
 	"bramblespur/internal/wire"
 )
 
-// ErrRevisionRegressed says that a response is of an older revision than one that was seen before
-// its request was made: the store has lost data, or it is another store.
-var ErrRevisionRegressed = errors.New("statestore: revision went back")
+// ErrRevisionRegressed is returned if the revision of a response is lower than one that was seen
+// before its request was made: the state service has lost data, or it is a different one.
+var ErrRevisionRegressed = errors.New("statestore: revision regressed")
 
-// Guard is a Store that detects revisions that went back, and that can be made read-only. It is
-// safe for concurrent use.
+// Guard is a Store that detects responses whose revision has regressed, and that can be made
+// read-only. It is safe for concurrent use.
 type Guard struct {
 	Store
 	highestRevision  atomic.Uint64
@@ -25,22 +25,23 @@
 	onRegression     func(held, found uint64)
 }
 
-// NewGuard returns a guard of a store. While it is read-only it refuses writes but of keys with
-// the writable prefixes. It calls onRegression for each response whose revision went back.
+// NewGuard returns a guard of a store. While it is read-only, it refuses transactions that write
+// any key without one of the writable prefixes. It calls onRegression, with the highest revision
+// held before and the one found, for each response whose revision has regressed.
 func NewGuard(s Store, writablePrefixes []string, onRegression func(held, found uint64)) *Guard {
 	return &Guard{Store: s, writablePrefixes: writablePrefixes, onRegression: onRegression}
 }
 
-// HighestRevision returns the highest revision that was seen.
+// HighestRevision returns the highest revision seen so far.
 func (g *Guard) HighestRevision() uint64 { return g.highestRevision.Load() }
 
-// ForgetRevision forgets the highest revision.
+// ForgetRevision discards the highest revision, so that any revision is accepted next.
 func (g *Guard) ForgetRevision() { g.highestRevision.Store(0) }
 
 // SetReadOnly makes the store read-only, or writable again.
 func (g *Guard) SetReadOnly(readOnly bool) { g.readOnly.Store(readOnly) }
 
-// observe raises the highest revision that was seen.
+// observe raises the highest revision to one that was seen, if that is higher.
 func (g *Guard) observe(revision uint64) {
 	for {
 		held := g.highestRevision.Load()
@@ -50,12 +51,12 @@
 	}
 }
 
-// checkRevision checks the revision of a response against the highest one that was seen before
-// its request. Responses may come in any order, so it isn't compared with what was seen since.
+// checkRevision compares the revision of a response with the highest one seen before its request
+// was made. Responses may arrive in any order, so revisions seen since then do not count.
 func (g *Guard) checkRevision(before, revision uint64) error {
 	if revision < before {
 		g.onRegression(before, revision)
-		return fmt.Errorf("%w: %d, was %d", ErrRevisionRegressed, revision, before)
+		return fmt.Errorf("%w: response has revision %d, but %d was seen before", ErrRevisionRegressed, revision, before)
 	}
 	g.observe(revision)
 	return nil
@@ -83,17 +84,18 @@
 // Txn implements Store.
 func (g *Guard) Txn(ctx context.Context, purpose Purpose, t wire.Txn) (uint64, error) {
 	if g.readOnly.Load() && !g.permits(t) {
-		return 0, fmt.Errorf("%w: closed for changes", ErrRefused)
+		return 0, fmt.Errorf("%w: the store is read-only for this transaction", ErrRefused)
 	}
 	before := g.highestRevision.Load()
 	revision, err := g.Store.Txn(ctx, purpose, t)
-	if err == nil && len(t.Then) > 0 { // one without writes only compares
+	if err == nil && len(t.Then) > 0 { // without writes it only compares, and its revision is not checked
 		err = g.checkRevision(before, revision)
 	}
 	return revision, err
 }
 
-// permits reports whether a transaction may be made while the store is read-only.
+// permits reports whether a transaction may be made while the store is read-only: all keys that
+// it writes have writable prefixes.
 func (g *Guard) permits(t wire.Txn) bool {
 	for _, op := range t.Then {
 		if !hasAnyPrefix(op.Put+op.Delete, g.writablePrefixes) {
@@ -112,8 +114,8 @@
 	return false
 }
 
-// Watch implements Store. A watch may wait long, so that its response is compared only with the
-// revision that it began at.
+// Watch implements Store. A watch may wait for a long time, so its response is compared only with
+// the revision at which it started.
 func (g *Guard) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (wire.Changes, error) {
 	ch, err := g.Store.Watch(ctx, prefix, since, wait)
 	if err == nil {
--- a/internal/statestore/loans.go
+++ b/internal/statestore/loans.go
@@ -7,20 +7,21 @@
 	"golang.org/x/time/rate"
 )
 
-// canBorrow reports whether a request's writes may come from the lender, so that its place in
-// the queue does not tell how long it waits.
+// canBorrow reports whether a request's writes may come from the lender. If so, the request's
+// position in the queue does not determine how long it waits.
 func (s *requestScheduler) canBorrow(w *waitingRequest, now time.Time) bool {
 	return s.lender != nil && w.writes > 0 && !now.Before(s.nextLoanAt)
 }
 
-// awaitsLoan reports whether a request needs more than this controller's burst while a loan may
-// still spare it the time that reserving the rest in advance takes.
+// awaitsLoan reports whether an urgent request needs more writes than this controller's burst
+// while a loan for it is requested or may be. A loan can spare the request the time that it takes
+// to reserve the writes beyond the burst in advance.
 func (s *requestScheduler) awaitsLoan(w *waitingRequest, now time.Time) bool {
 	return !w.routine && w.writes > s.writeTokens.Burst() && (s.loanRequested || s.canBorrow(w, now))
 }
 
-// borrow asks the lender, on a goroutine of its own, for the writes of the next write request if
-// it waits for these. The lock is held.
+// borrow requests a loan for the next write request, on a goroutine of its own, if that request
+// has to wait for write tokens and no other loan is requested.
 func (s *requestScheduler) borrow(now time.Time) {
 	w := s.writes.next(now)
 	if w == nil || s.loanRequested || w.keepsReserve(now) || !s.canBorrow(w, now) || s.writeDelay(w, now) <= minTimer {
@@ -44,18 +45,19 @@
 	}()
 }
 
-// useLoan admits the next write request if it needs no more than the writes lent.
+// useLoan admits the next write request if it needs no more writes than were lent. Otherwise the
+// loan is left unused.
 func (s *requestScheduler) useLoan(writes int, now time.Time) {
 	w := s.writes.next(now)
-	if w == nil || w.writes > writes { // the loan was for one that has left since
+	if w == nil || w.writes > writes { // the loan was for a request that has left the queue since
 		return
 	}
 	s.writes.admit(w)
-	s.send(w, []*rate.Reservation{s.requestTokens.ReserveN(now, 1)}, now)
+	s.admitOrReject(w, []*rate.Reservation{s.requestTokens.ReserveN(now, 1)}, now)
 }
 
-// rejectLate rejects the write requests that can't be admitted before their deadlines at their
-// places.
+// rejectLate rejects the write requests that, at their positions in the queue, cannot be admitted
+// before their deadlines.
 func (s *requestScheduler) rejectLate(now time.Time) {
 	unitsAhead := 0
 	s.writes.waiting = slices.DeleteFunc(s.writes.waiting, func(w *waitingRequest) bool {
--- a/internal/statestore/priority.go
+++ b/internal/statestore/priority.go
@@ -3,46 +3,49 @@
 import "time"
 
 // Purpose says what a request is for. Urgent requests (starts, submissions, leases) may use
-// the whole burst; routine ones (status queries, housekeeping) leave a part of it free for a
-// while.
+// the whole burst; routine ones (status queries, housekeeping) leave part of it free for up to
+// reserveTimeout. Both fields determine the priority, and usage is counted by name.
 type Purpose struct {
 	Name    string
 	Routine bool
 }
 
-// Urgent returns the purpose of a request that somebody waits for.
+// Urgent returns the purpose of a request whose result somebody waits for.
 func Urgent(name string) Purpose { return Purpose{Name: name} }
 
-// Routine returns the purpose of a request that nobody waits for.
+// Routine returns the purpose of a request whose result nobody waits for.
 func Routine(name string) Purpose { return Purpose{Name: name, Routine: true} }
 
-// priority orders the requests that wait for tokens: a smaller one goes first.
+// priority orders the requests that wait for tokens: smaller values go first.
 type priority int
 
 const (
-	// priorityControl is what a controller needs to serve at all: its lease and member
+	// priorityControl is for what a controller needs to serve at all: its lease and member
 	// record, the leadership, its shards and its views.
 	priorityControl priority = iota
-	// priorityDispatch is starts and what these wait for. They come before submissions, since
-	// one write records everything that has been placed for a shard in the meantime and a
-	// shard has one under way: they take few writes, however many starts there are.
+	// priorityDispatch is for starts of tasks and the requests that starts wait for. They go
+	// before submissions since they need few writes, however many starts there are: a shard has
+	// one such write in progress at a time, and the next one records all placements made in the
+	// meantime.
 	priorityDispatch
-	// priorityUser is submissions and cancellations: users wait for them, and retry if they
+	// priorityUser is for submissions and cancellations: users wait for them, and retry if they
 	// are refused.
 	priorityUser
-	// priorityAwaited is completions that users or dependent jobs wait for.
+	// priorityAwaited is for completions that users or dependent jobs wait for.
 	priorityAwaited
-	// priorityCompletion is other completions, moves and releases of machines: a late one
-	// delays what a user is told, or a machine, but no task that has its place.
+	// priorityCompletion is for other completions, and for transfers and releases of machines.
+	// A late one delays what a user is shown, or a machine, but no task that has been placed.
 	priorityCompletion
-	// priorityBackground is what workers or records keep meanwhile, and status queries.
+	// priorityBackground is for facts that workers or other records keep in the meantime, and
+	// for status queries.
 	priorityBackground
+	// priorityCount is the number of priorities.
 	priorityCount
 )
 
-// purposePriorities are the priorities of routine requests by their purposes, and of urgent
-// ones down to priorityAwaited. Other purposes are of priorityDispatch if urgent, else of
-// priorityCompletion.
+// purposePriorities are the priorities of requests by name of purpose. Urgent requests get no
+// lower priority than priorityAwaited. Requests of purposes not listed have priorityDispatch if
+// they are urgent, and priorityCompletion if they are routine.
 var purposePriorities = map[string]priority{
 	"lease":     priorityControl,
 	"member":    priorityControl,
@@ -69,7 +72,7 @@
 	"restart":     priorityBackground,
 }
 
-// priority returns a request's priority.
+// priority returns the priority of requests of this purpose.
 func (p Purpose) priority() priority {
 	listed, known := purposePriorities[p.Name]
 	switch {
@@ -83,8 +86,8 @@
 	return listed
 }
 
-// maxWaits bound how long requests of a priority wait for tokens if their callers have no
-// earlier deadline. A refused request is made anew by then, with what has come since.
+// maxWaits are the longest times for which requests wait for tokens, by priority, if their callers
+// set no earlier deadline. Callers make a refused request anew, including what has changed since.
 var maxWaits = [priorityCount]time.Duration{
 	priorityControl:    2 * time.Second, // half a lease
 	priorityDispatch:   10 * time.Second,
--- a/internal/statestore/queue.go
+++ b/internal/statestore/queue.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// waitingRequest is a request that waits for tokens.
+// waitingRequest is a request that waits for tokens of the token buckets.
 type waitingRequest struct {
 	priority priority
 	routine  bool
 	writes   int
 	enqueued time.Time
-	deadline time.Time // it is rejected after this
-	decided  chan decision
+	deadline time.Time     // the request is rejected after it
+	decided  chan decision // has room for the only decision, so that sending never blocks
 }
 
-// decision says whether a request may be sent, and after which further delay.
+// decision says whether a request may be sent, and after what further delay.
 type decision struct {
 	admitted bool
 	delay    time.Duration
 }
 
-// units is what a request counts in its queue.
+// units returns how much a request counts in its queue: the number of its writes, or 1 if it has
+// none.
 func (w *waitingRequest) units() int { return max(1, w.writes) }
 
-// keepsReserve reports whether a request still leaves a part of the burst free.
+// keepsReserve reports whether a request still has to leave reservedShare of the burst free.
 func (w *waitingRequest) keepsReserve(now time.Time) bool {
 	return w.routine && now.Sub(w.enqueued) < reserveTimeout
 }
 
-// queue holds requests by priority, and by arrival within one.
+// queue holds requests in order of priority, and in order of arrival within a priority.
 type queue struct {
 	waiting             []*waitingRequest
-	admittedSinceOldest int // units since the oldest request was admitted
+	admittedSinceOldest int // units admitted since it was the oldest request's turn
 }
 
-// insert adds a request at its place and returns the units ahead of it.
+// insert adds a request behind those of the same and of higher priorities, and returns the units
+// ahead of it.
 func (q *queue) insert(w *waitingRequest) (unitsAhead int) {
 	at := len(q.waiting)
 	for at > 0 && q.waiting[at-1].priority > w.priority {
@@ -48,7 +50,7 @@
 	return unitsAhead
 }
 
-// remove removes a request and reports whether it was there.
+// remove removes a request and reports whether it was in the queue.
 func (q *queue) remove(w *waitingRequest) bool {
 	at := slices.Index(q.waiting, w)
 	if at < 0 {
@@ -58,13 +60,14 @@
 	return true
 }
 
-// oldest returns the request that came first.
+// oldest returns the request that has waited longest. The queue must not be empty.
 func (q *queue) oldest() *waitingRequest {
 	return slices.MinFunc(q.waiting, func(a, b *waitingRequest) int { return a.enqueued.Compare(b.enqueued) })
 }
 
-// next returns the request whose turn it is, nil if there is none: that of the highest
-// priority, or after agingUnits the oldest one.
+// next returns the request whose turn it is, or nil if the queue is empty. It is the first one of
+// the highest priority or, once agingUnits have been admitted since its last turn, the oldest
+// request if that has waited for agingDelay. Control requests always go first.
 func (q *queue) next(now time.Time) *waitingRequest {
 	if len(q.waiting) == 0 {
 		return nil
@@ -79,7 +82,7 @@
 	return first
 }
 
-// admit removes a request that is admitted.
+// admit removes a request that is admitted, and counts its units towards the oldest one's turn.
 func (q *queue) admit(w *waitingRequest) {
 	if q.oldest() == w {
 		q.admittedSinceOldest = 0
@@ -89,7 +92,7 @@
 	q.remove(w)
 }
 
-// units is the sum over all requests.
+// units returns the sum of the units of all requests.
 func (q *queue) units() (sum int) {
 	for _, w := range q.waiting {
 		sum += w.units()
@@ -97,7 +100,7 @@
 	return sum
 }
 
-// rejectExpired rejects requests past their deadlines.
+// rejectExpired rejects and removes the requests whose deadlines have passed.
 func (q *queue) rejectExpired(now time.Time) {
 	q.waiting = slices.DeleteFunc(q.waiting, func(w *waitingRequest) bool {
 		expired := now.After(w.deadline)
--- a/internal/statestore/scheduler.go
+++ b/internal/statestore/scheduler.go
@@ -14,55 +14,58 @@
 const (
 	// reservedShare is the share of a burst that routine requests leave free.
 	reservedShare = 0.3
-	// reserveTimeout is how long a routine request leaves it free.
+	// reserveTimeout is how long a waiting routine request leaves that share free.
 	reserveTimeout = time.Second
-	// agingUnits is how many units (writes or requests) are admitted before the request
-	// that has waited longest gets a turn, whatever its priority. Completions of jobs, of
-	// two writes each, get a third so, which is what they need where all jobs are of one
-	// task.
+	// agingUnits is the number of units (writes or requests) admitted before the request
+	// that has waited longest gets a turn, whatever its priority. Completions of jobs, which
+	// take two writes each, thus get a third of all writes. That is what they need if every
+	// job has one task.
 	agingUnits = 4
-	// agingDelay is how long a request has waited before it may get that turn.
+	// agingDelay is how long a request must have waited to get that turn.
 	agingDelay = reserveTimeout
 	// maxQueueLength bounds the requests that wait in a queue.
 	maxQueueLength = 200
-	// responseTime is what is left of a caller's deadline for the store's response.
+	// responseTime is the time left before a caller's deadline for the response of the state
+	// service.
 	responseTime = 100 * time.Millisecond
 	// loanRetryDelay is how long no loan is requested after one was denied.
 	loanRetryDelay = 200 * time.Millisecond
-	// minTimer is the shortest timer: rounding would else wake the process twice.
+	// minTimer is the shortest duration of the timer. With shorter ones rounding would wake the
+	// process twice.
 	minTimer = time.Millisecond
 )
 
-// requestScheduler keeps requests to this controller's share of the store's limits. The
-// limiters are the token buckets; requests that lack tokens queue here by priority. While
-// nothing waits no timer runs and nothing wakes the process. It is safe for concurrent use;
-// its lock is not held while the lender or the store is called.
+// requestScheduler keeps requests within this controller's share of the state service's limits.
+// The limiters are the token buckets; requests that lack tokens wait in queues by priority. While
+// no request waits, no timer runs that would wake the process. It is safe for concurrent use; mu
+// is not held while the lender or the state service is called.
 type requestScheduler struct {
 	requestTokens *rate.Limiter
 	writeTokens   *rate.Limiter
 
 	mu       sync.Mutex
-	reads    queue // need a request token each
-	writes   queue // need write tokens as well
-	timer    *time.Timer
-	admitted [2]int // request and write units since the last takeDemand
+	reads    queue       // requests that need a request token each
+	writes   queue       // requests that need write tokens as well
+	timer    *time.Timer // calls wake; nil until a request has to wait
+	admitted [2]int      // request and write units since the last takeDemand
 
-	lender        Lender
-	loanRequested bool      // a call of it is under way
-	nextLoanAt    time.Time // a loan was denied, and none is requested before
+	lender        Lender    // optional
+	loanRequested bool      // a call of the lender is in progress
+	nextLoanAt    time.Time // no loan is requested before, since the last one was denied
 }
 
-// Lender reports whether a controller may make so many writes beyond its own share. A modest
-// request leaves some to those that need more.
-type Lender func(changes int, modest bool) bool
+// Lender reports whether a controller may make a number of writes beyond its own share. A modest
+// request leaves part of the loans to requests that need many writes at once. The Lender is called
+// on a goroutine of its own and may block.
+type Lender func(writes int, modest bool) bool
 
-// Kinds of units.
+// Indices of requestScheduler.admitted.
 const (
 	requestUnits = iota
 	writeUnits
 )
 
-// queueFor returns the queue of requests that make so many writes.
+// queueFor returns the queue for requests with that many writes.
 func (s *requestScheduler) queueFor(writes int) *queue {
 	if writes > 0 {
 		return &s.writes
@@ -70,8 +73,9 @@
 	return &s.reads
 }
 
-// admit waits for tokens for a request with so many writes. It reports false, with no token
-// used, as soon as the request can't be admitted before its deadline.
+// admit waits for tokens for a request with a number of writes, and returns true once it may be
+// sent. It returns false, having used no tokens, as soon as the request cannot be admitted before
+// its deadline.
 func (s *requestScheduler) admit(ctx context.Context, writes int, purpose Purpose) bool {
 	if ctx.Err() != nil {
 		return false
@@ -89,8 +93,8 @@
 	}
 }
 
-// enqueue puts a request into its queue. It returns nil if the request can't be admitted before
-// its deadline.
+// enqueue puts a request into its queue. It returns nil if the queue is full or the request cannot
+// be admitted before its deadline.
 func (s *requestScheduler) enqueue(ctx context.Context, writes int, purpose Purpose) *waitingRequest {
 	now := time.Now()
 	level := purpose.priority()
@@ -120,8 +124,8 @@
 	return w
 }
 
-// estimate is how long a request waits behind so many units if none comes that goes before
-// it.
+// estimate returns how long a request waits behind a number of units if no request arrives that
+// goes before it.
 func (s *requestScheduler) estimate(w *waitingRequest, unitsAhead int, now time.Time) time.Duration {
 	if w.writes > 0 {
 		return max(timeUntilTokens(s.writeTokens, float64(unitsAhead+w.writes), now), timeUntilTokens(s.requestTokens, 1, now))
@@ -138,9 +142,9 @@
 	}
 }
 
-// dispatch rejects expired requests, admits what the buckets allow, requests a loan if one
-// helps, and sets the timer for the next of these. The lock is held, as by all below that it
-// calls.
+// dispatch rejects expired requests, admits the requests for which the buckets have tokens,
+// requests a loan if one helps, and sets the timer for the next time at which one of these is due.
+// The caller holds mu, as do the callers of all methods that dispatch calls.
 func (s *requestScheduler) dispatch(now time.Time) {
 	s.reads.rejectExpired(now)
 	s.writes.rejectExpired(now)
@@ -149,14 +153,14 @@
 		if w == nil || s.delay(w, now) > 0 {
 			break
 		}
-		s.reserveAndSend(w, now)
+		s.reserveAndAdmit(w, now)
 	}
 	s.borrow(now)
 	s.setTimer(now)
 }
 
-// next returns the request to be admitted next: of the two queues' first ones that of the
-// higher priority. A write that lacks write tokens delays no read.
+// next returns the request to be admitted next, or nil if there is none: of the next requests of
+// both queues the one with the higher priority. A write that lacks write tokens delays no read.
 func (s *requestScheduler) next(now time.Time) *waitingRequest {
 	write, read := s.writes.next(now), s.reads.next(now)
 	if write == nil || (read != nil && (read.priority < write.priority || s.writeDelay(write, now) > 0)) {
@@ -165,7 +169,7 @@
 	return write
 }
 
-// delay is how long a request whose turn it is has to wait for tokens.
+// delay returns how long a request whose turn it is has to wait for tokens.
 func (s *requestScheduler) delay(w *waitingRequest, now time.Time) time.Duration {
 	requests := 1.0
 	if w.keepsReserve(now) {
@@ -174,8 +178,10 @@
 	return max(s.tokenDelay(w, s.requestTokens, requests, 1, now), s.writeDelay(w, now))
 }
 
-// writeDelay is how long it has to wait for write tokens alone. Of more than a burst the rest is
-// reserved in advance, and the request sent when the bucket has filled up again.
+// writeDelay returns how long a request has to wait for write tokens alone. A request that needs
+// more than a burst waits for a full bucket; the rest is reserved in advance, and the request is
+// sent when these tokens have accumulated too. A request that awaits a loan waits until its
+// deadline.
 func (s *requestScheduler) writeDelay(w *waitingRequest, now time.Time) time.Duration {
 	switch {
 	case w.writes == 0:
@@ -192,8 +198,9 @@
 	return s.tokenDelay(w, s.writeTokens, tokens, least, now)
 }
 
-// tokenDelay is how long it takes until a bucket holds so many tokens, or until the request
-// need no longer leave a reserve and the bucket holds the least that it needs.
+// tokenDelay returns how long it takes until a bucket holds a number of tokens that includes a
+// reserve, or until the request no longer has to leave that reserve and the bucket holds the least
+// number of tokens that the request needs.
 func (s *requestScheduler) tokenDelay(w *waitingRequest, limiter *rate.Limiter, tokens, least float64, now time.Time) time.Duration {
 	delay := timeUntilTokens(limiter, tokens, now)
 	if tokens <= least {
@@ -203,7 +210,8 @@
 	return min(delay, max(reserveEnds, timeUntilTokens(limiter, least, now)))
 }
 
-// timeUntilTokens is how long it takes until a bucket holds so many tokens.
+// timeUntilTokens returns how long it takes until a bucket holds a number of tokens, and an hour
+// if its limit is zero.
 func timeUntilTokens(limiter *rate.Limiter, tokens float64, now time.Time) time.Duration {
 	const roundingError = 1e-6
 	missing := tokens - limiter.TokensAt(now)
@@ -216,8 +224,8 @@
 	return time.Duration(missing / float64(limiter.Limit()) * float64(time.Second))
 }
 
-// reserveAndSend admits a request with tokens of its own.
-func (s *requestScheduler) reserveAndSend(w *waitingRequest, now time.Time) {
+// reserveAndAdmit reserves the tokens of a request and admits or rejects it.
+func (s *requestScheduler) reserveAndAdmit(w *waitingRequest, now time.Time) {
 	s.queueFor(w.writes).admit(w)
 	reserved := []*rate.Reservation{s.requestTokens.ReserveN(now, 1)}
 	for left := w.writes; left > 0; {
@@ -225,12 +233,12 @@
 		reserved = append(reserved, s.writeTokens.ReserveN(now, n))
 		left -= n
 	}
-	s.send(w, reserved, now)
+	s.admitOrReject(w, reserved, now)
 }
 
-// send tells a request to go once its reserved tokens have come, or rejects it and gives them
-// back if that is after its deadline.
-func (s *requestScheduler) send(w *waitingRequest, reserved []*rate.Reservation, now time.Time) {
+// admitOrReject admits a request, delayed until its reserved tokens are available. If that is after
+// its deadline, it rejects the request and returns the tokens to their buckets.
+func (s *requestScheduler) admitOrReject(w *waitingRequest, reserved []*rate.Reservation, now time.Time) {
 	var delay time.Duration
 	for _, r := range reserved {
 		delay = max(delay, r.DelayFrom(now))
@@ -247,8 +255,8 @@
 	w.decided <- decision{admitted: true, delay: delay}
 }
 
-// setTimer sets the timer for the next moment at which a request may be admitted, expires or
-// may ask for a loan, and stops it if there is none.
+// setTimer sets the timer for the next time at which a request may be admitted, expires or may
+// request a loan, and stops the timer if there is none.
 func (s *requestScheduler) setTimer(now time.Time) {
 	var next time.Time
 	earliest := func(at time.Time) {
@@ -278,14 +286,15 @@
 	}
 }
 
-// wake runs when the timer expires.
+// wake is called when the timer expires.
 func (s *requestScheduler) wake() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dispatch(time.Now())
 }
 
-// takeDemand returns the units that were admitted since the last call or wait now.
+// takeDemand returns the numbers of requests and writes that were admitted since the last call or
+// that wait now.
 func (s *requestScheduler) takeDemand() (requests, writes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -295,15 +304,15 @@
 	return requests, writes
 }
 
-// backlog is how long the writes that wait now will take.
+// backlog returns how long the waiting writes take at the present limit.
 func (s *requestScheduler) backlog() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Duration(float64(s.writes.units()) / float64(s.writeTokens.Limit()) * float64(time.Second))
 }
 
-// setLimit sets the rate and burst of one of the buckets. Requests that wait may then be
-// admitted at once.
+// setLimit sets the rate and the burst of one of the buckets, and admits the waiting requests for
+// which tokens are available then.
 func (s *requestScheduler) setLimit(limiter *rate.Limiter, perSecond float64, burst int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -318,5 +327,5 @@
 	}
 }
 
-// sleep reports whether the time passed before the context ended; there may be none to wait.
+// sleep waits for d, if it is positive, and reports whether d passed before the context ended.
 func sleep(ctx context.Context, d time.Duration) bool { return d <= 0 || retry.Sleep(ctx, d) }
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -7,33 +7,41 @@
 	"bramblespur/internal/wire"
 )
 
-// Store is what controllers need of the key-value store.
+// Store is the interface to the state service that controllers use. Requests
+// fail with the errors of this package; any other error leaves open whether the request was
+// executed.
 type Store interface {
-	// Get reads one key; ErrNotFound without it.
+	// Get reads one key. It returns ErrNotFound if the key does not exist.
 	Get(ctx context.Context, purpose Purpose, key string) (wire.Entry, error)
-	// List reads all keys with a prefix, and returns the revision of the first page.
+	// List reads all keys with a prefix, in several pages if there are many. The revision is that
+	// of the first page.
 	List(ctx context.Context, purpose Purpose, prefix string) ([]wire.Entry, uint64, error)
-	// ListPage reads up to limit keys with a prefix that come after a key, none for the first.
+	// ListPage reads up to limit keys with a prefix, starting after the key after, or at the
+	// first key if after is empty.
 	ListPage(ctx context.Context, purpose Purpose, prefix, after string, limit int) (wire.EntryPage, error)
-	// Txn applies a transaction and returns its revision; see OutcomeOf for its errors.
+	// Txn applies a transaction and returns its revision. OutcomeOf interprets its error.
 	Txn(ctx context.Context, purpose Purpose, t wire.Txn) (uint64, error)
-	// Grant makes a lease, and Renew renews one; ErrNoLease if it has expired.
+	// Grant creates a lease that expires after ttl without a renewal, and returns its ID. Renew
+	// renews a lease by its ID; it returns ErrNoLease if the lease has expired.
 	Grant(ctx context.Context, ttl time.Duration) (uint64, error)
 	Renew(ctx context.Context, lease uint64) error
-	// Watch waits for changes after a revision; ErrTooOld if they are no longer kept.
+	// Watch waits for up to wait for changes after revision since of keys with a prefix. It
+	// returns ErrTooOld if the state service no longer keeps all these changes.
 	Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (wire.Changes, error)
-	// SetLimits sets this controller's share of the store's limits, per second.
+	// SetLimits sets this controller's share of the state service's limits: requests and changed
+	// keys per second.
 	SetLimits(rps, writeRPS float64)
-	// TakeDemand returns the requests and writes made since the last call, and those that
-	// wait for tokens.
-	TakeDemand() (requests, changes int)
-	// Backlog is how long the writes that wait now will take.
+	// TakeDemand returns the numbers of requests and writes (changed keys) that were admitted
+	// since the last call or that wait for tokens now.
+	TakeDemand() (requests, writes int)
+	// Backlog returns how long the waiting writes take at the present limit.
 	Backlog() time.Duration
-	// TakeUsage returns what was used since the last call, by purpose.
+	// TakeUsage returns the usage since the last call, by name of purpose.
 	TakeUsage() map[string]Usage
 }
 
-// Usage is what requests of one purpose used.
+// Usage counts the requests of one purpose that were sent, the keys that they put or deleted, and
+// the requests refused by the state service's rate limit or, without being sent, for lack of tokens.
 type Usage struct {
 	Requests, Puts, Deletes, Refused int
 	Bytes                            int // of requests and responses
@@ -49,5 +57,5 @@
 	return u
 }
 
-// writes is how many keys are changed.
+// writes returns the number of changed keys.
 func (u Usage) writes() int { return u.Puts + u.Deletes }
