--- a/internal/controller/shardhost/worker_calls.go
+++ b/internal/controller/shardhost/worker_calls.go
@@ -25,10 +25,10 @@
 	}
 	h.Update(shard, func(now time.Time) {
 		if err != nil {
-			shard.ProbeAnswered(probe.Machine, nil, now)
+			shard.ProbeDone(probe.Machine, nil, now)
 			return
 		}
-		shard.ProbeAnswered(probe.Machine, &heartbeat, now)
+		shard.ProbeDone(probe.Machine, &heartbeat, now)
 	})
 }
 
--- a/internal/scheduler/direct_commands_test.go
+++ b/internal/scheduler/direct_commands_test.go
@@ -122,7 +122,7 @@
 		r.cancel(s)()
 		r.heartbeats(2)
 		if len(w.Tasks) > maxRetainedAttempts+2 {
-			t.Fatalf("worker retains %d tasks after %d jobs, want few", len(w.Tasks), i+1)
+			t.Fatalf("worker has %d tasks after %d jobs, want maxRetainedAttempts+2 at most", len(w.Tasks), i+1)
 		}
 	}
 	if len(w.Started) != 3*maxRetainedAttempts {
--- a/internal/scheduler/doc.go
+++ b/internal/scheduler/doc.go
@@ -6,7 +6,7 @@
 // # Usage
 //
 // Events and the current time are passed to methods of Shard: records (Load, SetJob,
-// SetMachine, the Read methods), heartbeats of workers (Heartbeat, ProbeAnswered,
+// SetMachine, the Read methods), heartbeats of workers (Heartbeat, ProbeDone,
 // CommandDone), orders of the leader (ApplyFleetOrder) and the outcomes of transactions
 // (Applied, Conflict, Refused, TooLarge, Unknown). After any of them, and when time has passed,
 // Step does the work that is due and returns Effects, which lists everything that the caller
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -68,7 +68,7 @@
 }
 
 // recordContact records what a heartbeat shows about its machine, apart from the tasks there.
-// It is live if it proves the machine alive, that is, if it is not a late copy.
+// The heartbeat is live if it proves the machine alive, that is, if it is not a late copy.
 func (s *Shard) recordContact(m *Machine, r *wire.Heartbeat, direct, live bool, now time.Time) {
 	m.dropOutdatedStarts(r)
 	s.applyIncarnation(m, r, now)
--- a/internal/scheduler/probe.go
+++ b/internal/scheduler/probe.go
@@ -109,9 +109,9 @@
 	s.effects.Probes = append(s.effects.Probes, Probe{m.ID, m.Addr})
 }
 
-// ProbeAnswered records the end of a probe: r is the worker's heartbeat, or nil if no answer came.
+// ProbeDone records the end of a probe: r is the worker's heartbeat, or nil if no answer came.
 // It must be called once for each probe in the effects.
-func (s *Shard) ProbeAnswered(id string, r *wire.Heartbeat, now time.Time) {
+func (s *Shard) ProbeDone(id string, r *wire.Heartbeat, now time.Time) {
 	s.probes.inFlight--
 	m := s.inventory.byID[id]
 	if m == nil {
--- a/internal/scheduler/probe_test.go
+++ b/internal/scheduler/probe_test.go
@@ -15,9 +15,9 @@
 	for _, probe := range eff.Probes {
 		if slices.Contains(r.probeResponders, probe.Machine) {
 			rep := r.workers[probe.Machine].Report()
-			r.shard.ProbeAnswered(probe.Machine, &rep, r.clock.Now())
+			r.shard.ProbeDone(probe.Machine, &rep, r.clock.Now())
 		} else {
-			r.shard.ProbeAnswered(probe.Machine, nil, r.clock.Now())
+			r.shard.ProbeDone(probe.Machine, nil, r.clock.Now())
 		}
 	}
 }
@@ -129,7 +129,7 @@
 	}
 	r.clock.Advance(40 * time.Second) // the controller is paused
 	for _, probe := range eff.Probes {
-		r.shard.ProbeAnswered(probe.Machine, nil, r.clock.Now())
+		r.shard.ProbeDone(probe.Machine, nil, r.clock.Now())
 	}
 	r.advanceWithoutHeartbeats(r.cfg.HeartbeatInterval, ids...)
 	r.heartbeats(3)
--- a/internal/scheduler/random_history_test.go
+++ b/internal/scheduler/random_history_test.go
@@ -20,13 +20,13 @@
 	*harness
 	rnd                   *rand.Rand
 	jobs                  map[string]wire.Spec
-	ended                 map[string]bool         // tasks that completed on a worker
-	cancellationRequested map[string]bool         // by job
-	finalRecords          map[string]string       // final records as first written, by job
-	heartbeatCopies       []wire.Heartbeat        // heartbeats that may be delivered again
-	deposed               []*Shard                // earlier owners that have not noticed the failover
-	lateResponses         map[string]lateResponse // by machine
-	provisioned           int
+	ended                 map[string]bool            // tasks that completed on a worker
+	cancellationRequested map[string]bool            // by job
+	finalRecords          map[string]string          // final records as first written, by job
+	heartbeatCopies       []wire.Heartbeat           // heartbeats that may be delivered again
+	deposed               []*Shard                   // earlier owners that have not noticed the failover
+	lateResponses         map[string]lateResponse    // by machine
+	provisioned           int                        // machines provisioned so far, for their IDs
 	originals             map[string]json.RawMessage // damaged placement records, as they were, by key
 }
 
--- a/internal/scheduler/reconciliation_progress.go
+++ b/internal/scheduler/reconciliation_progress.go
@@ -86,7 +86,7 @@
 }
 
 // recordOrphanOutcome counts the outcome of a reported task that is not on record on its machine,
-// only the first time, and adds a contradiction to the effects.
+// only the first time. If the outcome is a contradiction, it is added to the effects.
 func (s *Shard) recordOrphanOutcome(m *Machine, rt *wire.HeartbeatTask, v reconcile.Outcome) {
 	if s.reconciliation.since.IsZero() || s.reconciliation.orphans[rt.Task] || len(s.reconciliation.orphans) >= maxOrphans {
 		return
--- a/internal/scheduler/restart_test.go
+++ b/internal/scheduler/restart_test.go
@@ -14,13 +14,13 @@
 // then gets a heartbeat of each machine per interval until all waiting tasks have started.
 type busyRestart struct {
 	*harness
-	machines int
-	started  int // starts sent so far
-	seconds  map[int]int
+	machines       int
+	started        int // starts sent so far
+	startsBySecond map[int]int
 }
 
 func newBusyRestart(t testing.TB, machines int, p *ratelimit.Limiter) *busyRestart {
-	r := &busyRestart{harness: fleetHarness(t, machines, 80), machines: machines, seconds: map[int]int{}}
+	r := &busyRestart{harness: fleetHarness(t, machines, 80), machines: machines, startsBySecond: map[int]int{}}
 	n := 0
 	for _, w := range r.workers {
 		if n++; n%2 == 0 {
@@ -56,7 +56,7 @@
 			}
 			for _, c := range orders.Commands {
 				if c.Op == wire.Start {
-					r.seconds[int(r.clock.Now().Sub(begin)/time.Second)]++
+					r.startsBySecond[int(r.clock.Now().Sub(begin)/time.Second)]++
 					r.started++
 				}
 			}
@@ -64,7 +64,7 @@
 		}
 		r.carryOutEffects()
 	}
-	for _, n := range r.seconds {
+	for _, n := range r.startsBySecond {
 		peak = max(peak, n)
 	}
 	return peak, took
--- a/internal/scheduler/safety_test.go
+++ b/internal/scheduler/safety_test.go
@@ -177,7 +177,7 @@
 }
 
 // While the owner may lack cancellations that other controllers accepted, nothing is started, not
-// even tasks whose placements were recorded before.
+// even tasks whose placements were recorded before. Stops are still sent.
 func TestNothingStartsWhileCancellationsAreUnknown(t *testing.T) {
 	r, w := newHarnessWithMachine(t)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
@@ -230,12 +230,12 @@
 	for i := range 6 {
 		name := fmt.Sprintf("run-00000%d/0", i)
 		if on := r.runningOn(name); (on == "") != (i == 3) {
-			t.Errorf("%s is on %q", name, on)
+			t.Errorf("task %s runs on %q, want all running but that of the cancelled job", name, on)
 		}
 	}
 }
 
-// A release whose transaction was not answered is recorded, and its machine is never used again.
+// A release whose transaction was not answered is recorded once, and its machine is never used again.
 func TestReleaseWithoutAnswer(t *testing.T) {
 	for _, disturb := range []func(*testkit.State){
 		func(s *testkit.State) { s.LoseAnswers = 1 },
