--- a/internal/scheduler/allocations_test.go
+++ b/internal/scheduler/allocations_test.go
@@ -13,9 +13,9 @@
 
 // Each bound is about one and a half times the usual figure, so that twice the work fails.
 const (
-	heartbeatAllocs        = 1    // measured: 0
-	bytesPerMachine        = 2300 // 1500
-	summaryBytesPerMachine = 270  // 180
+	heartbeatAllocs        = 1    // usual figure: 0
+	bytesPerMachine        = 2300 // usual figure: 1500
+	summaryBytesPerMachine = 270  // usual figure: 180
 )
 
 // startAllocs bounds the allocations for one start, by the number of machines of the shard. The
@@ -29,13 +29,13 @@
 	r.cfg.PlacementsPerRecord, r.cfg.ValueBytes, r.cfg.TxnOps = PlacementsPerRecord(16), 16<<10, 24
 	r.failOver()
 	for at := 0; at < machines; at += 50 {
-		rental := record.Provision{Type: "big", Zone: "z1", CreatedAt: r.clock.Now().UnixMilli()}
+		provision := record.Provision{Type: "big", Zone: "z1", CreatedAt: r.clock.Now().UnixMilli()}
 		for i := at; i < min(at+50, machines); i++ {
 			id := fmt.Sprintf("i-%06d", i)
-			rental.IDs, rental.Shards = append(rental.IDs, id), append(rental.Shards, 0)
+			provision.IDs, provision.Shards = append(provision.IDs, id), append(provision.Shards, 0)
 			r.workers[id] = testkit.NewWorker(id, "big", "z1", false)
 		}
-		r.applyRecord(r.state.Put(record.ProvisionKey(fmt.Sprint("r", at)), rental))
+		r.applyRecord(r.state.Put(record.ProvisionKey(fmt.Sprint("r", at)), provision))
 	}
 	r.heartbeat()
 	for i := range machines / 40 {
@@ -110,7 +110,7 @@
 
 // A machine with its two tasks takes little memory.
 func TestBytesPerMachine(t *testing.T) {
-	held := func(machines int) (*harness, uint64) {
+	measureHeap := func(machines int) (*harness, uint64) {
 		r := fleetHarness(t, machines, 80)
 		r.workers, r.state, r.fleet = nil, nil, nil // so that the memory that only the test uses is not counted
 		runtime.GC()
@@ -118,8 +118,8 @@
 		runtime.ReadMemStats(&m)
 		return r, m.HeapAlloc
 	}
-	small, a := held(200)
-	large, b := held(1800)
+	small, a := measureHeap(200)
+	large, b := measureHeap(1800)
 	runtime.KeepAlive(small)
 	runtime.KeepAlive(large)
 	got := int64(b-a) / 1800
@@ -150,7 +150,7 @@
 func TestStartAllocations(t *testing.T) {
 	for machines, most := range startAllocs {
 		r := fleetHarness(t, machines, 60)
-		n, slots := 0, 0
+		n, writes := 0, 0
 		got := testing.AllocsPerRun(10, func() {
 			n++
 			s := spec(fmt.Sprintf("run-8%05d", n), "b", wire.Array, "normal", 1, 1)
@@ -159,14 +159,14 @@
 			eff := r.shard.Step(now)
 			for _, txn := range eff.Txns {
 				r.shard.Applied(txn, uint64(2000+n), now)
-				slots++
+				writes++
 			}
 			if j := r.shard.jobs[s.Ref]; j == nil || !j.tasks[0].recorded {
 				t.Fatal("the job's start was not recorded")
 			}
 		})
-		if slots != n {
-			t.Errorf("%d machines: %d starts took %d writes, want one each", machines, n, slots)
+		if writes != n {
+			t.Errorf("%d machines: %d starts took %d writes, want one each", machines, n, writes)
 		}
 		if got > most {
 			t.Errorf("%d machines: %.0f allocations for a job and its start, want %g at most", machines, got, most)
--- a/internal/scheduler/arrivals.go
+++ b/internal/scheduler/arrivals.go
@@ -18,9 +18,9 @@
 	asOf           time.Time // up to when the sums have decayed
 }
 
-// record counts a job for the headroom if it has to start soon: it may not use spot
-// machines, or its team has a guarantee. Work that may use spot machines is counted apart,
-// since spot machines are kept ready for it.
+// record counts a job for the headroom if it has to start soon, because it must not run on
+// spot machines or its team has a guarantee. Work that may use spot machines is counted
+// apart, since spot machines are kept ready for it.
 func (a *arrivalRate) record(j *Job, cfg *Config, now time.Time) {
 	t := cfg.Teams[j.spec.Team]
 	if j.spec.Spot && t.CPUs <= 0 && t.GPUs <= 0 {
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -13,10 +13,10 @@
 )
 
 // submitAfter records a job that depends on the given jobs, as a controller does.
-func (r *harness) submitAfter(ref string, roots ...string) wire.Spec {
+func (r *harness) submitAfter(ref string, dependencies ...string) wire.Spec {
 	s := spec(ref, "b", wire.Array, "normal", 1, 0)
-	s.CPUs, s.MemoryGB, s.DependsOn = 1, 1, roots
-	r.putActiveJob(record.ActiveJob{Spec: s, AcceptedAt: r.clock.Now().UnixMilli(), AwaitsDependencies: len(roots) > 0})()
+	s.CPUs, s.MemoryGB, s.DependsOn = 1, 1, dependencies
+	r.putActiveJob(record.ActiveJob{Spec: s, AcceptedAt: r.clock.Now().UnixMilli(), AwaitsDependencies: len(dependencies) > 0})()
 	return s
 }
 
@@ -53,7 +53,7 @@
 	}
 	w.End(jobB+"/0", wire.Done)
 	r.heartbeat()
-	over := r.clock.Now()
+	endedAt := r.clock.Now()
 	r.heartbeat()
 	r.reportDependencyEnds()
 	r.heartbeats(2)
@@ -63,8 +63,8 @@
 	if r.shard.arrivals.onDemand <= before {
 		t.Error("the release of the dependent job does not count as an arrival")
 	}
-	if j := r.shard.jobs[jobC]; j.accepted.Sub(over).Abs() > time.Second {
-		t.Errorf("the dependent job counts as waiting since %v, want since its last dependency was done at %v", j.accepted, over)
+	if j := r.shard.jobs[jobC]; j.accepted.Sub(endedAt).Abs() > time.Second {
+		t.Errorf("the dependent job counts as waiting since %v, want since its last dependency was done at %v", j.accepted, endedAt)
 	}
 	if o, err := decode[record.ActiveJob](*r.get(record.ActiveJobKey(jobC))); err != nil || !o.AwaitsDependencies {
 		t.Error("the record of the dependent job says that it no longer awaits dependencies, want it unchanged")
--- a/internal/scheduler/feasibility.go
+++ b/internal/scheduler/feasibility.go
@@ -16,47 +16,47 @@
 // once all tasks there have ended that end by themselves or can be preempted for it. Machines
 // that are reserved for a gang which will never have enough of them are of use to no job.
 func (s *Shard) feasible(j *Job, n int, zone string) bool {
-	within := s.quotas.withinGuarantee(j, n)
+	withinGuarantee := s.quotas.withinGuarantee(j, n)
 	for _, m := range s.inventory.byID {
 		s.inventory.candidatesExamined++
 		if (zone != "" && m.Zone != zone) || !m.staysInShard() || !allows(j.spec, m) {
 			continue
 		}
-		if n -= s.quotas.eventualRoom(m, j, within).capacity(j.spec, n); n == 0 {
+		if n -= s.quotas.eventualRoom(m, j, withinGuarantee).capacity(j.spec, n); n == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// staysInShard reports whether a machine belongs to this shard and is not about to leave it;
-// it may still boot.
+// staysInShard reports whether a machine belongs to this shard and is not about to leave it.
+// It may still be booting.
 func (m *Machine) staysInShard() bool {
 	return m.Phase == record.InUse && !m.draining && m.cordon == NotCordoned && m.transferTo < 0 && m.reclaimedAt.IsZero()
 }
 
 // eventualRoom returns the room of a machine for j once all tasks there have ended that end
-// by themselves or can be preempted for j. It counts as used only what services
-// and protected arrays with pending tasks use, which place their next task as soon as one
+// by themselves or can be preempted for j. Other tasks keep their room: those of services,
+// and those of protected arrays with pending tasks, which place the next task as soon as one
 // ends.
-func (q *quotas) eventualRoom(m *Machine, j *Job, within bool) resources {
+func (q *quotas) eventualRoom(m *Machine, j *Job, withinGuarantee bool) resources {
 	r := resources{m.Type.CPUs, m.Type.GPUs, m.Type.MemoryGB}
 	for k, t := range m.tasks {
 		noEndInSight := k.job.spec.Kind == wire.Service || (k.job.protected && k.job.progress.pending > 0)
-		if noEndInSight && !t.stopping && !q.preemptible(k.job, j, within) {
+		if noEndInSight && !t.stopping && !q.preemptible(k.job, j, withinGuarantee) {
 			r = r.minus(k.job.spec, 1)
 		}
 	}
 	return r
 }
 
-// preemptible reports whether tasks of a job may be preempted for j; within tells whether j
-// keeps within its team's guarantee. A protected job is never preempted. Otherwise
-// a job is preempted for a higher priority, or for a team within its guarantee if its own
-// team is over its guarantee.
-func (q *quotas) preemptible(job, j *Job, within bool) bool {
+// preemptible reports whether tasks of a job may be preempted for j; withinGuarantee says
+// whether j keeps within its team's guarantee. A protected job is never preempted. Another
+// job is preempted for one of a higher priority, or for one of another team within its
+// guarantee if its own team is over its guarantee.
+func (q *quotas) preemptible(job, j *Job, withinGuarantee bool) bool {
 	if job.protected {
 		return false
 	}
-	return job.rank < j.rank || (within && job.spec.Team != j.spec.Team && q.overGuarantee(job.spec.Team))
+	return job.rank < j.rank || (withinGuarantee && job.spec.Team != j.spec.Team && q.overGuarantee(job.spec.Team))
 }
--- a/internal/scheduler/feasibility_test.go
+++ b/internal/scheduler/feasibility_test.go
@@ -67,23 +67,23 @@
 	}
 }
 
-// Machines that still boot count as room for a gang: it keeps its reservations until they
-// have booted.
+// Machines that are still booting, and the room of tasks that end by themselves, count for a
+// gang: it keeps its reservations for as long as that takes.
 func TestGangAwaitsMachinesThatBoot(t *testing.T) {
 	r := newHarness(t)
 	for _, id := range []string{"m0", "m1"} {
 		r.addMachine(id, "z1", false)
 	}
 	r.heartbeats(2)
-	late := r.addMachine("m2", "z1", false)
-	delete(r.workers, "m2") // it boots
+	booting := r.addMachine("m2", "z1", false)
+	delete(r.workers, "m2") // it is still booting
 	r.submit(gangOf("run-000002", 3))
 	r.submit(gangOf("run-000003", 2))
 	r.heartbeats(int((infeasibleAfter + 3*gangReservation) / r.cfg.HeartbeatInterval))
 	if r.runningOn("run-000003/0") != "" {
 		t.Fatal("the small gang took machines that the large one had reserved")
 	}
-	r.workers["m2"] = late
+	r.workers["m2"] = booting
 	r.heartbeats(4)
 	for _, task := range []string{"run-000002/0", "run-000002/1", "run-000002/2"} {
 		if r.runningOn(task) == "" {
--- a/internal/scheduler/pipeline.go
+++ b/internal/scheduler/pipeline.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// pipelineOf returns the pipeline with a reference. If the shard does not hold it yet, it
-// creates it and asks for its record to be read.
+// pipelineOf returns the pipeline with the reference ref. If the shard does not hold it yet,
+// pipelineOf creates it and asks for its record to be read.
 func (s *Shard) pipelineOf(ref string) *pipeline {
 	l := s.dependencies.pipelines[ref]
 	if l == nil {
@@ -149,7 +149,7 @@
 	if err != nil {
 		return err
 	}
-	run := &fragment.Pipeline{} // has no jobs left, as a pipeline that is over
+	run := &fragment.Pipeline{} // without remaining jobs, for a pipeline that is over
 	if rec.State == "" {
 		net, err := rec.Net()
 		if err != nil {
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -130,8 +130,8 @@
 	agedShare = 0.2
 )
 
-// aged reports whether a job goes before all others because it has waited too long, and
-// its priority has not used up its agedShare.
+// aged reports whether a job goes before all others: it is starved, or was when its tasks were
+// placed, and the protected jobs of its priority hold less than agedShare.
 func (p *protectedJobs) aged(j *Job, now time.Time) bool {
 	return (j.protected || j.starved(now)) && now.Sub(j.accepted) > agedAfter && p.shareByRank[j.rank] < agedShare
 }
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -30,7 +30,7 @@
 	r := newHarness(t)
 	r.addMachine("m1", "z1", true)
 	zone := "z2"
-	s := spec("run-000001", "b", wire.Array, "normal", 1, 1) // may not use spot machines
+	s := spec("run-000001", "b", wire.Array, "normal", 1, 1) // must not run on spot machines
 	z := spec("run-000002", "b", wire.Array, "normal", 1, 1)
 	z.Spot, z.Zone = true, &zone // bound to another zone
 	r.submit(s)
@@ -237,9 +237,9 @@
 	r.submit(one)
 	r.addMachine("m1", "z2", false)
 	r.heartbeats(4)
-	apart := spec("run-000002", "b", wire.Service, "prod", 2, 1)
-	apart.Spread = true
-	r.submit(apart)
+	spread := spec("run-000002", "b", wire.Service, "prod", 2, 1)
+	spread.Spread = true
+	r.submit(spread)
 	r.addMachine("m2", "z1", false)
 	r.heartbeats(4)
 	found := 0
@@ -267,9 +267,9 @@
 func TestNothingIsPreemptedInAnotherZone(t *testing.T) {
 	for kind, n := range map[string]int{wire.Array: 3, wire.Service: 2} {
 		r := newHarness(t)
-		bound := spec("run-000001", "b", kind, "prod", n, 1)
-		bound.OneZone, bound.Spread = kind == wire.Array, kind == wire.Service
-		r.submit(bound)
+		zoneBound := spec("run-000001", "b", kind, "prod", n, 1)
+		zoneBound.OneZone, zoneBound.Spread = kind == wire.Array, kind == wire.Service
+		r.submit(zoneBound)
 		first := map[string]string{wire.Array: "z2", wire.Service: "z1"}[kind]
 		r.addMachine("m1", first, false)
 		r.heartbeats(4)
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -68,12 +68,12 @@
 // addPreemptionOptions adds to byZone the machines on which n tasks of a job may preempt
 // others. The key is the zone if the job's tasks have to be in one zone, else "".
 func (s *Shard) addPreemptionOptions(byZone map[string][]preemptionOption, j *Job, n int, now time.Time) {
-	within := s.quotas.withinGuarantee(j, n)
-	s.eachPreemptionCandidate(j, within, now, func(m *Machine) {
+	withinGuarantee := s.quotas.withinGuarantee(j, n)
+	s.eachPreemptionCandidate(j, withinGuarantee, now, func(m *Machine) {
 		if !allows(j.spec, m) || !j.allowsZone(m.Zone) || !s.cfg.usable(m, now) || m.reservedForOther(j, now) || s.pass.reservedByLongWaitingGang(m, j, now) {
 			return
 		}
-		if o := s.preemptionOption(m, j, n, within, now); o.units > 0 {
+		if o := s.preemptionOption(m, j, n, withinGuarantee, now); o.units > 0 {
 			zone := j.commonZone(m)
 			byZone[zone] = append(byZone[zone], o)
 		}
@@ -81,9 +81,10 @@
 }
 
 // preemptionOption picks the tasks that have to be stopped on a machine so that one task of
-// j fits there, or, if j is a gang, as many of its n tasks as there can be room for. within
-// tells whether j keeps within its team's guarantee. The result has no units if none fits.
-func (s *Shard) preemptionOption(m *Machine, j *Job, n int, within bool, now time.Time) preemptionOption {
+// j fits there, or, if j is a gang, as many of its n tasks as there can be room for.
+// withinGuarantee says whether j keeps within its team's guarantee. If no task can fit, the
+// result has no units.
+func (s *Shard) preemptionOption(m *Machine, j *Job, n int, withinGuarantee bool, now time.Time) preemptionOption {
 	room := freeRoom(m)
 	var candidates []taskKey
 	cost := map[taskKey]float64{}
@@ -92,7 +93,7 @@
 			room = room.plus(k.job.spec)
 			continue
 		}
-		if s.quotas.preemptible(k.job, j, within) {
+		if s.quotas.preemptible(k.job, j, withinGuarantee) {
 			candidates = append(candidates, k)
 			cost[k], _ = k.preemptionCost(now)
 		}
@@ -184,7 +185,7 @@
 
 // eachPreemptionCandidate calls f once for each machine that has room for a task of j or may
 // have it once other tasks have stopped.
-func (s *Shard) eachPreemptionCandidate(j *Job, within bool, now time.Time, f func(*Machine)) {
+func (s *Shard) eachPreemptionCandidate(j *Job, withinGuarantee bool, now time.Time, f func(*Machine)) {
 	seen := machineSet{}
 	visit := func(m *Machine) {
 		if _, ok := seen[m]; !ok {
@@ -198,7 +199,7 @@
 		visit(m)
 	}
 	top := j.rank
-	if within && s.quotas.othersOverGuarantee(j.spec.Team) {
+	if withinGuarantee && s.quotas.othersOverGuarantee(j.spec.Team) {
 		top = highestRank + 1 // tasks of any priority may be preempted
 	}
 	for _, ms := range s.inventory.byRank[:top] {
@@ -214,9 +215,9 @@
 
 // preemptionCost returns what stopping a task costs, in seconds, and the grace period to stop
 // it with. The task either saves a checkpoint, which keeps its room in use meanwhile, or
-// loses the work since its last checkpoint (grace period 0), whichever costs less. It
-// saves checkpoints at intervals of its progress, so the time since the last one is known
-// well enough to choose.
+// loses the work since its last checkpoint (grace period 0), whichever costs less. Checkpoints
+// come at intervals of the task's progress, so the time since the last one is known well
+// enough to choose.
 func (k taskKey) preemptionCost(now time.Time) (loss float64, grace time.Duration) {
 	t := &k.job.tasks[k.index]
 	spec := k.job.spec
@@ -333,7 +334,7 @@
 }
 
 const (
-	// minFetchToPreempt is the shortest fetch of an image that is avoided by preemption.
+	// minFetchToPreempt is the shortest fetch of its image that a service avoids by preemption.
 	minFetchToPreempt = 4 * time.Second
 	// cachedRoomWait is how long after its acceptance a service waits for room where its
 	// image is cached, and how long such room is reserved for it.
--- a/internal/scheduler/quotas.go
+++ b/internal/scheduler/quotas.go
@@ -39,10 +39,10 @@
 // plus returns r with the resources of one task of a job added.
 func (r resources) plus(spec *wire.Spec) resources { return r.minus(spec, -1) }
 
-// capacity returns how many tasks of a job fit into r, at most most.
-func (r resources) capacity(spec *wire.Spec, most int) int {
+// capacity returns how many tasks of a job fit into r, at most limit.
+func (r resources) capacity(spec *wire.Spec, limit int) int {
 	count := 0
-	for ; count < most && r.fits(spec); count++ {
+	for ; count < limit && r.fits(spec); count++ {
 		r = r.minus(spec, 1)
 	}
 	return count
--- a/internal/scheduler/quotas_test.go
+++ b/internal/scheduler/quotas_test.go
@@ -13,11 +13,11 @@
 		"a": {Name: "a", GPUs: 2, MaxGPUs: 3},
 		"b": {Name: "b"},
 	}}}
-	gpu := func(team string) *Job {
+	gpuJob := func(team string) *Job {
 		s := spec("run-000001", team, wire.Array, "normal", 4, 1)
 		return &Job{spec: &s}
 	}
-	a, b := gpu("a"), gpu("b")
+	a, b := gpuJob("a"), gpuJob("b")
 	for used, want := range []struct{ guaranteed, limit, over bool }{
 		{true, true, false}, {true, true, false}, {false, true, false}, {false, false, true},
 	} {
@@ -46,7 +46,7 @@
 		q.refund(a.spec)
 	}
 	if !q.withinGuarantee(a, 2) || q.load("a") != 0 {
-		t.Errorf("after all was refunded the load is %v, want 0 and two tasks within the guarantee", q.load("a"))
+		t.Errorf("after all tasks were refunded: load %v, want 0, and two tasks within the guarantee", q.load("a"))
 	}
 }
 
--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -6,8 +6,8 @@
 
 // Score penalties of a machine with GPUs for a task that needs none. unusedGPUsPenalty
 // applies while no GPU of the machine is in use. preemptibleGPUsPenalty applies while all
-// tasks on the machine may be preempted for a gang: a task without GPUs that has inherited
-// a priority may not, and would then keep the gang from using the whole machine.
+// tasks on the machine can be preempted for a gang: a task without GPUs that has inherited
+// a priority cannot, and would then keep the gang from using the whole machine.
 const (
 	unusedGPUsPenalty      = 150
 	preemptibleGPUsPenalty = 110
--- a/internal/scheduler/waits.go
+++ b/internal/scheduler/waits.go
@@ -114,10 +114,10 @@
 	Machines map[Refusal]int
 }
 
-// LongestWaits explains the waits of the jobs with pending tasks that have waited longest, at
-// most most of them, and only jobs that have waited for atLeast. It examines all machines for
-// each of these jobs: it is meant for logs, not for every step.
-func (s *Shard) LongestWaits(atLeast time.Duration, most int, now time.Time) []WaitingJob {
+// LongestWaits explains why jobs with pending tasks wait: of those that have waited for atLeast
+// it returns the longest waits, at most limit. It examines all machines for each of these
+// jobs, so it is meant for logs, not for every step.
+func (s *Shard) LongestWaits(atLeast time.Duration, limit int, now time.Time) []WaitingJob {
 	var waiting []*Job
 	for _, j := range s.inventory.pendingJobs {
 		if !j.cancelled && now.Sub(j.accepted) >= atLeast {
@@ -128,12 +128,13 @@
 		return cmp.Or(a.accepted.Compare(b.accepted), cmp.Compare(a.ref, b.ref))
 	})
 	var out []WaitingJob
-	for _, j := range waiting[:min(len(waiting), most)] {
+	for _, j := range waiting[:min(len(waiting), limit)] {
 		out = append(out, s.explainWait(j, now))
 	}
 	return out
 }
 
+// explainWait returns the reason why a job waits, and why each machine takes none of its tasks.
 func (s *Shard) explainWait(j *Job, now time.Time) WaitingJob {
 	used := s.quotas.usage(j.spec.Team)
 	out := WaitingJob{Job: j.ref, Team: j.spec.Team, Waited: now.Sub(j.accepted), Pending: j.progress.pending,
--- a/internal/scheduler/waits_test.go
+++ b/internal/scheduler/waits_test.go
@@ -39,7 +39,7 @@
 			t.Errorf("refused for %q, want %q", got, want)
 		}
 		if placed := r.shard.selectMachines(j, 1, now) != nil; placed != (want == NotRefused) {
-			t.Errorf("%q: placed %t", want, placed)
+			t.Errorf("machine with refusal %q: placed %t, want the opposite", want, placed)
 		}
 	}
 }
