--- a/internal/reconcile/machine.go
+++ b/internal/reconcile/machine.go
@@ -1,19 +1,20 @@
 package reconcile
 
-// ListedMachine is a machine in the cloud's list, beside what is recorded of it.
+// ListedMachine is the evidence about a machine in the cloud's list.
 type ListedMachine struct {
-	Recorded         bool // a Provision names it
-	RecordedRecently bool // one did a short while ago: the list lags
-	TimesListed      int  // in how many lists in a row it was seen
-	ProvisionPending bool // a request is under way whose machines are not known yet
+	Recorded         bool // a provision record names it
+	RecordedRecently bool // a provision record named it until recently; the list lags
+	TimesListed      int  // number of consecutive lists that had it
+	ProvisionPending bool // a provision request is in flight whose machines are not known yet
 }
 
-// minTimesListed is in how many lists in a row an unrecorded machine must be: the list lags, and
-// one may be older than the one before.
+// minTimesListed is the number of consecutive lists that must have an unrecorded machine before it
+// is released. The list lags, and a list may be older than the one before it.
 const minTimesListed = 2
 
-// ClassifyMachine classifies a machine in the cloud's list. One without a record may belong to a
-// request whose answer was lost, which is repeated under the same name.
+// ClassifyMachine returns the result for a machine in the cloud's list. A machine without a record
+// may belong to a provision request whose answer was lost; that request is repeated under the same
+// name.
 func ClassifyMachine(m ListedMachine) Result {
 	switch {
 	case m.Recorded:
--- a/internal/reconcile/task.go
+++ b/internal/reconcile/task.go
@@ -2,18 +2,18 @@
 
 import "bramblespur/internal/wire"
 
-// ReportedTask is a task in a current heartbeat, beside what is recorded of it.
+// ReportedTask is the evidence about a task in a current heartbeat.
 type ReportedTask struct {
-	State, Why         string // as reported
-	JobKnown           bool   // the shard has the job, and that has such a task
+	State, Why         string // as the heartbeat reports them
+	JobKnown           bool   // the shard has the job, and the job has the task
 	Placed             bool   // the task is recorded on this machine under this attempt
 	PlacedElsewhere    bool   // it is recorded on another machine under this attempt
 	Completed          bool   // its completion is known
-	CompletionRecorded bool   // and recorded
-	CannotRestart      bool   // no late start can begin the attempt anew
+	CompletionRecorded bool   // its completion is recorded
+	CannotRestart      bool   // no delayed start can run the attempt again
 }
 
-// ClassifyReported classifies a task that a current heartbeat has.
+// ClassifyReported returns the result for a task that a current heartbeat reports.
 func ClassifyReported(t ReportedTask) Result {
 	exited := t.State == wire.Exited
 	switch {
@@ -22,7 +22,7 @@
 	case !t.JobKnown:
 		return t.classifyOrphan(Unrecorded, JobUnknown)
 	case exited && t.Why == wire.Done && !t.CompletionRecorded:
-		// The result counts, whatever the attempt, until its record is written.
+		// The completion counts under any attempt, until it is recorded.
 		return Result{Finished, RecordCompletion, CompletionNotRecorded}
 	case t.PlacedElsewhere:
 		return t.classifyOrphan(Conflicting, RecordedElsewhere)
@@ -32,7 +32,7 @@
 	return t.classifyOrphan(MustStop, NotRecorded)
 }
 
-// classifyPlaced classifies a task that is where the records say.
+// classifyPlaced returns the result for a task that is recorded on this machine under this attempt.
 func (t ReportedTask) classifyPlaced() Result {
 	switch {
 	case t.State != wire.Exited:
@@ -43,8 +43,8 @@
 	return Result{Finished, FreePlacement, AsRecorded}
 }
 
-// classifyOrphan classifies a task that is not recorded on this machine: if it runs it is stopped,
-// and if it has exited the worker may forget it once it can't be started anew.
+// classifyOrphan returns the result for a task that is not recorded on this machine. It is stopped
+// if it has not exited; otherwise the worker may forget it once no delayed start can run it again.
 func (t ReportedTask) classifyOrphan(outcome Outcome, reason Reason) Result {
 	switch {
 	case t.State != wire.Exited:
@@ -55,20 +55,21 @@
 	return Result{outcome, Forget, reason}
 }
 
-// AbsentTask is a task that is recorded on a machine and not in its current heartbeat.
+// AbsentTask is the evidence about a task that is recorded on a machine but is not in its current
+// heartbeat.
 type AbsentTask struct {
 	PlacementRecorded        bool // the placement is recorded, so that its start may have been sent
 	PlacedByPredecessor      bool // an earlier owner placed it
-	SeenBefore               bool // an earlier heartbeat under our token had it
-	StartSent                bool // we sent its start
-	SentToEarlierIncarnation bool // to an incarnation of the worker that has ended
-	AnswersDirectCommand     bool // the heartbeat answers a command; the start may be under way
-	StartMayArrive           bool // a start that was sent straight to the worker may still be carried out
-	Stopping                 bool // it is to be stopped
+	SeenBefore               bool // an earlier heartbeat under the owner's token reported it
+	StartSent                bool // the owner has sent its start
+	SentToEarlierIncarnation bool // its start was sent to an incarnation of the worker that has ended
+	AnswersDirectCommand     bool // the heartbeat answers a direct command, and may be older than the start
+	StartMayArrive           bool // a direct start may still be carried out
+	Stopping                 bool // it is being stopped
 }
 
-// ClassifyAbsent classifies a task that a current heartbeat lacks. Only a heartbeat that must have
-// had it proves that it is gone.
+// ClassifyAbsent returns the result for a task that a current heartbeat does not report. The task is
+// missing only if the heartbeat would have to report it.
 func ClassifyAbsent(t AbsentTask) Result {
 	switch {
 	case !t.PlacementRecorded:
@@ -82,7 +83,7 @@
 	case t.AnswersDirectCommand:
 		return Result{Pending, AwaitEvidence, StartMayBeUnderWay}
 	case t.Stopping && !t.StartMayArrive:
-		// The heartbeat is newer than the response that had the start, which was dropped.
+		// The heartbeat is newer than the response with the start, so the start was dropped.
 		return Result{Missing, FreePlacement, StartDropped}
 	case t.StartSent:
 		return Result{Pending, ResendStart, StartNotReceived}
--- a/internal/restart/episode.go
+++ b/internal/restart/episode.go
@@ -1,5 +1,5 @@
-// Package restart is pure: the record of what a controller found and did after it started
-// or took shards over, until reconciliation was over.
+// Package restart defines the record of what a controller found and did after its start or a
+// failover, until reconciliation was complete. It is pure.
 package restart
 
 import (
@@ -9,44 +9,45 @@
 	"time"
 )
 
-// Prefix is that of the records, one for each controller. It is one of the cluster's.
+// Prefix is the prefix of the keys of these records, one for each controller. It is one of the
+// prefixes of the cluster's records.
 const Prefix = "ctl/restart/"
 
-// Key names a controller's record.
+// Key returns the key of the record of the controller with a label.
 func Key(label string) string { return Prefix + label }
 
-// Cause says why shards had to be reconciled.
+// Cause is why shards had to be reconciled.
 type Cause string
 
 // Causes.
 const (
-	Started    Cause = "started"   // the process began
-	FailedOver Cause = "took over" // it acquired shards later
+	Started    Cause = "started"   // the process started
+	FailedOver Cause = "took over" // the controller acquired shards later
 )
 
-// Episode is the time from a start or a failover until reconciliation was over.
+// Episode describes one reconciliation, from a start or a failover until it was complete.
 type Episode struct {
-	Incarnation uint64 `json:"inc"`
+	Incarnation uint64 `json:"inc"` // of the controller
 	Cause       Cause  `json:"cause"`
-	BeganAt     int64  `json:"began"`             // milliseconds
-	CompletedAt int64  `json:"settled,omitempty"` // 0: it is not over
+	BeganAt     int64  `json:"began"`             // in Unix milliseconds
+	CompletedAt int64  `json:"settled,omitempty"` // in Unix milliseconds; 0: not complete yet
 	Shards      []int  `json:"parts"`
-	// Outcomes counts what was found, by the outcomes' names.
+	// Outcomes has the number of tasks with each outcome, by the names of the outcomes.
 	Outcomes       map[string]int `json:"verdicts,omitempty"`
-	PendingTasks   int            `json:"awaited,omitempty"` // tasks of which nothing is proven yet
+	PendingTasks   int            `json:"awaited,omitempty"` // tasks without a proven outcome
 	SilentMachines int            `json:"unheard,omitempty"` // machines that have not sent a heartbeat yet
-	PendingNames   []string       `json:"names,omitempty"`   // some of them
-	// CommandsPerSecond are those to workers, by second, and CommandLimit how many were allowed to this
-	// controller in one.
+	PendingNames   []string       `json:"names,omitempty"`   // IDs of some silent machines
+	// CommandsPerSecond is how many commands were released to workers in each second, and
+	// CommandLimit the equal share of this controller in commands per second.
 	CommandsPerSecond []int   `json:"orders,omitempty"`
 	CommandLimit      float64 `json:"bound,omitempty"`
-	// Contradictions counts claims that disagree with what is known.
+	// Contradictions is the number of claims of workers that contradict what the shards know.
 	Contradictions int `json:"contradictions,omitempty"`
-	// Malformed counts records that could not be decoded and were passed over.
+	// Malformed is the number of records that could not be decoded and were skipped.
 	Malformed int `json:"malformed,omitempty"`
 }
 
-// Duration returns how long reconciliation took, or has taken so far.
+// Duration returns how long reconciliation took, or has taken until now if it is not complete.
 func (e *Episode) Duration(now time.Time) time.Duration {
 	end := now
 	if e.CompletedAt != 0 {
@@ -55,18 +56,19 @@
 	return end.Sub(time.UnixMilli(e.BeganAt))
 }
 
-// ID tells an episode from others of its controller.
+// ID identifies the episode among all episodes of all controllers, given the label of its controller.
 func (e *Episode) ID(label string) string { return fmt.Sprintf("%s/%d", label, e.BeganAt) }
 
-// History is a controller's record: its latest episodes, the newest last.
+// History is a controller's record: its latest episodes, with the newest last.
 type History struct {
 	Episodes []Episode `json:"episodes"`
 }
 
-// maxEpisodes bounds the episodes that are kept.
+// maxEpisodes bounds the episodes in a record.
 const maxEpisodes = 8
 
-// Put adds an episode as it stands, in place of what was kept of it.
+// Put adds an episode, or replaces it if the history has it already. If there are too many episodes,
+// Put removes the oldest.
 func (h *History) Put(e Episode) {
 	h.Episodes = slices.DeleteFunc(h.Episodes, func(o Episode) bool { return o.BeganAt == e.BeganAt })
 	h.Episodes = append(h.Episodes, e)
@@ -75,16 +77,16 @@
 	}
 }
 
-// Encode returns the record, with as many of the latest episodes as it has room for. One
-// that has no room alone goes without its commands and names.
-func (h *History) Encode(bytes int) json.RawMessage {
+// Encode returns the record, with as many of the latest episodes as fit into maxBytes. If the latest
+// alone does not fit, it is encoded without its commands and names, whatever its size is then.
+func (h *History) Encode(maxBytes int) json.RawMessage {
 	kept := History{Episodes: slices.Clone(h.Episodes)}
 	for {
 		b, err := json.Marshal(kept)
 		if err != nil {
 			panic("restart: " + err.Error()) // numbers and strings always encode
 		}
-		if len(b) <= bytes {
+		if len(b) <= maxBytes {
 			return b
 		}
 		if len(kept.Episodes) > 1 {
