--- a/internal/drain/ledger.go
+++ b/internal/drain/ledger.go
@@ -6,76 +6,80 @@
 	"time"
 )
 
-// WholeGang is the task of a unit that is a gang: its tasks are interrupted together.
+// WholeGang is the value of UnitID.Task for a gang, whose tasks are interrupted together.
 const WholeGang = -1
 
-// UnitID names what is interrupted as one: a task, or a gang as a whole.
+// UnitID identifies a unit of work, which is interrupted as one: a task or a whole gang.
 type UnitID struct {
 	Job  string `json:"j"`
-	Task int    `json:"t"`
+	Task int    `json:"t"` // index in the job, or WholeGang
 }
 
-// Disruption is a unit of work that does not run: evicted by a drain, or lost. It stays
-// open until the unit runs again or its job is over.
+// Disruption is the interruption of a unit of work: an eviction that a drain was granted, or a
+// loss. It is open until the unit runs again or its job is finished.
 type Disruption struct {
 	UnitID
-	Attempt uint64 `json:"a"` // that was, or is to be, interrupted
-	Shard   int    `json:"p"` // whose owner closes it
+	Attempt uint64 `json:"a"` // the attempt that was, or is to be, interrupted
+	Shard   int    `json:"p"` // the shard whose owner closes the disruption
 	Class   string `json:"c,omitempty"`
 	Machine string `json:"m,omitempty"`
-	// Drain is the drain that it was granted to; empty: a loss that nobody chose.
+	// Drain is the drain that the eviction was granted to; empty for a loss.
 	Drain  string `json:"d,omitempty"`
 	At     int64  `json:"at"`          // milliseconds
-	Forced bool   `json:"f,omitempty"` // granted beyond the budget
+	Forced bool   `json:"f,omitempty"` // the eviction was granted beyond the budget
 }
 
-// Spent is a number of disruptions of a class that are over, and when the last one was.
+// Spent counts closed disruptions of a class, and records when the last of them was closed.
 type Spent struct {
 	Class string `json:"c,omitempty"`
-	At    int64  `json:"at"`
+	At    int64  `json:"at"` // milliseconds
 	Count int    `json:"n"`
 }
 
-// Ledger is a team's record of disruptions. Each grant is a write on the condition that
-// the ledger has not changed, so that no two controllers can both take the last one.
+// Ledger is a team's record of disruptions. Each grant is a write conditional on the ledger being
+// unchanged, so that no two controllers can both take the last eviction that the budget allows.
 type Ledger struct {
 	Team  string       `json:"team"`
 	Open  []Disruption `json:"open,omitempty"`
 	Spent []Spent      `json:"spent,omitempty"`
 }
 
-// Limit is how many disruptions are allowed at a time and within a sliding window.
+// Limit bounds the disruptions that are open at a time and those within a sliding window.
 type Limit struct {
 	MaxConcurrent int           `json:"at_once"`
 	MaxInWindow   int           `json:"in_window"`
 	Window        time.Duration `json:"window"`
 }
 
-// Budget is a team's limit, and those of classes that have one of their own besides.
+// Budget is a team's disruption budget: the limit for all of its work, and further limits for
+// single classes.
 type Budget struct {
 	Limit
 	Classes map[string]Limit `json:"classes,omitempty"`
 }
 
-// spentResolution is how far apart ends may be that share an entry of a ledger.
+// Disruptions of a class that are closed within spentResolution of each other share one entry of
+// Ledger.Spent.
 const spentResolution = 10 * time.Second
 
-// Clone returns a copy that shares nothing.
+// Clone returns a copy that shares no memory with the ledger.
 func (l Ledger) Clone() Ledger {
 	return Ledger{Team: l.Team, Open: slices.Clone(l.Open), Spent: slices.Clone(l.Spent)}
 }
 
-// Available returns how many more disruptions of a class a budget allows. A disruption counts
-// in the window for as long as it is open and then for the window's length: whenever
-// between its grant and its end the work really stopped, no window holds more.
+// Available returns how many more disruptions of a class a budget allows; it is negative where
+// losses exceed the budget. A disruption counts in the window while it is open and for the
+// window's length after that. So no window holds more disruptions than allowed, whenever between
+// grant and end the work really stopped.
 func (l *Ledger) Available(b Budget, class string, now time.Time) int {
-	room := l.available(b.Limit, now, func(string) bool { return true })
+	available := l.available(b.Limit, now, func(string) bool { return true })
 	if c, ok := b.Classes[class]; ok {
-		room = min(room, l.available(c, now, func(of string) bool { return of == class }))
+		available = min(available, l.available(c, now, func(other string) bool { return other == class }))
 	}
-	return room
+	return available
 }
 
+// available returns how many more disruptions a limit allows, for the classes that it counts.
 func (l *Ledger) available(limit Limit, now time.Time, counts func(class string) bool) int {
 	open, inWindow := 0, 0
 	for _, d := range l.Open {
@@ -91,11 +95,13 @@
 	return min(limit.MaxConcurrent-open, limit.MaxInWindow-open-inWindow)
 }
 
+// within reports whether the disruptions count in the window that ends now.
 func (s Spent) within(window time.Duration, now time.Time) bool {
 	return now.Sub(time.UnixMilli(s.At)) <= window
 }
 
-// OpenDisruption returns the open disruption of a unit, nil if there is none.
+// OpenDisruption returns the open disruption of a unit, or nil if there is none. It points into
+// the ledger.
 func (l *Ledger) OpenDisruption(u UnitID) *Disruption {
 	i := slices.IndexFunc(l.Open, func(d Disruption) bool { return d.UnitID == u })
 	if i < 0 {
@@ -104,7 +110,7 @@
 	return &l.Open[i]
 }
 
-// Add opens a disruption unless the unit has one already.
+// Add opens a disruption and reports whether it did: a unit has one open disruption at most.
 func (l *Ledger) Add(d Disruption) bool {
 	if l.OpenDisruption(d.UnitID) != nil {
 		return false
@@ -113,8 +119,8 @@
 	return true
 }
 
-// Close ends the disruption of a unit that runs again or is over; it counts in the window
-// from now on.
+// Close closes the disruption of a unit that runs again or whose job is finished. It counts in the
+// window from now on.
 func (l *Ledger) Close(u UnitID, now time.Time) {
 	if d := l.OpenDisruption(u); d != nil {
 		class := d.Class
@@ -123,13 +129,14 @@
 	}
 }
 
-// Withdraw takes back a grant that interrupted nothing.
+// Withdraw removes the disruption of a unit without counting it, for a grant that interrupted
+// nothing.
 func (l *Ledger) Withdraw(u UnitID) {
 	l.Open = slices.DeleteFunc(l.Open, func(d Disruption) bool { return d.UnitID == u })
 }
 
-// addSpent counts disruptions that are over. Those of a class that end at about the same
-// time share an entry, which counts as of the last.
+// addSpent counts disruptions of a class that were closed at a time. Disruptions that were closed
+// within spentResolution share an entry, which has the time of the last.
 func (l *Ledger) addSpent(class string, count int, now time.Time) {
 	for i := range l.Spent {
 		s := &l.Spent[i]
@@ -141,15 +148,15 @@
 	l.Spent = append(l.Spent, Spent{Class: class, At: now.UnixMilli(), Count: count})
 }
 
-// Expire drops what no window of a budget reaches any more.
+// Expire drops the closed disruptions that lie outside all windows of the budget.
 func (l *Ledger) Expire(b Budget, now time.Time) {
 	l.Spent = slices.DeleteFunc(l.Spent, func(s Spent) bool { return !s.within(b.longestWindow(), now) })
 }
 
-// ShrinkTo makes a ledger keep to a number of bytes, by the given size function, and reports whether that
-// was possible. Counts are merged, each as of the latest of them, so that what is left of
-// the budget only shrinks. Only if that is not enough are losses, which can't be refused,
-// counted in the window instead of listed as open.
+// ShrinkTo shrinks the ledger to a number of bytes at most, as measured by size, and reports
+// whether that was possible. It merges the counts of closed disruptions under the latest time among
+// them, so that the remaining budget can only decrease. If that is not enough, it counts open losses,
+// which cannot be refused, as closed.
 func (l *Ledger) ShrinkTo(size func(*Ledger) int, bytes int) bool {
 	for size(l) > bytes {
 		if !l.mergeSpent() && !l.closeOldestLoss() {
@@ -159,7 +166,8 @@
 	return true
 }
 
-// closeOldestLoss counts the oldest open loss instead of listing it.
+// closeOldestLoss counts the oldest open loss as closed at the time of the loss, and reports
+// whether there was one.
 func (l *Ledger) closeOldestLoss() bool {
 	i := slices.IndexFunc(l.Open, func(d Disruption) bool { return d.Drain == "" })
 	if i < 0 {
@@ -171,12 +179,13 @@
 	return true
 }
 
-// mergeSpent merges the two oldest counts of one class.
+// mergeSpent adds the oldest count that can be merged to the next one of its class, and reports
+// whether there was one.
 func (l *Ledger) mergeSpent() bool {
 	slices.SortStableFunc(l.Spent, func(a, b Spent) int { return cmp.Compare(a.At, b.At) })
 	for i, s := range l.Spent {
 		rest := l.Spent[i+1:]
-		if k := slices.IndexFunc(rest, func(o Spent) bool { return o.Class == s.Class }); k >= 0 {
+		if k := slices.IndexFunc(rest, func(other Spent) bool { return other.Class == s.Class }); k >= 0 {
 			rest[k].Count += s.Count
 			l.Spent = slices.Delete(l.Spent, i, i+1)
 			return true
--- a/internal/drain/operator_txns.go
+++ b/internal/drain/operator_txns.go
@@ -8,8 +8,8 @@
 	"bramblespur/internal/wire"
 )
 
-// StartTxn is the transaction by which an operator asks for a drain. It fails if there is
-// one of that name.
+// StartTxn returns the transaction by which an operator starts a drain. It fails if there is a
+// drain of that name.
 func StartTxn(p Plan) wire.Txn {
 	key := PlanKey(p.Name)
 	return wire.Txn{
@@ -18,13 +18,15 @@
 	}
 }
 
-// ChangeTxn is the transaction by which an operator pauses, resumes or cancels a drain.
+// ChangeTxn returns the transaction by which an operator pauses, resumes or cancels a drain. It
+// fails if the drain's record has changed. ChangeTxn returns an error if the drain is in a terminal
+// state or in the wanted one.
 func ChangeTxn(p Versioned[Plan], to State, now time.Time) (wire.Txn, error) {
 	if p.Rec.State.Terminal() {
 		return wire.Txn{}, fmt.Errorf("drain %s is %s already", p.Rec.Name, p.Rec.State)
 	}
 	if p.Rec.State == to {
-		return wire.Txn{}, fmt.Errorf("drain %s is %s", p.Rec.Name, to)
+		return wire.Txn{}, fmt.Errorf("drain %s is %s already", p.Rec.Name, to)
 	}
 	changed := p.Rec
 	changed.State = to
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -1,6 +1,10 @@
-// Package drain is pure: it decides which machines are drained next and whose work may be
-// interrupted for it, within each team's disruption budget. Records, work and the time go
-// in, the next steps come out; internal/controller writes and carries them out.
+// Package drain plans drains: it decides which machines are cordoned next and which work on them
+// is evicted, within each team's disruption budget. It defines the records of drains and builds the
+// transactions that change them.
+//
+// The package does no I/O and reads no clock: it computes the next steps from the records, the work
+// and the time that it is given. internal/controller commits the transactions and carries the steps
+// out.
 package drain
 
 import (
@@ -11,27 +15,28 @@
 	"time"
 )
 
-// State says whether a drain goes on.
+// State is the state of a drain.
 type State string
 
 // States of a drain.
 const (
 	Active    State = "active"
-	Paused    State = "paused"    // nothing new is cordoned, evicted or returned
+	Paused    State = "paused"    // no further machine is cordoned or released and no work is evicted
 	Cancelled State = "cancelled" // cordons are lifted
 	Finished  State = "finished"  // no machine that it selects is left
 )
 
-// Terminal reports whether a drain in this state has come to its end.
+// Terminal reports whether a drain in this state has ended.
 func (s State) Terminal() bool { return s == Cancelled || s == Finished }
 
-// Selector names the machines that are to be drained: either by their names or by what
-// all of the other fields say.
+// Selector selects the machines that are to be drained: either those that it names, or those that
+// match all of its other fields. An empty field matches every machine.
 type Selector struct {
 	Machines []string `json:"machines,omitempty"`
 	Types    []string `json:"types,omitempty"`
 	Zones    []string `json:"zones,omitempty"`
-	// RentedBefore is a time in milliseconds; 0: at any time.
+	// RentedBefore selects the machines that were provisioned before a time in milliseconds; 0 for
+	// any time.
 	RentedBefore int64 `json:"rented_before,omitempty"`
 }
 
@@ -39,23 +44,23 @@
 type Plan struct {
 	Name     string   `json:"name"`
 	Selector Selector `json:"selector"`
-	// MaxConcurrent is how many machines may be cordoned at a time.
+	// MaxConcurrent is how many machines the drain may have cordoned at a time.
 	MaxConcurrent int `json:"at_once"`
-	// FinishBy is when the drain should be over, in milliseconds; 0: whenever.
+	// FinishBy is the time by which the drain should have ended, in milliseconds; 0 for none.
 	FinishBy int64  `json:"finish_by,omitempty"`
 	Reason   string `json:"reason"`
-	// Force lets evictions pass the budgets once FinishBy is past.
+	// Force allows evictions beyond the budgets once FinishBy is past.
 	Force bool  `json:"force,omitempty"`
 	State State `json:"state"`
-	// Created and Ended are times in milliseconds. Machines provisioned after Created are
-	// never selected, else a drain by type would drain its own replacements.
+	// Created and Ended are times in milliseconds. Machines provisioned at or after Created are never
+	// selected, otherwise a drain by type would drain its own replacements.
 	Created int64 `json:"created"`
 	Ended   int64 `json:"ended,omitempty"`
 
-	selectedByName map[string]bool // the selector's machines, if they were looked up before
+	selectedByName map[string]bool // Selector.Machines as a set; nil before indexMachines
 }
 
-// indexMachines makes the machines that are selected by name quick to find.
+// indexMachines builds the set of the machines that are selected by name.
 func (p *Plan) indexMachines() {
 	p.selectedByName = make(map[string]bool, len(p.Selector.Machines))
 	for _, id := range p.Selector.Machines {
@@ -65,18 +70,19 @@
 
 // Limits of a plan's fields.
 const (
-	maxName   = 64
-	maxReason = 200
+	maxName   = 64  // bytes
+	maxReason = 200 // bytes
 )
 
-// ErrInvalid is what is wrong with a plan.
+// ErrInvalid is wrapped by the errors that say what is wrong with a plan.
 var ErrInvalid = errors.New("invalid drain")
 
 func invalid(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrInvalid, fmt.Sprintf(format, args...))
 }
 
-// Check refuses a plan that makes no sense.
+// Check returns an error that wraps ErrInvalid if a field of the plan is invalid or the fields
+// contradict each other.
 func (p *Plan) Check() error {
 	if err := CheckName(p.Name); err != nil {
 		return err
@@ -87,18 +93,18 @@
 	case len(p.Reason) > maxReason:
 		return invalid("the reason is longer than %d bytes", maxReason)
 	case p.Created <= 0:
-		return invalid("it has no time of creation")
+		return invalid("the time of creation is not set")
 	case p.FinishBy != 0 && p.FinishBy <= p.Created:
 		return invalid("finish-by is not after its start")
 	case p.Force && p.FinishBy == 0:
 		return invalid("force without finish-by")
 	case !slices.Contains([]State{Active, Paused, Cancelled, Finished}, p.State):
-		return invalid("state %.20q", p.State)
+		return invalid("unknown state %.20q", p.State)
 	}
 	return p.Selector.Check()
 }
 
-// CheckName refuses names that can't be a part of a key.
+// CheckName returns an error that wraps ErrInvalid if a name cannot be a part of a key.
 func CheckName(name string) error {
 	if name == "" || len(name) > maxName || strings.ContainsAny(name, "/ \t\r\n") {
 		return invalid("name %.70q is empty, too long, or holds a space or a slash", name)
@@ -106,7 +112,8 @@
 	return nil
 }
 
-// Check refuses a selector that selects everything, or whose fields contradict each other.
+// Check returns an error that wraps ErrInvalid if the selector selects every machine or its fields
+// contradict each other.
 func (s *Selector) Check() error {
 	filters := len(s.Types) + len(s.Zones)
 	if s.RentedBefore != 0 {
@@ -118,15 +125,16 @@
 	case len(s.Machines) == 0 && filters == 0:
 		return invalid("no machine is selected")
 	case s.RentedBefore < 0:
-		return invalid("rented-before lies before all time")
+		return invalid("rented-before is a negative time, want milliseconds since 1970")
 	}
 	return nil
 }
 
-// Selects reports whether a machine is to be drained.
-func (p *Plan) Selects(id, typ, zone string, rented time.Time) bool {
+// Selects reports whether a machine of an ID, type and zone that was provisioned at a time is to be
+// drained.
+func (p *Plan) Selects(id, machineType, zone string, provisionedAt time.Time) bool {
 	s := &p.Selector
-	if rented.UnixMilli() >= p.Created {
+	if provisionedAt.UnixMilli() >= p.Created {
 		return false
 	}
 	switch {
@@ -135,12 +143,12 @@
 	case len(s.Machines) > 0:
 		return slices.Contains(s.Machines, id)
 	}
-	return (len(s.Types) == 0 || slices.Contains(s.Types, typ)) &&
+	return (len(s.Types) == 0 || slices.Contains(s.Types, machineType)) &&
 		(len(s.Zones) == 0 || slices.Contains(s.Zones, zone)) &&
-		(s.RentedBefore == 0 || rented.UnixMilli() < s.RentedBefore)
+		(s.RentedBefore == 0 || provisionedAt.UnixMilli() < s.RentedBefore)
 }
 
-// pastDeadline reports whether a drain should be over by now.
+// pastDeadline reports whether the time by which the drain should have ended is past.
 func (p *Plan) pastDeadline(now time.Time) bool {
 	return p.FinishBy != 0 && now.UnixMilli() >= p.FinishBy
 }
--- a/internal/drain/progress.go
+++ b/internal/drain/progress.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// HoldReason says why a machine's work is not evicted yet.
+// HoldReason says why a machine is not cordoned, or its work not evicted, yet.
 type HoldReason string
 
-// Reasons to hold.
+// Reasons to hold a machine.
 const (
 	HoldEndsSoon        HoldReason = "ends soon by itself"
 	HoldCheckpointDue   HoldReason = "a checkpoint is due"
@@ -22,41 +22,42 @@
 	HoldZone            HoldReason = "too few of its zone take work"
 )
 
-// BudgetUse is what a team had of its budget at a moment.
+// BudgetUse is how much of its budget a team used at a moment.
 type BudgetUse struct {
-	Concurrent int `json:"o"` // at a time
-	InWindow   int `json:"w"`
+	Concurrent int `json:"o"` // open disruptions
+	InWindow   int `json:"w"` // disruptions in the window, with the open ones
 }
 
-// Sample is a moment of a drain's progress.
+// Sample is the progress of a drain on one shard at a moment.
 type Sample struct {
 	At       int64                `json:"at"` // milliseconds
-	Cordoned int                  `json:"c"`  // machines of the shard that were cordoned so far
-	Returned int                  `json:"r"`  // and those of them that are gone
+	Cordoned int                  `json:"c"`  // machines of the shard cordoned so far
+	Returned int                  `json:"r"`  // cordoned machines released or lost so far
 	Teams    map[string]BudgetUse `json:"u,omitempty"`
 }
 
-// TeamImpact is what a drain did to a team's work.
+// TeamImpact sums up the evictions of a team's work by a drain.
 type TeamImpact struct {
-	Evicted int     `json:"n"`
-	Forced  int     `json:"f,omitempty"` // of them beyond the budget
-	LostS   float64 `json:"lost"`        // seconds of work that were not saved, for all tasks
+	Evicted int     `json:"n"`           // evictions
+	Forced  int     `json:"f,omitempty"` // evictions beyond the budget
+	LostS   float64 `json:"lost"`        // seconds of work lost, summed over tasks
 }
 
-// Progress is what a shard did for a drain, for the report. It is bounded: samples are thinned
-// out as they become many.
+// Progress is the record of what the owners of a shard did for a drain, for the report. Its size is
+// bounded: AddSample and ShrinkTo thin the samples out.
 type Progress struct {
-	Cordoned    int                    `json:"c"`
-	Returned    int                    `json:"r"`
+	Cordoned    int                    `json:"c"` // machines cordoned
+	Returned    int                    `json:"r"` // cordoned machines released or lost
 	Teams       map[string]TeamImpact  `json:"teams,omitempty"`
-	HoldSeconds map[HoldReason]float64 `json:"held,omitempty"` // machines' seconds
+	HoldSeconds map[HoldReason]float64 `json:"held,omitempty"` // held seconds, summed over machines
 	Samples     []Sample               `json:"points,omitempty"`
 }
 
-// maxSamples bounds the samples of a progress record.
+// maxSamples is the most samples that a progress record keeps.
 const maxSamples = 96
 
-// Clone returns a copy that shares nothing that is changed.
+// Clone returns a copy that may be changed: its maps are not nil and not shared. It shares the
+// samples' Teams maps, which do not change.
 func (p Progress) Clone() Progress {
 	out := Progress{Cordoned: p.Cordoned, Returned: p.Returned, Samples: slices.Clone(p.Samples)}
 	out.Teams = maps.Clone(p.Teams)
@@ -70,7 +71,7 @@
 	return out
 }
 
-// CountEviction counts an eviction of a team's work.
+// CountEviction counts an eviction of a team's work. Its lost work is summed over tasks.
 func (p *Progress) CountEviction(team string, lost time.Duration, forced bool) {
 	t := p.Teams[team]
 	t.Evicted++
@@ -81,7 +82,8 @@
 	p.Teams[team] = t
 }
 
-// AddSample adds a sample.
+// AddSample adds a sample with the teams' budget use, and thins the samples out if there are more
+// than maxSamples.
 func (p *Progress) AddSample(now time.Time, teams map[string]BudgetUse) {
 	p.Samples = append(p.Samples, Sample{At: now.UnixMilli(), Cordoned: p.Cordoned, Returned: p.Returned, Teams: teams})
 	if len(p.Samples) > maxSamples {
@@ -89,8 +91,8 @@
 	}
 }
 
-// ShrinkTo thins the samples out until it keeps to a number of bytes, by the given size function, and reports
-// whether it does.
+// ShrinkTo thins the samples out until the record has a number of bytes at most, as measured by size,
+// and reports whether that was possible.
 func (p *Progress) ShrinkTo(size func(*Progress) int, bytes int) bool {
 	for size(p) > bytes {
 		if len(p.Samples) <= 2 {
@@ -101,7 +103,7 @@
 	return true
 }
 
-// thinSamples drops every second sample but the last.
+// thinSamples drops every second sample, but keeps the last.
 func (p *Progress) thinSamples() {
 	var kept []Sample
 	for i, sample := range p.Samples {
@@ -112,7 +114,7 @@
 	p.Samples = kept
 }
 
-// Usage returns what a ledger has in use of a budget.
+// Usage returns how much of a budget the ledger's disruptions use.
 func (l *Ledger) Usage(b Budget, now time.Time) BudgetUse {
 	u := BudgetUse{Concurrent: len(l.Open), InWindow: len(l.Open)}
 	for _, s := range l.Spent {
--- a/internal/drain/selection.go
+++ b/internal/drain/selection.go
@@ -6,19 +6,18 @@
 	"time"
 )
 
-// Choose returns up to most machines to drain together, so that few units are interrupted
-// and little work is lost. room tells how many more machines of a zone may go.
+// Choose returns the IDs of at most limit machines to drain together, such that few units are
+// interrupted and little work is lost. room returns how many more machines of a zone may be drained.
 //
-// The choice is greedy: again and again it takes whatever adds least to the cost for each of
-// its machines, be it one machine or all those of a gang that is on several. Where few are
-// chosen it is then improved by exchanges. The problem, to hit the fewest units with a number
-// of machines, is hard to solve exactly; docs/design-drains.md tells how far from the best
-// this is.
-func Choose(machines []*Machine, most int, room func(zone string) int) []string {
+// The choice is greedy: it repeatedly adds the group of machines with the least added cost per
+// machine. A group is a single machine or all machines of a gang that runs on several. A small choice
+// is then improved by exchanges. Finding the machines that hit the fewest units is hard to solve
+// exactly; docs/design-drains.md compares this choice with the best one.
+func Choose(machines []*Machine, limit int, room func(zone string) int) []string {
 	c := newSelection(machines, room)
 	var chosen []int
-	for len(chosen) < most {
-		group := c.cheapest(most - len(chosen))
+	for len(chosen) < limit {
+		group := c.cheapest(limit - len(chosen))
 		if len(group) == 0 {
 			break
 		}
@@ -35,19 +34,19 @@
 	return names
 }
 
-// selection holds what is left to choose from.
+// selection is the state of a choice of machines. Machines are identified by their index in machines.
 type selection struct {
 	machines   []*Machine
-	room       func(zone string) int
-	roomByZone map[string]int // machines that may go, by zone
-	taken      []bool
-	unitsHit   map[UnitID]bool
-	gangs      [][]int // machines of each gang that is on several
+	room       func(zone string) int // see Choose
+	roomByZone map[string]int        // how many more machines of a zone may be drained, once it was asked for
+	taken      []bool                // whether a machine is chosen, by index
+	unitsHit   map[UnitID]bool       // units on the chosen machines
+	gangs      [][]int               // the machines of each gang
 }
 
-// unitCost is what interrupting a unit counts besides the work that is lost: its tasks have
-// to be placed and their images fetched again.
-const unitCost = 10 * time.Second
+// taskRestartCost is the cost of interrupting one task besides the lost work: the task has to be placed
+// again and its image fetched again.
+const taskRestartCost = 10 * time.Second
 
 func newSelection(machines []*Machine, room func(zone string) int) *selection {
 	c := &selection{machines: slices.Clone(machines), room: room, roomByZone: map[string]int{}, unitsHit: map[UnitID]bool{}}
@@ -71,11 +70,14 @@
 	return c
 }
 
-func (u *Unit) cost() time.Duration { return u.LostWork + unitCost*time.Duration(max(1, u.Tasks)) }
+// cost returns the cost of interrupting a unit.
+func (u *Unit) cost() time.Duration {
+	return u.LostWork + taskRestartCost*time.Duration(max(1, u.Tasks))
+}
 
-// cheapest returns the machine, or the gang's machines, of at most so many, that add least
-// for each machine; nothing if none may go.
-func (s *selection) cheapest(most int) []int {
+// cheapest returns the group of at most limit machines that adds the least cost per machine, or nil
+// if no machine may be drained.
+func (s *selection) cheapest(limit int) []int {
 	var best []int
 	var least time.Duration
 	consider := func(group []int) {
@@ -89,15 +91,16 @@
 		}
 	}
 	for _, gang := range s.gangs {
-		if group := s.group(gang, most); len(group) > 1 {
+		if group := s.group(gang, limit); len(group) > 1 {
 			consider(group)
 		}
 	}
 	return best
 }
 
-// group returns those of a gang's machines that are left, if all of them may go together.
-func (s *selection) group(gang []int, most int) []int {
+// group returns the machines of a gang that are not chosen yet, or nil if they are more than limit or
+// may not all be drained together.
+func (s *selection) group(gang []int, limit int) []int {
 	var group []int
 	zones := map[string]int{}
 	for _, i := range gang {
@@ -110,13 +113,13 @@
 		}
 		group = append(group, i)
 	}
-	if len(group) > most {
+	if len(group) > limit {
 		return nil
 	}
 	return group
 }
 
-// eligible reports whether a machine is left and its zone spares it.
+// eligible reports whether a machine is not chosen yet and its zone allows another one.
 func (s *selection) eligible(i int) bool {
 	zone := s.machines[i].Zone
 	if _, known := s.roomByZone[zone]; !known {
@@ -125,7 +128,7 @@
 	return !s.taken[i] && s.roomByZone[zone] > 0
 }
 
-// addedCost is the cost of the units on some machines that are not hit already.
+// addedCost returns the cost of the units on some machines, without the units that are hit already.
 func (s *selection) addedCost(group []int) time.Duration {
 	if len(group) == 1 {
 		return s.addedCostOf(s.machines[group[0]], nil)
@@ -138,6 +141,8 @@
 	return cost
 }
 
+// addedCostOf is addedCost of one machine. It skips the units in counted and, unless counted is nil,
+// adds the machine's units to it.
 func (s *selection) addedCostOf(m *Machine, counted map[UnitID]bool) time.Duration {
 	cost := time.Duration(0)
 	for _, u := range m.Units {
@@ -152,7 +157,7 @@
 	return cost
 }
 
-// take takes a machine, with which all its units are hit.
+// take chooses a machine, which hits all units on it.
 func (s *selection) take(i int) {
 	s.taken[i] = true
 	s.roomByZone[s.machines[i].Zone]--
@@ -161,19 +166,19 @@
 	}
 }
 
-// Batches returns the order in which the machines of a drain would go if each step had to
-// end before the next, as a dry run shows it. Of the machines in service, by zone, all are taken
-// to do work.
-func Batches(machines []*Machine, atOnce int, zones map[string]int, s *Settings) [][]string {
-	left := slices.Clone(machines)
+// Batches returns, for a dry run, the IDs of the machines of a drain in batches of at most
+// maxConcurrent, as if each batch had to be empty before the next is cordoned. inService counts the
+// machines in service by zone; all of them are assumed to take work.
+func Batches(machines []*Machine, maxConcurrent int, inService map[string]int, s *Settings) [][]string {
+	remaining := slices.Clone(machines)
 	var out [][]string
-	for len(left) > 0 {
-		step := Choose(left, atOnce, func(zone string) int { return s.zoneLimit(Zone{zones[zone], zones[zone]}) })
-		if len(step) == 0 {
+	for len(remaining) > 0 {
+		batch := Choose(remaining, maxConcurrent, func(zone string) int { return s.zoneLimit(Zone{inService[zone], inService[zone]}) })
+		if len(batch) == 0 {
 			break
 		}
-		left = slices.DeleteFunc(left, func(m *Machine) bool { return slices.Contains(step, m.ID) })
-		out = append(out, step)
+		remaining = slices.DeleteFunc(remaining, func(m *Machine) bool { return slices.Contains(batch, m.ID) })
+		out = append(out, batch)
 	}
 	return out
 }
--- a/internal/drain/selection_exchange.go
+++ b/internal/drain/selection_exchange.go
@@ -2,75 +2,77 @@
 
 import "time"
 
-// maxExchangeSize bounds the machines times the chosen ones for which a choice is improved by
-// exchanges: with more of them the greedy choice is close to the best as it is.
+// maxExchangeSize bounds the number of machines times the number of chosen machines up to which a
+// choice is improved by exchanges. Above it the greedy choice is close to the best.
 const maxExchangeSize = 4096
 
 // improveByExchange exchanges one or two chosen machines for others of the same zones as long as that
-// lowers the cost. Where few are chosen, what the greedy choice took first may stand in the
-// way of a gang's machines.
+// lowers the cost. In a small choice the machines that were chosen first may leave too little room
+// for all machines of a gang.
 func (s *selection) improveByExchange(chosen []int) {
 	if len(chosen)*len(s.machines) > maxExchangeSize {
 		return
 	}
 	cost := s.totalCost(chosen)
-	for better := true; better; {
-		better = false
+	for improved := true; improved; {
+		improved = false
 		for at := range chosen {
 			if s.exchangeOne(chosen, at, &cost) {
-				better = true
+				improved = true
 			}
-			for second := range at {
-				if s.exchangePair(chosen, at, second, &cost) {
-					better = true
+			for other := range at {
+				if s.exchangePair(chosen, at, other, &cost) {
+					improved = true
 				}
 			}
 		}
 	}
 }
 
-// exchangeOne exchanges the machine at a place of the choice if that lowers the cost.
+// exchangeOne exchanges the machine at an index of chosen for another one if that lowers the cost, and
+// reports whether it did.
 func (s *selection) exchangeOne(chosen []int, at int, cost *time.Duration) bool {
-	had := chosen[at]
+	old := chosen[at]
 	for i := range s.machines {
-		if s.taken[i] || s.machines[i].Zone != s.machines[had].Zone {
+		if s.taken[i] || s.machines[i].Zone != s.machines[old].Zone {
 			continue
 		}
 		chosen[at] = i
-		if now := s.totalCost(chosen); now < *cost {
-			*cost = now
-			s.taken[had], s.taken[i] = false, true
+		if newCost := s.totalCost(chosen); newCost < *cost {
+			*cost = newCost
+			s.taken[old], s.taken[i] = false, true
 			return true
 		}
 	}
-	chosen[at] = had
+	chosen[at] = old
 	return false
 }
 
-// exchangePair exchanges two machines for two of one gang if that lowers the cost.
-func (s *selection) exchangePair(chosen []int, a, b int, cost *time.Duration) bool {
-	hadA, hadB := chosen[a], chosen[b]
-	zoneA, zoneB := s.machines[hadA].Zone, s.machines[hadB].Zone
+// exchangePair exchanges the machines at two indexes of chosen for two of one gang if that lowers the
+// cost, and reports whether it did.
+func (s *selection) exchangePair(chosen []int, first, second int, cost *time.Duration) bool {
+	oldA, oldB := chosen[first], chosen[second]
+	zoneA, zoneB := s.machines[oldA].Zone, s.machines[oldB].Zone
 	for _, gang := range s.gangs {
 		for n, i := range gang {
 			for _, k := range gang[:n] {
 				if s.taken[i] || s.taken[k] || s.machines[i].Zone != zoneA || s.machines[k].Zone != zoneB {
 					continue
 				}
-				chosen[a], chosen[b] = i, k
-				if now := s.totalCost(chosen); now < *cost {
-					*cost = now
-					s.taken[hadA], s.taken[hadB], s.taken[i], s.taken[k] = false, false, true, true
+				chosen[first], chosen[second] = i, k
+				if newCost := s.totalCost(chosen); newCost < *cost {
+					*cost = newCost
+					s.taken[oldA], s.taken[oldB], s.taken[i], s.taken[k] = false, false, true, true
 					return true
 				}
 			}
 		}
 	}
-	chosen[a], chosen[b] = hadA, hadB
+	chosen[first], chosen[second] = oldA, oldB
 	return false
 }
 
-// totalCost is the cost of the units on some machines.
+// totalCost returns the cost of the units on the chosen machines.
 func (s *selection) totalCost(chosen []int) time.Duration {
 	counted := make(map[UnitID]bool, len(chosen))
 	cost := time.Duration(0)
--- a/internal/drain/serving.go
+++ b/internal/drain/serving.go
@@ -7,32 +7,34 @@
 	"strings"
 )
 
-// A drain must leave a zone machines that take work, and only a shard's owner knows which of its
-// machines do: one that boots, hangs or is silent has the same records as one that works. So owners
-// record how many do, by zone, as long as something is drained. A cordon is conditioned on all
-// shards' records: of two controllers that decide at the same moment one fails, and so does one that
-// did not know yet that another's machines are fewer.
+// A drain must leave each zone machines that take work. Only a shard's owner can tell which of its
+// machines do, because a machine that boots, hangs or sends no heartbeats has the same records as one
+// that works. So while a drain is active, each owner records how many of its machines take work, by
+// zone. A cordon is conditional on the records of all shards. If two controllers decide at the same
+// moment, the transaction of one of them fails, and so does one that is based on an outdated count of
+// another shard.
 
-// ServingPrefix is the prefix of the records of machines that take work, one for each shard.
+// ServingPrefix is the key prefix of the Serving records, one for each shard.
 const ServingPrefix = Prefix + "serving/"
 
-// ServingKey names the record of a shard's machines that take work.
+// ServingKey returns the key of a shard's Serving record.
 func ServingKey(shard int) string { return ServingPrefix + strconv.Itoa(shard) }
 
-// Serving is how many of a shard's machines take work, by zone: as many at the least when it is
-// written. Machines count whether they are cordoned or not.
+// Serving is the record of how many of a shard's machines take work, by zone. At the time of writing
+// it counts no more machines than there are. Machines that would take work but for a cordon count, too.
 type Serving struct {
-	Token uint64         `json:"t"` // of the owner that counted them: another's count is unknown
-	Plans uint64         `json:"p"` // the newest version of an active drain then: a later drain makes it unknown
-	Zones map[string]int `json:"z"`
+	Token uint64         `json:"t"` // fencing token of the owner that counted; invalid under another owner
+	Plans uint64         `json:"p"` // NewestActivePlan at the time of counting; invalid once it is newer
+	Zones map[string]int `json:"z"` // machines by zone
 }
 
-// servingRounding is the fraction by which large counts are recorded lower, so that not each
-// machine that comes or goes needs a write: small counts are exact.
+// A count is recorded lower by 1/servingRounding, rounded down, so that not each machine that comes or
+// goes needs a write. Small counts are exact.
 const servingRounding = 16
 
-// Update returns a record that tells some counts, and whether it has to be written: when it would
-// tell too many, or much fewer than there are.
+// Update returns the record for the present token, plan version and counts by zone, and whether it has
+// to be written: if the token differs or the plan version is newer, or if the old record counts more
+// machines of a zone than there are, or much fewer.
 func (s Serving) Update(token, plans uint64, counts map[string]int) (Serving, bool) {
 	next := Serving{Token: token, Plans: plans, Zones: maps.Clone(s.Zones)}
 	if next.Zones == nil {
@@ -55,14 +57,15 @@
 	return next, changed
 }
 
-// Zone is what is known of a zone's machines.
+// Zone counts the machines of a zone.
 type Zone struct {
-	Recorded int // in service by their records, whether they are up or not
-	Serving  int // known to take work now, cordoned or not
+	Recorded int // machines in service by their records, whether they are up or not
+	Serving  int // machines known to take work now, or that would but for a cordon
 }
 
-// zoneLimit is how many of a zone's machines may be cordoned at a time: a share of those that take
-// work, and never the last of these, unless the zone has but one machine.
+// zoneLimit returns how many of a zone's machines may be cordoned at a time: a share of those that take
+// work, but not the last of them unless the zone has only one machine. It is negative if no machine is
+// known to take work.
 func (s *Settings) zoneLimit(zone Zone) int {
 	if zone.Recorded <= 1 {
 		return 1
@@ -71,7 +74,7 @@
 	return min(max(1, int(share*float64(zone.Serving))), zone.Serving-1)
 }
 
-// NewestActivePlan returns the newest version of an active drain, 0 if there is none.
+// NewestActivePlan returns the highest record version among the active drains, or 0 if there is none.
 func (v *View) NewestActivePlan() uint64 {
 	newest := uint64(0)
 	for _, p := range v.plans {
@@ -82,12 +85,11 @@
 	return newest
 }
 
-// Serving returns the record of a shard's machines that take work.
+// Serving returns a shard's Serving record.
 func (v *View) Serving(shard int) Versioned[Serving] { return v.serving[shard] }
 
-// ServingByZone sums up what the owners of some shards have recorded. What one recorded under
-// another fencing token than is given for its shard, or before the newest drain, is unknown and
-// counts as none.
+// ServingByZone sums up the Serving records of the shards in tokens. A record counts only if it was
+// written under the shard's fencing token in tokens and since the newest active drain.
 func (v *View) ServingByZone(tokens map[int]uint64) map[string]int {
 	newest := v.NewestActivePlan()
 	out := map[string]int{}
@@ -103,7 +105,7 @@
 	return out
 }
 
-// servingShard returns the shard of a record's key.
+// servingShard returns the shard of a Serving record from its key.
 func servingShard(key string) (int, error) {
 	return strconv.Atoi(strings.TrimPrefix(key, ServingPrefix))
 }
--- a/internal/drain/settings.go
+++ b/internal/drain/settings.go
@@ -11,25 +11,26 @@
 
 // Settings are the operators' settings for drains.
 type Settings struct {
-	// StoreShare is the part of the state service's limits that drains may use.
+	// StoreShare is the fraction of the state service's rate limits that drains may use.
 	StoreShare float64
-	// ZoneShare is the part of a zone's machines that may be cordoned at a time by all
-	// drains together; one of several may if another takes work.
+	// ZoneShare is the fraction of a zone's machines that take work which all drains together may
+	// have cordoned at a time. If it allows less than one machine, one may be cordoned as long as
+	// another takes work.
 	ZoneShare float64
-	// MaxWait bounds how long a drain waits for one machine's work to end by itself.
+	// MaxWait is how long a drain waits for the work of a cordoned machine to end by itself.
 	MaxWait time.Duration
-	Default Budget
-	Teams   map[string]Budget
+	Default Budget            // of the teams that are not in Teams
+	Teams   map[string]Budget // by name
 }
 
-// Defaults of what the operators' file may leave out.
+// Defaults of the settings that the operators' file may omit.
 const (
 	DefaultStoreShare = 0.05
 	DefaultZoneShare  = 0.34
 	DefaultMaxWait    = 15 * time.Minute
 )
 
-// Budget returns a team's budget.
+// Budget returns a team's disruption budget.
 func (s *Settings) Budget(team string) Budget {
 	if b, ok := s.Teams[team]; ok {
 		return b
@@ -37,7 +38,7 @@
 	return s.Default
 }
 
-// Check refuses limits that contradict each other, naming the field.
+// Check returns an error that names the field if limits contradict each other.
 func (s *Settings) Check() error {
 	if err := s.Default.check("default"); err != nil {
 		return err
@@ -51,6 +52,8 @@
 	return nil
 }
 
+// check returns an error if the limits of a budget contradict each other. field is the budget's name in
+// the operators' file below budgets.
 func (b *Budget) check(field string) error {
 	if b.MaxConcurrent > b.MaxInWindow {
 		return fmt.Errorf("budgets.%s.at_once: %d at once, but only %d in a window", field, b.MaxConcurrent, b.MaxInWindow)
@@ -71,7 +74,7 @@
 	return nil
 }
 
-// Fingerprint tells whether two controllers have the same budgets.
+// Fingerprint returns a hash of the budgets, by which controllers compare them.
 func (s *Settings) Fingerprint() string {
 	h := fnv.New64a()
 	// Maps are written in the order of their keys.
@@ -84,18 +87,19 @@
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// WithClockError returns settings whose windows hold by everybody's clock, if each is wrong
-// by some error at most.
-func (s *Settings) WithClockError(most time.Duration) *Settings {
+// WithClockError returns a copy of the settings with windows so much longer that the budgets hold by
+// every controller's clock if no clock is off by more than maxError.
+func (s *Settings) WithClockError(maxError time.Duration) *Settings {
 	out := *s
-	out.Default = s.Default.widenedBy(2 * most)
+	out.Default = s.Default.widenedBy(2 * maxError)
 	out.Teams = map[string]Budget{}
 	for team, b := range s.Teams {
-		out.Teams[team] = b.widenedBy(2 * most)
+		out.Teams[team] = b.widenedBy(2 * maxError)
 	}
 	return &out
 }
 
+// widenedBy returns a copy of a budget whose windows are longer.
 func (b Budget) widenedBy(by time.Duration) Budget {
 	b.Window += by
 	classes := maps.Clone(b.Classes)
@@ -116,6 +120,7 @@
 	return longest
 }
 
+// longestWindow returns the longest window of a budget and its classes.
 func (b Budget) longestWindow() time.Duration {
 	longest := b.Window
 	for _, c := range b.Classes {
