--- a/internal/statestore/client_test.go
+++ b/internal/statestore/client_test.go
@@ -10,12 +10,12 @@
 	"bramblespur/internal/wire"
 )
 
-// A transaction that gets no request token in time must leave its write tokens to the others: each one
-// taken for nothing delays a start, a completion or a cancellation.
+// A transaction that gets no request token in time must use no write tokens: each one used for nothing
+// delays a start, a completion or a cancellation.
 func TestRefusedTransactionUsesNoWriteTokens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New("127.0.0.1:1", 1, 10, 10, nil)
-		time.Sleep(time.Second)                  // fills both budgets
+		time.Sleep(time.Second)                  // fills both buckets
 		for range c.requestTokens.Burst() + 20 { // others' requests, for two seconds
 			c.requestTokens.ReserveN(time.Now(), 1)
 		}
@@ -27,18 +27,18 @@
 			t.Fatalf("got %v, want %v", err, ErrRefused)
 		}
 		if got := c.writeTokens.Tokens(); got < before {
-			t.Errorf("%.1f changes left of %.1f: refused, it used some", got, before)
+			t.Errorf("%.1f write tokens left of %.1f: the refused transaction used some", got, before)
 		}
 		if n := c.TakeUsage()["accept"]; n != (Usage{Refused: 1}) {
-			t.Errorf("counted %+v, want one refused and nothing used", n)
+			t.Errorf("usage %+v, want one refused request and nothing else", n)
 		}
-		if reqs, changes := c.TakeDemand(); reqs != 0 || changes != 0 {
-			t.Errorf("needed %d requests and %d changes, want none", reqs, changes)
+		if requests, writes := c.TakeDemand(); requests != 0 || writes != 0 {
+			t.Errorf("demand of %d requests and %d writes, want none", requests, writes)
 		}
 	})
 }
 
-// Nor does it use a request token when it gets no write tokens.
+// A transaction that gets no write tokens in time must use no request token.
 func TestRefusedTransactionUsesNoRequestToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New("127.0.0.1:1", 1, 10, 10, nil)
@@ -53,13 +53,13 @@
 			t.Fatalf("got %v, want %v", err, ErrRefused)
 		}
 		if got := c.requestTokens.Tokens(); got < before {
-			t.Errorf("%.1f requests left of %.1f: refused, it used some", got, before)
+			t.Errorf("%.1f request tokens left of %.1f: the refused transaction used some", got, before)
 		}
 	})
 }
 
-// Waiting requests are admitted as both buckets allow it, in turn.
-func TestLimitsAreKeptTo(t *testing.T) {
+// Waiting requests are admitted at the rate that both buckets allow.
+func TestLimitsAreKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New("127.0.0.1:1", 1, 10, 4, nil)
 		begun, done := time.Now(), make(chan time.Duration, 30)
@@ -75,12 +75,12 @@
 		for range 30 {
 			last = <-done
 		}
-		// 30 at 4 a second, with nothing saved up.
+		// 30 writes at 4 per second, from an empty bucket.
 		if last < 7450*time.Millisecond || last > 7550*time.Millisecond {
-			t.Errorf("all were let through after %v, want 7.5 s", last)
+			t.Errorf("all requests were admitted after %v, want 7.5 s", last)
 		}
-		if reqs, changes := c.TakeDemand(); reqs != 30 || changes != 30 {
-			t.Errorf("needed %d requests and %d changes, want 30 of each", reqs, changes)
+		if requests, writes := c.TakeDemand(); requests != 30 || writes != 30 {
+			t.Errorf("demand of %d requests and %d writes, want 30 of each", requests, writes)
 		}
 	})
 }
--- a/internal/statestore/errors_test.go
+++ b/internal/statestore/errors_test.go
@@ -21,10 +21,10 @@
 		"the revision is older": {ErrRevisionRegressed, Unknown},
 	} {
 		if got := OutcomeOf(x.err); got != x.want {
-			t.Errorf("%s: %v, want %v", name, got, x.want)
+			t.Errorf("%s: outcome %v, want %v", name, got, x.want)
 		}
 	}
 	if names := fmt.Sprint(Unknown, Applied, NotApplied); names != "unknown applied not applied" {
-		t.Errorf("names: %s", names)
+		t.Errorf("outcomes are named %s, want unknown applied not applied", names)
 	}
 }
--- a/internal/statestore/loan_pool_test.go
+++ b/internal/statestore/loan_pool_test.go
@@ -10,25 +10,27 @@
 	"golang.org/x/time/rate"
 )
 
-// service counts writes as the store does.
+// service limits the rate of writes as the state service does, and counts them.
 type service struct {
 	mu      sync.Mutex
 	limit   *rate.Limiter
-	made    int
-	refused int
+	made    int // writes, with those of refused requests
+	refused int // requests
 }
 
-// load makes a client write as fast as it may until the context ends.
-func (s *service) load(ctx context.Context, c *Client, n int) {
+// writeRepeatedly makes a client send requests of n writes as fast as its limits allow until the
+// context ends.
+func (s *service) writeRepeatedly(ctx context.Context, c *Client, n int) {
 	for ctx.Err() == nil {
 		if c.admit(ctx, n, Urgent("start")) == nil {
 			s.write(n)
 		} else {
-			time.Sleep(50 * time.Millisecond) // refused at once: tried again a little later
+			time.Sleep(50 * time.Millisecond) // refused at once: retried a little later
 		}
 	}
 }
 
+// write makes a request of n writes.
 func (s *service) write(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,21 +40,21 @@
 	}
 }
 
-// Seven controllers that all need writes at once keep within the limit together: at the start, with
-// full buckets, and without a leader. Each write beyond the limit is refused, and delays a start or a
-// user.
-func TestSumKeepsWithinTheLimit(t *testing.T) {
+// Seven controllers that all need writes at the same time keep within the limit together: at the start,
+// with full buckets, and without a leader. The state service refuses writes beyond the limit, which
+// delays starts of tasks and answers to users.
+func TestControllersTogetherKeepWithinTheLimit(t *testing.T) {
 	const controllers, writeRPS = 7, 25.0
 	for name, x := range map[string]struct {
 		idle  time.Duration // before all begin to write
-		led   bool
-		least float64 // part of the limit that is used
+		led   bool          // a leader lends writes
+		least float64       // the share of the limit that has to be used
 	}{
-		"all new, led":          {0, true, 0.85},
-		"all new, not led":      {0, false, 0.85},
-		"saved up, led":         {time.Minute, true, 0.85},
-		"saved up, not led":     {time.Minute, false, 0.85},
-		"new after an election": {10 * time.Millisecond, true, 0.85},
+		"new clients, with a leader":             {0, true, 0.85},
+		"new clients, without a leader":          {0, false, 0.85},
+		"full buckets, with a leader":            {time.Minute, true, 0.85},
+		"full buckets, without a leader":         {time.Minute, false, 0.85},
+		"new clients, shortly after an election": {10 * time.Millisecond, true, 0.85},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -61,7 +63,7 @@
 				pool.SetLimit(controllers, writeRPS, time.Now())
 				lender, share := Lender(nil), writeRPS/controllers
 				if x.led {
-					lender = func(changes int, modest bool) bool { return pool.Lend(changes, modest, time.Now()) }
+					lender = func(writes int, modest bool) bool { return pool.Lend(writes, modest, time.Now()) }
 					share = writeRPS * (0.95 - LoanShare) / controllers
 				}
 				ctx, cancel := context.WithCancel(t.Context())
@@ -75,33 +77,33 @@
 				var writers sync.WaitGroup
 				for i, c := range clients {
 					for range 4 {
-						writers.Go(func() { s.load(ctx, c, 1+i%3) })
+						writers.Go(func() { s.writeRepeatedly(ctx, c, 1+i%3) })
 					}
 				}
 				time.Sleep(20 * time.Second)
 				cancel()
 				writers.Wait()
 				if s.refused > 0 {
-					t.Errorf("%d of %d writes refused by the service", s.refused, s.made)
+					t.Errorf("%d requests refused by the service, with %d writes made in all; want none refused", s.refused, s.made)
 				}
 				if used := float64(s.made) / (20 * writeRPS); used < x.least {
-					t.Errorf("%.2f of the limit used", used)
+					t.Errorf("%.2f of the limit used, want more", used)
 				}
 			})
 		})
 	}
 }
 
-// A new leader lends nothing at first, and a modest request leaves a part to others.
+// A new leader lends nothing at first, and modest requests leave part of the pool to others.
 func TestLoanPool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := NewLoanPool()
 		if p.Lend(1, false, time.Now()) {
-			t.Error("a pool without a limit lends")
+			t.Error("a pool without a limit lent a write")
 		}
 		p.SetLimit(7, 25, time.Now())
 		if p.Lend(1, false, time.Now()) {
-			t.Error("a new pool lends")
+			t.Error("a new pool lent a write")
 		}
 		time.Sleep(time.Minute)
 		modest := 0
@@ -113,11 +115,11 @@
 			rest++
 		}
 		if modest == 0 || rest < 7 || modest+rest+7 > 25*9/10 {
-			t.Errorf("lends %d to who asks modestly, and then %d", modest, rest)
+			t.Errorf("lent %d writes to modest requests and then %d to others, want 1 and 7 at least and 15 at most in all", modest, rest)
 		}
 		time.Sleep(10 * time.Second)
 		if p.Lend(26, false, time.Now()) || p.Lend(0, false, time.Now()) || p.Lend(-1, false, time.Now()) {
-			t.Error("lends what there never is")
+			t.Error("lent 26 writes, which is more than the burst, or a number of writes that is not positive")
 		}
 	})
 }
