--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain.go
@@ -165,9 +165,9 @@
 
 // hasRoomFor reports whether n tasks of a job fit on machines that take new work now. Machines that
 // are to be cordoned later count only with includeLater.
-func (x *inventory) hasRoomFor(j *Job, n int, includeLater bool, now time.Time) bool {
+func (inv *inventory) hasRoomFor(j *Job, n int, includeLater bool, now time.Time) bool {
 	zone := j.requiredZone() // where the other tasks of the gang stay
-	x.eachFeasibleMachine(j.spec, now, func(m *Machine) {
+	inv.eachFeasibleMachine(j.spec, now, func(m *Machine) {
 		if n <= 0 || (m.cordonedLater && !includeLater) || m.reservedForOther(j, now) || (zone != "" && m.Zone != zone) {
 			return
 		}
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -45,11 +45,11 @@
 }
 
 func newInventory(cfg *Config) inventory {
-	x := inventory{cfg: cfg, byID: map[string]*Machine{}, byRoom: map[machineClass]machineSet{}, byImage: map[string]machineSet{}, reserved: map[string]machineSet{}, commandsDue: machineSet{}, evicting: machineSet{}, pendingJobs: map[string]*Job{}}
-	for r := range x.byRank {
-		x.byRank[r] = machineSet{}
+	inv := inventory{cfg: cfg, byID: map[string]*Machine{}, byRoom: map[machineClass]machineSet{}, byImage: map[string]machineSet{}, reserved: map[string]machineSet{}, commandsDue: machineSet{}, evicting: machineSet{}, pendingJobs: map[string]*Job{}}
+	for r := range inv.byRank {
+		inv.byRank[r] = machineSet{}
 	}
-	return x
+	return inv
 }
 
 // insert adds a machine to the set with key k, which it creates if there is none.
@@ -84,72 +84,72 @@
 
 // update indexes a machine anew after its room or its state has changed. It adds machines that
 // are not indexed yet.
-func (x *inventory) update(m *Machine) {
+func (inv *inventory) update(m *Machine) {
 	c := m.class()
 	if m.entry.indexed && c == m.entry.class {
 		return
 	}
 	if m.entry.indexed {
-		remove(x.byRoom, m.entry.class, m)
+		remove(inv.byRoom, m.entry.class, m)
 	} else {
-		x.totalCPUs += m.Type.CPUs
+		inv.totalCPUs += m.Type.CPUs
 		for _, i := range m.images {
-			insert(x.byImage, i.Name, m)
+			insert(inv.byImage, i.Name, m)
 		}
 	}
 	m.entry.indexed, m.entry.class = true, c
-	insert(x.byRoom, c, m)
+	insert(inv.byRoom, c, m)
 }
 
 // drop removes a machine from all indexes.
-func (x *inventory) drop(m *Machine) {
+func (inv *inventory) drop(m *Machine) {
 	if !m.entry.indexed {
 		return
 	}
 	m.entry.indexed = false
-	x.totalCPUs -= m.Type.CPUs
-	remove(x.byRoom, m.entry.class, m)
+	inv.totalCPUs -= m.Type.CPUs
+	remove(inv.byRoom, m.entry.class, m)
 	for _, i := range m.images {
-		remove(x.byImage, i.Name, m)
+		remove(inv.byImage, i.Name, m)
 	}
-	for r := range x.byRank {
-		delete(x.byRank[r], m)
+	for r := range inv.byRank {
+		delete(inv.byRank[r], m)
 	}
-	remove(x.reserved, m.reservation.job, m)
-	delete(x.commandsDue, m)
-	delete(x.evicting, m)
+	remove(inv.reserved, m.reservation.job, m)
+	delete(inv.commandsDue, m)
+	delete(inv.evicting, m)
 }
 
 // countTask adds n, 1 or -1, to the number of tasks of a priority on a machine.
-func (x *inventory) countTask(m *Machine, rank, n int) {
+func (inv *inventory) countTask(m *Machine, rank, n int) {
 	if m.entry.tasksByRank[rank] += n; m.entry.tasksByRank[rank] > 0 {
-		x.byRank[rank][m] = struct{}{}
+		inv.byRank[rank][m] = struct{}{}
 	} else {
-		delete(x.byRank[rank], m)
+		delete(inv.byRank[rank], m)
 	}
 }
 
 // updatePending updates pendingJobs after a job's number of pending tasks has changed.
-func (x *inventory) updatePending(j *Job) {
+func (inv *inventory) updatePending(j *Job) {
 	if j.progress.pending > 0 {
-		x.pendingJobs[j.ref] = j
+		inv.pendingJobs[j.ref] = j
 	} else {
-		delete(x.pendingJobs, j.ref)
+		delete(inv.pendingJobs, j.ref)
 	}
 }
 
 // eachFeasibleMachine calls f for each machine that takes new work and has room for a task
 // with this spec now. It examines few machines that turn out to have too little room, since
 // machines are grouped by their free room, rounded down.
-func (x *inventory) eachFeasibleMachine(spec *wire.Spec, now time.Time, f func(*Machine)) {
-	for c, ms := range x.byRoom {
+func (inv *inventory) eachFeasibleMachine(spec *wire.Spec, now time.Time, f func(*Machine)) {
+	for c, ms := range inv.byRoom {
 		if !c.takesWork || (c.spot && !spec.Spot) || (spec.Zone != nil && *spec.Zone != c.zone) ||
 			spec.CPUs >= float64(c.cpus+1) || spec.GPUs >= float64(c.gpus+1) {
 			continue
 		}
 		for m := range ms {
-			x.candidatesExamined++
-			if r := freeRoom(m); r.fits(spec) && allows(spec, m) && x.cfg.usable(m, now) {
+			inv.candidatesExamined++
+			if r := freeRoom(m); r.fits(spec) && allows(spec, m) && inv.cfg.usable(m, now) {
 				f(m)
 			}
 		}
@@ -158,15 +158,15 @@
 
 // recordCachedImage records that an image was used on a machine, and drops the least recently
 // used images that the machine's cache can no longer hold. gb is the size of the image.
-func (x *inventory) recordCachedImage(m *Machine, name string, gb float64) {
+func (inv *inventory) recordCachedImage(m *Machine, name string, gb float64) {
 	m.images = slices.DeleteFunc(m.images, func(i record.Image) bool { return i.Name == name })
 	m.images = append(m.images, record.Image{Name: name, GB: gb})
-	insert(x.byImage, name, m)
+	insert(inv.byImage, name, m)
 	sum := 0.0
 	for i := len(m.images) - 1; i >= 0; i-- {
 		if sum += m.images[i].GB; sum > m.Type.CacheGB && i < len(m.images)-1 {
 			for _, old := range m.images[:i+1] {
-				remove(x.byImage, old.Name, m)
+				remove(inv.byImage, old.Name, m)
 			}
 			m.images = slices.Clone(m.images[i+1:])
 			break
--- a/internal/scheduler/pipeline.go
+++ b/internal/scheduler/pipeline.go
@@ -16,10 +16,10 @@
 // releases the same jobs as the last one. A job's end, the pipeline's record and the
 // records of the jobs that the end releases are written in one transaction.
 type pipeline struct {
-	ref               string // empty for a job that was submitted by itself
-	record            record.Pipeline
-	version           uint64 // 0: not read yet
-	run               *fragment.Pipeline
+	ref               string                  // empty for a job that was submitted by itself
+	record            record.Pipeline         // as last read or written
+	version           uint64                  // of the record; 0: not read yet
+	run               *fragment.Pipeline      // its fragments, as of the record and endsOutsideRecord
 	endsOutsideRecord []record.PipelineJobEnd // ends that its record has no room for
 	writing           bool                    // an end is being recorded
 	versionUnknown    bool                    // a reread is under way
@@ -118,28 +118,28 @@
 // pipelineOf returns the pipeline with the reference ref. If the shard does not hold it yet,
 // pipelineOf creates it and asks for its record to be read.
 func (s *Shard) pipelineOf(ref string) *pipeline {
-	l := s.dependencies.pipelines[ref]
-	if l == nil {
-		l = &pipeline{ref: ref}
-		s.dependencies.pipelines[ref] = l
-		s.effects.rereadPipeline(l)
+	p := s.dependencies.pipelines[ref]
+	if p == nil {
+		p = &pipeline{ref: ref}
+		s.dependencies.pipelines[ref] = p
+		s.effects.rereadPipeline(p)
 	}
-	return l
+	return p
 }
 
 // rereadPipeline asks for a pipeline's record to be read, unless that is under way.
-func (e *Effects) rereadPipeline(l *pipeline) {
-	if !l.versionUnknown {
-		l.versionUnknown = true
-		e.RereadPipelines = append(e.RereadPipelines, l.ref)
+func (e *Effects) rereadPipeline(p *pipeline) {
+	if !p.versionUnknown {
+		p.versionUnknown = true
+		e.RereadPipelines = append(e.RereadPipelines, p.ref)
 	}
 }
 
 // PipelineRead applies a pipeline's record as read back, and the ends of its jobs that the
 // record does not contain. It returns an error if there is no record or it can't be decoded.
 func (s *Shard) PipelineRead(ref string, e *wire.Entry, others []record.PipelineJobEnd, now time.Time) error {
-	l := s.dependencies.pipelines[ref]
-	if l == nil {
+	p := s.dependencies.pipelines[ref]
+	if p == nil {
 		return nil
 	}
 	if e == nil {
@@ -158,8 +158,8 @@
 		run = fragment.Begin(net)
 		rec.Replay(run, others)
 	}
-	l.versionUnknown, l.writing = false, false
-	l.record, l.version, l.run, l.endsOutsideRecord = rec, e.Version, run, others
+	p.versionUnknown, p.writing = false, false
+	p.record, p.version, p.run, p.endsOutsideRecord = rec, e.Version, run, others
 	for _, ref := range run.Ready() {
 		// Without ends outside the record, the job's own record says that it is released.
 		// With them, the step that released it may have been too large to be recorded in
@@ -168,7 +168,7 @@
 			s.releaseJob(j, now, now)
 		}
 	}
-	s.cancelUnneeded(l, now)
+	s.cancelUnneeded(p, now)
 	s.placementDue = true
 	for _, ref := range rec.Jobs {
 		if j := s.jobs[ref]; j != nil {
@@ -182,11 +182,11 @@
 // cancelled job, and those on a branch that was not chosen. If the pipeline was withdrawn,
 // it cancels all of its jobs, since a withdrawal may have written only the pipeline's own
 // record.
-func (s *Shard) cancelUnneeded(l *pipeline, now time.Time) {
-	left := l.run.Remaining()
-	for _, ref := range l.record.Jobs {
+func (s *Shard) cancelUnneeded(p *pipeline, now time.Time) {
+	left := p.run.Remaining()
+	for _, ref := range p.record.Jobs {
 		j := s.jobs[ref]
-		if j == nil || (l.record.State != wire.Cancelled && (!j.awaitsDependencies || (left[ref] && l.record.State == ""))) {
+		if j == nil || (p.record.State != wire.Cancelled && (!j.awaitsDependencies || (left[ref] && p.record.State == ""))) {
 			continue
 		}
 		j.unneeded = true
@@ -196,17 +196,17 @@
 
 // after returns the pipeline as it is once a job has ended, and the jobs of the shard that
 // this end releases. The algorithm of the paper decides which these are.
-func (l *pipeline) after(j *Job, shard *Shard) (*pipeline, []*Job) {
+func (p *pipeline) after(j *Job, shard *Shard) (*pipeline, []*Job) {
 	end := record.PipelineJobEnd{Ref: j.ref, State: wire.Done}
 	if j.cancelled {
 		end.State = wire.Cancelled
 	}
-	next := &pipeline{ref: l.ref, record: l.record, run: l.run.Clone(), endsOutsideRecord: l.endsOutsideRecord}
-	next.record.Ended = append(l.record.Ended[:len(l.record.Ended):len(l.record.Ended)], end)
-	l.record.ApplyEnd(next.run, end)
+	next := &pipeline{ref: p.ref, record: p.record, run: p.run.Clone(), endsOutsideRecord: p.endsOutsideRecord}
+	next.record.Ended = append(p.record.Ended[:len(p.record.Ended):len(p.record.Ended)], end)
+	p.record.ApplyEnd(next.run, end)
 	if next.run.Done() {
 		next.record.State = wire.Done
-		for _, e := range slices.Concat(next.record.Ended, l.endsOutsideRecord) {
+		for _, e := range slices.Concat(next.record.Ended, p.endsOutsideRecord) {
 			if e.State == wire.Cancelled {
 				next.record.State = wire.Cancelled
 			}
@@ -225,25 +225,25 @@
 // pipeline and to the jobs that it releases. It reports false if the transaction can't be
 // written yet: the pipeline's record is not read, or another end is being recorded.
 func (s *Shard) addPipelineStep(t *Txn, j *Job, now time.Time) bool {
-	l := j.pipeline
-	if l.ref == "" || j.unneeded || l.record.State != "" {
+	p := j.pipeline
+	if p.ref == "" || j.unneeded || p.record.State != "" {
 		return true // the job has no pipeline, or its pipeline is over or no longer needs it
 	}
-	if l.version == 0 || l.versionUnknown || l.writing {
+	if p.version == 0 || p.versionUnknown || p.writing {
 		return false
 	}
-	next, releasable := l.after(j, s)
-	at := record.PipelineKey(l.ref)
-	t.Body.If = append(t.Body.If, wire.Condition{Key: at, Version: l.version})
+	next, releasable := p.after(j, s)
+	at := record.PipelineKey(p.ref)
+	t.Body.If = append(t.Body.If, wire.Condition{Key: at, Version: p.version})
 	t.pipelineAfter, t.releasedJobs = next, map[*Job]record.ActiveJob{}
-	l.writing = true
+	p.writing = true
 	if over := next.record.Compacted(s.ledger.valueBytes); over.State != "" {
 		next.record = over
 	}
 	ops := []wire.Op{{Put: at, Value: record.Encode(next.record)}}
 	opens := make([]record.ActiveJob, len(releasable))
 	for i, released := range releasable {
-		opens[i] = record.ActiveJob{Spec: *released.spec, Shard: s.id, AcceptedAt: now.UnixMilli(), Pipeline: l.ref}
+		opens[i] = record.ActiveJob{Spec: *released.spec, Shard: s.id, AcceptedAt: now.UnixMilli(), Pipeline: p.ref}
 		ops = append(ops, wire.Op{Put: record.ActiveJobKey(released.ref), Value: record.Encode(opens[i])})
 	}
 	large := func(op wire.Op) bool { return len(op.Value) > s.ledger.valueBytes }
@@ -252,7 +252,7 @@
 		// larger pipelines. It is enough to record the job's end: which jobs are released
 		// follows from the final records. The condition on the pipeline's record makes the
 		// transaction fail if the pipeline was withdrawn meanwhile.
-		next.record, next.endsOutsideRecord = l.record, append(slices.Clone(l.endsOutsideRecord), record.PipelineJobEnd{Ref: j.ref, State: t.jobState()})
+		next.record, next.endsOutsideRecord = p.record, append(slices.Clone(p.endsOutsideRecord), record.PipelineJobEnd{Ref: j.ref, State: t.jobState()})
 		for _, released := range releasable {
 			t.releasedJobs[released] = record.ActiveJob{}
 		}
@@ -277,14 +277,14 @@
 // applyPipelineStep applies the pipeline's step after the transaction of a job's end has
 // succeeded at a revision.
 func (s *Shard) applyPipelineStep(t *Txn, revision uint64, now time.Time) {
-	l := t.job.pipeline
+	p := t.job.pipeline
 	if t.pipelineAfter == nil {
 		return
 	}
-	l.writing = false
-	l.record, l.run, l.endsOutsideRecord = t.pipelineAfter.record, t.pipelineAfter.run, t.pipelineAfter.endsOutsideRecord
+	p.writing = false
+	p.record, p.run, p.endsOutsideRecord = t.pipelineAfter.record, t.pipelineAfter.run, t.pipelineAfter.endsOutsideRecord
 	if len(t.Body.Then) > jobEndOps {
-		l.version = revision
+		p.version = revision
 	}
 	for released, open := range t.releasedJobs {
 		if open.Spec.Ref == "" {
@@ -293,16 +293,16 @@
 		}
 		s.SetJob(released.ref, open, revision, now)
 	}
-	s.cancelUnneeded(l, now)
-	if l.record.State != "" && len(s.activeJobsOf(l)) == 0 {
-		delete(s.dependencies.pipelines, l.ref)
+	s.cancelUnneeded(p, now)
+	if p.record.State != "" && len(s.activeJobsOf(p)) == 0 {
+		delete(s.dependencies.pipelines, p.ref)
 	}
 }
 
 // activeJobsOf returns the jobs of a pipeline that have not ended.
-func (s *Shard) activeJobsOf(l *pipeline) []*Job {
+func (s *Shard) activeJobsOf(p *pipeline) []*Job {
 	var out []*Job
-	for _, ref := range l.record.Jobs {
+	for _, ref := range p.record.Jobs {
 		if j := s.jobs[ref]; j != nil {
 			out = append(out, j)
 		}
@@ -313,11 +313,11 @@
 // pipelineStepFailed is called when the transaction of a job's end has failed. If its outcome
 // is not known, the pipeline's record is read again to find whether the end was recorded.
 func (s *Shard) pipelineStepFailed(j *Job, outcomeKnown bool) {
-	if l := j.pipeline; l.ref != "" {
+	if p := j.pipeline; p.ref != "" {
 		if outcomeKnown {
-			l.writing = false
+			p.writing = false
 		} else {
-			s.effects.rereadPipeline(l)
+			s.effects.rereadPipeline(p)
 		}
 	}
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -289,10 +289,10 @@
 
 // cachedRoomBeingMade returns for how many tasks of a job room is being made where its image
 // is cached, and adds these tasks to zones, the number of the job's tasks by zone.
-func (x *inventory) cachedRoomBeingMade(j *Job, zones map[string]int, now time.Time) int {
+func (inv *inventory) cachedRoomBeingMade(j *Job, zones map[string]int, now time.Time) int {
 	coming := 0
 	limit := j.zoneLimit()
-	for m := range x.reserved[j.ref] {
+	for m := range inv.reserved[j.ref] {
 		// Room that is free by now, or that is made where the image is not cached, does
 		// not count.
 		if n := m.reservedFor(j, now); n > 0 && m.hasImage(j.spec.Image) && m.evicting() && zones[m.Zone]+n <= limit {
@@ -306,11 +306,11 @@
 // cachedVictim returns the array task of lower priority that can be stopped at the least loss
 // to make room for a task of j where j's image is cached, and its machine, nil if there is
 // no such task. zones counts the tasks of j by zone.
-func (x *inventory) cachedVictim(j *Job, zones map[string]int, now time.Time) (best *Machine, victim taskKey) {
+func (inv *inventory) cachedVictim(j *Job, zones map[string]int, now time.Time) (best *Machine, victim taskKey) {
 	bestLoss := math.Inf(1)
 	limit := j.zoneLimit()
-	for m := range x.byImage[j.spec.Image] {
-		if !allows(j.spec, m) || !j.allowsZone(m.Zone) || !x.cfg.usable(m, now) || zones[m.Zone] >= limit || m.reservedForOther(j, now) {
+	for m := range inv.byImage[j.spec.Image] {
+		if !allows(j.spec, m) || !j.allowsZone(m.Zone) || !inv.cfg.usable(m, now) || zones[m.Zone] >= limit || m.reservedForOther(j, now) {
 			continue
 		}
 		room := freeRoom(m)
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -12,11 +12,11 @@
 
 // reserve reserves room on a machine for n more tasks of a job, until a time. It replaces a
 // reservation for another job.
-func (x *inventory) reserve(m *Machine, j *Job, n int, until time.Time) {
+func (inv *inventory) reserve(m *Machine, j *Job, n int, until time.Time) {
 	if m.reservation.job != j.ref {
-		x.cancelReservation(m)
+		inv.cancelReservation(m)
 		m.reservation.job = j.ref
-		insert(x.reserved, j.ref, m)
+		insert(inv.reserved, j.ref, m)
 	}
 	m.reservation.tasks += n
 	m.reservation.until = until
@@ -24,17 +24,17 @@
 
 // useReservation reduces the reservation of a machine by one task if it is for the job whose
 // task was placed there.
-func (x *inventory) useReservation(m *Machine, j *Job) {
+func (inv *inventory) useReservation(m *Machine, j *Job) {
 	if m.reservation.job == j.ref {
 		if m.reservation.tasks--; m.reservation.tasks <= 0 {
-			x.cancelReservation(m)
+			inv.cancelReservation(m)
 		}
 	}
 }
 
 // cancelReservation removes the reservation of a machine.
-func (x *inventory) cancelReservation(m *Machine) {
-	remove(x.reserved, m.reservation.job, m)
+func (inv *inventory) cancelReservation(m *Machine) {
+	remove(inv.reserved, m.reservation.job, m)
 	m.reservation.job, m.reservation.tasks = "", 0
 }
 
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -66,20 +66,20 @@
 }
 
 // machineSummaries describes the machines for the leader, sorted by ID.
-func (x *inventory) machineSummaries(now time.Time) []fleet.Machine {
-	machines := make([]fleet.Machine, 0, len(x.byID))
-	for _, m := range x.byID {
-		machines = append(machines, x.machineSummary(m, now))
+func (inv *inventory) machineSummaries(now time.Time) []fleet.Machine {
+	machines := make([]fleet.Machine, 0, len(inv.byID))
+	for _, m := range inv.byID {
+		machines = append(machines, inv.machineSummary(m, now))
 	}
 	sort.Slice(machines, func(a, b int) bool { return machines[a].ID < machines[b].ID })
 	return machines
 }
 
 // machineSummary describes a machine for the leader.
-func (x *inventory) machineSummary(m *Machine, now time.Time) fleet.Machine {
+func (inv *inventory) machineSummary(m *Machine, now time.Time) fleet.Machine {
 	room := freeRoom(m)
 	out := fleet.Machine{
-		ID: m.ID, Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot, Up: m.contact.up, Usable: x.cfg.usable(m, now),
+		ID: m.ID, Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot, Up: m.contact.up, Usable: inv.cfg.usable(m, now),
 		Leaving: !m.staysInShard(),
 		CPUs:    room.cpus, GPUs: room.gpus, MemoryGB: room.mem, Tasks: len(m.tasks),
 		Avoided: m.cordonedLater,
--- a/internal/scheduler/unreadable_records.go
+++ b/internal/scheduler/unreadable_records.go
@@ -117,8 +117,8 @@
 
 // awaitsInheritedMachines reports whether a machine that the shard had when it was acquired has
 // neither reported under the shard's token nor been proven gone.
-func (x *inventory) awaitsInheritedMachines() bool {
-	for _, m := range x.byID {
+func (inv *inventory) awaitsInheritedMachines() bool {
+	for _, m := range inv.byID {
 		if m.inherited && !m.contact.fenced {
 			return true
 		}
