--- a/internal/drain/progress.go
+++ b/internal/drain/progress.go
@@ -32,7 +32,7 @@
 type Sample struct {
 	At       int64                `json:"at"` // milliseconds
 	Cordoned int                  `json:"c"`  // machines of the shard cordoned so far
-	Returned int                  `json:"r"`  // cordoned machines released or lost so far
+	Returned int                  `json:"r"`  // cordoned machines released so far; see TxnBuilder.MachineGone
 	Teams    map[string]BudgetUse `json:"u,omitempty"`
 }
 
@@ -47,7 +47,7 @@
 // bounded: AddSample and ShrinkTo thin the samples out.
 type Progress struct {
 	Cordoned    int                    `json:"c"` // machines cordoned
-	Returned    int                    `json:"r"` // cordoned machines released or lost
+	Returned    int                    `json:"r"` // cordoned machines released; see TxnBuilder.MachineGone
 	Teams       map[string]TeamImpact  `json:"teams,omitempty"`
 	HoldSeconds map[HoldReason]float64 `json:"held,omitempty"` // held seconds, summed over machines
 	Samples     []Sample               `json:"points,omitempty"`
--- a/internal/drain/steps.go
+++ b/internal/drain/steps.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// Unit is work that is interrupted as one: a task, or a gang as a whole.
+// Unit is a unit of work, which is interrupted as one: a task or a whole gang.
 type Unit struct {
 	UnitID
 	Team, Class string
 	Attempt     uint64
 	Service     bool
-	Tasks       int // that stop together
-	// TasksOnCordoned is how many of them are on machines that are cordoned.
+	Tasks       int // tasks that stop together
+	// TasksOnCordoned is how many of the tasks are on cordoned machines.
 	TasksOnCordoned    int
-	Running            bool          // as far as heartbeats tell
-	RunTime            time.Duration // since it began to run
-	Estimate           time.Duration // of its run time; 0: it has no end of its own
-	CheckpointInterval time.Duration // interval of its checkpoints; 0: it never saves
-	SaveTime           time.Duration // what saving takes
-	LostWork           time.Duration // work of all its tasks that is lost if it is stopped now
+	Running            bool          // all tasks run, by the latest heartbeats
+	RunTime            time.Duration // time since it began to run
+	Estimate           time.Duration // estimated run time; 0 for work that does not end by itself
+	CheckpointInterval time.Duration // 0: it saves no checkpoints
+	SaveTime           time.Duration // how long saving a checkpoint takes
+	LostWork           time.Duration // run time lost if it is stopped now, summed over its tasks
 	Stopping           bool
-	// FitsElsewhere says that its tasks fit elsewhere now, HasSelectedRoom the same with
-	// machines that are to be drained later.
+	// FitsElsewhere says that its tasks on cordoned machines fit on other machines now.
+	// FitsOnSelected says the same but includes machines that are to be cordoned later.
 	FitsElsewhere, FitsOnSelected bool
-	OtherReplicasUp               bool // all other replicas of its service run
+	OtherReplicasUp               bool // all other replicas of the service run
 }
 
-// Machine is a machine of a shard, with the work that is on it.
+// Machine is a machine of a shard with the work on it.
 type Machine struct {
 	ID, Type, Zone string
 	ProvisionedAt  time.Time
@@ -36,54 +36,55 @@
 	Units          []*Unit
 }
 
-// Input is what the next steps depend on.
+// Input is what the next steps of a shard depend on.
 type Input struct {
 	Now      time.Time
 	Settings *Settings
 	View     *View
 	Shard    int
-	Machines []*Machine      // of the shard
-	Zones    map[string]Zone // the machines of all shards, by zone
-	// MaxRecordBytes is the largest record that may be written.
+	Machines []*Machine      // the shard's machines that are cordoned or selected by an active drain
+	Zones    map[string]Zone // counts of the machines of all shards, by zone
+	// MaxRecordBytes is the size of the largest record that may be written.
 	MaxRecordBytes int
 }
 
-// HeldMachine is a machine of which some work waits, for whatever stands most in the way.
+// HeldMachine is a machine that is not cordoned, or has work that is not evicted, for a reason.
 type HeldMachine struct {
 	Drain, Machine string
 	Reason         HoldReason
 }
 
-// Eviction is a unit that may be interrupted, on behalf of a machine.
+// Eviction is a granted eviction of a unit from the machine that its disruption names.
 type Eviction struct {
 	Disruption
 	Team     string
-	LostWork time.Duration
+	LostWork time.Duration // see Unit
 }
 
 // Steps are the next steps of a shard.
 type Steps struct {
-	Cordon    []string // of one drain, Drain
-	Drain     string
-	Evictions []Eviction // within the budgets
+	Cordon    []string   // IDs of the machines to cordon
+	Drain     string     // the drain that they are cordoned for
+	Evictions []Eviction // within the budgets, or forced
 	Held      []HeldMachine
-	// NeedCapacity are units that wait for room: machines are to be moved here or provisioned ahead.
+	// NeedCapacity lists the units that wait for room on other machines. Machines are to be transferred
+	// to the shard or provisioned before the units are evicted.
 	NeedCapacity []*Unit
 }
 
-// Estimates are often wrong by half: work counts as ending soon for up to estimateSlack
-// times its estimate. A gang that has run for finalStretch of its own is let finish as long
-// as the finish-by time permits, whatever else bounds the wait.
 const (
+	// estimateSlack is the multiple of its estimate up to which work counts as ending soon: estimates
+	// are often wrong by half.
 	estimateSlack = 1.5
-	finalStretch  = 0.75
-	// checkpointWait is how long a drain waits for a checkpoint that makes saving
-	// unnecessary, in times of what saving takes.
+	// A gang that has run for the fraction finalStretch of its estimate may finish as long as the
+	// finish-by time permits, even beyond MaxWait.
+	finalStretch = 0.75
+	// checkpointWait is how long a drain waits for a checkpoint, after which a stop needs no saving, as
+	// a multiple of the time that saving takes.
 	checkpointWait = 2
 )
 
-// PlanSteps decides a shard's next steps. Ledgers are the teams' as they are to be written; what
-// is granted is added to them.
+// PlanSteps decides a shard's next steps. It adds the evictions that it grants to the ledgers.
 func PlanSteps(in *Input, ledgers *Ledgers) Steps {
 	var s Steps
 	in.evictions(ledgers, &s)
@@ -91,7 +92,8 @@
 	return s
 }
 
-// drainFor returns the drain that a machine is cordoned for, nil if it is not.
+// drainFor returns the plan that a machine is cordoned for, and its cordon. The plan is nil if the
+// machine is not cordoned or the plan has no record.
 func (in *Input) drainFor(m *Machine) (*Plan, Cordon) {
 	c, ok := in.View.Cordons().Rec.Machines[m.ID]
 	if !ok {
@@ -104,43 +106,43 @@
 	return &p.Rec, c
 }
 
-// candidate is a unit that may be evicted, budget permitting.
+// candidate is a unit that may be evicted if the budget allows.
 type candidate struct {
 	unit    *Unit
 	machine *Machine
 	plan    *Plan
 }
 
-// evictions decides for each unit on the cordoned machines.
+// evictions grants or holds each unit on the cordoned machines.
 func (in *Input) evictions(ledgers *Ledgers, s *Steps) {
-	var ready []candidate
+	var candidates []candidate
 	seen := map[UnitID]bool{}
 	for _, m := range in.Machines {
 		plan, cordon := in.drainFor(m)
 		if plan == nil {
 			continue
 		}
-		worst := HoldReason("")
+		held := HoldReason("")
 		for _, u := range m.Units {
 			reason := in.holdReason(plan, cordon, m, u)
 			if reason == HoldNoCapacity && !seen[u.UnitID] {
 				s.NeedCapacity = append(s.NeedCapacity, u)
 			}
 			if reason != "" {
-				worst = reason
+				held = reason
 			} else if !seen[u.UnitID] {
-				ready = append(ready, candidate{u, m, plan})
+				candidates = append(candidates, candidate{u, m, plan})
 			}
 			seen[u.UnitID] = true
 		}
-		if worst != "" {
-			s.Held = append(s.Held, HeldMachine{plan.Name, m.ID, worst})
+		if held != "" {
+			s.Held = append(s.Held, HeldMachine{plan.Name, m.ID, held})
 		}
 	}
-	in.grant(ready, ledgers, s)
+	in.grant(candidates, ledgers, s)
 }
 
-// holdReason returns why a unit is not to be evicted yet, nothing if only the budget decides.
+// holdReason returns why a unit is not to be evicted yet, or "" if that depends only on the budget.
 func (in *Input) holdReason(p *Plan, c Cordon, m *Machine, u *Unit) HoldReason {
 	switch {
 	case p.State != Active:
@@ -163,9 +165,9 @@
 	return ""
 }
 
-// endsSoon reports whether a unit is let end by itself: what should end within the wait
-// that one machine is given, by its estimate, until it is over that by half. Work that would
-// lose nothing by moving is not waited for.
+// endsSoon reports whether a drain waits for a unit to end by itself: if by its estimate it ends within
+// MaxWait, as long as its run time does not exceed the estimate by half. A drain does not wait for
+// work that loses nothing by an eviction.
 func (in *Input) endsSoon(p *Plan, c Cordon, u *Unit) bool {
 	if !u.Running || u.Estimate <= 0 || u.LostWork <= 0 {
 		return false
@@ -180,27 +182,28 @@
 	return u.Estimate-u.RunTime <= in.Settings.MaxWait && in.sinceCordoned(c) < in.Settings.MaxWait
 }
 
+// sinceCordoned returns how long a machine has been cordoned.
 func (in *Input) sinceCordoned(c Cordon) time.Duration { return in.Now.Sub(time.UnixMilli(c.Since)) }
 
-// checkpointDue reports whether a unit is about to save by itself, after which stopping it
-// loses next to nothing.
+// checkpointDue reports whether a unit is about to save a checkpoint, after which an eviction loses
+// almost nothing.
 func checkpointDue(u *Unit) bool {
 	if !u.Running || u.CheckpointInterval <= 0 {
 		return false
 	}
-	left := u.CheckpointInterval - u.RunTime%u.CheckpointInterval
-	return left <= checkpointWait*u.SaveTime && left < u.CheckpointInterval/2
+	remaining := u.CheckpointInterval - u.RunTime%u.CheckpointInterval
+	return remaining <= checkpointWait*u.SaveTime && remaining < u.CheckpointInterval/2
 }
 
-// grant takes what the budgets allow of the units that may go, those that lose least first.
-// A team's grants of one turn are all of one drain, as they share a write.
-func (in *Input) grant(ready []candidate, ledgers *Ledgers, s *Steps) {
-	slices.SortStableFunc(ready, func(a, b candidate) int {
+// grant grants as many of the candidates as the budgets allow, those with the least lost work first. A
+// team's grants of one turn all belong to one drain, as they share a write.
+func (in *Input) grant(candidates []candidate, ledgers *Ledgers, s *Steps) {
+	slices.SortStableFunc(candidates, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.unit.LostWork, b.unit.LostWork), cmp.Compare(len(a.machine.Units), len(b.machine.Units)),
 			cmp.Compare(a.unit.Job, b.unit.Job), cmp.Compare(a.unit.Task, b.unit.Task))
 	})
 	granting := map[string]*Plan{} // by team
-	for _, c := range ready {
+	for _, c := range candidates {
 		team := c.unit.Team
 		if p := granting[team]; p != nil && p != c.plan {
 			continue
@@ -215,11 +218,12 @@
 	}
 }
 
-// grantEviction adds a unit to its team's ledger if the budget allows it, or says why not.
+// grantEviction adds an eviction to the team's ledger if the budget allows it; otherwise it returns the
+// reason why not.
 func (in *Input) grantEviction(c candidate, ledgers *Ledgers) (Eviction, HoldReason) {
 	l := ledgers.forTeam(c.unit.Team)
 	if l.OpenDisruption(c.unit.UnitID) != nil {
-		return Eviction{}, HoldStopping // granted, or lost, and not back yet
+		return Eviction{}, HoldStopping // already evicted or lost, and does not run again yet
 	}
 	d := Disruption{UnitID: c.unit.UnitID, Attempt: c.unit.Attempt, Shard: in.Shard, Class: c.unit.Class,
 		Machine: c.machine.ID, Drain: c.plan.Name, At: in.Now.UnixMilli()}
@@ -232,42 +236,42 @@
 	l.Add(d)
 	if encodedSize(l) > in.MaxRecordBytes {
 		l.Withdraw(d.UnitID)
-		return Eviction{}, HoldBudgetExhausted // the record holds no more at a time
+		return Eviction{}, HoldBudgetExhausted // the record has no room for another open disruption
 	}
 	ledgers.markChanged(c.unit.Team)
 	return Eviction{d, c.unit.Team, c.unit.LostWork}, ""
 }
 
-// maxCordonsPerTurn bounds the machines that are chosen in one turn, which bounds what a turn
-// computes: turns are a second apart, and a drain takes minutes.
+// maxCordonsPerTurn bounds the machines that are chosen in one turn, and so the computing time of a turn.
+// That delays no drain: turns are a second apart, and a drain takes minutes.
 const maxCordonsPerTurn = 16
 
-// cordon chooses the machines that are drained next, for the oldest drain that may have more.
+// cordon chooses the machines to cordon next, for the oldest drain that may cordon more.
 func (in *Input) cordon(s *Steps) {
 	cordons := in.View.Cordons().Rec.Machines
-	active, zones := map[string]int{}, map[string]int{}
+	byDrain, byZone := map[string]int{}, map[string]int{}
 	for _, c := range cordons {
-		active[c.Drain]++
-		zones[c.Zone]++
+		byDrain[c.Drain]++
+		byZone[c.Zone]++
 	}
 	for _, p := range in.View.Plans() {
-		if p.Rec.State != Active || active[p.Rec.Name] >= p.Rec.MaxConcurrent {
+		if p.Rec.State != Active || byDrain[p.Rec.Name] >= p.Rec.MaxConcurrent {
 			continue
 		}
 		var selected []*Machine
 		for _, m := range in.Machines {
-			if _, taken := cordons[m.ID]; !taken && p.Rec.Selects(m.ID, m.Type, m.Zone, m.ProvisionedAt) {
+			if _, cordoned := cordons[m.ID]; !cordoned && p.Rec.Selects(m.ID, m.Type, m.Zone, m.ProvisionedAt) {
 				selected = append(selected, m)
 			}
 		}
-		room := func(zone string) int { return in.Settings.zoneLimit(in.Zones[zone]) - zones[zone] }
-		most := min(p.Rec.MaxConcurrent-active[p.Rec.Name], maxCordonsPerTurn)
-		if chosen := Choose(selected, most, room); len(chosen) > 0 {
+		room := func(zone string) int { return in.Settings.zoneLimit(in.Zones[zone]) - byZone[zone] }
+		limit := min(p.Rec.MaxConcurrent-byDrain[p.Rec.Name], maxCordonsPerTurn)
+		if chosen := Choose(selected, limit, room); len(chosen) > 0 {
 			s.Cordon, s.Drain = chosen, p.Rec.Name
 			return
 		}
 		for _, m := range selected {
-			if zones[m.Zone] == 0 && room(m.Zone) <= 0 {
+			if byZone[m.Zone] == 0 && room(m.Zone) <= 0 {
 				s.Held = append(s.Held, HeldMachine{p.Rec.Name, m.ID, HoldZone})
 			}
 		}
--- a/internal/drain/txn_builder.go
+++ b/internal/drain/txn_builder.go
@@ -10,33 +10,34 @@
 	"bramblespur/internal/wire"
 )
 
-// TxnBuilder makes the transactions of one turn of a shard's owner. Each is conditioned on the
-// shard's fencing token and on the version of every record that it relies on, so that of two
-// controllers that decide at the same moment one fails.
+// TxnBuilder builds the transactions of one turn of a shard's owner. Each is conditional on the shard's
+// fencing token and on the version of every record that it relies on: if two controllers decide at the
+// same moment, the transaction of one of them fails.
 type TxnBuilder struct {
 	Input
-	Owner wire.Condition // the shard's record
-	// MachineGone tells whether a machine was released or is lost.
+	Owner wire.Condition // that the shard's record has the owner's fencing token as its version
+	// MachineGone reports whether a machine was released or has no record.
 	MachineGone func(machine string) bool
-	// Tokens are the fencing tokens of all shards' owners, none while not all controllers take part
-	// in drains. Serving counts this shard's machines that take work, by zone.
+	// Tokens holds the fencing tokens of all shards' owners, by shard. It is empty until all controllers
+	// take part in drains. Serving counts this shard's machines that take work, by zone.
 	Tokens  map[int]uint64
 	Serving map[string]int
-	// HoldTimes is how long machines were held since the last write, by drain and reason.
+	// HoldTimes is how long machines were held since that was last written, by drain and reason.
 	HoldTimes map[string]map[HoldReason]time.Duration
 }
 
-// Write is a transaction to carry out.
+// Write is a transaction that the shard's owner has to commit.
 type Write struct {
 	Txn      wire.Txn
-	Progress string // the drain whose progress it brings up to date, if any
+	Progress string // the drain whose progress it writes, if any
 	Team     string // the team whose ledger it writes, if any
 }
 
-// progressInterval is how often the progress of a drain is written if nothing else is.
+// progressInterval is the age of its last sample at which the progress of a drain is written in a turn
+// that writes nothing else.
 const progressInterval = 30 * time.Second
 
-// Writes returns the transactions that bring the records up to the steps.
+// Writes returns the transactions that record the steps and the changed ledgers.
 func (b *TxnBuilder) Writes(steps Steps, ledgers *Ledgers) []Write {
 	var out []Write
 	if w, ok := b.servingWrite(); ok {
@@ -56,7 +57,8 @@
 	return out
 }
 
-// ledgerWrite writes a team's ledger, with what is granted to a drain, if anything is.
+// ledgerWrite returns the write of a team's ledger, with the evictions that it grants and their count in
+// the drain's progress. It returns false if the ledger does not fit into a record.
 func (b *TxnBuilder) ledgerWrite(team string, steps Steps, ledgers *Ledgers) (Write, bool) {
 	l := ledgers.forTeam(team)
 	l.Expire(b.Settings.Budget(team), b.Now)
@@ -82,8 +84,8 @@
 	return w, true
 }
 
-// servingUpdate returns the record of how many machines take work as it should be, and whether it
-// is outdated.
+// servingUpdate returns the shard's Serving record as it should be, and whether the present record is
+// outdated. While no drain is active or not all controllers take part, none is outdated.
 func (b *TxnBuilder) servingUpdate() (next Serving, outdated bool) {
 	newest := b.View.NewestActivePlan()
 	if len(b.Tokens) == 0 || newest == 0 {
@@ -92,7 +94,7 @@
 	return b.View.Serving(b.Shard).Rec.Update(b.Owner.Version, newest, b.Serving)
 }
 
-// servingWrite records how many machines take work, unless the record tells that already.
+// servingWrite returns the write of the shard's Serving record, if it is outdated.
 func (b *TxnBuilder) servingWrite() (Write, bool) {
 	next, outdated := b.servingUpdate()
 	if !outdated {
@@ -103,8 +105,8 @@
 	return w, true
 }
 
-// KnownZones returns what is known of the zones by the machines that records tell in each. What
-// this shard is yet to record itself is not known.
+// KnownZones returns the zones with the machines that take work by the Serving records; recorded counts
+// the machines in service by zone. This shard's own record does not count while it is outdated.
 func (b *TxnBuilder) KnownZones(recorded map[string]int) map[string]Zone {
 	tokens := maps.Clone(b.Tokens)
 	if _, outdated := b.servingUpdate(); outdated {
@@ -118,18 +120,18 @@
 	return out
 }
 
-// requireServing makes a write fail if any shard's count of machines that take work has changed.
+// requireServing makes a write conditional on all shards' Serving records being unchanged.
 func (b *TxnBuilder) requireServing(w *Write) {
 	for _, shard := range slices.Sorted(maps.Keys(b.Tokens)) {
 		w.Txn.If = append(w.Txn.If, wire.Condition{Key: ServingKey(shard), Version: b.View.Serving(shard).Version})
 	}
 }
 
-// cordonWrite writes which machines are cordoned: without those that are gone or whose
-// drain is over, and with those that are next, for one drain at a time.
+// cordonWrite returns the write of the cordons, for one drain at a time: without the machines that are
+// gone or whose drain has ended, and with those to cordon next. It returns false if nothing changes.
 func (b *TxnBuilder) cordonWrite(steps Steps, ledgers *Ledgers) (Write, bool) {
-	held := b.View.Cordons()
-	next := held.Rec.Clone()
+	cordons := b.View.Cordons()
+	next := cordons.Rec.Clone()
 	name, gone, lifted := b.liftCordons(&next)
 	added := 0
 	if name == "" || name == steps.Drain {
@@ -142,7 +144,7 @@
 		return Write{}, false
 	}
 	w := Write{Txn: wire.Txn{If: []wire.Condition{b.Owner}}}
-	b.putIfVersion(&w, CordonsKey, held.Version, next)
+	b.putIfVersion(&w, CordonsKey, cordons.Version, next)
 	b.requireUnchanged(&w, name)
 	if added > 0 {
 		b.requireServing(&w)
@@ -154,18 +156,18 @@
 	return w, true
 }
 
-// liftCordons takes out what needs no cordon any more of the first drain that has such machines,
-// and returns its name, and how many machines are gone and how many stay.
+// liftCordons removes the shard's machines that need no cordon any more, of the first drain that has
+// any. It returns the name of the drain, how many of the machines are gone and how many stay.
 func (b *TxnBuilder) liftCordons(c *Cordons) (name string, gone, stay int) {
 	for _, id := range slices.Sorted(maps.Keys(c.Machines)) {
-		at := c.Machines[id]
-		plan, ok := b.View.Plan(at.Drain)
+		cordon := c.Machines[id]
+		plan, ok := b.View.Plan(cordon.Drain)
 		isGone := b.MachineGone(id)
-		over := !ok || plan.Rec.State.Terminal()
-		if at.Shard != b.Shard || !(isGone || over) || (name != "" && name != at.Drain) {
+		ended := !ok || plan.Rec.State.Terminal()
+		if cordon.Shard != b.Shard || !(isGone || ended) || (name != "" && name != cordon.Drain) {
 			continue
 		}
-		name = at.Drain
+		name = cordon.Drain
 		delete(c.Machines, id)
 		if isGone {
 			gone++
@@ -176,15 +178,16 @@
 	return name, gone, stay
 }
 
-// addCordons cordons the machines that are next, as far as the record has room.
+// addCordons adds the machines to cordon next, as far as they fit into the record, and returns how many
+// it added.
 func (b *TxnBuilder) addCordons(c *Cordons, steps Steps) int {
-	zones := map[string]string{}
+	zoneOf := map[string]string{}
 	for _, m := range b.Machines {
-		zones[m.ID] = m.Zone
+		zoneOf[m.ID] = m.Zone
 	}
 	added := 0
 	for _, id := range steps.Cordon {
-		c.Machines[id] = Cordon{Drain: steps.Drain, Since: b.Now.UnixMilli(), Shard: b.Shard, Zone: zones[id]}
+		c.Machines[id] = Cordon{Drain: steps.Drain, Since: b.Now.UnixMilli(), Shard: b.Shard, Zone: zoneOf[id]}
 		if encodedSize(c) > b.MaxRecordBytes {
 			delete(c.Machines, id)
 			break
@@ -194,7 +197,8 @@
 	return added
 }
 
-// progressWrites brings progress records up to date that have not been for a while.
+// progressWrites returns the write of the first drain's progress whose last sample is as old as
+// progressInterval, or nil if there is none.
 func (b *TxnBuilder) progressWrites(ledgers *Ledgers) []Write {
 	for _, name := range slices.Sorted(maps.Keys(b.HoldTimes)) {
 		c := b.View.Progress(name, b.Shard).Rec
@@ -208,22 +212,22 @@
 	return nil
 }
 
-// putIfVersion adds a record that replaces one of a version.
+// putIfVersion adds the put of a record to a write, conditional on the version of the present one.
 func (b *TxnBuilder) putIfVersion(w *Write, key string, version uint64, rec any) {
 	w.Txn.If = append(w.Txn.If, wire.Condition{Key: key, Version: version})
 	w.Txn.Then = append(w.Txn.Then, wire.Op{Put: key, Value: record.Encode(rec)})
 }
 
-// requireUnchanged makes a write fail if a drain's record is not what it is taken for.
+// requireUnchanged makes a write conditional on a drain's record being the one in the view.
 func (b *TxnBuilder) requireUnchanged(w *Write, name string) {
 	p, _ := b.View.Plan(name)
 	w.Txn.If = append(w.Txn.If, wire.Condition{Key: PlanKey(name), Version: p.Version})
 }
 
-// putProgress adds the progress of a drain, changed and with a new sample.
+// putProgress adds the changed progress of a drain, with the hold times and a new sample, to a write.
 func (b *TxnBuilder) putProgress(w *Write, name string, ledgers *Ledgers, change func(*Progress)) {
-	held := b.View.Progress(name, b.Shard)
-	c := held.Rec.Clone()
+	current := b.View.Progress(name, b.Shard)
+	c := current.Rec.Clone()
 	change(&c)
 	for reason, d := range b.HoldTimes[name] {
 		c.HoldSeconds[reason] += d.Seconds()
@@ -234,34 +238,37 @@
 	}
 	c.AddSample(b.Now, usage)
 	if !c.ShrinkTo(func(c *Progress) int { return encodedSize(c) }, b.MaxRecordBytes) {
-		return // too many teams for one record: the report goes without
+		return // too many teams for one record: this change is missing from the report
 	}
-	b.putIfVersion(w, ProgressKey(name, b.Shard), held.Version, c)
+	b.putIfVersion(w, ProgressKey(name, b.Shard), current.Version, c)
 	w.Progress = name
 }
 
-// terminalPlansKept is how many drains that are over are kept for their reports.
+// terminalPlansKept is how many ended drains are kept for their reports.
 const terminalPlansKept = 32
 
-// FinishOrPurge returns the transaction by which the leader ends drains that have no machine
-// left, or clears away the records of old ones.
-func FinishOrPurge(v *View, left func(*Plan) bool, ops int, now time.Time) (wire.Txn, bool) {
-	var over []Versioned[Plan]
+// FinishOrPurge returns the next transaction by which the leader finishes an active drain without
+// machines, or deletes records of the oldest ended drain if more than terminalPlansKept are stored; false
+// if there is neither. hasMachines reports whether a drain selects a machine that is still there. maxOps
+// bounds the operations of the transaction.
+func FinishOrPurge(v *View, hasMachines func(*Plan) bool, maxOps int, now time.Time) (wire.Txn, bool) {
+	var ended []Versioned[Plan]
 	for _, p := range v.Plans() {
 		if p.Rec.State.Terminal() {
-			over = append(over, p)
+			ended = append(ended, p)
 			continue
 		}
-		if p.Rec.State == Active && !v.cordonsOf(p.Rec.Name) && !left(&p.Rec) {
+		if p.Rec.State == Active && !v.hasCordons(p.Rec.Name) && !hasMachines(&p.Rec) {
 			return finish(v, p, now), true
 		}
 	}
-	if len(over) <= terminalPlansKept {
+	if len(ended) <= terminalPlansKept {
 		return wire.Txn{}, false
 	}
-	return v.purge(over[0], ops), true
+	return v.purge(ended[0], maxOps), true
 }
 
+// finish returns the transaction that finishes a drain, conditional on the cordons being unchanged.
 func finish(v *View, p Versioned[Plan], now time.Time) wire.Txn {
 	key := PlanKey(p.Rec.Name)
 	ended := p.Rec
@@ -272,8 +279,8 @@
 	}
 }
 
-// cordonsOf reports whether a machine is cordoned for a drain.
-func (v *View) cordonsOf(name string) bool {
+// hasCordons reports whether any machine is cordoned for a drain.
+func (v *View) hasCordons(name string) bool {
 	for _, c := range v.cordons.Rec.Machines {
 		if c.Drain == name {
 			return true
@@ -282,20 +289,20 @@
 	return false
 }
 
-// purge removes the records of a drain that is over: what its shards did first, a few at a
-// time, and the drain itself last.
-func (v *View) purge(p Versioned[Plan], ops int) wire.Txn {
+// purge returns a transaction that deletes records of an ended drain, at most maxOps of them: its
+// progress first and the plan last.
+func (v *View) purge(p Versioned[Plan], maxOps int) wire.Txn {
 	var t wire.Txn
 	remove := func(key string, version uint64) {
 		t.If = append(t.If, wire.Condition{Key: key, Version: version})
 		t.Then = append(t.Then, wire.Op{Delete: key})
 	}
 	for _, key := range slices.Sorted(maps.Keys(v.progress)) {
-		if strings.HasPrefix(key, ProgressPrefix+p.Rec.Name+"/") && len(t.Then) < ops {
+		if strings.HasPrefix(key, ProgressPrefix+p.Rec.Name+"/") && len(t.Then) < maxOps {
 			remove(key, v.progress[key].Version)
 		}
 	}
-	if len(t.Then) < ops {
+	if len(t.Then) < maxOps {
 		remove(PlanKey(p.Rec.Name), p.Version)
 	}
 	return t
--- a/internal/drain/view.go
+++ b/internal/drain/view.go
@@ -16,8 +16,8 @@
 	"bramblespur/internal/wire"
 )
 
-// Keys and prefixes of the records. They share the prefix of the cluster's records, so
-// that the controllers' watch of these tells them, too.
+// Keys and prefixes of the drain records. They lie below the prefix of the cluster's records, so that
+// the controllers' watch of those delivers them, too.
 const (
 	Prefix            = "ctl/drain/"
 	PlanPrefix        = Prefix + "plan/"
@@ -27,16 +27,17 @@
 	CordonsKey        = Prefix + "cordons"
 )
 
-// PlanKey names a drain's record.
+// PlanKey returns the key of a drain's plan.
 func PlanKey(name string) string { return PlanPrefix + name }
 
-// LedgerKey names a team's ledger.
+// LedgerKey returns the key of a team's ledger.
 func LedgerKey(team string) string { return LedgerPrefix + ledgerName(team) }
 
-// maxLedgerName keeps keys within the state service's bound.
+// maxLedgerName bounds a team's name in a key, in bytes, to keep the key within the state service's limit.
 const maxLedgerName = 150
 
-// ledgerName is a team's name as a part of a key, which may hold no spaces.
+// ledgerName returns a team's name as a part of a key, which must not contain spaces. A long name is
+// cut off and gets a hash.
 func ledgerName(team string) string {
 	name := url.PathEscape(team)
 	if len(name) <= maxLedgerName {
@@ -47,29 +48,30 @@
 	return fmt.Sprintf("%s-%016x", name[:maxLedgerName/2], h.Sum64())
 }
 
-// ParticipantKey names the record by which a controller tells that it knows of drains.
+// ParticipantKey returns the key of the record by which a controller announces that it takes part in
+// drains.
 func ParticipantKey(label string) string { return ParticipantPrefix + label }
 
-// ProgressKey names the record of what a shard did for a drain.
+// ProgressKey returns the key of a drain's progress on a shard.
 func ProgressKey(name string, shard int) string {
 	return ProgressPrefix + name + "/" + strconv.Itoa(shard)
 }
 
-// Cordon is a machine that takes no new work, for a drain.
+// Cordon says for which drain a machine takes no new work.
 type Cordon struct {
 	Drain string `json:"d"`
 	Since int64  `json:"at"` // milliseconds
-	Shard int    `json:"p"`  // whose owner lifts it once the machine is gone
+	Shard int    `json:"p"`  // the shard whose owner lifts the cordon
 	Zone  string `json:"z"`
 }
 
-// Cordons are all machines that are cordoned, by name. There is one record for all
-// drains, so that what they may do at a time holds for them together.
+// Cordons is the record of all cordoned machines. There is one record for all drains, so that the limit
+// of machines that may be cordoned at a time applies to all drains together.
 type Cordons struct {
-	Machines map[string]Cordon `json:"m"`
+	Machines map[string]Cordon `json:"m"` // by machine ID
 }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a copy whose map is not nil and not shared.
 func (c Cordons) Clone() Cordons {
 	m := maps.Clone(c.Machines)
 	if m == nil {
@@ -78,26 +80,26 @@
 	return Cordons{m}
 }
 
-// Participant is a controller's statement that it takes part in drains, and by which budgets.
+// Participant is the record by which a controller announces that it takes part in drains.
 type Participant struct {
-	Budgets string `json:"budgets"`
+	Budgets string `json:"budgets"` // Settings.Fingerprint of its budgets
 }
 
-// Versioned is a record with its version, 0 if there is none.
+// Versioned is a record with its version, which is 0 if there is no record.
 type Versioned[T any] = record.Versioned[T]
 
-// View is what the records tell of drains. It takes changes in any order and is not safe
-// for concurrent use.
+// View is a local cache of the drain records, fed by a watch. Changes may be applied in any order. A
+// View is not safe for concurrent use.
 type View struct {
-	plans        map[string]Versioned[Plan]
-	ledgers      map[string]Versioned[Ledger]
+	plans        map[string]Versioned[Plan]     // by name
+	ledgers      map[string]Versioned[Ledger]   // by ledgerName
 	progress     map[string]Versioned[Progress] // by key
-	participants map[string]Participant
+	participants map[string]Participant         // by controller label
 	cordons      Versioned[Cordons]
 	serving      map[int]Versioned[Serving] // by shard
-	versions     map[string]uint64          // of the last change of each key
-	invalid      map[string]error           // records that make no sense, by key
-	generation   uint64
+	versions     map[string]uint64          // version of the last change, by key
+	invalid      map[string]error           // why a record is malformed, by key
+	generation   uint64                     // see Generation
 }
 
 // NewView returns a view without records.
@@ -108,10 +110,12 @@
 	}
 }
 
-// ErrMalformed says that a record makes no sense. It is passed over.
+// ErrMalformed is wrapped by errors about a record that cannot be decoded or is invalid. The view
+// skips such a record.
 var ErrMalformed = errors.New("malformed drain record")
 
-// Apply applies a record's change. What is older than what is held is passed over.
+// Apply applies the change of a record, unless the view has a newer one. A malformed record replaces the
+// one before it, and Apply returns an error that wraps ErrMalformed.
 func (v *View) Apply(e wire.Change) error {
 	key := e.Put + e.Delete
 	if !strings.HasPrefix(key, Prefix) || e.Version <= v.versions[key] {
@@ -131,17 +135,18 @@
 	return nil
 }
 
-// Reset replaces all records as of a revision. What is not among them is gone, unless it
-// was written since.
+// Reset replaces all records by those of a revision. It removes the records that are not among the
+// entries, unless they were written after the revision. It returns the joined errors of malformed
+// records.
 func (v *View) Reset(entries []wire.Entry, revision uint64) error {
 	var errs []error
-	there := map[string]bool{}
+	present := map[string]bool{}
 	for _, e := range entries {
-		there[e.Key] = true
+		present[e.Key] = true
 		errs = append(errs, v.Apply(e.Change()))
 	}
 	for key, version := range v.versions {
-		if !there[key] && version <= revision {
+		if !present[key] && version <= revision {
 			v.drop(key)
 			delete(v.invalid, key)
 			delete(v.versions, key)
@@ -151,7 +156,7 @@
 	return errors.Join(errs...)
 }
 
-// drop forgets what a key's record told.
+// drop removes the record of a key.
 func (v *View) drop(key string) {
 	switch {
 	case key == CordonsKey:
@@ -171,7 +176,7 @@
 	}
 }
 
-// decode decodes a record and keeps it.
+// decode decodes a record and stores it.
 func (v *View) decode(key string, e wire.Change) error {
 	switch {
 	case key == CordonsKey:
@@ -189,22 +194,23 @@
 		}
 		return decodeIntoMap(v.serving, shard, e)
 	case strings.HasPrefix(key, ParticipantPrefix):
-		var a Participant
-		if err := json.Unmarshal(e.Value, &a); err != nil {
+		var p Participant
+		if err := json.Unmarshal(e.Value, &p); err != nil {
 			return err
 		}
-		v.participants[key[len(ParticipantPrefix):]] = a
+		v.participants[key[len(ParticipantPrefix):]] = p
 	}
 	return nil
 }
 
+// decodePlan decodes, checks and stores the plan of a drain.
 func (v *View) decodePlan(name string, e wire.Change) error {
 	var p Plan
 	if err := json.Unmarshal(e.Value, &p); err != nil {
 		return err
 	}
 	if p.Name != name {
-		return invalid("it is named %.70q", p.Name)
+		return invalid("the record's name is %.70q, want the one in its key", p.Name)
 	}
 	if err := p.Check(); err != nil {
 		return err
@@ -214,6 +220,7 @@
 	return nil
 }
 
+// decodeInto decodes the value of a change into a record. It leaves the record as it was on an error.
 func decodeInto[T any](e wire.Change, to *Versioned[T]) error {
 	var rec T
 	if err := json.Unmarshal(e.Value, &rec); err != nil {
@@ -223,25 +230,26 @@
 	return nil
 }
 
-func decodeIntoMap[K comparable, T any](m map[K]Versioned[T], name K, e wire.Change) error {
-	var held Versioned[T]
-	if err := decodeInto(e, &held); err != nil {
+// decodeIntoMap decodes the value of a change into an entry of a map.
+func decodeIntoMap[K comparable, T any](m map[K]Versioned[T], key K, e wire.Change) error {
+	var rec Versioned[T]
+	if err := decodeInto(e, &rec); err != nil {
 		return err
 	}
-	m[name] = held
+	m[key] = rec
 	return nil
 }
 
-// Generation counts the changes taken in.
+// Generation returns the number of changes that were applied.
 func (v *View) Generation() uint64 { return v.generation }
 
-// Plan returns a drain's record.
+// Plan returns a drain's plan, and whether there is one.
 func (v *View) Plan(name string) (Versioned[Plan], bool) {
 	p, ok := v.plans[name]
 	return p, ok
 }
 
-// Plans returns all drains, the oldest first.
+// Plans returns the plans of all drains, the oldest first.
 func (v *View) Plans() []Versioned[Plan] {
 	out := slices.Collect(maps.Values(v.plans))
 	slices.SortFunc(out, func(a, b Versioned[Plan]) int {
@@ -253,10 +261,10 @@
 	return out
 }
 
-// Cordons returns the machines that are cordoned.
+// Cordons returns the record of the cordoned machines. The caller must not change its map.
 func (v *View) Cordons() Versioned[Cordons] { return v.cordons }
 
-// Ledger returns a team's ledger.
+// Ledger returns a team's ledger. A caller that changes it clones it first.
 func (v *View) Ledger(team string) Versioned[Ledger] { return v.ledgers[ledgerName(team)] }
 
 // openDisruptions returns the open disruptions of a shard.
@@ -272,12 +280,12 @@
 	return out
 }
 
-// Progress returns what a shard did for a drain.
+// Progress returns a drain's progress on a shard.
 func (v *View) Progress(name string, shard int) Versioned[Progress] {
 	return v.progress[ProgressKey(name, shard)]
 }
 
-// AllProgress returns what all shards did for a drain, in the order of their keys.
+// AllProgress returns a drain's progress on all shards, in the order of their keys.
 func (v *View) AllProgress(name string) []Progress {
 	var out []Progress
 	for _, key := range slices.Sorted(maps.Keys(v.progress)) {
@@ -288,23 +296,24 @@
 	return out
 }
 
-// Invalid returns the records that make no sense, by key.
+// Invalid returns why records are malformed, by key.
 func (v *View) Invalid() map[string]error { return v.invalid }
 
-// Participant returns a controller's word on drains.
+// Participant returns the record by which a controller takes part in drains, and whether there is one.
 func (v *View) Participant(label string) (Participant, bool) {
-	a, ok := v.participants[label]
-	return a, ok
+	p, ok := v.participants[label]
+	return p, ok
 }
 
-// AllParticipate reports whether every controller has said that it takes part in drains, all by the
-// same budgets: until then nothing is drained, since one that knows nothing of drains would
-// not count what it loses, and others would grant by another budget.
+// AllParticipate reports whether all controllers take part in drains, with the same budgets, given by
+// their fingerprint. Until then nothing is drained: a controller that does not take part would not record
+// its losses, and one with other budgets would grant by those.
 func (v *View) AllParticipate(labels []string, budgets string) bool {
-	return !slices.ContainsFunc(labels, func(l string) bool { return v.participants[l].Budgets != budgets })
+	return !slices.ContainsFunc(labels, func(label string) bool { return v.participants[label].Budgets != budgets })
 }
 
-// InUse reports whether there is a drain that is not over, or a machine cordoned.
+// InUse reports whether a drain has not ended, a machine is cordoned, or a disruption that was granted to
+// a drain is open.
 func (v *View) InUse() bool {
 	for _, p := range v.plans {
 		if !p.Rec.State.Terminal() {
@@ -314,7 +323,7 @@
 	return len(v.cordons.Rec.Machines) > 0 || v.hasOpenEvictions()
 }
 
-// MayCordonMore reports whether a drain may cordon further machines now.
+// MayCordonMore reports whether an active drain has fewer machines cordoned than it may.
 func (v *View) MayCordonMore() bool {
 	cordoned := map[string]int{}
 	for _, c := range v.cordons.Rec.Machines {
@@ -328,7 +337,7 @@
 	return false
 }
 
-// hasOpenEvictions reports whether a disruption that a drain caused is still open.
+// hasOpenEvictions reports whether a disruption that was granted to a drain is open.
 func (v *View) hasOpenEvictions() bool {
 	for _, l := range v.ledgers {
 		if slices.ContainsFunc(l.Rec.Open, func(d Disruption) bool { return d.Drain != "" }) {
