--- a/internal/recovery/apply.go
+++ b/internal/recovery/apply.go
@@ -10,36 +10,36 @@
 	"bramblespur/internal/wire"
 )
 
-// Keys of what operators do about a safe mode.
+// Keys of the records that operators write during a safe mode.
 const (
 	ApplyKey     = Prefix + "apply"
 	DecisionsKey = Prefix + "decisions"
 	raiseKey     = Prefix + "raise"
 )
 
-// Errors.
+// Errors of plans that may not be applied.
 var (
-	ErrStoreChanged     = errors.New("the store has moved on since the plan was made: plan again")
+	ErrStoreChanged     = errors.New("the records have changed since the plan was made: make a new plan")
 	ErrOtherPlanApplied = errors.New("another plan is being applied")
 	ErrNoSafeMode       = errors.New("there is no safe mode")
 	ErrUndecided        = errors.New("some records are undecided")
 	ErrOtherEpoch       = errors.New("the plan is of another safe mode")
 )
 
-// Applied is the record of the plan that is being applied.
+// Applied is the record that names the plan which is being applied in a safe mode.
 type Applied struct {
-	Epoch  int    `json:"epoch"`
-	Digest string `json:"digest"`
+	Epoch  int    `json:"epoch"`  // of the safe mode
+	Digest string `json:"digest"` // of the plan
 }
 
-// Decisions is the record of what operators have decided in a safe mode.
+// Decisions is the record of the decisions that operators have made in a safe mode.
 type Decisions struct {
-	Epoch  int                 `json:"epoch"`
-	Chosen map[string]Decision `json:"chosen"`
+	Epoch  int                 `json:"epoch"`  // of the safe mode
+	Chosen map[string]Decision `json:"chosen"` // by the keys of undecided records
 }
 
-// Check tells why a plan may not be applied in a safe mode, whose record is nil if there is
-// none.
+// Check returns an error if the plan may not be applied in a safe mode, whose record is nil if there
+// is none: ErrNoSafeMode, ErrOtherEpoch or an error that wraps ErrUndecided.
 func (p *Plan) Check(mode *SafeMode) error {
 	switch {
 	case mode == nil || !mode.Active:
@@ -53,46 +53,47 @@
 	return nil
 }
 
-// Batches are the transactions of a plan, in order. Each is conditioned on the records being
-// as they were when the plan was made.
-func (p *Plan) Batches(l Limits) []wire.Txn {
-	var out []wire.Txn
-	var t wire.Txn
+// Batches returns the transactions of the plan, in order. Each is conditional on the records being
+// unchanged since the plan was made.
+func (p *Plan) Batches(limits Limits) []wire.Txn {
+	var batches []wire.Txn
+	var txn wire.Txn
 	size := 0
-	for _, i := range p.Items {
-		if !i.writes() {
+	for _, item := range p.Items {
+		if !item.writes() {
 			continue
 		}
-		if len(t.Then) > 0 && (len(t.Then) >= l.TxnOps || size+len(i.Put) > l.TxnBytes) {
-			out = append(out, t)
-			t, size = wire.Txn{}, 0
+		if len(txn.Then) > 0 && (len(txn.Then) >= limits.TxnOps || size+len(item.Put) > limits.TxnBytes) {
+			batches = append(batches, txn)
+			txn, size = wire.Txn{}, 0
 		}
-		op := wire.Op{Put: i.Key, Value: i.Put}
-		if i.Delete {
-			op = wire.Op{Delete: i.Key}
+		op := wire.Op{Put: item.Key, Value: item.Put}
+		if item.Delete {
+			op = wire.Op{Delete: item.Key}
 		}
-		t.If = append(t.If, wire.Condition{Key: i.Key, Version: i.Version})
-		t.Then = append(t.Then, op)
-		size += len(i.Put) + len(i.Key)
+		txn.If = append(txn.If, wire.Condition{Key: item.Key, Version: item.Version})
+		txn.Then = append(txn.Then, op)
+		size += len(item.Put) + len(item.Key)
 	}
-	if len(t.Then) > 0 {
-		out = append(out, t)
+	if len(txn.Then) > 0 {
+		batches = append(batches, txn)
 	}
-	return out
+	return batches
 }
 
-// AlreadyApplied reports whether a transaction was carried out before, by the records as they are now.
-func AlreadyApplied(t wire.Txn, now map[string]wire.Entry) bool {
-	for _, op := range t.Then {
-		e, there := now[op.Put+op.Delete]
-		if there != (op.Put != "") || there && !sameJSON(e.Value, op.Value) {
+// AlreadyApplied reports whether a transaction of a plan has been carried out before, given the
+// present records by key.
+func AlreadyApplied(txn wire.Txn, now map[string]wire.Entry) bool {
+	for _, op := range txn.Then {
+		entry, present := now[op.Put+op.Delete]
+		if present != (op.Put != "") || present && !sameJSON(entry.Value, op.Value) {
 			return false
 		}
 	}
 	return true
 }
 
-// sameJSON compares values that a store may have written in another way.
+// sameJSON reports whether two values are the same JSON, since a store may format it differently.
 func sameJSON(a, b json.RawMessage) bool {
 	var x, y bytes.Buffer
 	if json.Compact(&x, a) != nil || json.Compact(&y, b) != nil {
@@ -101,8 +102,9 @@
 	return bytes.Equal(x.Bytes(), y.Bytes())
 }
 
-// ClaimTxn is the transaction that makes a plan the one that is applied; there is none to be made
-// if it is already.
+// ClaimTxn returns the transaction that records the plan as the one that is being applied. The
+// present record, nil if there is none, has the given version. ClaimTxn returns false if the record
+// names the plan already, and ErrOtherPlanApplied if it names another one of the same safe mode.
 func (p *Plan) ClaimTxn(old *Applied, version uint64) (wire.Txn, bool, error) {
 	claim := Applied{Epoch: p.Epoch, Digest: p.Digest()}
 	if old != nil && old.Epoch == p.Epoch {
@@ -115,27 +117,29 @@
 		Then: []wire.Op{{Put: ApplyKey, Value: record.Encode(claim)}}}, true, nil
 }
 
-// RaiseRevisionTxn is a transaction that only makes the store's revision rise by one.
+// RaiseRevisionTxn returns a transaction whose only purpose is to raise the store's revision by one.
 func RaiseRevisionTxn(n uint64) wire.Txn {
 	return wire.Txn{Then: []wire.Op{{Put: raiseKey, Value: record.Encode(n)}}}
 }
 
-// EndSafeModeTxn is the one transaction that ends a safe mode.
+// EndSafeModeTxn returns the transaction that ends a safe mode, whose record has the given version.
 func EndSafeModeTxn(mode SafeMode, version uint64, nowMillis int64) wire.Txn {
 	mode.Active, mode.Ended = false, nowMillis
 	return wire.Txn{If: []wire.Condition{{Key: SafeModeKey, Version: version}},
 		Then: []wire.Op{{Put: SafeModeKey, Value: record.Encode(mode)}}}
 }
 
-// DecisionTxn is the transaction that records a decision about an undecided record of a plan.
-func DecisionTxn(old *Decisions, version uint64, epoch int, key string, c Decision) wire.Txn {
-	d := Decisions{Epoch: epoch, Chosen: map[string]Decision{}}
+// DecisionTxn returns the transaction that records a decision about an undecided record of a plan.
+// The present decisions, nil if there are none, have the given version; those of an earlier safe mode
+// are dropped.
+func DecisionTxn(old *Decisions, version uint64, epoch int, key string, choice Decision) wire.Txn {
+	decisions := Decisions{Epoch: epoch, Chosen: map[string]Decision{}}
 	if old != nil && old.Epoch == epoch {
 		for k, v := range old.Chosen {
-			d.Chosen[k] = v
+			decisions.Chosen[k] = v
 		}
 	}
-	d.Chosen[key] = c
+	decisions.Chosen[key] = choice
 	return wire.Txn{If: []wire.Condition{{Key: DecisionsKey, Version: version}},
-		Then: []wire.Op{{Put: DecisionsKey, Value: record.Encode(d)}}}
+		Then: []wire.Op{{Put: DecisionsKey, Value: record.Encode(decisions)}}}
 }
--- a/internal/recovery/safe_mode.go
+++ b/internal/recovery/safe_mode.go
@@ -1,5 +1,6 @@
-// Package recovery is pure: it tells a state service that lost data from one that changed,
-// holds what controllers agree on while it has, and rebuilds the records from evidence.
+// Package recovery holds the rules for a state service that has lost data. It distinguishes lost
+// data from ordinary changes, keeps the safe mode on which all controllers agree after a loss, and
+// plans how the records are restored from the evidence that is left. The package is pure.
 package recovery
 
 import (
@@ -9,17 +10,17 @@
 	"bramblespur/internal/wire"
 )
 
-// Keys of recovery's records.
+// Keys of the records of this package.
 const (
 	Prefix      = "ctl/recovery/"
 	SafeModeKey = Prefix + "safe-mode"
 )
 
-// FindingKind is a kind of finding.
+// FindingKind is the kind of a finding.
 type FindingKind string
 
-// Findings that tell of lost data. None of them comes about while it keeps what it
-// has confirmed.
+// Kinds of findings. None of them occurs as long as the state service keeps the writes that it has
+// confirmed.
 const (
 	RevisionRegressed FindingKind = "revision fell"
 	TokenAheadOfStore FindingKind = "token ahead of the store"
@@ -30,23 +31,26 @@
 // Finding is evidence that the state service has lost data.
 type Finding struct {
 	Kind FindingKind `json:"kind"`
-	// Key is the record that tells it, if one does, or the machine with the token.
+	// Key is the key of the record that is missing or stale, the task or machine without a record,
+	// or the machine that has the token. It is empty if the revision regressed.
 	Key string `json:"key,omitempty"`
-	// Held is the version, revision or token that was known, Found what the store has.
+	// Held is the version, revision, token or attempt that was known before, and Found what the
+	// records in the store have; 0: nothing.
 	Held  uint64 `json:"held"`
 	Found uint64 `json:"found"`
 }
 
-// String describes a finding in a line.
-func (s Finding) String() string {
-	if s.Key == "" {
-		return fmt.Sprintf("%s: %d, was %d", s.Kind, s.Found, s.Held)
+// String describes the finding in one line.
+func (f Finding) String() string {
+	if f.Key == "" {
+		return fmt.Sprintf("%s: %d, was %d", f.Kind, f.Found, f.Held)
 	}
-	return fmt.Sprintf("%s: %s is at %d, was %d", s.Kind, s.Key, s.Found, s.Held)
+	return fmt.Sprintf("%s: %s is at %d, was %d", f.Kind, f.Key, f.Found, f.Held)
 }
 
-// CompareVersions returns the finding that a record's version gives, if any: what was held of it can only
-// have become newer.
+// CompareVersions compares the version of a record in the store with the version that was held. A
+// record can only become newer, so a lower version is a finding and CompareVersions returns true.
+// Found is 0 if the record is missing.
 func CompareVersions(key string, held, found uint64) (Finding, bool) {
 	switch {
 	case found >= held:
@@ -57,52 +61,53 @@
 	return Finding{RecordStale, key, held, found}, true
 }
 
-// SafeMode is the record by which controllers agree that nothing may be done until the state
-// has been recovered.
+// SafeMode is the record by which controllers agree that nothing may be done until operators have
+// recovered the state service's data.
 type SafeMode struct {
 	Active bool `json:"active"`
-	// Epoch counts losses: who holds a safe mode leaves it once the record tells that this
-	// epoch or a later one is over.
+	// Epoch is the number of safe modes so far. A controller in safe mode leaves it once the record
+	// says that this epoch or a later one has ended.
 	Epoch int     `json:"epoch"`
-	Since int64   `json:"since"` // milliseconds
-	By    string  `json:"by"`    // who noticed it
-	Sign  Finding `json:"sign"`
-	// Floor is the highest revision or token that was seen: the store's revision must be
-	// above it before an order goes out.
+	Since int64   `json:"since"` // when it began, in Unix milliseconds
+	By    string  `json:"by"`    // label of the controller that began it
+	Sign  Finding `json:"sign"`  // the finding for which it began
+	// Floor is the highest revision or token that was seen. The store's revision must be above it
+	// before a command is sent.
 	Floor uint64 `json:"floor"`
-	Ended int64  `json:"ended,omitempty"`
+	Ended int64  `json:"ended,omitempty"` // in Unix milliseconds; 0: not ended
 }
 
-// SafeModeState is one controller's knowledge of safe modes. It is held by each alone, whatever
-// becomes of the record.
+// SafeModeState is one controller's copy of the latest safe mode. Each controller keeps its own, even
+// if the record is lost. It is not safe for concurrent use.
 type SafeModeState struct {
 	mode SafeMode
 }
 
-// Active reports whether nothing may be done.
+// Active reports whether the safe mode is active, so that nothing may be done.
 func (h *SafeModeState) Active() bool { return h.mode.Active }
 
-// Mode returns what is held.
+// Mode returns the latest safe mode, which may have ended.
 func (h *SafeModeState) Mode() SafeMode { return h.mode }
 
-// Begin begins a safe mode for a sign, unless there is one.
-func (h *SafeModeState) Begin(label string, s Finding, floor uint64, nowMillis int64) (began bool) {
+// Begin begins a safe mode for a finding, and reports false if one is active already. The label is
+// that of this controller.
+func (h *SafeModeState) Begin(label string, f Finding, floor uint64, nowMillis int64) (began bool) {
 	if h.mode.Active {
 		return false
 	}
-	h.mode = SafeMode{Active: true, Epoch: h.mode.Epoch + 1, Since: nowMillis, By: label, Sign: s, Floor: max(floor, s.Held)}
+	h.mode = SafeMode{Active: true, Epoch: h.mode.Epoch + 1, Since: nowMillis, By: label, Sign: f, Floor: max(floor, f.Held)}
 	return true
 }
 
-// RaiseFloor takes in a revision or token that was seen.
+// RaiseFloor raises the floor to a revision or token that was seen, unless it is higher already.
 func (h *SafeModeState) RaiseFloor(floor uint64) { h.mode.Floor = max(h.mode.Floor, floor) }
 
-// ApplyRecord takes in the record as it stands, nil if there is none. It reports whether a safe mode
-// began or ended here.
+// ApplyRecord applies the present record, nil if there is none. It reports whether a safe mode began
+// or ended for this controller.
 func (h *SafeModeState) ApplyRecord(r *SafeMode) (began, ended bool) {
 	switch {
 	case r == nil || r.Epoch < h.mode.Epoch:
-		return false, false // lost, or not written yet: what is held counts
+		return false, false // the record is lost, or not written yet: the own copy counts
 	case r.Active && !h.mode.Active && r.Epoch > h.mode.Epoch:
 		h.mode = *r
 		return true, false
@@ -117,7 +122,8 @@
 	return false, false
 }
 
-// RecordUpdate returns the transaction that brings the record up to what is held, if it is behind.
+// RecordUpdate returns the transaction that brings the present record r, nil if there is none, up to
+// date with an active safe mode. It returns false if the record is not behind.
 func (h *SafeModeState) RecordUpdate(r *SafeMode, version uint64) (wire.Txn, bool) {
 	if !h.mode.Active {
 		return wire.Txn{}, false
