--- a/internal/recovery/plan_jobs.go
+++ b/internal/recovery/plan_jobs.go
@@ -10,8 +10,9 @@
 	"bramblespur/internal/wire"
 )
 
-// planFinishedJob restores the final state of a job. It is written once and never changes, so any source
-// will do; if they differ, nobody can tell which one users were told.
+// planFinishedJob restores the final record of a job. It is written once and never changes, so any
+// source will do. If the sources differ, the evidence does not show which state users were told, and
+// an operator has to decide.
 func (p *planner) planFinishedJob(key string) {
 	var states []string
 	var first wire.Entry
@@ -20,18 +21,18 @@
 		records map[string]wire.Entry
 		from    Source
 	}{{p.Store, FromStore}, {p.Held, FromController}, {p.Snapshot, FromSnapshot}} {
-		e, ok := s.records[key]
-		var j record.FinishedJob
-		if !ok || json.Unmarshal(e.Value, &j) != nil {
+		entry, ok := s.records[key]
+		var job record.FinishedJob
+		if !ok || json.Unmarshal(entry.Value, &job) != nil {
 			continue
 		}
 		if len(states) == 0 {
-			first, from = e, s.from
+			first, from = entry, s.from
 		}
-		states = append(states, j.State)
+		states = append(states, job.State)
 	}
 	if len(states) == 0 {
-		p.item(key, Lost, "", "no source has a value that makes sense")
+		p.item(key, Lost, "", "no source has a value that can be decoded")
 		return
 	}
 	for _, s := range states {
@@ -43,49 +44,50 @@
 	p.restore(key, first.Value, from, "")
 }
 
-// hasFinished reports whether a job has a final state by what was planned so far.
+// hasFinished reports whether a job has a final record by the items planned so far.
 func (p *planner) hasFinished(ref string) bool {
 	i := p.items[record.FinishedJobKey(ref)]
 	return i != nil && (i.Outcome == Intact || i.Outcome == Recovered)
 }
 
-// planActiveJob restores an unfinished job, unless it has ended.
+// planActiveJob restores an active job, unless it has finished or may have finished.
 func (p *planner) planActiveJob(key string) {
 	ref := record.LastElement(key)
 	_, stored := p.Store[key]
 	if p.hasFinished(ref) {
-		i := p.item(key, Finished, p.items[record.FinishedJobKey(ref)].From, "its final state is known")
-		i.Delete = stored
+		item := p.item(key, Finished, p.items[record.FinishedJobKey(ref)].From, "its final state is known")
+		item.Delete = stored
 		return
 	}
 	if p.undecidedJobs[ref] {
-		return // its final record tells more
+		return // its final record is undecided
 	}
-	e, from, _ := p.newest(key)
-	var o record.ActiveJob
-	if err := json.Unmarshal(e.Value, &o); err != nil || o.Spec.Ref != ref {
-		p.undecided(key, ref, "its record makes no sense", DecideDone, DecideCancelled)
+	entry, from, _ := p.newest(key)
+	var job record.ActiveJob
+	if err := json.Unmarshal(entry.Value, &job); err != nil || job.Spec.Ref != ref {
+		p.undecided(key, ref, "its record is malformed", DecideDone, DecideCancelled)
 		return
 	}
-	if why, ok := p.mayHaveEnded(key, ref, from, e.Version); ok && !p.runsOnWorker(ref) {
+	if why, ok := p.mayHaveEnded(key, ref, from, entry.Version); ok && !p.runsOnWorker(ref) {
 		p.undecided(key, ref, why, DecideDone, DecideCancelled, DecideRerun)
 		if p.Decisions[key] != DecideRerun {
 			return
 		}
 	}
-	value := e.Value
-	if v := p.View.Open[ref]; v.Version > e.Version && v.Cancelled && !o.Cancelled {
-		o.Cancelled = true // since what is restored was written
-		value = record.Encode(o)
+	value := entry.Value
+	if viewed := p.View.Open[ref]; viewed.Version > entry.Version && viewed.Cancelled && !job.Cancelled {
+		job.Cancelled = true // cancelled after the restored copy was written
+		value = record.Encode(job)
 	}
-	p.activeJobs[ref] = o
+	p.activeJobs[ref] = job
 	if p.Decisions[key] == DecideRerun {
 		from = FromOperator
 	}
-	p.restore(key, value, from, describeVersion(e))
+	p.restore(key, value, from, describeVersion(entry))
 }
 
-// mayHaveEnded tells why a job may have ended after what is known of it was written.
+// mayHaveEnded returns why a job may have ended after the newest copy of its record was written, and
+// false if nothing suggests that it has. That copy has the given source and version.
 func (p *planner) mayHaveEnded(key, ref string, from Source, version uint64) (string, bool) {
 	_, held := p.Held[key]
 	_, viewed := p.View.Open[ref]
@@ -100,7 +102,7 @@
 	return "", false
 }
 
-// runsOnWorker reports whether a worker has a task of a job that has not exited.
+// runsOnWorker reports whether a worker has a task of the job that has not exited.
 func (p *planner) runsOnWorker(ref string) bool {
 	for _, r := range p.Heartbeats {
 		for _, t := range r.Tasks {
@@ -112,7 +114,7 @@
 	return false
 }
 
-// undecided makes a job wait for an operator, or carries out what was decided.
+// undecided adds an undecided item for a job, or carries out the decision about it.
 func (p *planner) undecided(key, ref, why string, choices ...Decision) {
 	switch p.Decisions[key] {
 	case DecideDone, DecideCancelled:
@@ -134,16 +136,16 @@
 	p.item(key, Undecided, "", why).Choices = choices
 }
 
-// LostKey names the record by which operators have accepted that a job is lost.
+// LostKey returns the key of the record by which an operator has accepted that a job is lost.
 func LostKey(ref string) string { return Prefix + "lost/" + ref }
 
-// planLostJobs names the jobs of which workers have tasks and nothing else is left.
+// planLostJobs plans the jobs of which nothing is left but tasks on workers.
 func (p *planner) planLostJobs() {
 	for _, r := range p.Heartbeats {
 		for _, t := range r.Tasks {
 			ref, _, ok := scheduler.SplitTask(t.Task)
-			_, open := p.activeJobs[ref]
-			if !ok || open || t.State == wire.Exited || p.hasFinished(ref) || p.undecidedJobs[ref] {
+			_, active := p.activeJobs[ref]
+			if !ok || active || t.State == wire.Exited || p.hasFinished(ref) || p.undecidedJobs[ref] {
 				continue
 			}
 			p.lostJob(ref, "only tasks of it are left, on "+r.Machine)
@@ -151,6 +153,7 @@
 	}
 }
 
+// lostJob plans one job that is lost, unless an operator has accepted that already.
 func (p *planner) lostJob(ref, why string) {
 	key := record.ActiveJobKey(ref)
 	if _, accepted := p.Store[LostKey(ref)]; accepted || p.items[LostKey(ref)] != nil {
--- a/internal/recovery/plan_machines.go
+++ b/internal/recovery/plan_machines.go
@@ -11,81 +11,82 @@
 	"bramblespur/internal/wire"
 )
 
-// planMachines restores a record of machines. One of which only the snapshot knows may have been
-// cleared since: it counts if the cloud still lists one of its machines.
+// planMachines restores a record of machines. A record that only the snapshot has may have been
+// deleted since, so it is restored only if the cloud still lists one of its machines.
 func (p *planner) planMachines(key string) {
-	e, from, _ := p.newest(key)
+	entry, from, _ := p.newest(key)
 	if from != FromSnapshot {
 		p.planNewest(key)
 		return
 	}
-	ids, err := machinesOf(e)
+	ids, err := machinesOf(entry)
 	if err != nil {
-		p.item(key, Lost, from, "its value makes no sense")
+		p.item(key, Lost, from, "its value cannot be decoded")
 		return
 	}
 	for _, id := range ids {
 		if _, listed := p.Listed[id]; listed {
-			p.restore(key, e.Value, from, "the cloud lists "+id)
+			p.restore(key, entry.Value, from, "the cloud lists "+id)
 			return
 		}
 	}
 	p.item(key, Finished, from, "the cloud lists none of its machines")
 }
 
-// machinesOf returns the machines that a record is about.
+// machinesOf returns the IDs of the machines in a record.
 func machinesOf(e wire.Entry) ([]string, error) {
 	if strings.HasPrefix(e.Key, record.OverridePrefix) {
 		return []string{record.LastElement(e.Key)}, nil
 	}
-	var r struct { // a provision's and a batch's alike
+	var r struct { // the same field in provisions and in batches
 		IDs []string `json:"ids"`
 	}
 	err := json.Unmarshal(e.Value, &r)
 	return r.IDs, err
 }
 
-// plannedFleet returns the machines by the records as they will be.
+// plannedFleet returns the machines according to the planned records.
 func (p *planner) plannedFleet() *record.Fleet {
-	f := record.NewFleet()
+	fleet := record.NewFleet()
 	for _, key := range slices.Sorted(maps.Keys(p.items)) {
-		i := p.items[key]
-		if !strings.HasPrefix(key, record.FleetPrefix) || (i.Outcome != Intact && i.Outcome != Recovered) {
+		item := p.items[key]
+		if !strings.HasPrefix(key, record.FleetPrefix) || (item.Outcome != Intact && item.Outcome != Recovered) {
 			continue
 		}
-		value := i.Put
+		value := item.Put
 		if value == nil {
 			value = p.Store[key].Value
 		}
-		// What makes no sense was reported as lost already.
-		_, _ = f.Apply(wire.Change{Put: key, Value: value, Version: 1})
+		// A record that cannot be decoded already has the outcome Lost.
+		_, _ = fleet.Apply(wire.Change{Put: key, Value: value, Version: 1})
 	}
-	return f
+	return fleet
 }
 
-// planUnrecordedMachines records machines that were told to do something once and have no record. The
-// others are left to the leader, which gives them back.
+// planUnrecordedMachines adds records for machines that the cloud lists and that have none, if they
+// have a fencing token, so that they were sent commands once. The other machines without a record are
+// left to the leader, which releases them.
 func (p *planner) planUnrecordedMachines() {
-	f := p.plannedFleet()
+	fleet := p.plannedFleet()
 	for _, id := range slices.Sorted(maps.Keys(p.Heartbeats)) {
-		r := p.Heartbeats[id]
+		heartbeat := p.Heartbeats[id]
 		_, listed := p.Listed[id]
-		if _, known := f.Machine(id); known || !listed || r.Token == 0 {
+		if _, recorded := fleet.Machine(id); recorded || !listed || heartbeat.Token == 0 {
 			continue
 		}
-		rental := record.Provision{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Shards: []int{p.shardFor(&r)}, IDs: []string{id}, Addrs: []string{r.Addr}, CreatedAt: p.Mode.Since}
-		i := p.item(record.ProvisionKey("recovered-"+id), Recovered, FromHeartbeat, "its worker and the cloud tell it")
-		i.Put = record.Encode(rental)
+		provision := record.Provision{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot, Shards: []int{p.shardFor(&heartbeat)}, IDs: []string{id}, Addrs: []string{heartbeat.Addr}, CreatedAt: p.Mode.Since}
+		item := p.item(record.ProvisionKey("recovered-"+id), Recovered, FromHeartbeat, "its worker sends heartbeats and the cloud lists it")
+		item.Put = record.Encode(provision)
 	}
 }
 
-// shardFor returns the shard of the first unfinished job of which a worker has a task, or else the
-// first shard: what is not needed there moves on.
-func (p *planner) shardFor(r *wire.Heartbeat) int {
-	for _, t := range r.Tasks {
+// shardFor returns the shard for the machine of a worker: that of the first active job of which the
+// worker has a task, or else the first shard. A machine that is not needed there is transferred later.
+func (p *planner) shardFor(heartbeat *wire.Heartbeat) int {
+	for _, t := range heartbeat.Tasks {
 		ref, _, _ := scheduler.SplitTask(t.Task)
-		if o, open := p.activeJobs[ref]; open {
-			return o.Shard
+		if job, active := p.activeJobs[ref]; active {
+			return job.Shard
 		}
 	}
 	return 0
