--- a/internal/record/cluster.go
+++ b/internal/record/cluster.go
@@ -6,32 +6,32 @@
 	Incarnation uint64 `json:"inc"`
 }
 
-// Member is the record of a live controller, with what it tells of its health.
+// Member is the record of a live controller, with its health as it reports it.
 type Member struct {
 	Incarnation uint64 `json:"inc"`
-	// Isolated says that it hears neither workers nor other controllers, though it reaches
-	// the state service: its shards are better off elsewhere.
+	// Isolated says that neither workers nor other controllers reach this controller, although
+	// it reaches the state service: other controllers can serve its shards better.
 	Isolated bool `json:"deaf,omitempty"`
-	// WithoutPeers says that it hears no other controller.
+	// WithoutPeers says that no other controller reaches this one.
 	WithoutPeers bool `json:"alone,omitempty"`
-	// Overloaded says that it falls behind for want of CPU time, so that its shards are
-	// better off elsewhere.
+	// Overloaded says that this controller falls behind for lack of CPU time: other controllers
+	// can serve its shards better.
 	Overloaded bool `json:"overloaded,omitempty"`
 }
 
 // Format is the record format that a controller writes and reads. Once every configured controller
-// has recorded one, no process of the first version owns a shard again: a process that dies is
-// started again in the version that it had.
+// has recorded a Format, no process of the first version owns a shard any more, because a process
+// that dies is restarted in the version that it had.
 type Format struct {
 	Version int `json:"n"`
 }
 
-// SizedRanges is the format of Placements whose ranges of tasks state their own size.
+// SizedRanges is the version of the format in which each TaskRange of Placements has a Size.
 const SizedRanges = 1
 
-// Shard is the ownership of a shard.
+// Shard is the record of a shard's ownership.
 type Shard struct {
 	Owner       string `json:"owner"`
 	Incarnation uint64 `json:"inc"`
-	TransferTo  string `json:"to,omitempty"` // the controller that is to acquire it
+	TransferTo  string `json:"to,omitempty"` // the label of the controller that is to acquire the shard
 }
--- a/internal/record/doc.go
+++ b/internal/record/doc.go
@@ -1,20 +1,24 @@
-// Package record defines the records that controllers keep in the key-value store: their keys,
+// Package record defines the records that controllers keep in the state service: their keys,
 // their Go types, and how these are encoded as JSON, decoded and checked. JSON names and keys are
-// a contract with other versions; tests hold them by golden bytes.
+// a contract with other versions of the controller; tests compare them with golden bytes.
 //
-// A record's version is the store's revision of its last write. Transactions compare versions, so
-// that a writer acts on what it has read; version 0 is that of a record that does not exist. The
-// version of a shard's record since it was acquired is the shard's fencing token, and that of an
-// override record the fencing token of its machine, if higher.
+// The version of a record is the state service's revision of its last write; a record that does
+// not exist has version 0. Transactions compare versions, so that a write fails if the record has
+// changed since the writer read it. The version of a shard's record since the shard was acquired
+// is the shard's fencing token. The version of a machine's override record is the machine's fencing
+// token if it is higher than the shard's.
 //
 // # Records
 //
-// "owner" is the controller that owns a shard; all its writes also compare the shard's record, so
-// that they fail once another controller has acquired the shard. "Own version" compares the
-// version of the record itself. Records of subsystems are defined in their packages.
+// Each line gives a key, the Go type of its record, who writes it on which condition, who reads it,
+// and when it is deleted. The "owner" is the controller that owns a shard; all its writes also
+// compare the version of the shard's record, so that they fail once another controller has acquired
+// the shard. The condition "absent" means that the record must not exist, and "own version" that it
+// must still have the version that the writer read. Records of subsystems are defined in their
+// packages.
 //
 //	ctl/leader             record.Leader        leader, on election: own version, under its lease. Read by all. Goes with the lease or when it steps down.
-//	ctl/types              wire.MachineTypes    first controller to hear them: absent. Read by all at start. Stays.
+//	ctl/types              wire.MachineTypes    first controller that receives them: absent. Read by all at start. Stays.
 //	ctl/members/LABEL      record.Member        that controller: unconditional, under its lease. Read by all. Goes with the lease.
 //	ctl/parts/N            record.Shard         acquiring controller, or the leader to transfer it: own version. Read by all. Stays.
 //	ctl/formats/LABEL      record.Format        that controller: unconditional. Read by all. Stays.
@@ -29,14 +33,16 @@
 //	ctl/recovery/apply     recovery.Applied     operator: own version. Read by operators. Stays.
 //	ctl/recovery/decisions recovery.Decisions   operator: own version. Read by operators. Stays.
 //	fleet/rent/NAME        record.Provision     leader: absent, and the leader's record; owner without a leader: absent; then own version. Read by all. Deleted by the leader once its machines are released, or were refused.
-//	fleet/own/ID           record.Machine       owner that transfers the machine or raises its token: own version. Read by all. Deleted by the leader before its Provision.
+//	fleet/own/ID           record.Machine       owner that transfers the machine or raises its fencing token: own version. Read by all. Deleted by the leader before its Provision.
 //	fleet/back/NAME        record.Release       owner: absent; leader, once the cloud has confirmed: own version. Read by all. Deleted by the leader after its machines' Provisions.
-//	open/REF               record.ActiveJob     controller that accepts the job: it and jobs/REF absent; that accepts a cancellation: own version; owner, to release it from a pipeline: own version. Read by all. Deleted with the write of jobs/REF.
+//	open/REF               record.ActiveJob     controller that accepts the job: it and jobs/REF absent; controller that accepts a cancellation: own version; owner, to release it from a pipeline: own version. Read by all. Deleted with the write of jobs/REF.
 //	jobs/REF               record.FinishedJob   owner, or a controller that cancels dependents: version of open/REF. Read by all. Stays.
-//	pipes/REF              record.Pipeline      controller that accepts it: absent; that accepts a cancellation, and owner at the end of its jobs: own version. Read by owner and status queries. Stays.
-//	runs/N/N               record.Placements    owner: own version, and those of the jobs and machines that it starts tasks of and on. Read by owner on acquiring the shard. Deleted by the owner when nothing is left in a record of the first format.
+//	pipes/REF              record.Pipeline      controller that accepts it: absent; controller that accepts a cancellation, and owner, when one of its jobs ends: own version. Read by owner and status queries. Stays.
+//	runs/N/N               record.Placements    owner: own version, and the versions of the jobs and machines of the tasks that it starts. Read by owner on acquiring the shard. Deleted by the owner when a record of the first format is empty.
 //
-// A recovery plan that an operator applies may write or delete any of them, comparing its own version,
-// but those of the leader, members, shards, restarts and recovery. Two more hold bare values: ctl/recovery/raise, written only to raise the store's revision, and
-// ctl/recovery/lost/REF, by which operators accept that a job is lost.
+// A recovery plan that an operator applies may write or delete any of these records, comparing the
+// record's own version, except those of the leader, members, shards, restarts and recovery.
+//
+// Two more keys hold bare values: ctl/recovery/raise, written only to raise the revision of the
+// state service, and ctl/recovery/lost/REF, by which operators accept that a job is lost.
 package record
--- a/internal/record/fleet.go
+++ b/internal/record/fleet.go
@@ -7,36 +7,35 @@
 	"bramblespur/internal/wire"
 )
 
-// Phase says how far the release of a machine is.
+// Phase says how far the release of a machine has progressed.
 type Phase int
 
 // Phases of a machine.
 const (
-	InUse     Phase = iota
-	Releasing       // it is being released; no task may start there again
-	Released        // the cloud has confirmed its release
+	InUse     Phase = iota // no Release names the machine
+	Releasing              // the machine is being released; no task may start on it any more
+	Released               // the cloud has confirmed the release
 )
 
-// MachineView is what all records say of a machine. Version is that of its override record, 0 if
-// it has none.
+// MachineView combines what all records say about a machine.
 type MachineView struct {
 	Machine
-	Version uint64
+	Version uint64 // of the machine's override record, 0 if it has none
 	Phase   Phase
 	Addr    string // empty until it is recorded
 }
 
-// Fleet is the index of all records under FleetPrefix. Changes of a key are applied in the order of
-// their versions, older ones are ignored. It is not safe for concurrent use.
+// Fleet is the index of all records under FleetPrefix. Of the changes of a key, those older than the
+// record held are ignored. Fleet is not safe for concurrent use.
 type Fleet struct {
-	provisions  map[string]Versioned[Provision]
-	overrides   map[string]Versioned[Machine]
-	releases    map[string]Versioned[Release]
-	provisionOf map[string]provisionIndex // by machine
-	releaseOf   map[string]string         // by machine
+	provisions  map[string]Versioned[Provision] // by name
+	overrides   map[string]Versioned[Machine]   // by machine
+	releases    map[string]Versioned[Release]   // by key without ReleasePrefix
+	provisionOf map[string]provisionIndex       // by machine
+	releaseOf   map[string]string               // by machine, key in releases
 }
 
-// provisionIndex is a machine's Provision and its position in it.
+// provisionIndex is the name of a machine's Provision and the machine's index in its IDs.
 type provisionIndex struct {
 	provision string
 	index     int
@@ -50,7 +49,7 @@
 	}
 }
 
-// FleetOf returns the machines that listed records tell.
+// FleetOf returns the index of listed records. It fails if one of them is malformed.
 func FleetOf(entries []wire.Entry) (*Fleet, error) {
 	fleet := NewFleet()
 	for _, entry := range entries {
@@ -61,35 +60,35 @@
 	return fleet, nil
 }
 
-// MachineIDs returns the machines of a Provision by its key.
+// MachineIDs returns the machines of the Provision with a key.
 func (f *Fleet) MachineIDs(provisionKey string) []string {
 	return f.provisions[strings.TrimPrefix(provisionKey, ProvisionPrefix)].Rec.IDs
 }
 
-// Machine returns what is recorded of a machine; there is none without a Provision that names it.
+// Machine returns what the records say about a machine, and whether a Provision names the machine.
 func (f *Fleet) Machine(id string) (MachineView, bool) {
 	at, ok := f.provisionOf[id]
 	if !ok {
 		return MachineView{}, false
 	}
-	r := f.provisions[at.provision].Rec
-	v := MachineView{Machine: Machine{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Shard: r.Shards[at.index], CreatedAt: r.CreatedAt}}
-	if len(r.Addrs) > 0 {
-		v.Addr = r.Addrs[at.index]
+	p := f.provisions[at.provision].Rec
+	v := MachineView{Machine: Machine{Type: p.Type, Zone: p.Zone, Spot: p.Spot, Shard: p.Shards[at.index], CreatedAt: p.CreatedAt}}
+	if len(p.Addrs) > 0 {
+		v.Addr = p.Addrs[at.index]
 	}
-	if o, ok := f.overrides[id]; ok {
-		v.Machine, v.Version = o.Rec, o.Version
+	if override, ok := f.overrides[id]; ok {
+		v.Machine, v.Version = override.Rec, override.Version
 	}
-	if b, ok := f.releaseOf[id]; ok {
+	if release, ok := f.releaseOf[id]; ok {
 		v.Phase = Releasing
-		if f.releases[b].Rec.Done {
+		if f.releases[release].Rec.Done {
 			v.Phase = Released
 		}
 	}
 	return v, true
 }
 
-// ForEach calls fn for every machine.
+// ForEach calls fn for every machine, in no particular order.
 func (f *Fleet) ForEach(fn func(id string, v MachineView)) {
 	for id := range f.provisionOf {
 		v, _ := f.Machine(id)
@@ -97,20 +96,20 @@
 	}
 }
 
-// Len is the number of machines, with those released whose records are not cleaned up yet.
+// Len returns the number of machines, including those released whose records are not deleted yet.
 func (f *Fleet) Len() int { return len(f.provisionOf) }
 
 // Versions returns the versions of all records, by key.
 func (f *Fleet) Versions() map[string]uint64 {
 	out := map[string]uint64{}
-	for n, r := range f.provisions {
-		out[ProvisionKey(n)] = r.Version
+	for name, provision := range f.provisions {
+		out[ProvisionKey(name)] = provision.Version
 	}
-	for id, o := range f.overrides {
-		out[OverrideKey(id)] = o.Version
+	for id, override := range f.overrides {
+		out[OverrideKey(id)] = override.Version
 	}
-	for n, b := range f.releases {
-		out[ReleasePrefix+n] = b.Version
+	for name, release := range f.releases {
+		out[ReleasePrefix+name] = release.Version
 	}
 	return out
 }
@@ -118,20 +117,21 @@
 // Entries returns all records of machines.
 func (f *Fleet) Entries() []wire.Entry {
 	var out []wire.Entry
-	for n, r := range f.provisions {
-		out = append(out, wire.Entry{Key: ProvisionKey(n), Value: Encode(r.Rec), Version: r.Version})
+	for name, provision := range f.provisions {
+		out = append(out, wire.Entry{Key: ProvisionKey(name), Value: Encode(provision.Rec), Version: provision.Version})
 	}
-	for id, o := range f.overrides {
-		out = append(out, wire.Entry{Key: OverrideKey(id), Value: Encode(o.Rec), Version: o.Version})
+	for id, override := range f.overrides {
+		out = append(out, wire.Entry{Key: OverrideKey(id), Value: Encode(override.Rec), Version: override.Version})
 	}
-	for n, b := range f.releases {
-		out = append(out, wire.Entry{Key: ReleasePrefix + n, Value: Encode(b.Rec), Version: b.Version})
+	for name, release := range f.releases {
+		out = append(out, wire.Entry{Key: ReleasePrefix + name, Value: Encode(release.Rec), Version: release.Version})
 	}
 	return out
 }
 
 // Apply applies a changed or deleted record and returns the machines that it concerns. A change that
-// is not newer is ignored, and a malformed record is an error and leaves what is held.
+// is not newer than the record held is ignored. A malformed record is an error and leaves the record
+// held as it was.
 func (f *Fleet) Apply(e wire.Change) ([]string, error) {
 	key := e.Put + e.Delete
 	switch {
@@ -145,7 +145,7 @@
 	return nil, nil
 }
 
-// isStale reports whether a change is not newer than the version held.
+// isStale reports whether a change is older than the version held, or puts that same version again.
 func isStale(held uint64, e wire.Change) bool {
 	return held > e.Version || (held == e.Version && e.Put != "")
 }
@@ -221,51 +221,52 @@
 	return release.IDs, nil
 }
 
-// PendingReleases returns the batches that the cloud has not confirmed, by key.
+// PendingReleases returns the Releases that the cloud has not confirmed, by key.
 func (f *Fleet) PendingReleases() map[string]Versioned[Release] {
 	out := map[string]Versioned[Release]{}
-	for n, b := range f.releases {
-		if !b.Rec.Done {
-			out[ReleasePrefix+n] = Versioned[Release]{b.Rec, b.Version}
+	for name, release := range f.releases {
+		if !release.Rec.Done {
+			out[ReleasePrefix+name] = Versioned[Release]{release.Rec, release.Version}
 		}
 	}
 	return out
 }
 
-// CleanupTxn returns a transaction of at most maxOps deletions of records that nobody needs any
-// more, if there are any: of a Provision whose machines are all released first their overrides,
-// then the Provision itself, and last the Releases whose machines no Provision names. An override
-// never outlives its Provision: whoever knew the one without the other would take the machine for
-// another shard's.
+// CleanupTxn returns a transaction of at most maxOps deletions of records that are no longer needed,
+// and whether there are any. When all machines of a Provision are released, their overrides are
+// deleted first and then the Provision itself; last are Releases whose machines no Provision names.
+// An override never outlives its Provision: a reader that knew one without the other would assign
+// the machine to the wrong shard.
 func (f *Fleet) CleanupTxn(maxOps int) (wire.Txn, bool) {
 	var t wire.Txn
 	remove := func(key string, version uint64) {
 		t.If = append(t.If, wire.Condition{Key: key, Version: version})
 		t.Then = append(t.Then, wire.Op{Delete: key})
 	}
-	for name, r := range f.provisions {
-		if len(r.Rec.IDs) == 0 || !f.allReleased(r.Rec.IDs) {
-			continue // not answered yet, or in use
+	for name, provision := range f.provisions {
+		if len(provision.Rec.IDs) == 0 || !f.allReleased(provision.Rec.IDs) {
+			continue // the cloud has not answered yet, or a machine is in use
 		}
-		for _, id := range r.Rec.IDs {
-			if o, ok := f.overrides[id]; ok && len(t.Then) < maxOps {
-				remove(OverrideKey(id), o.Version)
+		for _, id := range provision.Rec.IDs {
+			if override, ok := f.overrides[id]; ok && len(t.Then) < maxOps {
+				remove(OverrideKey(id), override.Version)
 			}
 		}
 		if len(t.Then) == 0 {
-			remove(ProvisionKey(name), r.Version)
+			remove(ProvisionKey(name), provision.Version)
 		}
 		return t, true
 	}
-	for name, b := range f.releases {
-		used := func(id string) bool { _, ok := f.provisionOf[id]; return ok }
-		if b.Rec.Done && len(t.Then) < maxOps && !slices.ContainsFunc(b.Rec.IDs, used) {
-			remove(ReleasePrefix+name, b.Version)
+	for name, release := range f.releases {
+		hasProvision := func(id string) bool { _, ok := f.provisionOf[id]; return ok }
+		if release.Rec.Done && len(t.Then) < maxOps && !slices.ContainsFunc(release.Rec.IDs, hasProvision) {
+			remove(ReleasePrefix+name, release.Version)
 		}
 	}
 	return t, len(t.Then) > 0
 }
 
+// allReleased reports whether the cloud has confirmed the release of all these machines.
 func (f *Fleet) allReleased(ids []string) bool {
 	for _, id := range ids {
 		if v, _ := f.Machine(id); v.Phase != Released {
@@ -275,18 +276,18 @@
 	return true
 }
 
-// Provision returns a Provision by its name.
+// Provision returns the Provision with a name, and whether there is one.
 func (f *Fleet) Provision(name string) (Provision, bool) {
 	r, ok := f.provisions[name]
 	return r.Rec, ok
 }
 
-// ProvisionsWithoutAddresses returns the answered Provisions without addresses, by name.
+// ProvisionsWithoutAddresses returns the Provisions that have machines but no addresses yet, by name.
 func (f *Fleet) ProvisionsWithoutAddresses() map[string]Versioned[Provision] {
 	out := map[string]Versioned[Provision]{}
-	for n, r := range f.provisions {
-		if len(r.Rec.IDs) > 0 && len(r.Rec.Addrs) == 0 {
-			out[n] = Versioned[Provision]{r.Rec, r.Version}
+	for name, provision := range f.provisions {
+		if len(provision.Rec.IDs) > 0 && len(provision.Rec.Addrs) == 0 {
+			out[name] = Versioned[Provision]{provision.Rec, provision.Version}
 		}
 	}
 	return out
@@ -295,9 +296,9 @@
 // UnfulfilledProvisions returns the Provisions that the cloud has not answered yet, by name.
 func (f *Fleet) UnfulfilledProvisions() map[string]Versioned[Provision] {
 	out := map[string]Versioned[Provision]{}
-	for n, r := range f.provisions {
-		if len(r.Rec.IDs) == 0 {
-			out[n] = Versioned[Provision]{r.Rec, r.Version}
+	for name, provision := range f.provisions {
+		if len(provision.Rec.IDs) == 0 {
+			out[name] = Versioned[Provision]{provision.Rec, provision.Version}
 		}
 	}
 	return out
--- a/internal/record/job.go
+++ b/internal/record/job.go
@@ -10,15 +10,16 @@
 	Shard      int       `json:"part"`
 	AcceptedAt int64     `json:"at"` // Unix milliseconds
 	Cancelled  bool      `json:"cancelled,omitempty"`
-	// Pipeline is the pipeline that it was submitted with, if any.
+	// Pipeline is the reference of the pipeline with which the job was submitted, empty for none.
 	Pipeline string `json:"pipe,omitempty"`
-	// AwaitsDependencies says that what it depends on has not ended yet.
+	// AwaitsDependencies says that the job may not start yet, because the jobs on which it
+	// depends have not ended.
 	AwaitsDependencies bool `json:"held,omitempty"`
 }
 
-// FinishedJob is a job's terminal state.
+// FinishedJob is the terminal state of a job.
 type FinishedJob struct {
 	State      string `json:"state"`
 	Tasks      int    `json:"n,omitempty"`
-	FinishedAt int64  `json:"at,omitempty"` // Unix milliseconds; 0: unknown
+	FinishedAt int64  `json:"at,omitempty"` // Unix milliseconds, 0 if unknown
 }
--- a/internal/record/layout_test.go
+++ b/internal/record/layout_test.go
@@ -8,7 +8,7 @@
 	"bramblespur/internal/wire"
 )
 
-// layoutSpec is a specification with every field that the first version knows.
+// layoutSpec returns a specification with every field of the first version set.
 func layoutSpec() wire.Spec {
 	zone, deadline := "z1", 90.5
 	return wire.Spec{
@@ -18,10 +18,9 @@
 	}
 }
 
-// The bytes are those that the version named as production in deploy/service.toml writes
-// for these values. Both versions serve side by side on the same records during an
-// upgrade, so what it wrote must be read as it was meant, and what has no field of this
-// version must be written as it writes it.
+// The bytes are those that the version named as production in deploy/service.toml writes for these
+// values. During an upgrade both versions use the same records: this version must read the same values
+// from records of the other, and must write the same bytes where it sets none of its own fields.
 func TestLayoutOfProduction(t *testing.T) {
 	for _, x := range []struct {
 		layout string
@@ -56,10 +55,11 @@
 			t.Errorf("%T: read %+v, want %+v", x.value, got, x.value)
 		}
 		if got := string(Encode(x.value)); got != x.layout {
-			t.Errorf("%T: written as\n%s, want\n%s", x.value, got, x.layout)
+			t.Errorf("%T: encoded as\n%s, want\n%s", x.value, got, x.layout)
 		}
 	}
 }
 
+// specLayout is the JSON form of layoutSpec.
 const specLayout = `{"ref":"run-000001","thicket":"c","keeper":"a","habit":"batch","rank":"normal","berries":3,` +
 	`"cores":4,"cards":1,"ram_gb":10,"stocks":["big"],"patch":"z1","same_place":true,"scatter":true,"windfall":true,"seedling":"img","pull_gb":6.2,"ripen_s":240,"graft_s":30,"press_s":4,"harvest_s":90.5}`
--- a/internal/record/machine.go
+++ b/internal/record/machine.go
@@ -12,34 +12,34 @@
 	GB   float64 `json:"gb"`
 }
 
-// Machine is a provisioned machine. Most have no record of their own: their Provision says it
-// all until they change shards or get a higher fencing token.
+// Machine is a provisioned machine. Most machines have no record of their own: their Provision
+// describes them until they are transferred to another shard or get a higher fencing token.
 type Machine struct {
 	Type      string `json:"type"`
 	Zone      string `json:"zone"`
 	Spot      bool   `json:"spot,omitempty"`
 	Shard     int    `json:"part"`
-	CreatedAt int64  `json:"born"` // Unix milliseconds, when it was requested
-	// Images are those it had when this was written.
+	CreatedAt int64  `json:"born"` // Unix milliseconds, when the machine was requested
+	// Images are the images in the machine's cache when the record was written.
 	Images []Image `json:"images,omitempty"`
 }
 
-// Provision is a request for machines, written before it is sent to the cloud, so that it can be
-// repeated under the same name if the answer is lost. The machines are added once the cloud has
-// answered; the record stands for all of them.
+// Provision is a request for machines. It is written before the request is sent to the cloud, so that
+// the request can be repeated under the same name if the answer is lost. The machines are added once
+// the cloud has answered; the record then describes all of them.
 type Provision struct {
 	Type      string   `json:"type"`
 	Zone      string   `json:"zone"`
 	Spot      bool     `json:"spot,omitempty"`
-	Shards    []int    `json:"parts"` // for which shard each machine is
-	IDs       []string `json:"ids,omitempty"`
-	CreatedAt int64    `json:"born,omitempty"`
-	// Addrs are the machines' addresses, in the order of IDs, once they have sent heartbeats:
-	// a new owner of a shard can query its machines at once.
+	Shards    []int    `json:"parts"`          // the shard of each requested machine
+	IDs       []string `json:"ids,omitempty"`  // empty until the cloud has answered
+	CreatedAt int64    `json:"born,omitempty"` // Unix milliseconds
+	// Addrs are the machines' addresses, in the order of IDs, empty until the machines have sent
+	// heartbeats. With them a new owner of a shard can query its machines at once.
 	Addrs []string `json:"addrs,omitempty"`
 }
 
-// decodeProvision decodes and checks a Provision.
+// decodeProvision decodes and checks the Provision that a change puts. Its errors name the key.
 func decodeProvision(e wire.Change) (Provision, error) {
 	p, err := decode[Provision](e)
 	switch {
@@ -53,9 +53,9 @@
 	return p, nil
 }
 
-// Release is a batch of machines that are released. No task may start on them any more; with Done,
-// set after the cloud has answered, they are proven to be gone.
+// Release is a batch of machines that are released. No task may start on them any more.
 type Release struct {
-	IDs  []string `json:"ids"`
-	Done bool     `json:"done,omitempty"`
+	IDs []string `json:"ids"`
+	// Done is set after the cloud has answered, and proves that the machines are gone.
+	Done bool `json:"done,omitempty"`
 }
--- a/internal/record/pipeline.go
+++ b/internal/record/pipeline.go
@@ -7,18 +7,18 @@
 	"bramblespur/internal/wire"
 )
 
-// Pipeline is a pipeline of several jobs. Which jobs were released follows from those that have
-// ended, by the algorithm of package fragment.
+// Pipeline is a pipeline of several jobs. The jobs that were released are not recorded: they follow
+// from the jobs that have ended, by the algorithm of package fragment.
 type Pipeline struct {
 	Shard   int              `json:"part"`
 	Jobs    []string         `json:"jobs"`
 	Links   []wire.Link      `json:"links,omitempty"`
 	Choices []wire.Choice    `json:"choices,omitempty"`
-	Ended   []PipelineJobEnd `json:"ended,omitempty"` // in the order of their ends
-	State   string           `json:"state,omitempty"` // once it is terminal
+	Ended   []PipelineJobEnd `json:"ended,omitempty"` // in the order in which they ended
+	State   string           `json:"state,omitempty"` // the terminal state, empty until the pipeline has one
 }
 
-// PipelineJobEnd is a job of a pipeline that has ended.
+// PipelineJobEnd is the reference and the terminal state of a job of a pipeline.
 type PipelineJobEnd struct {
 	Ref   string `json:"ref"`
 	State string `json:"state"`
@@ -33,73 +33,76 @@
 	return fragment.NetFromLinks(p.Jobs, links)
 }
 
-// Replay applies to a running pipeline the ends that its record has, and then others that are
-// known from the jobs' own terminal records, in whatever order: a step that was too large for one
-// transaction left them there alone.
+// Replay applies to a running pipeline the ends of jobs in its record and then, in an order that the
+// pipeline allows, other ends known from the jobs' own terminal records. A step that was too large
+// for one transaction is recorded only there.
 func (p *Pipeline) Replay(run *fragment.Pipeline, others []PipelineJobEnd) {
 	for _, e := range p.Ended {
 		p.ApplyEnd(run, e)
 	}
-	left := slices.Clone(others)
-	take := func(want func(PipelineJobEnd) bool) bool {
-		i := slices.IndexFunc(left, want)
+	pending := slices.Clone(others)
+	applyFirst := func(matches func(PipelineJobEnd) bool) bool {
+		i := slices.IndexFunc(pending, matches)
 		if i >= 0 {
-			p.ApplyEnd(run, left[i])
-			left = slices.Delete(left, i, i+1)
+			p.ApplyEnd(run, pending[i])
+			pending = slices.Delete(pending, i, i+1)
 		}
 		return i >= 0
 	}
 	for {
-		ready, may := run.Ready(), run.Remaining()
-		if !take(func(e PipelineJobEnd) bool { return slices.Contains(ready, e.Ref) }) &&
-			!take(func(e PipelineJobEnd) bool { return may[e.Ref] && e.State == wire.Cancelled }) {
-			return // the rest belongs to branches that were not taken
+		ready, remaining := run.Ready(), run.Remaining()
+		if !applyFirst(func(e PipelineJobEnd) bool { return slices.Contains(ready, e.Ref) }) &&
+			!applyFirst(func(e PipelineJobEnd) bool { return remaining[e.Ref] && e.State == wire.Cancelled }) {
+			return // the other ends belong to branches that were not chosen
 		}
 	}
 }
 
-// NeedsSplitCommits reports whether steps of a pipeline may be too large for one transaction: its
-// record grows by each job's end, and a step takes two writes for the job, one for the pipeline,
-// and one for each job that it releases.
+// NeedsSplitCommits reports whether a step of a pipeline may be too large for one transaction, with
+// limits for the bytes of a value and for the operations. The pipeline's record grows by the end of
+// each job, and a step takes two writes for the job, one for the pipeline, and one for each job that
+// it releases.
 func (p *Pipeline) NeedsSplitCommits(bytes, ops int) bool {
-	whole := *p
-	whole.Ended = nil
-	widest := 0
-	for _, j := range p.Jobs {
-		whole.Ended = append(whole.Ended, PipelineJobEnd{Ref: j, State: wire.Cancelled})
-		n := 0
-		for _, l := range p.Links {
-			if slices.Contains(l.From, j) {
-				n++
+	complete := *p
+	complete.Ended = nil
+	mostLinks := 0
+	for _, job := range p.Jobs {
+		complete.Ended = append(complete.Ended, PipelineJobEnd{Ref: job, State: wire.Cancelled})
+		links := 0
+		for _, link := range p.Links {
+			if slices.Contains(link.From, job) {
+				links++
 			}
 		}
-		widest = max(widest, n)
+		mostLinks = max(mostLinks, links)
 	}
-	whole.State = wire.Cancelled
+	complete.State = wire.Cancelled
 	const endOps = 3
-	return len(Encode(whole)) > bytes || widest+endOps > ops
+	return len(Encode(complete)) > bytes || mostLinks+endOps > ops
 }
 
-// MissingEnds returns the jobs whose ends the record does not have.
+// MissingEnds returns the jobs whose ends are not in the record.
 func (p *Pipeline) MissingEnds() []string {
 	return slices.DeleteFunc(slices.Clone(p.Jobs), func(ref string) bool {
 		return slices.ContainsFunc(p.Ended, func(e PipelineJobEnd) bool { return e.Ref == ref })
 	})
 }
 
-// Compacted returns the record of a terminal pipeline: all of it if that has at most so many bytes,
-// else without what nobody needs any more.
+// Compacted returns the record of a terminal pipeline in at most a number of bytes if possible: it
+// leaves out the links and choices, and then the ends, if the record is larger. They are no longer
+// needed.
 func (p Pipeline) Compacted(bytes int) Pipeline {
 	if len(Encode(p)) > bytes {
 		p.Links, p.Choices = nil, nil
 	}
 	if len(Encode(p)) > bytes {
-		p.Ended = nil // each job's own record has it
+		p.Ended = nil // the jobs' own records have their terminal states
 	}
 	return p
 }
 
-// ApplyEnd applies a job's end to a running pipeline.
+// ApplyEnd applies the end of a job to a running pipeline, with the choice that follows the job, if
+// there is one.
 func (p *Pipeline) ApplyEnd(run *fragment.Pipeline, e PipelineJobEnd) {
 	pick, cancelled := "", ""
 	for _, c := range p.Choices {
@@ -111,6 +114,6 @@
 	case e.State == wire.Done:
 		run.Finish(e.Ref, pick)
 	case cancelled == "" || !run.Finish(e.Ref, cancelled):
-		run.Abort(e.Ref) // also a job that was cancelled before it was released
+		run.Abort(e.Ref) // also for a job that was cancelled before it was released
 	}
 }
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,4 +1,4 @@
-// Package retry waits between attempts.
+// Package retry provides waits between attempts of an operation.
 package retry
 
 import (
@@ -7,8 +7,7 @@
 	"time"
 )
 
-// Sleep waits for d and reports whether the context still stands. It returns early
-// when the context ends.
+// Sleep waits for d and returns true, or returns false as soon as the context ends.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -20,8 +19,8 @@
 	}
 }
 
-// Jitter returns a random duration of mean d, from half of it to one and a half, so that
-// several processes do not retry at the same moment.
+// Jitter returns a random duration between d/2 and 3d/2, with mean d, so that several processes
+// do not retry at the same time. d must be positive.
 func Jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(rand.Int64N(int64(d)))
 }
