--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -10,14 +10,16 @@
 	"time"
 )
 
-// errDial says that a peer could not be connected to.
+// errDial is wrapped by the error of a call for which no connection could be opened.
 var errDial = errors.New("peer: no connection to")
 
-// ErrTimeout says that a peer did not answer in time.
+// ErrTimeout is returned if a peer does not reply within the timeout of a call.
 var ErrTimeout = errors.New("peer: no answer in time")
 
 // Caller calls the methods of one peer's service.
 type Caller interface {
+	// Call calls a method of [Service] by its bare name and stores the reply in reply, a
+	// pointer. An error that the peer returned is an rpc.ServerError.
 	Call(method string, args, reply any, timeout time.Duration) error
 }
 
@@ -26,81 +28,87 @@
 // Client is a Caller over one connection, which it opens again after a failure. It is safe for
 // concurrent use; its lock is not held during a call.
 type Client struct {
-	addr string
-	mu   sync.Mutex
-	c    *rpc.Client
+	addr   string // host:port of the peer
+	mu     sync.Mutex
+	client *rpc.Client // guarded by mu; nil while there is no connection
 }
 
-// NewClient returns a client; it connects when it is first used.
+// NewClient returns a client of the peer at an address. It connects at the first call.
 func NewClient(addr string) *Client { return &Client{addr: addr} }
 
-// maxReplyBytes is how many bytes are read between two calls: the largest reply describes all
-// machines, some hundred bytes for each.
+// maxReplyBytes is how many bytes may be read between two calls. The largest reply describes
+// all machines, in some hundred bytes each.
 const maxReplyBytes = 8 << 20
 
-// boundedConn is a connection of which at most maxReplyBytes are read between two calls.
+// boundedConn is a connection whose reads fail once more than maxReplyBytes have been read since
+// the last write.
 type boundedConn struct {
 	net.Conn
-	read atomic.Int64 // bytes since the last call
+	bytesRead atomic.Int64 // since the last write
 }
 
-// errReplyTooLarge ends a connection that sends more.
+// errReplyTooLarge is the read error of a connection that received more than maxReplyBytes between
+// two calls.
 var errReplyTooLarge = errors.New("peer: answers are too large")
 
 // Write implements net.Conn.
 func (b *boundedConn) Write(p []byte) (int, error) {
-	b.read.Store(0)
+	b.bytesRead.Store(0)
 	return b.Conn.Write(p)
 }
 
 // Read implements net.Conn.
 func (b *boundedConn) Read(p []byte) (int, error) {
 	n, err := b.Conn.Read(p)
-	if b.read.Add(int64(n)) > maxReplyBytes {
+	if b.bytesRead.Add(int64(n)) > maxReplyBytes {
 		return n, errReplyTooLarge
 	}
 	return n, err
 }
 
-func (c *Client) conn(timeout time.Duration) (*rpc.Client, error) {
+// connect returns the open connection, or opens one within the timeout.
+func (c *Client) connect(timeout time.Duration) (*rpc.Client, error) {
 	c.mu.Lock()
-	k := c.c
+	client := c.client
 	c.mu.Unlock()
-	if k != nil {
-		return k, nil
+	if client != nil {
+		return client, nil
 	}
-	nc, err := net.DialTimeout("tcp4", c.addr, timeout)
+	conn, err := net.DialTimeout("tcp4", c.addr, timeout)
 	if err != nil {
 		return nil, fmt.Errorf("%w %s: %w", errDial, c.addr, err)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.c != nil {
-		nc.Close()
-		return c.c, nil
+	if c.client != nil {
+		conn.Close()
+		return c.client, nil
 	}
-	c.c = rpc.NewClient(&boundedConn{Conn: nc})
-	return c.c, nil
+	c.client = rpc.NewClient(&boundedConn{Conn: conn})
+	return c.client, nil
 }
 
-// Call calls a method of the peer's service. After a timeout the connection is closed, as it may
-// hang in silence. On a broken connection the call is repeated once: all methods are idempotent.
+// Call implements Caller. After a timeout it closes the connection, which may be dead without an
+// error. If the connection breaks, it repeats the call once within the same timeout: all methods
+// are idempotent.
 func (c *Client) Call(method string, args, reply any, timeout time.Duration) error {
-	until := time.Now().Add(timeout)
+	deadline := time.Now().Add(timeout)
 	err := c.call(method, args, reply, timeout)
 	var answered rpc.ServerError
 	if err == nil || errors.As(err, &answered) || errors.Is(err, ErrTimeout) || errors.Is(err, errDial) {
 		return err
 	}
-	return c.call(method, args, reply, time.Until(until))
+	return c.call(method, args, reply, time.Until(deadline))
 }
 
+// call makes one attempt at a call. After any error but one that the peer returned it closes the
+// connection.
 func (c *Client) call(method string, args, reply any, timeout time.Duration) error {
-	k, err := c.conn(timeout)
+	client, err := c.connect(timeout)
 	if err != nil {
 		return err
 	}
-	call := k.Go(serviceName+"."+method, args, reply, make(chan *rpc.Call, 1))
+	call := client.Go(serviceName+"."+method, args, reply, make(chan *rpc.Call, 1))
 	t := time.NewTimer(timeout)
 	defer t.Stop()
 	select {
@@ -112,11 +120,11 @@
 	var answered rpc.ServerError
 	if err != nil && !errors.As(err, &answered) {
 		c.mu.Lock()
-		if c.c == k {
-			c.c = nil
+		if c.client == client {
+			c.client = nil
 		}
 		c.mu.Unlock()
-		k.Close()
+		client.Close()
 	}
 	return err
 }
--- a/internal/peer/layout_test.go
+++ b/internal/peer/layout_test.go
@@ -13,8 +13,8 @@
 )
 
 // The bytes are those that the version named as production in deploy/service.toml sends
-// for these values. gob matches fields by name, so one that is renamed here would arrive
-// empty from a controller of that version, and nobody would notice.
+// for these values. gob matches fields by name, so a field that is renamed here would silently
+// arrive empty from a controller of that version.
 func TestMessagesOfProduction(t *testing.T) {
 	notice := 12.0
 	for _, x := range []struct {
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -6,16 +6,16 @@
 	"bramblespur/internal/wire"
 )
 
-// SyncArgs goes from the leader to every controller: commands for its shards, and
-// shards that it should acquire since their owner can't be reached.
+// SyncArgs is sent by the leader to every controller. It carries commands for the shards that the
+// receiver owns, shards to acquire or transfer, and the receiver's shares of the cluster's limits.
 type SyncArgs struct {
-	From   string
-	Orders []fleet.Order
-	Claim  []int // shards to acquire
+	From   string        // label of the leader
+	Orders []fleet.Order // commands to transfer or release machines
+	Claim  []int         // shards to acquire, since their owners cannot be reached
 	// HandHome are shards to transfer back to their preferred owners.
 	HandHome []int
-	// Requests and Changes are what the receiver may use of the state service's limits, per
-	// second; 0: an equal share.
+	// Requests and Changes are the receiver's shares of the state service's rate limits on
+	// requests and on changes, per second; 0: an equal share.
 	Requests, Changes float64
 	// OrderRate is how many commands to workers the receiver may send per second during
 	// reconciliation after a restart; 0: an equal share.
@@ -24,62 +24,66 @@
 
 // SyncReply describes a controller's shards and its health.
 type SyncReply struct {
-	Summaries []fleet.Summary
-	StateOK   bool // the sender has recently reached the state service
-	// Requests and Changes are what the sender needed of the state service since the last
-	// call.
+	Summaries []fleet.Summary // of the shards that the sender owns
+	StateOK   bool            // the sender has recently reached the state service
+	// Requests and Changes are how many requests to the state service, and changes in them, the
+	// sender needed since the last call.
 	Requests, Changes int
-	// Recovering says that the sender falls behind for want of CPU time, or recently did, and
-	// should not get its shards back; HasRoom that it could take another's. Both are false
-	// from versions without them.
+	// Recovering says that the sender does not keep up for lack of CPU time, or did not until
+	// recently, and should not get its shards back. HasRoom says that it could own another
+	// controller's shard as well. Versions that lack these fields leave both false.
 	Recovering, HasRoom bool
 	// OrdersWaiting is how many commands to workers the sender held back since the last call.
 	OrdersWaiting int
 }
 
-// NotifyArgs carries a job's record, as it was just written, to the owner of its shard.
+// NotifyArgs carries a job's record to the owner of a shard as soon as it is written: an active
+// job's record to the owner of the job, a terminal record to the owners of dependent jobs.
 type NotifyArgs struct {
 	Key     string
-	Value   []byte
-	Version uint64
+	Value   []byte // JSON
+	Version uint64 // of an active job's record; 0 for a terminal record
 }
 
 // HeartbeatReply answers a relayed heartbeat.
 type HeartbeatReply struct {
-	Status int
-	Orders wire.Orders
+	Status int         // HTTP status of the response to the worker
+	Orders wire.Orders // body of the response if the status is 200
 }
 
-// UserArgs is a user's request that its receiver can't serve without the state service, and that
-// another controller may.
+// UserArgs is a forwarded request of a user: one that the sender cannot serve, as it does not reach
+// the state service.
 type UserArgs struct {
-	Method, Path string
+	Method, Path string // of the HTTP request
 	Body         []byte
 }
 
-// UserReply answers a relayed user's request.
+// UserReply answers a forwarded request.
 type UserReply struct {
-	Status     int
+	Status     int // HTTP status of the response to the user
 	Body       []byte
-	RetryAfter int
+	RetryAfter int // seconds after which the user is to repeat the request; 0: none given
 }
 
-// LoanArgs asks the leader for writes beyond the sender's share of the state service's limit.
+// LoanArgs asks the leader for changes beyond the sender's share of the state service's limit.
 type LoanArgs struct {
-	From    string
-	Changes int
-	Modest  bool // leave some to those that need many at once
+	From    string // label of the sender
+	Changes int    // how many
+	Modest  bool   // leave part of the loans to controllers that need many changes at once
 }
 
-// EvidenceArgs asks for the records after a key that a controller in safe mode holds in memory.
+// EvidenceArgs asks a controller in safe mode for a page of the records that it holds in memory:
+// those whose keys follow After, in the order of keys. An empty After asks for the first page.
 type EvidenceArgs struct{ After string }
 
-// EvidenceReply is a page of them.
+// EvidenceReply is a page of the records that a controller in safe mode holds in memory.
 type EvidenceReply struct {
 	Mode recovery.SafeMode // not active: the sender is not in safe mode
-	// View is what the sender knew of all active jobs, with the first page.
-	View    recovery.View
-	Held    []wire.Entry
-	More    bool
-	Reports []wire.Heartbeat // with the first page
+	// View is the sender's view of all active jobs. It comes with the first page only.
+	View recovery.View
+	Held []wire.Entry // the page, sorted by key
+	More bool         // more records follow the last of Held
+	// Reports are the newest heartbeats of workers that the sender received since safe mode
+	// began. They come with the first page only.
+	Reports []wire.Heartbeat
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -12,40 +12,44 @@
 	"time"
 )
 
-// Limits on what other controllers may send. Each is several times what they need.
+// Limits on what other controllers may send. Each is several times what they need in regular
+// operation.
 const (
-	// maxRequestBytes is the size of one call. The largest is a Sync, some hundred bytes for
-	// each machine.
+	// maxRequestBytes bounds the size of one call. The largest call is Sync, with some hundred
+	// bytes for each machine.
 	maxRequestBytes = 1 << 20
-	// maxConcurrentCalls is how many calls of one connection are answered at a time: relayed
-	// heartbeats are answered within 1.2 s each.
+	// maxConcurrentCalls bounds the calls of one connection that are served at a time. Serving
+	// a relayed heartbeat takes up to 1.2 s.
 	maxConcurrentCalls = 1024
-	// maxConnsPerPeer is how many connections each of the others may have open: one is
-	// used, and those that hang in silence go after idlePeer.
+	// maxConnsPerPeer is how many open connections are allowed for each of the other
+	// controllers. Each uses one; connections that have gone silent are closed after
+	// idleTimeout.
 	maxConnsPerPeer = 8
-	// idleTimeout is how long a connection may be idle: calls come every second.
+	// idleTimeout is how long a connection may be idle. Peers make a call every second.
 	idleTimeout = 30 * time.Second
 	// transferTimeout is how long a call may take to arrive once it has begun, or a reply to be
 	// sent.
 	transferTimeout = 5 * time.Second
 )
 
-// Serve answers so many other controllers until the listener is closed or fails.
-func Serve(l net.Listener, h Handler, others int) error {
+// Serve accepts connections and serves calls to the handler until the listener is closed or fails;
+// it returns the listener's error. The number of other controllers bounds the open connections:
+// those beyond the bound are closed at once and reported by Handler.Malformed.
+func Serve(l net.Listener, h Handler, peers int) error {
 	srv := rpc.NewServer()
 	if err := srv.RegisterName(serviceName, &Service{h}); err != nil {
-		return fmt.Errorf("register peer service: %w", err)
+		return fmt.Errorf("register the peer service: %w", err)
 	}
-	open := make(chan struct{}, max(1, others)*maxConnsPerPeer)
+	slots := make(chan struct{}, max(1, peers)*maxConnsPerPeer)
 	for {
 		c, err := l.Accept()
 		if err != nil {
-			return fmt.Errorf("accept peer: %w", err)
+			return fmt.Errorf("accept a connection of a peer: %w", err)
 		}
 		select {
-		case open <- struct{}{}:
+		case slots <- struct{}{}:
 			go func() {
-				defer func() { <-open }()
+				defer func() { <-slots }()
 				srv.ServeCodec(newCodec(c, h))
 			}()
 		default:
@@ -55,10 +59,10 @@
 	}
 }
 
-// errTooManyConnections is told to the handler of a refused connection.
-var errTooManyConnections = errors.New("peer: more connections than controllers need")
+// errTooManyConnections is passed to Handler.Malformed for a connection that is refused.
+var errTooManyConnections = errors.New("peer: connection refused: more are open than the other controllers need")
 
-// hostOf returns the address at the other end of a connection.
+// hostOf returns the IP address of the other end of a connection.
 func hostOf(c net.Conn) string {
 	host, _, err := net.SplitHostPort(c.RemoteAddr().String())
 	if err != nil {
@@ -67,19 +71,19 @@
 	return host
 }
 
-// codec is net/rpc's usual encoding with limits on the size of a call, on the time that it may take
-// and on the calls in flight. It implements rpc.ServerCodec.
+// codec is net/rpc's gob encoding with limits on the size of a call, on the time that its transfer
+// may take and on the number of calls in flight. It implements rpc.ServerCodec.
 type codec struct {
-	handler  Handler
-	conn     net.Conn
-	limit    *io.LimitedReader
-	in       *bufio.Reader
-	dec      *gob.Decoder
-	out      *bufio.Writer
-	enc      *gob.Encoder
-	inFlight chan struct{} // one element for each
-	closed   chan struct{} // closed with the connection
-	close    sync.Once
+	handler   Handler
+	conn      net.Conn
+	limit     *io.LimitedReader
+	in        *bufio.Reader
+	dec       *gob.Decoder
+	out       *bufio.Writer
+	enc       *gob.Encoder
+	inFlight  chan struct{} // one element for each call that is not answered yet
+	closed    chan struct{} // closed with the connection
+	closeOnce sync.Once
 }
 
 func newCodec(c net.Conn, h Handler) *codec {
@@ -114,18 +118,19 @@
 // ReadRequestBody implements rpc.ServerCodec.
 func (c *codec) ReadRequestBody(body any) error { return c.reportReadError(c.dec.Decode(body)) }
 
-// reportReadError tells the handler of a call that can't be read, and returns the error. After one
-// that is too large or too slow the connection is of no more use.
+// reportReadError returns err and, if a call could not be read, reports it to the handler. The end
+// of the connection is not reported. After a call that was too large or too slow the position in the
+// stream is lost, so the connection is closed.
 func (c *codec) reportReadError(err error) error {
 	if err == nil {
 		return nil
 	}
-	whole := c.limit.N > 0
-	if gone := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF); !gone || !whole {
+	withinLimit := c.limit.N > 0
+	if connEnded := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF); !connEnded || !withinLimit {
 		c.handler.Malformed(hostOf(c.conn), err)
 	}
-	var late net.Error
-	if !whole || errors.As(err, &late) {
+	var timeout net.Error
+	if !withinLimit || errors.As(err, &timeout) {
 		c.Close()
 	}
 	return err
@@ -145,13 +150,13 @@
 		err = c.out.Flush()
 	}
 	if err != nil {
-		c.Close() // a reply that was written in part can't be continued
+		c.Close() // a reply that was written in part cannot be continued
 	}
 	return err
 }
 
 // Close implements rpc.ServerCodec.
 func (c *codec) Close() error {
-	c.close.Do(func() { close(c.closed) })
+	c.closeOnce.Do(func() { close(c.closed) })
 	return c.conn.Close()
 }
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -10,22 +10,33 @@
 type Handler interface {
 	// Check returns an error for invalid arguments. No other method is called with them.
 	Check(args any) error
-	// Malformed is told of a call that could not be read, and of a refused connection.
+	// Malformed is called for a call that could not be read and for a refused connection, with
+	// the IP address of the sender.
 	Malformed(from string, err error)
+	// Sync carries out the leader's instructions and reports on this controller's shards.
 	Sync(SyncArgs) SyncReply
+	// ReceiveJobRecord applies a job's record that another controller has just written.
 	ReceiveJobRecord(NotifyArgs)
+	// Report answers a heartbeat that another controller relayed.
 	Report(wire.Heartbeat) HeartbeatReply
+	// Status returns the status of a job; false: this controller does not own the job's shard.
 	Status(ref string) (wire.Status, bool)
+	// User serves a forwarded request.
 	User(UserArgs) UserReply
+	// Ping reports whether this controller reaches the state service.
 	Ping() bool
+	// Format returns the format of records that this controller writes.
 	Format() int
+	// Lend reports whether the sender may make the changes that it asks for.
 	Lend(LoanArgs) bool
+	// Evidence returns a page of the records that this controller holds in memory, if it is in
+	// safe mode.
 	Evidence(EvidenceArgs) EvidenceReply
 }
 
 // Service exposes a Handler over net/rpc under serviceName. Its method names are part of the
-// protocol; those that came later say so, as a peer of the first version answers them with an
-// error.
+// protocol. The comment of a method that was added after the first version says so: a peer of that
+// version answers it with an error.
 type Service struct{ handler Handler }
 
 // Sync serves Handler.Sync.
@@ -64,13 +75,13 @@
 	return nil
 }
 
-// Ping serves Handler.Ping: whether this controller reaches the state service.
+// Ping serves Handler.Ping.
 func (s *Service) Ping(_ string, r *bool) error {
 	*r = s.handler.Ping()
 	return nil
 }
 
-// Format serves Handler.Format: the format of records that this controller writes.
+// Format serves Handler.Format.
 //
 // Upgrade: the first version has no such method.
 func (s *Service) Format(_ string, r *int) error {
@@ -78,7 +89,7 @@
 	return nil
 }
 
-// Lend serves Handler.Lend: whether the sender may make the writes that it asks for.
+// Lend serves Handler.Lend.
 //
 // Upgrade: the first version has no such method; its leader lends nothing.
 func (s *Service) Lend(a LoanArgs, r *bool) error {
@@ -97,7 +108,7 @@
 	return nil
 }
 
-// ErrJobNotHeld says that a controller does not own a job's shard.
+// ErrJobNotHeld is the error of a call of Status if the receiver does not own the job's shard.
 var ErrJobNotHeld = errors.New("peer: job not held here")
 
 // Status serves Handler.Status.
