--- a/internal/controller/drainer/records.go
+++ b/internal/controller/drainer/records.go
@@ -11,7 +11,8 @@
 	"bramblespur/internal/wire"
 )
 
-// announce records that this controller takes part in drains, and by which budgets.
+// announce records that this controller takes part in drains, with the fingerprint of its budgets,
+// unless the record says so already.
 func (d *Drainer) announce(ctx context.Context) {
 	d.host.Lock()
 	participant, _ := d.view.Participant(d.cfg.Label)
@@ -24,8 +25,8 @@
 	d.commit(ctx, wire.Txn{Then: []wire.Op{{Put: drain.ParticipantKey(d.cfg.Label), Value: value}}})
 }
 
-// Retract removes the record that this controller takes part in drains, if one was written
-// before drains were turned off.
+// Retract deletes the record by which this controller takes part in drains, if drains are off but were
+// on before.
 func (d *Drainer) Retract(ctx context.Context) {
 	d.host.Lock()
 	_, announced := d.view.Participant(d.cfg.Label)
@@ -35,21 +36,22 @@
 	}
 }
 
-// commit carries out a transaction and reports whether it certainly was. One without an answer
-// may have been carried out, or may be later: then the watch tells, and whatever is written next
-// has the versions of before as its condition.
+// commit commits a transaction and reports whether that is certain. A transaction without an answer may
+// have been committed, or may be later. The watch delivers its changes then, and the next write is
+// conditional on the versions before them, so that it fails in that case.
 func (d *Drainer) commit(ctx context.Context, t wire.Txn) bool {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	err := d.host.Commit(ctx, t)
 	if err != nil {
 		var conflict *statestore.ConflictError
-		d.log.Debug("drain record", "conflict", errors.As(err, &conflict), "err", err)
+		d.log.Debug("drain transaction not confirmed", "conflict", errors.As(err, &conflict), "err", err)
 	}
 	return err == nil
 }
 
-// finishDrains lets the leader end drains that have no machine left.
+// finishDrains commits the next transaction that finishes a drain or deletes records of an old one, if
+// this controller is the leader and the write rate limit allows it.
 func (d *Drainer) finishDrains(ctx context.Context) {
 	t, now, due := d.finishTxn()
 	if due && d.writeLimiter.AllowN(now, len(t.Then)) {
@@ -57,7 +59,8 @@
 	}
 }
 
-// finishTxn returns the transaction that ends the next drain, as of when, and whether there is one.
+// finishTxn returns the transaction for finishDrains, the time that it was planned at, and whether there
+// is one.
 func (d *Drainer) finishTxn() (t wire.Txn, now time.Time, due bool) {
 	d.host.Lock()
 	defer d.host.Unlock()
@@ -69,7 +72,7 @@
 	return t, now, due
 }
 
-// selectsAny reports whether a machine that a drain selects is not gone yet.
+// selectsAny reports whether a drain selects any machine that is not released.
 func (d *Drainer) selectsAny(p *drain.Plan) bool {
 	found := false
 	d.machines.ForEach(func(id string, v record.MachineView) {
--- a/internal/controller/drainer/shard_turn.go
+++ b/internal/controller/drainer/shard_turn.go
@@ -11,13 +11,13 @@
 	"bramblespur/internal/wire"
 )
 
-// shardHoldTimes is how long a shard's machines were held up since that was last recorded.
+// shardHoldTimes is how long a shard's machines were held since that was last recorded.
 type shardHoldTimes struct {
-	updatedAt time.Time
+	updatedAt time.Time // of the last turn
 	byDrain   map[string]map[drain.HoldReason]time.Duration
 }
 
-// drainShard takes one turn of a shard's drains and writes what it planned.
+// drainShard plans a shard for one turn and commits the writes that the rate limit allows.
 func (d *Drainer) drainShard(ctx context.Context, shard *scheduler.Shard) {
 	writes, now := d.planShard(shard)
 	for _, w := range writes {
@@ -27,8 +27,9 @@
 	}
 }
 
-// planShard takes a shard's turn if this controller still owns it. All of it is one critical
-// section: the plan holds for the machines and records that it was made by.
+// planShard plans a shard, if this controller still owns it, and returns the writes and the time of the
+// turn. All of it is one critical section, because the plan is valid only for the machines and records
+// that it is based on.
 func (d *Drainer) planShard(shard *scheduler.Shard) ([]drain.Write, time.Time) {
 	d.host.Lock()
 	defer d.host.Unlock()
@@ -42,8 +43,8 @@
 	return writes, now
 }
 
-// TurnLocked hands the granted evictions to a shard, plans its next steps and returns what is to
-// be recorded for them.
+// TurnLocked hands the granted evictions to a shard, plans its next steps and returns the writes that
+// record them.
 func (d *Drainer) TurnLocked(shard *scheduler.Shard, now time.Time) []drain.Write {
 	d.setCordonsLocked(shard)
 	for _, eviction := range d.view.PendingEvictions(shard.ID()) {
@@ -52,13 +53,16 @@
 	return d.planWritesLocked(shard, now)
 }
 
-// RefreshCordonsLocked tells a shard which machines are cordoned, if that may have changed.
+// RefreshCordonsLocked sets the cordons of a shard's machines, if the drain records have changed since
+// they were last set.
 func (d *Drainer) RefreshCordonsLocked(shard *scheduler.Shard) {
 	if d.Enabled() && shard.CordonsAsOf() != d.view.Generation() {
 		d.setCordonsLocked(shard)
 	}
 }
 
+// setCordonsLocked sets the cordons of a shard's machines from the view, and makes the shard report
+// interruptions.
 func (d *Drainer) setCordonsLocked(shard *scheduler.Shard) {
 	shard.WatchInterruptions(true)
 	ready := d.readyLocked()
@@ -79,6 +83,7 @@
 	})
 }
 
+// activePlansLocked returns the plans of the active drains.
 func (d *Drainer) activePlansLocked() []drain.Plan {
 	var active []drain.Plan
 	for _, plan := range d.view.Plans() {
@@ -89,7 +94,7 @@
 	return active
 }
 
-// planWritesLocked plans a shard's next steps and returns what is to be recorded for them.
+// planWritesLocked plans a shard's next steps and returns the writes that record them.
 func (d *Drainer) planWritesLocked(shard *scheduler.Shard, now time.Time) []drain.Write {
 	ledgers := d.currentLedgersLocked(shard, now)
 	builder := &drain.TxnBuilder{
@@ -112,8 +117,8 @@
 	return builder.Writes(steps, ledgers)
 }
 
-// currentLedgersLocked returns the teams' ledgers with a shard's unrecorded losses, and without
-// its disruptions that are over.
+// currentLedgersLocked returns the teams' ledgers with a shard's losses that are not recorded yet, and
+// with its recovered disruptions closed.
 func (d *Drainer) currentLedgersLocked(shard *scheduler.Shard, now time.Time) *drain.Ledgers {
 	var losses []drain.Loss
 	for _, l := range d.losses {
@@ -127,8 +132,8 @@
 	return ledgers
 }
 
-// ownerTokensLocked returns the fencing tokens of all shards' owners. No owner ever had what is
-// returned for a shard without one.
+// ownerTokensLocked returns the fencing tokens of all shards' owners, by shard. For a shard without an
+// owner the token is one that no owner ever had.
 func (d *Drainer) ownerTokensLocked() map[int]uint64 {
 	tokens := map[int]uint64{}
 	for shard := range d.cfg.Params.Count {
@@ -138,26 +143,27 @@
 	return tokens
 }
 
-// addHoldTimesLocked adds how long machines were held up since the last turn, and returns what a
-// shard has not recorded yet, by drain.
+// addHoldTimesLocked adds the time since the last turn to the hold times of the machines in held. It
+// returns the shard's hold times that are not recorded yet, by drain and reason.
 func (d *Drainer) addHoldTimesLocked(shard int, held []drain.HeldMachine, now time.Time) map[string]map[drain.HoldReason]time.Duration {
 	times := d.holdTimes[shard]
 	if times == nil {
 		times = &shardHoldTimes{updatedAt: now, byDrain: map[string]map[drain.HoldReason]time.Duration{}}
 		d.holdTimes[shard] = times
 	}
-	passed := min(now.Sub(times.updatedAt), 2*turnInterval)
+	elapsed := min(now.Sub(times.updatedAt), 2*turnInterval)
 	times.updatedAt = now
 	for _, h := range held {
 		if times.byDrain[h.Drain] == nil {
 			times.byDrain[h.Drain] = map[drain.HoldReason]time.Duration{}
 		}
-		times.byDrain[h.Drain][h.Reason] += passed
+		times.byDrain[h.Drain][h.Reason] += elapsed
 	}
 	return times.byDrain
 }
 
-// writeApplied drops what a committed write of a turn at some time has recorded.
+// writeApplied drops the hold times and losses that a committed write has recorded; turn is the time of
+// the turn that planned it.
 func (d *Drainer) writeApplied(shard int, w drain.Write, turn time.Time) {
 	d.host.Lock()
 	defer d.host.Unlock()
