--- a/internal/controller/dataloss/audit.go
+++ b/internal/controller/dataloss/audit.go
@@ -15,30 +15,33 @@
 	"bramblespur/internal/wire"
 )
 
-// auditPurpose is the purpose of audits: they leave room for what users wait for.
+// auditPurpose is the purpose of audits. They are routine requests, which leave room for requests that
+// users wait for.
 var auditPurpose = statestore.Routine("audit")
 
 const (
-	// auditWatchTurns is for how many turns of the watch an audit waits for the view.
-	auditWatchTurns  = 3
+	// auditWatchIntervals is for how many watch intervals an audit waits for a view.
+	auditWatchIntervals = 3
+	// viewPollInterval is how often an audit checks whether the view has reached a revision.
 	viewPollInterval = 100 * time.Millisecond
-	// finishedRecordsSampled is how many final records an audit reads again: there may be
+	// finishedRecordsSampled is how many terminal records an audit reads again: there may be
 	// very many.
 	finishedRecordsSampled = 4
-	// missingJobsChecked is how many jobs' final records are looked for when their active
-	// ones are gone.
+	// missingJobsChecked is for how many jobs without an active record an audit looks for the
+	// terminal record.
 	missingJobsChecked = 16
 )
 
-// auditedPrefixes are the prefixes whose records all controllers hold.
+// auditedPrefixes has the prefixes of the records that all controllers hold in their views.
 var auditedPrefixes = []string{record.ClusterPrefix, record.FleetPrefix, record.ActiveJobPrefix}
 
-// Audit compares what is held with the records themselves: what the state service loses silently,
-// no watch tells.
+// Audit compares the records that this controller holds with those in the state service, since a
+// watch does not report records that the state service loses.
 type Audit struct{ *Detector }
 
-// Run audits until the context ends. The views are the same on all controllers, so that the leader
-// alone compares them; of final states each controller knows others.
+// Run audits periodically until the context is cancelled. The views are the same on all controllers,
+// so only the leader compares them. Each controller holds different terminal records, so each
+// controller checks its own.
 func (a Audit) Run(ctx context.Context) {
 	for retry.Sleep(ctx, retry.Jitter(a.auditInterval)) {
 		a.host.Lock()
@@ -51,11 +54,12 @@
 			a.compareViews(ctx)
 		}
 		if err := a.checkFinishedJobs(ctx); err != nil {
-			a.log.Debug("audit of final records", "err", err)
+			a.log.Debug("audit of terminal records", "err", err)
 		}
 	}
 }
 
+// compareViews compares each view with the records in the state service.
 func (a Audit) compareViews(ctx context.Context) {
 	for _, prefix := range auditedPrefixes {
 		if err := a.compareView(ctx, prefix); err != nil {
@@ -64,7 +68,8 @@
 	}
 }
 
-// compareView compares a view with all records of a prefix.
+// compareView compares the view of the records with a prefix with all of these records. It does nothing
+// if the view does not reach the revision of the records in time.
 func (a Audit) compareView(ctx context.Context, prefix string) error {
 	entries, revision, err := a.host.Store().List(ctx, auditPurpose, prefix)
 	if err != nil || !a.awaitView(ctx, prefix, revision) {
@@ -73,8 +78,8 @@
 	return a.ConfirmMissing(ctx, prefix, a.reportStale(prefix, EntryVersions(entries), revision))
 }
 
-// reportStale reports records in a list that are older than those held, and returns the held
-// versions of those that are not in it.
+// reportStale reports listed records that are older than those in the view, given the versions by key
+// and the revision of the list. It returns the versions of records in the view that are not listed.
 func (a Audit) reportStale(prefix string, listed map[string]uint64, revision uint64) map[string]uint64 {
 	now := time.Now()
 	missing := map[string]uint64{}
@@ -92,7 +97,7 @@
 	return missing
 }
 
-// EntryVersions returns the versions of listed records by their keys.
+// EntryVersions returns the versions of records by key.
 func EntryVersions(entries []wire.Entry) map[string]uint64 {
 	out := make(map[string]uint64, len(entries))
 	for _, e := range entries {
@@ -101,9 +106,10 @@
 	return out
 }
 
-// awaitView waits until a view has come to a revision, and reports false if it does not.
+// awaitView waits until the view of the records with a prefix has reached a revision, and reports false
+// if it does not within auditWatchIntervals.
 func (a Audit) awaitView(ctx context.Context, prefix string, revision uint64) bool {
-	for end := time.Now().Add(auditWatchTurns * a.host.WatchInterval()); time.Now().Before(end); {
+	for end := time.Now().Add(auditWatchIntervals * a.host.WatchInterval()); time.Now().Before(end); {
 		a.host.Lock()
 		reached := a.views.Of(prefix).Revision() >= revision
 		a.host.Unlock()
@@ -117,9 +123,9 @@
 	return false
 }
 
-// ConfirmMissing tells records that were deleted from those that were lost: a deletion is among
-// the changes, as far as the state service still keeps them. It takes out of missing, which holds
-// versions by key, what was deleted.
+// ConfirmMissing reports missing records as lost, except for those that were deleted. A deletion is
+// among the changes that the state service returns, as long as it still keeps them. Missing has the
+// versions by key; ConfirmMissing removes the deleted records from it.
 func (a Audit) ConfirmMissing(ctx context.Context, prefix string, missing map[string]uint64) error {
 	if len(missing) == 0 {
 		return nil
@@ -143,9 +149,9 @@
 	return nil
 }
 
-// confirmMissingIndirectly looks for other proof of what became of records whose deletion the
-// state service no longer tells: a job that has ended has a final record, the machines of a
-// provision that has ended are silent, and shards are never deleted.
+// confirmMissingIndirectly reports missing records as lost for which the state service no longer keeps
+// the changes, if other evidence shows that they were not deleted: a finished job has a terminal
+// record, the machines of a provision that has ended are silent, and shard records are never deleted.
 func (a Audit) confirmMissingIndirectly(ctx context.Context, prefix string, missing map[string]uint64) error {
 	jobsChecked := 0
 	for key, held := range missing {
@@ -170,13 +176,14 @@
 	return nil
 }
 
-// anyMachineAlive reports whether a machine of a provision was heard by its owner within its lease.
+// anyMachineAlive reports whether a machine of a provision, in a shard that this controller owns, had
+// contact within its lease.
 func (a Audit) anyMachineAlive(provisionKey string) bool {
 	a.host.Lock()
 	defer a.host.Unlock()
 	for _, id := range a.views.Machines.MachineIDs(provisionKey) {
-		v, _ := a.views.Machines.Machine(id)
-		shard := a.host.OwnedShardsLocked()[v.Shard]
+		machine, _ := a.views.Machines.Machine(id)
+		shard := a.host.OwnedShardsLocked()[machine.Shard]
 		if shard != nil && shard.HadContactWithin(id, shard.Lease(), time.Now()) {
 			return true
 		}
@@ -184,7 +191,7 @@
 	return false
 }
 
-// checkFinishedJobs reads some final records again that were read, or written, before.
+// checkFinishedJobs reads some of the cached terminal records again, and reports one that is missing.
 func (a Audit) checkFinishedJobs(ctx context.Context) error {
 	for _, ref := range a.views.Terminal.Sample(finishedRecordsSampled) {
 		finished, err := a.hasFinishedRecord(ctx, ref)
--- a/internal/controller/dataloss/detector.go
+++ b/internal/controller/dataloss/detector.go
@@ -1,16 +1,17 @@
-// Package dataloss finds out that the state service has lost data, and stops this controller
-// until operators have recovered it.
+// Package dataloss detects that the state service has lost data, and stops this controller until
+// operators have recovered the data.
 //
-// A [Detector] takes findings: a revision or a fencing token ahead of the store, a record that is
-// missing or older than what was held of it. [Audit] compares what is held with all records now and
-// then; [StaleReads] checks records as they are read, and looks for records that are missing. A
-// confirmed finding begins the safe mode, which all controllers then agree on by a record: nothing
-// is started, stopped, released or recorded until it ends, while workers' leases are renewed.
-// Package recovery holds the rules as pure functions.
+// A [Detector] receives findings: a revision or a fencing token that is ahead of the store, or a
+// record that is missing or older than the version that was held. [Audit] periodically compares the
+// records that are held with those in the state service. [StaleReads] checks records as they are
+// read, and looks for records that are missing. A confirmed finding begins the safe mode, on which
+// all controllers then agree by a record. Nothing is started, stopped, released or recorded until it
+// ends, while workers' leases are renewed. Package recovery holds the rules as pure functions.
 //
-// Nothing here has a lock of its own: safe mode has to begin and end in the same critical section
-// in which shards and views are given up, so the shards' lock guards all state. Methods that
-// expect that lock to be held end in Locked; all others take it. It is never held during I/O.
+// Nothing in this package has a lock of its own. The safe mode has to begin and end in the same
+// critical section in which shards are released and views are emptied, so the shards' lock guards
+// all state. Methods that expect the lock to be held have names that end in Locked; all others take
+// it. The lock is never held during I/O.
 package dataloss
 
 import (
@@ -33,54 +34,54 @@
 	"bramblespur/internal/wire"
 )
 
-// ErrSuspected says that what the state service tells can't be relied on for now.
+// ErrSuspected says that an answer of the state service cannot be relied on at present.
 var ErrSuspected = errors.New("the state service may have lost data")
 
 // confirmRetry is the mean pause between attempts to read the store's revision.
 const confirmRetry = 400 * time.Millisecond
 
-// Host is what this package needs of its controller.
+// Host is what this package needs from its controller.
 type Host interface {
 	sync.Locker // the shards' lock
-	// Context ends with the controller.
+	// Context returns a context that is cancelled when the controller ends.
 	Context() context.Context
-	// Store returns the way to the state service, through the guard.
+	// Store returns the client of the state service, which includes the guard.
 	Store() statestore.Store
-	// Agents returns the way to the workers.
+	// Agents returns the client of the agents.
 	Agents() agent.API
-	// WatchInterval returns how long a watch may be silent.
+	// WatchInterval returns how long the state service may hold a watch request.
 	WatchInterval() time.Duration
-	// StartedAtLocked returns when this process began, or began anew after a safe mode.
+	// StartedAtLocked returns when this process started, or when it last left the safe mode.
 	StartedAtLocked() time.Time
-	// IsLeaderLocked reports whether this controller leads.
+	// IsLeaderLocked reports whether this controller is the leader.
 	IsLeaderLocked(now time.Time) bool
 	// AllFormatsKnownLocked reports whether every controller has recorded its format.
 	AllFormatsKnownLocked() bool
 	// OwnedShardsLocked returns the shards that this controller owns, by number.
 	OwnedShardsLocked() map[int]*scheduler.Shard
-	// ReleaseShardsLocked gives up all shards and answers the heartbeats that are held.
+	// ReleaseShardsLocked releases all shards and sends all parked responses.
 	ReleaseShardsLocked(now time.Time)
-	// ForgetViewsLocked empties all views, as if the process had just begun.
+	// ForgetViewsLocked empties all views, as if the process had just started.
 	ForgetViewsLocked()
 	// ReadFleet reads the records of all machines.
 	ReadFleet(ctx context.Context, purpose statestore.Purpose) (*record.Fleet, error)
 	// GetIfPresent reads a record for a shard, nil if there is none.
 	GetIfPresent(ctx context.Context, key string) (*wire.Entry, error)
-	// RetryWhileOwned repeats a read until it succeeds, and reports false once the shard is
-	// no longer owned.
+	// RetryWhileOwned repeats a read until it succeeds. It reports false if this controller stops
+	// owning the shard before.
 	RetryWhileOwned(shard *scheduler.Shard, read func(context.Context) error) bool
-	// UpdateShard changes a shard under the shards' lock, and lets it step.
+	// UpdateShard calls change under the shards' lock, and lets the shard step.
 	UpdateShard(shard *scheduler.Shard, change func(now time.Time))
 }
 
-// Views are the records that a controller holds.
+// Views holds the records that a controller holds: its views, and the cached terminal records.
 type Views struct {
 	clusterview.Views
 	Terminal *terminal.Cache
 }
 
-// Detector decides whether the state service has lost data, and holds the safe mode. The shards'
-// lock guards its state, but for the guard, which guards itself.
+// Detector decides whether the state service has lost data, and holds the state of the safe mode. The
+// shards' lock guards its fields, except for the guard, which is safe for concurrent use.
 type Detector struct {
 	host  Host
 	views Views
@@ -88,14 +89,14 @@
 	log   *slog.Logger
 
 	enabled       bool
-	auditInterval time.Duration
-	guard         *statestore.Guard
+	auditInterval time.Duration     // mean time between audits
+	guard         *statestore.Guard // watches the store's revision, and refuses writes in safe mode
 	state         recovery.SafeModeState
-	evidence      evidence
+	evidence      evidence // what this controller held when the safe mode began
 
-	viewGeneration       int  // how often all views had to be read anew
-	confirmingRevision   bool // a revision that fell is being read once more
-	investigatingMachine bool // a machine without a record is being asked
+	viewGeneration       int  // number of times that all views were emptied, to be read again
+	confirmingRevision   bool // whether the store's revision is being read once more
+	investigatingMachine bool // whether a machine without a record is being asked
 }
 
 // NewDetector returns a Detector that detects nothing until it is enabled.
@@ -103,8 +104,9 @@
 	return &Detector{host: host, views: views, cfg: cfg, log: log}
 }
 
-// Enable sets the operators' settings before the controller starts; nil leaves it off. It returns
-// the way to the state service, which leads through a guard from then on.
+// Enable turns detection on with the operators' settings; nil leaves it off. It must be called before
+// the controller starts. It returns the store to use from then on, which includes the guard if
+// detection is on.
 func (d *Detector) Enable(s *operations.Recovery, store statestore.Store) statestore.Store {
 	if s == nil {
 		return store
@@ -116,22 +118,22 @@
 	return d.guard
 }
 
-// Enabled reports whether the operators have turned it on.
+// Enabled reports whether the operators have turned detection on.
 func (d *Detector) Enabled() bool { return d.enabled }
 
-// SetAuditInterval sets the mean time between audits before the controller starts.
+// SetAuditInterval sets the mean time between audits. It must be called before the controller starts.
 func (d *Detector) SetAuditInterval(interval time.Duration) { d.auditInterval = interval }
 
-// CheckTokenLocked looks into a worker's fencing token that is ahead of all revisions seen: tokens
-// are revisions of the state service.
+// CheckTokenLocked begins to confirm a loss if the fencing token in a heartbeat is ahead of all
+// revisions that were seen. Tokens are revisions of the state service.
 func (d *Detector) CheckTokenLocked(r *wire.Heartbeat) {
 	if d.enabled && r.Token > d.guard.HighestRevision() {
 		go d.confirmRevisionLoss(recovery.Finding{Kind: recovery.TokenAheadOfStore, Key: r.Machine, Held: r.Token})
 	}
 }
 
-// confirmRevisionLoss reads the store's revision once more before a revision or a token that is
-// ahead of it counts as a loss.
+// confirmRevisionLoss reads the store's revision once more, and reports the finding only if the
+// revision or token that was seen is still ahead of it.
 func (d *Detector) confirmRevisionLoss(f recovery.Finding) {
 	if !d.beginConfirming() {
 		return
@@ -147,7 +149,7 @@
 	}
 }
 
-// beginConfirming reports whether a revision is to be confirmed now: one at a time.
+// beginConfirming reports whether a finding may be confirmed now. Only one is confirmed at a time.
 func (d *Detector) beginConfirming() bool {
 	d.host.Lock()
 	defer d.host.Unlock()
@@ -158,6 +160,7 @@
 	return true
 }
 
+// endConfirming reports the finding if the revision that was read is lower than the one held.
 func (d *Detector) endConfirming(f recovery.Finding, revision uint64) {
 	d.host.Lock()
 	defer d.host.Unlock()
@@ -168,19 +171,20 @@
 	}
 }
 
-// ReportLocked begins the safe mode for a finding. Until every controller has recorded its format,
-// one of the first version may be there, which would go on by itself.
+// ReportLocked begins the safe mode for a finding. It does nothing until every controller has recorded
+// its format: until then a controller of the first version may be running, which would not enter the
+// safe mode.
 func (d *Detector) ReportLocked(f recovery.Finding, now time.Time) {
 	if !d.enabled || !d.host.AllFormatsKnownLocked() {
 		return
 	}
 	if d.state.Begin(d.cfg.Label, f, d.guard.HighestRevision(), now.UnixMilli()) {
-		d.enterLocked(now)
+		d.enterSafeModeLocked(now)
 	}
 }
 
-// ReportIfStaleLocked begins the safe mode if a record is older than what was held of it, or
-// missing. It reports whether that is so and the safe mode holds.
+// ReportIfStaleLocked begins the safe mode if the version found of a record is lower than the version
+// held, or 0 as the record is missing. It reports whether that is so and the safe mode is active.
 func (d *Detector) ReportIfStaleLocked(key string, held, found uint64, now time.Time) bool {
 	finding, lost := recovery.CompareVersions(key, held, found)
 	if lost {
@@ -189,7 +193,7 @@
 	return lost && d.state.Active()
 }
 
-// hasFinishedRecord reports whether a job has a final record.
+// hasFinishedRecord reads whether a job has a terminal record.
 func (d *Detector) hasFinishedRecord(ctx context.Context, ref string) (bool, error) {
 	_, err := d.host.Store().Get(ctx, auditPurpose, record.FinishedJobKey(ref))
 	if errors.Is(err, statestore.ErrNotFound) {
--- a/internal/controller/dataloss/evidence.go
+++ b/internal/controller/dataloss/evidence.go
@@ -12,19 +12,20 @@
 	"bramblespur/internal/wire"
 )
 
-// evidencePageSize is how many records one reply holds.
+// evidencePageSize is how many records one reply holds at most.
 const evidencePageSize = 500
 
-// evidence is what a controller held when the safe mode began, and has heard since.
+// evidence is what a controller held when the safe mode began, and the heartbeats since then.
 type evidence struct {
-	shards             map[int]*scheduler.Shard // that were owned then
-	activeJobsRevision uint64                   // up to which all unfinished jobs were known then
-	heartbeats         recovery.Heartbeats      // the newest of workers since
-	records            []wire.Entry             // by key, once somebody has asked
+	shards             map[int]*scheduler.Shard // shards that were owned then, by number
+	activeJobsRevision uint64                   // revision that the view of active jobs had reached then
+	heartbeats         recovery.Heartbeats      // workers' newest heartbeats since then
+	records            []wire.Entry             // held records, sorted by key; nil until they are requested
 }
 
-// Evidence returns what this controller has held of the records since its safe mode began, page by
-// page, and with the first page the workers' newest heartbeats.
+// Evidence returns one page of the records that this controller has held since its safe mode began, in
+// the order of their keys. The first page has the view of active jobs and the workers' newest heartbeats,
+// too. The reply is empty if the safe mode is not active.
 func (d *Detector) Evidence(a peer.EvidenceArgs) peer.EvidenceReply {
 	d.host.Lock()
 	defer d.host.Unlock()
@@ -43,18 +44,18 @@
 	return r
 }
 
-// addFirstPageLocked adds the view of active jobs and the heartbeats.
+// addFirstPageLocked adds the view of active jobs and the heartbeats to a reply.
 func (d *Detector) addFirstPageLocked(r *peer.EvidenceReply) {
 	r.View = recovery.View{Revision: d.evidence.activeJobsRevision, Open: map[string]recovery.ActiveJob{}}
-	for ref, j := range d.views.ActiveJobs.Jobs() {
-		r.View.Open[ref] = recovery.ActiveJob{Version: j.Version, Cancelled: j.Cancelled}
+	for ref, job := range d.views.ActiveJobs.Jobs() {
+		r.View.Open[ref] = recovery.ActiveJob{Version: job.Version, Cancelled: job.Cancelled}
 	}
 	for _, id := range slices.Sorted(maps.Keys(d.evidence.heartbeats)) {
 		r.Reports = append(r.Reports, d.evidence.heartbeats[id])
 	}
 }
 
-// page returns the records after a key, and whether more follow.
+// page returns the next records after a key, at most evidencePageSize, and whether more follow.
 func (e *evidence) page(after string) (records []wire.Entry, more bool) {
 	from, found := slices.BinarySearchFunc(e.records, after, func(r wire.Entry, key string) int { return cmp.Compare(r.Key, key) })
 	if found {
@@ -64,14 +65,15 @@
 	return e.records[from:to], to < len(e.records)
 }
 
-// heldRecordsLocked returns all records that are known here, by key.
+// heldRecordsLocked returns all records that this controller holds, sorted by key. Terminal records
+// have version 0, as the cache does not hold their versions.
 func (d *Detector) heldRecordsLocked() []wire.Entry {
 	out := d.views.Machines.Entries()
 	for _, shard := range d.evidence.shards {
 		out = append(out, shard.Records()...)
 	}
-	for ref, j := range d.views.Terminal.All() {
-		out = append(out, wire.Entry{Key: record.FinishedJobKey(ref), Value: record.Encode(j)})
+	for ref, job := range d.views.Terminal.All() {
+		out = append(out, wire.Entry{Key: record.FinishedJobKey(ref), Value: record.Encode(job)})
 	}
 	slices.SortFunc(out, func(a, b wire.Entry) int { return cmp.Compare(a.Key, b.Key) })
 	return out
--- a/internal/controller/dataloss/stale_reads.go
+++ b/internal/controller/dataloss/stale_reads.go
@@ -13,38 +13,38 @@
 	"bramblespur/internal/wire"
 )
 
-// startupHeartbeats is for how many intervals of heartbeats a controller that has just begun says
-// of no job that it was never submitted.
+// startupHeartbeats is for how many heartbeat intervals after its start a controller does not answer
+// that a job was never submitted.
 const startupHeartbeats = 2
 
-// StaleReads compares what the state service and workers tell with what is held, before it is
-// relied on, and looks for records that should be there.
+// StaleReads compares records that are read with what this controller holds, before they are relied
+// on, and looks for records that should exist according to workers.
 type StaleReads struct{ *Detector }
 
-// Baseline is what was known of a job before its records were read.
+// Baseline is what the view of active jobs had of a job before its records were read.
 type Baseline struct {
 	version      uint64 // of its active record, 0 if the view had none
-	viewRevision uint64 // the revision that the view had come to
+	viewRevision uint64 // the revision that the view had reached
 }
 
-// Active reports whether the job was active.
+// Active reports whether the view had the job.
 func (b Baseline) Active() bool { return b.version > 0 }
 
-// BaselineOf returns what is known of a job now.
+// BaselineOf returns the present baseline of a job.
 func (r StaleReads) BaselineOf(ref string) Baseline {
 	r.host.Lock()
 	defer r.host.Unlock()
-	j, _ := r.views.ActiveJobs.Job(ref)
-	return Baseline{j.Version, r.views.ActiveJobs.Revision()}
+	job, _ := r.views.ActiveJobs.Job(ref)
+	return Baseline{job.Version, r.views.ActiveJobs.Revision()}
 }
 
-// CheckActiveJob compares a job's active record with what was known before it was read. The record
-// must not be older, nor be there again after the view has told the job's end. The error is
-// [ErrSuspected] if it is.
+// CheckActiveJob compares the version found of a job's active record with the baseline from before the
+// read. The record must not be older than in the view, nor exist if the view has already seen the end
+// of the job. Otherwise CheckActiveJob reports a finding and returns [ErrSuspected].
 func (r StaleReads) CheckActiveJob(ref string, before Baseline, found uint64) error {
 	held := before.version
 	if held == 0 && found <= before.viewRevision {
-		held = before.viewRevision + 1 // its end came after it
+		held = before.viewRevision + 1 // the view has seen the end of the job, which is newer than this version
 	}
 	if !r.enabled || found >= held {
 		return nil
@@ -55,9 +55,11 @@
 	return ErrSuspected
 }
 
-// CheckMissingJob decides about a job without any record: one that was active before is lost. A
-// controller that has just begun can't know that of any, and so leaves the answer to later:
-// workers' fencing tokens tell a store that went back.
+// CheckMissingJob returns the error for a job without any record, given its baseline. A job that was
+// active before is lost, so CheckMissingJob reports a finding and returns [ErrSuspected]. A controller
+// that has just started cannot know which jobs were active, so it returns [ErrSuspected], too, and
+// leaves the answer to later: the fencing tokens of workers show whether the store went back.
+// Otherwise the error is [statestore.ErrNotFound].
 func (r StaleReads) CheckMissingJob(ref string, before Baseline) error {
 	if !r.enabled {
 		return statestore.ErrNotFound
@@ -75,10 +77,10 @@
 	return statestore.ErrNotFound
 }
 
-// CheckReread compares a record that was read again with what its shard holds of it. It reports
-// false if the record is older than that, or missing though nothing ended it: then the shard must
-// not hear of it.
-func (r StaleReads) CheckReread(ctx context.Context, shard *scheduler.Shard, key string, e *wire.Entry) (bool, error) {
+// CheckReread compares a record that was read again, nil if it is missing, with the version that its
+// shard holds. It reports false if the record is older, or missing without a reason. In that case the
+// record must not be passed to the shard.
+func (r StaleReads) CheckReread(ctx context.Context, shard *scheduler.Shard, key string, entry *wire.Entry) (bool, error) {
 	if !r.enabled {
 		return true, nil
 	}
@@ -86,54 +88,54 @@
 	held := shard.Version(key)
 	r.host.Unlock()
 	found := uint64(0)
-	if e != nil {
-		found = e.Version
+	if entry != nil {
+		found = entry.Version
 	}
-	if e == nil && strings.HasPrefix(key, record.ActiveJobPrefix) {
+	if entry == nil && strings.HasPrefix(key, record.ActiveJobPrefix) {
 		finished, err := r.hasFinishedRecord(ctx, record.LastElement(key))
 		if err != nil || finished {
 			return finished, err
 		}
 	}
-	if e == nil && strings.HasPrefix(key, record.FleetPrefix) {
-		return true, nil // cleared, as the machine is gone
+	if entry == nil && strings.HasPrefix(key, record.FleetPrefix) {
+		return true, nil // deleted, as the machine is gone
 	}
 	r.host.Lock()
 	defer r.host.Unlock()
 	return !r.ReportIfStaleLocked(key, held, found, time.Now()), nil
 }
 
-// LookUpMissing looks for records that explain why a worker has a task which its shard does not
-// know. A job may be over, or another shard's; and one that is over may come back into the view for
-// a moment, without its placements. Without such a record the task tells a loss.
-func (r StaleReads) LookUpMissing(shard *scheduler.Shard, u scheduler.Unrecorded) {
-	explained, ok := r.hasExplanation(shard, u)
+// LookUpMissing looks for records that explain why a worker has a task that its shard does not hold.
+// The job may be finished, or belong to another shard; and a finished job may come back into the view
+// for a moment, without its placements. If no record explains the task, it is evidence of a loss.
+func (r StaleReads) LookUpMissing(shard *scheduler.Shard, unrecorded scheduler.Unrecorded) {
+	explained, ok := r.hasExplanation(shard, unrecorded)
 	if !ok {
 		return
 	}
 	r.host.UpdateShard(shard, func(now time.Time) {
 		if explained {
-			shard.ExplainUnrecorded(u.Task)
+			shard.ExplainUnrecorded(unrecorded.Task)
 			return
 		}
-		if shard.ConfirmUnrecorded(u.Task) {
-			r.ReportLocked(recovery.Finding{Kind: recovery.RecordMissing, Key: u.Task, Held: u.Attempt, Found: u.Recorded}, now)
+		if shard.ConfirmUnrecorded(unrecorded.Task) {
+			r.ReportLocked(recovery.Finding{Kind: recovery.RecordMissing, Key: unrecorded.Task, Held: unrecorded.Attempt, Found: unrecorded.Recorded}, now)
 		}
 	})
 }
 
-// hasExplanation reports whether a record explains an unrecorded task. It is not ok once the shard
-// is no longer owned.
-func (r StaleReads) hasExplanation(shard *scheduler.Shard, u scheduler.Unrecorded) (explained, ok bool) {
-	ref, _, _ := scheduler.SplitTask(u.Task)
+// hasExplanation reports whether a record explains an unrecorded task. Ok is false if this controller
+// stops owning the shard before all records are read.
+func (r StaleReads) hasExplanation(shard *scheduler.Shard, unrecorded scheduler.Unrecorded) (explained, ok bool) {
+	ref, _, _ := scheduler.SplitTask(unrecorded.Task)
 	keys := []string{record.FinishedJobKey(ref), recovery.LostKey(ref)}
-	if !u.KnownJob {
-		keys = append(keys, record.ActiveJobKey(ref), record.FinishedJobKey(ref)) // it may end in between
+	if !unrecorded.KnownJob {
+		keys = append(keys, record.ActiveJobKey(ref), record.FinishedJobKey(ref)) // the job may finish between the reads
 	}
 	ok = r.host.RetryWhileOwned(shard, func(ctx context.Context) error {
 		for _, key := range keys {
-			e, err := r.host.GetIfPresent(ctx, key)
-			if explained = e != nil; err != nil || explained {
+			entry, err := r.host.GetIfPresent(ctx, key)
+			if explained = entry != nil; err != nil || explained {
 				return err
 			}
 		}
@@ -142,8 +144,9 @@
 	return explained, ok
 }
 
-// AskUnrecordedMachines asks machines of which there is no record, by their addresses, whether they
-// were ever told to do anything: then there was a record. It reports whether the safe mode holds.
+// AskUnrecordedMachines asks machines without a record, given their addresses by ID, for their fencing
+// tokens. A machine that has a token was sent commands once, so its record is lost.
+// AskUnrecordedMachines reports whether the safe mode is active as a result.
 func (r StaleReads) AskUnrecordedMachines(ctx context.Context, addresses map[string]string) bool {
 	if !r.enabled {
 		return false
@@ -156,6 +159,8 @@
 	return false
 }
 
+// askMachine reports a finding if the machine has a fencing token, and whether the safe mode is active
+// then.
 func (r StaleReads) askMachine(ctx context.Context, id, address string) bool {
 	heartbeat, err := r.host.Agents().Show(ctx, address)
 	if err != nil || heartbeat.Check() != nil || heartbeat.Machine != id || heartbeat.Token == 0 {
@@ -167,8 +172,8 @@
 	return r.state.Active()
 }
 
-// InvestigateMachineLocked looks into a heartbeat of a machine of which there is no record, though
-// it was told to do something once.
+// InvestigateMachineLocked begins to check the records of a machine that has sent a heartbeat with a
+// fencing token but has no record in the view. Only one machine is checked at a time.
 func (r StaleReads) InvestigateMachineLocked(h *wire.Heartbeat) {
 	if !r.enabled || h.Token == 0 || r.investigatingMachine || r.state.Active() {
 		return
@@ -177,6 +182,7 @@
 	go r.investigate(r.host.Context(), h.Machine, h.Addr)
 }
 
+// investigate reads the records of all machines again, and asks the machine if it has none.
 func (r StaleReads) investigate(ctx context.Context, id, address string) {
 	fleet, err := r.host.ReadFleet(ctx, auditPurpose)
 	if err == nil {
--- a/internal/controller/reconciliation/record.go
+++ b/internal/controller/reconciliation/record.go
@@ -12,17 +12,18 @@
 	"bramblespur/internal/wire"
 )
 
-// episodeRecord writes this controller's episodes to the state service. Only Run uses it.
+// episodeRecord writes this controller's episodes to the state service. Only [Tracker.Run] uses it.
 type episodeRecord struct {
 	tracker   *Tracker
-	key       string
-	history   restart.History
-	loaded    bool   // the record as it stands was read
-	version   uint64 // of the record
-	writtenAt time.Time
+	key       string          // of the record
+	history   restart.History // the content of the record
+	loaded    bool            // history and version are those of the record
+	version   uint64          // of the record
+	writtenAt time.Time       // when the record was last written
 }
 
-// write brings an episode to the record. One that is not written is written with the next.
+// write writes an episode to the record. If the transaction fails, the episode is written with the
+// next one.
 func (r *episodeRecord) write(ctx context.Context, e restart.Episode, now time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
@@ -35,14 +36,14 @@
 		Then: []wire.Op{{Put: r.key, Value: r.history.Encode(r.tracker.cfg.Params.State.Tight().Bytes())}},
 	})
 	if err != nil {
-		r.loaded = false // it may have been written all the same
-		r.tracker.log.Debug("restart record", "err", err)
+		r.loaded = false // the transaction may have succeeded nevertheless
+		r.tracker.log.Debug("restart record not written", "err", err)
 		return
 	}
 	r.version, r.writtenAt = revision, now
 }
 
-// load reads the record as it stands, which the label's last process may have written.
+// load reads the record, which an earlier process with the same label may have written.
 func (r *episodeRecord) load(ctx context.Context) error {
 	entry, err := r.tracker.host.Store().Get(ctx, statestore.Routine("restart"), r.key)
 	if err != nil && !errors.Is(err, statestore.ErrNotFound) {
--- a/internal/recovery/plan_jobs.go
+++ b/internal/recovery/plan_jobs.go
@@ -10,7 +10,7 @@
 	"bramblespur/internal/wire"
 )
 
-// planFinishedJob restores the final record of a job. It is written once and never changes, so any
+// planFinishedJob restores the terminal record of a job. It is written once and never changes, so any
 // source will do. If the sources differ, the evidence does not show which state users were told, and
 // an operator has to decide.
 func (p *planner) planFinishedJob(key string) {
@@ -44,7 +44,7 @@
 	p.restore(key, first.Value, from, "")
 }
 
-// hasFinished reports whether a job has a final record by the items planned so far.
+// hasFinished reports whether a job has a terminal record by the items planned so far.
 func (p *planner) hasFinished(ref string) bool {
 	i := p.items[record.FinishedJobKey(ref)]
 	return i != nil && (i.Outcome == Intact || i.Outcome == Recovered)
@@ -55,12 +55,12 @@
 	ref := record.LastElement(key)
 	_, stored := p.Store[key]
 	if p.hasFinished(ref) {
-		item := p.item(key, Finished, p.items[record.FinishedJobKey(ref)].From, "its final state is known")
+		item := p.item(key, Finished, p.items[record.FinishedJobKey(ref)].From, "its terminal state is known")
 		item.Delete = stored
 		return
 	}
 	if p.undecidedJobs[ref] {
-		return // its final record is undecided
+		return // its terminal record is undecided
 	}
 	entry, from, _ := p.newest(key)
 	var job record.ActiveJob
@@ -122,9 +122,9 @@
 		if p.Decisions[key] == DecideCancelled {
 			state = wire.Cancelled
 		}
-		final := record.FinishedJobKey(ref)
-		i := p.item(final, Recovered, FromOperator, why)
-		i.Put = record.Encode(record.FinishedJob{State: state})
+		terminal := record.FinishedJobKey(ref)
+		item := p.item(terminal, Recovered, FromOperator, why)
+		item.Put = record.Encode(record.FinishedJob{State: state})
 		if _, stored := p.Store[record.ActiveJobKey(ref)]; stored {
 			p.item(record.ActiveJobKey(ref), Finished, FromOperator, why).Delete = true
 		}
--- a/internal/recovery/plan_test.go
+++ b/internal/recovery/plan_test.go
@@ -37,9 +37,9 @@
 
 // Each entry is a row of the table in docs/design-recovery.md.
 func TestPlanOutcomes(t *testing.T) {
-	active, final := record.ActiveJobKey(testJob), record.FinishedJobKey(testJob)
+	active, terminal := record.ActiveJobKey(testJob), record.FinishedJobKey(testJob)
 	activeRecord := func(v any) map[string]any { return map[string]any{active: v} }
-	finalRecord := func(state string) map[string]any { return map[string]any{final: record.FinishedJob{State: state}} }
+	terminalRecord := func(state string) map[string]any { return map[string]any{terminal: record.FinishedJob{State: state}} }
 	view := func(jobs ...string) View {
 		v := View{Revision: 50, Open: map[string]ActiveJob{}}
 		for _, ref := range jobs {
@@ -55,15 +55,15 @@
 		from     Source
 		put      any // nil: nothing is written
 	}{
-		"final: stored":                        {Evidence{Store: entries(9, finalRecord("done"))}, final, Intact, FromStore, nil},
-		"final: held":                          {Evidence{Held: entries(0, finalRecord("done"))}, final, Recovered, FromController, record.FinishedJob{State: "done"}},
-		"final: in the snapshot":               {Evidence{Snapshot: entries(9, finalRecord("done"))}, final, Recovered, FromSnapshot, record.FinishedJob{State: "done"}},
-		"final: sources differ":                {Evidence{Store: entries(9, finalRecord("done")), Held: entries(0, finalRecord("aborted"))}, final, Undecided, "", nil},
-		"final: cannot be decoded":             {Evidence{Store: entries(9, map[string]any{final: "x"})}, final, Lost, "", nil},
+		"terminal: stored":                     {Evidence{Store: entries(9, terminalRecord("done"))}, terminal, Intact, FromStore, nil},
+		"terminal: held":                       {Evidence{Held: entries(0, terminalRecord("done"))}, terminal, Recovered, FromController, record.FinishedJob{State: "done"}},
+		"terminal: in the snapshot":            {Evidence{Snapshot: entries(9, terminalRecord("done"))}, terminal, Recovered, FromSnapshot, record.FinishedJob{State: "done"}},
+		"terminal: sources differ":             {Evidence{Store: entries(9, terminalRecord("done")), Held: entries(0, terminalRecord("aborted"))}, terminal, Undecided, "", nil},
+		"terminal: cannot be decoded":          {Evidence{Store: entries(9, map[string]any{terminal: "x"})}, terminal, Lost, "", nil},
 		"active: stored, no newer evidence":    {Evidence{Store: entries(9, activeRecord(activeJob(false)))}, active, Intact, FromStore, nil},
 		"active: held is newer":                {Evidence{Store: entries(9, activeRecord(activeJob(false))), Held: entries(12, activeRecord(activeJob(true)))}, active, Recovered, FromController, activeJob(true)},
 		"active: held is older":                {Evidence{Store: entries(12, activeRecord(activeJob(true))), Held: entries(9, activeRecord(activeJob(false)))}, active, Intact, FromStore, nil},
-		"active: its final state is known":     {Evidence{Store: entries(9, activeRecord(activeJob(false))), Held: entries(0, finalRecord("done"))}, active, Finished, FromController, nil},
+		"active: its terminal state is known":  {Evidence{Store: entries(9, activeRecord(activeJob(false))), Held: entries(0, terminalRecord("done"))}, active, Finished, FromController, nil},
 		"active: controllers saw its end":      {Evidence{Store: entries(9, activeRecord(activeJob(false))), View: view()}, active, Undecided, "", nil},
 		"active: only in the snapshot":         {Evidence{Snapshot: entries(9, activeRecord(activeJob(false)))}, active, Undecided, "", nil},
 		"active: in the snapshot, and it runs": {Evidence{Snapshot: entries(9, activeRecord(activeJob(false))), Heartbeats: heartbeatOf("m", running("0", 1))}, active, Recovered, FromSnapshot, activeJob(false)},
@@ -71,7 +71,7 @@
 		"active: only tasks are left":          {Evidence{Heartbeats: heartbeatOf("m", running("0", 1))}, active, Undecided, "", nil},
 		"active: cannot be decoded":            {Evidence{Store: entries(9, activeRecord("x"))}, active, Undecided, "", nil},
 		"decided: again":                       {Evidence{Snapshot: entries(9, activeRecord(activeJob(false))), Decisions: choose(DecideRerun)}, active, Recovered, FromOperator, activeJob(false)},
-		"decided: done":                        {Evidence{Snapshot: entries(9, activeRecord(activeJob(false))), Decisions: choose(DecideDone)}, final, Recovered, FromOperator, record.FinishedJob{State: "done"}},
+		"decided: done":                        {Evidence{Snapshot: entries(9, activeRecord(activeJob(false))), Decisions: choose(DecideDone)}, terminal, Recovered, FromOperator, record.FinishedJob{State: "done"}},
 		"decided: cancelled, and it is stored": {Evidence{Store: entries(9, activeRecord(activeJob(false))), View: view(), Decisions: choose(DecideCancelled)}, active, Finished, FromOperator, nil},
 		"decided: forget":                      {Evidence{Heartbeats: heartbeatOf("m", running("0", 1)), Decisions: choose(DecideForget)}, LostKey(testJob), Recovered, FromOperator, true},
 		"pipeline: the newest copy is restored": {Evidence{Store: entries(4, map[string]any{"pipes/p": 1}), Snapshot: entries(9, map[string]any{"pipes/p": 2})},
