--- a/internal/controller/active_job_records.go
+++ b/internal/controller/active_job_records.go
@@ -8,8 +8,9 @@
 	"bramblespur/internal/wire"
 )
 
-// resetActiveJobs applies the records of all active jobs, listed as of a revision. A job that
-// is not listed has ended, unless this controller has accepted it since.
+// resetActiveJobs applies a list of the records of all active jobs as of a revision. A job that is
+// not listed has ended, unless this controller has written its record since. It takes the shards'
+// lock.
 func (c *Controller) resetActiveJobs(entries []wire.Entry, rev uint64, at time.Time) {
 	listed := map[string]bool{}
 	for _, e := range entries {
@@ -29,7 +30,7 @@
 	c.setViewAsOf(record.ActiveJobPrefix, at)
 }
 
-// applyActiveJobChange applies a change of an active job's record.
+// applyActiveJobChange applies a change of an active job's record. It takes the shards' lock.
 func (c *Controller) applyActiveJobChange(e wire.Change, _ time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,8 +54,9 @@
 	c.notifyJobChangedLocked(&change, now)
 }
 
-// notifyJobEndedLocked notifies the shards of a job that is not active any more: the owner
-// ends jobs itself, except those that only waited. The shards' lock is held.
+// notifyJobEndedLocked passes to the shards that a job is no longer active. The job's owner records
+// its end itself, unless the job still awaited its dependencies: then another controller may have
+// recorded it. The shards' lock is held.
 func (c *Controller) notifyJobEndedLocked(change *clusterview.JobChange, now time.Time) {
 	ref := change.Ref
 	c.applyInheritedUrgency(change.UrgencyChanged)
@@ -69,8 +71,8 @@
 	}
 }
 
-// notifyJobChangedLocked notifies the shards of a new or changed active job. The shards' lock
-// is held.
+// notifyJobChangedLocked passes a new or changed active job to its shard, if that is hosted here. The
+// shards' lock is held.
 func (c *Controller) notifyJobChangedLocked(change *clusterview.JobChange, now time.Time) {
 	job := &change.Record
 	shard := c.shards.GetLocked(job.Shard)
@@ -87,7 +89,8 @@
 	c.shards.StepLocked(shard, now)
 }
 
-// removeActiveJobLocked drops a job that is not active any more. The shards' lock is held.
+// removeActiveJobLocked removes a job that is no longer active from the view. The shards' lock is
+// held.
 func (c *Controller) removeActiveJobLocked(ref string) {
 	c.applyInheritedUrgency(c.activeJobs.Remove(ref))
 }
--- a/internal/controller/cluster_records.go
+++ b/internal/controller/cluster_records.go
@@ -12,7 +12,8 @@
 	"bramblespur/internal/wire"
 )
 
-// resetCluster applies all records under record.ClusterPrefix, listed as of a revision.
+// resetCluster applies a list of all records under record.ClusterPrefix as of a revision. It takes
+// the shards' lock.
 func (c *Controller) resetCluster(entries []wire.Entry, rev uint64, at time.Time) {
 	c.mu.Lock()
 	c.checkListedShardsLocked(entries, rev, at)
@@ -25,7 +26,8 @@
 	c.setViewAsOf(record.ClusterPrefix, at)
 }
 
-// applyClusterChange applies a change under record.ClusterPrefix.
+// applyClusterChange applies a change of a record under record.ClusterPrefix. It takes the shards'
+// lock.
 func (c *Controller) applyClusterChange(e wire.Change, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -34,8 +36,8 @@
 	}
 }
 
-// applyClusterChangeLocked hands a changed record to the component that it belongs to. The
-// shards' lock is held.
+// applyClusterChangeLocked passes a changed record to the component that keeps records of its kind.
+// It returns an error if the record cannot be decoded. The shards' lock is held.
 func (c *Controller) applyClusterChangeLocked(e wire.Change, at time.Time) error {
 	key := e.Put + e.Delete
 	switch {
@@ -53,8 +55,8 @@
 	return err
 }
 
-// applyMachineTypesLocked applies the record of the machine types, of which the first that is
-// known stays. The shards' lock is held.
+// applyMachineTypesLocked applies the record of the machine types. Once the types are known, later
+// changes are ignored. The shards' lock is held.
 func (c *Controller) applyMachineTypesLocked(e wire.Change) error {
 	if e.Put == "" || c.shards.MachineTypesLocked() != nil {
 		return nil
@@ -67,7 +69,8 @@
 	return nil
 }
 
-// applySafeModeChangeLocked applies the record of the safe mode. The shards' lock is held.
+// applySafeModeChangeLocked applies a change of the safe mode record; it ignores a deletion. The
+// shards' lock is held.
 func (c *Controller) applySafeModeChangeLocked(e wire.Change, at time.Time) error {
 	if e.Put == "" {
 		return nil
@@ -80,15 +83,17 @@
 	return nil
 }
 
-// setShardRecordLocked records who owns a shard. The shards' lock is held.
+// setShardRecordLocked applies a shard's ownership record, unless the view has a later one. The
+// shards' lock is held.
 func (c *Controller) setShardRecordLocked(id int, r record.Shard, version uint64) {
 	if c.cluster.SetShard(id, r, version) {
 		c.dropLostShardLocked(id, r.Owner, version)
 	}
 }
 
-// dropLostShardLocked stops serving a shard if its record is newer than this controller's
-// fencing token: another has acquired it. The shards' lock is held.
+// dropLostShardLocked stops serving a shard if the version of its ownership record is higher than
+// this controller's fencing token, which means that the shard has been acquired by or transferred to
+// another controller. The shards' lock is held.
 func (c *Controller) dropLostShardLocked(id int, owner string, version uint64) {
 	if shard := c.shards.GetLocked(id); shard != nil && version > shard.Token() {
 		c.log.Info("shard lost", "shard", id, "to", owner)
@@ -96,8 +101,9 @@
 	}
 }
 
-// checkListedShardsLocked compares the shard records in a list with those held: shards are
-// never deleted, so one that is missing or older was lost. The shards' lock is held.
+// checkListedShardsLocked compares the ownership records in a list as of a revision with those in the
+// view. Ownership records are never deleted, so one that is missing or older was lost by the state
+// service. The shards' lock is held.
 func (c *Controller) checkListedShardsLocked(entries []wire.Entry, rev uint64, now time.Time) {
 	if !c.dataLoss.Enabled() {
 		return
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,14 +1,14 @@
-// Package controller composes one controller: it builds the components of the packages below
-// it, wires them, starts them and ends with them. docs/architecture.md tells which component
-// owns which state.
+// Package controller assembles one controller process from the components in its sub-packages:
+// it creates them, connects them and runs them until the process ends. docs/architecture.md
+// describes which component owns which state.
 //
-// What still stands here besides: adapters by which components see each other (*_host.go,
-// shard_environment.go, user_requests.go, membership_process.go), the application of watched
-// records to views and shards, the tick, the dispatch of heartbeats, and lease renewals on other
-// owners' behalf.
+// Besides that it contains adapters that implement the components' interfaces (*_host.go,
+// shard_environment.go, user_requests.go, membership_process.go), applies watched records to the
+// views and shards, runs the periodic tick, routes heartbeats, and renews workers' leases on
+// behalf of owners that are out of reach.
 //
-// The outermost lock, mu, is that of the hosted shards (shardhost.Host); the components' own locks
-// are leaves below it. None is held across input or output.
+// The outermost lock, mu, is the lock of the hosted shards (shardhost.Host). The components' own
+// locks are leaf locks, taken under mu or alone. No lock is held during input or output.
 package controller
 
 import (
@@ -49,34 +49,35 @@
 	"bramblespur/internal/wire"
 )
 
-// Defaults of the shell, each a compromise named here.
 const (
-	countsEvery  = 15 * time.Second // requests and changes are logged this often
+	// countsEvery is the period of the log of state service requests and memory use.
+	countsEvery = 15 * time.Second
+	// relayTimeout bounds the call that relays a heartbeat to its machine's owner.
 	relayTimeout = 2200 * time.Millisecond
 )
 
-// Controller is one process of the service.
+// Controller is one controller process.
 type Controller struct {
 	cfg     *config.Settings
 	policy  *policy.Policy
 	log     *slog.Logger
-	life    context.Context // ends with the controller
+	life    context.Context // ends when the controller stops
 	store   statestore.Store
 	cloud   cloud.API
 	agents  agent.API
-	peers   map[string]peer.Caller
-	teams   []string // names in order
+	peers   map[string]peer.Caller // the other controllers, by label
+	teams   []string               // names in order
 	userAPI *userapi.API
 
-	// Each of these has a leaf lock of its own, which may be taken under mu, never the other
-	// way round.
+	// Each of these components has a leaf lock of its own, which may be taken while mu is held.
+	// mu must not be taken while a leaf lock is held.
 	lease          membership.Lease
 	member         *membership.Member
 	election       *election.Election
 	terminalStates *terminal.Cache
 	peerHealth     *membership.PeerHealth
 	overload       *overload.Detector
-	admission      *admission.Limiter // of users' requests
+	admission      *admission.Limiter // limits users' requests in progress
 	messages       *messagecheck.Checker
 	rejections     *rejectlog.Log
 	cluster        *clusterview.Cluster
@@ -85,14 +86,15 @@
 
 	duties *leader.Leader // its state is guarded by mu
 
-	// shards holds the shards that this controller serves, and the outermost lock.
+	// shards holds the shards that this controller serves.
 	shards *shardhost.Host
-	// mu is that lock, and guards all that follows. It is never held across input or output.
+	// mu is the shards' lock, the outermost one. It guards all fields below it and is never held
+	// during input or output.
 	mu              sync.Locker
 	dependencyReads *dependency.Schedule
 	router          *workerapi.Router
-	lastHeartbeatAt time.Time // of any worker, to this controller itself
-	startedAt       time.Time // when this process began
+	lastHeartbeatAt time.Time // when any worker last sent a heartbeat directly to this controller
+	startedAt       time.Time // when this process started, or began anew after a safe mode
 	renewals        renewals
 	drainer         *drainer.Drainer
 	reconciliation  *reconciliation.Tracker
@@ -103,7 +105,8 @@
 	readiness       membership.Readiness
 }
 
-// Run runs a controller until its server fails.
+// Run runs a controller. It returns only when a listener cannot be opened or a server fails, with
+// the error.
 func Run(cfg *config.Settings, pol *policy.Policy, ops *operations.Settings, log *slog.Logger) error {
 	p := cfg.Params
 	ctx, cancel := context.WithCancel(context.Background())
@@ -113,7 +116,8 @@
 		cloud:  cloud.New(cfg.Outside.Cloud, p.Cloud.RPS*leader.FollowerCloudShare),
 		agents: agent.Client{},
 	}
-	tight := p.State.Tight() // bursts are for good, the rates follow at once
+	// The client keeps the write burst that it derives here. The tick replaces the rates at once.
+	tight := p.State.Tight()
 	c.store = statestore.New(cfg.Outside.State, p.Count, tight.RPS, tight.WriteRPS, c.borrow)
 	c.init()
 	c.drainer.Enable(ops.Drains, &p)
@@ -139,7 +143,7 @@
 	return fmt.Errorf("server: %w", <-errs)
 }
 
-// start begins all that a controller does by itself, until its life ends.
+// start starts the background loops of the controller. They run until its lifetime ends.
 func (c *Controller) start() {
 	ctx := c.life
 	go c.member.KeepLease(ctx)
@@ -160,6 +164,7 @@
 	}
 }
 
+// init creates the components. The settings, the policy and the log must be set.
 func (c *Controller) init() {
 	for _, t := range c.cfg.Params.Teams {
 		c.teams = append(c.teams, t.Name)
@@ -194,8 +199,9 @@
 	c.audit, c.staleReads = dataloss.Audit{Detector: c.dataLoss}, dataloss.StaleReads{Detector: c.dataLoss}
 }
 
-// handle implements transport.Handler: heartbeats and health checks are answered on the event
-// loop, users' requests on goroutines of their own, as far as they are admitted.
+// handle implements transport.Handler. It answers heartbeats and readiness checks on the event
+// loop, and each admitted user request on a goroutine of its own. Other requests get a response
+// that asks the client to retry later.
 func (c *Controller) handle(req httpwire.Request, answer func(transport.Response)) (transport.Response, bool) {
 	switch {
 	case req.Path == wire.HeartbeatPath && req.Method == "POST":
--- a/internal/controller/dataloss_host.go
+++ b/internal/controller/dataloss_host.go
@@ -16,13 +16,13 @@
 // Evidence implements peer.Handler.
 func (c *Controller) Evidence(a peer.EvidenceArgs) peer.EvidenceReply { return c.dataLoss.Evidence(a) }
 
-// dataLossHost lets the detection of lost data see its controller; it implements dataloss.Host.
+// dataLossHost adapts a Controller to dataloss.Host.
 type dataLossHost struct{ c *Controller }
 
 // Lock takes the shards' lock.
 func (h dataLossHost) Lock() { h.c.mu.Lock() }
 
-// Unlock releases it.
+// Unlock releases the shards' lock.
 func (h dataLossHost) Unlock() { h.c.mu.Unlock() }
 
 // Context implements dataloss.Host.
--- a/internal/controller/dependency_tracking.go
+++ b/internal/controller/dependency_tracking.go
@@ -12,13 +12,14 @@
 	"bramblespur/internal/wire"
 )
 
-// A job may name dependencies, jobs that have to be done before it starts. Its record says
-// that it awaits them, and goes on saying so: its owner lets it start once it knows the
-// terminal record of each, which never changes. That is told by whoever wrote it, and read
-// by who was not told once the dependency is not active any more.
+// A job may name dependencies: jobs that must be done before it starts. Its record lists them and
+// is not updated when they end. The owner lets the job start once it has the terminal record of each
+// dependency, which never changes. The controller that writes a terminal record sends it to the
+// owners of the dependents. An owner that did not receive it reads it once the dependency is no
+// longer active.
 
-// dependencyEnded applies a job's terminal record and passes it to the shards held here.
-// The shards' lock is held.
+// dependencyEnded caches a job's terminal record and, if the job has dependents, passes it to the
+// shards hosted here. The shards' lock is held.
 func (c *Controller) dependencyEnded(ref string, finished record.FinishedJob, now time.Time) {
 	c.terminalStates.Put(ref, finished)
 	if !c.activeJobs.HasDependents(ref) {
@@ -30,8 +31,9 @@
 	}
 }
 
-// notifyDependents brings a job's terminal record to the owners of jobs that depend on it,
-// without waiting for their views. The shards' lock is held.
+// notifyDependents sends a job's terminal record, which op wrote, to the other controllers that own
+// dependents of the job. It sends it in the background, so that they need not wait for their views
+// to show that the job has ended. The shards' lock is held.
 func (c *Controller) notifyDependents(ref string, op wire.Op) {
 	owners := map[peer.Caller]bool{}
 	for _, dependent := range c.activeJobs.Dependents(ref) {
@@ -44,18 +46,18 @@
 		go func() {
 			args := peer.NotifyArgs{Key: op.Put, Value: op.Value}
 			if err := owner.Call("Nudge", args, new(struct{}), peerNoticeTimeout); err != nil {
-				c.log.Debug("owner not notified", "key", args.Key, "err", err) // its view tells it as well
+				c.log.Debug("owner of a dependent not notified", "key", args.Key, "err", err) // its view will show it
 			}
 		}()
 	}
 }
 
-// lookUpDependencies reads the terminal records of dependencies that are not active any
-// more: for the shards held here at once, and for others later, in case their owners can't
-// end what depends on a cancelled job. The shards' lock is held.
+// lookUpDependencies starts reads of the terminal records of dependencies that are no longer active:
+// at once for those that shards hosted here await, and later for others, in case the owners of their
+// dependents cannot cancel the dependents of a cancelled job. The shards' lock is held.
 func (c *Controller) lookUpDependencies(ctx context.Context, now time.Time) {
 	if !c.activeJobs.Loaded() {
-		return // before there is a view nothing can be missing from it
+		return // without a loaded view, absence from it proves nothing
 	}
 	awaitedHere := c.passKnownDependencies(now)
 	for _, ref := range c.activeJobs.EndedDependencies() {
@@ -70,8 +72,8 @@
 	c.dependencyReads.Prune(c.activeJobs.HasDependents)
 }
 
-// passKnownDependencies passes the terminal records that are known to the shards that await
-// them, and returns the dependencies that are awaited still. The shards' lock is held.
+// passKnownDependencies passes cached terminal records to the hosted shards that await them. It
+// returns the dependencies that hosted shards still await. The shards' lock is held.
 func (c *Controller) passKnownDependencies(now time.Time) map[string]bool {
 	awaited := map[string]bool{}
 	for _, shard := range c.shards.AllLocked() {
@@ -88,8 +90,8 @@
 	return awaited
 }
 
-// dependentsElsewhere returns the dependents of a job that belong to shards which are not
-// held here. The shards' lock is held.
+// dependentsElsewhere returns the dependents of a job whose shards are not hosted here. The shards'
+// lock is held.
 func (c *Controller) dependentsElsewhere(ref string) []string {
 	var elsewhere []string
 	for _, dependent := range c.activeJobs.Dependents(ref) {
@@ -100,8 +102,8 @@
 	return elsewhere
 }
 
-// applyInheritedUrgency sets the urgency of jobs in the shards that are held here. The
-// shards' lock is held.
+// applyInheritedUrgency passes the urgency that jobs inherit from their dependents to those of the
+// jobs' shards that are hosted here. The shards' lock is held.
 func (c *Controller) applyInheritedUrgency(refs []string) {
 	for _, ref := range refs {
 		job, _ := c.activeJobs.Job(ref)
@@ -111,8 +113,9 @@
 	}
 }
 
-// lookUpDependency reads a dependency's terminal record and, where it was cancelled, ends
-// dependents of shards that are held elsewhere.
+// lookUpDependency reads a dependency's terminal record unless it is cached. If the dependency was
+// cancelled, it cancels the given dependents, whose shards are hosted elsewhere. It takes the shards'
+// lock.
 func (c *Controller) lookUpDependency(ctx context.Context, ref string, elsewhere []string) {
 	ctx, cancel := context.WithTimeout(ctx, userapi.RequestTimeout)
 	defer cancel()
@@ -131,8 +134,8 @@
 	}
 }
 
-// readDependency reads a dependency's terminal record and applies it. Without one it is
-// read again later.
+// readDependency reads a dependency's terminal record and applies it. If that fails or there is no
+// record, it schedules another read and returns the error. It takes the shards' lock.
 func (c *Controller) readDependency(ctx context.Context, ref string) (record.FinishedJob, error) {
 	finished, err := c.terminalStates.Read(ctx, c.store, statestore.Urgent("dependencies"), ref)
 	if err != nil && !errors.Is(err, statestore.ErrNotFound) {
@@ -148,8 +151,9 @@
 	return finished, nil
 }
 
-// cancelDependent records the end of a job that depends on a cancelled one. It has never
-// run, so that its owner need not be asked: its record only has to be as it was.
+// cancelDependent records a job as cancelled because a job that it depends on was cancelled. The
+// dependent has never run, so its owner need not take part: the write only requires that the job's
+// record has not changed. It takes the shards' lock.
 func (c *Controller) cancelDependent(ctx context.Context, ref string) {
 	c.mu.Lock()
 	job, active := c.activeJobs.Job(ref)
@@ -167,7 +171,7 @@
 	}
 	rev, err := c.store.Txn(ctx, statestore.Urgent("cascade"), t)
 	if err != nil {
-		c.log.Debug("dependent not cancelled", "job", ref, "err", err) // tried again, or done by its owner
+		c.log.Debug("dependent not cancelled", "job", ref, "err", err) // the tick tries again, unless the owner does it
 		return
 	}
 	c.mu.Lock()
--- a/internal/controller/drainer_host.go
+++ b/internal/controller/drainer_host.go
@@ -9,13 +9,13 @@
 	"bramblespur/internal/wire"
 )
 
-// drainerHost lets the drainer see its controller; it implements drainer.Host.
+// drainerHost adapts a Controller to drainer.Host.
 type drainerHost struct{ c *Controller }
 
 // Lock takes the shards' lock.
 func (h drainerHost) Lock() { h.c.mu.Lock() }
 
-// Unlock releases it.
+// Unlock releases the shards' lock.
 func (h drainerHost) Unlock() { h.c.mu.Unlock() }
 
 // OwnedShardsLocked implements drainer.Host.
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -16,7 +16,7 @@
 	"bramblespur/internal/wire"
 )
 
-// workerHost is the controller as the parts that serve workers see it.
+// workerHost adapts a Controller to the interfaces of workerapi.
 type workerHost struct{ c *Controller }
 
 var (
@@ -30,40 +30,42 @@
 // ActiveJobsStaleLocked implements workerapi.Process.
 func (h workerHost) ActiveJobsStaleLocked(now time.Time) bool { return h.c.activeJobsStale(now) }
 
-// maxRelayedLongPoll is how long the response to a relayed heartbeat may be parked, well
-// below relayTimeout.
+// maxRelayedLongPoll is the longest time for which the response to a relayed heartbeat may be
+// parked. It is well below relayTimeout.
 const maxRelayedLongPoll = 1200 * time.Millisecond
 
-// heartbeatOutcome is what is done with a heartbeat.
+// heartbeatOutcome is the way in which a heartbeat is handled.
 type heartbeatOutcome int
 
 const (
-	// renewInSafeMode: the state service has lost data; leases are renewed at most.
+	// renewInSafeMode: the state service has lost data. The lease may be renewed, and nothing
+	// else is done.
 	renewInSafeMode heartbeatOutcome = iota
-	// renewUnrecorded: the machine has no record; its lease is renewed if it may be.
+	// renewUnrecorded: the machine has no record. Its lease is renewed if that is allowed.
 	renewUnrecorded
 	// redirectWorker: the worker is sent to another controller.
 	redirectWorker
 	// serveHere: the machine's shard is hosted here.
 	serveHere
-	// renewForOwner: the owner can't be reached; the lease is renewed on its behalf.
+	// renewForOwner: the owner cannot be reached. The lease is renewed on its behalf.
 	renewForOwner
-	// relayToOwner: the worker's place is here, or it was redirected and has come back,
-	// while the shard is another's.
+	// relayToOwner: another controller owns the machine's shard, but the worker is to report to
+	// this one, or it was redirected and has come back.
 	relayToOwner
 )
 
-// heartbeatRoute is how a heartbeat is handled.
+// heartbeatRoute is the decision on how a heartbeat is handled.
 type heartbeatRoute struct {
 	outcome heartbeatOutcome
-	machine record.MachineView // of a machine with a record
-	shard   *scheduler.Shard   // serveHere: the machine's
-	to      string             // redirectWorker: the controller
-	owner   string             // of the machine's shard, unless that is hosted here
-	token   uint64             // under which the lease may be renewed for an owner; 0: none is known
+	machine record.MachineView // the merged records of the machine, if it has any
+	shard   *scheduler.Shard   // serveHere: the machine's shard
+	to      string             // redirectWorker: the label of the controller to report to
+	owner   string             // the label of the shard's owner, unless the shard is hosted here
+	token   uint64             // the fencing token for renewing the lease for an owner; 0: none is known
 }
 
-// handleHeartbeat responds to a worker's heartbeat, at once or by respond.
+// handleHeartbeat handles a worker's heartbeat. It returns the response and true, or false if
+// respond will be called with the response later. It takes the shards' lock.
 func (c *Controller) handleHeartbeat(req httpwire.Request, respond func(transport.Response)) (transport.Response, bool) {
 	var h wire.Heartbeat
 	err := json.Unmarshal(req.Body, &h)
@@ -89,7 +91,7 @@
 	case relayToOwner:
 		go c.relay(&h, route, respond)
 	case renewUnrecorded:
-		c.log.Debug("heartbeat of an unknown machine", "machine", h.Machine)
+		c.log.Debug("heartbeat of a machine without a record", "machine", h.Machine)
 		c.staleReads.InvestigateMachineLocked(&h)
 		go c.respondForOwner(&h, route.token, respond)
 	case renewForOwner:
@@ -107,9 +109,9 @@
 	c.dataLoss.CheckTokenLocked(h)
 	machine, recorded := c.machines.Machine(h.Machine)
 	if !recorded {
-		token := uint64(0) // restarted while the state service is out of reach
+		token := uint64(0) // this controller may have restarted while the state service is out of reach
 		if c.dataLoss.Enabled() {
-			token = h.Token // its record may be lost: its tasks live until that is known
+			token = h.Token // the record may be lost: the tasks are kept alive until that is known
 		}
 		return heartbeatRoute{outcome: renewUnrecorded, token: token}
 	}
@@ -119,7 +121,8 @@
 	return c.routeToOwnerLocked(machine, h, now)
 }
 
-// routeToOwnShardLocked decides on the heartbeat of a machine whose shard is hosted here.
+// routeToOwnShardLocked decides how the heartbeat of a machine whose shard is hosted here is
+// handled. The shards' lock is held.
 func (c *Controller) routeToOwnShardLocked(shard *scheduler.Shard, machine record.MachineView, h *wire.Heartbeat, now time.Time) heartbeatRoute {
 	if to := c.router.RedirectLocked(machine.Zone, h.Machine, c.cfg.Label, now); to != "" {
 		return heartbeatRoute{outcome: redirectWorker, machine: machine, to: to}
@@ -127,7 +130,8 @@
 	return heartbeatRoute{outcome: serveHere, machine: machine, shard: shard}
 }
 
-// routeToOwnerLocked decides on the heartbeat of a machine whose shard is another's.
+// routeToOwnerLocked decides how the heartbeat of a machine whose shard another controller owns is
+// handled. The shards' lock is held.
 func (c *Controller) routeToOwnerLocked(machine record.MachineView, h *wire.Heartbeat, now time.Time) heartbeatRoute {
 	shard, _ := c.cluster.Shard(machine.Shard)
 	owner := shard.Rec.Owner
@@ -146,14 +150,15 @@
 	return route
 }
 
-// redirectTo returns the response that sends a worker to another controller; with none it
-// is to search for one.
+// redirectTo returns the response that redirects a worker to the controller with a label. An empty
+// label makes the worker search for a controller.
 func redirectTo(label string) transport.Response {
 	return transport.Response{Status: 421, Body: wire.Redirect{Label: label}}
 }
 
-// serveOrParkLocked responds to a heartbeat of one of this controller's machines, or parks
-// the response while it would bring no commands. The shards' lock is held.
+// serveOrParkLocked responds to a heartbeat of one of this controller's machines. If the response
+// has no commands and may be parked, it parks it and returns false: respond is then called with
+// the response later. The shards' lock is held.
 func (c *Controller) serveOrParkLocked(shard *scheduler.Shard, h *wire.Heartbeat, respond func(transport.Response), now time.Time) (transport.Response, bool) {
 	response := c.serveHeartbeatLocked(shard, h, now)
 	if !withoutCommands(response) {
@@ -167,14 +172,15 @@
 	return transport.Response{}, false
 }
 
-// withoutCommands reports whether a response renews the lease and brings no commands.
+// withoutCommands reports whether a response renews the lease and contains no commands.
 func withoutCommands(response transport.Response) bool {
 	orders, ok := response.Body.(wire.Orders)
 	return ok && len(orders.Commands) == 0
 }
 
-// relay responds to a heartbeat with what its machine's owner says, or on the owner's
-// behalf where that does not reply. It takes the shards' lock.
+// relay relays a heartbeat to its machine's owner and responds with the owner's reply. If the owner
+// does not reply, it redirects the worker or responds on the owner's behalf. It takes the shards'
+// lock.
 func (c *Controller) relay(h *wire.Heartbeat, route heartbeatRoute, respond func(transport.Response)) {
 	var reply peer.HeartbeatReply
 	err := c.peers[route.owner].Call("Report", *h, &reply, relayTimeout)
@@ -193,8 +199,9 @@
 	c.respondForOwner(h, route.token, respond)
 }
 
-// redirectAfterRefusal returns where a worker is sent whose owner refuses connections from
-// here, which says nothing of the worker's. It takes the shards' lock.
+// redirectAfterRefusal returns the label of the controller to redirect a worker to after its owner
+// refused a connection from this controller, or "" for none. The owner may still accept the
+// worker's own connections. It takes the shards' lock.
 func (c *Controller) redirectAfterRefusal(h *wire.Heartbeat, route heartbeatRoute) string {
 	c.peerHealth.RecordRefusal(route.owner, time.Now())
 	c.mu.Lock()
@@ -202,7 +209,7 @@
 	return c.router.RedirectLocked(route.machine.Zone, h.Machine, route.owner, time.Now())
 }
 
-// relayedResponse returns the response to a worker that an owner's reply stands for.
+// relayedResponse converts an owner's reply to a relayed heartbeat into the response to the worker.
 func relayedResponse(reply *peer.HeartbeatReply) transport.Response {
 	if reply.Status == 200 {
 		return transport.Response{Status: 200, Body: reply.Orders}
@@ -210,9 +217,10 @@
 	return transport.Response{Status: reply.Status, RetryAfter: 1}
 }
 
-// longPollTimeoutLocked returns how long the response to a machine's heartbeat may be parked. A
-// strained controller parks none: each costs it a timer and another wake-up, while a start
-// only waits for the machine's next heartbeat. The shards' lock is held.
+// longPollTimeoutLocked returns how long the response to a machine's heartbeat may be parked; 0 if
+// it may not be parked. A strained controller parks no responses: each costs it a timer and another
+// wake-up, while without parking a start is only delayed until the machine's next heartbeat. The
+// shards' lock is held.
 func (c *Controller) longPollTimeoutLocked(shard *scheduler.Shard, machine string, now time.Time) time.Duration {
 	if c.overload.Strained() {
 		return 0
@@ -232,8 +240,8 @@
 	return transport.Response{Status: 503, RetryAfter: 1}
 }
 
-// serveHeartbeatLocked responds to a heartbeat of one of this controller's machines. The
-// shards' lock is held.
+// serveHeartbeatLocked applies a heartbeat of one of this controller's machines and returns the
+// response. The shards' lock is held.
 func (c *Controller) serveHeartbeatLocked(shard *scheduler.Shard, h *wire.Heartbeat, now time.Time) transport.Response {
 	if to, look := c.router.BetterControllerLocked(h.Machine, now); look {
 		return redirectTo(to)
@@ -245,14 +253,14 @@
 	case scheduler.Answered:
 		return transport.Response{Status: 200, Body: orders}
 	case scheduler.Deposed:
-		// A 200 would be dropped by the worker while its lease expires.
+		// The worker would drop a 200 response, and its lease would expire meanwhile.
 		go c.shards.RereadOwnership(shard.ID())
 		return redirectTo("")
 	}
 	return transport.Response{Status: 503, RetryAfter: 1}
 }
 
-// Report implements peer.Handler: a heartbeat relayed by another controller.
+// Report implements peer.Handler: it serves a heartbeat that another controller relays.
 func (c *Controller) Report(h wire.Heartbeat) peer.HeartbeatReply {
 	response, parked := c.serveRelayed(&h)
 	if parked != nil {
@@ -261,8 +269,8 @@
 	return heartbeatReply(response)
 }
 
-// serveRelayed responds to a relayed heartbeat, or parks the response and returns the
-// channel that it will be sent on. It takes the shards' lock.
+// serveRelayed returns the response to a relayed heartbeat, or parks the response and returns the
+// channel on which it will be sent. It takes the shards' lock.
 func (c *Controller) serveRelayed(h *wire.Heartbeat) (transport.Response, <-chan transport.Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -285,7 +293,7 @@
 	return transport.Response{}, done
 }
 
-// heartbeatReply returns the reply to the relaying controller that a response stands for.
+// heartbeatReply converts the response to a worker into the reply to the relaying controller.
 func heartbeatReply(response transport.Response) peer.HeartbeatReply {
 	reply := peer.HeartbeatReply{Status: response.Status}
 	if orders, ok := response.Body.(wire.Orders); ok {
--- a/internal/controller/job_notifications.go
+++ b/internal/controller/job_notifications.go
@@ -10,8 +10,9 @@
 	"bramblespur/internal/wire"
 )
 
-// notifyOwner brings the records of jobs that were just written to their owner without
-// waiting for the watch. It takes the shards' lock.
+// notifyOwner applies a transaction on jobs of a shard, which was committed at a revision, to this
+// controller's views and shards. If another controller owns the shard, it sends that one the jobs'
+// records in the background, ahead of the watch. It takes the shards' lock.
 func (c *Controller) notifyOwner(shard int, written wire.Txn, revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -23,7 +24,7 @@
 	go c.sendJobRecords(owner, written, revision)
 }
 
-// sendJobRecords sends the records of active jobs in a transaction to their owner.
+// sendJobRecords sends the records of active jobs that a transaction wrote to their owner.
 func (c *Controller) sendJobRecords(owner peer.Caller, written wire.Txn, revision uint64) {
 	for _, op := range written.Then {
 		if !strings.HasPrefix(op.Put, record.ActiveJobPrefix) {
@@ -31,15 +32,15 @@
 		}
 		args := peer.NotifyArgs{Key: op.Put, Value: op.Value, Version: revision}
 		if err := owner.Call("Nudge", args, new(struct{}), peerNoticeTimeout); err != nil {
-			c.log.Debug("owner not notified", "key", args.Key, "err", err) // the watch tells it as well
+			c.log.Debug("owner of a job not notified", "key", args.Key, "err", err) // its watch delivers the record
 		}
 	}
 }
 
-// ReceiveJobRecord implements peer.Handler: a job's record, active or terminal, as the sender has
-// just written it.
+// ReceiveJobRecord implements peer.Handler: it applies a job's record, active or terminal, that the
+// sender has just written. It takes the shards' lock.
 //
-// Upgrade: the first version takes records of active jobs only and passes over others.
+// Upgrade: the first version applies records of active jobs only and ignores others.
 func (c *Controller) ReceiveJobRecord(a peer.NotifyArgs) {
 	switch {
 	case strings.HasPrefix(a.Key, record.ActiveJobPrefix):
--- a/internal/controller/leader_calls.go
+++ b/internal/controller/leader_calls.go
@@ -7,8 +7,10 @@
 	"bramblespur/internal/peer"
 )
 
-// Sync implements peer.Handler: the leader asks for the shards hosted here and for what is
-// needed of the state service, and tells what to acquire, transfer back and carry out.
+// Sync implements peer.Handler. It applies the leader's orders to the shards hosted here, starts the
+// acquisitions and the transfers back that the leader asks for, and applies the granted rates. It
+// returns the summaries of the hosted shards, this controller's health, and its demand for requests
+// and changes in the state service.
 func (c *Controller) Sync(a peer.SyncArgs) peer.SyncReply {
 	ctx := c.life
 	host := leaderHost{c}
@@ -34,16 +36,18 @@
 	load := host.LoadLocked(now)
 	r := peer.SyncReply{Summaries: host.SummariesLocked(now), StateOK: c.leaseCertain(now),
 		Recovering: load.Recovering, HasRoom: load.HasRoom}
-	if len(a.Orders) == 0 { // orders alone come between the leader's turns
+	if len(a.Orders) == 0 { // calls with orders come between the leader's turns; only a turn collects demand
 		r.Requests, r.Changes = c.store.TakeDemand()
 		r.OrdersWaiting = c.reconciliation.TakeDelayedLocked()
 	}
 	return r
 }
 
-// Lend implements peer.Handler: whether another controller may make changes beyond its
+// Lend implements peer.Handler: it reports whether another controller may make changes beyond its
 // grant.
 func (c *Controller) Lend(a peer.LoanArgs) bool { return c.duties.Lend(a) }
 
-// borrow asks the leader for changes beyond this controller's grant.
+// borrow asks the leader for changes beyond this controller's grant, and reports whether it lent
+// them. A modest request leaves part of the loans to controllers that need many changes at once. It
+// must be called without the shards' lock.
 func (c *Controller) borrow(changes int, modest bool) bool { return c.duties.Borrow(changes, modest) }
--- a/internal/controller/leader_host.go
+++ b/internal/controller/leader_host.go
@@ -16,8 +16,8 @@
 	"bramblespur/internal/wire"
 )
 
-// leaderHost is the controller as the leader's duties see it. Its lock is that of the
-// shards; methods whose names end in Locked expect it held.
+// leaderHost adapts a Controller to leader.Host. Its lock is the shards' lock; methods whose names
+// end in Locked are called with it held.
 type leaderHost struct{ c *Controller }
 
 var _ leader.Host = leaderHost{}
@@ -25,7 +25,7 @@
 // Lock takes the shards' lock.
 func (h leaderHost) Lock() { h.c.mu.Lock() }
 
-// Unlock gives the shards' lock back.
+// Unlock releases the shards' lock.
 func (h leaderHost) Unlock() { h.c.mu.Unlock() }
 
 // IsLeaderLocked implements leader.Election.
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -5,18 +5,18 @@
 	"bramblespur/internal/record"
 )
 
-// The state service may lower its limits at some moment after an upgrade, without
-// notice. What is written keeps to the tighter of both limits from the start, as
-// far as it is new; what the first version wrote and reads is left as it is until
-// that version is gone, which the records of all controllers' formats tell for ever.
+// The state service may lower its limits at any time after an upgrade, without notice. New records
+// and transactions keep to the tighter of the present and the next limits from the start. Records
+// that the first version wrote and reads stay as they are until no controller of that version is
+// left. The format records of all controllers show that, and once they do it stays true.
 
-// writeLimits returns those to write by: how large a record and a transaction may be.
+// writeLimits returns the limits on the size of records and transactions that writes keep to.
 func (c *Controller) writeLimits() config.State { return c.cfg.Params.State.Tight() }
 
-// clusterRates returns the requests and changes a second that all controllers together may
-// use: those of now as long as the first version shares them out, too, and then the
-// tighter ones, whether they are in force or not. Nothing needs the difference,
-// while each change beyond the rate is refused and comes again.
+// clusterRates returns the limits whose rates of requests and changes per second all controllers
+// together may use: the present ones as long as the first version shares them out as well, and then
+// the tighter ones, whether or not they are in force yet. Nothing needs the difference,
+// while each change beyond the rate in force is refused and repeated.
 func (c *Controller) clusterRates() config.State {
 	if c.allUpgraded() {
 		return c.writeLimits()
@@ -24,15 +24,15 @@
 	return c.cfg.Params.State
 }
 
-// sizedRangesRequired reports whether ranges of tasks are to be recorded with their size:
-// the first version is gone, and smaller records are to come, for which its format does not
-// serve.
+// sizedRangesRequired reports whether all ranges of tasks are to be recorded with their size: no
+// controller of the first version is left, and the next limit on the size of records is lower than
+// the present one, from which the first version's format derives the size of ranges.
 func (c *Controller) sizedRangesRequired() bool {
 	return c.writeLimits().Bytes() < c.cfg.Params.State.Bytes() && c.allUpgraded()
 }
 
-// allUpgraded reports whether the format of every controller of the settings is recorded,
-// and so none of the first version is left.
+// allUpgraded reports whether every controller in the settings has recorded a format with sized
+// ranges, so that no controller of the first version is left.
 func (c *Controller) allUpgraded() bool {
 	for _, l := range c.cfg.Labels() {
 		if c.cluster.Format(l) < record.SizedRanges {
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -11,13 +11,13 @@
 	"bramblespur/internal/wire"
 )
 
-// confirmRetryDelay is about how long a check of missing records waits after it failed.
+// confirmRetryDelay is the mean pause before a failed check of missing records is repeated.
 const confirmRetryDelay = 400 * time.Millisecond
 
-// resetMachines applies all records of machines, listed as of a revision. A record that is
-// not listed was deleted, unless this controller has written it since. All records are
-// applied at once: the first of a machine's records without the others would tell that there
-// is no such machine, and so that its tasks are gone.
+// resetMachines applies a list of all records of machines as of a revision. A record that is not
+// listed was deleted, unless this controller has written it since. All records are applied together:
+// one of a machine's records without the others would show that the machine does not exist, and
+// therefore that its tasks are gone. It takes the shards' lock.
 func (c *Controller) resetMachines(entries []wire.Entry, rev uint64, at time.Time) {
 	listed := map[string]bool{}
 	var changes []wire.Change
@@ -38,7 +38,7 @@
 	c.setViewAsOf(record.FleetPrefix, at)
 }
 
-// deletions returns the changes that delete records as of a revision.
+// deletions returns changes that delete the records with the given keys as of a revision.
 func deletions(keys map[string]uint64, rev uint64) []wire.Change {
 	var out []wire.Change
 	for key := range keys {
@@ -47,10 +47,11 @@
 	return out
 }
 
-// dropUnlessLost applies that records of machines were missing from a list, unless it turns
-// out that the state service lost them.
+// dropUnlessLost removes machine records that were missing from a list as of a revision from the
+// view, unless the state service has lost them. missing holds the records' versions by key. It
+// returns once that is confirmed or the controller stops. It takes the shards' lock.
 func (c *Controller) dropUnlessLost(missing map[string]uint64, rev uint64) {
-	keys := maps.Clone(missing) // of which those that were not deleted are left
+	keys := maps.Clone(missing) // ConfirmMissing removes the deleted records from missing
 	for len(missing) > 0 && c.life.Err() == nil {
 		if err := c.audit.ConfirmMissing(c.life, record.FleetPrefix, missing); err == nil {
 			break
@@ -64,15 +65,15 @@
 	}
 }
 
-// applyMachineChange applies a change of a machine's record.
+// applyMachineChange applies a change of a machine's record. It takes the shards' lock.
 func (c *Controller) applyMachineChange(e wire.Change, _ time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.applyMachineChangesLocked([]wire.Change{e}, time.Now())
 }
 
-// applyMachineChangesLocked applies records of machines, all of them before the shards are
-// notified. The shards' lock is held.
+// applyMachineChangesLocked applies changes of machine records to the view, then passes the changed
+// machines to the shards and runs a step of each. The shards' lock is held.
 func (c *Controller) applyMachineChangesLocked(changes []wire.Change, now time.Time) {
 	changed, errs := c.machines.Apply(changes)
 	for _, err := range errs {
@@ -88,8 +89,8 @@
 	}
 }
 
-// notifyMachineLocked notifies a shard of a machine whose records changed. The shards' lock is
-// held.
+// notifyMachineLocked passes a machine whose records changed to a shard that has the machine or is to
+// have it. The shards' lock is held.
 func (c *Controller) notifyMachineLocked(shard *scheduler.Shard, m clusterview.MachineChange, now time.Time) {
 	switch {
 	case !m.Known && m.Released:
--- a/internal/controller/membership_process.go
+++ b/internal/controller/membership_process.go
@@ -9,12 +9,12 @@
 	"bramblespur/internal/wire"
 )
 
-// memberProcess is what a membership.Member sees of its Controller.
+// memberProcess adapts a Controller to membership.Process.
 type memberProcess struct{ c *Controller }
 
 var _ membership.Process = memberProcess{}
 
-// newMember returns the member that stands for this controller.
+// newMember returns the membership component for this controller.
 func (c *Controller) newMember() *membership.Member {
 	return membership.NewMember(c.cfg.Label, c.currentStore, &c.lease, memberProcess{c}, c.log)
 }
@@ -38,7 +38,8 @@
 	}
 }
 
-// statusLocked returns how the controller serves. The shards' lock is held.
+// statusLocked returns the controller's health for its member record. The shards' lock is
+// held.
 func (p memberProcess) statusLocked(now time.Time) membership.Status {
 	c := p.c
 	withoutPeers := len(c.peers) > 0
@@ -68,17 +69,18 @@
 	p.c.applyClusterChange(change, now)
 }
 
-// Format implements peer.Handler.
+// Format implements peer.Handler: it returns the record format that this controller writes.
 func (c *Controller) Format() int { return record.SizedRanges }
 
-// Ping implements peer.Handler: whether this controller reaches the state service.
+// Ping implements peer.Handler: it reports whether this controller reaches the state service. It
+// takes the shards' lock.
 func (c *Controller) Ping() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.leaseCertain(time.Now())
 }
 
-// leaseCertain reports whether the lease certainly stands.
+// leaseCertain reports whether this controller's member lease has certainly not expired.
 func (c *Controller) leaseCertain(now time.Time) bool {
 	return c.lease.Current().Certain(now)
 }
--- a/internal/controller/owner_renewals.go
+++ b/internal/controller/owner_renewals.go
@@ -11,27 +11,28 @@
 	"bramblespur/internal/wire"
 )
 
-// renewal is what a controller remembers of a worker's lease that it renews for an owner
-// out of reach.
+// renewal records the requests to renew one worker's lease on behalf of an owner that is out of
+// reach.
 type renewal struct {
-	// blockedSince is since when each renewal had a reason against it; the time of the
-	// last renewal while there was none.
+	// blockedSince is the time of the last request that was not blocked, or of the first request
+	// after a pause longer than the lease if that is later. All requests since were blocked.
 	blockedSince time.Time
-	last         time.Time // when the lease was last renewed, or that refused
+	last         time.Time // time of the last request, whether the lease was renewed or not
 }
 
-// renewals remembers, by machine, the leases renewed for owners out of reach. The
-// shards' lock guards it.
+// renewals holds, by machine, the leases that are renewed on behalf of owners that are out of
+// reach. The shards' lock guards it.
 type renewals map[string]renewal
 
-// full reports whether there is no room to remember one more machine.
+// full reports whether there is no room to record a machine's requests.
 func (r renewals) full(machine string) bool {
 	_, known := r[machine]
 	return !known && len(r) >= workerapi.MaxRemembered
 }
 
-// record records a request for a renewal, and whether anything speaks against it, and
-// returns for how long something has. A pause longer than the lease starts anew.
+// record records a request to renew a machine's lease, and whether a reason against the renewal
+// blocks it. It returns for how long the requests have been blocked without interruption. A pause
+// between requests that is longer than the lease counts as an interruption.
 func (r renewals) record(machine string, blocked bool, lease time.Duration, now time.Time) time.Duration {
 	last := r[machine]
 	if !blocked || now.Sub(last.last) > lease {
@@ -42,7 +43,7 @@
 	return now.Sub(last.blockedSince)
 }
 
-// expire forgets workers that have not come for longer than their lease.
+// expire removes the machines that have sent no request for longer than a lease.
 func (r renewals) expire(lease time.Duration, now time.Time) {
 	for machine, last := range r {
 		if now.Sub(last.last) > lease {
@@ -51,18 +52,18 @@
 	}
 }
 
-// A heartbeat that can't be responded to is kept for renewalRetryTimeout and looked at
-// again each renewalRetryInterval; with the relay before it, that stays below the 4 s after
-// which a worker gives a response up.
+// A renewal that is not allowed at first is tried again every renewalRetryInterval for
+// renewalRetryTimeout. Together with a relay before it (relayTimeout), that stays below the 4 s after
+// which a worker stops waiting for a response.
 const (
 	renewalRetryTimeout  = 1500 * time.Millisecond
 	renewalRetryInterval = 250 * time.Millisecond
 )
 
-// respondForOwner responds to a heartbeat for an owner out of reach. Where the lease may not
-// be renewed for now, the response waits as long as it would still be accepted: what
-// isolates this controller may end meanwhile, and a worker sent away would lose
-// its lease trying controllers that are partitioned from it.
+// respondForOwner responds to a heartbeat on behalf of an owner that is out of reach. While the
+// lease may not be renewed, it delays the response for as long as the worker would still accept it:
+// this controller's isolation may end meanwhile, and a worker that is redirected would lose its
+// lease while it tries controllers that are partitioned from it. It takes the shards' lock.
 func (c *Controller) respondForOwner(h *wire.Heartbeat, token uint64, respond func(transport.Response)) {
 	response := c.renewForOwner(h, token)
 	for range int(renewalRetryTimeout / renewalRetryInterval) {
@@ -75,8 +76,8 @@
 	respond(response)
 }
 
-// ownerToken returns the token under which the lease of a machine's worker may be renewed, 0
-// if the machine has no record. It takes the shards' lock.
+// ownerToken returns the fencing token under which the lease of a machine's worker may be renewed;
+// 0 if the machine has no record. It takes the shards' lock.
 func (c *Controller) ownerToken(machine string) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,12 +88,12 @@
 	return max(c.cluster.ShardVersion(m.Shard), m.Version)
 }
 
-// renewForOwner responds for an owner that can't be reached from here, as when two
-// zones are partitioned from each other, or that is gone and not yet replaced: the
-// same token is accepted from any controller, so the worker's lease is renewed
-// and its tasks live. No commands are given. While a heartbeat shows tasks of a job
-// that is cancelled or terminal, that ends after a while, so that they end too. It takes
-// the shards' lock.
+// renewForOwner returns the response on behalf of an owner that cannot be reached from this
+// controller, for example because two zones are partitioned from each other, or that is gone and not
+// yet replaced. Workers accept the same token from any controller, so the worker's lease is renewed
+// and its tasks keep running. The response contains no commands. While heartbeats report tasks of
+// jobs that are cancelled or terminal, renewals stop after maxBlockedRenewal, so that these tasks
+// end too. It takes the shards' lock.
 func (c *Controller) renewForOwner(h *wire.Heartbeat, token uint64) transport.Response {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,7 +103,7 @@
 		return redirectTo(to)
 	}
 	if h.Token > token && stale {
-		token = h.Token // given by an owner that this controller can't know of yet
+		token = h.Token // from an owner that this controller's stale view may not show yet
 	}
 	if token == 0 || h.Token > token {
 		return transport.Response{Status: 503, RetryAfter: 1}
@@ -118,14 +119,14 @@
 	return transport.Response{Status: 200, Body: wire.Orders{Token: token, Commands: []wire.Command{}}}
 }
 
-// maxBlockedRenewal is how long leases are renewed while tasks of a terminal job
-// live by them: the owner may yet be reached.
+// maxBlockedRenewal returns how long a lease is still renewed while it keeps tasks of a cancelled
+// or terminal job alive: the owner may become reachable meanwhile.
 func (c *Controller) maxBlockedRenewal() time.Duration {
 	return config.Seconds(c.cfg.Params.Workers.LeaseS)
 }
 
-// hasEndedTasksLocked reports whether a heartbeat shows tasks of a job that is cancelled or
-// terminal, as far as is known here. The shards' lock is held.
+// hasEndedTasksLocked reports whether a heartbeat reports tasks that have not exited of a job that
+// is cancelled or terminal according to this controller's view. The shards' lock is held.
 func (c *Controller) hasEndedTasksLocked(h *wire.Heartbeat) bool {
 	for _, t := range h.Tasks {
 		ref, _, ok := scheduler.SplitTask(t.Task)
--- a/internal/controller/ready.go
+++ b/internal/controller/ready.go
@@ -6,7 +6,8 @@
 	"bramblespur/internal/controller/transport"
 )
 
-// readinessResponse tells the load balancer whether to send users here.
+// readinessResponse returns the response to the load balancer's readiness check: 200 if it is to send
+// users to this controller, otherwise 503. It takes the shards' lock.
 func (c *Controller) readinessResponse() transport.Response {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -17,10 +18,10 @@
 	return transport.Response{Status: 503}
 }
 
-// servesUsers reports whether users are served here, or no worse than elsewhere: in
-// an outage of the state service for all controllers there is no better place.
-// One that reaches neither the state service nor any other controller is rather
-// partitioned itself. The shards' lock is held.
+// servesUsers reports whether this controller serves users at least as well as any other. When the
+// state service is out of reach for all controllers, no other one serves them better. A controller
+// that reaches neither the state service nor any other controller is probably partitioned itself and
+// reports false. The shards' lock is held.
 func (c *Controller) servesUsers(now time.Time) bool {
 	if c.shards.SchedulerConfigLocked() == nil || c.lease.Current().ID == 0 || !c.activeJobs.Loaded() {
 		return false
@@ -35,7 +36,7 @@
 	for label := range c.peers {
 		contact := c.peerHealth.Contact(label)
 		if contact.ReachesStateService(now) {
-			return false // refused here alone
+			return false // the state service is out of reach only for this controller
 		}
 		if contact.Answers(now) {
 			answers++
--- a/internal/controller/reconciliation_host.go
+++ b/internal/controller/reconciliation_host.go
@@ -5,14 +5,13 @@
 	"bramblespur/internal/statestore"
 )
 
-// reconciliationHost lets the tracker of reconciliation see its controller; it implements
-// reconciliation.Host.
+// reconciliationHost adapts a Controller to reconciliation.Host.
 type reconciliationHost struct{ c *Controller }
 
 // Lock takes the shards' lock.
 func (h reconciliationHost) Lock() { h.c.mu.Lock() }
 
-// Unlock releases it.
+// Unlock releases the shards' lock.
 func (h reconciliationHost) Unlock() { h.c.mu.Unlock() }
 
 // OwnedShardsLocked implements reconciliation.Host.
--- a/internal/controller/shard_environment.go
+++ b/internal/controller/shard_environment.go
@@ -17,7 +17,7 @@
 	"bramblespur/internal/wire"
 )
 
-// shardEnvironment is the controller as the host of its shards sees it.
+// shardEnvironment adapts a Controller to shardhost.Environment.
 type shardEnvironment struct{ c *Controller }
 
 var _ shardhost.Environment = shardEnvironment{}
@@ -157,8 +157,9 @@
 	return true
 }
 
-// applyOwnWrites brings what a transaction of ours changed to this controller's own
-// views, ahead of the watch. The lock is held.
+// applyOwnWrites applies the changes of a transaction that was committed at a revision to this
+// controller's views and shards, before the watch delivers them. Terminal records go to the owners
+// of dependents, too. The shards' lock is held.
 func (c *Controller) applyOwnWrites(t wire.Txn, rev uint64, now time.Time) {
 	for _, op := range t.Then {
 		e := wire.Change{Put: op.Put, Value: op.Value, Delete: op.Delete, Version: rev}
@@ -170,7 +171,7 @@
 		case strings.HasPrefix(key, record.FinishedJobPrefix):
 			var j record.FinishedJob
 			if err := json.Unmarshal(op.Value, &j); err != nil {
-				c.log.Error("final record", "key", key, "err", err)
+				c.log.Error("malformed terminal record", "key", key, "err", err)
 				continue
 			}
 			c.notifyDependents(record.LastElement(key), op)
--- a/internal/controller/shard_transfer.go
+++ b/internal/controller/shard_transfer.go
@@ -8,8 +8,10 @@
 	"bramblespur/internal/wire"
 )
 
-// transferBack gives a shard back to its preferred owner: whoever writes the record loses
-// the token with it, so the shard is dropped first. The shards' lock is held.
+// transferBack transfers a shard back to its preferred owner, by a write of the ownership record in
+// the background. The write invalidates this controller's fencing token; afterwards the record is
+// read again, which drops the shard here. It does nothing if the shard is not hosted here or this
+// controller is its preferred owner. The shards' lock is held.
 func (c *Controller) transferBack(ctx context.Context, id int) {
 	r, _ := c.cluster.Shard(id)
 	home := c.shards.PreferredOwner(id)
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -2,7 +2,7 @@
 
 import "bramblespur/internal/statestore"
 
-// currentStore returns the store of the moment, for components that are built before the
-// operators' settings are known: the guard that detects lost data and stops writes in safe mode
-// takes the store's place later, and no request may pass beside it.
+// currentStore returns the current store. Components that are created before the operators' settings
+// are applied call it for each use: a guard that detects data loss and stops writes in safe mode
+// replaces the store later, and no request may bypass that guard.
 func (c *Controller) currentStore() statestore.Store { return c.store }
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -9,11 +9,11 @@
 	"bramblespur/internal/retry"
 )
 
-// tickEvery is the period of the timers of shards, which look at machines as often, and of
-// what else expires.
+// tickEvery is the period of the tick: each shard checks its machines and runs a step, and expired
+// state is dropped.
 const tickEvery = 250 * time.Millisecond
 
-// tickLoop drives the timers until the context ends.
+// tickLoop calls tick every tickEvery until the context ends.
 func (c *Controller) tickLoop(ctx context.Context) {
 	for due := time.Now().Add(tickEvery); retry.Sleep(ctx, tickEvery); due = time.Now().Add(tickEvery) {
 		now := time.Now()
@@ -21,8 +21,9 @@
 	}
 }
 
-// tick lets shards step and acquires those that are due, in one critical section. It came late
-// by a time, which tells how the processor keeps up.
+// tick runs a step of each shard, starts due acquisitions of shards and expires old state, all
+// under the shards' lock. late is how long after its due time the tick ran, from which the
+// overload detector concludes whether the processor keeps up.
 func (c *Controller) tick(ctx context.Context, late time.Duration, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,9 +42,9 @@
 	c.renewals.expire(config.Seconds(c.cfg.Params.Workers.LeaseS), now)
 }
 
-// partitionedZones returns the zones of which no controller can be reached: their machines may
-// be silent for this one alone. Where no other controller can be reached at all that goes for
-// this one's own zone, too.
+// partitionedZones returns the zones in which no controller can be reached. Their machines may be
+// silent only toward this controller. If no other controller can be reached at all, this
+// controller's own zone is included.
 func (c *Controller) partitionedZones(now time.Time) map[string]bool {
 	partitioned := map[string]bool{c.cfg.Zone: len(c.cfg.Peers) > 0}
 	for _, p := range c.cfg.Peers {
--- a/internal/controller/usage_log.go
+++ b/internal/controller/usage_log.go
@@ -8,7 +8,8 @@
 	"bramblespur/internal/retry"
 )
 
-// logUsageLoop logs what was used of the state service, by purpose, and of the memory.
+// logUsageLoop logs, every countsEvery until the context ends, the use of the state service by
+// purpose, the memory use, and the jobs that have waited longest.
 func (c *Controller) logUsageLoop(ctx context.Context) {
 	short := false
 	for retry.Sleep(ctx, countsEvery) {
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -13,12 +13,11 @@
 	"bramblespur/internal/wire"
 )
 
-// peerNoticeTimeout bounds calls to other controllers that only save somebody a wait: the
-// counts of a job's tasks, and records that their watch tells as well.
+// peerNoticeTimeout bounds calls to other controllers that only save time: status queries to owners,
+// and notices of records that the receiver's watch delivers as well.
 const peerNoticeTimeout = 400 * time.Millisecond
 
-// userCluster shows a controller to its user API. It has no state of its own; its methods
-// take the shards' lock themselves.
+// userCluster adapts a Controller to userapi.Cluster. Its methods take the shards' lock themselves.
 type userCluster struct{ c *Controller }
 
 var _ userapi.Cluster = userCluster{}
@@ -89,7 +88,8 @@
 	u.c.notifyOwner(shard, t, revision)
 }
 
-// OwnerStatus asks the owner of a job's shard, this controller or another.
+// OwnerStatus implements userapi.Cluster. The owner of the job's shard is this controller or another
+// one, which it calls for at most peerNoticeTimeout.
 func (u userCluster) OwnerStatus(ref string) (wire.Status, bool) {
 	c := u.c
 	c.mu.Lock()
@@ -110,7 +110,7 @@
 	return *status, err == nil
 }
 
-// Forward lets any controller serve a request that answers and reaches the state service.
+// Forward implements userapi.Cluster.
 func (u userCluster) Forward(request userapi.ForwardedRequest) (userapi.ForwardedResponse, error) {
 	target := u.c.forwardTarget(time.Now())
 	if target == nil {
@@ -123,12 +123,12 @@
 	return userapi.ForwardedResponse{Status: reply.Status, Body: reply.Body, RetryAfter: reply.RetryAfter}, err
 }
 
-// forwardTarget returns a controller that lately reached the state service, nil if there is
-// none.
+// forwardTarget returns a controller that recently answered and reported that it reaches the state
+// service, or nil if there is none. It takes the shards' lock.
 func (c *Controller) forwardTarget(now time.Time) peer.Caller {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for label, p := range c.peers { // in any order: they are all as good
+	for label, p := range c.peers { // any of them serves equally well
 		if contact := c.peerHealth.Contact(label); contact.ReachesStateService(now) && contact.Answers(now) {
 			return p
 		}
@@ -142,8 +142,8 @@
 	return peer.UserReply{Status: r.Status, RetryAfter: r.RetryAfter, Body: r.Body}
 }
 
-// Status implements peer.Handler: it tells another controller's user API of a job whose
-// shard this controller owns.
+// Status implements peer.Handler: it returns the state of a job whose shard is hosted here, for
+// another controller's user API, and false if no hosted shard has the job.
 func (c *Controller) Status(ref string) (wire.Status, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -161,8 +161,8 @@
 	return c.lease.Current().Overdue(time.Now())
 }
 
-// leaseLost reports whether the state service could not be reached for a while or has lost
-// data: what needs it is refused at once then.
+// leaseLost reports whether the state service has been out of reach for a while or has lost data.
+// Requests that need the state service are then refused at once.
 func (c *Controller) leaseLost() bool {
 	return c.lease.Current().Lost(time.Now()) || c.dataLoss.Active()
 }
--- a/internal/controller/view_watches.go
+++ b/internal/controller/view_watches.go
@@ -11,21 +11,24 @@
 )
 
 const (
-	// maxWatchWait and minWatchWait bound how long the state service may hold a request of
-	// a watch.
+	// maxWatchWait and minWatchWait bound how long the state service may hold a watch request
+	// until there are changes.
 	maxWatchWait = 4 * time.Second
 	minWatchWait = 500 * time.Millisecond
-	// watchSlack is what a response to a watch may be late besides its wait.
+	// watchSlack is the delay that is allowed for a response to a watch request in addition to
+	// its wait.
 	watchSlack = 2 * time.Second
-	// staleAfterWaits is for how many waits without a response a view is not stale yet.
+	// staleAfterWaits is the number of watch waits, each without a response, after which a view is
+	// stale once watchSlack has passed as well.
 	staleAfterWaits = 2
-	// firstViewWait is how long a controller waits for its first view: workers that find
-	// it restarted while the state service is out of reach keep their leases.
+	// firstViewWait is how long a controller waits for its first view of the active jobs until
+	// the view counts as stale. It is shorter than renewalRetryTimeout, so that workers keep their
+	// leases if the controller has restarted while the state service is out of reach.
 	firstViewWait = renewalRetryTimeout - renewalRetryInterval
 )
 
-// watchHandler brings what a watch learns of one prefix to the controller. It implements
-// clusterview.Handler.
+// watchHandler applies the records and changes that a watch of one prefix delivers to the
+// controller. It implements clusterview.Handler.
 type watchHandler struct {
 	c      *Controller
 	prefix string
@@ -52,13 +55,13 @@
 // Generation implements clusterview.Handler.
 func (h *watchHandler) Generation() int { return h.c.dataLoss.ViewGeneration() }
 
-// watch returns the watch of the records that a handler is for.
+// watch returns a watch of the handler's prefix that delivers to the handler.
 func (c *Controller) watch(h *watchHandler) *clusterview.Watch {
 	h.c = c
 	return &clusterview.Watch{Store: c.store, Prefix: h.prefix, Wait: c.watchWait(), Handler: h}
 }
 
-// startWatches begins to keep all views up to date.
+// startWatches starts the watches that keep the views up to date until the context ends.
 func (c *Controller) startWatches(ctx context.Context) {
 	for _, h := range []*watchHandler{
 		{prefix: record.ClusterPrefix, reset: c.resetCluster, apply: c.applyClusterChange},
@@ -76,14 +79,16 @@
 	return &clusterview.Views{Cluster: c.cluster, Machines: c.machines, ActiveJobs: c.activeJobs}
 }
 
-// setViewAsOf records that a view was true at a time or later.
+// setViewAsOf records that the view of a prefix was current at a time or later. It takes the shards'
+// lock.
 func (c *Controller) setViewAsOf(prefix string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.view(prefix).SetAsOf(at)
 }
 
-// setViewRevision records the revision that a view has reached, unless it is to be listed anew.
+// setViewRevision records the revision that the view of a prefix has reached, unless the views'
+// generation has changed, which means that they are to be listed again. It takes the shards' lock.
 func (c *Controller) setViewRevision(prefix string, revision uint64, generation int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,15 +97,16 @@
 	}
 }
 
-// watchWait is how long the state service may hold a request of a watch: short where
-// cancellations must be known soon.
+// watchWait returns how long the state service may hold a watch request: a quarter of the time by
+// which the time allowed for a cancellation exceeds a worker's lease, within minWatchWait and
+// maxWatchWait. It is short where cancellations must be known soon.
 func (c *Controller) watchWait() time.Duration {
 	spare := config.Seconds(c.cfg.Params.Workers.CancelS - c.cfg.Params.Workers.LeaseS)
 	return max(min(spare/4, maxWatchWait), minWatchWait)
 }
 
-// activeJobsStale reports whether what others wrote, such as cancellations, may have been
-// unknown here for some requests of the watch.
+// activeJobsStale reports whether the view of active jobs may lack other controllers' writes, such
+// as cancellations, because the watch has delivered nothing for several waits.
 func (c *Controller) activeJobsStale(now time.Time) bool {
 	if !c.activeJobs.Loaded() {
 		return now.Sub(c.startedAt) > firstViewWait
--- a/internal/controller/wait_log.go
+++ b/internal/controller/wait_log.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// loggedWait is how long a job waits for a place before the log tells why.
+	// loggedWait is how long a job must have waited for placement before its wait is logged.
 	loggedWait = time.Minute
-	// maxLoggedWaits bounds the jobs of one shard of which the log tells at a time: each takes a
-	// look at all of the shard's machines.
+	// maxLoggedWaits bounds the jobs per shard that are logged at a time, because each requires an
+	// examination of all of the shard's machines.
 	maxLoggedWaits = 2
 )
 
-// logWaitingJobs logs, for each shard served here, why the jobs that have waited longest have
-// tasks without a place.
+// logWaitingJobs logs, for each shard hosted here, why the jobs that have waited longest have tasks
+// that are not placed. It takes the shards' lock.
 func (c *Controller) logWaitingJobs() {
 	for id, waits := range c.longestWaits(time.Now()) {
 		for _, w := range waits {
@@ -25,6 +25,7 @@
 	}
 }
 
+// longestWaits returns, by shard, the waiting jobs to log. It takes the shards' lock.
 func (c *Controller) longestWaits(now time.Time) map[int][]scheduler.WaitingJob {
 	out := map[int][]scheduler.WaitingJob{}
 	c.mu.Lock()
