--- a/internal/drain/ledger_test.go
+++ b/internal/drain/ledger_test.go
@@ -14,24 +14,23 @@
 
 var start = time.Date(2026, 1, 5, 8, 0, 0, 0, time.UTC)
 
-// stop is when work was really interrupted.
+// stop is an actual interruption of work.
 type stop struct {
 	class string
-	at    time.Time
-	open  bool
+	at    time.Time // zero: granted, but not stopped yet
+	open  bool      // the work does not run again yet
 }
 
-// However long each disruption takes from its grant to the stop and from there to its end,
-// and however counts are merged, no sliding window holds more stops than the budget, and
-// never are more open at once.
-func TestBudgetHoldsForAnyCourse(t *testing.T) {
+// Whatever the delays from a grant to the stop and from the stop to the recovery, and however counts are
+// merged, no sliding window contains more stops than the budget allows, and no more are open at once.
+func TestBudgetHoldsForAnyTiming(t *testing.T) {
 	budget := Budget{Limit: Limit{MaxConcurrent: 3, MaxInWindow: 5, Window: time.Minute},
 		Classes: map[string]Limit{"train": {MaxConcurrent: 1, MaxInWindow: 2, Window: 2 * time.Minute}}}
 	for seed := range uint64(40) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		var l Ledger
 		stops := map[UnitID]*stop{}
-		var all []*stop
+		var all []*stop // every stop so far
 		granted := 0
 		for now := start; now.Before(start.Add(20 * time.Minute)); now = now.Add(time.Duration(r.IntN(2000)) * time.Millisecond) {
 			class := []string{"train", "live"}[r.IntN(2)]
@@ -60,14 +59,16 @@
 			checkWithin(t, all, "train", budget.Classes["train"], now)
 		}
 		if granted < 10 {
-			t.Errorf("seed %d: only %d grants", seed, granted)
+			t.Errorf("seed %d: %d grants, want 10 at least", seed, granted)
 		}
 	}
 }
 
+// checkWithin fails the test if more stops of a class are open or in the window than the limit allows. An
+// empty class counts all stops.
 func checkWithin(t *testing.T, all []*stop, class string, limit Limit, now time.Time) {
 	t.Helper()
-	open, recent := 0, 0
+	open, inWindow := 0, 0
 	for _, s := range all {
 		if class != "" && s.class != class {
 			continue
@@ -76,16 +77,16 @@
 			open++
 		}
 		if now.Sub(s.at) <= limit.Window {
-			recent++
+			inWindow++
 		}
 	}
-	if open > limit.MaxConcurrent || recent > limit.MaxInWindow {
-		t.Fatalf("%q: %d open, %d in the window, of %+v", class, open, recent, limit)
+	if open > limit.MaxConcurrent || inWindow > limit.MaxInWindow {
+		t.Fatalf("class %q: %d stops open, %d in the window; the limit is %+v", class, open, inWindow, limit)
 	}
 }
 
-// Losses take from the budget, are never refused, and a drain gets what they leave.
-func TestLossesLowerTheBudget(t *testing.T) {
+// Losses use up the budget and are never refused; drains get what remains.
+func TestLossesReduceTheBudget(t *testing.T) {
 	budget := Budget{Limit: Limit{MaxConcurrent: 2, MaxInWindow: 3, Window: time.Minute}}
 	view := NewView()
 	l := NewLedgers(view)
@@ -93,25 +94,25 @@
 		l.AddLosses([]Loss{{Disruption{UnitID: UnitID{Job: "j", Task: i}, At: start.UnixMilli()}, "team"}})
 	}
 	if got := l.forTeam("team").Available(budget, "", start); got != -2 {
-		t.Errorf("room for %d after four losses, want -2", got)
+		t.Errorf("%d available after four losses, want -2", got)
 	}
 	l.CloseRecovered(0, func(Disruption) Outcome { return Recovered }, start)
 	if got := l.forTeam("team").Available(budget, "", start.Add(time.Minute)); got != -1 {
-		t.Errorf("room for %d in the window of four losses, want -1", got)
+		t.Errorf("%d available in the window of four losses, want -1", got)
 	}
 	if got := l.forTeam("team").Available(budget, "", start.Add(time.Minute+time.Millisecond)); got != 2 {
-		t.Errorf("room for %d after the window, want 2", got)
+		t.Errorf("%d available after the window, want 2", got)
 	}
 }
 
-// Two owners who see the same ledger can't both take the last grant; nor can one whose
-// drain was cancelled meanwhile, or who lost the part.
-func TestOnlyOneTakesTheLastGrant(t *testing.T) {
+// Of two owners that plan by the same ledger, only one gets the last grant of the budget. An owner gets
+// none if its drain was cancelled meanwhile or it lost its shard.
+func TestLastGrantIsGivenOnce(t *testing.T) {
 	ctx, use := context.Background(), statestore.Urgent("test")
 	for name, meanwhile := range map[string]func(state *testkit.State){
 		"other owner":     nil,
 		"drain cancelled": func(s *testkit.State) { s.Put(PlanKey("d"), testPlan(func(p *Plan) { p.State = Cancelled })) },
-		"part lost":       func(s *testkit.State) { s.Put("ctl/parts/1", "another") },
+		"shard lost":      func(s *testkit.State) { s.Put("ctl/parts/1", "another") },
 	} {
 		state := testkit.NewState()
 		state.Put(PlanKey("d"), testPlan(func(*Plan) {}))
@@ -124,15 +125,15 @@
 		cordoned.Machines["m"] = Cordon{Drain: "d", Since: start.UnixMilli()}
 		view.cordons.Rec = cordoned
 		var grants []wire.Txn
-		for part := range 2 {
-			owner := state.Put([]string{"ctl/parts/0", "ctl/parts/1"}[part], part)
-			in := Input{Now: start, Settings: testSettings(1), View: view, Shard: part, MaxRecordBytes: 1 << 14,
-				Machines: []*Machine{testMachine("m", task(part))}}
-			a := TxnBuilder{Input: in, Owner: wire.Condition{Key: owner.Key, Version: owner.Version}, MachineGone: func(string) bool { return false }}
+		for shard := range 2 {
+			owner := state.Put([]string{"ctl/parts/0", "ctl/parts/1"}[shard], shard)
+			in := Input{Now: start, Settings: testSettings(1), View: view, Shard: shard, MaxRecordBytes: 1 << 14,
+				Machines: []*Machine{testMachine("m", task(shard))}}
+			builder := TxnBuilder{Input: in, Owner: wire.Condition{Key: owner.Key, Version: owner.Version}, MachineGone: func(string) bool { return false }}
 			ledgers := NewLedgers(view)
-			writes := a.Writes(PlanSteps(&in, ledgers), ledgers)
+			writes := builder.Writes(PlanSteps(&in, ledgers), ledgers)
 			if len(writes) == 0 || writes[0].Team != "team" {
-				t.Fatalf("%s: nothing is granted: %+v", name, writes)
+				t.Fatalf("%s: no eviction is granted: %+v", name, writes)
 			}
 			grants = append(grants, writes[0].Txn)
 		}
@@ -143,7 +144,7 @@
 		}
 		var conflict *statestore.ConflictError
 		if _, err := state.Txn(ctx, use, grants[1]); !errors.As(err, &conflict) {
-			t.Errorf("%s: the second grant is taken, too: %v", name, err)
+			t.Errorf("%s: the second grant returned %v, want a conflict", name, err)
 		}
 	}
 }
--- a/internal/drain/serving_test.go
+++ b/internal/drain/serving_test.go
@@ -9,8 +9,8 @@
 	"bramblespur/internal/wire"
 )
 
-// A zone keeps a machine that takes work, whatever else its records name; one that has but one
-// machine may lose that.
+// A zone keeps a machine that takes work, however many machines its records list. Only a zone with a
+// single machine may lose it.
 func TestZoneLimit(t *testing.T) {
 	for _, x := range []struct {
 		share float64
@@ -18,25 +18,26 @@
 		want  int
 	}{
 		{0.5, Zone{1, 1}, 1},
-		{0.5, Zone{1, 0}, 1}, // it does not work anyway
+		{0.5, Zone{1, 0}, 1}, // it takes no work anyway
 		{0.5, Zone{2, 2}, 1},
-		{0.5, Zone{2, 1}, 0}, // the other one boots
+		{0.5, Zone{2, 1}, 0}, // the other machine boots
 		{0.5, Zone{6, 2}, 1},
 		{0.5, Zone{6, 6}, 3},
 		{1, Zone{6, 6}, 5},
-		{1, Zone{6, 0}, -1}, // nothing is known of the zone
+		{1, Zone{6, 0}, -1}, // no count is known of the zone
 		{0.1, Zone{6, 6}, 1},
 		{0, Zone{100, 100}, 34},
 	} {
 		s := testSettings(1)
 		s.ZoneShare = x.share
 		if got := s.zoneLimit(x.zone); got != x.want {
-			t.Errorf("share %v of %+v: %d, want %d", x.share, x.zone, got, x.want)
+			t.Errorf("share %v of %+v: limit %d, want %d", x.share, x.zone, got, x.want)
 		}
 	}
 }
 
-// What is recorded never tells more machines than there are, and is not written for each of many.
+// A Serving record never counts more machines than there are, and small changes of a large count are not
+// written.
 func TestServingUpdate(t *testing.T) {
 	rec, writes := Serving{}, 0
 	count := func(n int) {
@@ -51,7 +52,7 @@
 			writes++
 		}
 		if rec.Zones["a"] > n || rec.Zones["a"] < n-2*n/servingRounding {
-			t.Errorf("%d recorded of %d", rec.Zones["a"], n)
+			t.Errorf("%d recorded, want slightly fewer than %d or as many", rec.Zones["a"], n)
 		}
 	}
 	for n := range 40 {
@@ -65,11 +66,11 @@
 		count(n)
 	}
 	if writes != 1 {
-		t.Errorf("%d writes for a count that hardly changes", writes)
+		t.Errorf("%d writes for a count that hardly changes, want 1", writes)
 	}
 	for _, x := range []struct{ token, plans uint64 }{{8, 3}, {7, 4}} {
 		if _, changed := rec.Update(x.token, x.plans, map[string]int{"a": 571}); !changed {
-			t.Errorf("not written under token %d as of %d", x.token, x.plans)
+			t.Errorf("not written under token %d and plan version %d", x.token, x.plans)
 		}
 	}
 	if _, changed := rec.Update(7, 3, map[string]int{"a": 571}); changed {
@@ -77,7 +78,8 @@
 	}
 }
 
-// servingView is a view of one drain, in version 7, and of counts of two shards.
+// servingView returns a view of one drain at version 7 and of the Serving records of shards 0 and 1 at
+// versions 20 and 21.
 func servingView(t *testing.T, first, second Serving) *View {
 	t.Helper()
 	v := viewOf(t, testPlan(func(*Plan) {}))
@@ -89,7 +91,7 @@
 	return v
 }
 
-// Only what the present owners recorded for the newest drain counts.
+// A Serving record counts only if the present owner wrote it since the newest drain.
 func TestServingByZone(t *testing.T) {
 	known := Serving{Token: 3, Plans: 7, Zones: map[string]int{"a": 2, "b": 1}}
 	tokens := map[int]uint64{0: 3, 1: 4}
@@ -111,7 +113,7 @@
 	}
 }
 
-// A record of counts that can't be read is an error, named, and counts as unknown.
+// A Serving record that cannot be decoded is reported with its key, and its counts are unknown.
 func TestMalformedServing(t *testing.T) {
 	for key, value := range map[string]string{
 		ServingKey(1):       `{"z":{"a":"many"}}`,
@@ -120,10 +122,10 @@
 	} {
 		v := viewOf(t, testPlan(func(*Plan) {}))
 		if err := v.Apply(wire.Change{Put: key, Value: []byte(value), Version: 9}); !errors.Is(err, ErrMalformed) || v.Invalid()[key] == nil {
-			t.Errorf("%s: %v", key, err)
+			t.Errorf("%s: error %v, want a malformed record that is listed as invalid", key, err)
 		}
 		if got := v.ServingByZone(map[int]uint64{1: 1, 2: 1}); len(got) != 0 {
-			t.Errorf("%s: %v is known", key, got)
+			t.Errorf("%s: counts %v, want none", key, got)
 		}
 		if err := v.Apply(wire.Change{Delete: key, Version: 10}); err != nil {
 			t.Errorf("%s deleted: %v", key, err)
@@ -131,9 +133,9 @@
 	}
 }
 
-// A cordon is conditioned on every shard's count, and none is chosen before this shard's own is
-// recorded; the drain then shows why it waits.
-func TestCordonRestsOnCounts(t *testing.T) {
+// A cordon is conditional on the Serving records of all shards, and this shard's machines do not count
+// while its own record is outdated.
+func TestCordonIsConditionalOnServingRecords(t *testing.T) {
 	build := func(serving map[string]int) ([]Write, Steps) {
 		v := servingView(t, Serving{Token: 3, Plans: 7, Zones: map[string]int{"a": 2}}, Serving{Token: 4, Plans: 7, Zones: map[string]int{"a": 2}})
 		b := &TxnBuilder{
@@ -159,16 +161,16 @@
 	}
 	writes, steps = build(map[string]int{"a": 1})
 	if len(steps.Cordon) != 1 {
-		// The other shard's two are known, and one of them may not be this shard's to lose.
-		t.Errorf("cordons %v beside two machines of another shard, want one", steps.Cordon)
+		// Only the other shard's two machines are known to take work, so one machine may be cordoned.
+		t.Errorf("cordons %v, want one beside two machines of another shard", steps.Cordon)
 	}
 	if len(writes) == 0 || writes[0].Txn.Then[0].Put != ServingKey(0) {
-		t.Errorf("writes %v, want first that fewer take work", writes)
+		t.Errorf("writes %v, want first the lower count of this shard", writes)
 	}
 }
 
-// Where no machine may be spared the drain shows why.
-func TestZoneHoldsDrain(t *testing.T) {
+// A drain that may cordon no further machine of a zone holds its machines and gives the zone as the reason.
+func TestZoneLimitHoldsDrain(t *testing.T) {
 	p := testPlan(func(*Plan) {})
 	in := &Input{Now: start, Settings: testSettings(1), View: viewOf(t, p), MaxRecordBytes: 1 << 14,
 		Machines: []*Machine{testMachine("m1")}, Zones: map[string]Zone{"a": {Recorded: 3, Serving: 1}}}
@@ -178,6 +180,6 @@
 	}
 	in.Zones["a"] = Zone{Recorded: 3, Serving: 2} // one has booted
 	if s := PlanSteps(in, NewLedgers(in.View)); len(s.Cordon) != 1 || len(s.Held) != 0 {
-		t.Errorf("once another takes work: cordons %v, held %v", s.Cordon, s.Held)
+		t.Errorf("once another machine takes work: cordons %v, held %v", s.Cordon, s.Held)
 	}
 }
