--- a/internal/drain/measure_test.go
+++ b/internal/drain/simulation_test.go
@@ -13,33 +13,32 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// The course of the simulated drains: a replacement is up after bootTime, and evicted work
-// runs again after restartTime.
+// Parameters of the simulated drains.
 const (
-	simStep     = 5 * time.Second
-	bootTime    = time.Minute
-	restartTime = 30 * time.Second
+	simStep     = 5 * time.Second  // time between two turns
+	bootTime    = time.Minute      // from the cordon of a machine until a replacement is up
+	restartTime = 30 * time.Second // from an eviction until the unit runs again
 	simTeams    = 8
 )
 
-// simUnit is a unit with what the planner does not know.
+// simUnit is a unit with the facts that are hidden from the planner.
 type simUnit struct {
 	*Unit
-	length time.Duration // how long it really runs
-	began  time.Time
-	back   time.Time // when it runs again; zero: it was not evicted
+	actualRunTime time.Duration
+	startedAt     time.Time
+	runsAgainAt   time.Time // after its eviction; zero: it was not evicted
 }
 
 // simulation is a generated fleet of which some machines are drained.
 type simulation struct {
-	machines []*Machine
-	units    []*simUnit
-	zones    map[string]int
-	perTeam  int
+	machines      []*Machine     // the machines still to be drained
+	units         []*simUnit     // the units on them at the beginning
+	zones         map[string]int // machines of the fleet, by zone
+	maxConcurrent int            // disruptions that the budget allows each team at a time
 }
 
-// generate makes a fleet of so many machines, a part of which, the first drained, is to be
-// drained: gangs of 2 to 8 whole machines, tasks of arrays and services.
+// generate returns a fleet of a number of machines, of which drained random ones are to be drained, without
+// those that have no work. The work consists of gangs on 2 to 8 whole machines, tasks of arrays, and services.
 func generate(r *rand.Rand, machines, drained int) *simulation {
 	s := &simulation{zones: map[string]int{}}
 	var all []*Machine
@@ -51,12 +50,12 @@
 	r.Shuffle(len(all), func(a, b int) { all[a], all[b] = all[b], all[a] })
 	for at := 0; at < len(all); {
 		if n := 2 + r.IntN(7); r.IntN(3) == 0 && at+n <= len(all) {
-			s.add(r, WholeGang, n, false, all[at:at+n]...)
+			s.addUnit(r, WholeGang, n, false, all[at:at+n]...)
 			at += n
 			continue
 		}
 		for range 1 + r.IntN(4) {
-			s.add(r, 0, 1, r.IntN(5) == 0, all[at])
+			s.addUnit(r, 0, 1, r.IntN(5) == 0, all[at])
 		}
 		at++
 	}
@@ -65,18 +64,19 @@
 			s.machines = append(s.machines, m)
 		}
 	}
-	s.keepDrained()
+	s.keepDrainedUnits()
 	return s
 }
 
-func (s *simulation) add(r *rand.Rand, task, tasks int, service bool, on ...*Machine) {
+// addUnit adds a unit with some tasks on some machines.
+func (s *simulation) addUnit(r *rand.Rand, task, tasks int, service bool, on ...*Machine) {
 	estimate := time.Duration(60+r.ExpFloat64()*1800) * time.Second
 	u := &Unit{UnitID: UnitID{fmt.Sprintf("run-%06d", len(s.units)), task}, Team: fmt.Sprint("team-", r.IntN(simTeams)), Attempt: 1,
 		Tasks: tasks, TasksOnCordoned: 1, Running: true, OtherReplicasUp: true, Service: service}
-	x := &simUnit{Unit: u, length: time.Duration(float64(estimate) * (0.5 + r.Float64())), began: start}
-	x.began = start.Add(-time.Duration(r.Int64N(int64(x.length))))
+	x := &simUnit{Unit: u, actualRunTime: time.Duration(float64(estimate) * (0.5 + r.Float64())), startedAt: start}
+	x.startedAt = start.Add(-time.Duration(r.Int64N(int64(x.actualRunTime))))
 	if service {
-		x.length = 1000 * time.Hour
+		x.actualRunTime = 1000 * time.Hour
 	} else {
 		u.Estimate = estimate
 	}
@@ -89,8 +89,8 @@
 	}
 }
 
-// keepDrained forgets the units that are on no machine that is drained.
-func (s *simulation) keepDrained() {
+// keepDrainedUnits removes the units that are on no drained machine, and sets the teams' budget.
+func (s *simulation) keepDrainedUnits() {
 	on := map[UnitID]bool{}
 	for _, m := range s.machines {
 		for _, u := range m.Units {
@@ -104,14 +104,14 @@
 		}
 	}
 	s.units = kept
-	s.perTeam = max(1, len(kept)/simTeams/10)
+	s.maxConcurrent = max(1, len(kept)/simTeams/10)
 }
 
-// at brings what the planner is told up to a time.
-func (s *simulation) at(now time.Time, v *View) {
+// advanceTo updates the planner's input to a time.
+func (s *simulation) advanceTo(now time.Time, v *View) {
 	for _, u := range s.units {
-		u.RunTime = now.Sub(u.began)
-		u.LostWork = simLoss(u.Unit)
+		u.RunTime = now.Sub(u.startedAt)
+		u.LostWork = lostWork(u.Unit)
 	}
 	for _, m := range s.machines {
 		c, ok := v.cordons.Rec.Machines[m.ID]
@@ -121,7 +121,8 @@
 	}
 }
 
-func simLoss(u *Unit) time.Duration {
+// lostWork returns the work of all tasks of a unit that an eviction loses now.
+func lostWork(u *Unit) time.Duration {
 	loss := u.RunTime
 	if u.Service {
 		loss = 0
@@ -131,57 +132,57 @@
 	return loss * time.Duration(u.Tasks)
 }
 
-// outcome is what a drain came to.
-type outcome struct {
-	took      time.Duration
+// drainResult is the result of a simulated drain.
+type drainResult struct {
+	took      time.Duration // simulated
 	evictions int
-	lost      time.Duration
-	planning  time.Duration // the longest turn
+	lost      time.Duration // lost work, summed over tasks
+	planning  time.Duration // real time of the longest turn
 }
 
-// run drains the machines and returns what that came to.
-func (s *simulation) run(t testing.TB) outcome {
-	settings := testSettings(s.perTeam)
-	settings.ZoneShare, settings.Default.MaxInWindow = DefaultZoneShare, 12*s.perTeam
+// run drains the machines and returns the result.
+func (s *simulation) run(t testing.TB) drainResult {
+	settings := testSettings(s.maxConcurrent)
+	settings.ZoneShare, settings.Default.MaxInWindow = DefaultZoneShare, 12*s.maxConcurrent
 	v := viewOf(t, testPlan(func(p *Plan) { p.MaxConcurrent = max(1, len(s.machines)/10) }))
 	v.cordons.Rec = Cordons{Machines: map[string]Cordon{}}
-	var o outcome
+	var result drainResult
 	byID := map[UnitID]*simUnit{}
 	for _, u := range s.units {
 		byID[u.UnitID] = u
 	}
 	now := start
 	for ; len(s.machines) > 0; now = now.Add(simStep) {
-		s.at(now, v)
+		s.advanceTo(now, v)
 		in := &Input{Now: now, Settings: settings, View: v, Machines: s.machines, Zones: allServing(s.zones), MaxRecordBytes: 1 << 20}
 		ledgers := NewLedgers(v)
 		ledgers.CloseRecovered(0, func(d Disruption) Outcome {
-			if now.Before(byID[d.UnitID].back) {
+			if now.Before(byID[d.UnitID].runsAgainAt) {
 				return StillInterrupted
 			}
 			return Recovered
 		}, now)
 		began := time.Now()
 		steps := PlanSteps(in, ledgers)
-		o.planning = max(o.planning, time.Since(began))
+		result.planning = max(result.planning, time.Since(began))
 		for team, l := range ledgers.byTeam {
 			v.ledgers[ledgerName(team)] = Versioned[Ledger]{Rec: *l}
 		}
 		for _, e := range steps.Evictions {
-			o.evictions++
-			o.lost += e.LostWork
-			byID[e.UnitID].back = now.Add(restartTime)
+			result.evictions++
+			result.lost += e.LostWork
+			byID[e.UnitID].runsAgainAt = now.Add(restartTime)
 		}
 		for _, id := range steps.Cordon {
 			v.cordons.Rec.Machines[id] = Cordon{Drain: "d", Since: now.UnixMilli(), Zone: "a"}
 		}
-		s.empty(now, v, byID)
+		s.removeEnded(now, v, byID)
 	}
-	o.took = now.Sub(start)
-	return o
+	result.took = now.Sub(start)
+	return result
 }
 
-// allServing is zones of which all machines take work.
+// allServing returns zones in which all machines take work.
 func allServing(machines map[string]int) map[string]Zone {
 	out := map[string]Zone{}
 	for zone, n := range machines {
@@ -190,13 +191,13 @@
 	return out
 }
 
-// empty takes out units that ended or were evicted, and machines that are empty.
-func (s *simulation) empty(now time.Time, v *View, byID map[UnitID]*simUnit) {
-	var left []*Machine
+// removeEnded removes units that ended or were evicted, and cordoned machines that are empty.
+func (s *simulation) removeEnded(now time.Time, v *View, byID map[UnitID]*simUnit) {
+	var remaining []*Machine
 	for _, m := range s.machines {
 		var units []*Unit
 		for _, u := range m.Units {
-			if x := byID[u.UnitID]; x.back.IsZero() && x.RunTime < x.length {
+			if x := byID[u.UnitID]; x.runsAgainAt.IsZero() && x.RunTime < x.actualRunTime {
 				units = append(units, u)
 			}
 		}
@@ -205,56 +206,57 @@
 			delete(v.cordons.Rec.Machines, m.ID)
 			continue
 		}
-		left = append(left, m)
+		remaining = append(remaining, m)
 	}
-	s.machines = left
+	s.machines = remaining
 }
 
-// atOnce is what evicting everything at the beginning costs, and best a bound that no drain
-// of the same length can beat: what does not end in time loses nothing if it saves, and else
-// what it had done at the beginning.
-func (s *simulation) atOnce() (o outcome) {
-	s.at(start, NewView())
+// evictAllAtOnce returns the result of evicting all units at the beginning.
+func (s *simulation) evictAllAtOnce() (result drainResult) {
+	s.advanceTo(start, NewView())
 	for _, u := range s.units {
-		o.evictions++
-		o.lost += u.LostWork
+		result.evictions++
+		result.lost += u.LostWork
 	}
-	return o
+	return result
 }
 
-func (s *simulation) best(within time.Duration) (o outcome) {
+// lowerBound returns evictions and lost work that no drain of a duration can go below. A unit that does not
+// end in time is evicted. It loses nothing if it saves checkpoints, and otherwise the work that it had done
+// at the beginning.
+func (s *simulation) lowerBound(duration time.Duration) (result drainResult) {
 	for _, u := range s.units {
-		if u.began.Add(u.length).Before(start.Add(within)) {
+		if u.startedAt.Add(u.actualRunTime).Before(start.Add(duration)) {
 			continue
 		}
-		o.evictions++
+		result.evictions++
 		if u.CheckpointInterval == 0 && !u.Service {
-			o.lost += start.Sub(u.began) * time.Duration(u.Tasks)
+			result.lost += start.Sub(u.startedAt) * time.Duration(u.Tasks)
 		}
 	}
-	return o
+	return result
 }
 
-// BenchmarkDrain drains parts of generated fleets, beside evicting all at once and a bound
-// of the best possible.
+// BenchmarkDrain drains parts of generated fleets. It reports the results next to those of evicting all
+// units at once and next to a lower bound.
 func BenchmarkDrain(b *testing.B) {
 	for _, machines := range []int{30, 300, 4000} {
 		for _, part := range []int{10, 3} {
 			b.Run(fmt.Sprintf("%d-of-%d", machines/part, machines), func(b *testing.B) {
-				var drained, once, best total
+				var drained, allAtOnce, bound total
 				seed := uint64(0)
 				for b.Loop() {
 					s := generate(rand.New(rand.NewPCG(seed, uint64(machines))), machines, machines/part)
 					original := *s
-					once.add(s.atOnce())
-					o := s.run(b)
-					drained.add(o)
-					best.add(original.best(o.took))
+					allAtOnce.add(s.evictAllAtOnce())
+					result := s.run(b)
+					drained.add(result)
+					bound.add(original.lowerBound(result.took))
 					seed++
 				}
 				drained.report(b, "")
-				once.report(b, "at-once-")
-				best.report(b, "bound-")
+				allAtOnce.report(b, "at-once-")
+				bound.report(b, "bound-")
 				b.ReportMetric(drained.took.Seconds()/float64(b.N), "s/drain")
 				b.ReportMetric(float64(drained.planning.Microseconds())/1000, "ms/longest-turn")
 			})
@@ -262,46 +264,48 @@
 	}
 }
 
-// total sums up what drains came to.
-type total struct{ outcome }
+// total sums up the results of drains.
+type total struct{ drainResult }
 
-func (t *total) add(o outcome) {
-	t.took += o.took
-	t.evictions += o.evictions
-	t.lost += o.lost
-	t.planning = max(t.planning, o.planning)
+func (t *total) add(result drainResult) {
+	t.took += result.took
+	t.evictions += result.evictions
+	t.lost += result.lost
+	t.planning = max(t.planning, result.planning)
 }
 
-func (t *total) report(b *testing.B, kind string) {
-	b.ReportMetric(float64(t.evictions)/float64(b.N), kind+"evictions")
-	b.ReportMetric(t.lost.Hours()/float64(b.N), kind+"lost-h")
+// report reports the averages per drain as metrics whose names begin with a prefix.
+func (t *total) report(b *testing.B, prefix string) {
+	b.ReportMetric(float64(t.evictions)/float64(b.N), prefix+"evictions")
+	b.ReportMetric(t.lost.Hours()/float64(b.N), prefix+"lost-h")
 }
 
-// BenchmarkChoice compares the greedy choice with the bound of a linear program.
+// BenchmarkChoice compares the cost of the greedy choice with the bound of a linear program and, for small
+// fleets, with the least cost of all choices.
 func BenchmarkChoice(b *testing.B) {
 	for _, x := range []struct{ machines, drained, most int }{{30, 10, 3}, {300, 30, 6}, {300, 100, 10}, {300, 100, 30}, {4000, 1333, 133}} {
 		b.Run(fmt.Sprintf("%d-of-%d-of-%d", x.most, x.drained, x.machines), func(b *testing.B) {
 			var greedy, bound, rounded, exact float64
-			var chose, solved time.Duration
+			var choosing, solving time.Duration
 			seed := uint64(0)
 			for b.Loop() {
 				s := generate(rand.New(rand.NewPCG(seed, 9)), x.machines, x.drained)
-				s.at(start, NewView())
+				s.advanceTo(start, NewView())
 				seed++
 				began := time.Now()
 				chosen := Choose(s.machines, x.most, func(string) int { return x.most })
-				chose += time.Since(began)
+				choosing += time.Since(began)
 				greedy += s.costOf(chosen)
-				if x.machines > largestSolved {
+				if x.machines > maxSolvedMachines {
 					continue
 				}
 				began = time.Now()
-				least, byProgram := s.relaxed(b, len(chosen))
-				solved += time.Since(began)
-				bound += least
-				rounded += s.costOf(byProgram)
-				if x.drained <= largestTried {
-					exact += s.exact(len(chosen))
+				lowest, chosenByProgram := s.solveRelaxation(b, len(chosen))
+				solving += time.Since(began)
+				bound += lowest
+				rounded += s.costOf(chosenByProgram)
+				if x.drained <= maxEnumeratedMachines {
+					exact += s.leastCost(len(chosen))
 				}
 			}
 			n := float64(b.N)
@@ -309,20 +313,20 @@
 			b.ReportMetric(bound/n, "bound-s")
 			b.ReportMetric(rounded/n, "rounded-s")
 			b.ReportMetric(exact/n, "exact-s")
-			b.ReportMetric(chose.Seconds()*1000/n, "ms/choice")
-			b.ReportMetric(solved.Seconds()*1000/n, "ms/solved")
+			b.ReportMetric(choosing.Seconds()*1000/n, "ms/choice")
+			b.ReportMetric(solving.Seconds()*1000/n, "ms/solved")
 		})
 	}
 }
 
-// largestSolved is the largest fleet that the linear program is solved for: its dense
-// tableau grows with the square of the machines.
-const largestSolved = 300
+// maxSolvedMachines is the size of the largest fleet that the linear program is solved for: its dense
+// tableau grows with the square of the number of machines.
+const maxSolvedMachines = 300
 
-// largestTried is the most machines of which all choices are tried.
-const largestTried = 30
+// maxEnumeratedMachines is the most drained machines for which all choices are enumerated.
+const maxEnumeratedMachines = 30
 
-// costOf is the cost of the units on some machines.
+// costOf returns the cost in seconds of interrupting all units on the chosen machines.
 func (s *simulation) costOf(chosen []string) float64 {
 	in := map[string]bool{}
 	for _, id := range chosen {
@@ -341,10 +345,10 @@
 	return cost
 }
 
-// relaxed solves the choice of so many machines as a linear program: x of each machine
-// between 0 and 1, and y of each unit no less than x of any machine that it is on. It
-// returns the least cost, which no choice can beat, and the machines with the largest x.
-func (s *simulation) relaxed(t testing.TB, most int) (bound float64, rounded []string) {
+// solveRelaxation solves the choice of a number of machines as a linear program, with x of each machine
+// between 0 and 1, and y of each unit no less than x of any machine that the unit is on. It returns the
+// least cost in seconds, which no choice can go below, and the machines with the largest x.
+func (s *simulation) solveRelaxation(t testing.TB, count int) (bound float64, rounded []string) {
 	unitAt := map[UnitID]int{}
 	var units []*Unit
 	links := 0
@@ -363,7 +367,7 @@
 	for i, u := range units {
 		c[machines+i] = u.cost().Seconds()
 	}
-	b[0] = float64(most)
+	b[0] = float64(count)
 	row, slack := 1, machines+len(units)
 	for i, m := range s.machines {
 		a.Set(0, i, 1)
@@ -387,18 +391,18 @@
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(x[b], x[a]) })
-	for _, i := range order[:most] {
+	for _, i := range order[:count] {
 		rounded = append(rounded, s.machines[i].ID)
 	}
 	return bound, rounded
 }
 
-// exact tries all choices of so many machines.
-func (s *simulation) exact(most int) float64 {
+// leastCost returns the least cost in seconds of all choices of a number of machines.
+func (s *simulation) leastCost(count int) float64 {
 	best := math.Inf(1)
 	var try func(from int, chosen []string)
 	try = func(from int, chosen []string) {
-		if len(chosen) == most {
+		if len(chosen) == count {
 			best = min(best, s.costOf(chosen))
 			return
 		}
