--- a/internal/controller/dataloss/audit.go
+++ b/internal/controller/dataloss/audit.go
@@ -54,7 +54,7 @@
 			a.compareViews(ctx)
 		}
 		if err := a.checkFinishedJobs(ctx); err != nil {
-			a.log.Debug("audit of terminal records", "err", err)
+			a.log.Debug("audit of terminal records failed", "err", err)
 		}
 	}
 }
--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -42,8 +42,8 @@
 type Item struct {
 	Key     string     `json:"key"`
 	Outcome Outcome    `json:"verdict"`
-	From    Source     `json:"from,omitempty"`
-	Why     string     `json:"why,omitempty"`
+	From    Source     `json:"from,omitempty"`    // of the evidence that the outcome follows from
+	Why     string     `json:"why,omitempty"`     // the reason, for operators
 	Choices []Decision `json:"choices,omitempty"` // that an operator has, if undecided
 	// Put is the value to write, nil if none is written. Delete is set if the record is to be deleted.
 	// Version is that of the store's record when the plan was made, 0 if there was none.
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -10,9 +10,9 @@
 		held, found uint64
 		want        FindingKind
 	}{{5, 5, ""}, {5, 6, ""}, {0, 0, ""}, {0, 4, ""}, {5, 4, RecordStale}, {5, 0, RecordMissing}} {
-		s, lost := CompareVersions("k", x.held, x.found)
-		if lost != (x.want != "") || s.Kind != x.want {
-			t.Errorf("held version %d, found %d: finding %v", x.held, x.found, s)
+		finding, lost := CompareVersions("k", x.held, x.found)
+		if lost != (x.want != "") || finding.Kind != x.want {
+			t.Errorf("held version %d, found %d: finding %v", x.held, x.found, finding)
 		}
 	}
 }
--- a/internal/recovery/safe_mode.go
+++ b/internal/recovery/safe_mode.go
@@ -35,7 +35,7 @@
 	// or the machine that has the token. It is empty if the revision regressed.
 	Key string `json:"key,omitempty"`
 	// Held is the version, revision, token or attempt that was known before, and Found what the
-	// records in the store have; 0: nothing.
+	// store has now; 0: nothing.
 	Held  uint64 `json:"held"`
 	Found uint64 `json:"found"`
 }
--- a/internal/restart/episode.go
+++ b/internal/restart/episode.go
@@ -31,7 +31,7 @@
 	Cause       Cause  `json:"cause"`
 	BeganAt     int64  `json:"began"`             // in Unix milliseconds
 	CompletedAt int64  `json:"settled,omitempty"` // in Unix milliseconds; 0: not complete yet
-	Shards      []int  `json:"parts"`
+	Shards      []int  `json:"parts"`             // numbers of the shards that were reconciled
 	// Outcomes has the number of tasks with each outcome, by the names of the outcomes.
 	Outcomes       map[string]int `json:"verdicts,omitempty"`
 	PendingTasks   int            `json:"awaited,omitempty"` // tasks without a proven outcome
