--- a/internal/controller/userapi/cancellations.go
+++ b/internal/controller/userapi/cancellations.go
@@ -12,24 +12,28 @@
 	"bramblespur/internal/wire"
 )
 
-// cancelAttempts bounds how often a cancellation is tried again because of other writes.
+// cancelAttempts bounds how often a cancellation is tried while concurrent writes change the
+// record.
 const cancelAttempts = 4
 
-// TerminalWait is how long the answer to a cancellation waits for the job's end: what
-// stopping its tasks and recording that takes where nothing is in the way. It is not there
-// to keep the user from asking again: who comes later finds the end recorded.
+// TerminalWait is how long the answer to a cancellation waits for the job to become terminal:
+// as long as stopping its tasks and recording that takes when nothing delays it. It need not
+// cover slower ends: a user who asks again later finds the end recorded.
 const TerminalWait = 500 * time.Millisecond
 
-// errChanged says that a record changed while a cancellation was under way, or that the end
-// of the job remains to be read, so that the cancellation begins again.
+// errChanged says that a record changed while a cancellation was under way, or that the job
+// has ended and its terminal state remains to be read. The cancellation is then tried again.
 var errChanged = errors.New("changed meanwhile")
 
-// CancelJob cancels a job and returns its terminal state.
+// CancelJob cancels a job and returns its terminal state, which may also be that of a job
+// that was done before.
 //
-// A user is told of a cancellation only once the job's owner has proven every task gone and
-// recorded the end. Whatever is partitioned, paused or late, no task can outlive what was
-// told; and so a controller that can't hear of cancellations may still renew leases. Until
-// then the user is asked to come again (ErrNotTerminal).
+// A cancellation is confirmed to the user only once the job's owner has proven that every
+// task is gone and has recorded the end. So no task outlives the confirmation, whatever is
+// partitioned, paused or late, and a controller that cannot learn of cancellations may still
+// renew leases. Until then CancelJob returns ErrNotTerminal, and the user has to ask again.
+// It returns ErrNotFound for a job that was never accepted, and ErrUnavailable if the
+// cancellation cannot be decided now.
 func (a *API) CancelJob(ref string) (wire.Brief, error) {
 	if !jobspec.ValidJobReference(ref) {
 		return wire.Brief{}, ErrNotFound
@@ -52,11 +56,12 @@
 	return wire.Brief{}, ErrUnavailable
 }
 
-// tryCancelJob returns a job's terminal state if it has one. Else it records the
-// cancellation and waits for the end, which the next attempt reads.
+// tryCancelJob returns a job's terminal state if it has one. Otherwise it records the
+// cancellation and waits for the job to end. If the job ends in time, it returns errChanged,
+// and the next attempt reads the terminal state.
 func (a *API) tryCancelJob(ctx context.Context, ref string) (string, error) {
-	// Users come again each second until the job's end is recorded: what the view tells as
-	// cancelled is, and needs no reading.
+	// Users repeat the request every second until the job's end is recorded. A job that is
+	// cancelled in the view is cancelled, so its record need not be read.
 	if a.cluster.CancellationPending(ref) && !a.awaitTerminal(ctx, ref) {
 		return "", ErrNotTerminal
 	}
@@ -78,12 +83,13 @@
 	return "", errChanged
 }
 
-// terminalState returns the state of a job that has no active record: it was never accepted
-// or is terminal by now. This is the one place from where a cancellation is answered.
+// terminalState returns the terminal state of a job whose active record was not found: the
+// job was never accepted or is terminal by now. Except for jobs in the cache of terminal
+// records, every cancellation of a job is confirmed from here.
 func (a *API) terminalState(ctx context.Context, ref string) (string, error) {
 	state, err := a.jobState(ctx, statestore.Urgent(cancelPurpose), ref)
 	if err == nil && state == wire.Pending {
-		return "", errChanged // accepted in this moment
+		return "", errChanged // the job was accepted after the first read
 	}
 	return state, err
 }
@@ -110,14 +116,15 @@
 		return errChanged
 	}
 	if err != nil {
-		return ErrUnavailable // perhaps applied: the user's next attempt finds out
+		return ErrUnavailable // the transaction may be applied: the user's next request finds out
 	}
 	a.cluster.NotifyOwner(job.Shard, t, revision)
 	return nil
 }
 
-// cancelledRecord is an active job's record once it is cancelled. One that the state
-// service accepted when its limits were wider goes without what only a start needs.
+// cancelledRecord encodes an active job's record as cancelled. If it is larger than maxBytes,
+// as when the state service's limits were wider at its acceptance, the fields that only a
+// start needs are left out.
 func cancelledRecord(job record.ActiveJob, maxBytes int) json.RawMessage {
 	job.Cancelled = true
 	if value := record.Encode(job); len(value) <= maxBytes {
@@ -127,8 +134,8 @@
 	return record.Encode(job)
 }
 
-// awaitTerminal waits until jobs are not active any more, as far as the view tells, and
-// reports whether none was within TerminalWait.
+// awaitTerminal waits until none of some jobs is active in the view, and reports whether that
+// was so within TerminalWait.
 func (a *API) awaitTerminal(ctx context.Context, refs ...string) bool {
 	ctx, cancel := context.WithTimeout(ctx, TerminalWait)
 	defer cancel()
--- a/internal/controller/userapi/pipelines.go
+++ b/internal/controller/userapi/pipelines.go
@@ -13,9 +13,9 @@
 	"bramblespur/internal/wire"
 )
 
-// Pipelines are an extension of ours, documented in docs/api.md. One is accepted with all
-// its jobs in one transaction or not at all; which of its jobs start is decided by its
-// owner, see package scheduler.
+// Pipelines are an extension of the protocol, documented in docs/api.md. A pipeline is
+// accepted with all its jobs in one transaction or not at all. The owner of its shard decides
+// which of its jobs start, see package scheduler.
 
 const (
 	// maxTxnBytes keeps a transaction below the protocol's 64 KiB.
@@ -25,22 +25,25 @@
 	conditionsPerChange = 4
 )
 
-// SubmitPipeline accepts a pipeline whole and once, or refuses it.
+// SubmitPipeline accepts a pipeline once, with all its jobs, or refuses it. When it returns no
+// error, the records of the pipeline and its jobs are in the state service. It returns an
+// error of package jobspec, ErrReferenceInUse or ErrRecordTooLarge for a pipeline that it
+// refuses, and ErrUnavailable if that cannot be decided now.
 func (a *API) SubmitPipeline(body []byte) (Acceptance, error) {
 	pipeline, err := jobspec.ParsePipeline(body)
 	if err != nil {
 		return Acceptance{}, err
 	}
-	machineTypes, err := a.decisionBasis()
+	machineTypes, err := a.requireMachineTypes()
 	if err != nil {
 		return Acceptance{}, err
 	}
 	ctx, cancel := a.requestContext()
 	defer cancel()
-	// What is known is never refused, whatever the settings say by now.
-	known, err := a.pipelineAcceptedBefore(ctx, pipeline.Ref)
+	// An accepted pipeline is never refused, even if the settings have changed since.
+	existing, err := a.pipelineAcceptedBefore(ctx, pipeline.Ref)
 	if !errors.Is(err, ErrNotFound) {
-		return known, err
+		return existing, err
 	}
 	for _, spec := range pipeline.Jobs {
 		if err := jobspec.CheckFeasible(spec, machineTypes, a.settings.Params.Teams); err != nil {
@@ -66,16 +69,16 @@
 	if !isConflict(err) {
 		return Acceptance{}, ErrUnavailable
 	}
-	known, err := a.pipelineAcceptedBefore(ctx, pipeline.Ref)
+	existing, err := a.pipelineAcceptedBefore(ctx, pipeline.Ref)
 	if errors.Is(err, ErrNotFound) {
 		return Acceptance{}, ErrReferenceInUse
 	}
-	return known, err
+	return existing, err
 }
 
-// pipelineTxn returns the transaction that records a pipeline and its jobs; those that
-// follow others await them. It returns ErrRecordTooLarge if that, or a later change of the
-// records, is more than the state service takes.
+// pipelineTxn returns the transaction that records a pipeline and its jobs; dependent jobs are
+// marked as waiting for their dependencies. It returns ErrRecordTooLarge if the transaction,
+// or a later change of the records, exceeds the state service's limits.
 func (a *API) pipelineTxn(pipeline *jobspec.Pipeline) (wire.Txn, error) {
 	limits := a.cluster.WriteLimits()
 	if pipeline.Record.NeedsSplitCommits(limits.Bytes(), limits.TxnOps) {
@@ -86,7 +89,7 @@
 		If:   []wire.Condition{{Key: key}},
 		Then: []wire.Op{{Put: key, Value: record.Encode(pipeline.Record)}},
 	}
-	follows := followers(pipeline.Record.Links)
+	dependent := dependentJobs(pipeline.Record.Links)
 	size := 0
 	for _, spec := range pipeline.Jobs {
 		job := record.ActiveJob{
@@ -94,7 +97,7 @@
 			Shard:              pipeline.Record.Shard,
 			AcceptedAt:         time.Now().UnixMilli(),
 			Pipeline:           pipeline.Ref,
-			AwaitsDependencies: follows[spec.Ref],
+			AwaitsDependencies: dependent[spec.Ref],
 		}
 		value := record.Encode(job)
 		if len(value) > limits.Bytes() {
@@ -110,19 +113,19 @@
 	return t, nil
 }
 
-// followers returns the jobs that links make follow others.
-func followers(links []wire.Link) map[string]bool {
-	follows := map[string]bool{}
+// dependentJobs returns the jobs that links release after others.
+func dependentJobs(links []wire.Link) map[string]bool {
+	dependent := map[string]bool{}
 	for _, link := range links {
 		for _, ref := range link.To {
-			follows[ref] = true
+			dependent[ref] = true
 		}
 	}
-	return follows
+	return dependent
 }
 
 // readPipeline reads a pipeline's record and its version. It returns ErrNotFound if there
-// is none, and ErrUnavailable if that can't be told.
+// is none, and ErrUnavailable if it cannot be read now.
 func (a *API) readPipeline(ctx context.Context, purpose statestore.Purpose, ref string) (record.Pipeline, uint64, error) {
 	var rec record.Pipeline
 	entry, err := a.store().Get(ctx, purpose, record.PipelineKey(ref))
@@ -150,14 +153,15 @@
 	return accepted(ref, a.pipelineState(&rec, terminal)), nil
 }
 
-// pipelineTerminal reports whether a pipeline is terminal: as with a single job, it is
-// called cancelled only once none of its jobs is active any more, and so all tasks are
-// proven gone.
+// pipelineTerminal reports whether a pipeline is terminal. Like a single job, a cancelled
+// pipeline is terminal only once none of its jobs is active, which proves that all tasks are
+// gone.
 func (a *API) pipelineTerminal(ctx context.Context, purpose statestore.Purpose, rec *record.Pipeline) (bool, error) {
 	if rec.State != wire.Cancelled {
 		return rec.State != "", nil
 	}
-	// What is not active is never active again, so it can be asked in several steps.
+	// A job that is no longer active never becomes active again, so the jobs can be checked in
+	// several transactions.
 	for refs := range slices.Chunk(rec.Jobs, conditionsPerChange*a.cluster.WriteLimits().TxnOps) {
 		t := wire.Txn{Then: []wire.Op{}}
 		for _, ref := range refs {
@@ -217,8 +221,8 @@
 	return status, nil
 }
 
-// pipelineEnds returns the ends of a pipeline's jobs, also those that its record was too
-// large to tell.
+// pipelineEnds returns the ends of a pipeline's jobs, including those that its record had no
+// room for.
 func (a *API) pipelineEnds(ctx context.Context, purpose statestore.Purpose, rec *record.Pipeline) ([]record.PipelineJobEnd, error) {
 	limits := a.cluster.WriteLimits()
 	if !rec.NeedsSplitCommits(limits.Bytes(), limits.TxnOps) {
@@ -231,11 +235,12 @@
 	return slices.Concat(rec.Ended, missing), nil
 }
 
-// pipelineJobState returns the state of a job of a pipeline.
+// pipelineJobState returns the state of a job of a pipeline. terminal says whether the pipeline
+// is terminal; ends are the ends of its jobs.
 func (a *API) pipelineJobState(ref string, terminal bool, ends []record.PipelineJobEnd) string {
 	state := wire.Pending
 	if terminal {
-		state = wire.Cancelled // what has not run by the end never does
+		state = wire.Cancelled // a job that has not run by the pipeline's end never runs
 	} else if status, ok := a.cluster.OwnerStatus(ref); ok {
 		state = status.State
 	}
@@ -247,9 +252,11 @@
 	return state
 }
 
-// CancelPipeline cancels what is left of a pipeline: first the pipeline, so that no more of
-// its jobs start, then these. It returns the terminal state once all jobs are terminal;
-// until then any controller that is asked again carries on.
+// CancelPipeline cancels the rest of a pipeline: first the pipeline itself, so that no more of
+// its jobs start, then its active jobs. It returns the terminal state once all jobs are
+// terminal, and ErrNotTerminal until then. If the user asks again, any controller continues
+// the cancellation. It returns ErrNotFound for a pipeline that was never accepted, and
+// ErrUnavailable if the cancellation cannot be decided now.
 func (a *API) CancelPipeline(ref string) (wire.Brief, error) {
 	if err := a.checkPipelineRequest(ref); err != nil {
 		return wire.Brief{}, err
@@ -269,8 +276,9 @@
 	return wire.Brief{}, ErrUnavailable
 }
 
-// recordPipelineCancellation reads a pipeline's record and, unless it has its final state
-// already, records that it is cancelled.
+// recordPipelineCancellation reads a pipeline's record and, unless that has a terminal state
+// already, records that the pipeline is cancelled. It returns errChanged if the record changed
+// in between.
 func (a *API) recordPipelineCancellation(ctx context.Context, ref string) (record.Pipeline, error) {
 	purpose := statestore.Urgent(cancelPurpose)
 	rec, version, err := a.readPipeline(ctx, purpose, ref)
@@ -288,7 +296,7 @@
 		return rec, errChanged
 	}
 	if err != nil {
-		return rec, ErrUnavailable // perhaps applied: the user's next attempt finds out
+		return rec, ErrUnavailable // the transaction may be applied: the user's next request finds out
 	}
 	return rec, nil
 }
@@ -314,9 +322,8 @@
 	return wire.Brief{Ref: ref, State: rec.State}, nil
 }
 
-// cancelPipelineJobs cancels the active jobs of a cancelled pipeline, as many at once as a
-// transaction holds. The pipeline's own record was written before, so that no more of them
-// start.
+// cancelPipelineJobs cancels the active jobs of a cancelled pipeline, as many in a transaction
+// as fit. The pipeline's own record was written before, so no more of them start.
 func (a *API) cancelPipelineJobs(ctx context.Context, rec *record.Pipeline) error {
 	for refs := range slices.Chunk(rec.Jobs, a.cluster.WriteLimits().TxnOps) {
 		if err := a.cancelJobs(ctx, rec.Shard, refs); err != nil {
@@ -328,7 +335,7 @@
 
 // cancelJobs cancels those of a shard's jobs that are active, with one transaction.
 func (a *API) cancelJobs(ctx context.Context, shard int, refs []string) error {
-	// One attempt more than at a single job's cancellation: the first is no repetition.
+	// One attempt more than for a single job: the first one is not a repetition.
 	for range cancelAttempts + 1 {
 		t, err := a.cancelTxn(ctx, refs)
 		if err != nil {
@@ -343,7 +350,7 @@
 			return nil
 		}
 		if !isConflict(err) {
-			return ErrUnavailable // perhaps applied: the user's next attempt finds out
+			return ErrUnavailable // the transaction may be applied: the user's next request finds out
 		}
 	}
 	return ErrUnavailable
@@ -355,7 +362,7 @@
 	for _, ref := range refs {
 		job, version, err := a.readActiveJob(ctx, ref)
 		if errors.Is(err, statestore.ErrNotFound) {
-			continue // it is terminal
+			continue // the job is terminal
 		}
 		if err != nil {
 			return t, err
@@ -370,8 +377,8 @@
 	return t, nil
 }
 
-// checkPipelineRequest refuses at once what asks for a malformed reference, or comes while
-// the state service can't be asked.
+// checkPipelineRequest refuses a request at once if its reference is malformed (ErrNotFound) or
+// the state service cannot be reached (ErrUnavailable).
 func (a *API) checkPipelineRequest(ref string) error {
 	if !jobspec.ValidPipelineReference(ref) {
 		return ErrNotFound
--- a/internal/controller/userapi/response.go
+++ b/internal/controller/userapi/response.go
@@ -9,28 +9,29 @@
 	"bramblespur/internal/controller/transport"
 )
 
-// Why a request is not served as asked. What is malformed or can never run is told by the
-// errors of package jobspec.
+// Errors of requests that are not served as asked. The errors of package jobspec report
+// malformed submissions and jobs that can never run.
 var (
 	// ErrNotFound says that there is no such job, pipeline or path.
 	ErrNotFound = errors.New("not found")
-	// ErrMethodNotAllowed says that a path has no such method.
+	// ErrMethodNotAllowed says that a path does not support the request's method.
 	ErrMethodNotAllowed = errors.New("method not allowed")
-	// ErrUnavailable says that the request can't be decided now, so that the user should
+	// ErrUnavailable says that the request cannot be decided now and that the user should
 	// repeat it.
 	ErrUnavailable = errors.New("temporarily unavailable")
-	// ErrNotTerminal says of a cancellation that not all tasks are proven gone yet. Every
-	// controller would say so.
+	// ErrNotTerminal says that a cancellation is recorded, but that not all tasks are proven
+	// gone yet. Every controller would give this answer.
 	ErrNotTerminal = errors.New("cancelled, but not terminal yet")
-	// ErrReferenceInUse says of a pipeline that one of its jobs exists already.
-	ErrReferenceInUse = errors.New("a job of that reference exists")
-	// ErrRecordTooLarge says that the state service's limits leave no room for a record.
+	// ErrReferenceInUse says that a job with the reference of one of a pipeline's jobs exists
+	// already.
+	ErrReferenceInUse = errors.New("a job of the pipeline has a reference that is in use")
+	// ErrRecordTooLarge says that a record exceeds the state service's limits.
 	ErrRecordTooLarge = errors.New("record too large")
 )
 
-// A DependencyError says that a job can't depend on another.
+// A DependencyError says that a job cannot depend on another.
 type DependencyError struct {
-	Dependency string
+	Dependency string // reference of the other job
 	Reason     string
 }
 
@@ -38,8 +39,8 @@
 	return fmt.Sprintf("dependency on %s: %s", e.Dependency, e.Reason)
 }
 
-// respond makes the response to a request: its body, or what its error says. This is the
-// only place where errors become statuses.
+// respond returns the response to a request: status and body, or the status of the error if
+// there is one. This is the only place that maps errors to HTTP statuses.
 func respond(status int, body any, err error) transport.Response {
 	switch {
 	case err == nil:
@@ -62,7 +63,7 @@
 	return RetryLater()
 }
 
-// RetryLater is the response to a request that can't be decided now.
+// RetryLater returns the response to a request that cannot be decided now.
 func RetryLater() transport.Response {
 	return transport.Response{Status: http.StatusServiceUnavailable, RetryAfter: transport.RetryAfter}
 }
@@ -73,8 +74,8 @@
 	return errors.As(err, &invalid)
 }
 
-// isRefusal reports whether an error says that a well-formed job can't be accepted under
-// the present settings, limits and jobs, as against one that can't be decided on.
+// isRefusal reports whether an error says that a well-formed job cannot be accepted under the
+// present settings, limits and jobs, in contrast to one that cannot be decided now.
 func isRefusal(err error) bool {
 	var infeasible *jobspec.InfeasibleError
 	var dependency *DependencyError
--- a/internal/controller/userapi/response_test.go
+++ b/internal/controller/userapi/response_test.go
@@ -28,18 +28,18 @@
 	} {
 		for _, err := range []error{x.err, fmt.Errorf("wrapped: %w", x.err)} {
 			if got := respond(200, wire.Brief{}, err); got != x.want {
-				t.Errorf("%v: %+v, want %+v", err, got, x.want)
+				t.Errorf("response to error %q is %+v, want %+v", err, got, x.want)
 			}
 		}
 	}
 }
 
-// 201 is for what was not accepted before.
+// A newly accepted submission is answered 201, a repeated one 200.
 func TestAcceptanceStatuses(t *testing.T) {
 	if got := respondAccepted(newlyAccepted("run-000001"), nil); got.Status != 201 || got.Body != (wire.Brief{Ref: "run-000001", State: wire.Pending}) {
-		t.Errorf("new: %+v", got)
+		t.Errorf("response to a new submission is %+v, want 201 and state pending", got)
 	}
 	if got := respondAccepted(accepted("run-000001", wire.Done), nil); got.Status != 200 || got.Body != (wire.Brief{Ref: "run-000001", State: wire.Done}) {
-		t.Errorf("repeated: %+v", got)
+		t.Errorf("response to a repeated submission is %+v, want 200 and state done", got)
 	}
 }
--- a/internal/controller/userapi/routing.go
+++ b/internal/controller/userapi/routing.go
@@ -15,15 +15,15 @@
 
 // ForwardedRequest is a user's request that another controller is to serve.
 type ForwardedRequest struct {
-	Method, Path string
+	Method, Path string // of the HTTP request
 	Body         []byte
 }
 
-// ForwardedResponse is its response, the body as it was encoded there.
+// ForwardedResponse is the response to a ForwardedRequest.
 type ForwardedResponse struct {
-	Status     int
-	Body       []byte
-	RetryAfter int // seconds
+	Status     int    // HTTP status
+	Body       []byte // JSON as encoded by the controller that served the request; empty: no body
+	RetryAfter int    // seconds; 0: none
 }
 
 // ErrNoController says that there is no controller to forward a request to.
@@ -32,9 +32,9 @@
 // operation is the work that a request asks for.
 type operation func() transport.Response
 
-// resource is what users submit, query and cancel under a path.
+// resource is a kind of object that users submit, query and cancel: jobs or pipelines.
 type resource struct {
-	path          string
+	path          string // of the collection; items have paths below it
 	submit        func(body []byte) transport.Response
 	query, cancel func(ref string) transport.Response
 }
@@ -66,7 +66,8 @@
 	}}
 }
 
-// respondAccepted is the response to a submission.
+// respondAccepted returns the response to a submission: 201 if it was newly accepted, 200 if
+// it was accepted before.
 func respondAccepted(accepted Acceptance, err error) transport.Response {
 	status := http.StatusOK
 	if accepted.New {
@@ -75,12 +76,12 @@
 	return respond(status, accepted.Brief, err)
 }
 
-// Serve answers a user's request. One that can't be served for want of the state service,
-// or of this controller's share of its limits, is forwarded to a controller that reaches
-// it, if its answer can still come in time: else it would cost that controller's share as
-// well, for nobody.
+// Serve answers a user's request. If the request cannot be served because the state service
+// is out of reach or this controller's share of its limits is used up, the request is
+// forwarded to a controller that reaches the state service, but only if the answer can still
+// come in time: a late answer would use up that controller's share for nothing.
 func (a *API) Serve(req httpwire.Request) transport.Response {
-	begun := time.Now()
+	startedAt := time.Now()
 	serve, err := a.route(&req)
 	if err != nil {
 		return respond(0, nil, err)
@@ -95,7 +96,7 @@
 		return serve()
 	}
 	response := serve()
-	if canForward(&response, time.Since(begun), userWait(req.Method)) {
+	if canForward(&response, time.Since(startedAt), userWait(req.Method)) {
 		if forwarded, ok := a.forward(&req); ok {
 			return forwarded
 		}
@@ -103,8 +104,8 @@
 	return response
 }
 
-// canForward reports whether another controller may answer better than a response says, and
-// in time.
+// canForward reports whether another controller may give a better answer than a response of
+// this one, and in time: elapsed is how long this one took, wait how long the user waits.
 func canForward(response *transport.Response, elapsed, wait time.Duration) bool {
 	return response.Status == http.StatusServiceUnavailable && !response.Authoritative && elapsed+RequestTimeout <= wait
 }
@@ -117,21 +118,21 @@
 	return changeWait
 }
 
-// ServeForwarded answers a request that another controller forwarded. It is served here or
-// not at all.
+// ServeForwarded answers a request that another controller forwarded. The request is not
+// forwarded again.
 func (a *API) ServeForwarded(req ForwardedRequest) ForwardedResponse {
 	response := RetryLater()
 	if !a.cluster.LeaseOverdue() {
 		response = a.ServeLocally(httpwire.Request{Method: req.Method, Path: req.Path, Body: req.Body})
 	}
-	out := ForwardedResponse{Status: response.Status, RetryAfter: response.RetryAfter}
+	forwarded := ForwardedResponse{Status: response.Status, RetryAfter: response.RetryAfter}
 	if response.Body != nil {
-		out.Body = record.Encode(response.Body)
+		forwarded.Body = record.Encode(response.Body)
 	}
-	return out
+	return forwarded
 }
 
-// ServeLocally answers a request without any other controller.
+// ServeLocally answers a request without forwarding it to another controller.
 func (a *API) ServeLocally(req httpwire.Request) transport.Response {
 	serve, err := a.route(&req)
 	if err != nil {
@@ -140,7 +141,8 @@
 	return serve()
 }
 
-// route finds the operation that a request asks for.
+// route returns the operation that a request asks for, ErrNotFound if there is no such path,
+// or ErrMethodNotAllowed if the path does not support the request's method.
 func (a *API) route(req *httpwire.Request) (operation, error) {
 	for i := range a.resources {
 		r := &a.resources[i]
@@ -154,7 +156,7 @@
 	return nil, ErrNotFound
 }
 
-// routeCollection routes a request for a resource's own path.
+// routeCollection routes a request for the path of a whole resource.
 func (r *resource) routeCollection(req *httpwire.Request) (operation, error) {
 	if req.Method != http.MethodPost {
 		return nil, ErrMethodNotAllowed
@@ -163,7 +165,7 @@
 	return func() transport.Response { return r.submit(body) }, nil
 }
 
-// routeItem routes a request for one job or pipeline.
+// routeItem routes a request for one job or pipeline. rest is the path below the resource's.
 func (r *resource) routeItem(method, rest string) (operation, error) {
 	ref, action, hasAction := strings.Cut(rest, "/")
 	switch {
@@ -177,8 +179,8 @@
 	return nil, ErrMethodNotAllowed
 }
 
-// forward lets another controller serve a request. It reports false when there is none or
-// it can't either.
+// forward lets another controller serve a request. It reports false if there is none, or if
+// that controller cannot serve the request either.
 func (a *API) forward(req *httpwire.Request) (transport.Response, bool) {
 	r, err := a.cluster.Forward(ForwardedRequest{Method: req.Method, Path: req.Path, Body: req.Body})
 	if errors.Is(err, ErrNoController) {
--- a/internal/controller/userapi/status_queries.go
+++ b/internal/controller/userapi/status_queries.go
@@ -10,8 +10,9 @@
 	"bramblespur/internal/wire"
 )
 
-// QueryJob returns a job's status, which is never older than what any controller has told a
-// user before the query came.
+// QueryJob returns a job's status, which is never older than any answer that a controller
+// gave a user before the query arrived. It returns ErrNotFound for a job that was never
+// accepted, and ErrUnavailable if its state cannot be read now.
 func (a *API) QueryJob(ref string) (wire.Status, error) {
 	if !jobspec.ValidJobReference(ref) {
 		return wire.Status{}, ErrNotFound
@@ -36,7 +37,7 @@
 			return wire.Status{Ref: ref, State: state}, nil
 		}
 	}
-	// The counts are for display: the owner's memory has them.
+	// The counts of tasks are for display only, so the owner's memory is good enough for them.
 	if status, ok := a.cluster.OwnerStatus(ref); ok {
 		return status, nil
 	}
@@ -47,9 +48,8 @@
 	return wire.Status{Ref: ref, State: finished.State, Done: finished.Tasks}
 }
 
-// confirmActive reports whether a job is active and not cancelled, by a comparison of its
-// record with the view that starts after the query came. False means only that the records
-// must be read.
+// confirmActive reports whether a job is active and not cancelled, by comparing its record
+// with the view after the query arrived. False means only that the records must be read.
 func (a *API) confirmActive(ctx context.Context, ref string) bool {
 	job, active := a.cluster.ActiveJob(ref)
 	if !active || job.Cancelled {
@@ -59,7 +59,7 @@
 }
 
 // jobState reads a job's state. It returns ErrNotFound for one that was never accepted, and
-// ErrUnavailable if its state can't be told.
+// ErrUnavailable if its state cannot be read now.
 func (a *API) jobState(ctx context.Context, purpose statestore.Purpose, ref string) (string, error) {
 	state, err := a.readJobState(ctx, purpose, ref)
 	switch {
@@ -71,31 +71,32 @@
 	return state, nil
 }
 
-// readJobState reads the terminal record of a job first that is not active as far as the
-// view tells: most that are asked for are terminal, and one request must do for them. Two
-// would take longer than a user waits while the budget is used up, and then every status
-// query that is refused would come again. Else the active record comes first, since a job
-// that has none any more has the other by then.
+// readJobState reads a job's state from its records. If the job is not active in the view,
+// the terminal record is read first: most such jobs are terminal, and one request must be
+// enough for them. While the budget is used up, two requests would take longer than a user
+// waits, and every status query refused for that would be repeated. If the job is active in
+// the view, the active record is read first: a job whose active record is gone by then has a
+// terminal one.
 func (a *API) readJobState(ctx context.Context, purpose statestore.Purpose, ref string) (string, error) {
-	known := a.cluster.BaselineOf(ref)
-	if !known.Active() {
+	baseline := a.cluster.BaselineOf(ref)
+	if !baseline.Active() {
 		finished, err := a.terminal.Read(ctx, a.store(), purpose, ref)
 		if !errors.Is(err, statestore.ErrNotFound) {
 			return finished.State, err
 		}
-		purpose = statestore.Urgent(purpose.Name) // a read that has begun goes on
+		purpose = statestore.Urgent(purpose.Name) // the second request completes a query that has begun
 	}
 	entry, err := a.store().Get(ctx, purpose, record.ActiveJobKey(ref))
 	if err == nil {
-		// Pending also if it is cancelled: see CancelJob.
-		return wire.Pending, a.cluster.CheckActiveJob(ref, known, entry.Version)
+		// An active job is reported as pending even if it is cancelled: see CancelJob.
+		return wire.Pending, a.cluster.CheckActiveJob(ref, baseline, entry.Version)
 	}
 	if !errors.Is(err, statestore.ErrNotFound) {
 		return "", err
 	}
 	finished, err := a.terminal.Read(ctx, a.store(), statestore.Urgent(purpose.Name), ref)
 	if errors.Is(err, statestore.ErrNotFound) {
-		err = a.cluster.CheckMissingJob(ref, known)
+		err = a.cluster.CheckMissingJob(ref, baseline)
 	}
 	return finished.State, err
 }
--- a/internal/controller/userapi/submissions.go
+++ b/internal/controller/userapi/submissions.go
@@ -12,10 +12,11 @@
 	"bramblespur/internal/wire"
 )
 
-// Acceptance says that a job or pipeline is accepted, and in which state it is.
+// Acceptance is the outcome of an accepted submission: the reference and the state of the
+// job or pipeline.
 type Acceptance struct {
 	wire.Brief
-	New bool // it was not accepted before
+	New bool // this submission was accepted, not an earlier one
 }
 
 func accepted(ref, state string) Acceptance {
@@ -26,8 +27,9 @@
 	return Acceptance{Brief: wire.Brief{Ref: ref, State: wire.Pending}, New: true}
 }
 
-// SubmitJob accepts a job, once. When it returns without an error the job's record is in
-// the state service.
+// SubmitJob accepts a job once. When it returns no error, the job's record is in the state
+// service. It returns an error of package jobspec, a *DependencyError or ErrRecordTooLarge
+// for a job that it refuses, and ErrUnavailable if that cannot be decided now.
 func (a *API) SubmitJob(body []byte) (Acceptance, error) {
 	spec, err := jobspec.ParseJob(body)
 	if err != nil {
@@ -36,18 +38,18 @@
 	if finished, ok := a.terminal.Get(spec.Ref); ok {
 		return accepted(spec.Ref, finished.State), nil
 	}
-	machineTypes, err := a.decisionBasis()
+	machineTypes, err := a.requireMachineTypes()
 	if err != nil {
 		return Acceptance{}, err
 	}
 	ctx, cancel := a.requestContext()
 	defer cancel()
 	if _, active := a.cluster.ActiveJob(spec.Ref); active {
-		// Accepted before: reading tells so without a change, of which the state service
-		// also counts those that fail.
-		known, err := a.acceptedBefore(ctx, spec.Ref)
+		// The job was probably accepted before. A read finds that out without a change: the
+		// state service counts failed changes against its limit too.
+		existing, err := a.acceptedBefore(ctx, spec.Ref)
 		if !errors.Is(err, ErrNotFound) {
-			return known, err
+			return existing, err
 		}
 	}
 	job := record.ActiveJob{
@@ -67,9 +69,9 @@
 	return a.recordJob(ctx, spec.Ref, job.Shard, value)
 }
 
-// decisionBasis returns the machine types, or ErrUnavailable if no submission can be
-// decided on: they are not known, or the state service can't be asked.
-func (a *API) decisionBasis() ([]wire.MachineType, error) {
+// requireMachineTypes returns the machine types, or ErrUnavailable if no submission can be
+// decided: the machine types are not known, or the state service cannot be reached.
+func (a *API) requireMachineTypes() ([]wire.MachineType, error) {
 	machineTypes := a.cluster.MachineTypes()
 	if machineTypes == nil || a.cluster.LeaseLost() {
 		return nil, ErrUnavailable
@@ -77,8 +79,8 @@
 	return machineTypes, nil
 }
 
-// checkAcceptable returns why a job can't be accepted: a refusal, or ErrUnavailable if that
-// can't be told.
+// checkAcceptable returns an error if a job cannot be accepted: a refusal, or ErrUnavailable
+// if it cannot be decided now.
 func (a *API) checkAcceptable(ctx context.Context, spec *wire.Spec, value json.RawMessage, machineTypes []wire.MachineType) error {
 	if err := jobspec.CheckFeasible(spec, machineTypes, a.settings.Params.Teams); err != nil {
 		return err
@@ -101,8 +103,8 @@
 		return newlyAccepted(ref), nil
 	}
 	if isConflict(err) {
-		if known, err := a.acceptedBefore(ctx, ref); err == nil {
-			return known, nil
+		if existing, err := a.acceptedBefore(ctx, ref); err == nil {
+			return existing, nil
 		}
 		return Acceptance{}, ErrUnavailable
 	}
@@ -110,14 +112,14 @@
 	return Acceptance{}, ErrUnavailable
 }
 
-// refuseUnlessAccepted refuses a job, unless it was accepted before: whatever the settings
-// or the state service's limits say by now, an accepted job stays accepted.
+// refuseUnlessAccepted refuses a job, unless it was accepted before: an accepted job stays
+// accepted, even if the settings or the state service's limits have changed since.
 func (a *API) refuseUnlessAccepted(ctx context.Context, ref string, refusal error) (Acceptance, error) {
-	known, err := a.acceptedBefore(ctx, ref)
+	existing, err := a.acceptedBefore(ctx, ref)
 	if errors.Is(err, ErrNotFound) {
 		return Acceptance{}, refusal
 	}
-	return known, err // accepted before, or nobody can tell
+	return existing, err
 }
 
 // acceptedBefore returns the state of an accepted job, ErrNotFound if there is none.
@@ -129,8 +131,8 @@
 	return accepted(ref, state), nil
 }
 
-// checkDependencies refuses dependencies on what was never accepted, and on services, which
-// have no end. What this controller does not know is asked of the state service.
+// checkDependencies refuses dependencies on jobs that were never accepted, and on services,
+// which have no end. It reads the records of jobs that this controller does not know.
 func (a *API) checkDependencies(ctx context.Context, dependencies []string) error {
 	for _, dependency := range dependencies {
 		if err := a.checkDependency(ctx, dependency); err != nil {
@@ -141,7 +143,7 @@
 }
 
 func (a *API) checkDependency(ctx context.Context, ref string) error {
-	// In this order: a job that ends in between is known as terminal by then.
+	// The view is read before the cache: a job that ends in between is in the cache by then.
 	job, active := a.cluster.ActiveJob(ref)
 	if _, finished := a.terminal.Get(ref); finished || (active && !job.Service) {
 		return nil
@@ -150,7 +152,7 @@
 		return errDependsOnService(ref)
 	}
 	purpose := statestore.Urgent(dependenciesPurpose)
-	// The active record first: a job that has none any more has the other.
+	// The active record is read first: a job whose active record is gone has a terminal one.
 	entry, err := a.store().Get(ctx, purpose, record.ActiveJobKey(ref))
 	var found record.ActiveJob
 	switch {
@@ -176,7 +178,7 @@
 	return &DependencyError{Dependency: ref, Reason: "a service has no end"}
 }
 
-// isConflict reports whether a transaction failed because its conditions didn't hold.
+// isConflict reports whether a transaction failed because its conditions did not hold.
 func isConflict(err error) bool {
 	var conflict *statestore.ConflictError
 	return errors.As(err, &conflict)
