--- a/internal/controller/clusterview/watch.go
+++ b/internal/controller/clusterview/watch.go
@@ -26,11 +26,11 @@
 	Reset(entries []wire.Entry, revision uint64, at time.Time)
 	// Apply applies one change, of a request made at some time.
 	Apply(change wire.Change, at time.Time)
-	// Current records that the view was true at some time.
-	Current(at time.Time)
-	// Reached records the revision that the view has reached, unless the
+	// SetAsOf records that the view includes all changes made before a time.
+	SetAsOf(at time.Time)
+	// SetRevision records the revision that the view has reached, unless the
 	// generation has changed.
-	Reached(revision uint64, generation int)
+	SetRevision(revision uint64, generation int)
 	// Generation changes when all records are to be listed anew.
 	Generation() int
 }
@@ -55,7 +55,7 @@
 		}
 		generation := w.Handler.Generation()
 		w.Handler.Reset(entries, revision, at)
-		w.Handler.Reached(revision, generation)
+		w.Handler.SetRevision(revision, generation)
 		w.follow(ctx, revision, generation)
 	}
 }
@@ -76,8 +76,8 @@
 			w.Handler.Apply(change, at)
 		}
 		revision = max(revision, changes.Revision)
-		w.Handler.Current(at)
-		w.Handler.Reached(revision, generation)
+		w.Handler.SetAsOf(at)
+		w.Handler.SetRevision(revision, generation)
 		if len(changes.Events) > 0 {
 			retry.Sleep(ctx, batchDelay)
 		}
--- a/internal/controller/clusterview/watch_test.go
+++ b/internal/controller/clusterview/watch_test.go
@@ -48,8 +48,8 @@
 	r.resets = append(r.resets, len(entries))
 }
 func (r *recorder) Apply(wire.Change, time.Time)   { r.changes++ }
-func (r *recorder) Current(at time.Time)           { r.current = at }
-func (r *recorder) Reached(revision uint64, _ int) { r.revision = revision }
+func (r *recorder) SetAsOf(at time.Time)           { r.current = at }
+func (r *recorder) SetRevision(revision uint64, _ int) { r.revision = revision }
 func (r *recorder) Generation() int                { return int(r.generation.Load()) }
 
 // watchFor runs a watch of members for some time, with something done in the middle of it.
--- a/internal/controller/view_watches.go
+++ b/internal/controller/view_watches.go
@@ -44,11 +44,11 @@
 // Apply implements clusterview.Handler.
 func (h *watchHandler) Apply(change wire.Change, at time.Time) { h.apply(change, at) }
 
-// Current implements clusterview.Handler.
-func (h *watchHandler) Current(at time.Time) { h.c.setViewAsOf(h.prefix, at) }
+// SetAsOf implements clusterview.Handler.
+func (h *watchHandler) SetAsOf(at time.Time) { h.c.setViewAsOf(h.prefix, at) }
 
-// Reached implements clusterview.Handler.
-func (h *watchHandler) Reached(revision uint64, generation int) {
+// SetRevision implements clusterview.Handler.
+func (h *watchHandler) SetRevision(revision uint64, generation int) {
 	h.c.setViewRevision(h.prefix, revision, generation)
 }
 
