--- a/internal/controller/clusterview/activejobs.go
+++ b/internal/controller/clusterview/activejobs.go
@@ -20,7 +20,7 @@
 	mu           sync.Mutex // a leaf: see the package's lock order
 	jobs         map[string]ActiveJob
 	dependencies *fragment.Dependencies
-	ends         map[string]chan struct{} // by job that somebody waits for; closed when it ends
+	endWaits         map[string]chan struct{} // by job that somebody waits for; closed when it ends
 }
 
 // ActiveJob is what the view retains of an active job.
@@ -46,7 +46,7 @@
 	return &ActiveJobs{
 		jobs:         map[string]ActiveJob{},
 		dependencies: fragment.NewDependencies(),
-		ends:         map[string]chan struct{}{},
+		endWaits:         map[string]chan struct{}{},
 	}
 }
 
@@ -100,9 +100,9 @@
 func (v *ActiveJobs) remove(ref string) (urgencyChanged []string) {
 	urgencyChanged = v.dependencies.Remove(ref)
 	delete(v.jobs, ref)
-	if ended := v.ends[ref]; ended != nil {
+	if ended := v.endWaits[ref]; ended != nil {
 		close(ended)
-		delete(v.ends, ref)
+		delete(v.endWaits, ref)
 	}
 	return urgencyChanged
 }
@@ -172,10 +172,10 @@
 	if _, active := v.jobs[ref]; !active {
 		return nil
 	}
-	ended := v.ends[ref]
+	ended := v.endWaits[ref]
 	if ended == nil {
 		ended = make(chan struct{})
-		v.ends[ref] = ended
+		v.endWaits[ref] = ended
 	}
 	return ended
 }
--- a/internal/controller/clusterview/machines.go
+++ b/internal/controller/clusterview/machines.go
@@ -16,7 +16,7 @@
 
 	mu    sync.Mutex // a leaf: see the package's lock order
 	fleet *record.Fleet
-	inUse *zoneCounts // nil until somebody asks for them
+	inUseByZone *zoneCounts // nil until somebody asks for them
 }
 
 // zoneCounts counts the machines in service by zone, machine by machine as their records change.
@@ -64,7 +64,7 @@
 	v.forget()
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.fleet, v.inUse = record.NewFleet(), nil
+	v.fleet, v.inUseByZone = record.NewFleet(), nil
 }
 
 // Apply takes changed and deleted records into the view, all of them before it
@@ -82,18 +82,18 @@
 			errs = append(errs, err)
 			continue
 		}
-		ended := strings.HasPrefix(change.Delete, record.ProvisionPrefix)
+		provisionDeleted := strings.HasPrefix(change.Delete, record.ProvisionPrefix)
 		for _, id := range ids {
-			released[id] = released[id] || ended
+			released[id] = released[id] || provisionDeleted
 		}
 	}
 	changed := make([]MachineChange, 0, len(released))
-	for id, gone := range released {
+	for id, provisionDeleted := range released {
 		view, known := v.fleet.Machine(id)
-		if v.inUse != nil {
-			v.inUse.update(id, view, known)
+		if v.inUseByZone != nil {
+			v.inUseByZone.update(id, view, known)
 		}
-		changed = append(changed, MachineChange{ID: id, View: view, Known: known, Released: gone})
+		changed = append(changed, MachineChange{ID: id, View: view, Known: known, Released: provisionDeleted})
 	}
 	return changed, errs
 }
@@ -136,10 +136,10 @@
 func (v *Machines) InUseByZone() map[string]int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.inUse == nil {
-		v.inUse = newZoneCounts(v.fleet)
+	if v.inUseByZone == nil {
+		v.inUseByZone = newZoneCounts(v.fleet)
 	}
-	return maps.Clone(v.inUse.counts)
+	return maps.Clone(v.inUseByZone.counts)
 }
 
 // Len returns the number of machines, those gone but not yet cleared away included.
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -14,8 +14,8 @@
 	Claim  []int         // shards to acquire, since their owners cannot be reached
 	// HandHome are shards to transfer back to their preferred owners.
 	HandHome []int
-	// Requests and Changes are the receiver's shares of the state service's rate limits on
-	// requests and on changes, per second; 0: an equal share.
+	// Requests and Changes are the receiver's shares of the state service's rate limits:
+	// requests and changed keys per second; 0: an equal share.
 	Requests, Changes float64
 	// OrderRate is how many commands to workers the receiver may send per second during
 	// reconciliation after a restart; 0: an equal share.
@@ -26,8 +26,8 @@
 type SyncReply struct {
 	Summaries []fleet.Summary // of the shards that the sender owns
 	StateOK   bool            // the sender has recently reached the state service
-	// Requests and Changes are how many requests to the state service, and changes in them, the
-	// sender needed since the last call.
+	// Requests and Changes are how many requests to the state service and how many changed keys
+	// the sender needed since the last call.
 	Requests, Changes int
 	// Recovering says that the sender does not keep up for lack of CPU time, or did not until
 	// recently, and should not get its shards back. HasRoom says that it could own another
@@ -65,10 +65,11 @@
 	RetryAfter int // seconds after which the user is to repeat the request; 0: none given
 }
 
-// LoanArgs asks the leader for changes beyond the sender's share of the state service's limit.
+// LoanArgs asks the leader for changes of keys beyond the sender's share of the state service's
+// limit.
 type LoanArgs struct {
 	From    string // label of the sender
-	Changes int    // how many
+	Changes int    // number of changed keys
 	Modest  bool   // leave part of the loans to controllers that need many changes at once
 }
 
