--- a/internal/controller/clusterview/activejobs.go
+++ b/internal/controller/clusterview/activejobs.go
@@ -17,27 +17,28 @@
 type ActiveJobs struct {
 	freshness
 
-	mu           sync.Mutex // a leaf: see the package's lock order
-	jobs         map[string]ActiveJob
+	mu           sync.Mutex           // a leaf: see the package's lock order
+	jobs         map[string]ActiveJob // by ref
 	dependencies *fragment.Dependencies
-	endWaits         map[string]chan struct{} // by job that somebody waits for; closed when it ends
+	endWaits     map[string]chan struct{} // by the ref of a job whose end is awaited; closed when the job ends
 }
 
-// ActiveJob is what the view retains of an active job.
+// ActiveJob is the part of an active job's record that the view keeps.
 type ActiveJob struct {
-	Version   uint64 // of its record
-	Shard     int
-	Cancelled bool // its cancellation is recorded, its end is not
-	Service   bool
+	Version   uint64 // of the record
+	Shard     int    // the shard to which the job belongs
+	Cancelled bool   // the job's cancellation is recorded, its end is not
+	Service   bool   // the job is a service
 }
 
-// JobChange is a job whose record changed.
+// JobChange describes a job whose record changed.
 type JobChange struct {
 	Ref     string
-	Ended   bool             // its record was deleted
-	Record  record.ActiveJob // unless it ended
-	Version uint64           // of the record, unless it ended
-	// UrgencyChanged are the jobs whose urgency changed, as inherited from their dependents.
+	Ended   bool             // the record was deleted
+	Record  record.ActiveJob // zero if the job ended
+	Version uint64           // of the record; 0 if the job ended
+	// UrgencyChanged are the refs of the jobs whose urgency changed because of this change: an
+	// active job inherits urgency from its dependents.
 	UrgencyChanged []string
 }
 
@@ -46,13 +47,14 @@
 	return &ActiveJobs{
 		jobs:         map[string]ActiveJob{},
 		dependencies: fragment.NewDependencies(),
-		endWaits:         map[string]chan struct{}{},
+		endWaits:     map[string]chan struct{}{},
 	}
 }
 
-// Apply takes a changed or deleted record into the view. It reports false for a
-// change that is older than the record held or is that record: what a controller
-// writes itself comes once more with the watch.
+// Apply applies a changed or deleted record to the view and describes the change.
+// It reports false, and changes nothing, for a record that is not newer than the
+// one held: the watch delivers once more what this controller has written itself.
+// A record that cannot be decoded is a *RecordError and changes nothing.
 func (v *ActiveJobs) Apply(change wire.Change) (JobChange, bool, error) {
 	ref := record.LastElement(change.Put + change.Delete)
 	v.mu.Lock()
@@ -73,8 +75,8 @@
 	return JobChange{Ref: ref, Record: r, Version: change.Version, UrgencyChanged: urgencyChanged}, true, nil
 }
 
-// dependencyJob returns the part of an active job that determines the urgency of the jobs on which it
-// depends.
+// dependencyJob returns the part of an active job's record that determines the urgency of the jobs
+// on which it depends.
 func dependencyJob(r *record.ActiveJob) fragment.Job {
 	job := fragment.Job{
 		Urgency:   fragment.Urgency{Rank: scheduler.Rank(r.Spec.Priority)},
@@ -90,7 +92,7 @@
 	return job
 }
 
-// Remove removes a job and returns the jobs whose urgency changed.
+// Remove removes a job that is no longer active and returns the jobs whose urgency changed.
 func (v *ActiveJobs) Remove(ref string) (urgencyChanged []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -107,11 +109,11 @@
 	return urgencyChanged
 }
 
-// Forget makes the view one that was never listed. The jobs stay until each was removed,
-// since somebody may wait for their ends.
+// Forget resets the view to one whose records were never listed. The jobs stay in it until each is
+// removed, since there may be waiters for their ends.
 func (v *ActiveJobs) Forget() { v.forget() }
 
-// Job returns an active job and whether there is one.
+// Job returns an active job, and whether the view has one by that ref.
 func (v *ActiveJobs) Job(ref string) (ActiveJob, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -119,14 +121,14 @@
 	return j, active
 }
 
-// Jobs returns all active jobs.
+// Jobs returns a copy of all active jobs, by ref.
 func (v *ActiveJobs) Jobs() map[string]ActiveJob {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return maps.Clone(v.jobs)
 }
 
-// OfShard returns the active jobs of a shard.
+// OfShard returns the refs of a shard's active jobs, in no particular order.
 func (v *ActiveJobs) OfShard(id int) []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -150,8 +152,9 @@
 	return versions
 }
 
-// Missing returns the jobs, with their versions, that a list of all active jobs
-// as of a revision lacks, although the view has them from then or earlier.
+// Missing returns the active jobs that are not in a list of all active jobs as of
+// a revision, although the view has them from that revision or earlier. It returns
+// the versions of their records, by ref.
 func (v *ActiveJobs) Missing(listed map[string]bool, revision uint64) map[string]uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -164,8 +167,8 @@
 	return missing
 }
 
-// Ended returns a channel that is closed when a job is not active any more; it
-// is nil if it is not now.
+// Ended returns a channel that is closed once a job is no longer active. It
+// returns nil if the job is not active now.
 func (v *ActiveJobs) Ended(ref string) <-chan struct{} {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -201,8 +204,8 @@
 	return slices.Collect(maps.Keys(v.dependencies.Dependents(ref)))
 }
 
-// EndedDependencies returns the jobs that active jobs depend on directly and
-// that are not active themselves.
+// EndedDependencies returns the refs of the jobs on which active jobs depend
+// directly and which are not active themselves.
 func (v *ActiveJobs) EndedDependencies() []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/controller/clusterview/cluster.go
+++ b/internal/controller/clusterview/cluster.go
@@ -11,17 +11,17 @@
 	"bramblespur/internal/wire"
 )
 
-// Cluster is the view of the records under record.ClusterPrefix: which
-// controllers live, who leads, who owns which shard, and which record formats
-// the controllers handle. Other records of that prefix belong to others.
+// Cluster is the view of the records under record.ClusterPrefix: the live
+// controllers, the leader, the owners of the shards, and the record formats that
+// the controllers handle. It ignores other records under that prefix.
 type Cluster struct {
 	freshness
 
-	mu      sync.Mutex // a leaf: see the package's lock order
-	members map[string]record.Member
-	leader  record.Versioned[record.Leader]
-	shards  map[int]record.Versioned[record.Shard]
-	formats map[string]record.Format
+	mu      sync.Mutex                             // a leaf: see the package's lock order
+	members map[string]record.Member               // by label
+	leader  record.Versioned[record.Leader]        // version 0: there is no leader
+	shards  map[int]record.Versioned[record.Shard] // by the shard's ID
+	formats map[string]record.Format               // by label
 }
 
 // ShardRecord is the record of one shard.
@@ -39,8 +39,8 @@
 	}
 }
 
-// Clear drops all records before those of a list are applied. Formats are never
-// taken back, so those known stay.
+// Clear drops the members, the leader and the shard records, before the records of
+// a list are applied. It keeps the formats: their records are never deleted.
 func (v *Cluster) Clear() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -49,8 +49,8 @@
 	v.leader = record.Versioned[record.Leader]{}
 }
 
-// ForgetShards drops what the state service may have lost: the shards' records,
-// and how recent the view is. It is to be listed anew.
+// ForgetShards drops the shards' records, which the state service may have lost,
+// and resets AsOf and Revision. The records are to be listed again after it.
 func (v *Cluster) ForgetShards() {
 	v.forget()
 	v.mu.Lock()
@@ -58,8 +58,9 @@
 	clear(v.shards)
 }
 
-// Apply takes a changed or deleted record into the view. It returns the shard
-// records that changed by it, for the caller to tell the shards held.
+// Apply applies a changed or deleted record to the view. It returns the shard
+// records that changed, so that the caller can notify the shards that it owns. A
+// record that cannot be decoded is a *RecordError.
 func (v *Cluster) Apply(change wire.Change) ([]ShardRecord, error) {
 	key := change.Put + change.Delete
 	deleted := change.Put == ""
@@ -84,7 +85,8 @@
 		return nil
 	}
 	r, err := decode[record.Leader](change)
-	// The version counts also where the rest cannot be decoded: a campaign replaces that record.
+	// The version is kept even if the record cannot be decoded: a campaign needs it to replace
+	// the record.
 	v.leader = record.Versioned[record.Leader]{Rec: r, Version: change.Version}
 	return err
 }
@@ -102,6 +104,8 @@
 	return nil
 }
 
+// applyFormat applies a controller's format record. It ignores deletions, as these
+// records are never deleted.
 func (v *Cluster) applyFormat(label string, change wire.Change, deleted bool) error {
 	if deleted {
 		return nil
@@ -114,7 +118,8 @@
 	return nil
 }
 
-// applyShard applies a shard's record. Shards are never deleted.
+// applyShard applies a shard's record and returns it if it changed the view. It
+// ignores deletions, as these records are never deleted.
 func (v *Cluster) applyShard(key string, change wire.Change, deleted bool) ([]ShardRecord, error) {
 	id, ok := shardID(key)
 	if !ok || deleted {
@@ -130,14 +135,15 @@
 	return []ShardRecord{{ID: id, Versioned: v.shards[id]}}, nil
 }
 
-// shardID returns the shard that a key under record.ShardPrefix names.
+// shardID returns the ID of the shard in a key under record.ShardPrefix, and
+// whether the key is valid.
 func shardID(key string) (int, bool) {
 	n, err := strconv.Atoi(record.LastElement(key))
 	return n, err == nil && n >= 0
 }
 
-// SetShard records who owns a shard as of a version, for example right after
-// this controller wrote it, and reports false if a newer record is known.
+// SetShard sets a shard's record, for example right after this controller wrote
+// it. It reports false, and changes nothing, if the view has a newer version.
 func (v *Cluster) SetShard(id int, r record.Shard, version uint64) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -152,7 +158,7 @@
 	return true
 }
 
-// Shard returns a shard's record and whether one is known.
+// Shard returns a shard's record, and whether the view has one.
 func (v *Cluster) Shard(id int) (record.Versioned[record.Shard], bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -161,19 +167,20 @@
 }
 
 // ShardVersion returns the version of a shard's record, which is the fencing
-// token of its owner; it is 0 if none is known.
+// token of the shard's owner; 0 if the view has no record.
 func (v *Cluster) ShardVersion(id int) uint64 {
 	r, _ := v.Shard(id)
 	return r.Version
 }
 
-// Owner returns who owns a shard; it is empty if that is not known.
+// Owner returns the label of a shard's owner; empty if the view has no record.
 func (v *Cluster) Owner(id int) string {
 	r, _ := v.Shard(id)
 	return r.Rec.Owner
 }
 
-// Owners returns the owners of all shards that have a record.
+// Owners returns the labels of the owners of all shards that have a record, by the
+// shard's ID.
 func (v *Cluster) Owners() map[int]string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -184,8 +191,8 @@
 	return owners
 }
 
-// Versions returns the versions of the records that are never deleted, which
-// are those of the shards, by key.
+// Versions returns the versions of the shards' records, by key. These records are
+// never deleted.
 func (v *Cluster) Versions() map[string]uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -196,7 +203,8 @@
 	return versions
 }
 
-// Member returns a controller's member record; there is one while it lives.
+// Member returns a controller's member record, and whether there is one: a
+// controller has a member record while it is live.
 func (v *Cluster) Member(label string) (record.Member, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -204,14 +212,14 @@
 	return m, lives
 }
 
-// Members returns the member records of all controllers that live.
+// Members returns a copy of the member records of all live controllers, by label.
 func (v *Cluster) Members() map[string]record.Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return maps.Clone(v.members)
 }
 
-// LiveMembers returns the labels of all controllers that live, in order.
+// LiveMembers returns the labels of all live controllers, sorted.
 func (v *Cluster) LiveMembers() []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -225,7 +233,8 @@
 	return v.leader
 }
 
-// SetLeader records who was elected leader, unless a newer record is known.
+// SetLeader sets the leader's record after an election, unless the view has this
+// version or a newer one.
 func (v *Cluster) SetLeader(r record.Leader, version uint64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -234,7 +243,8 @@
 	}
 }
 
-// Format returns the newest record format that a controller is known to handle.
+// Format returns the newest record format that a controller is recorded to handle;
+// 0 if the view has no record of it.
 func (v *Cluster) Format(label string) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/controller/clusterview/clusterview_test.go
+++ b/internal/controller/clusterview/clusterview_test.go
@@ -13,7 +13,7 @@
 	"bramblespur/internal/wire"
 )
 
-// put is the change that writes a record.
+// put returns the change that writes a record.
 func put(key string, value any, version uint64) wire.Change {
 	return wire.Change{Put: key, Value: record.Encode(value), Version: version}
 }
@@ -28,7 +28,8 @@
 	return changed
 }
 
-// A shard's record never goes back to an older version, whichever way it comes.
+// A shard's record is never replaced by an older version, whether the watch or a write of this
+// controller brings it.
 func TestShardRecordNeverGoesBack(t *testing.T) {
 	v := NewCluster()
 	changed := applyCluster(t, v, put(record.ShardKey(3), record.Shard{Owner: "c-1"}, 7))
@@ -49,7 +50,7 @@
 	}
 }
 
-// A list replaces members, leader and shards, but not the formats: they are never taken back.
+// A list replaces members, leader and shards, but not the formats, whose records are never deleted.
 func TestClearKeepsFormatsOnly(t *testing.T) {
 	v := NewCluster()
 	applyCluster(t, v, put(record.MemberPrefix+"c-1", record.Member{Incarnation: 2}, 1))
@@ -61,14 +62,14 @@
 	}
 	v.Clear()
 	if _, known := v.Shard(0); known || len(v.LiveMembers()) != 0 || v.Leader().Version != 0 {
-		t.Error("members, leader or shards are left")
+		t.Error("Clear left members, the leader or shards")
 	}
 	if v.Format("c-1") != record.SizedRanges {
-		t.Error("a format was forgotten")
+		t.Error("Clear dropped a format")
 	}
 }
 
-// An election is recorded unless a later one is known.
+// SetLeader does not replace the record of a later election.
 func TestLeaderIsTheLatestElected(t *testing.T) {
 	v := NewCluster()
 	v.SetLeader(record.Leader{Label: "c-1"}, 5)
@@ -82,7 +83,7 @@
 	}
 }
 
-// A record that can't be read is reported and changes nothing.
+// A record that cannot be decoded is reported as a RecordError and changes nothing.
 func TestUnreadableRecordsChangeNothing(t *testing.T) {
 	v := NewCluster()
 	applyCluster(t, v, put(record.ShardKey(0), record.Shard{Owner: "c-1"}, 1))
@@ -94,7 +95,7 @@
 		}
 	}
 	if m, _ := v.Member("c-1"); m.Incarnation != 2 || v.Owner(0) != "c-1" || v.Format("c-1") != 0 {
-		t.Error("an unreadable record changed the view")
+		t.Error("a record that cannot be decoded changed the view")
 	}
 	jobs := NewActiveJobs()
 	if _, applied, err := jobs.Apply(put(record.ActiveJobKey("run-000001"), "text", 2)); applied || err == nil {
@@ -102,12 +103,13 @@
 	}
 }
 
+// newProvision returns the record that provisioned machines, for shard 0.
 func newProvision(ids ...string) record.Provision {
 	return record.Provision{Type: "big", Zone: "z", Shards: make([]int, len(ids)), IDs: ids}
 }
 
-// Only the end of the record that provisioned a machine proves it gone: its other records may
-// come first, or go.
+// Only the deletion of the record that provisioned a machine proves that the machine is gone. Its
+// other records may arrive before that record, or be deleted before it.
 func TestMachineIsReleasedOnlyWithItsProvision(t *testing.T) {
 	v := NewMachines()
 	apply := func(changes ...wire.Change) map[string]MachineChange {
@@ -137,7 +139,7 @@
 	}
 }
 
-// Changes that come together are applied before any machine is looked at.
+// Changes that come together are all applied before any machine is looked up.
 func TestChangesOfMachinesAreAppliedTogether(t *testing.T) {
 	v := NewMachines()
 	changed, errs := v.Apply([]wire.Change{
@@ -150,7 +152,7 @@
 	}
 }
 
-// What a list lacks is missing unless it was written after it.
+// A record that a list lacks is missing, unless it was written after the list's revision.
 func TestMissingRecords(t *testing.T) {
 	machines := NewMachines()
 	machines.Apply([]wire.Change{put(record.ProvisionKey("p"), newProvision("a"), 3), put(record.ProvisionKey("q"), newProvision("b"), 6)})
@@ -158,7 +160,7 @@
 		t.Errorf("machines: %v", got)
 	}
 	if got := machines.Missing(map[string]bool{record.ProvisionKey("p"): true}, 5); len(got) != 0 {
-		t.Errorf("machines: %v although it is listed", got)
+		t.Errorf("machines: %v is missing although it is listed", got)
 	}
 	jobs := NewActiveJobs()
 	applyJob(t, jobs, "run-000001", record.ActiveJob{}, 3)
@@ -177,7 +179,8 @@
 	return change
 }
 
-// What a controller wrote itself, or is older, is passed over when the watch brings it.
+// A record that the view has already, as this controller wrote it itself, or an older one is ignored
+// when the watch delivers it.
 func TestKnownJobRecordsAreIgnored(t *testing.T) {
 	v := NewActiveJobs()
 	applyJob(t, v, "run-000001", record.ActiveJob{Shard: 2, Cancelled: true}, 5)
@@ -197,17 +200,17 @@
 	}
 }
 
-// Who waits for a job's end is woken by it, and needs not wait for one that is not active.
-func x(t *testing.T) {
+// The end of a job wakes all waiters. There is no channel to wait on for a job that is not active.
+func TestEndOfJobWakesAllWaiters(t *testing.T) {
 	v := NewActiveJobs()
 	if v.Ended("run-000001") != nil {
-		t.Error("waits for a job that is not active")
+		t.Error("got a channel for a job that is not active, want nil")
 	}
 	applyJob(t, v, "run-000001", record.ActiveJob{}, 1)
 	first, second := v.Ended("run-000001"), v.Ended("run-000001")
 	select {
 	case <-first:
-		t.Fatal("woken before the end")
+		t.Fatal("woken before the job's end")
 	default:
 	}
 	if change, applied, err := v.Apply(wire.Change{Delete: record.ActiveJobKey("run-000001"), Version: 2}); !applied || !change.Ended || err != nil {
@@ -217,8 +220,8 @@
 	<-second
 }
 
-// Jobs that active ones depend on are known while these are active; a dependent's priority is
-// inherited, until it ends or is cancelled.
+// The view has the dependencies of active jobs while these are active. A job inherits the priority
+// of a dependent until the dependent ends or is cancelled.
 func TestDependenciesOfActiveJobs(t *testing.T) {
 	v := NewActiveJobs()
 	spec := func(priority string, on ...string) record.ActiveJob {
@@ -248,7 +251,7 @@
 	}
 }
 
-// A view that is forgotten counts as one that was never listed.
+// A view that was forgotten is not loaded and has no revision, as if it had never been listed.
 func TestForgottenViewIsNotLoaded(t *testing.T) {
 	cluster, machines, jobs := NewCluster(), NewMachines(), NewActiveJobs()
 	for name, v := range map[string]struct {
@@ -270,7 +273,7 @@
 	}
 }
 
-// Each shard has the machines that their records name for it.
+// Each shard has the machines whose records name it as their shard.
 func TestMachinesOfAShard(t *testing.T) {
 	v := NewMachines()
 	v.Apply([]wire.Change{
@@ -284,7 +287,8 @@
 	}
 }
 
-// The counts by zone are what a look at all machines gives, after whatever change.
+// After any change the counts by zone, which are kept up to date incrementally, equal those of a pass
+// over all machines.
 func TestInUseByZone(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 7))
 	machines := NewMachines()
@@ -319,6 +323,6 @@
 	}
 	machines.Forget()
 	if got := machines.InUseByZone(); len(got) != 0 {
-		t.Errorf("forgotten, and yet %v", got)
+		t.Errorf("counts %v after Forget, want none", got)
 	}
 }
--- a/internal/controller/clusterview/freshness.go
+++ b/internal/controller/clusterview/freshness.go
@@ -5,32 +5,34 @@
 	"time"
 )
 
-// freshness tells how recent a view is. It is embedded in each view.
+// freshness records how recent a view is. It is embedded in each view. Its lock is
+// a leaf of its own.
 type freshness struct {
 	mu       sync.Mutex
-	asOf     time.Time
-	revision uint64
+	asOf     time.Time // see AsOf
+	revision uint64    // see Revision
 }
 
-// AsOf returns a time since which the view has been true or at which it became
-// so; it is zero before the records were first listed.
+// AsOf returns a time such that the view includes all changes made before it. It
+// is zero until the records are first listed.
 func (f *freshness) AsOf() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.asOf
 }
 
-// Loaded reports whether the records were listed at all.
+// Loaded reports whether the records have been listed.
 func (f *freshness) Loaded() bool { return !f.AsOf().IsZero() }
 
-// SetAsOf records that the view was true at a time or later.
+// SetAsOf records that the view includes all changes made before a time.
 func (f *freshness) SetAsOf(at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.asOf = at
 }
 
-// Revision returns the revision of the state service that the view has reached.
+// Revision returns the revision of the state service that the view has reached: it
+// includes all changes up to it. It is 0 until the records are first listed.
 func (f *freshness) Revision() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -44,7 +46,7 @@
 	f.revision = revision
 }
 
-// forget makes the view one that was never listed.
+// forget resets the view to one whose records were never listed.
 func (f *freshness) forget() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/controller/clusterview/machines.go
+++ b/internal/controller/clusterview/machines.go
@@ -9,29 +9,32 @@
 	"bramblespur/internal/wire"
 )
 
-// Machines is the view of the records under record.FleetPrefix: all machines
-// that were provisioned and are not cleared away yet.
+// Machines is the view of the records under record.FleetPrefix: all machines that
+// were provisioned and whose records have not been deleted yet.
 type Machines struct {
 	freshness
 
-	mu    sync.Mutex // a leaf: see the package's lock order
-	fleet *record.Fleet
-	inUseByZone *zoneCounts // nil until somebody asks for them
+	mu          sync.Mutex // a leaf: see the package's lock order
+	fleet       *record.Fleet
+	inUseByZone *zoneCounts // nil until the first call of InUseByZone
 }
 
-// zoneCounts counts the machines in service by zone, machine by machine as their records change.
+// zoneCounts counts the machines in use by zone. It is updated whenever a machine's records change,
+// so that a count does not need a pass over all machines.
 type zoneCounts struct {
-	zoneOf map[string]string // of the machines that are counted
-	counts map[string]int
+	zoneOf map[string]string // zones of the counted machines, by machine ID
+	counts map[string]int    // by zone
 }
 
+// newZoneCounts counts the machines of a fleet.
 func newZoneCounts(machines *record.Fleet) *zoneCounts {
 	z := &zoneCounts{map[string]string{}, map[string]int{}}
 	machines.ForEach(func(id string, v record.MachineView) { z.update(id, v, true) })
 	return z
 }
 
-// update takes in a machine as its records tell it, if they are known.
+// update counts a machine according to its new view, in place of its last one. If the machine is no
+// longer known, update only removes it from the counts.
 func (z *zoneCounts) update(id string, v record.MachineView, known bool) {
 	if zone, counted := z.zoneOf[id]; counted {
 		delete(z.zoneOf, id)
@@ -45,21 +48,23 @@
 	}
 }
 
-// MachineChange is a machine of which some record changed.
+// MachineChange describes a machine after at least one of its records changed.
 type MachineChange struct {
 	ID string
-	// View is the machine as its records tell it, if Known.
+	// View is what the records say about the machine; zero unless Known.
 	View  record.MachineView
-	Known bool
+	Known bool // the view has the record that provisioned the machine
 	// Released says that the record that provisioned the machine was deleted. Only
-	// that proves a machine gone: that no such record is known here proves nothing.
+	// this proves that the machine is gone: a view without such a record may just
+	// not have received it yet.
 	Released bool
 }
 
 // NewMachines returns a view without records.
 func NewMachines() *Machines { return &Machines{fleet: record.NewFleet()} }
 
-// Forget drops all records. The view is to be listed anew.
+// Forget drops all records and resets AsOf and Revision. The records are to be
+// listed again after it.
 func (v *Machines) Forget() {
 	v.forget()
 	v.mu.Lock()
@@ -67,14 +72,15 @@
 	v.fleet, v.inUseByZone = record.NewFleet(), nil
 }
 
-// Apply takes changed and deleted records into the view, all of them before it
-// looks at a machine: the first of a machine's records without the others would
-// tell that there is no such machine. It returns the machines concerned, and the
-// errors of records that can't be read, which are passed over.
+// Apply applies changed and deleted records to the view and returns the machines
+// that they concern. It applies all records before it looks up any machine, since
+// the first of a machine's records without the others would look as if there were
+// no such machine. It skips records that cannot be decoded and returns their
+// errors.
 func (v *Machines) Apply(changes []wire.Change) ([]MachineChange, []error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	released := map[string]bool{} // by the machine that changed
+	released := map[string]bool{} // by the ID of a changed machine: its provision record was deleted
 	var errs []error
 	for _, change := range changes {
 		ids, err := v.fleet.Apply(change)
@@ -98,20 +104,21 @@
 	return changed, errs
 }
 
-// Machine returns a machine; there is none without a record that provisioned it.
+// Machine returns what the records say about a machine, and whether the view has
+// the record that provisioned it.
 func (v *Machines) Machine(id string) (record.MachineView, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet.Machine(id)
 }
 
-// Machine is a machine with its ID.
+// Machine is a machine's ID and what its records say about it.
 type Machine struct {
 	ID   string
 	View record.MachineView
 }
 
-// OfShard returns the machines of a shard.
+// OfShard returns the machines of a shard, in no particular order.
 func (v *Machines) OfShard(id int) []Machine {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -132,7 +139,8 @@
 	v.fleet.ForEach(fn)
 }
 
-// InUseByZone counts the machines that are in service by their records, whether they are up or not.
+// InUseByZone returns the number of machines in each zone that are in use according to their
+// records, whether they are up or not.
 func (v *Machines) InUseByZone() map[string]int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -142,7 +150,8 @@
 	return maps.Clone(v.inUseByZone.counts)
 }
 
-// Len returns the number of machines, those gone but not yet cleared away included.
+// Len returns the number of machines, including those released whose records are
+// not deleted yet.
 func (v *Machines) Len() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -156,8 +165,9 @@
 	return v.fleet.Versions()
 }
 
-// Missing returns the keys of records, with their versions, that a list of all
-// records as of a revision lacks, although the view has them from then or earlier.
+// Missing returns the records that are not in a list of all records as of a
+// revision, although the view has them from that revision or earlier. It returns
+// their versions, by key.
 func (v *Machines) Missing(listed map[string]bool, revision uint64) map[string]uint64 {
 	missing := map[string]uint64{}
 	for key, version := range v.Versions() {
@@ -168,28 +178,29 @@
 	return missing
 }
 
-// Entries returns all records.
+// Entries returns all records of the view, in no particular order.
 func (v *Machines) Entries() []wire.Entry {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet.Entries()
 }
 
-// MachineIDs returns the machines that a provision record, by its key, brought.
+// MachineIDs returns the IDs of the machines of the provision record with a key.
 func (v *Machines) MachineIDs(provisionKey string) []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet.MachineIDs(provisionKey)
 }
 
-// Provision returns a provision record by its name.
+// Provision returns the provision record with a name, and whether there is one.
 func (v *Machines) Provision(name string) (record.Provision, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet.Provision(name)
 }
 
-// ProvisionsWithoutAddresses returns the provision records that lack their machines' addresses, by name.
+// ProvisionsWithoutAddresses returns the provision records that have machines but not their addresses
+// yet, by name.
 func (v *Machines) ProvisionsWithoutAddresses() map[string]record.Versioned[record.Provision] {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -210,8 +221,8 @@
 	return v.fleet.PendingReleases()
 }
 
-// CleanupTxn proposes a transaction of at most so many operations that deletes records of
-// machines that are gone. It reports false if there are none.
+// CleanupTxn returns a transaction of at most maxOps operations that deletes records of machines
+// that were released. It reports false if there are none to delete.
 func (v *Machines) CleanupTxn(maxOps int) (wire.Txn, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/controller/clusterview/views.go
+++ b/internal/controller/clusterview/views.go
@@ -6,12 +6,16 @@
 	"bramblespur/internal/record"
 )
 
-// View is what all views of records have in common.
+// View is implemented by all views of records.
 type View interface {
+	// SetAsOf records that the view includes all changes made before a time.
 	SetAsOf(at time.Time)
+	// Revision returns the revision of the state service that the view has reached.
 	Revision() uint64
+	// SetRevision records the revision that the view has reached.
 	SetRevision(revision uint64)
-	// Versions returns the versions of the records that it holds, by key.
+	// Versions returns the versions of the view's records that an audit compares with the
+	// state service, by key.
 	Versions() map[string]uint64
 }
 
@@ -22,7 +26,7 @@
 	ActiveJobs *ActiveJobs
 }
 
-// Of returns the view of the records with a prefix.
+// Of returns the view of the records under one of the watched prefixes.
 func (v *Views) Of(prefix string) View {
 	switch prefix {
 	case record.FleetPrefix:
--- a/internal/controller/clusterview/watch.go
+++ b/internal/controller/clusterview/watch.go
@@ -12,39 +12,39 @@
 )
 
 const (
-	// batchDelay is how long a watch waits after changes, so that those close
+	// batchDelay is how long a watch waits after it received changes, so that changes close
 	// together share one response.
 	batchDelay = 300 * time.Millisecond
-	// retryDelay is about how long a watch waits after a failed request.
+	// retryDelay is about how long a watch waits before it repeats a failed request.
 	retryDelay = 400 * time.Millisecond
 )
 
-// Handler applies what a watch learns to a view. Its methods are called one at a
-// time, without a lock held.
+// Handler applies the records and changes that a watch receives to a view. Its
+// methods are called one at a time, without a lock held.
 type Handler interface {
-	// Reset applies all records as of a revision, listed at some time.
+	// Reset applies a list of all records as of a revision, which was requested at a time.
 	Reset(entries []wire.Entry, revision uint64, at time.Time)
-	// Apply applies one change, of a request made at some time.
+	// Apply applies one change from the reply to a request that was sent at a time.
 	Apply(change wire.Change, at time.Time)
 	// SetAsOf records that the view includes all changes made before a time.
 	SetAsOf(at time.Time)
-	// SetRevision records the revision that the view has reached, unless the
-	// generation has changed.
+	// SetRevision records the revision that the view has reached, unless the generation is no
+	// longer the one given.
 	SetRevision(revision uint64, generation int)
-	// Generation changes when all records are to be listed anew.
+	// Generation returns a number that changes when all records are to be listed again.
 	Generation() int
 }
 
-// Watch keeps the view of the records with a prefix up to date.
+// Watch keeps the view of the records under a prefix up to date.
 type Watch struct {
 	Store   statestore.Store
-	Prefix  string
-	Wait    time.Duration // how long the state service may hold a request for changes
+	Prefix  string        // of the keys
+	Wait    time.Duration // how long the state service may hold a request until there are changes
 	Handler Handler
 }
 
-// Run lists the records and follows their changes until the context ends. When
-// changes were missed, or the handler's generation changes, it lists them anew.
+// Run lists the records and follows their changes until the context ends. It lists
+// the records again if it missed changes or the handler's generation changes.
 func (w *Watch) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		at := time.Now()
@@ -60,13 +60,14 @@
 	}
 }
 
-// follow applies changes since a revision until the records are to be listed anew.
+// follow applies the changes since a revision until the records are to be listed
+// again or the context ends.
 func (w *Watch) follow(ctx context.Context, revision uint64, generation int) {
 	for ctx.Err() == nil && w.Handler.Generation() == generation {
 		at := time.Now()
 		changes, err := w.Store.Watch(ctx, w.Prefix, revision, w.Wait)
 		if errors.Is(err, statestore.ErrTooOld) || errors.Is(err, httpwire.ErrTooLarge) {
-			return // a list is smaller than all that happened since
+			return // the list is smaller than all changes since the revision
 		}
 		if err != nil {
 			retry.Sleep(ctx, retry.Jitter(retryDelay))
--- a/internal/controller/clusterview/watch_test.go
+++ b/internal/controller/clusterview/watch_test.go
@@ -15,11 +15,11 @@
 	"bramblespur/internal/wire"
 )
 
-// scriptedStore answers requests for changes with errors first, and then with changes, after
-// the time that it may hold a request if there are none.
+// scriptedStore answers the first requests for changes with errors, and later ones with changes. If
+// there are no changes, it holds the request for the time that it may.
 type scriptedStore struct {
 	*testkit.State
-	errs []error
+	errs []error // one for each of the first requests
 }
 
 func (s *scriptedStore) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (wire.Changes, error) {
@@ -35,24 +35,24 @@
 	return changes, err
 }
 
-// recordingHandler is a handler that records what it is told.
+// recordingHandler is a Handler that records its calls.
 type recordingHandler struct {
 	generation atomic.Int64
-	resets     []int // numbers of records listed
-	changes    int
-	current    time.Time
-	revision   uint64
+	resets     []int     // by call of Reset: the number of records listed
+	changes    int       // number of calls of Apply
+	asOf       time.Time // argument of the last SetAsOf
+	revision   uint64    // argument of the last SetRevision
 }
 
 func (r *recordingHandler) Reset(entries []wire.Entry, _ uint64, _ time.Time) {
 	r.resets = append(r.resets, len(entries))
 }
 func (r *recordingHandler) Apply(wire.Change, time.Time)       { r.changes++ }
-func (r *recordingHandler) SetAsOf(at time.Time)               { r.current = at }
+func (r *recordingHandler) SetAsOf(at time.Time)               { r.asOf = at }
 func (r *recordingHandler) SetRevision(revision uint64, _ int) { r.revision = revision }
 func (r *recordingHandler) Generation() int                    { return int(r.generation.Load()) }
 
-// watchFor runs a watch of members for some time, with something done in the middle of it.
+// watchFor runs a watch of the member records for 20 s and calls meanwhile in the middle of them.
 func watchFor(t *testing.T, store *scriptedStore, r *recordingHandler, meanwhile func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -70,7 +70,7 @@
 	<-ended
 }
 
-// A watch lists the records once, and then follows their changes.
+// A watch lists the records once and then follows their changes.
 func TestWatchFollowsChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, r := &scriptedStore{State: testkit.NewState()}, &recordingHandler{}
@@ -80,21 +80,21 @@
 		if len(r.resets) != 1 || r.resets[0] != 1 || r.changes != 1 {
 			t.Errorf("lists %v, %d changes", r.resets, r.changes)
 		}
-		if r.revision < last.Version || r.current.IsZero() {
-			t.Errorf("reached %d of %d, current at %v", r.revision, last.Version, r.current)
+		if r.revision < last.Version || r.asOf.IsZero() {
+			t.Errorf("reached revision %d, want at least %d; as of %v, want a time", r.revision, last.Version, r.asOf)
 		}
 	})
 }
 
-// Changes that the state service has forgotten make a watch list the records anew; a request
-// that fails does not.
-func TestWatchListsAnewOnlyAfterMissedChanges(t *testing.T) {
+// A watch lists the records again if the state service no longer has the changes since its revision,
+// but not after a request that merely failed.
+func TestWatchListsAgainOnlyAfterMissedChanges(t *testing.T) {
 	for name, test := range map[string]struct {
 		err   error
 		lists int
 	}{
-		"changes forgotten": {statestore.ErrTooOld, 2},
-		"request failed":    {errors.New("no answer"), 1},
+		"revision too old": {statestore.ErrTooOld, 2},
+		"request failed":   {errors.New("no answer"), 1},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			store, r := &scriptedStore{State: testkit.NewState(), errs: []error{test.err}}, &recordingHandler{}
@@ -106,8 +106,8 @@
 	}
 }
 
-// A new generation makes a watch list the records anew.
-func TestWatchListsAnewForANewGeneration(t *testing.T) {
+// A watch lists the records again when the handler's generation changes.
+func TestWatchListsAgainForNewGeneration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, r := &scriptedStore{State: testkit.NewState()}, &recordingHandler{}
 		watchFor(t, store, r, func() { r.generation.Add(1) })
