--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -40,10 +40,12 @@
 
 // Item is the outcome for one record, with its evidence.
 type Item struct {
-	Key     string     `json:"key"`
-	Outcome Outcome    `json:"verdict"`
-	From    Source     `json:"from,omitempty"`    // of the evidence that the outcome follows from
-	Why     string     `json:"why,omitempty"`     // the reason, for operators
+	Key     string  `json:"key"`
+	Outcome Outcome `json:"verdict"`
+	From    Source  `json:"from,omitempty"` // of the evidence that the outcome follows from
+	// Why is the reason, for operators. Its texts are stored in plan files and enter [Plan.Digest], so
+	// that they may not be reworded.
+	Why     string     `json:"why,omitempty"`
 	Choices []Decision `json:"choices,omitempty"` // that an operator has, if undecided
 	// Put is the value to write, nil if none is written. Delete is set if the record is to be deleted.
 	// Version is that of the store's record when the plan was made, 0 if there was none.
@@ -150,7 +152,7 @@
 func (p *planner) planNewest(key string) {
 	e, from, _ := p.newest(key)
 	if !json.Valid(e.Value) {
-		p.item(key, Lost, from, "its value is not JSON")
+		p.item(key, Lost, from, "its value makes no sense")
 		return
 	}
 	p.restore(key, e.Value, from, describeVersion(e))
--- a/internal/recovery/plan_jobs.go
+++ b/internal/recovery/plan_jobs.go
@@ -32,7 +32,7 @@
 		states = append(states, job.State)
 	}
 	if len(states) == 0 {
-		p.item(key, Lost, "", "no source has a value that can be decoded")
+		p.item(key, Lost, "", "no source has a value that makes sense")
 		return
 	}
 	for _, s := range states {
@@ -55,7 +55,7 @@
 	ref := record.LastElement(key)
 	_, stored := p.Store[key]
 	if p.hasFinished(ref) {
-		item := p.item(key, Finished, p.items[record.FinishedJobKey(ref)].From, "its terminal state is known")
+		item := p.item(key, Finished, p.items[record.FinishedJobKey(ref)].From, "its final state is known")
 		item.Delete = stored
 		return
 	}
@@ -65,7 +65,7 @@
 	entry, from, _ := p.newest(key)
 	var job record.ActiveJob
 	if err := json.Unmarshal(entry.Value, &job); err != nil || job.Spec.Ref != ref {
-		p.undecided(key, ref, "its record is malformed", DecideDone, DecideCancelled)
+		p.undecided(key, ref, "its record makes no sense", DecideDone, DecideCancelled)
 		return
 	}
 	if why, ok := p.mayHaveEnded(key, ref, from, entry.Version); ok && !p.runsOnWorker(ref) {
--- a/internal/recovery/plan_machines.go
+++ b/internal/recovery/plan_machines.go
@@ -21,7 +21,7 @@
 	}
 	ids, err := machinesOf(entry)
 	if err != nil {
-		p.item(key, Lost, from, "its value cannot be decoded")
+		p.item(key, Lost, from, "its value makes no sense")
 		return
 	}
 	for _, id := range ids {
@@ -75,7 +75,7 @@
 			continue
 		}
 		provision := record.Provision{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot, Shards: []int{p.shardFor(&heartbeat)}, IDs: []string{id}, Addrs: []string{heartbeat.Addr}, CreatedAt: p.Mode.Since}
-		item := p.item(record.ProvisionKey("recovered-"+id), Recovered, FromHeartbeat, "its worker sends heartbeats and the cloud lists it")
+		item := p.item(record.ProvisionKey("recovered-"+id), Recovered, FromHeartbeat, "its worker and the cloud tell it")
 		item.Put = record.Encode(provision)
 	}
 }
--- a/internal/recovery/plan_placements.go
+++ b/internal/recovery/plan_placements.go
@@ -66,7 +66,7 @@
 	}
 	item.Put = record.Encode(placements)
 	if item.Outcome == Intact {
-		item.Outcome, item.Why = Recovered, "as stored, with attempts above all that may have been used"
+		item.Outcome, item.Why = Recovered, "as stored, with attempts above all that were used"
 	}
 }
 
@@ -195,7 +195,7 @@
 	if w.ranges == nil {
 		return
 	}
-	item := w.p.item(record.PlacementsKey(w.shard, w.next), Recovered, FromHeartbeat, fmt.Sprintf("%d ranges that were not recorded", len(w.ranges)))
+	item := w.p.item(record.PlacementsKey(w.shard, w.next), Recovered, FromHeartbeat, fmt.Sprintf("%d ranges that no record had", len(w.ranges)))
 	item.Put = record.Encode(record.Placements{Format: record.SizedRanges, Ranges: w.ranges})
 	w.next, w.ranges = w.next+1, nil
 }
