--- a/internal/controller/drainer/records.go
+++ b/internal/controller/drainer/records.go
@@ -25,8 +25,8 @@
 	d.commit(ctx, wire.Txn{Then: []wire.Op{{Put: drain.ParticipantKey(d.cfg.Label), Value: value}}})
 }
 
-// Retract deletes the record by which this controller takes part in drains, if drains are off but were
-// on before.
+// Retract deletes the record by which this controller takes part in drains, if drains are off and the
+// record was written while they were on.
 func (d *Drainer) Retract(ctx context.Context) {
 	d.host.Lock()
 	_, announced := d.view.Participant(d.cfg.Label)
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -121,7 +121,7 @@
 	}
 	switch {
 	case len(s.Machines) > 0 && filters > 0:
-		return invalid("machines are named, so type, zone and age can't select them as well")
+		return invalid("machines are named, so type, zone and age cannot select them as well")
 	case len(s.Machines) == 0 && filters == 0:
 		return invalid("no machine is selected")
 	case s.RentedBefore < 0:
--- a/internal/drain/selection.go
+++ b/internal/drain/selection.go
@@ -14,24 +14,24 @@
 // is then improved by exchanges. Finding the machines that hit the fewest units is hard to solve
 // exactly; docs/design-drains.md compares this choice with the best one.
 func Choose(machines []*Machine, limit int, room func(zone string) int) []string {
-	c := newSelection(machines, room)
+	s := newSelection(machines, room)
 	var chosen []int
 	for len(chosen) < limit {
-		group := c.cheapest(limit - len(chosen))
+		group := s.cheapest(limit - len(chosen))
 		if len(group) == 0 {
 			break
 		}
 		for _, i := range group {
 			chosen = append(chosen, i)
-			c.take(i)
+			s.take(i)
 		}
 	}
-	c.improveByExchange(chosen)
-	var names []string
+	s.improveByExchange(chosen)
+	var ids []string
 	for _, i := range chosen {
-		names = append(names, c.machines[i].ID)
+		ids = append(ids, s.machines[i].ID)
 	}
-	return names
+	return ids
 }
 
 // selection is the state of a choice of machines. Machines are identified by their index in machines.
@@ -48,26 +48,27 @@
 // again and its image fetched again.
 const taskRestartCost = 10 * time.Second
 
+// newSelection returns a selection without chosen machines.
 func newSelection(machines []*Machine, room func(zone string) int) *selection {
-	c := &selection{machines: slices.Clone(machines), room: room, roomByZone: map[string]int{}, unitsHit: map[UnitID]bool{}}
-	slices.SortFunc(c.machines, func(a, b *Machine) int { return cmp.Compare(a.ID, b.ID) })
-	c.taken = make([]bool, len(c.machines))
-	at := map[UnitID]int{}
-	for i, m := range c.machines {
+	s := &selection{machines: slices.Clone(machines), room: room, roomByZone: map[string]int{}, unitsHit: map[UnitID]bool{}}
+	slices.SortFunc(s.machines, func(a, b *Machine) int { return cmp.Compare(a.ID, b.ID) })
+	s.taken = make([]bool, len(s.machines))
+	gangIndex := map[UnitID]int{}
+	for i, m := range s.machines {
 		for _, u := range m.Units {
 			if u.Task != WholeGang {
 				continue
 			}
-			n, ok := at[u.UnitID]
+			n, ok := gangIndex[u.UnitID]
 			if !ok {
-				n = len(c.gangs)
-				at[u.UnitID] = n
-				c.gangs = append(c.gangs, nil)
+				n = len(s.gangs)
+				gangIndex[u.UnitID] = n
+				s.gangs = append(s.gangs, nil)
 			}
-			c.gangs[n] = append(c.gangs[n], i)
+			s.gangs[n] = append(s.gangs[n], i)
 		}
 	}
-	return c
+	return s
 }
 
 // cost returns the cost of interrupting a unit.
@@ -102,13 +103,13 @@
 // may not all be drained together.
 func (s *selection) group(gang []int, limit int) []int {
 	var group []int
-	zones := map[string]int{}
+	byZone := map[string]int{}
 	for _, i := range gang {
 		if s.taken[i] {
 			continue
 		}
 		zone := s.machines[i].Zone
-		if zones[zone]++; !s.eligible(i) || zones[zone] > s.roomByZone[zone] {
+		if byZone[zone]++; !s.eligible(i) || byZone[zone] > s.roomByZone[zone] {
 			return nil
 		}
 		group = append(group, i)
--- a/internal/drain/steps.go
+++ b/internal/drain/steps.go
@@ -87,14 +87,14 @@
 // PlanSteps decides a shard's next steps. It adds the evictions that it grants to the ledgers.
 func PlanSteps(in *Input, ledgers *Ledgers) Steps {
 	var s Steps
-	in.evictions(ledgers, &s)
-	in.cordon(&s)
+	in.planEvictions(ledgers, &s)
+	in.planCordons(&s)
 	return s
 }
 
-// drainFor returns the plan that a machine is cordoned for, and its cordon. The plan is nil if the
+// planFor returns the plan that a machine is cordoned for, and its cordon. The plan is nil if the
 // machine is not cordoned or the plan has no record.
-func (in *Input) drainFor(m *Machine) (*Plan, Cordon) {
+func (in *Input) planFor(m *Machine) (*Plan, Cordon) {
 	c, ok := in.View.Cordons().Rec.Machines[m.ID]
 	if !ok {
 		return nil, c
@@ -113,12 +113,12 @@
 	plan    *Plan
 }
 
-// evictions grants or holds each unit on the cordoned machines.
-func (in *Input) evictions(ledgers *Ledgers, s *Steps) {
+// planEvictions grants or holds each unit on the cordoned machines.
+func (in *Input) planEvictions(ledgers *Ledgers, s *Steps) {
 	var candidates []candidate
 	seen := map[UnitID]bool{}
 	for _, m := range in.Machines {
-		plan, cordon := in.drainFor(m)
+		plan, cordon := in.planFor(m)
 		if plan == nil {
 			continue
 		}
@@ -246,8 +246,8 @@
 // That delays no drain: turns are a second apart, and a drain takes minutes.
 const maxCordonsPerTurn = 16
 
-// cordon chooses the machines to cordon next, for the oldest drain that may cordon more.
-func (in *Input) cordon(s *Steps) {
+// planCordons chooses the machines to cordon next, for the oldest drain that may cordon more.
+func (in *Input) planCordons(s *Steps) {
 	cordons := in.View.Cordons().Rec.Machines
 	byDrain, byZone := map[string]int{}, map[string]int{}
 	for _, c := range cordons {
