--- a/internal/controller/election/election.go
+++ b/internal/controller/election/election.go
@@ -60,7 +60,7 @@
 func (e *Election) IsLeader(now time.Time) bool {
 	lease := e.lease.Current()
 	leader := e.view.Leader().Rec
-	return leader.Label == e.label && leader.Incarnation == lease.Incarnation && lease.Incarnation != 0 && lease.Certain(now)
+	return leader.Label == e.label && leader.Incarnation == lease.Incarnation && lease.Incarnation != 0 && lease.CertainlyValid(now)
 }
 
 // MayCampaign reports whether this process may campaign, and returns the record that it would
@@ -69,7 +69,7 @@
 func (e *Election) MayCampaign(now time.Time) (incumbent record.Versioned[record.Leader], may bool) {
 	incumbent = e.view.Leader()
 	vacant := incumbent.Version == 0 || incumbent.Rec.Label == e.label
-	may = vacant && e.view.Loaded() && e.lease.Current().Certain(now) && !e.abstains(now)
+	may = vacant && e.view.Loaded() && e.lease.Current().CertainlyValid(now) && !e.abstains(now)
 	return incumbent, may
 }
 
--- a/internal/controller/leader/load.go
+++ b/internal/controller/leader/load.go
@@ -9,7 +9,7 @@
 )
 
 // loadValidFor is how long a controller's report of its load is valid.
-const loadValidFor = membership.PeerFreshFor
+const loadValidFor = membership.PeerContactValidFor
 
 // Load is a controller's report of its own load.
 type Load struct {
--- a/internal/controller/member_strained_test.go
+++ b/internal/controller/member_strained_test.go
@@ -74,7 +74,7 @@
 		for range 60 {
 			time.Sleep(time.Second)
 			c.mu.Lock()
-			if now := c.lease.Current(); !now.Certain(time.Now()) || now.ID != lease {
+			if now := c.lease.Current(); !now.CertainlyValid(time.Now()) || now.ID != lease {
 				t.Errorf("lease %d of %d, renewed %v ago", now.ID, lease, time.Since(now.RenewedAt))
 			}
 			c.mu.Unlock()
--- a/internal/controller/membership/formats.go
+++ b/internal/controller/membership/formats.go
@@ -58,7 +58,7 @@
 func (m *Member) RecordPeerFormats(ctx context.Context, peers map[string]peer.Caller) {
 	for label, caller := range peers {
 		view := m.process.FormatView(label)
-		if view.Known() || !view.Loaded || !m.lease.Current().Certain(time.Now()) {
+		if view.Known() || !view.Loaded || !m.lease.Current().CertainlyValid(time.Now()) {
 			continue
 		}
 		go func() {
--- a/internal/controller/membership/lease.go
+++ b/internal/controller/membership/lease.go
@@ -17,15 +17,15 @@
 	// LeaseTTL is how long a lease outlives its last renewal: another controller may
 	// acquire the shards of a dead one after it.
 	LeaseTTL = 4 * time.Second
-	// leaseCertain is how long after a renewal's request the lease certainly stands,
+	// certainlyValidFor is how long after a renewal's request the lease certainly stands,
 	// whatever the clocks' drift.
-	leaseCertain = LeaseTTL * 9 / 10
-	// leaseOverdue is how long after a renewal the state service may be out of reach:
+	certainlyValidFor = LeaseTTL * 9 / 10
+	// overdueAfter is how long after a renewal the state service may be out of reach:
 	// renewals come each RenewInterval.
-	leaseOverdue = LeaseTTL / 2
-	// leaseLost is how long after a renewal the state service counts as out of reach,
+	overdueAfter = LeaseTTL / 2
+	// lostAfter is how long after a renewal the state service counts as out of reach,
 	// so that requests that need it are refused at once.
-	leaseLost = LeaseTTL * 3 / 4
+	lostAfter = LeaseTTL * 3 / 4
 	// RenewInterval is how long after a renewal the next one is requested.
 	RenewInterval = LeaseTTL / 4
 )
@@ -41,20 +41,20 @@
 	RenewedAt   time.Time // when the last request that succeeded was sent
 }
 
-// Certain reports whether the lease certainly stands.
-func (s LeaseState) Certain(now time.Time) bool {
-	return s.ID != 0 && now.Sub(s.RenewedAt) < leaseCertain
+// CertainlyValid reports whether the lease certainly stands.
+func (s LeaseState) CertainlyValid(now time.Time) bool {
+	return s.ID != 0 && now.Sub(s.RenewedAt) < certainlyValidFor
 }
 
 // Overdue reports whether the last renewal is so old that the state service may be out
 // of reach.
 func (s LeaseState) Overdue(now time.Time) bool {
-	return s.ID == 0 || now.Sub(s.RenewedAt) > leaseOverdue
+	return s.ID == 0 || now.Sub(s.RenewedAt) > overdueAfter
 }
 
 // Lost reports whether the state service could not be reached for a while.
 func (s LeaseState) Lost(now time.Time) bool {
-	return s.ID == 0 || now.Sub(s.RenewedAt) > leaseLost
+	return s.ID == 0 || now.Sub(s.RenewedAt) > lostAfter
 }
 
 // Lease holds the state of this process's lease. The zero value is a process without one.
--- a/internal/controller/membership/lease_test.go
+++ b/internal/controller/membership/lease_test.go
@@ -24,12 +24,12 @@
 	} {
 		s := LeaseState{ID: 1, RenewedAt: renewed}
 		now := renewed.Add(x.age)
-		if s.Certain(now) != x.certain || s.Overdue(now) != x.overdue || s.Lost(now) != x.lost {
-			t.Errorf("after %v: certain %t, overdue %t, lost %t", x.age, s.Certain(now), s.Overdue(now), s.Lost(now))
+		if s.CertainlyValid(now) != x.certain || s.Overdue(now) != x.overdue || s.Lost(now) != x.lost {
+			t.Errorf("after %v: certain %t, overdue %t, lost %t", x.age, s.CertainlyValid(now), s.Overdue(now), s.Lost(now))
 		}
 		none := LeaseState{RenewedAt: renewed}
-		if none.Certain(now) || !none.Overdue(now) || !none.Lost(now) {
-			t.Errorf("after %v without a lease: certain %t, overdue %t, lost %t", x.age, none.Certain(now), none.Overdue(now), none.Lost(now))
+		if none.CertainlyValid(now) || !none.Overdue(now) || !none.Lost(now) {
+			t.Errorf("after %v without a lease: certain %t, overdue %t, lost %t", x.age, none.CertainlyValid(now), none.Overdue(now), none.Lost(now))
 		}
 	}
 }
@@ -47,7 +47,7 @@
 	}
 	l.Expired(1)
 	l.Renewed(1, begin.Add(3*time.Second))
-	if s := l.Current(); s.ID != 0 || s.Incarnation != 1 || s.Certain(begin.Add(3*time.Second)) {
+	if s := l.Current(); s.ID != 0 || s.Incarnation != 1 || s.CertainlyValid(begin.Add(3*time.Second)) {
 		t.Errorf("after its end: %+v", s)
 	}
 	l.Grant(LeaseState{ID: 2, Incarnation: 1, RenewedAt: begin.Add(4 * time.Second)})
--- a/internal/controller/membership/member.go
+++ b/internal/controller/membership/member.go
@@ -46,7 +46,7 @@
 	At       time.Time
 	Status   Status
 	Recorded record.Member // this process's member record in the view
-	ViewAt   time.Time     // the view was true at this time or later
+	ViewAsOf time.Time     // the view was true at this time or later
 }
 
 // Member keeps this process's lease and its records of the cluster: the member record,
@@ -175,7 +175,7 @@
 func (m *Member) PublishStatus(ctx context.Context) {
 	seen := m.process.Observe()
 	lease := m.lease.Current()
-	if !lease.Certain(seen.At) || !m.outdated(seen, lease.Incarnation) {
+	if !lease.CertainlyValid(seen.At) || !m.outdated(seen, lease.Incarnation) {
 		return
 	}
 	if m.putRecord(ctx, seen.Status.record(lease.Incarnation), lease.ID) != nil {
@@ -195,6 +195,6 @@
 	if seen.Status != m.published {
 		return true
 	}
-	viewIsNewer := seen.ViewAt.After(m.recordedAt) && seen.At.Sub(m.recordedAt) > memberRecordDelay
+	viewIsNewer := seen.ViewAsOf.After(m.recordedAt) && seen.At.Sub(m.recordedAt) > memberRecordDelay
 	return viewIsNewer && seen.Recorded != seen.Status.record(incarnation)
 }
--- a/internal/controller/membership/peer_health.go
+++ b/internal/controller/membership/peer_health.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// PeerFreshFor is how old a sign of another controller may be to count.
-	PeerFreshFor = 3 * time.Second
+	// PeerContactValidFor is how old a sign of another controller may be to count.
+	PeerContactValidFor = 3 * time.Second
 	// unreachableAfter is how long another controller may leave calls unanswered before
 	// it counts as out of reach.
 	unreachableAfter = 6 * time.Second
@@ -42,18 +42,18 @@
 
 // Answers reports whether the peer answered lately.
 func (p PeerContact) Answers(now time.Time) bool {
-	return p.AnsweredWithin(PeerFreshFor, now)
+	return p.AnsweredWithin(PeerContactValidFor, now)
 }
 
 // ReachesStateService reports whether the peer lately said that it reaches the state
 // service.
 func (p PeerContact) ReachesStateService(now time.Time) bool {
-	return now.Sub(p.stateServiceReachedAt) < PeerFreshFor
+	return now.Sub(p.stateServiceReachedAt) < PeerContactValidFor
 }
 
 // Refuses reports whether the peer lately refused a connection.
 func (p PeerContact) Refuses(now time.Time) bool {
-	return now.Sub(p.refusedAt) < PeerFreshFor
+	return now.Sub(p.refusedAt) < PeerContactValidFor
 }
 
 // AnsweringFor returns how long the peer has answered every call.
--- a/internal/controller/membership/status.go
+++ b/internal/controller/membership/status.go
@@ -6,9 +6,9 @@
 	"bramblespur/internal/record"
 )
 
-// IsolatedAfter is how long a controller must be without an answer from any other to
+// WithoutPeersAfter is how long a controller must be without an answer from any other to
 // count as partitioned from them.
-const IsolatedAfter = 4 * time.Second
+const WithoutPeersAfter = 4 * time.Second
 
 // Status is what a controller's member record tells the others of how it serves.
 type Status struct {
--- a/internal/controller/membership_process.go
+++ b/internal/controller/membership_process.go
@@ -34,7 +34,7 @@
 		At:       now,
 		Status:   p.statusLocked(now),
 		Recorded: recorded,
-		ViewAt:   p.c.cluster.AsOf(),
+		ViewAsOf: p.c.cluster.AsOf(),
 	}
 }
 
@@ -44,7 +44,7 @@
 	c := p.c
 	withoutPeers := len(c.peers) > 0
 	for label := range c.peers {
-		if c.peerHealth.Contact(label).AnsweredWithin(membership.IsolatedAfter, now) {
+		if c.peerHealth.Contact(label).AnsweredWithin(membership.WithoutPeersAfter, now) {
 			withoutPeers = false
 		}
 	}
@@ -82,5 +82,5 @@
 
 // leaseCertain reports whether this controller's member lease has certainly not expired.
 func (c *Controller) leaseCertain(now time.Time) bool {
-	return c.lease.Current().Certain(now)
+	return c.lease.Current().CertainlyValid(now)
 }
--- a/internal/controller/workerapi/router.go
+++ b/internal/controller/workerapi/router.go
@@ -227,7 +227,7 @@
 // stays if it comes back. In an outage for all no place is better, nor in a
 // partitioned zone with several controllers.
 func (r *Router) BetterControllerLocked(machine string, now time.Time) (to string, look bool) {
-	if !r.process.ActiveJobsStaleLocked(now) || r.lease.Current().Certain(now) {
+	if !r.process.ActiveJobsStaleLocked(now) || r.lease.Current().CertainlyValid(now) {
 		return "", false
 	}
 	n := r.neighbours(now)
