--- a/internal/controller/active_job_records.go
+++ b/internal/controller/active_job_records.go
@@ -25,7 +25,7 @@
 	}
 	c.mu.Unlock()
 	if c.dataLoss.Enabled() {
-		go c.audit.ConfirmMissing(c.life, record.ActiveJobPrefix, missing)
+		go c.audit.ConfirmMissing(c.lifetime, record.ActiveJobPrefix, missing)
 	}
 	c.setViewAsOf(record.ActiveJobPrefix, at)
 }
@@ -59,7 +59,7 @@
 // recorded it. The shards' lock is held.
 func (c *Controller) notifyJobEndedLocked(change *clusterview.JobChange, now time.Time) {
 	ref := change.Ref
-	c.applyInheritedUrgency(change.UrgencyChanged)
+	c.applyInheritedUrgencyLocked(change.UrgencyChanged)
 	for _, shard := range c.shards.AllLocked() {
 		if shard.HasJob(ref) {
 			shard.JobRecordGone(ref, now)
@@ -67,7 +67,7 @@
 		}
 	}
 	if c.activeJobs.HasDependents(ref) {
-		c.lookUpDependencies(c.life, now)
+		c.lookUpDependenciesLocked(c.lifetime, now)
 	}
 }
 
@@ -79,12 +79,12 @@
 	if shard != nil {
 		shard.SetJob(change.Ref, *job, change.Version, now)
 	}
-	c.applyInheritedUrgency(change.UrgencyChanged)
+	c.applyInheritedUrgencyLocked(change.UrgencyChanged)
 	if shard == nil {
 		return
 	}
 	if len(job.Spec.DependsOn) > 0 {
-		c.lookUpDependencies(c.life, now)
+		c.lookUpDependenciesLocked(c.lifetime, now)
 	}
 	c.shards.StepLocked(shard, now)
 }
@@ -92,5 +92,5 @@
 // removeActiveJobLocked removes a job that is no longer active from the view. The shards' lock is
 // held.
 func (c *Controller) removeActiveJobLocked(ref string) {
-	c.applyInheritedUrgency(c.activeJobs.Remove(ref))
+	c.applyInheritedUrgencyLocked(c.activeJobs.Remove(ref))
 }
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -28,7 +28,7 @@
 	c.admission = admission.NewLimiter(c.cfg.Params.Resources, c.overload.Behind)
 	now := time.Now()
 	for range 100 {
-		now = now.Add(tickEvery + time.Second)
+		now = now.Add(tickInterval + time.Second)
 		c.overload.Observe(time.Second, now)
 	}
 	if got := strings.Count(out.String(), "\n"); got != 1 || !strings.Contains(out.String(), "cpu_share") {
@@ -60,8 +60,8 @@
 	if r := ask("POST", wire.HeartbeatPath, []byte(`{"bush":""}`)); r.Status != 400 {
 		t.Errorf("report: %+v", r)
 	}
-	for range 2 * int(overload.InTimeFor/tickEvery) {
-		now = now.Add(tickEvery)
+	for range 2 * int(overload.InTimeFor/tickInterval) {
+		now = now.Add(tickInterval)
 		c.overload.Observe(0, now)
 	}
 	if r := ask("GET", wire.JobsPath+"/run-000412", nil); r.Status != 200 { // whatever else is under way
--- a/internal/controller/bounds_test.go
+++ b/internal/controller/bounds_test.go
@@ -303,7 +303,7 @@
 			n := &tally{did: map[string]int{}}
 			tallies[label] = n
 			c.dataLoss.SetAuditInterval(time.Minute)
-			c.life, c.store = countingLife{c.life, n}, countingStore{c.store, n}
+			c.lifetime, c.store = countingLife{c.lifetime, n}, countingStore{c.store, n}
 			for l, p := range c.peers {
 				c.peers[l] = countingPeer{p, n}
 			}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -50,24 +50,24 @@
 )
 
 const (
-	// countsEvery is the period of the log of state service requests and memory use.
-	countsEvery = 15 * time.Second
+	// usageLogInterval is the period of the log of state service requests and memory use.
+	usageLogInterval = 15 * time.Second
 	// relayTimeout bounds the call that relays a heartbeat to its machine's owner.
 	relayTimeout = 2200 * time.Millisecond
 )
 
 // Controller is one controller process.
 type Controller struct {
-	cfg     *config.Settings
-	policy  *policy.Policy
-	log     *slog.Logger
-	life    context.Context // ends when the controller stops
-	store   statestore.Store
-	cloud   cloud.API
-	agents  agent.API
-	peers   map[string]peer.Caller // the other controllers, by label
-	teams   []string               // names in order
-	userAPI *userapi.API
+	cfg      *config.Settings
+	policy   *policy.Policy
+	log      *slog.Logger
+	lifetime context.Context // ends when the controller stops
+	store    statestore.Store
+	cloud    cloud.API
+	agents   agent.API
+	peers    map[string]peer.Caller // the other controllers, by label
+	teams    []string               // names in order
+	userAPI  *userapi.API
 
 	// Each of these components has a leaf lock of its own, which may be taken while mu is held.
 	// mu must not be taken while a leaf lock is held.
@@ -84,7 +84,7 @@
 	machines       *clusterview.Machines
 	activeJobs     *clusterview.ActiveJobs
 
-	duties *leader.Leader // its state is guarded by mu
+	leaderDuties *leader.Leader // its state is guarded by mu
 
 	// shards holds the shards that this controller serves.
 	shards *shardhost.Host
@@ -112,14 +112,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	c := &Controller{
-		cfg: cfg, policy: pol, log: log, life: ctx,
+		cfg: cfg, policy: pol, log: log, lifetime: ctx,
 		cloud:  cloud.New(cfg.Outside.Cloud, p.Cloud.RPS*leader.FollowerCloudShare),
 		agents: agent.Client{},
 	}
 	// The client keeps the write burst that it derives here. The tick replaces the rates at once.
 	tight := p.State.Tight()
 	c.store = statestore.New(cfg.Outside.State, p.Count, tight.RPS, tight.WriteRPS, c.borrow)
-	c.init()
+	c.createComponents()
 	c.drainer.Enable(ops.Drains, &p)
 	c.reconciliation.Enable(ops.Restart)
 	c.store = c.dataLoss.Enable(ops.Recovery, c.store)
@@ -145,13 +145,13 @@
 
 // start starts the background loops of the controller. They run until its lifetime ends.
 func (c *Controller) start() {
-	ctx := c.life
+	ctx := c.lifetime
 	go c.member.KeepLease(ctx)
 	go c.member.RecordOwnFormat(ctx)
 	c.startWatches(ctx)
 	go c.shards.LearnMachineTypes(ctx)
 	go c.tickLoop(ctx)
-	go c.duties.Run(ctx)
+	go c.leaderDuties.Run(ctx)
 	go c.logUsageLoop(ctx)
 	if c.drainer.Enabled() {
 		go c.drainer.Run(ctx)
@@ -164,8 +164,8 @@
 	}
 }
 
-// init creates the components. The settings, the policy and the log must be set.
-func (c *Controller) init() {
+// createComponents creates the components. The settings, the policy and the log must be set.
+func (c *Controller) createComponents() {
 	for _, t := range c.cfg.Params.Teams {
 		c.teams = append(c.teams, t.Name)
 	}
@@ -192,7 +192,7 @@
 	c.messages = messagecheck.New(&c.cfg.Params, c.rejections)
 	c.overload = overload.NewDetector(c.log, c.cfg.Params.Resources.CPUShare, membership.LeaseTTL)
 	c.admission = admission.NewLimiter(c.cfg.Params.Resources, c.overload.Behind)
-	c.duties = leader.New(leaderHost{c}, c.cfg, c.policy, c.log)
+	c.leaderDuties = leader.New(leaderHost{c}, c.cfg, c.policy, c.log)
 	c.drainer = drainer.New(drainerHost{c}, c.cluster, c.machines, c.cfg, c.log)
 	c.reconciliation = reconciliation.NewTracker(reconciliationHost{c}, c.machines, c.cfg, c.log)
 	c.dataLoss = dataloss.NewDetector(dataLossHost{c}, dataloss.Views{Views: *c.views(), Terminal: c.terminalStates}, c.cfg, c.log)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -34,8 +34,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &Controller{cfg: cfg, policy: pol, log: slog.New(slog.DiscardHandler), life: context.Background(), store: state, agents: agent.Client{}}
-	c.init()
+	c := &Controller{cfg: cfg, policy: pol, log: slog.New(slog.DiscardHandler), lifetime: context.Background(), store: state, agents: agent.Client{}}
+	c.createComponents()
 	c.shards.SetMachineTypesLocked([]wire.MachineType{{Name: "big", CPUs: 16, GPUs: 2, MemoryGB: 64, Zones: []string{"z"}}})
 	c.lease.Grant(membership.LeaseState{ID: 1, RenewedAt: time.Now()})
 	return c
@@ -133,14 +133,14 @@
 			return entries
 		}
 		now := time.Now()
-		c.duties.PlanStandalone(ctx, now)
-		c.duties.PlanStandalone(ctx, now)
+		c.leaderDuties.PlanStandalone(ctx, now)
+		c.leaderDuties.PlanStandalone(ctx, now)
 		if len(recorded()) > 0 {
 			t.Fatal("plans for itself though the leader asked a moment ago")
 		}
-		c.duties.RecordLeaderContactLocked(now.Add(-time.Minute))
-		c.duties.PlanStandalone(ctx, now)
-		c.duties.PlanStandalone(ctx, now)
+		c.leaderDuties.RecordLeaderContactLocked(now.Add(-time.Minute))
+		c.leaderDuties.PlanStandalone(ctx, now)
+		c.leaderDuties.PlanStandalone(ctx, now)
 		entries := recorded()
 		if len(entries) == 0 {
 			t.Fatal("no provision recorded")
@@ -150,7 +150,7 @@
 		leaderOf(leading, 1)
 		leading.cloud = cl
 		for range 2 { // the second finds it done
-			leading.duties.Turn(ctx)
+			leading.leaderDuties.Turn(ctx)
 			synctest.Wait()
 		}
 		if len(cl.Rentals[name]) == 0 {
--- a/internal/controller/dataloss_host.go
+++ b/internal/controller/dataloss_host.go
@@ -26,7 +26,7 @@
 func (h dataLossHost) Unlock() { h.c.mu.Unlock() }
 
 // Context implements dataloss.Host.
-func (h dataLossHost) Context() context.Context { return h.c.life }
+func (h dataLossHost) Context() context.Context { return h.c.lifetime }
 
 // Store implements dataloss.Host.
 func (h dataLossHost) Store() statestore.Store { return h.c.store }
--- a/internal/controller/dependency_tracking.go
+++ b/internal/controller/dependency_tracking.go
@@ -18,9 +18,9 @@
 // owners of the dependents. An owner that did not receive it reads it once the dependency is no
 // longer active.
 
-// dependencyEnded caches a job's terminal record and, if the job has dependents, passes it to the
+// applyTerminalRecordLocked caches a job's terminal record and, if the job has dependents, passes it to the
 // shards hosted here. The shards' lock is held.
-func (c *Controller) dependencyEnded(ref string, finished record.FinishedJob, now time.Time) {
+func (c *Controller) applyTerminalRecordLocked(ref string, finished record.FinishedJob, now time.Time) {
 	c.terminalStates.Put(ref, finished)
 	if !c.activeJobs.HasDependents(ref) {
 		return
@@ -31,10 +31,10 @@
 	}
 }
 
-// notifyDependents sends a job's terminal record, which op wrote, to the other controllers that own
+// notifyDependentsLocked sends a job's terminal record, which op wrote, to the other controllers that own
 // dependents of the job. It sends it in the background, so that they need not wait for their views
 // to show that the job has ended. The shards' lock is held.
-func (c *Controller) notifyDependents(ref string, op wire.Op) {
+func (c *Controller) notifyDependentsLocked(ref string, op wire.Op) {
 	owners := map[peer.Caller]bool{}
 	for _, dependent := range c.activeJobs.Dependents(ref) {
 		job, _ := c.activeJobs.Job(dependent)
@@ -52,14 +52,14 @@
 	}
 }
 
-// lookUpDependencies starts reads of the terminal records of dependencies that are no longer active:
+// lookUpDependenciesLocked starts reads of the terminal records of dependencies that are no longer active:
 // at once for those that shards hosted here await, and later for others, in case the owners of their
 // dependents cannot cancel the dependents of a cancelled job. The shards' lock is held.
-func (c *Controller) lookUpDependencies(ctx context.Context, now time.Time) {
+func (c *Controller) lookUpDependenciesLocked(ctx context.Context, now time.Time) {
 	if !c.activeJobs.Loaded() {
 		return // without a loaded view, absence from it proves nothing
 	}
-	awaitedHere := c.passKnownDependencies(now)
+	awaitedHere := c.passKnownDependenciesLocked(now)
 	for _, ref := range c.activeJobs.EndedDependencies() {
 		if !c.dependencyReads.Due(ref, awaitedHere[ref], now) {
 			continue
@@ -67,14 +67,14 @@
 		if finished, known := c.terminalStates.Get(ref); known && finished.State == wire.Done {
 			continue
 		}
-		go c.lookUpDependency(ctx, ref, c.dependentsElsewhere(ref))
+		go c.lookUpDependency(ctx, ref, c.dependentsElsewhereLocked(ref))
 	}
 	c.dependencyReads.Prune(c.activeJobs.HasDependents)
 }
 
-// passKnownDependencies passes cached terminal records to the hosted shards that await them. It
+// passKnownDependenciesLocked passes cached terminal records to the hosted shards that await them. It
 // returns the dependencies that hosted shards still await. The shards' lock is held.
-func (c *Controller) passKnownDependencies(now time.Time) map[string]bool {
+func (c *Controller) passKnownDependenciesLocked(now time.Time) map[string]bool {
 	awaited := map[string]bool{}
 	for _, shard := range c.shards.AllLocked() {
 		for _, ref := range shard.Dependencies() {
@@ -90,9 +90,9 @@
 	return awaited
 }
 
-// dependentsElsewhere returns the dependents of a job whose shards are not hosted here. The shards'
+// dependentsElsewhereLocked returns the dependents of a job whose shards are not hosted here. The shards'
 // lock is held.
-func (c *Controller) dependentsElsewhere(ref string) []string {
+func (c *Controller) dependentsElsewhereLocked(ref string) []string {
 	var elsewhere []string
 	for _, dependent := range c.activeJobs.Dependents(ref) {
 		if job, _ := c.activeJobs.Job(dependent); c.shards.GetLocked(job.Shard) == nil {
@@ -102,9 +102,9 @@
 	return elsewhere
 }
 
-// applyInheritedUrgency passes the urgency that jobs inherit from their dependents to those of the
+// applyInheritedUrgencyLocked passes the urgency that jobs inherit from their dependents to those of the
 // jobs' shards that are hosted here. The shards' lock is held.
-func (c *Controller) applyInheritedUrgency(refs []string) {
+func (c *Controller) applyInheritedUrgencyLocked(refs []string) {
 	for _, ref := range refs {
 		job, _ := c.activeJobs.Job(ref)
 		if shard := c.shards.GetLocked(job.Shard); shard != nil {
@@ -147,7 +147,7 @@
 		c.dependencyReads.Retry(ref, time.Now())
 		return finished, err
 	}
-	c.dependencyEnded(ref, finished, time.Now())
+	c.applyTerminalRecordLocked(ref, finished, time.Now())
 	return finished, nil
 }
 
@@ -176,5 +176,5 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.applyOwnWrites(t, rev, time.Now())
+	c.applyOwnWritesLocked(t, rev, time.Now())
 }
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -28,7 +28,7 @@
 func (h workerHost) Behind() bool { return h.c.overload.Behind() }
 
 // ActiveJobsStaleLocked implements workerapi.Process.
-func (h workerHost) ActiveJobsStaleLocked(now time.Time) bool { return h.c.activeJobsStale(now) }
+func (h workerHost) ActiveJobsStaleLocked(now time.Time) bool { return h.c.activeJobsStaleLocked(now) }
 
 // maxRelayedLongPoll is the longest time for which the response to a relayed heartbeat may be
 // parked. It is well below relayTimeout.
--- a/internal/controller/job_notifications.go
+++ b/internal/controller/job_notifications.go
@@ -16,7 +16,7 @@
 func (c *Controller) notifyOwner(shard int, written wire.Txn, revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.applyOwnWrites(written, revision, time.Now())
+	c.applyOwnWritesLocked(written, revision, time.Now())
 	owner := c.peers[c.cluster.Owner(shard)]
 	if c.shards.GetLocked(shard) != nil || owner == nil {
 		return
@@ -53,6 +53,6 @@
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.dependencyEnded(record.LastElement(a.Key), j, time.Now())
+		c.applyTerminalRecordLocked(record.LastElement(a.Key), j, time.Now())
 	}
 }
--- a/internal/controller/leader_calls.go
+++ b/internal/controller/leader_calls.go
@@ -12,7 +12,7 @@
 // returns the summaries of the hosted shards, this controller's health, and its demand for requests
 // and changes in the state service.
 func (c *Controller) Sync(a peer.SyncArgs) peer.SyncReply {
-	ctx := c.life
+	ctx := c.lifetime
 	host := leaderHost{c}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -28,10 +28,10 @@
 		}
 	}
 	for _, id := range a.HandHome {
-		c.transferBack(ctx, id)
+		c.transferBackLocked(ctx, id)
 	}
-	c.duties.RecordLeaderContactLocked(now)
-	c.duties.Grant.SetLocked(c.store, a.Requests, a.Changes, now)
+	c.leaderDuties.RecordLeaderContactLocked(now)
+	c.leaderDuties.Grant.SetLocked(c.store, a.Requests, a.Changes, now)
 	c.reconciliation.SetShareLocked(a.OrderRate, now)
 	load := host.LoadLocked(now)
 	r := peer.SyncReply{Summaries: host.SummariesLocked(now), StateOK: c.leaseCertain(now),
@@ -45,9 +45,11 @@
 
 // Lend implements peer.Handler: it reports whether another controller may make changes beyond its
 // grant.
-func (c *Controller) Lend(a peer.LoanArgs) bool { return c.duties.Lend(a) }
+func (c *Controller) Lend(a peer.LoanArgs) bool { return c.leaderDuties.Lend(a) }
 
 // borrow asks the leader for changes beyond this controller's grant, and reports whether it lent
 // them. A modest request leaves part of the loans to controllers that need many changes at once. It
 // must be called without the shards' lock.
-func (c *Controller) borrow(changes int, modest bool) bool { return c.duties.Borrow(changes, modest) }
+func (c *Controller) borrow(changes int, modest bool) bool {
+	return c.leaderDuties.Borrow(changes, modest)
+}
--- a/internal/controller/leader_host.go
+++ b/internal/controller/leader_host.go
@@ -69,7 +69,7 @@
 
 // StepDown implements leader.Election.
 func (h leaderHost) StepDown(ctx context.Context) {
-	h.c.election.StepDown(ctx, h.c.duties.EndTermLocked)
+	h.c.election.StepDown(ctx, h.c.leaderDuties.EndTermLocked)
 }
 
 // SummariesLocked implements leader.Shards.
@@ -120,7 +120,9 @@
 }
 
 // TransferBackLocked implements leader.Shards.
-func (h leaderHost) TransferBackLocked(ctx context.Context, shard int) { h.c.transferBack(ctx, shard) }
+func (h leaderHost) TransferBackLocked(ctx context.Context, shard int) {
+	h.c.transferBackLocked(ctx, shard)
+}
 
 // FleetLocked implements leader.Machines.
 func (h leaderHost) FleetLocked() *clusterview.Machines { return h.c.machines }
@@ -138,7 +140,7 @@
 
 // ApplyOwnWritesLocked implements leader.Machines.
 func (h leaderHost) ApplyOwnWritesLocked(t wire.Txn, revision uint64, at time.Time) {
-	h.c.applyOwnWrites(t, revision, at)
+	h.c.applyOwnWritesLocked(t, revision, at)
 }
 
 // AllowCloudCallLocked implements leader.Machines.
--- a/internal/controller/leader_test.go
+++ b/internal/controller/leader_test.go
@@ -21,7 +21,7 @@
 		put(record.ReleaseKey(0, 1, 1), record.Release{IDs: []string{"b"}, Done: true})
 		turn := func() (left int) {
 			setLeaseRenewed(c, time.Now())
-			c.duties.Turn(t.Context())
+			c.leaderDuties.Turn(t.Context())
 			synctest.Wait()
 			time.Sleep(10 * time.Second)
 			return len(c.machines.Entries())
--- a/internal/controller/loans_test.go
+++ b/internal/controller/loans_test.go
@@ -41,7 +41,7 @@
 		state := &busyState{State: testkit.NewState()}
 		c.store = state
 		for range 2 { // each turn sets the limits anew
-			c.duties.Turn(t.Context())
+			c.leaderDuties.Turn(t.Context())
 		}
 		shared := state.changes // nobody else answers
 		if shared < 10 {
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -52,11 +52,11 @@
 // returns once that is confirmed or the controller stops. It takes the shards' lock.
 func (c *Controller) dropUnlessLost(missing map[string]uint64, rev uint64) {
 	keys := maps.Clone(missing) // ConfirmMissing removes the deleted records from missing
-	for len(missing) > 0 && c.life.Err() == nil {
-		if err := c.audit.ConfirmMissing(c.life, record.FleetPrefix, missing); err == nil {
+	for len(missing) > 0 && c.lifetime.Err() == nil {
+		if err := c.audit.ConfirmMissing(c.lifetime, record.FleetPrefix, missing); err == nil {
 			break
 		}
-		retry.Sleep(c.life, retry.Jitter(confirmRetryDelay))
+		retry.Sleep(c.lifetime, retry.Jitter(confirmRetryDelay))
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -16,7 +16,7 @@
 	c := k.process(label).c
 	done := make(chan struct{})
 	go func() {
-		for tick := time.NewTicker(tickEvery / 4); ; {
+		for tick := time.NewTicker(tickInterval / 4); ; {
 			select {
 			case <-done:
 				tick.Stop()
@@ -107,7 +107,7 @@
 		t.Error("sent to an owner that does not answer")
 	}
 	for !c.overload.Behind() {
-		now = now.Add(tickEvery + time.Second)
+		now = now.Add(tickInterval + time.Second)
 		c.overload.Observe(time.Second, now)
 	}
 	if !c.router.MayRedirectLocked(r, "c-1", now) {
--- a/internal/controller/owner_renewals.go
+++ b/internal/controller/owner_renewals.go
@@ -70,7 +70,7 @@
 		if response.Status != 503 {
 			break
 		}
-		retry.Sleep(c.life, renewalRetryInterval)
+		retry.Sleep(c.lifetime, renewalRetryInterval)
 		response = c.renewForOwner(h, c.ownerToken(h.Machine))
 	}
 	respond(response)
@@ -98,7 +98,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	stale := c.activeJobsStale(now)
+	stale := c.activeJobsStaleLocked(now)
 	if to, look := c.router.BetterControllerLocked(h.Machine, now); look {
 		return redirectTo(to)
 	}
@@ -112,7 +112,7 @@
 		return transport.Response{Status: 503, RetryAfter: transport.RetryAfter}
 	}
 	lease := config.Seconds(c.cfg.Params.Workers.LeaseS)
-	blocked := !stale && c.hasEndedTasksLocked(h)
+	blocked := !stale && c.hasTasksOfEndedJobsLocked(h)
 	if c.renewals.record(h.Machine, blocked, lease, now) > c.maxBlockedRenewal() {
 		return transport.Response{Status: 503, RetryAfter: 1}
 	}
@@ -125,9 +125,9 @@
 	return config.Seconds(c.cfg.Params.Workers.LeaseS)
 }
 
-// hasEndedTasksLocked reports whether a heartbeat reports tasks that have not exited of a job that
+// hasTasksOfEndedJobsLocked reports whether a heartbeat reports tasks that have not exited of a job that
 // is cancelled or terminal according to this controller's view. The shards' lock is held.
-func (c *Controller) hasEndedTasksLocked(h *wire.Heartbeat) bool {
+func (c *Controller) hasTasksOfEndedJobsLocked(h *wire.Heartbeat) bool {
 	for _, t := range h.Tasks {
 		ref, _, ok := scheduler.SplitTask(t.Task)
 		if j, active := c.activeJobs.Job(ref); ok && t.State != wire.Exited && (!active || j.Cancelled) {
--- a/internal/controller/server_test.go
+++ b/internal/controller/server_test.go
@@ -14,23 +14,23 @@
 	c := newTest(t, testkit.NewState())
 	now := time.Now()
 	c.activeJobs.SetAsOf(now)
-	if !c.servesUsers(now) {
+	if !c.servesUsersLocked(now) {
 		t.Fatal("not ready in good times")
 	}
 	setLeaseRenewed(c, now.Add(-time.Minute))
-	if !c.servesUsers(now) {
+	if !c.servesUsersLocked(now) {
 		t.Fatal("unready alone, with nobody better")
 	}
 	c.peers["c-1"] = peer.NewClient("127.0.0.1:1")
-	if c.servesUsers(now) {
+	if c.servesUsersLocked(now) {
 		t.Fatal("ready without the state service and the other controllers")
 	}
 	c.peerHealth.RecordCall("c-1", nil, false, time.Now())
-	if !c.servesUsers(now) {
+	if !c.servesUsersLocked(now) {
 		t.Fatal("unready in an outage for all")
 	}
 	c.peerHealth.RecordCall("c-1", nil, true, time.Now())
-	if c.servesUsers(now) {
+	if c.servesUsersLocked(now) {
 		t.Fatal("ready though refused alone")
 	}
 }
--- a/internal/controller/shard_environment.go
+++ b/internal/controller/shard_environment.go
@@ -23,7 +23,7 @@
 var _ shardhost.Environment = shardEnvironment{}
 
 // Lifetime implements shardhost.Environment.
-func (e shardEnvironment) Lifetime() context.Context { return e.c.life }
+func (e shardEnvironment) Lifetime() context.Context { return e.c.lifetime }
 
 // Store implements shardhost.Environment.
 func (e shardEnvironment) Store() statestore.Store { return e.c.store }
@@ -100,7 +100,7 @@
 
 // MayStartTasksLocked implements shardhost.Environment.
 func (e shardEnvironment) MayStartTasksLocked(now time.Time) bool {
-	return !e.c.activeJobsStale(now) && e.c.leaseCertain(now)
+	return !e.c.activeJobsStaleLocked(now) && e.c.leaseCertain(now)
 }
 
 // UptimeLocked implements shardhost.Environment.
@@ -145,7 +145,7 @@
 
 // CommittedLocked implements shardhost.Environment.
 func (e shardEnvironment) CommittedLocked(txn wire.Txn, revision uint64, now time.Time) {
-	e.c.applyOwnWrites(txn, revision, now)
+	e.c.applyOwnWritesLocked(txn, revision, now)
 }
 
 // RespondToParkedLocked implements shardhost.Environment.
@@ -157,10 +157,10 @@
 	return true
 }
 
-// applyOwnWrites applies the changes of a transaction that was committed at a revision to this
+// applyOwnWritesLocked applies the changes of a transaction that was committed at a revision to this
 // controller's views and shards, before the watch delivers them. Terminal records go to the owners
 // of dependents, too. The shards' lock is held.
-func (c *Controller) applyOwnWrites(t wire.Txn, rev uint64, now time.Time) {
+func (c *Controller) applyOwnWritesLocked(t wire.Txn, rev uint64, now time.Time) {
 	for _, op := range t.Then {
 		e := wire.Change{Put: op.Put, Value: op.Value, Delete: op.Delete, Version: rev}
 		switch key := op.Put + op.Delete; {
@@ -174,8 +174,8 @@
 				c.log.Error("malformed terminal record", "key", key, "err", err)
 				continue
 			}
-			c.notifyDependents(record.LastElement(key), op)
-			c.dependencyEnded(record.LastElement(key), j, now)
+			c.notifyDependentsLocked(record.LastElement(key), op)
+			c.applyTerminalRecordLocked(record.LastElement(key), j, now)
 		}
 	}
 }
--- a/internal/controller/shard_transfer.go
+++ b/internal/controller/shard_transfer.go
@@ -8,11 +8,11 @@
 	"bramblespur/internal/wire"
 )
 
-// transferBack transfers a shard back to its preferred owner, by a write of the ownership record in
+// transferBackLocked transfers a shard back to its preferred owner, by a write of the ownership record in
 // the background. The write invalidates this controller's fencing token; afterwards the record is
 // read again, which drops the shard here. It does nothing if the shard is not hosted here or this
 // controller is its preferred owner. The shards' lock is held.
-func (c *Controller) transferBack(ctx context.Context, id int) {
+func (c *Controller) transferBackLocked(ctx context.Context, id int) {
 	r, _ := c.cluster.Shard(id)
 	home := c.shards.PreferredOwner(id)
 	if c.shards.GetLocked(id) == nil || home == c.cfg.Label {
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -9,13 +9,13 @@
 	"bramblespur/internal/retry"
 )
 
-// tickEvery is the period of the tick: each shard checks its machines and runs a step, and expired
+// tickInterval is the period of the tick: each shard checks its machines and runs a step, and expired
 // state is dropped.
-const tickEvery = 250 * time.Millisecond
+const tickInterval = 250 * time.Millisecond
 
-// tickLoop calls tick every tickEvery until the context ends.
+// tickLoop calls tick every tickInterval until the context ends.
 func (c *Controller) tickLoop(ctx context.Context) {
-	for due := time.Now().Add(tickEvery); retry.Sleep(ctx, tickEvery); due = time.Now().Add(tickEvery) {
+	for due := time.Now().Add(tickInterval); retry.Sleep(ctx, tickInterval); due = time.Now().Add(tickInterval) {
 		now := time.Now()
 		c.tick(ctx, now.Sub(due), now)
 	}
@@ -24,20 +24,20 @@
 // tick runs a step of each shard, starts due acquisitions of shards and expires old state, all
 // under the shards' lock. late is how long after its due time the tick ran, from which the
 // overload detector concludes whether the processor keeps up.
-func (c *Controller) tick(ctx context.Context, late time.Duration, now time.Time) {
+func (c *Controller) tick(ctx context.Context, lag time.Duration, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.overload.Observe(late, now)
+	c.overload.Observe(lag, now)
 	c.shards.TickLocked(shardhost.Conditions{
 		PartitionedZones: c.partitionedZones(now),
 		Behind:           c.overload.Behind(),
 		WriteBacklog:     c.store.Backlog(),
 	}, now)
 	if !c.dataLoss.ActiveLocked() {
-		c.lookUpDependencies(ctx, now)
+		c.lookUpDependenciesLocked(ctx, now)
 		c.shards.ConsiderAcquisitionsLocked(ctx, now)
 	}
-	c.duties.Grant.ExpireLocked(c.store, c.clusterRates(), c.cfg.Params.Count, now)
+	c.leaderDuties.Grant.ExpireLocked(c.store, c.clusterRates(), c.cfg.Params.Count, now)
 	c.router.ExpireLocked(now)
 	c.renewals.expire(config.Seconds(c.cfg.Params.Workers.LeaseS), now)
 }
--- a/internal/controller/usage_log.go
+++ b/internal/controller/usage_log.go
@@ -8,11 +8,11 @@
 	"bramblespur/internal/retry"
 )
 
-// logUsageLoop logs, every countsEvery until the context ends, the use of the state service by
+// logUsageLoop logs, every usageLogInterval until the context ends, the use of the state service by
 // purpose, the memory use, and the jobs that have waited longest.
 func (c *Controller) logUsageLoop(ctx context.Context) {
-	short := false
-	for retry.Sleep(ctx, countsEvery) {
+	memoryShort := false
+	for retry.Sleep(ctx, usageLogInterval) {
 		args := []any{}
 		for purpose, n := range c.store.TakeUsage() {
 			args = append(args, purpose, n)
@@ -20,8 +20,8 @@
 		c.log.Info("state service used", args...)
 		m := overload.ReadMemory()
 		c.log.Info("memory used", "held", m.Held, "live", m.Live, "goroutines", runtime.NumGoroutine())
-		r, was := c.cfg.Params.Resources, short
-		if short = m.Short(r); short && !was {
+		r, wasShort := c.cfg.Params.Resources, memoryShort
+		if memoryShort = m.Short(r); memoryShort && !wasShort {
 			c.log.Info("memory is short: params.resources.memory_mb is too small", "memory_mb", r.MemoryMB, "held", m.Held)
 		}
 		c.logWaitingJobs()
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -26,7 +26,7 @@
 func (u userCluster) StateService() statestore.Store { return u.c.store }
 
 // Context implements userapi.Cluster.
-func (u userCluster) Context() context.Context { return u.c.life }
+func (u userCluster) Context() context.Context { return u.c.lifetime }
 
 // WriteLimits implements userapi.Cluster.
 func (u userCluster) WriteLimits() config.State { return u.c.writeLimits() }
@@ -60,7 +60,7 @@
 	u.c.mu.Lock()
 	defer u.c.mu.Unlock()
 	job, _ := u.c.activeJobs.Job(ref)
-	return job.Cancelled && !u.c.activeJobsStale(time.Now())
+	return job.Cancelled && !u.c.activeJobsStaleLocked(time.Now())
 }
 
 // Terminal implements userapi.Cluster.
--- a/internal/controller/view_watches.go
+++ b/internal/controller/view_watches.go
@@ -105,9 +105,9 @@
 	return max(min(spare/4, maxWatchWait), minWatchWait)
 }
 
-// activeJobsStale reports whether the view of active jobs may lack other controllers' writes, such
+// activeJobsStaleLocked reports whether the view of active jobs may lack other controllers' writes, such
 // as cancellations, because the watch has delivered nothing for several waits.
-func (c *Controller) activeJobsStale(now time.Time) bool {
+func (c *Controller) activeJobsStaleLocked(now time.Time) bool {
 	if !c.activeJobs.Loaded() {
 		return now.Sub(c.startedAt) > firstViewWait
 	}
--- a/internal/controller/wait_log.go
+++ b/internal/controller/wait_log.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// loggedWait is how long a job must have waited for placement before its wait is logged.
-	loggedWait = time.Minute
+	// minLoggedWait is how long a job must have waited for placement before its wait is logged.
+	minLoggedWait = time.Minute
 	// maxLoggedWaits bounds the jobs per shard that are logged at a time, because each requires an
 	// examination of all of the shard's machines.
 	maxLoggedWaits = 2
@@ -31,7 +31,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, shard := range c.shards.AllLocked() {
-		out[id] = shard.LongestWaits(loggedWait, maxLoggedWaits, now)
+		out[id] = shard.LongestWaits(minLoggedWait, maxLoggedWaits, now)
 	}
 	return out
 }
