--- a/internal/controller/workerapi/longpoll.go
+++ b/internal/controller/workerapi/longpoll.go
@@ -8,45 +8,46 @@
 	"bramblespur/internal/scheduler"
 )
 
-// releaseInterval makes parked responses that are due one shortly after the other go out
-// together: each wake-up costs a small machine more than the response does.
+// releaseInterval is the interval at which parked responses whose timeouts end are released
+// together: on a small machine a wake-up costs more than a response.
 const releaseInterval = 100 * time.Millisecond
 
-// ParkedResponder makes the responses to parked heartbeats.
+// ParkedResponder produces the responses to parked heartbeats.
 type ParkedResponder interface {
-	// ParkedResponseLocked returns the response to a heartbeat of one of a shard's
-	// machines that was parked. The shards' lock is held.
+	// ParkedResponseLocked returns the response to a parked heartbeat of one of a shard's
+	// machines. The shards' lock is held.
 	ParkedResponseLocked(shard *scheduler.Shard, machine string, now time.Time) transport.Response
 }
 
-// parkedHeartbeat is a heartbeat whose response waits for a start on its machine.
+// parkedHeartbeat is a heartbeat whose response is held back until there is a start command
+// for its machine.
 type parkedHeartbeat struct {
-	shard   *scheduler.Shard
+	shard   *scheduler.Shard // of the machine
 	respond func(transport.Response)
-	timer   *time.Timer
+	timer   *time.Timer // ends the long poll
 }
 
-// LongPolls parks the responses to heartbeats that bring no commands, in case a start
-// comes for their machines: at most one a machine, and each is given once, when it is
-// released or its time is over. The shards' lock guards it.
+// LongPolls parks responses to heartbeats that would carry no commands, in case a start
+// command for the machine follows: at most one response per machine. Each is sent once, when
+// it is released or its timeout ends. The shards' lock guards it.
 type LongPolls struct {
 	responder ParkedResponder
-	shards    sync.Locker
+	shards    sync.Locker // the shards' lock
 	startedAt time.Time
 	parked    map[string]*parkedHeartbeat // by machine
 }
 
-// NewLongPolls returns the long polls of a process that takes the shards' lock when the
-// time of one is over.
+// NewLongPolls returns long polls that take the shards' lock when the timeout of one ends.
 func NewLongPolls(responder ParkedResponder, shards sync.Locker) *LongPolls {
 	return &LongPolls{responder: responder, shards: shards, startedAt: time.Now(), parked: map[string]*parkedHeartbeat{}}
 }
 
-// ParkLocked keeps the response to a machine's heartbeat back for at most d.
-func (p *LongPolls) ParkLocked(shard *scheduler.Shard, machine string, d time.Duration, respond func(transport.Response)) {
-	p.ReleaseLocked(machine, time.Now()) // an older one: its worker has gone on
+// ParkLocked holds back the response to a machine's heartbeat until it is released, for at
+// most a timeout. A response to an earlier heartbeat of the machine is released.
+func (p *LongPolls) ParkLocked(shard *scheduler.Shard, machine string, timeout time.Duration, respond func(transport.Response)) {
+	p.ReleaseLocked(machine, time.Now()) // the worker no longer waits for the earlier response
 	h := &parkedHeartbeat{shard: shard, respond: respond}
-	h.timer = time.AfterFunc(alignTimeout(time.Since(p.startedAt), d), func() {
+	h.timer = time.AfterFunc(alignTimeout(time.Since(p.startedAt), timeout), func() {
 		p.shards.Lock()
 		defer p.shards.Unlock()
 		if p.parked[machine] == h {
@@ -62,7 +63,8 @@
 // LenLocked returns how many heartbeats are parked.
 func (p *LongPolls) LenLocked() int { return len(p.parked) }
 
-// ReleaseLocked responds to a machine's heartbeat if it is parked.
+// ReleaseLocked responds to a machine's heartbeat if it is parked. The response is sent by
+// another goroutine.
 func (p *LongPolls) ReleaseLocked(machine string, now time.Time) {
 	h := p.parked[machine]
 	if h == nil {
@@ -81,10 +83,11 @@
 	}
 }
 
-// alignTimeout shortens a timeout so that it ends with those of others.
-func alignTimeout(sinceStart, d time.Duration) time.Duration {
-	if d <= releaseInterval {
-		return d
+// alignTimeout shortens a timeout that begins sinceStart after the start of the process, so
+// that it ends at a multiple of releaseInterval. A timeout within that interval is unchanged.
+func alignTimeout(sinceStart, timeout time.Duration) time.Duration {
+	if timeout <= releaseInterval {
+		return timeout
 	}
-	return d - (sinceStart+d)%releaseInterval
+	return timeout - (sinceStart+timeout)%releaseInterval
 }
--- a/internal/controller/workerapi/router.go
+++ b/internal/controller/workerapi/router.go
@@ -12,48 +12,48 @@
 )
 
 const (
-	// A worker waits responseTimeout for a response and tries the next controller after
-	// retryPause, as the protocol has it.
+	// By the protocol, a worker waits responseTimeout for a response and tries the next
+	// controller after retryPause.
 	responseTimeout = 4 * time.Second
 	retryPause      = time.Second
 	// redirectMemory is how long a redirect is remembered.
 	redirectMemory = time.Minute
-	// searchAgainLeases is after how many leases a worker is sent on once more.
+	// searchAgainLeases is the minimum time between two searches of a worker, in leases.
 	searchAgainLeases = 3
-	// MaxRemembered is of how many machines a controller remembers what it responded
-	// when it does not know its fleet: any name may come then, and memory is small. It is
-	// several times as many as one controller has.
+	// MaxRemembered bounds the machines whose requests a controller remembers while it does
+	// not know its fleet: heartbeats of any name may then arrive, and memory is small. The
+	// bound is several times the number of machines that one controller serves.
 	MaxRemembered = 8192
 )
 
-// Process is what a Router needs of the process that it serves.
+// Process is what a Router needs of its controller's process.
 type Process interface {
-	// Behind reports whether the process falls behind.
+	// Behind reports whether the process falls behind for lack of CPU time.
 	Behind() bool
 	// ActiveJobsStaleLocked reports whether the view of active jobs is stale, as when
 	// the state service is out of reach. The shards' lock is held.
 	ActiveJobsStaleLocked(now time.Time) bool
 }
 
-// redirect is where a worker was last sent.
+// redirect is the controller that a worker was last redirected to.
 type redirect struct {
-	label string
+	label string // of the controller
 	at    time.Time
 }
 
-// workerSearch is when a worker last reported to a controller that had lost the state
-// service, and when it was sent away to search for another.
+// workerSearch is when a worker last reported to this controller while the state service was
+// out of its reach, and when this controller last sent the worker to search for another.
 type workerSearch struct{ reportedAt, sentAt time.Time }
 
 // Router decides to which controller a machine's worker reports. It remembers where each
-// worker was last sent, so that one that comes back is not sent to the same controller at
-// once again, and which workers searched for another while the state service was out of
-// reach. The shards' lock guards it.
+// worker was last redirected, so that a worker that comes back is not redirected to the same
+// controller again at once, and which workers searched for another controller while the
+// state service was out of reach. The shards' lock guards it.
 type Router struct {
 	settings *config.Settings
 	cluster  *clusterview.Cluster
 	peers    *membership.PeerHealth
-	lease    *membership.Lease
+	lease    *membership.Lease // this controller's member lease
 	process  Process
 	log      *slog.Logger
 
@@ -61,15 +61,14 @@
 	searches  map[string]workerSearch // by machine
 }
 
-// NewRouter returns a router that has sent no worker anywhere.
+// NewRouter returns a router that has not redirected any worker.
 func NewRouter(settings *config.Settings, cluster *clusterview.Cluster, peers *membership.PeerHealth, lease *membership.Lease,
 	process Process, log *slog.Logger) *Router {
 	return &Router{settings: settings, cluster: cluster, peers: peers, lease: lease, process: process, log: log,
 		redirects: map[string]redirect{}, searches: map[string]workerSearch{}}
 }
 
-// ExpireLocked forgets old redirects, and the searches where this controller has the state
-// service.
+// ExpireLocked forgets old redirects, and all searches if the view of active jobs is fresh.
 func (r *Router) ExpireLocked(now time.Time) {
 	for machine, last := range r.redirects {
 		if now.Sub(last.at) > redirectMemory {
@@ -81,14 +80,15 @@
 	}
 }
 
-// SearchesLocked returns how many workers' searches are remembered.
+// SearchesLocked returns for how many workers a search is remembered.
 func (r *Router) SearchesLocked() int { return len(r.searches) }
 
-// RedirectLocked returns the controller that a worker is to be sent to, if it is not
-// this one; one that was sent on and has come back stays.
+// RedirectLocked returns the label of the controller that a worker is to be redirected to,
+// empty if it stays here: this controller is the right one, or the worker was redirected to
+// the right one less than a lease ago and has come back. It records the redirect.
 func (r *Router) RedirectLocked(zone, machine, owner string, now time.Time) string {
 	to := r.reportsTo(zone, machine, owner, now)
-	if to == r.settings.Label || r.sentLately(machine, to, now) {
+	if to == r.settings.Label || r.redirectedWithinLease(machine, to, now) {
 		return ""
 	}
 	r.redirects[machine] = redirect{to, now}
@@ -96,36 +96,39 @@
 	return to
 }
 
-// sentLately reports whether a machine's worker was sent to a controller less than a lease
-// ago.
-func (r *Router) sentLately(machine, label string, now time.Time) bool {
+// redirectedWithinLease reports whether a machine's worker was redirected to a controller less
+// than a lease ago.
+func (r *Router) redirectedWithinLease(machine, label string, now time.Time) bool {
 	last, sent := r.redirects[machine]
 	return sent && last.label == label && now.Sub(last.at) < config.Seconds(r.settings.Params.Workers.LeaseS)
 }
 
-// MayRedirectLocked reports whether a worker may be sent on for the sake of an owner
-// elsewhere. One that has tasks and came here while its owner does not answer may have found
-// that out itself, and have spent most of its lease on it: sent back it would wait for
-// the owner in vain once more and lose them. Its lease is renewed here instead.
-// A refused connection between controllers says nothing of the worker's, and
-// without tasks there is nothing to lose. Nor does an owner's silence say anything
-// where this controller itself falls behind: then the worker is better off anywhere else.
+// MayRedirectLocked reports whether a worker whose machine is owned by another controller may
+// be redirected.
+//
+// A worker with tasks whose owner does not answer this controller may not: it may have come
+// here because the owner did not answer it either, and have spent most of its lease waiting.
+// If it were sent back, it would wait for the owner in vain again and lose its tasks. Its
+// lease is renewed here instead. There are three exceptions. A worker without tasks has
+// nothing to lose. A refused connection between controllers does not show that the worker
+// cannot reach the owner. If this controller itself falls behind, the owner's silence shows
+// nothing, and the worker is better served anywhere else.
 func (r *Router) MayRedirectLocked(h *wire.Heartbeat, owner string, now time.Time) bool {
 	contact := r.peers.Contact(owner)
 	return len(h.Tasks) == 0 || r.process.Behind() || contact.Answers(now) || contact.Refuses(now)
 }
 
-// reportsTo chooses the controller that a machine reports to: one of its own
-// zone, so that both are on the same side of whatever partitions the zone, and
-// the worker need not try the others one by one while its lease expires. The
-// owner itself comes first; without a live one in the zone it is the owner, and
-// also where connections between controllers are refused, which says nothing of
-// those between it and the worker.
+// reportsTo returns the label of the controller that a machine reports to. That is one in the
+// machine's zone, so that a partition of the zone does not separate them and the worker need
+// not try the others one by one while its lease expires. The owner itself is preferred. The
+// machine reports to the owner in any zone if its own zone has no live controller, if a search
+// cannot outlast the lease (see searchMayOutlastLease), or if the owner refuses connections of
+// this controller, which does not show that it refuses those of the worker.
 func (r *Router) reportsTo(zone, machine, owner string, now time.Time) string {
-	if !r.searchIsLong(zone) || r.peers.Contact(owner).Refuses(now) {
+	if !r.searchMayOutlastLease(zone) || r.peers.Contact(owner).Refuses(now) {
 		return owner
 	}
-	var near []string
+	var inZone []string
 	for _, label := range r.settings.Labels() {
 		if !r.servesZone(label, r.zoneOf(label), zone) {
 			continue
@@ -135,41 +138,42 @@
 		}
 		contact := r.peers.Contact(label)
 		if label == r.settings.Label || (contact.Reachable(now) && !contact.Refuses(now)) {
-			near = append(near, label)
+			inZone = append(inZone, label)
 		}
 	}
-	if len(near) == 0 {
+	if len(inZone) == 0 {
 		return owner
 	}
-	return choose(near, machine)
+	return chooseByHash(inZone, machine)
 }
 
-// choose spreads the workers of machines over controllers, each always to the same.
-func choose(labels []string, machine string) string {
+// chooseByHash returns one of some controllers. It spreads machines over the controllers, and
+// returns the same one for a machine each time.
+func chooseByHash(labels []string, machine string) string {
 	return labels[record.Hash(machine)%uint32(len(labels))]
 }
 
-// searchIsLong reports whether a worker of a zone that is partitioned from its controller
-// may lose its lease before it has tried all controllers that are of no use to it, and
-// comes to one of its own zone. Else relaying heartbeats within a zone costs more than it
-// saves: the load of a zone's machines then falls on its controllers, however few they
-// are, and each relayed heartbeat is decoded twice.
-func (r *Router) searchIsLong(zone string) bool {
-	inVain := 0
+// searchMayOutlastLease reports whether a worker that a partition of its zone separates from its
+// controller may lose its lease before it has tried all controllers that cannot serve the zone
+// and comes to one that can. If not, reporting within the zone costs more than it saves: the
+// load of a zone's machines then falls on the zone's controllers, however few they are, and
+// each relayed heartbeat is decoded twice.
+func (r *Router) searchMayOutlastLease(zone string) bool {
+	unreachable := 0 // controllers that the worker tries in vain
 	if !r.servesZone(r.settings.Label, r.settings.Zone, zone) {
-		inVain++
+		unreachable++
 	}
 	for _, p := range r.settings.Peers {
 		if !r.servesZone(p.Label, p.Zone, zone) {
-			inVain++
+			unreachable++
 		}
 	}
 	workers := r.settings.Params.Workers
-	search := time.Duration(inVain) * (responseTimeout + retryPause)
+	search := time.Duration(unreachable) * (responseTimeout + retryPause)
 	return search+config.Seconds(workers.ReportS) >= config.Seconds(workers.LeaseS)
 }
 
-// servesZone reports whether a controller is alive, is not isolated and is in a zone.
+// servesZone reports whether a controller is alive, not isolated, and in a zone.
 func (r *Router) servesZone(label, controllerZone, zone string) bool {
 	m, alive := r.cluster.Member(label)
 	return alive && !m.Isolated && controllerZone == zone
@@ -184,81 +188,86 @@
 	return r.settings.Zone
 }
 
-// neighbours is how the other controllers are heard.
-type neighbours struct {
-	reachingState string   // one that reaches the state service, if any does
-	answering     bool     // another of this zone answers
-	near          []string // those of this zone that don't answer
-	far           int      // those of other zones
-	silent        int      // those that don't answer
+// peerSurvey says which of the other controllers answer this one.
+type peerSurvey struct {
+	reachesState string   // label of one that answers and reaches the state service, if any
+	zoneAnswers  bool     // another controller of this zone answers
+	silentInZone []string // labels of the controllers of this zone that do not answer
+	inOtherZones int      // number of controllers of other zones
+	silentPeers  int      // number of controllers that do not answer, in any zone
 }
 
-// neighbours looks at the other controllers up to the first that decides.
-func (r *Router) neighbours(now time.Time) neighbours {
-	var n neighbours
+// surveyPeers looks at the other controllers. It stops at the first one that reaches the state
+// service, or answers and is in this zone: the rest of the survey is then not needed.
+func (r *Router) surveyPeers(now time.Time) peerSurvey {
+	var survey peerSurvey
 	for _, p := range r.settings.Peers {
 		contact := r.peers.Contact(p.Label)
 		answers := contact.Answers(now)
 		switch {
 		case answers && contact.ReachesStateService(now):
-			n.reachingState = p.Label
-			return n
+			survey.reachesState = p.Label
+			return survey
 		case p.Zone != r.settings.Zone:
-			n.far++
+			survey.inOtherZones++
 		case answers:
-			n.answering = true
-			return n
+			survey.zoneAnswers = true
+			return survey
 		default:
-			n.near = append(n.near, p.Label)
+			survey.silentInZone = append(survey.silentInZone, p.Label)
 		}
 		if !answers {
-			n.silent++
+			survey.silentPeers++
 		}
 	}
-	return n
+	return survey
 }
 
-// BetterControllerLocked tells where a worker is better off than with a controller that has
-// lost the state service, and whether it is to look there. Its machine's shard has
-// probably another owner by now, so a controller that reaches the state service
-// is best. One that reaches nobody but its workers can't tell whether they are as
-// isolated as it is: each is sent on once, to a controller of the zone that does
-// not answer here or, alone in its zone, to search as far as its lease allows, and
-// stays if it comes back. In an outage for all no place is better, nor in a
-// partitioned zone with several controllers.
-func (r *Router) BetterControllerLocked(machine string, now time.Time) (to string, look bool) {
+// BetterControllerLocked returns whether a worker is to leave this controller because the state
+// service is out of its reach, and the label of the controller to try, empty if the worker is to
+// search for one itself.
+//
+// A controller that reaches the state service is best, since the machine's shard probably has
+// another owner by now. If this controller reaches no other, it cannot tell whether its workers
+// are as isolated as it is. Each worker is then sent away once: to a controller of this zone
+// that does not answer here or, if this controller is alone in its zone, to search if its lease
+// is long enough for that. A worker that comes back stays. Workers also stay if the state
+// service is out of reach of all controllers, and in a partitioned zone with several
+// controllers: no other controller is better then.
+func (r *Router) BetterControllerLocked(machine string, now time.Time) (to string, leave bool) {
 	if !r.process.ActiveJobsStaleLocked(now) || r.lease.Current().CertainlyValid(now) {
 		return "", false
 	}
-	n := r.neighbours(now)
-	if n.reachingState != "" {
-		return n.reachingState, true
+	survey := r.surveyPeers(now)
+	if survey.reachesState != "" {
+		return survey.reachesState, true
 	}
-	if n.answering {
+	if survey.zoneAnswers {
 		return "", false
 	}
-	return r.search(machine, n, now)
+	return r.sendToSearch(machine, survey, now)
 }
 
-// search sends a worker to search for another controller, if it may.
-func (r *Router) search(machine string, n neighbours, now time.Time) (to string, look bool) {
+// sendToSearch decides whether a worker is to search for another controller, and records its
+// report and the search. The results are as of BetterControllerLocked.
+func (r *Router) sendToSearch(machine string, survey peerSurvey, now time.Time) (to string, leave bool) {
 	workers := r.settings.Params.Workers
 	lease, interval := config.Seconds(workers.LeaseS), config.Seconds(workers.ReportS)
 	s, known := r.searches[machine]
 	if !known && len(r.searches) >= MaxRemembered {
 		return "", false
 	}
-	last := s.reportedAt
+	lastReport := s.reportedAt
 	s.reportedAt = now
 	r.searches[machine] = s
-	// One that has just come may have spent most of its lease looking for this
-	// controller: it is sent on when it has been responded to here once.
-	if n.silent == 0 || now.Sub(last) > 2*interval || now.Sub(s.sentAt) < searchAgainLeases*lease {
+	// A worker that has just come may have spent most of its lease looking for this
+	// controller: it is sent away only after it has received a response here.
+	if survey.silentPeers == 0 || now.Sub(lastReport) > 2*interval || now.Sub(s.sentAt) < searchAgainLeases*lease {
 		return "", false
 	}
-	if len(n.near) > 0 {
-		to = choose(n.near, machine)
-	} else if time.Duration(n.far)*(responseTimeout+retryPause)+2*interval > lease {
+	if len(survey.silentInZone) > 0 {
+		to = chooseByHash(survey.silentInZone, machine)
+	} else if time.Duration(survey.inOtherZones)*(responseTimeout+retryPause)+2*interval > lease {
 		return "", false
 	}
 	s.sentAt = now
--- a/internal/controller/workerapi/router_test.go
+++ b/internal/controller/workerapi/router_test.go
@@ -12,11 +12,11 @@
 	"bramblespur/internal/wire"
 )
 
-// testRouter is the router of c-0 in zone z, whose lease stands, in a process under the
-// test's control.
+// testRouter is the router of c-0 in zone z, whose member lease is valid. It is its own
+// Process.
 type testRouter struct {
 	*Router
-	behind, stale bool
+	behind, stale bool // what the methods of Process report
 }
 
 func (r *testRouter) Behind() bool { return r.behind }
@@ -50,17 +50,19 @@
 	}
 }
 
-// A controller that has lost the state service sends workers to one that has not;
-// one that reaches nobody else lets each look for another once, and keeps those
-// that come back. In an outage for all, and in a partitioned zone with several
-// controllers, they stay.
+// A controller that has lost the state service sends its workers to one that reaches it. A
+// controller that reaches no other sends each worker to search once, and keeps those that
+// come back. Workers stay if all controllers have lost the state service, and in a
+// partitioned zone with several controllers.
 func TestWorkersAreSentToABetterController(t *testing.T) {
-	type peers map[string]string // how each is heard: "" not at all
+	// peers says how each other controller answers: "well" if it reaches the state service,
+	// "refused" if it answers but does not reach the state service, "" if it does not answer.
+	type peers map[string]string
 	for name, x := range map[string]struct {
-		peers peers
-		sure  bool // the lease stands
-		want  string
-		look  bool
+		peers      peers
+		leaseValid bool
+		want       string // where the worker is sent
+		leave      bool   // the worker is sent away
 	}{
 		"watch late, lease stands":  {peers{"near": "well", "far": "well"}, true, "", false},
 		"refused alone":             {peers{"near": "", "far": "well"}, false, "far", true},
@@ -73,39 +75,39 @@
 		r := newTestRouter(t)
 		now := time.Now()
 		r.stale = true
-		if !x.sure {
+		if !x.leaseValid {
 			r.lease.Grant(membership.LeaseState{ID: 1, RenewedAt: now.Add(-time.Hour)})
 		}
-		for label, heard := range x.peers {
+		for label, answer := range x.peers {
 			zone := "z"
 			if label != "near" {
 				zone = "y"
 			}
 			r.settings.Peers = append(r.settings.Peers, config.Peer{Label: label, Zone: zone})
-			if heard != "" {
-				r.peers.RecordCall(label, nil, heard == "well", now)
+			if answer != "" {
+				r.peers.RecordCall(label, nil, answer == "well", now)
 			}
 		}
-		if to, look := r.BetterControllerLocked("m", now); look && to != "far" {
-			t.Errorf("%s: sent to %q though its lease may be nearly over", name, to)
+		if to, leave := r.BetterControllerLocked("m", now); leave && to != "far" {
+			t.Errorf("%s: on its first heartbeat the worker is sent to %q though its lease may be nearly expired", name, to)
 		}
-		now = now.Add(time.Second) // it was answered and is back
-		if to, look := r.BetterControllerLocked("m", now); to != x.want || look != x.look {
-			t.Errorf("%s: sent to %q %t, want %q %t", name, to, look, x.want, x.look)
+		now = now.Add(time.Second) // the worker has received a response and reports again
+		if to, leave := r.BetterControllerLocked("m", now); to != x.want || leave != x.leave {
+			t.Errorf("%s: worker sent to %q, leaves %t; want %q, %t", name, to, leave, x.want, x.leave)
 		}
-		if _, look := r.BetterControllerLocked("m", now.Add(time.Second)); look && x.want != "far" {
-			t.Errorf("%s: sent away again though it came back", name)
+		if _, leave := r.BetterControllerLocked("m", now.Add(time.Second)); leave && x.want != "far" {
+			t.Errorf("%s: worker sent away again though it came back", name)
 		}
 	}
 }
 
-// A machine reports to a controller of its zone, the owner if that is one, so
-// that a partition between zones does not separate them.
+// A machine reports to a controller of its zone, preferably the owner, so that a partition
+// between zones does not separate them.
 func TestReportsToControllerOfItsZone(t *testing.T) {
 	r := newTestRouter(t)
 	now := time.Now()
 	if got := r.reportsTo("y", "m", "c-0", now); got != "c-0" {
-		t.Errorf("where leases outlast a search for another controller it reports to %s, want the owner", got)
+		t.Errorf("with a lease that outlasts the search the machine reports to %s, want the owner c-0", got)
 	}
 	r.settings.Params.Count = 4
 	r.settings.Peers = []config.Peer{{Label: "c-1", Zone: "y"}, {Label: "c-2", Zone: "y"}, {Label: "c-3", Zone: "x"}}
@@ -121,42 +123,42 @@
 	}
 	allAnswer()
 	if got := r.reportsTo("y", "m", "c-0", now); got != "c-0" {
-		t.Errorf("two controllers are tried in vain, within a lease: reports to %s, want the owner", got)
+		t.Errorf("with a lease that outlasts the search of two controllers the machine reports to %s, want the owner c-0", got)
 	}
-	// Of four controllers two are of no use to zone y and three to the others: 10 and
-	// 15 s of search and 2 s between reports.
+	// Of four controllers two are outside zone y and three outside each other zone: a search
+	// takes 10 or 15 s, after 2 s between heartbeats.
 	const shorterLease = 12
 	r.settings.Params.Workers.LeaseS = shorterLease
 	for _, x := range []struct{ zone, owner, want string }{
 		{"z", "c-1", "c-0"}, {"y", "c-2", "c-2"}, {"x", "c-0", "c-3"}, {"w", "c-1", "c-1"},
 	} {
 		if got := r.reportsTo(x.zone, "m", x.owner, now); got != x.want {
-			t.Errorf("zone %s, owner %s: reports to %s, want %s", x.zone, x.owner, got, x.want)
+			t.Errorf("a machine in zone %s with owner %s reports to %s, want %s", x.zone, x.owner, got, x.want)
 		}
 	}
 	r.peers.RecordRefusal("c-1", now)
 	if got := r.reportsTo("z", "m", "c-1", now); got != "c-1" {
-		t.Errorf("with the owner refusing connections from here the machine reports to %s, want the owner", got)
+		t.Errorf("while the owner refuses connections from here the machine reports to %s, want the owner c-1", got)
 	}
 	allAnswer()
 	r.deleteMember(t, "c-3")
 	if got := r.reportsTo("x", "m", "c-0", now); got != "c-0" {
-		t.Errorf("without a live controller in its zone it reports to %s, want the owner", got)
+		t.Errorf("without a live controller in its zone the machine reports to %s, want the owner c-0", got)
 	}
 	r.settings.Params.Workers.LeaseS = shorterLease + 1
 	if got := r.reportsTo("y", "m", "c-0", now); got != "c-0" {
-		t.Errorf("a search that the lease outlasts: reports to %s, want the owner", got)
+		t.Errorf("with a lease that just outlasts the search the machine reports to %s, want the owner c-0", got)
 	}
 	r.deleteMember(t, "c-2")
 	if got := r.reportsTo("y", "m", "c-0", now); got != "c-1" {
-		t.Errorf("with one controller less in its zone the search is longer: reports to %s, want c-1", got)
+		t.Errorf("with one controller less in its zone, which makes the search longer, the machine reports to %s, want c-1", got)
 	}
 	r.setMember(t, "c-2")
 	r.settings.Params.Workers.LeaseS = shorterLease
 	if to := r.RedirectLocked("y", "m", "c-0", now); to != "c-1" && to != "c-2" {
-		t.Errorf("sent on to %q", to)
+		t.Errorf("worker redirected to %q, want c-1 or c-2", to)
 	}
 	if to := r.RedirectLocked("y", "m", "c-0", now); to != "" {
-		t.Errorf("sent on to %q again after it came back", to)
+		t.Errorf("worker redirected to %q again after it came back", to)
 	}
 }
