--- a/cmd/bramblespurctl/recover.go
+++ b/cmd/bramblespurctl/recover.go
@@ -136,7 +136,7 @@
 	if s == nil || !ok || json.Unmarshal(e.Value, &own) != nil || own.ID == s.Manifest.Cluster {
 		return nil
 	}
-	return fmt.Errorf("%w: %s, this one is %s", snapshot.ErrForeign, s.Manifest.Cluster, own.ID)
+	return fmt.Errorf("%w: %s, this one is %s", snapshot.ErrOtherCluster, s.Manifest.Cluster, own.ID)
 }
 
 func (t *tool) recoverPlanCommand() *cobra.Command {
--- a/cmd/bramblespurctl/snapshot.go
+++ b/cmd/bramblespurctl/snapshot.go
@@ -74,7 +74,7 @@
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			taker := &snapshot.Taker{Source: store, Directory: f.directory, Patience: patience, Now: t.now, Sleep: sleepFor}
+			taker := &snapshot.Taker{Source: store, Directory: f.directory, AnswerTimeout: patience, Now: t.now, Sleep: sleepFor}
 			if every == 0 {
 				return t.takeOne(ctx, cmd.OutOrStdout(), taker)
 			}
--- a/cmd/bramblespurctl/text.go
+++ b/cmd/bramblespurctl/text.go
@@ -24,7 +24,7 @@
 	table(out, func(w io.Writer) {
 		fmt.Fprintln(w, "STEP\tMACHINES\tINTERRUPTS")
 		for i, s := range steps {
-			fmt.Fprintf(w, "%d\t%s\t%s\n", i+1, strings.Join(s.Machines, " "), units(s.Units))
+			fmt.Fprintf(w, "%d\t%s\t%s\n", i+1, strings.Join(s.Machines, " "), units(s.UnitsByTeam))
 		}
 	})
 }
@@ -46,7 +46,7 @@
 				fmt.Fprintf(w, "%s\t%s\t-\t-\t-\t-\t%s\n", s.Name, s.State, s.Invalid)
 				continue
 			}
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%s\t%s\n", s.Name, s.State, s.Left, s.Cordoned, s.AtOnce, finish(s), s.Reason)
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%s\t%s\n", s.Name, s.State, s.MachinesLeft, s.MachinesCordoned, s.MaxConcurrent, finish(s), s.Reason)
 		}
 	})
 }
@@ -61,13 +61,13 @@
 func writeStatus(out io.Writer, s *drainctl.Status) {
 	table(out, func(w io.Writer) {
 		fmt.Fprintf(w, "name\t%s\nstate\t%s\nreason\t%s\nfinish by\t%s\n", s.Name, s.State, s.Reason, finish(s.Summary))
-		fmt.Fprintf(w, "machines left\t%d\ncordoned\t%d of %d at once\nreturned\t%d\n", s.Left, s.Cordoned, s.AtOnce, s.Returned)
+		fmt.Fprintf(w, "machines left\t%d\ncordoned\t%d of %d at once\nreturned\t%d\n", s.MachinesLeft, s.MachinesCordoned, s.MaxConcurrent, s.MachinesReturned)
 	})
-	if len(s.Machines) > 0 {
+	if len(s.CordonedMachines) > 0 {
 		fmt.Fprintln(out)
 		table(out, func(w io.Writer) {
 			fmt.Fprintln(w, "CORDONED\tSINCE")
-			for _, m := range s.Machines {
+			for _, m := range s.CordonedMachines {
 				fmt.Fprintf(w, "%s\t%s\n", m.Machine, m.Since)
 			}
 		})
@@ -77,15 +77,15 @@
 		table(out, func(w io.Writer) {
 			fmt.Fprintln(w, "TEAM\tEVICTED\tBEYOND BUDGET\tLOST\tINTERRUPTED NOW")
 			for _, t := range s.Teams {
-				fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%d\n", t.Team, t.Evicted, t.Forced, span(t.LostS), t.Open)
+				fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%d\n", t.Team, t.Evicted, t.Forced, span(t.LostTaskSeconds), t.InterruptedNow)
 			}
 		})
 	}
-	if len(s.Held) > 0 {
+	if len(s.Holds) > 0 {
 		fmt.Fprintln(out)
 		table(out, func(w io.Writer) {
 			fmt.Fprintln(w, "HELD UP BY\tMACHINES' TIME")
-			for _, h := range s.Held {
+			for _, h := range s.Holds {
 				fmt.Fprintf(w, "%s\t%s\n", h.Reason, span(h.Seconds))
 			}
 		})
--- a/internal/drainctl/dryrun.go
+++ b/internal/drainctl/dryrun.go
@@ -16,8 +16,8 @@
 
 // Step is machines that would go together, and the units that run there now, by team.
 type Step struct {
-	Machines []string       `json:"machines"`
-	Units    map[string]int `json:"interrupts,omitempty"`
+	Machines    []string       `json:"machines"`
+	UnitsByTeam map[string]int `json:"interrupts,omitempty"`
 }
 
 // DryRun returns the steps of a drain as things stand, and writes nothing.
--- a/internal/drainctl/status.go
+++ b/internal/drainctl/status.go
@@ -12,15 +12,15 @@
 
 // Summary is a drain in short.
 type Summary struct {
-	Name     string      `json:"name"`
-	State    drain.State `json:"state"`
-	Left     int         `json:"machines_left"`
-	Cordoned int         `json:"machines_cordoned"`
-	AtOnce   int         `json:"at_once"`
-	FinishBy string      `json:"finish_by,omitempty"`
-	Late     bool        `json:"late,omitempty"`
-	Reason   string      `json:"reason,omitempty"`
-	Invalid  string      `json:"invalid,omitempty"` // why its record makes no sense
+	Name             string      `json:"name"`
+	State            drain.State `json:"state"`
+	MachinesLeft     int         `json:"machines_left"`
+	MachinesCordoned int         `json:"machines_cordoned"`
+	MaxConcurrent    int         `json:"at_once"`
+	FinishBy         string      `json:"finish_by,omitempty"`
+	Late             bool        `json:"late,omitempty"`
+	Reason           string      `json:"reason,omitempty"`
+	Invalid          string      `json:"invalid,omitempty"` // why its record makes no sense
 }
 
 // Hold is how long machines were held up for a reason, all together.
@@ -31,26 +31,26 @@
 
 // TeamStatus is what a drain did to a team, and what the team has in use of its budget.
 type TeamStatus struct {
-	Team    string  `json:"team"`
-	Evicted int     `json:"evicted"`
-	Forced  int     `json:"forced,omitempty"`
-	LostS   float64 `json:"lost_task_seconds"`
-	Open    int     `json:"interrupted_now"`
+	Team            string  `json:"team"`
+	Evicted         int     `json:"evicted"`
+	Forced          int     `json:"forced,omitempty"`
+	LostTaskSeconds float64 `json:"lost_task_seconds"`
+	InterruptedNow  int     `json:"interrupted_now"`
 }
 
 // Status is a drain in detail.
 type Status struct {
 	Summary
-	Plan     drain.Plan       `json:"plan"`
-	Returned int              `json:"machines_returned"`
-	Machines []MachineState   `json:"cordoned,omitempty"`
-	Teams    []TeamStatus     `json:"teams,omitempty"`
-	Held     []Hold           `json:"held,omitempty"`
-	Courses  []drain.Progress `json:"-"`
+	Plan             drain.Plan        `json:"plan"`
+	MachinesReturned int               `json:"machines_returned"`
+	CordonedMachines []CordonedMachine `json:"cordoned,omitempty"`
+	Teams            []TeamStatus      `json:"teams,omitempty"`
+	Holds            []Hold            `json:"held,omitempty"`
+	Progress         []drain.Progress  `json:"-"`
 }
 
-// MachineState is a machine that is cordoned for a drain.
-type MachineState struct {
+// CordonedMachine is a machine that is cordoned for a drain.
+type CordonedMachine struct {
 	Machine string `json:"machine"`
 	Since   string `json:"since"`
 }
@@ -71,7 +71,7 @@
 		s := c.summary(v, &p.Rec)
 		for id, m := range machines {
 			if selects(&p.Rec, id, m) {
-				s.Left++
+				s.MachinesLeft++
 			}
 		}
 		out = append(out, s)
@@ -84,14 +84,14 @@
 }
 
 func (c *Client) summary(v *drain.View, p *drain.Plan) Summary {
-	s := Summary{Name: p.Name, State: p.State, AtOnce: p.MaxConcurrent, Reason: p.Reason}
+	s := Summary{Name: p.Name, State: p.State, MaxConcurrent: p.MaxConcurrent, Reason: p.Reason}
 	if p.FinishBy != 0 {
 		s.FinishBy = formatTime(p.FinishBy)
 		s.Late = !p.State.Terminal() && c.Now().UnixMilli() > p.FinishBy
 	}
 	for _, at := range v.Cordons().Rec.Machines {
 		if at.Drain == p.Name {
-			s.Cordoned++
+			s.MachinesCordoned++
 		}
 	}
 	return s
@@ -114,23 +114,23 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Status{Summary: c.summary(v, &p.Rec), Plan: p.Rec, Courses: v.AllProgress(name)}
+	s := &Status{Summary: c.summary(v, &p.Rec), Plan: p.Rec, Progress: v.AllProgress(name)}
 	for id, m := range inService(fleet) {
 		if selects(&p.Rec, id, m) {
-			s.Left++
+			s.MachinesLeft++
 		}
 	}
-	s.Machines = cordonedFor(v, name)
+	s.CordonedMachines = cordonedFor(v, name)
 	s.addProgress(v)
 	return s, nil
 }
 
-func cordonedFor(v *drain.View, name string) []MachineState {
-	var out []MachineState
+func cordonedFor(v *drain.View, name string) []CordonedMachine {
+	var out []CordonedMachine
 	all := v.Cordons().Rec.Machines
 	for _, id := range slices.Sorted(maps.Keys(all)) {
 		if all[id].Drain == name {
-			out = append(out, MachineState{id, formatTime(all[id].Since)})
+			out = append(out, CordonedMachine{id, formatTime(all[id].Since)})
 		}
 	}
 	return out
@@ -140,15 +140,15 @@
 func (s *Status) addProgress(v *drain.View) {
 	teams := map[string]*TeamStatus{}
 	held := map[drain.HoldReason]float64{}
-	for _, c := range s.Courses {
-		s.Returned += c.Returned
+	for _, c := range s.Progress {
+		s.MachinesReturned += c.Returned
 		for team, total := range c.Teams {
 			if teams[team] == nil {
-				teams[team] = &TeamStatus{Team: team, Open: len(v.Ledger(team).Rec.Open)}
+				teams[team] = &TeamStatus{Team: team, InterruptedNow: len(v.Ledger(team).Rec.Open)}
 			}
 			teams[team].Evicted += total.Evicted
 			teams[team].Forced += total.Forced
-			teams[team].LostS += total.LostS
+			teams[team].LostTaskSeconds += total.LostS
 		}
 		for reason, seconds := range c.HoldSeconds {
 			held[reason] += seconds
@@ -158,6 +158,6 @@
 		s.Teams = append(s.Teams, *teams[team])
 	}
 	for _, reason := range slices.Sorted(maps.Keys(held)) {
-		s.Held = append(s.Held, Hold{reason, held[reason]})
+		s.Holds = append(s.Holds, Hold{reason, held[reason]})
 	}
 }
--- a/internal/drainreport/plots.go
+++ b/internal/drainreport/plots.go
@@ -24,7 +24,7 @@
 // disruptionPlots show each team's disruptions against its budget.
 func (r *Report) disruptionPlots() ([]template.HTML, error) {
 	teams := map[string]bool{}
-	for _, p := range r.Course {
+	for _, p := range r.Samples {
 		for team := range p.Teams {
 			teams[team] = true
 		}
@@ -52,8 +52,8 @@
 // points returns a curve over the minutes since the first point.
 func (r *Report) points(value func(drain.Sample) int) plotter.XYs {
 	var out plotter.XYs
-	for _, p := range r.Course {
-		since := time.Duration(p.At-r.Course[0].At) * time.Millisecond
+	for _, p := range r.Samples {
+		since := time.Duration(p.At-r.Samples[0].At) * time.Millisecond
 		out = append(out, plotter.XY{X: since.Minutes(), Y: float64(value(p))})
 	}
 	return out
--- a/internal/drainreport/report.go
+++ b/internal/drainreport/report.go
@@ -21,13 +21,13 @@
 type Report struct {
 	Status    *drainctl.Status       `json:"drain"`
 	Generated time.Time              `json:"generated"`
-	Course    []drain.Sample         `json:"course"` // of all parts together
+	Samples   []drain.Sample         `json:"course"` // of all parts together
 	Budgets   map[string]drain.Limit `json:"budgets,omitempty"`
 }
 
 // New makes the report of a drain; settings are optional and tell the budgets.
 func New(s *drainctl.Status, settings *drain.Settings, now time.Time) *Report {
-	r := &Report{Status: s, Generated: now.UTC().Truncate(time.Second), Course: together(s.Courses)}
+	r := &Report{Status: s, Generated: now.UTC().Truncate(time.Second), Samples: together(s.Progress)}
 	if settings != nil {
 		r.Budgets = map[string]drain.Limit{}
 		for _, t := range s.Teams {
--- a/internal/snapshot/measure_test.go
+++ b/internal/snapshot/measure_test.go
@@ -33,7 +33,7 @@
 			b.ResetTimer()
 			var m *Manifest
 			for range b.N {
-				taker := &Taker{Source: store, Directory: b.TempDir(), Patience: 10 * time.Second, Now: time.Now,
+				taker := &Taker{Source: store, Directory: b.TempDir(), AnswerTimeout: 10 * time.Second, Now: time.Now,
 					Sleep: func(_ context.Context, d time.Duration) error { time.Sleep(d); return nil }}
 				var err error
 				if m, err = taker.Take(b.Context()); err != nil {
--- a/internal/snapshot/read.go
+++ b/internal/snapshot/read.go
@@ -40,7 +40,7 @@
 		return nil, &DamageError{ManifestSection, err}
 	}
 	if m.Layout > Layout {
-		return nil, fmt.Errorf("%w: %d of %d", ErrNewer, m.Layout, Layout)
+		return nil, fmt.Errorf("%w: %d of %d", ErrNewerLayout, m.Layout, Layout)
 	}
 	if m.Layout < 1 || m.Cluster == "" || m.Revision == 0 || len(m.Sections) == 0 {
 		return nil, &DamageError{ManifestSection, errors.New("it lacks its layout, cluster, revision or sections")}
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -50,11 +50,11 @@
 
 // Errors.
 var (
-	ErrLocked  = errors.New("another snapshot is being taken in this directory")
-	ErrExists  = errors.New("a snapshot of this name exists")
-	ErrUnknown = errors.New("no such snapshot")
-	ErrForeign = errors.New("the snapshot is of another cluster")
-	ErrNewer   = errors.New("the snapshot's layout is newer than this version")
+	ErrLocked       = errors.New("another snapshot is being taken in this directory")
+	ErrExists       = errors.New("a snapshot of this name exists")
+	ErrUnknown      = errors.New("no such snapshot")
+	ErrOtherCluster = errors.New("the snapshot is of another cluster")
+	ErrNewerLayout  = errors.New("the snapshot's layout is newer than this version")
 )
 
 // DamageError says which section of a snapshot can't be read, and why.
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -68,7 +68,7 @@
 		prefixes := record.Prefixes()
 		r.src.Put(fmt.Sprintf("%s%02d", prefixes[n%len(prefixes)], n), map[string]int{"n": n})
 	}
-	r.taker = &Taker{Source: r.src, Directory: t.TempDir(), Patience: 10 * time.Second, Now: r.clock.Now,
+	r.taker = &Taker{Source: r.src, Directory: t.TempDir(), AnswerTimeout: 10 * time.Second, Now: r.clock.Now,
 		Sleep: func(_ context.Context, d time.Duration) error { r.clock.Advance(d); return nil }}
 	return r
 }
@@ -255,7 +255,7 @@
 	r.src.Down = true
 	began := r.clock.Now()
 	_, err := r.taker.Take(t.Context())
-	if !errors.Is(err, statestore.ErrRefused) || r.clock.Now().Sub(began) > r.taker.Patience+time.Second {
+	if !errors.Is(err, statestore.ErrRefused) || r.clock.Now().Sub(began) > r.taker.AnswerTimeout+time.Second {
 		t.Errorf("after %v: %v", r.clock.Now().Sub(began), err)
 	}
 	r.src.Down = false
@@ -393,7 +393,7 @@
 			}
 			_, err := Read(dir, "s")
 			var damage *DamageError
-			if errors.Is(err, ErrNewer) != x.newer || errors.As(err, &damage) == x.newer {
+			if errors.Is(err, ErrNewerLayout) != x.newer || errors.As(err, &damage) == x.newer {
 				t.Errorf("%v", err)
 			}
 			if all, err := List(dir); err != nil || len(all) != 1 || all[0].Invalid == "" {
--- a/internal/snapshot/take.go
+++ b/internal/snapshot/take.go
@@ -28,9 +28,9 @@
 type Taker struct {
 	Source    Source
 	Directory string
-	// Patience is how long the store may leave all requests without a response.
-	Patience time.Duration
-	Now      func() time.Time
+	// AnswerTimeout is how long the store may leave all requests without a response.
+	AnswerTimeout time.Duration
+	Now           func() time.Time
 	// Sleep waits, or returns an error if the context ends first.
 	Sleep func(ctx context.Context, d time.Duration) error
 
@@ -94,8 +94,8 @@
 			t.answered = t.Now()
 			return v, err
 		}
-		if t.Now().Sub(t.answered) > t.Patience {
-			return v, fmt.Errorf("no answer from the state service for %v: %w", t.Patience, err)
+		if t.Now().Sub(t.answered) > t.AnswerTimeout {
+			return v, fmt.Errorf("no answer from the state service for %v: %w", t.AnswerTimeout, err)
 		}
 		if err := t.Sleep(ctx, retryPause); err != nil {
 			return v, err
