--- a/internal/controller/dependency_tracking.go
+++ b/internal/controller/dependency_tracking.go
@@ -18,8 +18,8 @@
 // owners of the dependents. An owner that did not receive it reads it once the dependency is no
 // longer active.
 
-// applyTerminalRecordLocked caches a job's terminal record and, if the job has dependents, passes it to the
-// shards hosted here. The shards' lock is held.
+// applyTerminalRecordLocked caches a job's terminal record and, if the job has dependents, passes
+// it to the shards hosted here. The shards' lock is held.
 func (c *Controller) applyTerminalRecordLocked(ref string, finished record.FinishedJob, now time.Time) {
 	c.terminalStates.Put(ref, finished)
 	if !c.activeJobs.HasDependents(ref) {
@@ -31,9 +31,9 @@
 	}
 }
 
-// notifyDependentsLocked sends a job's terminal record, which op wrote, to the other controllers that own
-// dependents of the job. It sends it in the background, so that they need not wait for their views
-// to show that the job has ended. The shards' lock is held.
+// notifyDependentsLocked sends a job's terminal record, which op wrote, to the other controllers
+// that own dependents of the job. It sends it in the background, so that they need not wait for
+// their views to show that the job has ended. The shards' lock is held.
 func (c *Controller) notifyDependentsLocked(ref string, op wire.Op) {
 	owners := map[peer.Caller]bool{}
 	for _, dependent := range c.activeJobs.Dependents(ref) {
@@ -52,9 +52,9 @@
 	}
 }
 
-// lookUpDependenciesLocked starts reads of the terminal records of dependencies that are no longer active:
-// at once for those that shards hosted here await, and later for others, in case the owners of their
-// dependents cannot cancel the dependents of a cancelled job. The shards' lock is held.
+// lookUpDependenciesLocked starts reads of the terminal records of dependencies that are no longer
+// active: at once for those that shards hosted here await, and later for others, in case the owners
+// of their dependents cannot cancel the dependents of a cancelled job. The shards' lock is held.
 func (c *Controller) lookUpDependenciesLocked(ctx context.Context, now time.Time) {
 	if !c.activeJobs.Loaded() {
 		return // without a loaded view, absence from it proves nothing
@@ -90,8 +90,8 @@
 	return awaited
 }
 
-// dependentsElsewhereLocked returns the dependents of a job whose shards are not hosted here. The shards'
-// lock is held.
+// dependentsElsewhereLocked returns the dependents of a job whose shards are not hosted here. The
+// shards' lock is held.
 func (c *Controller) dependentsElsewhereLocked(ref string) []string {
 	var elsewhere []string
 	for _, dependent := range c.activeJobs.Dependents(ref) {
@@ -102,8 +102,8 @@
 	return elsewhere
 }
 
-// applyInheritedUrgencyLocked passes the urgency that jobs inherit from their dependents to those of the
-// jobs' shards that are hosted here. The shards' lock is held.
+// applyInheritedUrgencyLocked passes the urgency that jobs inherit from their dependents to those
+// of the jobs' shards that are hosted here. The shards' lock is held.
 func (c *Controller) applyInheritedUrgencyLocked(refs []string) {
 	for _, ref := range refs {
 		job, _ := c.activeJobs.Job(ref)
--- a/internal/controller/owner_renewals.go
+++ b/internal/controller/owner_renewals.go
@@ -125,8 +125,8 @@
 	return config.Seconds(c.cfg.Params.Workers.LeaseS)
 }
 
-// hasTasksOfEndedJobsLocked reports whether a heartbeat reports tasks that have not exited of a job that
-// is cancelled or terminal according to this controller's view. The shards' lock is held.
+// hasTasksOfEndedJobsLocked reports whether a heartbeat reports tasks that have not exited of a job
+// that is cancelled or terminal according to this controller's view. The shards' lock is held.
 func (c *Controller) hasTasksOfEndedJobsLocked(h *wire.Heartbeat) bool {
 	for _, t := range h.Tasks {
 		ref, _, ok := scheduler.SplitTask(t.Task)
--- a/internal/controller/ready.go
+++ b/internal/controller/ready.go
@@ -18,10 +18,10 @@
 	return transport.Response{Status: 503}
 }
 
-// servesUsersLocked reports whether this controller serves users at least as well as any other. When the
-// state service is out of reach for all controllers, no other one serves them better. A controller
-// that reaches neither the state service nor any other controller is probably partitioned itself and
-// reports false. The shards' lock is held.
+// servesUsersLocked reports whether this controller serves users at least as well as any other.
+// When the state service is out of reach for all controllers, no other one serves them better. A
+// controller that reaches neither the state service nor any other controller is probably
+// partitioned itself and reports false. The shards' lock is held.
 func (c *Controller) servesUsersLocked(now time.Time) bool {
 	if c.shards.SchedulerConfigLocked() == nil || c.lease.Current().ID == 0 || !c.activeJobs.Loaded() {
 		return false
--- a/internal/controller/shard_transfer.go
+++ b/internal/controller/shard_transfer.go
@@ -8,10 +8,10 @@
 	"bramblespur/internal/wire"
 )
 
-// transferBackLocked transfers a shard back to its preferred owner, by a write of the ownership record in
-// the background. The write invalidates this controller's fencing token; afterwards the record is
-// read again, which drops the shard here. It does nothing if the shard is not hosted here or this
-// controller is its preferred owner. The shards' lock is held.
+// transferBackLocked transfers a shard back to its preferred owner, by a write of the ownership
+// record in the background. The write invalidates this controller's fencing token; afterwards the
+// record is read again, which drops the shard here. It does nothing if the shard is not hosted here
+// or this controller is its preferred owner. The shards' lock is held.
 func (c *Controller) transferBackLocked(ctx context.Context, id int) {
 	r, _ := c.cluster.Shard(id)
 	home := c.shards.PreferredOwner(id)
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -22,7 +22,7 @@
 }
 
 // tick runs a step of each shard, starts due acquisitions of shards and expires old state, all
-// under the shards' lock. late is how long after its due time the tick ran, from which the
+// under the shards' lock. lag is how long after its due time the tick ran, from which the
 // overload detector concludes whether the processor keeps up.
 func (c *Controller) tick(ctx context.Context, lag time.Duration, now time.Time) {
 	c.mu.Lock()
--- a/internal/controller/view_watches.go
+++ b/internal/controller/view_watches.go
@@ -105,8 +105,8 @@
 	return max(min(spare/4, maxWatchWait), minWatchWait)
 }
 
-// activeJobsStaleLocked reports whether the view of active jobs may lack other controllers' writes, such
-// as cancellations, because the watch has delivered nothing for several waits.
+// activeJobsStaleLocked reports whether the view of active jobs may lack other controllers' writes,
+// such as cancellations, because the watch has delivered nothing for several waits.
 func (c *Controller) activeJobsStaleLocked(now time.Time) bool {
 	if !c.activeJobs.Loaded() {
 		return now.Sub(c.startedAt) > firstViewWait
