--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -28,7 +28,7 @@
 type API interface {
 	// Command sends direct commands to a worker and returns its heartbeat, both when they were
 	// carried out (ok) and when they were refused.
-	Command(ctx context.Context, addr string, o wire.DirectOrders) (r wire.Heartbeat, ok bool, err error)
+	Command(ctx context.Context, addr string, o wire.DirectCommands) (r wire.Heartbeat, ok bool, err error)
 	// Show asks a worker for its heartbeat.
 	Show(ctx context.Context, addr string) (wire.Heartbeat, error)
 }
@@ -40,7 +40,7 @@
 var _ API = Client{}
 
 // Command implements API.
-func (Client) Command(ctx context.Context, addr string, o wire.DirectOrders) (r wire.Heartbeat, ok bool, err error) {
+func (Client) Command(ctx context.Context, addr string, o wire.DirectCommands) (r wire.Heartbeat, ok bool, err error) {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return r, false, fmt.Errorf("encode: %w", err)
--- a/internal/contract/names_test.go
+++ b/internal/contract/names_test.go
@@ -72,7 +72,7 @@
 		"halted": wire.ExitStopped, "mates_gone": wire.ExitGangPeersLost, "incomplete": wire.ExitGangIncomplete, "error": wire.ExitError,
 		"no_room": wire.ExitNoRoom, "in_use": wire.ExitInUse, "no_such": wire.ExitUnknownTask,
 		"run": wire.Start, "halt": wire.Stop, "forget": wire.Forget,
-		"/work": wire.JobsPath, "withdraw": wire.CancelWord, "/ready": wire.ReadyPath, "/agent/beat": wire.HeartbeatPath,
+		"/work": wire.JobsPath, "withdraw": wire.CancelAction, "/ready": wire.ReadyPath, "/agent/beat": wire.HeartbeatPath,
 		"/commands": wire.CommandPath, "/show": wire.ShowPath, "/pipelines": wire.PipelinesPath,
 	} {
 		if got != want {
--- a/internal/controller/account_test.go
+++ b/internal/controller/account_test.go
@@ -71,7 +71,7 @@
 // mute are workers that no direct command reaches.
 type mute struct{}
 
-func (mute) Command(context.Context, string, wire.DirectOrders) (r wire.Heartbeat, ok bool, err error) {
+func (mute) Command(context.Context, string, wire.DirectCommands) (r wire.Heartbeat, ok bool, err error) {
 	return r, false, httpwire.ErrNotSent
 }
 
@@ -143,7 +143,7 @@
 	t.Helper()
 	for range 2 {
 		for _, w := range workers {
-			o, ok := reported(t, c, w).Body.(wire.Orders)
+			o, ok := reported(t, c, w).Body.(wire.CommandBatch)
 			if !ok || !w.Obey(o) {
 				t.Fatalf("%s was not answered", w.ID)
 			}
--- a/internal/controller/cluster_jobs_test.go
+++ b/internal/controller/cluster_jobs_test.go
@@ -192,7 +192,7 @@
 		for i := 0; !done.Load(); i++ {
 			if p := k.process(k.labels[i%len(k.labels)]); p != nil {
 				asked := time.Now()
-				if status, _, _ := p.Handle("POST", wire.PipelinesPath+"/"+name+"/"+wire.CancelWord, nil); status == 200 {
+				if status, _, _ := p.Handle("POST", wire.PipelinesPath+"/"+name+"/"+wire.CancelAction, nil); status == 200 {
 					for _, r := range refs {
 						k.check.Answer(testkit.Cancellation, r, asked, time.Now(), status, wire.Cancelled)
 					}
--- a/internal/controller/dataloss/safe_mode.go
+++ b/internal/controller/dataloss/safe_mode.go
@@ -140,5 +140,5 @@
 	if r.Token == 0 {
 		return transport.Response{Status: 503, RetryAfter: transport.RetryAfter} // no command was ever sent to it
 	}
-	return transport.Response{Status: 200, Body: wire.Orders{Token: r.Token, Commands: []wire.Command{}}}
+	return transport.Response{Status: 200, Body: wire.CommandBatch{Token: r.Token, Commands: []wire.Command{}}}
 }
--- a/internal/controller/dependency_tracking_test.go
+++ b/internal/controller/dependency_tracking_test.go
@@ -155,7 +155,7 @@
 	if got := shard.Dependencies(); len(got) != 2 {
 		t.Fatalf("waits for %v, want both", got)
 	}
-	if got := c.submit(dependent(t, "run-000003", []string{"run-000001", "run-000002"})); got.Status != 200 || got.Body.(wire.Brief).State != wire.Pending {
+	if got := c.submit(dependent(t, "run-000003", []string{"run-000001", "run-000002"})); got.Status != 200 || got.Body.(wire.JobState).State != wire.Pending {
 		t.Fatalf("repeated submission: %+v, want pending", got)
 	}
 	// One end is told by its owner, the other only by the state service.
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -174,7 +174,7 @@
 
 // withoutCommands reports whether a response renews the lease and contains no commands.
 func withoutCommands(response transport.Response) bool {
-	orders, ok := response.Body.(wire.Orders)
+	orders, ok := response.Body.(wire.CommandBatch)
 	return ok && len(orders.Commands) == 0
 }
 
@@ -296,7 +296,7 @@
 // heartbeatReply converts the response to a worker into the reply to the relaying controller.
 func heartbeatReply(response transport.Response) peer.HeartbeatReply {
 	reply := peer.HeartbeatReply{Status: response.Status}
-	if orders, ok := response.Body.(wire.Orders); ok {
+	if orders, ok := response.Body.(wire.CommandBatch); ok {
 		reply.Orders = orders
 	}
 	return reply
--- a/internal/controller/lean_test.go
+++ b/internal/controller/lean_test.go
@@ -74,7 +74,7 @@
 			return r
 		}
 		for range 3 { // it is met, and then idle
-			o, ok := report().Body.(wire.Orders)
+			o, ok := report().Body.(wire.CommandBatch)
 			if !ok || !w.Obey(o) {
 				t.Fatalf("answered %+v", o)
 			}
@@ -193,7 +193,7 @@
 		}
 		time.Sleep(time.Minute) // without a word of the watch
 		setLeaseRenewed(c, time.Now())
-		if got := c.cancel("run-000412"); got.Status != 200 || got.Body.(wire.Brief).State != wire.Cancelled {
+		if got := c.cancel("run-000412"); got.Status != 200 || got.Body.(wire.JobState).State != wire.Cancelled {
 			t.Errorf("after the end, which the view missed: %+v", got)
 		}
 	})
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -114,7 +114,7 @@
 		c.longPolls.ParkLocked(c.shards.GetLocked(0), "m", time.Hour, func(r transport.Response) { got <- r })
 		c.longPolls.ReleaseLocked("m", time.Now())
 		c.mu.Unlock()
-		o, _ := (<-got).Body.(wire.Orders)
+		o, _ := (<-got).Body.(wire.CommandBatch)
 		return len(o.Commands)
 	}
 	if got := c.submit(body(t, func(m map[string]any) { m["berries"] = 1 })); got.Status != 201 {
--- a/internal/controller/owner_renewals.go
+++ b/internal/controller/owner_renewals.go
@@ -116,7 +116,7 @@
 	if c.renewals.record(h.Machine, blocked, lease, now) > c.maxBlockedRenewal() {
 		return transport.Response{Status: 503, RetryAfter: 1}
 	}
-	return transport.Response{Status: 200, Body: wire.Orders{Token: token, Commands: []wire.Command{}}}
+	return transport.Response{Status: 200, Body: wire.CommandBatch{Token: token, Commands: []wire.Command{}}}
 }
 
 // maxBlockedRenewal returns how long a lease is still renewed while it keeps tasks of a cancelled
--- a/internal/controller/owner_renewals_test.go
+++ b/internal/controller/owner_renewals_test.go
@@ -28,7 +28,7 @@
 	answered := func(r *wire.Heartbeat, known, want uint64, what string) {
 		t.Helper()
 		got := c.renewForOwner(r, known)
-		o, ok := got.Body.(wire.Orders)
+		o, ok := got.Body.(wire.CommandBatch)
 		if (got.Status == 200) != (want > 0) || (want > 0 && (!ok || o.Token != want || len(o.Commands) > 0)) {
 			t.Errorf("%s: %+v", what, got)
 		}
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -117,7 +117,7 @@
 	work := func() transport.Response {
 		return other.serveLocally("POST", "/pipelines/pipe-000001/withdraw", nil)
 	}
-	if got := owned(state, other, work); got.Status != 200 || got.Body.(wire.Brief).State != wire.Cancelled {
+	if got := owned(state, other, work); got.Status != 200 || got.Body.(wire.JobState).State != wire.Cancelled {
 		t.Fatalf("withdraw: %+v", got)
 	}
 	c.resetActiveJobs(nil, math.MaxUint64, time.Now())
@@ -126,11 +126,11 @@
 			t.Errorf("job %d after the withdrawal: %+v", i, got)
 		}
 	}
-	if got := c.submitPipeline(pipeline(t, "pipe-000001", 3, [][2]int{{1, 2}, {2, 3}}, nil)); got.Status != 200 || got.Body.(wire.Brief).State != wire.Cancelled {
+	if got := c.submitPipeline(pipeline(t, "pipe-000001", 3, [][2]int{{1, 2}, {2, 3}}, nil)); got.Status != 200 || got.Body.(wire.JobState).State != wire.Cancelled {
 		t.Errorf("repeat after the withdrawal: %+v", got)
 	}
 	state.Put(record.PipelineKey("pipe-000002"), record.Pipeline{Jobs: []string{"run-000009"}, State: wire.Done})
-	if got := c.cancelPipeline("pipe-000002"); got.Body.(wire.Brief).State != wire.Done {
+	if got := c.cancelPipeline("pipe-000002"); got.Body.(wire.JobState).State != wire.Done {
 		t.Errorf("withdrawal of a pipeline that is done: %+v", got)
 	}
 }
--- a/internal/controller/user_requests_harness_test.go
+++ b/internal/controller/user_requests_harness_test.go
@@ -19,7 +19,7 @@
 }
 
 func (c *Controller) cancel(ref string) transport.Response {
-	return c.serveLocally(http.MethodPost, wire.JobsPath+"/"+ref+"/"+wire.CancelWord, nil)
+	return c.serveLocally(http.MethodPost, wire.JobsPath+"/"+ref+"/"+wire.CancelAction, nil)
 }
 
 func (c *Controller) submitPipeline(body []byte) transport.Response {
@@ -31,7 +31,7 @@
 }
 
 func (c *Controller) cancelPipeline(ref string) transport.Response {
-	return c.serveLocally(http.MethodPost, wire.PipelinesPath+"/"+ref+"/"+wire.CancelWord, nil)
+	return c.serveLocally(http.MethodPost, wire.PipelinesPath+"/"+ref+"/"+wire.CancelAction, nil)
 }
 
 func (c *Controller) serveLocally(method, path string, body []byte) transport.Response {
--- a/internal/controller/user_requests_test.go
+++ b/internal/controller/user_requests_test.go
@@ -96,7 +96,7 @@
 	other.applyActiveJobChange(e.Change(), time.Now())
 	state.HoldTxns = 2 // none may be asked for
 	for name, at := range map[string]*Controller{"where it was accepted": c, "elsewhere": other} {
-		if got := at.submit(body(t, nil)); got.Status != 200 || got.Body.(wire.Brief).State != wire.Pending {
+		if got := at.submit(body(t, nil)); got.Status != 200 || got.Body.(wire.JobState).State != wire.Pending {
 			t.Errorf("repeat %s: %+v, want 200 and pending", name, got)
 		}
 	}
@@ -111,7 +111,7 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if got := other.submit(body(t, nil)); got.Status != 200 || got.Body.(wire.Brief).State != wire.Done {
+	if got := other.submit(body(t, nil)); got.Status != 200 || got.Body.(wire.JobState).State != wire.Done {
 		t.Errorf("repeat after the end: %+v, want 200 and done", got)
 	}
 }
@@ -129,14 +129,14 @@
 	if got := other.statusQuery("run-000412"); got.Status != 200 || got.Body.(wire.Status).State != wire.Pending {
 		t.Fatalf("accepted job elsewhere: %+v", got)
 	}
-	if got := owned(state, c, func() transport.Response { return c.cancel("run-000412") }); got.Status != 200 || got.Body.(wire.Brief).State != wire.Cancelled {
+	if got := owned(state, c, func() transport.Response { return c.cancel("run-000412") }); got.Status != 200 || got.Body.(wire.JobState).State != wire.Cancelled {
 		t.Fatalf("cancel: %+v", got)
 	}
 	// No controller says anything older from now on.
 	if got := other.statusQuery("run-000412"); got.Body.(wire.Status).State != wire.Cancelled {
 		t.Fatalf("poll elsewhere after the cancellation: %+v", got)
 	}
-	if got := other.submit(body(t, nil)); got.Status != 200 || got.Body.(wire.Brief).State != wire.Cancelled {
+	if got := other.submit(body(t, nil)); got.Status != 200 || got.Body.(wire.JobState).State != wire.Cancelled {
 		t.Fatalf("repeat after the cancellation: %+v", got)
 	}
 	state.Down = true
@@ -166,7 +166,7 @@
 		if got := x.statusQuery("run-000412"); got.Status != 200 || got.Body.(wire.Status).State != wire.Pending {
 			t.Errorf("%s: poll answers %+v", name, got)
 		}
-		if got := x.submit(body(t, nil)); got.Status != 200 || got.Body.(wire.Brief).State != wire.Pending {
+		if got := x.submit(body(t, nil)); got.Status != 200 || got.Body.(wire.JobState).State != wire.Pending {
 			t.Errorf("%s: a repeated submission answers %+v", name, got)
 		}
 	}
@@ -178,7 +178,7 @@
 			t.Error("not active though tasks still run")
 		}
 	}
-	if got := owned(state, c, func() transport.Response { return c.cancel("run-000412") }); got.Status != 200 || got.Body.(wire.Brief).State != wire.Cancelled {
+	if got := owned(state, c, func() transport.Response { return c.cancel("run-000412") }); got.Status != 200 || got.Body.(wire.JobState).State != wire.Cancelled {
 		t.Errorf("cancel: %+v", got)
 	}
 }
@@ -188,7 +188,7 @@
 	state := testkit.NewState()
 	c := newTest(t, state)
 	state.Put(record.FinishedJobKey("run-000009"), record.FinishedJob{State: wire.Done, Tasks: 2})
-	if got := c.cancel("run-000009"); got.Body.(wire.Brief).State != wire.Done {
+	if got := c.cancel("run-000009"); got.Body.(wire.JobState).State != wire.Done {
 		t.Fatalf("got %+v", got)
 	}
 }
--- a/internal/controller/userapi/cancellations.go
+++ b/internal/controller/userapi/cancellations.go
@@ -34,15 +34,15 @@
 // renew leases. Until then CancelJob returns ErrNotTerminal, and the user has to ask again.
 // It returns ErrNotFound for a job that was never accepted, and ErrUnavailable if the
 // cancellation cannot be decided now.
-func (a *API) CancelJob(ref string) (wire.Brief, error) {
+func (a *API) CancelJob(ref string) (wire.JobState, error) {
 	if !jobspec.ValidJobReference(ref) {
-		return wire.Brief{}, ErrNotFound
+		return wire.JobState{}, ErrNotFound
 	}
 	if finished, ok := a.terminal.Get(ref); ok {
-		return wire.Brief{Ref: ref, State: finished.State}, nil
+		return wire.JobState{Ref: ref, State: finished.State}, nil
 	}
 	if a.cluster.LeaseLost() {
-		return wire.Brief{}, ErrUnavailable
+		return wire.JobState{}, ErrUnavailable
 	}
 	ctx, cancel := a.requestContext()
 	defer cancel()
@@ -51,9 +51,9 @@
 		if errors.Is(err, errChanged) {
 			continue
 		}
-		return wire.Brief{Ref: ref, State: state}, err
+		return wire.JobState{Ref: ref, State: state}, err
 	}
-	return wire.Brief{}, ErrUnavailable
+	return wire.JobState{}, ErrUnavailable
 }
 
 // tryCancelJob returns a job's terminal state if it has one. Otherwise it records the
--- a/internal/controller/userapi/pipelines.go
+++ b/internal/controller/userapi/pipelines.go
@@ -216,7 +216,7 @@
 	}
 	status := wire.PipelineStatus{Ref: ref, State: a.pipelineState(&rec, terminal)}
 	for _, job := range rec.Jobs {
-		status.Jobs = append(status.Jobs, wire.Brief{Ref: job, State: a.pipelineJobState(job, terminal, ends)})
+		status.Jobs = append(status.Jobs, wire.JobState{Ref: job, State: a.pipelineJobState(job, terminal, ends)})
 	}
 	return status, nil
 }
@@ -257,9 +257,9 @@
 // terminal, and ErrNotTerminal until then. If the user asks again, any controller continues
 // the cancellation. It returns ErrNotFound for a pipeline that was never accepted, and
 // ErrUnavailable if the cancellation cannot be decided now.
-func (a *API) CancelPipeline(ref string) (wire.Brief, error) {
+func (a *API) CancelPipeline(ref string) (wire.JobState, error) {
 	if err := a.checkPipelineRequest(ref); err != nil {
-		return wire.Brief{}, err
+		return wire.JobState{}, err
 	}
 	ctx, cancel := a.requestContext()
 	defer cancel()
@@ -269,11 +269,11 @@
 			continue
 		}
 		if err != nil {
-			return wire.Brief{}, err
+			return wire.JobState{}, err
 		}
 		return a.endPipeline(ctx, ref, &rec)
 	}
-	return wire.Brief{}, ErrUnavailable
+	return wire.JobState{}, ErrUnavailable
 }
 
 // recordPipelineCancellation reads a pipeline's record and, unless that has a terminal state
@@ -303,23 +303,23 @@
 
 // endPipeline cancels the jobs of a cancelled pipeline and returns the pipeline's state once
 // it is terminal.
-func (a *API) endPipeline(ctx context.Context, ref string, rec *record.Pipeline) (wire.Brief, error) {
+func (a *API) endPipeline(ctx context.Context, ref string, rec *record.Pipeline) (wire.JobState, error) {
 	if rec.State != wire.Done {
 		if err := a.cancelPipelineJobs(ctx, rec); err != nil {
-			return wire.Brief{}, err
+			return wire.JobState{}, err
 		}
 	}
 	if rec.State == wire.Cancelled && !a.awaitTerminal(ctx, rec.Jobs...) {
-		return wire.Brief{}, ErrNotTerminal
+		return wire.JobState{}, ErrNotTerminal
 	}
 	terminal, err := a.pipelineTerminal(ctx, statestore.Urgent(cancelPurpose), rec)
 	if err != nil {
-		return wire.Brief{}, err
+		return wire.JobState{}, err
 	}
 	if !terminal {
-		return wire.Brief{}, ErrNotTerminal
+		return wire.JobState{}, ErrNotTerminal
 	}
-	return wire.Brief{Ref: ref, State: rec.State}, nil
+	return wire.JobState{Ref: ref, State: rec.State}, nil
 }
 
 // cancelPipelineJobs cancels the active jobs of a cancelled pipeline, as many in a transaction
--- a/internal/controller/userapi/routing.go
+++ b/internal/controller/userapi/routing.go
@@ -73,7 +73,7 @@
 	if accepted.New {
 		status = http.StatusCreated
 	}
-	return respond(status, accepted.Brief, err)
+	return respond(status, accepted.JobState, err)
 }
 
 // Serve answers a user's request. If the request cannot be served because the state service
@@ -169,7 +169,7 @@
 func (r *resource) routeItem(method, rest string) (operation, error) {
 	ref, action, hasAction := strings.Cut(rest, "/")
 	switch {
-	case hasAction && action != wire.CancelWord:
+	case hasAction && action != wire.CancelAction:
 		return nil, ErrNotFound
 	case hasAction && method == http.MethodPost:
 		return func() transport.Response { return r.cancel(ref) }, nil
--- a/internal/controller/userapi/submissions.go
+++ b/internal/controller/userapi/submissions.go
@@ -15,16 +15,16 @@
 // Acceptance is the outcome of an accepted submission: the reference and the state of the
 // job or pipeline.
 type Acceptance struct {
-	wire.Brief
+	wire.JobState
 	New bool // this submission was accepted, not an earlier one
 }
 
 func accepted(ref, state string) Acceptance {
-	return Acceptance{Brief: wire.Brief{Ref: ref, State: state}}
+	return Acceptance{JobState: wire.JobState{Ref: ref, State: state}}
 }
 
 func newlyAccepted(ref string) Acceptance {
-	return Acceptance{Brief: wire.Brief{Ref: ref, State: wire.Pending}, New: true}
+	return Acceptance{JobState: wire.JobState{Ref: ref, State: wire.Pending}, New: true}
 }
 
 // SubmitJob accepts a job once. When it returns no error, the job's record is in the state
--- a/internal/controller/withheld_test.go
+++ b/internal/controller/withheld_test.go
@@ -58,7 +58,7 @@
 		r.Addr = ""
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		orders, _ := c.serveHeartbeatLocked(c.shards.GetLocked(0), &r, time.Now()).Body.(wire.Orders)
+		orders, _ := c.serveHeartbeatLocked(c.shards.GetLocked(0), &r, time.Now()).Body.(wire.CommandBatch)
 		return len(orders.Commands) // not obeyed: the next report asks for them again
 	}
 	starts()
--- a/internal/peer/layout_test.go
+++ b/internal/peer/layout_test.go
@@ -53,7 +53,7 @@
 		{"MP+fAwEBC1JlcG9ydFJlcGx5Af+gAAECAQZTdGF0dXMBBAABBk9yZGVycwH/ogAAACz/oQMBAQZPcmRlcnMB/6IAAQIBBVRva2Vu" +
 			"AQYAAQhDb21tYW5kcwH/pgAAAB3/pQIBAQ5bXXdpcmUuQ29tbWFuZAH/pgAB/6QAADz/owMBAQdDb21tYW5kAf+kAAEEAQJPcAEM" +
 			"AAEEVGFzawEMAAEHQXR0ZW1wdAEGAAEGR3JhY2VTAQgAAAAn/6AB/gGQAQEFAQEBA3J1bgEMcnVuLTAwMDAwMS8wAQIB/ihAAAAA",
-			HeartbeatReply{Status: 200, Orders: wire.Orders{Token: 5,
+			HeartbeatReply{Status: 200, Orders: wire.CommandBatch{Token: 5,
 				Commands: []wire.Command{{Op: wire.Start, Task: "run-000001/0", Attempt: 2, GraceS: &notice}}}}},
 		{"M/+nAwEBCFVzZXJBcmdzAf+oAAEDAQZNZXRob2QBDAABBFBhdGgBDAABBEJvZHkBCgAAAA//qAEDR0VUAQIvcAEBYgA=",
 			UserArgs{Method: "GET", Path: "/p", Body: []byte("b")}},
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -47,8 +47,8 @@
 
 // HeartbeatReply answers a relayed heartbeat.
 type HeartbeatReply struct {
-	Status int         // HTTP status of the response to the worker
-	Orders wire.Orders // body of the response if the status is 200
+	Status int               // HTTP status of the response to the worker
+	Orders wire.CommandBatch // body of the response if the status is 200
 }
 
 // UserArgs is a forwarded request of a user: one that the sender cannot serve, as it does not reach
--- a/internal/scheduler/direct_commands.go
+++ b/internal/scheduler/direct_commands.go
@@ -51,7 +51,7 @@
 	if m == nil || m.Addr == "" || m.contact.incarnation == 0 || !s.cfg.usable(m, now) || s.cfg.HeartbeatInterval < 2*minWaitForDirectStart {
 		return DirectCommand{}, false
 	}
-	d := DirectCommand{Machine: m.ID, Addr: m.Addr, Orders: wire.DirectOrders{Token: m.fencingToken(s), Session: m.contact.incarnation, Commands: s.startCommands(m, now)}}
+	d := DirectCommand{Machine: m.ID, Addr: m.Addr, Orders: wire.DirectCommands{Token: m.fencingToken(s), Session: m.contact.incarnation, Commands: s.startCommands(m, now)}}
 	if len(d.Orders.Commands) == 0 {
 		return DirectCommand{}, false
 	}
--- a/internal/scheduler/effects.go
+++ b/internal/scheduler/effects.go
@@ -30,7 +30,7 @@
 type DirectCommand struct {
 	Machine string // ID
 	Addr    string // of the worker
-	Orders  wire.DirectOrders
+	Orders  wire.DirectCommands
 }
 
 // Effects lists what the caller has to carry out.
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -226,7 +226,7 @@
 			if w == nil || w.Session != d.Orders.Session {
 				continue
 			}
-			w.Obey(wire.Orders{Token: d.Orders.Token, Commands: d.Orders.Commands})
+			w.Obey(wire.CommandBatch{Token: d.Orders.Token, Commands: d.Orders.Commands})
 			rep := w.Report()
 			r.shard.Heartbeat(&rep, true, now)
 		}
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -19,18 +19,18 @@
 
 // Heartbeat applies a worker's heartbeat and returns the response to it. A direct heartbeat is
 // itself the answer to a direct command or a probe, so that the worker gets no response to it.
-func (s *Shard) Heartbeat(r *wire.Heartbeat, direct bool, now time.Time) (wire.Orders, HeartbeatDisposition) {
+func (s *Shard) Heartbeat(r *wire.Heartbeat, direct bool, now time.Time) (wire.CommandBatch, HeartbeatDisposition) {
 	m := s.inventory.byID[r.Machine]
 	if m == nil {
-		return wire.Orders{}, UnknownMachine
+		return wire.CommandBatch{}, UnknownMachine
 	}
 	token := m.fencingToken(s)
 	freshness := reconcile.ClassifyHeartbeat(reconcile.PositionOf(r),
 		reconcile.Position{Incarnation: m.contact.incarnation, Seq: m.contact.seq}, r.Token, token)
 	if freshness == reconcile.Superseded {
-		return wire.Orders{}, Deposed
+		return wire.CommandBatch{}, Deposed
 	}
-	orders := wire.Orders{Token: token, Commands: []wire.Command{}}
+	orders := wire.CommandBatch{Token: token, Commands: []wire.Command{}}
 	if freshness == reconcile.Stale {
 		return orders, Answered // an outdated heartbeat changes nothing and gets no commands
 	}
--- a/internal/scheduler/long_poll.go
+++ b/internal/scheduler/long_poll.go
@@ -29,10 +29,10 @@
 
 // ParkedResponse returns the parked response to a machine's heartbeat, with the starts that are due
 // now, and false if the shard has no such machine.
-func (s *Shard) ParkedResponse(id string, now time.Time) (wire.Orders, bool) {
+func (s *Shard) ParkedResponse(id string, now time.Time) (wire.CommandBatch, bool) {
 	m := s.inventory.byID[id]
 	if m == nil {
-		return wire.Orders{}, false
+		return wire.CommandBatch{}, false
 	}
-	return wire.Orders{Token: m.fencingToken(s), Commands: append([]wire.Command{}, s.startCommands(m, now)...)}, true
+	return wire.CommandBatch{Token: m.fencingToken(s), Commands: append([]wire.Command{}, s.startCommands(m, now)...)}, true
 }
--- a/internal/scheduler/machine_health.go
+++ b/internal/scheduler/machine_health.go
@@ -224,7 +224,7 @@
 		if m.Addr == "" || m.contact.incarnation == 0 {
 			continue
 		}
-		o := wire.DirectOrders{Token: m.fencingToken(s), Session: m.contact.incarnation, Commands: s.stopCommands(m, now)}
+		o := wire.DirectCommands{Token: m.fencingToken(s), Session: m.contact.incarnation, Commands: s.stopCommands(m, now)}
 		if len(o.Commands) > 0 || m.announceToken {
 			m.announceToken = false
 			s.effects.DirectCommands = append(s.effects.DirectCommands, DirectCommand{Machine: m.ID, Addr: m.Addr, Orders: o})
--- a/internal/scheduler/random_history_test.go
+++ b/internal/scheduler/random_history_test.go
@@ -33,7 +33,7 @@
 // lateResponse is a delayed response, and the position of the heartbeat that it answers.
 type lateResponse struct {
 	session, seq uint64
-	orders       wire.Orders
+	orders       wire.CommandBatch
 }
 
 // randomSteps are the steps of a history. A step is drawn by its index: keep the order.
--- a/internal/testkit/agent.go
+++ b/internal/testkit/agent.go
@@ -168,7 +168,7 @@
 }
 
 // command carries out direct orders, or holds them while the machine hangs.
-func (a *Agent) command(o wire.DirectOrders) (r wire.Heartbeat, ok bool, err error) {
+func (a *Agent) command(o wire.DirectCommands) (r wire.Heartbeat, ok bool, err error) {
 	a.mu.Lock()
 	if a.gone {
 		a.mu.Unlock()
@@ -195,7 +195,7 @@
 }
 
 // execute carries out direct orders. The lock is held.
-func (a *Agent) execute(o wire.DirectOrders) (wire.Heartbeat, bool) {
+func (a *Agent) execute(o wire.DirectCommands) (wire.Heartbeat, bool) {
 	ok := o.Token >= a.token && o.Session == a.session
 	if ok {
 		a.see(o.Token)
--- a/internal/testkit/direct.go
+++ b/internal/testkit/direct.go
@@ -28,7 +28,7 @@
 }
 
 // Command implements agent.API.
-func (d *Direct) Command(_ context.Context, addr string, o wire.DirectOrders) (wire.Heartbeat, bool, error) {
+func (d *Direct) Command(_ context.Context, addr string, o wire.DirectCommands) (wire.Heartbeat, bool, error) {
 	a := d.w.at(addr)
 	if a == nil || d.life.Err() != nil {
 		return wire.Heartbeat{}, false, ErrLost
--- a/internal/testkit/loopback.go
+++ b/internal/testkit/loopback.go
@@ -149,7 +149,7 @@
 func (a *Agent) http() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+wire.CommandPath, func(w http.ResponseWriter, r *http.Request) {
-		var o wire.DirectOrders
+		var o wire.DirectCommands
 		if !decodeBody(w, r, &o) {
 			return
 		}
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -341,7 +341,7 @@
 }
 
 // Obey carries out an answer, unless its token is too low.
-func (w *Worker) Obey(o wire.Orders) bool {
+func (w *Worker) Obey(o wire.CommandBatch) bool {
 	if o.Token < w.Token {
 		return false
 	}
--- a/internal/testkit/users.go
+++ b/internal/testkit/users.go
@@ -14,7 +14,7 @@
 	case Poll:
 		method, path, timeout = "GET", wire.JobsPath+"/"+ref, pollTimeout
 	case Cancellation:
-		path = wire.JobsPath + "/" + ref + "/" + wire.CancelWord
+		path = wire.JobsPath + "/" + ref + "/" + wire.CancelAction
 		w.check.Cancel(ref)
 	}
 	asked := time.Now()
--- a/internal/testkit/world.go
+++ b/internal/testkit/world.go
@@ -264,7 +264,7 @@
 }
 
 // deliver brings a worker's report to a controller.
-func (w *World) deliver(from, to string, r wire.Heartbeat) (status int, redirect string, o wire.Orders, err error) {
+func (w *World) deliver(from, to string, r wire.Heartbeat) (status int, redirect string, o wire.CommandBatch, err error) {
 	if observe := w.observer(); observe != nil {
 		sent := time.Now().Format(time.TimeOnly)
 		defer func() {
--- a/internal/wire/paths.go
+++ b/internal/wire/paths.go
@@ -3,7 +3,7 @@
 // Paths of the protocols.
 const (
 	JobsPath      = "/work"
-	CancelWord    = "withdraw"
+	CancelAction  = "withdraw"
 	ReadyPath     = "/ready"
 	HeartbeatPath = "/agent/beat"
 	CommandPath   = "/commands"
--- a/internal/wire/user.go
+++ b/internal/wire/user.go
@@ -53,8 +53,8 @@
 	Running int    `json:"running"`
 }
 
-// Brief is the answer to a submission or a cancellation.
-type Brief struct {
+// JobState is the answer to a submission or a cancellation.
+type JobState struct {
 	Ref   string `json:"ref"`
 	State string `json:"bloom"`
 }
@@ -83,9 +83,9 @@
 
 // PipelineStatus is the answer to a status query of a pipeline.
 type PipelineStatus struct {
-	Ref   string  `json:"ref"`
-	State string  `json:"bloom"`
-	Jobs  []Brief `json:"jobs"`
+	Ref   string     `json:"ref"`
+	State string     `json:"bloom"`
+	Jobs  []JobState `json:"jobs"`
 }
 
 // RequiredFields are the fields of a Spec that may be neither missing nor null.
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -58,14 +58,14 @@
 	GraceS  *float64 `json:"wilt_s,omitempty"`
 }
 
-// Orders is the response to a heartbeat: commands under a fencing token.
-type Orders struct {
+// CommandBatch is the response to a heartbeat: commands under a fencing token.
+type CommandBatch struct {
 	Token    uint64    `json:"crook"`
 	Commands []Command `json:"calls"`
 }
 
-// DirectOrders is the body of a request with direct commands, for one incarnation of a worker.
-type DirectOrders struct {
+// DirectCommands is the body of a request with direct commands, for one incarnation of a worker.
+type DirectCommands struct {
 	Token    uint64    `json:"crook"`
 	Session  uint64    `json:"season"`
 	Commands []Command `json:"calls"`
