--- a/internal/controller/membership/lease_test.go
+++ b/internal/controller/membership/lease_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// The bounds of a lease's age: it must not count as certain up to its end, and work is
-// passed on before it is refused.
+// The bounds of a lease's age. A lease must stop being certainly valid before it expires, and be
+// overdue, so that work is passed on, before it counts as lost, so that work is refused.
 func TestLeaseAges(t *testing.T) {
 	renewed := time.Unix(1e9, 0)
-	for _, x := range []struct {
-		age                    time.Duration
-		certain, overdue, lost bool
+	for _, test := range []struct {
+		age                           time.Duration
+		certainlyValid, overdue, lost bool
 	}{
 		{0, true, false, false},
 		{LeaseTTL / 2, true, false, false},
@@ -23,19 +23,19 @@
 		{LeaseTTL, false, true, true},
 	} {
 		s := LeaseState{ID: 1, RenewedAt: renewed}
-		now := renewed.Add(x.age)
-		if s.CertainlyValid(now) != x.certain || s.Overdue(now) != x.overdue || s.Lost(now) != x.lost {
-			t.Errorf("after %v: certain %t, overdue %t, lost %t", x.age, s.CertainlyValid(now), s.Overdue(now), s.Lost(now))
+		now := renewed.Add(test.age)
+		if s.CertainlyValid(now) != test.certainlyValid || s.Overdue(now) != test.overdue || s.Lost(now) != test.lost {
+			t.Errorf("after %v: certainly valid %t, overdue %t, lost %t", test.age, s.CertainlyValid(now), s.Overdue(now), s.Lost(now))
 		}
 		none := LeaseState{RenewedAt: renewed}
 		if none.CertainlyValid(now) || !none.Overdue(now) || !none.Lost(now) {
-			t.Errorf("after %v without a lease: certain %t, overdue %t, lost %t", x.age, none.CertainlyValid(now), none.Overdue(now), none.Lost(now))
+			t.Errorf("after %v without a lease: certainly valid %t, overdue %t, lost %t; want only overdue and lost", test.age, none.CertainlyValid(now), none.Overdue(now), none.Lost(now))
 		}
 	}
 }
 
-// Answers to renewals come in any order: the latest request counts, and what is told of an
-// earlier lease says nothing of the present one.
+// Replies to renewals arrive in any order. The latest request counts, and a reply about an earlier
+// lease does not change the present one.
 func TestLeaseRenewalsInAnyOrder(t *testing.T) {
 	var l Lease
 	begin := time.Unix(1e9, 0)
@@ -48,12 +48,12 @@
 	l.Expired(1)
 	l.Renewed(1, begin.Add(3*time.Second))
 	if s := l.Current(); s.ID != 0 || s.Incarnation != 1 || s.CertainlyValid(begin.Add(3*time.Second)) {
-		t.Errorf("after its end: %+v", s)
+		t.Errorf("after the lease expired: %+v, want no lease and incarnation 1", s)
 	}
 	l.Grant(LeaseState{ID: 2, Incarnation: 1, RenewedAt: begin.Add(4 * time.Second)})
 	l.Expired(1)
 	l.Renewed(1, begin.Add(5*time.Second))
 	if s := l.Current(); s.ID != 2 || !s.RenewedAt.Equal(begin.Add(4*time.Second)) {
-		t.Errorf("a late word on an earlier lease: %+v", s)
+		t.Errorf("after late replies about an earlier lease: %+v, want lease 2 as it was granted", s)
 	}
 }
--- a/internal/controller/membership/member.go
+++ b/internal/controller/membership/member.go
@@ -14,71 +14,73 @@
 )
 
 const (
-	// retryInterval is about how long after a renewal without success the next is requested.
+	// retryInterval is about how long after a failed renewal the next one is requested.
 	retryInterval = 400 * time.Millisecond
-	// strainedRenewInterval is how often a process that is short of processor time renews
-	// its lease, without awaiting answers: its timers and the answers are late.
+	// strainedRenewInterval is how often a strained process renews its lease. It does not
+	// await the replies, as its timers fire late and it reads replies late.
 	strainedRenewInterval = LeaseTTL / 8
-	// MaxConcurrentRenewals is how many of its renewals may be unanswered.
+	// MaxConcurrentRenewals bounds the unanswered renewals of a strained process.
 	MaxConcurrentRenewals = 8
-	// memberRecordDelay is how long a member record may take to show in its writer's view.
+	// memberRecordDelay is how long a member record may take to appear in its writer's view.
 	memberRecordDelay = 2 * time.Second
 )
 
-// Process is what a Member needs of the process that it stands for.
+// Process is the process that a Member represents in the cluster.
 type Process interface {
-	// Strained reports whether the process gets a little less of the processor than it
-	// needs.
+	// Strained reports whether the process gets a little less CPU time than it needs.
 	Strained() bool
-	// Observe returns how the process serves and what its view shows of its member
-	// record, both as of one moment. It takes the shards' lock.
+	// Observe returns the process's status and its member record in the view, both as of
+	// one moment. It takes the shards' lock.
 	Observe() Observation
-	// FormatView returns what the view shows of a controller's record format. It takes
+	// FormatView returns what the view says about a controller's record format. It takes
 	// the shards' lock.
 	FormatView(label string) FormatView
-	// ApplyClusterChange brings a record that was just written into the view, before
-	// the watch does. It takes the shards' lock.
+	// ApplyClusterChange applies a record that was just written to the view, before the
+	// watch delivers it. It takes the shards' lock.
 	ApplyClusterChange(change wire.Change, now time.Time)
 }
 
-// Observation is what a Member is told of its process and of the view.
+// Observation is the state of a Member's process, and of the process's view, at one moment.
 type Observation struct {
-	At       time.Time
-	Status   Status
-	Recorded record.Member // this process's member record in the view
-	ViewAsOf time.Time     // the view was true at this time or later
+	At       time.Time     // the moment
+	Status   Status        // of the process
+	Recorded record.Member // this process's member record in the view; zero: there is none
+	ViewAsOf time.Time     // the view includes all changes made before this time
 }
 
 // Member keeps this process's lease and its records of the cluster: the member record,
 // written under the lease, and the record of the format that it reads and writes.
 //
-// It owns the status as last published; its lock is a leaf, below the shards' lock, and
-// is not held across requests to the state service.
+// It owns the status as last published. Its lock is a leaf, below the shards' lock, and is
+// not held during requests to the state service. Of its methods only Published may be called
+// with the shards' lock held.
 type Member struct {
 	label   string
-	store   func() statestore.Store // of the moment: a guard may take its place
+	store   func() statestore.Store // returns the present store: a guard may replace it
 	lease   *Lease
 	process Process
 	log     *slog.Logger
 
 	mu         sync.Mutex
-	published  Status    // as the member record says
-	recordedAt time.Time // when the member record was last written
+	published  Status    // the status that was last written to the member record
+	recordedAt time.Time // when the last write of the member record ended
 }
 
-// NewMember returns the member of a label that keeps a lease.
+// NewMember returns the Member of the process with a label. It keeps the state of the
+// process's lease in lease.
 func NewMember(label string, store func() statestore.Store, lease *Lease, process Process, log *slog.Logger) *Member {
 	return &Member{label: label, store: store, lease: lease, process: process, log: log}
 }
 
-// Published returns the status that the member record was last seen to be written with.
+// Published returns the status of the last write of the member record that was confirmed.
 func (m *Member) Published() Status {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.published
 }
 
-// KeepLease keeps the lease and the member record until the context ends.
+// KeepLease renews the lease until the context ends. When there is no lease, it requests one
+// and writes the member record under it.
 func (m *Member) KeepLease(ctx context.Context) {
 	pending := make(chan struct{}, MaxConcurrentRenewals)
 	for {
@@ -89,8 +91,8 @@
 	}
 }
 
-// keepLeaseOnce renews the lease, or requests one, and returns how long to wait before
-// the next time.
+// keepLeaseOnce renews the lease, or requests one, and returns how long to wait before it is
+// called again. Each element of pending is a renewal that is not answered yet.
 func (m *Member) keepLeaseOnce(ctx context.Context, pending chan struct{}) time.Duration {
 	sent := time.Now()
 	lease := m.lease.Current()
@@ -105,14 +107,14 @@
 	return RenewInterval
 }
 
-// renewWithoutWaiting renews the lease without awaiting the answer, which a process that
-// falls behind reads as late as it fires its timers: one after the other the lease would
-// expire in between.
+// renewWithoutWaiting renews the lease without awaiting the reply. A process that falls behind
+// fires its timers late and reads replies late; if it awaited each reply before the next
+// renewal, the lease would expire in between.
 func (m *Member) renewWithoutWaiting(ctx context.Context, id uint64, sent time.Time, pending chan struct{}) {
 	select {
 	case pending <- struct{}{}:
 	default:
-		return // enough of them are pending
+		return // MaxConcurrentRenewals are pending
 	}
 	go func() {
 		defer func() { <-pending }()
@@ -122,7 +124,8 @@
 	}()
 }
 
-// renew renews the lease once.
+// renew requests one renewal of a lease and records the outcome. It returns
+// statestore.ErrNoLease if the lease no longer exists.
 func (m *Member) renew(ctx context.Context, id uint64, sent time.Time) error {
 	err := m.store().Renew(ctx, id)
 	switch {
@@ -134,8 +137,8 @@
 	return err
 }
 
-// renewOrGrant renews the lease or, where there is none any more, gets another and writes
-// the member record under it.
+// renewOrGrant renews the lease. If there is no lease, or no longer, it has another one granted
+// and writes the member record under it.
 func (m *Member) renewOrGrant(ctx context.Context, sent time.Time) error {
 	current := m.lease.Current()
 	if current.ID != 0 {
@@ -168,33 +171,35 @@
 	return err
 }
 
-// PublishStatus writes the member record where it no longer says how the process serves.
-// One that is partitioned from all is still the owner of its shards, but of no use to
-// them. It also writes the record anew where the view shows another or none: one of this
-// label's last process may have come late, and ends with that one's lease.
+// PublishStatus writes the member record if the process's status has changed since the record
+// was written, so that others learn of it: a controller that is partitioned from all others
+// and all workers still owns its shards, but is of no use to them. It also writes the record
+// again if the view shows a different one or none: a delayed write of the last process with
+// this label may have replaced the record, and will be deleted when that process's lease expires.
 func (m *Member) PublishStatus(ctx context.Context) {
-	seen := m.process.Observe()
+	observed := m.process.Observe()
 	lease := m.lease.Current()
-	if !lease.CertainlyValid(seen.At) || !m.outdated(seen, lease.Incarnation) {
+	if !lease.CertainlyValid(observed.At) || !m.outdated(observed, lease.Incarnation) {
 		return
 	}
-	if m.putRecord(ctx, seen.Status.record(lease.Incarnation), lease.ID) != nil {
+	if m.putRecord(ctx, observed.Status.record(lease.Incarnation), lease.ID) != nil {
 		return
 	}
 	m.mu.Lock()
-	m.published = seen.Status
+	m.published = observed.Status
 	m.mu.Unlock()
-	m.log.Info("member status published", "without_peers", seen.Status.WithoutPeers, "isolated", seen.Status.Isolated,
-		"overloaded", seen.Status.Overloaded)
+	m.log.Info("member status published", "without_peers", observed.Status.WithoutPeers, "isolated", observed.Status.Isolated,
+		"overloaded", observed.Status.Overloaded)
 }
 
-// outdated reports whether the member record has to be written again.
-func (m *Member) outdated(seen Observation, incarnation uint64) bool {
+// outdated reports whether the member record must be written again: the status has changed, or
+// a view that is recent enough to show the last write shows another record or none.
+func (m *Member) outdated(observed Observation, incarnation uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if seen.Status != m.published {
+	if observed.Status != m.published {
 		return true
 	}
-	viewIsNewer := seen.ViewAsOf.After(m.recordedAt) && seen.At.Sub(m.recordedAt) > memberRecordDelay
-	return viewIsNewer && seen.Recorded != seen.Status.record(incarnation)
+	viewIsNewer := observed.ViewAsOf.After(m.recordedAt) && observed.At.Sub(m.recordedAt) > memberRecordDelay
+	return viewIsNewer && observed.Recorded != observed.Status.record(incarnation)
 }
--- a/internal/controller/membership/peer_health.go
+++ b/internal/controller/membership/peer_health.go
@@ -10,24 +10,25 @@
 )
 
 const (
-	// PeerContactValidFor is how old a sign of another controller may be to count.
+	// PeerContactValidFor is how long the outcome of a call to another controller is taken
+	// to describe its present state.
 	PeerContactValidFor = 3 * time.Second
-	// unreachableAfter is how long another controller may leave calls unanswered before
-	// it counts as out of reach.
+	// unreachableAfter is how long after its last answer another controller counts as out
+	// of reach.
 	unreachableAfter = 6 * time.Second
-	// PingTimeout is how long a short call to another controller may take.
+	// PingTimeout is the timeout of a short call to another controller.
 	PingTimeout = 900 * time.Millisecond
 )
 
-// PeerContact is what calls to another controller have shown of it. The zero value is a
-// controller that was never called.
+// PeerContact summarizes the outcomes of calls to another controller. The zero value is that
+// of a controller that was never called.
 type PeerContact struct {
-	answeredAt     time.Time // last answer
-	answeringSince time.Time // answers without a failure since; zero: the last call failed
+	answeredAt     time.Time // time of the last answer
+	answeringSince time.Time // since when every call was answered; zero: the last call failed
 	// refusedAt is when the peer last refused a connection: it is dead, or connections
 	// between controllers are refused.
 	refusedAt             time.Time
-	stateServiceReachedAt time.Time // last answer that said that the peer reaches it
+	stateServiceReachedAt time.Time // time of the last answer by which the peer reaches the state service
 }
 
 // AnsweredWithin reports whether the peer answered less than d ago.
@@ -35,28 +36,29 @@
 	return now.Sub(p.answeredAt) < d
 }
 
-// Reachable reports whether the peer answered before it would count as out of reach.
+// Reachable reports whether the peer answered recently enough not to count as out of reach.
 func (p PeerContact) Reachable(now time.Time) bool {
 	return p.AnsweredWithin(unreachableAfter, now)
 }
 
-// Answers reports whether the peer answered lately.
+// Answers reports whether the peer answered within PeerContactValidFor.
 func (p PeerContact) Answers(now time.Time) bool {
 	return p.AnsweredWithin(PeerContactValidFor, now)
 }
 
-// ReachesStateService reports whether the peer lately said that it reaches the state
-// service.
+// ReachesStateService reports whether the peer answered within PeerContactValidFor that it
+// reaches the state service.
 func (p PeerContact) ReachesStateService(now time.Time) bool {
 	return now.Sub(p.stateServiceReachedAt) < PeerContactValidFor
 }
 
-// Refuses reports whether the peer lately refused a connection.
+// Refuses reports whether the peer refused a connection within PeerContactValidFor.
 func (p PeerContact) Refuses(now time.Time) bool {
 	return now.Sub(p.refusedAt) < PeerContactValidFor
 }
 
-// AnsweringFor returns how long the peer has answered every call.
+// AnsweringFor returns for how long the peer has answered every call; 0 if the last call
+// failed.
 func (p PeerContact) AnsweringFor(now time.Time) time.Duration {
 	if p.answeringSince.IsZero() {
 		return 0
@@ -64,27 +66,27 @@
 	return now.Sub(p.answeringSince)
 }
 
-// PeerHealth keeps the contacts with the other controllers, by label. Its lock is a leaf,
-// below the shards' lock.
+// PeerHealth holds the contacts with the other controllers. It is safe for concurrent use; its
+// lock is a leaf, below the shards' lock.
 type PeerHealth struct {
 	mu       sync.Mutex
-	contacts map[string]PeerContact
+	contacts map[string]PeerContact // by label
 }
 
-// NewPeerHealth returns the contacts of a process that has called nobody yet.
+// NewPeerHealth returns the PeerHealth of a process that has not called any peer yet.
 func NewPeerHealth() *PeerHealth {
 	return &PeerHealth{contacts: map[string]PeerContact{}}
 }
 
-// Contact returns what is known of a peer.
+// Contact returns the contact with a peer; zero if the peer was never called.
 func (h *PeerHealth) Contact(label string) PeerContact {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.contacts[label]
 }
 
-// RecordCall records the outcome of a call to a peer that ended at a time: its error, or
-// else whether the peer said that it reaches the state service.
+// RecordCall records the outcome of a call to a peer that ended at the time now: its error or,
+// without an error, whether the peer answered that it reaches the state service.
 func (h *PeerHealth) RecordCall(label string, err error, reachesStateService bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -97,8 +99,8 @@
 	h.contacts[label] = p
 }
 
-// RecordRefusal records that a peer refused a connection for a relayed heartbeat, which
-// says nothing of calls of other kinds.
+// RecordRefusal records that a peer refused a connection for a relayed heartbeat. It leaves
+// the outcomes of other calls as they are.
 func (h *PeerHealth) RecordRefusal(label string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -124,7 +126,8 @@
 	}
 }
 
-// Ping asks each peer whether it reaches the state service and records who answers.
+// Ping asks all peers at once whether they reach the state service, and records the outcome of
+// each call. It returns when all calls have ended, after PingTimeout at the latest.
 func (h *PeerHealth) Ping(from string, peers map[string]peer.Caller) {
 	var wg sync.WaitGroup
 	for label, caller := range peers {
--- a/internal/controller/membership/peer_health_test.go
+++ b/internal/controller/membership/peer_health_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A failed call ends the row of answers but not at once what was known before; only a
-// refused connection counts as refused.
+// A failed call ends the run of answered calls, but earlier answers remain valid for a while. Only a
+// refused connection counts as a refusal.
 func TestPeerHealth(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := NewPeerHealth()
--- a/internal/controller/membership/readiness.go
+++ b/internal/controller/membership/readiness.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// A load balancer keeps a controller out for longer each time it turns
-// unready, so readiness changes only when its cause has lasted a while.
+// How long users must be served, or not be served, before readiness changes accordingly. A
+// load balancer keeps a controller out for longer each time it becomes unready.
 const (
 	unreadyAfter = 3 * time.Second
 	readyAfter   = 500 * time.Millisecond
 )
 
-// Readiness is whether users are to be sent here, with hysteresis. The zero value is not
-// ready. Its owner guards it.
+// Readiness is whether the load balancer is to send users to this controller, with hysteresis.
+// The zero value is not ready. It is not safe for concurrent use; its owner guards it.
 type Readiness struct {
 	ready bool
-	since time.Time // since when the cause speaks against ready; zero: it does not
+	since time.Time // since when the updates have contradicted ready; zero: the last one did not
 }
 
-// Update records whether users would be served now and returns what to tell the load
-// balancer.
-func (r *Readiness) Update(good bool, now time.Time) bool {
-	if good == r.ready {
+// Update records whether users would be served now and returns whether the controller is
+// ready.
+func (r *Readiness) Update(serving bool, now time.Time) bool {
+	if serving == r.ready {
 		r.since = time.Time{}
 		return r.ready
 	}
@@ -31,7 +31,7 @@
 		wait = unreadyAfter
 	}
 	if now.Sub(r.since) >= wait {
-		r.ready, r.since = good, time.Time{}
+		r.ready, r.since = serving, time.Time{}
 	}
 	return r.ready
 }
--- a/internal/controller/membership/readiness_test.go
+++ b/internal/controller/membership/readiness_test.go
@@ -7,31 +7,31 @@
 	"bramblespur/internal/testkit"
 )
 
-// Readiness does not flap: the load balancer would keep the controller out for
-// up to a minute.
+// Readiness does not change for short interruptions: the load balancer would keep the controller
+// out for up to a minute.
 func TestReadinessHasHysteresis(t *testing.T) {
 	var r Readiness
 	clock := testkit.NewClock()
-	step := func(good bool, d time.Duration) bool {
+	step := func(serving bool, d time.Duration) bool {
 		clock.Advance(d)
-		return r.Update(good, clock.Now())
+		return r.Update(serving, clock.Now())
 	}
 	step(true, 0)
 	if !step(true, time.Second) {
-		t.Fatal("not ready after a second of good times")
+		t.Fatal("not ready although users were served for a second")
 	}
-	for range 10 { // short troubles
+	for range 10 { // short interruptions
 		step(false, time.Second)
 		if !step(false, time.Second) || !step(true, time.Second) {
-			t.Fatal("unready for a trouble of a second")
+			t.Fatal("not ready because of an interruption of a second")
 		}
 	}
 	step(false, 0)
 	if step(false, unreadyAfter) {
-		t.Fatal("ready in a lasting trouble")
+		t.Fatal("still ready after an interruption of unreadyAfter")
 	}
 	step(true, 0)
 	if !step(true, time.Second) {
-		t.Fatal("not ready again after it")
+		t.Fatal("not ready a second after the interruption ended")
 	}
 }
