--- a/internal/controller/linearizable/batcher.go
+++ b/internal/controller/linearizable/batcher.go
@@ -1,8 +1,8 @@
-// Package linearizable confirms that watched copies of records are current. A copy counts
-// as current if a comparison that starts after the question came finds its version
-// unchanged: nobody can have been told of anything newer before that. Questions that come
-// close together share one comparison, so that the requests to the state service don't
-// grow with the rate of status queries.
+// Package linearizable confirms that copies of records in a view are current, so that they can
+// answer linearizable reads. A copy is current if a comparison at the state service that starts
+// after the read finds its version unchanged: no user can have been told of a newer version
+// before the read. Reads that come close together share one comparison, so that the requests
+// to the state service do not grow with the rate of status queries.
 package linearizable
 
 import (
@@ -18,59 +18,64 @@
 )
 
 const (
-	// batchDelay is how long a question waits for others to share its comparison. Users
-	// wait 2 s for an answer to a status query.
+	// batchDelay is how long a check waits for others that share its comparison. Users
+	// wait 2 s for the answer to a status query.
 	batchDelay = 200 * time.Millisecond
-	// compareTimeout bounds the comparisons of a batch: users don't wait longer.
+	// compareTimeout bounds the time for all comparisons of a batch: users do not wait
+	// longer.
 	compareTimeout = 1500 * time.Millisecond
-	// conditionsPerChange is how many conditions the state service takes for each change
-	// that a transaction may hold.
+	// conditionsPerChange is how many conditions a transaction may have for each change
+	// that the state service allows in it.
 	conditionsPerChange = 4
 )
 
-// StateService is what a Batcher needs of its owner. It is called without any lock held.
+// StateService gives a Batcher access to the state service. It is called without any lock held.
 type StateService interface {
+	// StateService returns the store that comparisons are sent to.
 	StateService() statestore.Store
-	// WriteLimits are the limits on the size of transactions.
+	// WriteLimits returns the limits on the size of transactions.
 	WriteLimits() config.State
-	// Context ends with the controller.
+	// Context returns a context that ends with the controller.
 	Context() context.Context
 }
 
-// Check asks whether a record still has the version that the watch told.
+// Check is a pending check that a record still has the version that a view has.
 type Check struct {
-	Cond wire.Condition
-	// Current receives one answer. It is buffered, so that nobody waits for a reader that
-	// gave up. False means only that the record has to be read.
+	Cond wire.Condition // the record's key and the version in the view
+	// Current receives one result: true if the record has that version. False means only
+	// that the record must be read. The channel is buffered, so that the sender does not
+	// block if the receiver has given up.
 	Current chan bool
 }
 
-// NewCheck returns a check of a record's version.
+// NewCheck returns a check of a condition.
 func NewCheck(cond wire.Condition) *Check {
 	return &Check{Cond: cond, Current: make(chan bool, 1)}
 }
 
-// Batcher gathers checks into batches and resolves each with one comparison.
+// Batcher collects checks into batches and resolves each batch by one comparison if one
+// transaction can hold it.
 //
-// Its lock is a leaf: Confirm may not be called with the shards' lock held, since it waits
-// for the state service, but nothing else is locked under it.
+// It is safe for concurrent use. Its lock is a leaf: no other lock is taken under it. Confirm
+// must not be called with the shards' lock held, since it waits for the state service.
 type Batcher struct {
 	service StateService
-	flush   func() // stored, so that a batch does not allocate it
+	flush   func() // resolves the present batch; stored, so that a batch does not allocate it
 
 	mu      sync.Mutex
-	waiting []*Check
+	waiting []*Check // the present batch
 }
 
-// NewBatcher returns a batcher without any checks.
+// NewBatcher returns a Batcher without any checks.
 func NewBatcher(service StateService) *Batcher {
 	b := &Batcher{service: service}
 	b.flush = func() { b.Resolve(b.take()) }
 	return b
 }
 
-// Confirm reports whether a record still has a version, by a comparison that starts after
-// the call. False means only that the record has to be read.
+// Confirm reports whether a record still has a version, by a comparison that starts after the
+// call. False means only that the record must be read, for example since the context ended
+// first.
 func (b *Batcher) Confirm(ctx context.Context, cond wire.Condition) bool {
 	check := NewCheck(cond)
 	b.add(check)
@@ -82,8 +87,9 @@
 	}
 }
 
-// add puts a check into the present batch. The timer runs only while a check waits: a
-// periodic one costs a small machine more than its status queries do.
+// add adds a check to the present batch, which is resolved batchDelay after its first check.
+// The timer runs only while a check waits, since on a small machine a periodic timer would cost
+// more than the status queries do.
 func (b *Batcher) add(check *Check) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -93,7 +99,7 @@
 	}
 }
 
-// take ends the present batch and returns it; it is empty if nobody waits.
+// take ends the present batch and returns its checks; there are none if none wait.
 func (b *Batcher) take() []*Check {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -102,7 +108,7 @@
 	return batch
 }
 
-// Resolve answers checks without waiting for it, with one comparison for as many as a
+// Resolve resolves checks in the background, by one comparison for as many of them as a
 // transaction may hold.
 func (b *Batcher) Resolve(checks []*Check) {
 	for batch := range slices.Chunk(checks, conditionsPerChange*b.service.WriteLimits().TxnOps) {
@@ -110,8 +116,9 @@
 	}
 }
 
-// resolve answers a batch that one transaction holds. As the state service doesn't promise
-// to name all failed conditions, those that it didn't name are compared again.
+// resolve resolves a batch that fits into one transaction, and sends each check its result. As
+// the state service does not promise to name all failed conditions, those that it did not name
+// are compared again.
 func (b *Batcher) resolve(ctx context.Context, batch []*Check) {
 	ctx, cancel := context.WithTimeout(ctx, compareTimeout)
 	defer cancel()
@@ -127,8 +134,8 @@
 	}
 }
 
-// compare answers what one comparison tells and returns the checks on which it tells
-// nothing. It reports false if it tells nothing at all.
+// compare makes one comparison and sends their results to the checks that it decides. It returns
+// the other checks, or false if the comparison failed and decided none.
 func (b *Batcher) compare(ctx context.Context, batch []*Check) ([]*Check, bool) {
 	comparison := wire.Txn{Then: []wire.Op{}}
 	for _, check := range batch {
--- a/internal/controller/linearizable/batcher_test.go
+++ b/internal/controller/linearizable/batcher_test.go
@@ -15,24 +15,23 @@
 	"bramblespur/internal/wire"
 )
 
-// service is a scripted state service that counts the transactions asked of it.
-type service struct {
+// countingService is a state countingService that counts the transactions sent to it.
+type countingService struct {
 	*testkit.State
 	txns atomic.Int64
 }
 
-func (s *service) StateService() statestore.Store { return s }
-func (s *service) WriteLimits() config.State      { return config.State{ValueKB: 16, TxnOps: 16} }
-func (s *service) Context() context.Context       { return context.Background() }
+func (s *countingService) StateService() statestore.Store { return s }
+func (s *countingService) WriteLimits() config.State      { return config.State{ValueKB: 16, TxnOps: 16} }
+func (s *countingService) Context() context.Context       { return context.Background() }
 
-func (s *service) Txn(ctx context.Context, purpose statestore.Purpose, t wire.Txn) (uint64, error) {
+func (s *countingService) Txn(ctx context.Context, purpose statestore.Purpose, t wire.Txn) (uint64, error) {
 	s.txns.Add(1)
 	return s.State.Txn(ctx, purpose, t)
 }
 
-// records puts so many active jobs' records and returns the conditions that they are
-// unchanged.
-func (s *service) records(n int) []wire.Condition {
+// putRecords writes the putRecords of n active jobs and returns the conditions that they are unchanged.
+func (s *countingService) putRecords(n int) []wire.Condition {
 	var conds []wire.Condition
 	for i := range n {
 		e := s.Put(record.ActiveJobKey(fmt.Sprintf("run-%06d", i)), record.ActiveJob{})
@@ -41,7 +40,8 @@
 	return conds
 }
 
-func checks(conds []wire.Condition) []*Check {
+// newChecks returns one check for each condition.
+func newChecks(conds []wire.Condition) []*Check {
 	var all []*Check
 	for _, cond := range conds {
 		all = append(all, NewCheck(cond))
@@ -49,13 +49,14 @@
 	return all
 }
 
-// Status queries that wait together cost one request, and a time without any none.
+// Status queries that wait at the same time share one request, and without status queries there are no
+// requests.
 func TestChecksShareOneComparison(t *testing.T) {
 	const queries = 20
-	s := &service{State: testkit.NewState()}
-	conds := s.records(queries)
+	s := &countingService{State: testkit.NewState()}
+	conds := s.putRecords(queries)
 	b := NewBatcher(s)
-	b.waiting = checks(conds) // as those that come within batchDelay
+	b.waiting = newChecks(conds) // as if all had come within batchDelay
 	all := b.waiting
 	b.flush()
 	for _, check := range all {
@@ -63,21 +64,21 @@
 			t.Errorf("%s was not confirmed", check.Cond.Key)
 		}
 	}
-	b.flush() // nobody waits any more
+	b.flush() // no check waits any more
 	if n := s.txns.Load(); n != 1 {
 		t.Errorf("%d checks took %d requests, want 1", queries, n)
 	}
 }
 
-// Checks that wait are answered by one comparison; what has changed since the copy was
-// watched is not confirmed.
+// One batch confirms the unchanged records but not a record that has changed since it came into the
+// view. Nothing is confirmed while the state service is out of reach.
 func TestChangedRecordIsNotConfirmed(t *testing.T) {
 	ctx := context.Background()
-	s := &service{State: testkit.NewState()}
-	conds := s.records(3)
+	s := &countingService{State: testkit.NewState()}
+	conds := s.putRecords(3)
 	b := NewBatcher(s)
 	s.Put(conds[1].Key, record.ActiveJob{Cancelled: true})
-	batch := checks(conds)
+	batch := newChecks(conds)
 	b.resolve(ctx, batch)
 	for i, want := range []bool{true, false, true} {
 		if got := <-batch[i].Current; got != want {
@@ -87,19 +88,19 @@
 	s.Down = true
 	b.resolve(ctx, batch[:1])
 	if <-batch[0].Current {
-		t.Error("confirmed without the state service")
+		t.Error("a check was confirmed while the state service was out of reach")
 	}
 }
 
-// A check waits for batchDelay, and for its own context no longer than that lasts.
+// A check waits for batchDelay, but no longer than its context lasts.
 func TestConfirmWaitsForItsBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &service{State: testkit.NewState()}
-		cond := s.records(1)[0]
+		s := &countingService{State: testkit.NewState()}
+		cond := s.putRecords(1)[0]
 		b := NewBatcher(s)
 		begun := time.Now()
 		if !b.Confirm(context.Background(), cond) {
-			t.Error("not confirmed")
+			t.Error("an unchanged record was not confirmed")
 		}
 		if took := time.Since(begun); took != batchDelay {
 			t.Errorf("took %v, want %v", took, batchDelay)
@@ -107,7 +108,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), batchDelay/2)
 		defer cancel()
 		if b.Confirm(ctx, cond) {
-			t.Error("confirmed before the comparison")
+			t.Error("confirmed although the context ended before the comparison")
 		}
 		time.Sleep(batchDelay)
 	})
