--- a/internal/controller/transport/response.go
+++ b/internal/controller/transport/response.go
@@ -1,12 +1,12 @@
 package transport
 
-// Response is the answer to a request. Its zero value says that there is none yet.
+// Response is the response to a request. Its zero value says that there is none yet.
 type Response struct {
-	Status     int
+	Status     int // HTTP status
 	Body       any // encoded as JSON; nil: no body
-	RetryAfter int // seconds; 0: none
-	// Authoritative says that no other controller would answer otherwise, so that the
-	// request need not be forwarded.
+	RetryAfter int // seconds; 0: no Retry-After header
+	// Authoritative says that every other controller would give the same response, so that
+	// the request need not be forwarded.
 	Authoritative bool
 }
 
--- a/internal/controller/transport/server.go
+++ b/internal/controller/transport/server.go
@@ -1,10 +1,11 @@
 // Package transport is the controller's HTTP server for users, workers and health checks, on
-// gnet. One event loop owns all connections: it cuts what arrives into requests, passes them
-// to a Handler and writes the responses. It bounds the number of connections, the time and
-// the pieces that a request may take, and the bytes buffered for all connections together,
-// since sockets and memory are few and a slow or silent sender must cost nobody else anything.
+// gnet. One event loop owns all connections: it parses the bytes that arrive into requests,
+// passes them to a Handler and writes the responses. It bounds the number of connections, the
+// time and the pieces that a request may take, and the bytes buffered for all connections
+// together, since sockets and memory are scarce and a slow or silent sender must not harm
+// others.
 //
-// State of connections is touched by the event loop alone and needs no lock. A Handler may
+// Only the event loop touches the state of connections, so it needs no lock. A Handler may
 // respond later, from any goroutine.
 package transport
 
@@ -25,105 +26,108 @@
 	"bramblespur/internal/wire"
 )
 
-// readBufferBytes is how much the event loop reads from a connection at once.
+// readBufferBytes is how many bytes the event loop reads from a connection at once.
 const readBufferBytes = 16 << 10
 
-// RetryAfter is the number of seconds after which a sender is asked to come again.
+// RetryAfter is the number of seconds after which a sender is asked to repeat its request.
 const RetryAfter = 1
 
-// Handler answers requests: at once with a response and true, or later by calling respond
-// exactly once, from any goroutine.
+// Handler answers requests: at once, by returning a response and true, or later, by returning
+// false and calling respond exactly once, from any goroutine. It is called on the event loop.
 type Handler func(req httpwire.Request, respond func(Response)) (Response, bool)
 
-// Config is what a Server is made of.
+// Config configures a Server.
 type Config struct {
 	Handler    Handler
 	Log        *slog.Logger
-	Rejections *rejectlog.Log
-	// MaxConnections is how many connections are accepted.
+	Rejections *rejectlog.Log // logs malformed and slow requests
+	// MaxConnections is the maximum number of open connections.
 	MaxConnections int
-	// KeepAliveLimit is from how many connections on those of workers are closed after
-	// each response: when the workers of another controller all come over, more may send
-	// heartbeats than there are sockets, and connections of users and peers go on.
+	// KeepAliveLimit is the number of open connections above which those of workers are
+	// closed after each response: when all workers of another controller move to this one,
+	// more may send heartbeats than there are sockets. Connections of users and peers are
+	// kept.
 	KeepAliveLimit int
-	// MaxBuffered is how many bytes of incomplete requests and unread responses are kept.
+	// MaxBuffered is the maximum number of bytes of incomplete requests and unread responses
+	// that are kept for all connections together.
 	MaxBuffered int
 }
 
-// Server serves a Handler. Only gnet calls its On methods, all on the event loop; gnet
-// calls OnTick on a goroutine of its own, so nothing here relies on its ticker.
+// Server serves requests by a Handler. Only gnet calls its On methods, all on the event loop.
+// It does not use gnet's ticker, since gnet calls OnTick on a goroutine of its own.
 type Server struct {
 	gnet.BuiltinEventEngine
 	cfg Config
 
-	connections map[gnet.Conn]*connection
+	connections map[gnet.Conn]*connection // the open ones
 	lastSweep   time.Time
-	buffered    int // bytes in the buffers of all connections
+	buffered    int // bytes of incomplete requests and unread responses of all connections
 }
 
-// New returns a server that does not listen yet.
+// New returns a server that listens once Run is called.
 func New(cfg Config) *Server {
 	return &Server{cfg: cfg, connections: map[gnet.Conn]*connection{}}
 }
 
-// SocketLimits returns the configuration's limits for a process with certain resources: a
-// quarter of the sockets is left to outgoing connections.
+// SocketLimits returns Config's MaxConnections and KeepAliveLimit for a process with certain
+// resources. A quarter of the sockets is left for outgoing connections.
 func SocketLimits(r config.Resources) (maxConnections, keepAliveLimit int) {
 	return r.MaxSockets * 3 / 4, r.MaxSockets * 5 / 8
 }
 
-// Run serves on an address until the server fails.
+// Run serves on an address, host:port, until the server fails. It returns why it failed.
 func (s *Server) Run(addr string) error {
 	return gnet.Run(s, "tcp4://"+addr, gnet.WithNumEventLoop(1), gnet.WithReadBufferCap(readBufferBytes),
 		gnet.WithTCPNoDelay(gnet.TCPNoDelay),
-		// A restarted controller binds its address at once, though connections of its
-		// predecessor still linger on it.
+		// A restarted controller can bind its address at once, although connections of the
+		// previous process still linger on it.
 		gnet.WithReuseAddr(true), gnet.WithLogger(gnetLogger{s.cfg.Log}))
 }
 
-// OnOpen accepts a connection, or answers 503 where there are too many.
+// OnOpen accepts a connection, or answers 503 and closes it if there are too many.
 func (s *Server) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
 	s.sweep(time.Now())
 	if len(s.connections) >= s.cfg.MaxConnections {
 		return httpwire.AppendResponse(nil, 503, nil, RetryAfter, true), gnet.Close
 	}
-	st := &connection{lastActivity: time.Now()}
-	s.connections[c] = st
-	c.SetContext(st)
+	state := &connection{lastActivity: time.Now()}
+	s.connections[c] = state
+	c.SetContext(state)
 	return nil, gnet.None
 }
 
-// OnClose forgets a connection.
+// OnClose removes the state of a connection.
 func (s *Server) OnClose(c gnet.Conn, _ error) gnet.Action {
-	if st := s.connections[c]; st != nil {
-		s.setBuffered(st, 0)
+	if state := s.connections[c]; state != nil {
+		s.setBuffered(state, 0)
 	}
 	delete(s.connections, c)
 	return gnet.None
 }
 
-// OnTraffic handles the requests that a connection has sent, one after the other.
+// OnTraffic handles the requests that a connection has sent, one after the other. It closes
+// the connection if it exceeds a limit.
 func (s *Server) OnTraffic(c gnet.Conn) gnet.Action {
 	s.sweep(time.Now())
-	// Requests that wait are handled one after the other without a pause. Without this
-	// a process that falls behind would come to its lease, its timers and other
-	// controllers' calls only when the runtime preempts this loop, every 10 ms.
+	// Queued requests are handled one after the other without a pause. If the loop did not
+	// yield here, a process that falls behind would get to its lease, its timers and other
+	// controllers' calls only when the runtime preempts the loop, every 10 ms.
 	runtime.Gosched()
-	st, ok := c.Context().(*connection)
-	for ok && !st.busy { // what follows is handled once the response is out
-		if next, action := s.handleNext(c, st); !next {
+	state, ok := c.Context().(*connection)
+	for ok && !state.busy { // further requests are handled once the response is sent
+		if next, action := s.handleNext(c, state); !next {
 			return action
 		}
 	}
-	if ok && !s.withinBackpressure(c, st) {
+	if ok && !s.withinBackpressure(c, state) {
 		return gnet.Close
 	}
 	return gnet.None
 }
 
-// handleNext handles the next request of a connection. It returns false if no further one is
-// to be handled now, and what becomes of the connection.
-func (s *Server) handleNext(c gnet.Conn, st *connection) (next bool, action gnet.Action) {
+// handleNext handles the next request of a connection. It returns false if no further request
+// is to be handled now, and then whether the connection is kept or closed.
+func (s *Server) handleNext(c gnet.Conn, state *connection) (next bool, action gnet.Action) {
 	buf, _ := c.Peek(-1)
 	req, n, err := httpwire.ParseRequest(buf)
 	if err != nil {
@@ -133,37 +137,38 @@
 	}
 	now := time.Now()
 	if n == 0 {
-		if !s.requestIncomplete(c, st, len(buf), now) {
+		if !s.requestIncomplete(c, state, len(buf), now) {
 			return false, s.rejectSlow(c)
 		}
 		return false, gnet.None
 	}
 	c.Discard(n)
-	s.requestComplete(st, now)
+	s.requestComplete(state, now)
 	req.Close = req.Close || (req.Path == wire.HeartbeatPath && len(s.connections) > s.cfg.KeepAliveLimit)
-	r, responded := s.cfg.Handler(req, func(r Response) { s.respondAsync(c, st, r, req.Close) })
+	r, responded := s.cfg.Handler(req, func(r Response) { s.respondAsync(c, state, r, req.Close) })
 	if !responded {
 		return false, gnet.None
 	}
 	// Most heartbeats are answered here, without another turn of the event loop.
-	st.busy = false
+	state.busy = false
 	if _, err := c.Write(s.Encode(r, req.Close)); err != nil || req.Close || c.OutboundBuffered() > maxUnreadBytes {
 		return false, gnet.Close
 	}
 	return true, gnet.None
 }
 
-// rejectSlow refuses a request for which there is no time or memory.
+// rejectSlow answers a request that has exceeded its time, its number of pieces or the memory
+// for buffers with 503, and closes the connection.
 func (s *Server) rejectSlow(c gnet.Conn) gnet.Action {
 	s.cfg.Rejections.Reject("slow request", remoteHost(c), errSlowRequest)
 	c.Write(s.Encode(Response{Status: 503, RetryAfter: RetryAfter}, true))
 	return gnet.Close
 }
 
-// errSlowRequest is why a request that does not come to its end is given up.
-var errSlowRequest = errors.New("incomplete for too long, or in too many pieces")
+// errSlowRequest is the logged reason for which an incomplete request is rejected.
+var errSlowRequest = errors.New("request incomplete for too long, in too many pieces, or the slowest while the buffers are full")
 
-// remoteHost names who is at the other end of a connection.
+// remoteHost returns the address, without the port, of the other end of a connection.
 func remoteHost(c gnet.Conn) string {
 	host, _, err := net.SplitHostPort(c.RemoteAddr().String())
 	if err != nil {
@@ -172,7 +177,8 @@
 	return host
 }
 
-// Encode returns the bytes of a response; last says that the connection closes after it.
+// Encode returns the bytes of a response; last says that the connection is closed after it. A
+// response whose body cannot be encoded becomes a 500.
 func (s *Server) Encode(r Response, last bool) []byte {
 	var body []byte
 	if r.Body != nil {
@@ -185,10 +191,11 @@
 	return httpwire.AppendResponse(nil, r.Status, body, r.RetryAfter, last)
 }
 
-// respondAsync responds from any goroutine and goes on with what arrived meanwhile.
-func (s *Server) respondAsync(c gnet.Conn, st *connection, r Response, last bool) {
+// respondAsync sends a response from any goroutine. Requests that arrived meanwhile are then
+// handled, unless the response is the last one of the connection.
+func (s *Server) respondAsync(c gnet.Conn, state *connection, r Response, last bool) {
 	c.AsyncWrite(s.Encode(r, last), func(c gnet.Conn, err error) error {
-		st.busy, st.lastActivity = false, time.Now()
+		state.busy, state.lastActivity = false, time.Now()
 		if last || err != nil {
 			return c.Close()
 		}
@@ -199,20 +206,21 @@
 	})
 }
 
-// gnetLogger writes gnet's own messages to the project's log.
+// gnetLogger writes gnet's own messages to the server's log. It lowers the levels of infos and
+// warnings by one, and logs fatal errors as errors.
 type gnetLogger struct{ log *slog.Logger }
 
-// Debugf implements logging.Logger of gnet.
+// Debugf implements gnet's logging.Logger.
 func (g gnetLogger) Debugf(format string, args ...any) { g.log.Debug(fmt.Sprintf(format, args...)) }
 
-// Infof implements logging.Logger of gnet.
+// Infof implements gnet's logging.Logger.
 func (g gnetLogger) Infof(format string, args ...any) { g.log.Debug(fmt.Sprintf(format, args...)) }
 
-// Warnf implements logging.Logger of gnet.
+// Warnf implements gnet's logging.Logger.
 func (g gnetLogger) Warnf(format string, args ...any) { g.log.Info(fmt.Sprintf(format, args...)) }
 
-// Errorf implements logging.Logger of gnet.
+// Errorf implements gnet's logging.Logger.
 func (g gnetLogger) Errorf(format string, args ...any) { g.log.Error(fmt.Sprintf(format, args...)) }
 
-// Fatalf implements logging.Logger of gnet.
+// Fatalf implements gnet's logging.Logger.
 func (g gnetLogger) Fatalf(format string, args ...any) { g.log.Error(fmt.Sprintf(format, args...)) }
--- a/internal/controller/transport/server_test.go
+++ b/internal/controller/transport/server_test.go
@@ -16,33 +16,33 @@
 )
 
 // conn is a scripted connection.
-type conn struct {
+type scriptedConn struct {
 	gnet.Conn
-	in, out bytes.Buffer
-	ctx     any
-	unread  int  // bytes of answers that the other end has not read
-	shut    bool // Close was called
+	in, out   bytes.Buffer
+	ctx       any
+	unread    int  // bytes of responses that the other end has not read
+	wasClosed bool // Close was called
 }
 
-func (c *conn) Peek(int) ([]byte, error)       { return c.in.Bytes(), nil }
-func (c *conn) InboundBuffered() int           { return c.in.Len() }
-func (c *conn) OutboundBuffered() int          { return c.unread }
-func (c *conn) RemoteAddr() net.Addr           { return &net.TCPAddr{IP: net.IPv4(10, 0, 0, 1), Port: 1} }
-func (c *conn) Close() error                   { c.shut = true; return nil }
-func (c *conn) Discard(n int) (int, error)     { c.in.Next(n); return n, nil }
-func (c *conn) Write(b []byte) (int, error)    { return c.out.Write(b) }
-func (c *conn) Context() any                   { return c.ctx }
-func (c *conn) SetContext(v any)               { c.ctx = v }
-func (c *conn) closed(action gnet.Action) bool { return action == gnet.Close }
+func (c *scriptedConn) Peek(int) ([]byte, error)       { return c.in.Bytes(), nil }
+func (c *scriptedConn) InboundBuffered() int           { return c.in.Len() }
+func (c *scriptedConn) OutboundBuffered() int          { return c.unread }
+func (c *scriptedConn) RemoteAddr() net.Addr           { return &net.TCPAddr{IP: net.IPv4(10, 0, 0, 1), Port: 1} }
+func (c *scriptedConn) Close() error                   { c.wasClosed = true; return nil }
+func (c *scriptedConn) Discard(n int) (int, error)     { c.in.Next(n); return n, nil }
+func (c *scriptedConn) Write(b []byte) (int, error)    { return c.out.Write(b) }
+func (c *scriptedConn) Context() any                   { return c.ctx }
+func (c *scriptedConn) SetContext(v any)               { c.ctx = v }
+func (c *scriptedConn) closed(action gnet.Action) bool { return action == gnet.Close }
 
-// When a neighbour's workers all come over, each keeps its connection only as long
-// as there are sockets to spare: what is left is for users and other controllers.
-func TestWorkersLeaveSockets(t *testing.T) {
-	s, _ := newServer(4, atOnce)
+// When all workers of another controller move to this one, their connections are kept only
+// while there are sockets to spare: the rest is for users and other controllers.
+func TestWorkersLeaveSocketsForOthers(t *testing.T) {
+	s, _ := newServer(4, respondAtOnce)
 	s.cfg.KeepAliveLimit = 2
-	ask := func(method, path string) (kept bool) {
+	request := func(method, path string) (kept bool) {
 		t.Helper()
-		c := &conn{}
+		c := &scriptedConn{}
 		if _, action := s.OnOpen(c); action == gnet.Close {
 			return false
 		}
@@ -52,7 +52,7 @@
 			return false
 		}
 		if !strings.HasPrefix(c.out.String(), "HTTP/1.1 200") {
-			t.Fatalf("answered %q", c.out.String())
+			t.Fatalf("request answered %q, want 200", c.out.String())
 		}
 		return true
 	}
@@ -64,68 +64,68 @@
 		{"GET", wire.JobsPath + "/run-000001", true}, {"POST", wire.HeartbeatPath, false},
 		{"GET", wire.ReadyPath, true}, {"GET", wire.ReadyPath, false},
 	} {
-		if kept := ask(x.method, x.path); kept != x.kept {
-			t.Errorf("request %d, %s: kept %t", i, x.path, kept)
+		if kept := request(x.method, x.path); kept != x.kept {
+			t.Errorf("request %d, %s: connection kept %t, want the opposite", i, x.path, kept)
 		}
 	}
 }
 
-// Idle and slow connections are closed by the event loop, as others open or ask. The
-// engine's ticker runs on another goroutine: were it to look through the connections
-// while one opens, the process would end.
+// Idle and slow connections are closed by the event loop when other connections open or send
+// requests. The engine's ticker runs on another goroutine: if it iterated over the connections
+// while one opens, the process would crash.
 func TestIdleConnectionsAreClosedByTheEventLoop(t *testing.T) {
-	for name, event := range map[string]func(s *Server, other *conn){
-		"another opens": func(s *Server, _ *conn) { s.OnOpen(&conn{}) },
-		"another asks": func(s *Server, other *conn) {
+	for name, event := range map[string]func(s *Server, other *scriptedConn){
+		"another opens": func(s *Server, _ *scriptedConn) { s.OnOpen(&scriptedConn{}) },
+		"another asks": func(s *Server, other *scriptedConn) {
 			other.in.Write(httpwire.AppendRequest(nil, "GET", wire.ReadyPath, "x", nil))
 			s.OnTraffic(other)
 		},
 	} {
-		s, _ := newServer(16, atOnce)
-		open := func(quiet time.Duration, set func(*connection)) *conn {
-			c := &conn{}
+		s, _ := newServer(16, respondAtOnce)
+		open := func(inactive time.Duration, set func(*connection)) *scriptedConn {
+			c := &scriptedConn{}
 			s.OnOpen(c)
-			st := c.ctx.(*connection)
-			st.lastActivity = st.lastActivity.Add(-quiet)
-			set(st)
+			state := c.ctx.(*connection)
+			state.lastActivity = state.lastActivity.Add(-inactive)
+			set(state)
 			return c
 		}
 		idle := open(2*idleTimeout, func(*connection) {})
-		slow := open(2*requestTimeout, func(st *connection) { st.requestStarted = true })
-		busy := open(2*idleTimeout, func(st *connection) { st.busy = true })
+		slow := open(2*requestTimeout, func(state *connection) { state.requestStarted = true })
+		busy := open(2*idleTimeout, func(state *connection) { state.busy = true })
 		fresh := open(0, func(*connection) {})
 		s.OnTick()
-		if idle.shut || slow.shut {
-			t.Errorf("%s: the ticker's goroutine has closed a connection", name)
+		if idle.wasClosed || slow.wasClosed {
+			t.Errorf("%s: OnTick closed a connection, want only the event loop to close connections", name)
 		}
 		event(s, fresh)
-		if idle.shut || slow.shut {
-			t.Errorf("%s: connections looked through again at once", name)
+		if idle.wasClosed || slow.wasClosed {
+			t.Errorf("%s: connections swept again within sweepInterval", name)
 		}
 		s.lastSweep = s.lastSweep.Add(-sweepInterval)
 		event(s, fresh)
-		if !idle.shut || !slow.shut {
-			t.Errorf("%s: idle closed %t, slow closed %t, want both", name, idle.shut, slow.shut)
+		if !idle.wasClosed || !slow.wasClosed {
+			t.Errorf("%s: idle connection closed %t, slow one closed %t, want both closed", name, idle.wasClosed, slow.wasClosed)
 		}
-		if busy.shut || fresh.shut {
-			t.Errorf("%s: busy closed %t, fresh closed %t, want neither", name, busy.shut, fresh.shut)
+		if busy.wasClosed || fresh.wasClosed {
+			t.Errorf("%s: busy connection closed %t, fresh one closed %t, want neither closed", name, busy.wasClosed, fresh.wasClosed)
 		}
 	}
 }
 
-// What is ready to run, such as the renewal of the lease, comes before the next
-// request however many wait.
-func TestRequestsLetOthersRun(t *testing.T) {
+// Other goroutines that are ready to run, such as the one that renews the lease, run before the
+// next request, however many requests are queued.
+func TestRequestsLetOtherGoroutinesRun(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	var ready atomic.Bool
-	ran := 0
+	ranBefore := 0 // requests before which the other goroutine ran
 	s, _ := newServer(4, func(httpwire.Request, func(Response)) (Response, bool) {
 		if ready.Load() {
-			ran++
+			ranBefore++
 		}
 		return Response{Status: 200}, true
 	})
-	c := &conn{}
+	c := &scriptedConn{}
 	s.OnOpen(c)
 	for range 10 {
 		ready.Store(false)
@@ -133,7 +133,7 @@
 		c.in.Write(httpwire.AppendRequest(nil, "POST", wire.HeartbeatPath, "x", nil))
 		s.OnTraffic(c)
 	}
-	if ran < 8 { // each 61st time the runtime takes another order
-		t.Errorf("before %d of 10 requests did what was ready run", ran)
+	if ranBefore < 8 { // every 61st time the runtime uses another order
+		t.Errorf("the other goroutine ran before %d of 10 requests, want at least 8", ranBefore)
 	}
 }
