--- a/cmd/bramblespur/main.go
+++ b/cmd/bramblespur/main.go
@@ -101,7 +101,7 @@
 // memoryLimit is the runtime's memory limit in bytes. What the process holds besides
 // is taken off first: it is the same on small machines as on large ones.
 func memoryLimit(r config.Resources) int64 {
-	return int64((r.MemoryMB - config.UncountedMB) * heapShare * (1 << 20))
+	return int64((r.MemoryMB - config.NonRuntimeMB) * heapShare * (1 << 20))
 }
 
 // processors is how many threads run Go code at a time. A second one on a share of
--- a/cmd/bramblespur/main_test.go
+++ b/cmd/bramblespur/main_test.go
@@ -18,7 +18,7 @@
 			t.Errorf("share %g: %d processors, want %d", x.cpu, got, x.procs)
 		}
 		limit := float64(memoryLimit(r)) / (1 << 20)
-		if limit < x.memory/3 || limit+config.UncountedMB > x.memory*0.97 {
+		if limit < x.memory/3 || limit+config.NonRuntimeMB > x.memory*0.97 {
 			t.Errorf("%g MB: a limit of %.1f MB", x.memory, limit)
 		}
 	}
--- a/cmd/bramblespurctl/main.go
+++ b/cmd/bramblespurctl/main.go
@@ -109,7 +109,7 @@
 		if err != nil {
 			return nil, usageError{err}
 		}
-		addr, rps, writeRPS = s.Outside.State, s.Params.State.RPS, s.Params.State.WriteRPS
+		addr, rps, writeRPS = s.Services.State, s.Params.State.RPS, s.Params.State.WriteRPS
 	case addr == "":
 		return nil, usageError{errors.New("--config or --state is missing")}
 	}
--- a/cmd/bramblespurctl/recover.go
+++ b/cmd/bramblespurctl/recover.go
@@ -57,8 +57,8 @@
 	for _, p := range s.Peers {
 		peers[p.Label] = peer.NewClient(p.Addr)
 	}
-	return &recoverctl.Client{Store: store, Peers: peers, Cloud: cloud.New(s.Outside.Cloud, recoverCloudRPS), Now: t.now,
-		Limits: recovery.Limits{ValueBytes: s.Params.State.Bytes(), TxnOps: s.Params.State.TxnOps, TxnBytes: recoverTxnBytes}}, nil
+	return &recoverctl.Client{Store: store, Peers: peers, Cloud: cloud.New(s.Services.Cloud, recoverCloudRPS), Now: t.now,
+		Limits: recovery.Limits{ValueBytes: s.Params.State.MaxValueBytes(), TxnOps: s.Params.State.TxnOps, TxnBytes: recoverTxnBytes}}, nil
 }
 
 // recordsClient returns what reads and writes recovery's own records, without the cluster.
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -26,11 +26,11 @@
 
 // API is what controllers ask of workers directly.
 type API interface {
-	// Command sends direct commands to a worker and returns its heartbeat, both when they were
+	// SendCommands sends direct commands to a worker and returns its heartbeat, both when they were
 	// carried out (ok) and when they were refused.
-	Command(ctx context.Context, addr string, o wire.DirectCommands) (r wire.Heartbeat, ok bool, err error)
-	// Show asks a worker for its heartbeat.
-	Show(ctx context.Context, addr string) (wire.Heartbeat, error)
+	SendCommands(ctx context.Context, addr string, o wire.DirectCommands) (r wire.Heartbeat, ok bool, err error)
+	// RequestHeartbeat asks a worker for its heartbeat.
+	RequestHeartbeat(ctx context.Context, addr string) (wire.Heartbeat, error)
 }
 
 // Client is an API over HTTP. It keeps no connections: direct commands are rare, and the number of
@@ -39,8 +39,8 @@
 
 var _ API = Client{}
 
-// Command implements API.
-func (Client) Command(ctx context.Context, addr string, o wire.DirectCommands) (r wire.Heartbeat, ok bool, err error) {
+// SendCommands implements API.
+func (Client) SendCommands(ctx context.Context, addr string, o wire.DirectCommands) (r wire.Heartbeat, ok bool, err error) {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return r, false, fmt.Errorf("encode: %w", err)
@@ -49,8 +49,8 @@
 	return r, status == http.StatusOK, err
 }
 
-// Show implements API.
-func (Client) Show(ctx context.Context, addr string) (r wire.Heartbeat, err error) {
+// RequestHeartbeat implements API.
+func (Client) RequestHeartbeat(ctx context.Context, addr string) (r wire.Heartbeat, err error) {
 	_, err = call(ctx, addr, heartbeatTimeout, "GET", wire.ShowPath, nil, &r)
 	return r, err
 }
@@ -58,7 +58,7 @@
 func call(ctx context.Context, addr string, timeout time.Duration, method, path string, body []byte, r *wire.Heartbeat) (status int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	resp, err := httpwire.NewClient(addr, 0).WithMaxBody(maxHeartbeat).Do(ctx, method, path, body)
+	resp, err := httpwire.NewClient(addr, 0).WithMaxResponseBody(maxHeartbeat).Do(ctx, method, path, body)
 	if err != nil {
 		return 0, fmt.Errorf("worker %s: %w", addr, err)
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -28,7 +28,7 @@
 		_, _ = c.Read(make([]byte, 1<<10)) // the request
 		_, _ = c.Read(make([]byte, 1))     // until the other end closes
 	}()
-	if _, err := (Client{}).Show(context.Background(), listener.Addr().String()); !errors.Is(err, httpwire.ErrTooLarge) {
+	if _, err := (Client{}).RequestHeartbeat(context.Background(), listener.Addr().String()); !errors.Is(err, httpwire.ErrTooLarge) {
 		t.Errorf("err %v, want ErrTooLarge", err)
 	}
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -12,7 +12,7 @@
 const (
 	// leastCPU is several times what one uses that has no machines and no users.
 	leastCPU = 0.005
-	// leastMemoryMB leaves the runtime some megabytes besides UncountedMB.
+	// leastMemoryMB leaves the runtime some megabytes besides NonRuntimeMB.
 	leastMemoryMB = 24.0
 	// ownSockets are those to the state service and the cloud.
 	ownSockets = 8
@@ -51,7 +51,7 @@
 func (s *Settings) checkNames() error {
 	for _, t := range []struct{ name, value string }{
 		{"label", s.Label}, {"zone", s.Zone}, {"public_addr", s.Listen}, {"cluster_listen", s.PeerListen},
-		{"outside.cloud", s.Outside.Cloud}, {"outside.state", s.Outside.State},
+		{"outside.cloud", s.Services.Cloud}, {"outside.state", s.Services.State},
 	} {
 		if t.value == "" {
 			return fmt.Errorf("%s is missing", t.name)
@@ -70,7 +70,7 @@
 
 func (s *Settings) checkAddresses() error {
 	for _, a := range []struct{ name, value string }{
-		{"public_addr", s.Listen}, {"cluster_listen", s.PeerListen}, {"outside.cloud", s.Outside.Cloud}, {"outside.state", s.Outside.State},
+		{"public_addr", s.Listen}, {"cluster_listen", s.PeerListen}, {"outside.cloud", s.Services.Cloud}, {"outside.state", s.Services.State},
 	} {
 		if err := checkAddress(a.name, a.value); err != nil {
 			return err
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -13,13 +13,13 @@
 
 // Settings is the platform's file. Unknown fields are ignored.
 type Settings struct {
-	Label      string  `toml:"label"`
-	Zone       string  `toml:"zone"`
-	Listen     string  `toml:"public_addr"`
-	PeerListen string  `toml:"cluster_listen"`
-	Peers      []Peer  `toml:"seeds"`
-	Outside    Outside `toml:"outside"`
-	Params     Params  `toml:"params"`
+	Label      string           `toml:"label"`
+	Zone       string           `toml:"zone"`
+	Listen     string           `toml:"public_addr"`
+	PeerListen string           `toml:"cluster_listen"`
+	Peers      []Peer           `toml:"seeds"`
+	Services   ExternalServices `toml:"outside"`
+	Params     Params           `toml:"params"`
 	// PolicyFile optionally names the operators' own policy file.
 	PolicyFile string `toml:"policy_file"`
 }
@@ -31,8 +31,8 @@
 	Addr  string `toml:"peer_addr"`
 }
 
-// Outside names the services that controllers depend on.
-type Outside struct {
+// ExternalServices names the services that controllers depend on.
+type ExternalServices struct {
 	Cloud string `toml:"cloud"`
 	State string `toml:"state"`
 }
@@ -95,9 +95,9 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// Tight returns the tighter of the limits now and those to come: what keeps to
+// LowestLimits returns the tighter of the limits now and those to come: what keeps to
 // it is taken whichever are in force.
-func (s State) Tight() State {
+func (s State) LowestLimits() State {
 	t := State{RPS: s.RPS, WriteRPS: s.WriteRPS, ValueKB: s.ValueKB, TxnOps: s.TxnOps}
 	lower(&t.RPS, s.Next.RPS)
 	lower(&t.WriteRPS, s.Next.WriteRPS)
@@ -112,8 +112,8 @@
 	}
 }
 
-// Bytes is the largest value that it takes.
-func (s State) Bytes() int { return int(s.ValueKB * 1024) }
+// MaxValueBytes is the largest value that it takes.
+func (s State) MaxValueBytes() int { return int(s.ValueKB * 1024) }
 
 // Cloud holds the cloud's limits.
 type Cloud struct {
@@ -128,9 +128,9 @@
 	MaxSockets int     `toml:"max_sockets"`
 }
 
-// UncountedMB is what the process holds that its runtime does not count: the
+// NonRuntimeMB is what the process holds that its runtime does not count: the
 // program's and the C library's pages, 11 MB, and the threads' stacks.
-const UncountedMB = 14.0
+const NonRuntimeMB = 14.0
 
 // Seconds converts an amount of seconds.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -96,10 +96,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := s.Params.State.Tight(); got.ValueKB != 2 || got.TxnOps != 16 || got.RPS != 10 || got.Bytes() != 2048 {
+	if got := s.Params.State.LowestLimits(); got.ValueKB != 2 || got.TxnOps != 16 || got.RPS != 10 || got.MaxValueBytes() != 2048 {
 		t.Errorf("tighter limits %+v", got)
 	}
-	if s, err = Parse(good); err != nil || s.Params.State.Tight() != s.Params.State {
+	if s, err = Parse(good); err != nil || s.Params.State.LowestLimits() != s.Params.State {
 		t.Errorf("without any: %+v, %v", s, err)
 	}
 	for _, c := range []struct{ next, field string }{
--- a/internal/controller/account_test.go
+++ b/internal/controller/account_test.go
@@ -71,11 +71,13 @@
 // mute are workers that no direct command reaches.
 type mute struct{}
 
-func (mute) Command(context.Context, string, wire.DirectCommands) (r wire.Heartbeat, ok bool, err error) {
+func (mute) SendCommands(context.Context, string, wire.DirectCommands) (r wire.Heartbeat, ok bool, err error) {
 	return r, false, httpwire.ErrNotSent
 }
 
-func (mute) Show(context.Context, string) (r wire.Heartbeat, err error) { return r, testkit.ErrLost }
+func (mute) RequestHeartbeat(context.Context, string) (r wire.Heartbeat, err error) {
+	return r, testkit.ErrLost
+}
 
 // fleetController owns a part of so many machines and jobs, as it has just taken it over.
 func fleetController(t testing.TB, machines, jobs int) (*Controller, *countingState, []*testkit.Worker) {
--- a/internal/controller/admission/admission.go
+++ b/internal/controller/admission/admission.go
@@ -31,7 +31,7 @@
 
 // NewLimiter returns a limiter for a process with certain resources.
 func NewLimiter(r config.Resources, behind func() bool) *Limiter {
-	most := int((r.MemoryMB - config.UncountedMB) * requestsPerMB)
+	most := int((r.MemoryMB - config.NonRuntimeMB) * requestsPerMB)
 	return &Limiter{maxRequests: max(minRequests, most), behind: behind}
 }
 
--- a/internal/controller/cluster_process_test.go
+++ b/internal/controller/cluster_process_test.go
@@ -139,7 +139,7 @@
 	for _, q := range cfg.Peers {
 		c.peers[q.Label] = &peerLink{k, label, q.Label, life}
 	}
-	c.store = c.dataLoss.Enable(&operations.Recovery{AuditEvery: testAudit}, c.store)
+	c.store = c.dataLoss.Enable(&operations.Recovery{AuditInterval: testAudit}, c.store)
 	if k.prepare != nil {
 		k.prepare(label, c)
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -113,12 +113,12 @@
 	defer cancel()
 	c := &Controller{
 		cfg: cfg, policy: pol, log: log, lifetime: ctx,
-		cloud:  cloud.New(cfg.Outside.Cloud, p.Cloud.RPS*leader.FollowerCloudShare),
+		cloud:  cloud.New(cfg.Services.Cloud, p.Cloud.RPS*leader.FollowerCloudShare),
 		agents: agent.Client{},
 	}
 	// The client keeps the write burst that it derives here. The tick replaces the rates at once.
-	tight := p.State.Tight()
-	c.store = statestore.New(cfg.Outside.State, p.Count, tight.RPS, tight.WriteRPS, c.borrow)
+	tight := p.State.LowestLimits()
+	c.store = statestore.New(cfg.Services.State, p.Count, tight.RPS, tight.WriteRPS, c.borrow)
 	c.createComponents()
 	c.drainer.Enable(ops.Drains, &p)
 	c.reconciliation.Enable(ops.Restart)
--- a/internal/controller/dataloss/detector.go
+++ b/internal/controller/dataloss/detector.go
@@ -111,7 +111,7 @@
 	if s == nil {
 		return store
 	}
-	d.enabled, d.auditInterval = true, s.AuditEvery
+	d.enabled, d.auditInterval = true, s.AuditInterval
 	d.guard = statestore.NewGuard(store, []string{record.MemberPrefix, recovery.Prefix}, func(held, found uint64) {
 		go d.confirmRevisionLoss(recovery.Finding{Kind: recovery.RevisionRegressed, Held: held, Found: found})
 	})
--- a/internal/controller/dataloss/stale_reads.go
+++ b/internal/controller/dataloss/stale_reads.go
@@ -162,7 +162,7 @@
 // askMachine reports a finding if the machine has a fencing token, and whether the safe mode is active
 // then.
 func (r StaleReads) askMachine(ctx context.Context, id, address string) bool {
-	heartbeat, err := r.host.Agents().Show(ctx, address)
+	heartbeat, err := r.host.Agents().RequestHeartbeat(ctx, address)
 	if err != nil || heartbeat.Check() != nil || heartbeat.Machine != id || heartbeat.Token == 0 {
 		return false
 	}
--- a/internal/controller/dependency_tracking_test.go
+++ b/internal/controller/dependency_tracking_test.go
@@ -252,7 +252,7 @@
 	c.cfg.Params.State = config.State{RPS: 100, WriteRPS: 40, ValueKB: 16, TxnOps: 16,
 		Next: config.NextState{ValueKB: new(2.0), TxnOps: new(5), WriteRPS: new(28.0)}}
 	c.cfg.Peers = []config.Peer{{Label: "c-1"}, {Label: "c-2"}}
-	if l := c.writeLimits(); l.Bytes() != 2048 || l.TxnOps != 5 {
+	if l := c.writeLimits(); l.MaxValueBytes() != 2048 || l.TxnOps != 5 {
 		t.Fatalf("writes by %+v", l)
 	}
 	word := func(label string) {
@@ -291,14 +291,14 @@
 	state := testkit.NewState()
 	c := newTest(t, state)
 	c.cfg.Params.State.Next = config.NextState{ValueKB: new(2.0), TxnOps: new(5)}
-	most := c.writeLimits().Bytes()
+	most := c.writeLimits().MaxValueBytes()
 	fits := func(name string, v any) {
 		t.Helper()
 		if n := len(record.Encode(v)); n > most {
 			t.Errorf("%s takes %d bytes", name, n)
 		}
 	}
-	n := leader.MaxProvision(c.writeLimits().Bytes())
+	n := leader.MaxProvision(c.writeLimits().MaxValueBytes())
 	if n < 30 {
 		t.Errorf("only %d machines a rental", n)
 	}
--- a/internal/controller/drainer/drainer.go
+++ b/internal/controller/drainer/drainer.go
@@ -88,7 +88,7 @@
 	}
 	d.budgetFingerprint = s.Fingerprint()
 	d.settings = s.WithClockError(config.Seconds(p.ClockErrorMS / 1000))
-	writesPerSecond := s.StoreShare * p.State.Tight().WriteRPS / float64(p.Count)
+	writesPerSecond := s.StoreShare * p.State.LowestLimits().WriteRPS / float64(p.Count)
 	d.writeLimiter = rate.NewLimiter(rate.Limit(writesPerSecond), writeBurst)
 }
 
--- a/internal/controller/drainer/records.go
+++ b/internal/controller/drainer/records.go
@@ -68,7 +68,7 @@
 	if !d.machines.Loaded() || !d.host.IsLeaderLocked(now) || !d.readyLocked() {
 		return wire.Txn{}, now, false
 	}
-	t, due = drain.FinishOrPurge(d.view, d.selectsAny, d.cfg.Params.State.Tight().TxnOps, now)
+	t, due = drain.FinishOrPurge(d.view, d.selectsAny, d.cfg.Params.State.LowestLimits().TxnOps, now)
 	return t, now, due
 }
 
--- a/internal/controller/drainer/shard_turn.go
+++ b/internal/controller/drainer/shard_turn.go
@@ -98,7 +98,7 @@
 func (d *Drainer) planWritesLocked(shard *scheduler.Shard, now time.Time) []drain.Write {
 	ledgers := d.currentLedgersLocked(shard, now)
 	builder := &drain.TxnBuilder{
-		Input: drain.Input{Now: now, Settings: d.settings, View: d.view, Shard: shard.ID(), MaxRecordBytes: d.cfg.Params.State.Tight().Bytes()},
+		Input: drain.Input{Now: now, Settings: d.settings, View: d.view, Shard: shard.ID(), MaxRecordBytes: d.cfg.Params.State.LowestLimits().MaxValueBytes()},
 		Owner: wire.Condition{Key: record.ShardKey(shard.ID()), Version: shard.Token()},
 		MachineGone: func(id string) bool {
 			v, ok := d.machines.Machine(id)
--- a/internal/controller/leader/addresses.go
+++ b/internal/controller/leader/addresses.go
@@ -35,7 +35,7 @@
 		for _, id := range r.Rec.IDs {
 			delete(p.addresses, id)
 		}
-		rec, fits := withAddresses(r.Rec, addresses, l.writeLimits().Bytes())
+		rec, fits := withAddresses(r.Rec, addresses, l.writeLimits().MaxValueBytes())
 		if !fits {
 			continue // the record was written before the limits were known, and is too large without addresses
 		}
--- a/internal/controller/leader/planning.go
+++ b/internal/controller/leader/planning.go
@@ -39,12 +39,12 @@
 			return l.policy.Headroom(policy.Arrivals{Arriving: arriving, BootS: boot.Seconds(), Spot: spot})
 		},
 		RefusalPause: refusalPause,
-		MaxProvision: MaxProvision(l.writeLimits().Bytes()),
+		MaxProvision: MaxProvision(l.writeLimits().MaxValueBytes()),
 	}
 }
 
 // writeLimits returns the limits to apply to writes: the size of a record and of a transaction.
-func (l *Leader) writeLimits() config.State { return l.cfg.Params.State.Tight() }
+func (l *Leader) writeLimits() config.State { return l.cfg.Params.State.LowestLimits() }
 
 // planLocked plans with the summaries of all shards, carries out the orders for shards hosted here,
 // begins provisions, and returns the orders for other shards by the label of their owner.
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -11,7 +11,7 @@
 // left. The format records of all controllers show that, and once they do it stays true.
 
 // writeLimits returns the limits on the size of records and transactions that writes keep to.
-func (c *Controller) writeLimits() config.State { return c.cfg.Params.State.Tight() }
+func (c *Controller) writeLimits() config.State { return c.cfg.Params.State.LowestLimits() }
 
 // clusterRates returns the limits whose rates of requests and changes per second all controllers
 // together may use: the present ones as long as the first version shares them out as well, and then
@@ -28,7 +28,7 @@
 // controller of the first version is left, and the next limit on the size of records is lower than
 // the present one, from which the first version's format derives the size of ranges.
 func (c *Controller) sizedRangesRequired() bool {
-	return c.writeLimits().Bytes() < c.cfg.Params.State.Bytes() && c.allUpgraded()
+	return c.writeLimits().MaxValueBytes() < c.cfg.Params.State.MaxValueBytes() && c.allUpgraded()
 }
 
 // allUpgraded reports whether every controller in the settings has recorded a format with sized
--- a/internal/controller/messagecheck/messagecheck.go
+++ b/internal/controller/messagecheck/messagecheck.go
@@ -32,7 +32,7 @@
 
 // New returns a checker that logs what it rejects.
 func New(p *config.Params, rejections *rejectlog.Log) *Checker {
-	return &Checker{shards: p.Count, txnOps: p.State.TxnOps, valueBytes: p.State.Bytes(), rejections: rejections}
+	return &Checker{shards: p.Count, txnOps: p.State.TxnOps, valueBytes: p.State.MaxValueBytes(), rejections: rejections}
 }
 
 // invalid returns the error of an invalid message.
--- a/internal/controller/overload/memory.go
+++ b/internal/controller/overload/memory.go
@@ -27,5 +27,5 @@
 // Short reports whether memory comes close to the limit.
 func (m Memory) Short(r config.Resources) bool {
 	const megabyte = 1 << 20
-	return float64(m.Held)/megabyte+config.UncountedMB > r.MemoryMB*shortMemory
+	return float64(m.Held)/megabyte+config.NonRuntimeMB > r.MemoryMB*shortMemory
 }
--- a/internal/controller/reconciliation/record.go
+++ b/internal/controller/reconciliation/record.go
@@ -33,7 +33,7 @@
 	r.history.Put(e)
 	revision, err := r.tracker.host.Store().Txn(ctx, statestore.Routine("restart"), wire.Txn{
 		If:   []wire.Condition{{Key: r.key, Version: r.version}},
-		Then: []wire.Op{{Put: r.key, Value: r.history.Encode(r.tracker.cfg.Params.State.Tight().Bytes())}},
+		Then: []wire.Op{{Put: r.key, Value: r.history.Encode(r.tracker.cfg.Params.State.LowestLimits().MaxValueBytes())}},
 	})
 	if err != nil {
 		r.loaded = false // the transaction may have succeeded nevertheless
--- a/internal/controller/shardhost/config.go
+++ b/internal/controller/shardhost/config.go
@@ -35,7 +35,7 @@
 // the rate limit of restarts and the machine types.
 func SchedulerConfig(params *config.Params, pol *policy.Policy, restartLimiter *ratelimit.Limiter, types []wire.MachineType) *scheduler.Config {
 	heartbeat := config.Seconds(params.Workers.ReportS)
-	limits := params.State.Tight()
+	limits := params.State.LowestLimits()
 	c := &scheduler.Config{
 		Teams:                map[string]scheduler.Team{},
 		Types:                map[string]wire.MachineType{},
@@ -47,7 +47,7 @@
 		GangWait:             config.Seconds(params.Workers.GangWaitS),
 		MaxProbes:            max(1, params.Resources.MaxSockets/socketsPerProbe),
 		TxnOps:               limits.TxnOps,
-		ValueBytes:           limits.Bytes(),
+		ValueBytes:           limits.MaxValueBytes(),
 		PlacementsPerRecord:  scheduler.PlacementsPerRecord(params.State.ValueKB),
 		CompletionBatchDelay: completionsDelay,
 		StartBatchDelay:      startsDelay,
--- a/internal/controller/shardhost/machine_types.go
+++ b/internal/controller/shardhost/machine_types.go
@@ -77,7 +77,7 @@
 // for a record, each controller asks the cloud itself.
 func (h *Host) recordTypes(ctx context.Context, types []wire.MachineType) {
 	value := record.Encode(types)
-	if len(value) > h.settings.Params.State.Tight().Bytes() {
+	if len(value) > h.settings.Params.State.LowestLimits().MaxValueBytes() {
 		return
 	}
 	for range recordTypesAttempts {
--- a/internal/controller/shardhost/worker_calls.go
+++ b/internal/controller/shardhost/worker_calls.go
@@ -18,7 +18,7 @@
 // probeMachine requests a heartbeat from a worker and passes it to the shard, or nil if the worker
 // gave no valid response.
 func (h *Host) probeMachine(shard *scheduler.Shard, probe scheduler.Probe) {
-	heartbeat, err := h.env.Agents().Show(h.env.Lifetime(), probe.Addr)
+	heartbeat, err := h.env.Agents().RequestHeartbeat(h.env.Lifetime(), probe.Addr)
 	err = h.checkHeartbeat(&heartbeat, probe.Machine, err)
 	if err != nil {
 		h.log.Debug("probe failed", "machine", probe.Machine, "err", err)
@@ -36,7 +36,7 @@
 // for one of the command slots first.
 func (h *Host) sendCommands(shard *scheduler.Shard, command scheduler.DirectCommand) {
 	h.commandSlots <- struct{}{}
-	heartbeat, executed, err := h.env.Agents().Command(h.env.Lifetime(), command.Addr, command.Orders)
+	heartbeat, executed, err := h.env.Agents().SendCommands(h.env.Lifetime(), command.Addr, command.Orders)
 	<-h.commandSlots
 	err = h.checkHeartbeat(&heartbeat, command.Machine, err)
 	if err != nil {
--- a/internal/controller/transport/connections.go
+++ b/internal/controller/transport/connections.go
@@ -32,7 +32,7 @@
 // MaxBufferedBytes returns the limit on the bytes in the buffers of all connections together,
 // for a process with certain resources.
 func MaxBufferedBytes(r config.Resources) int {
-	return max(minBufferedBytes, int((r.MemoryMB-config.UncountedMB)*bufferShare*(1<<20)))
+	return max(minBufferedBytes, int((r.MemoryMB-config.NonRuntimeMB)*bufferShare*(1<<20)))
 }
 
 // connection is the state of one connection; only the event loop touches it.
--- a/internal/controller/userapi/cancellations.go
+++ b/internal/controller/userapi/cancellations.go
@@ -109,7 +109,7 @@
 	key := record.ActiveJobKey(ref)
 	t := wire.Txn{
 		If:   []wire.Condition{{Key: key, Version: version}},
-		Then: []wire.Op{{Put: key, Value: cancelledRecord(job, a.cluster.WriteLimits().Bytes())}},
+		Then: []wire.Op{{Put: key, Value: cancelledRecord(job, a.cluster.WriteLimits().MaxValueBytes())}},
 	}
 	revision, err := a.store().Txn(ctx, statestore.Urgent(cancelPurpose), t)
 	if isConflict(err) {
--- a/internal/controller/userapi/pipelines.go
+++ b/internal/controller/userapi/pipelines.go
@@ -81,7 +81,7 @@
 // or a later change of the records, exceeds the state service's limits.
 func (a *API) pipelineTxn(pipeline *jobspec.Pipeline) (wire.Txn, error) {
 	limits := a.cluster.WriteLimits()
-	if pipeline.Record.NeedsSplitCommits(limits.Bytes(), limits.TxnOps) {
+	if pipeline.Record.NeedsSplitCommits(limits.MaxValueBytes(), limits.TxnOps) {
 		return wire.Txn{}, ErrRecordTooLarge
 	}
 	key := record.PipelineKey(pipeline.Ref)
@@ -100,7 +100,7 @@
 			AwaitsDependencies: dependent[spec.Ref],
 		}
 		value := record.Encode(job)
-		if len(value) > limits.Bytes() {
+		if len(value) > limits.MaxValueBytes() {
 			return wire.Txn{}, ErrRecordTooLarge
 		}
 		size += len(value)
@@ -225,7 +225,7 @@
 // room for.
 func (a *API) pipelineEnds(ctx context.Context, purpose statestore.Purpose, rec *record.Pipeline) ([]record.PipelineJobEnd, error) {
 	limits := a.cluster.WriteLimits()
-	if !rec.NeedsSplitCommits(limits.Bytes(), limits.TxnOps) {
+	if !rec.NeedsSplitCommits(limits.MaxValueBytes(), limits.TxnOps) {
 		return rec.Ended, nil
 	}
 	missing, err := a.terminal.MissingPipelineEnds(ctx, a.store(), purpose, rec, nil)
@@ -286,7 +286,7 @@
 		return rec, err
 	}
 	rec.State = wire.Cancelled
-	rec = rec.Compacted(a.cluster.WriteLimits().Bytes())
+	rec = rec.Compacted(a.cluster.WriteLimits().MaxValueBytes())
 	key := record.PipelineKey(ref)
 	_, err = a.store().Txn(ctx, purpose, wire.Txn{
 		If:   []wire.Condition{{Key: key, Version: version}},
@@ -372,7 +372,7 @@
 		}
 		key := record.ActiveJobKey(ref)
 		t.If = append(t.If, wire.Condition{Key: key, Version: version})
-		t.Then = append(t.Then, wire.Op{Put: key, Value: cancelledRecord(job, a.cluster.WriteLimits().Bytes())})
+		t.Then = append(t.Then, wire.Op{Put: key, Value: cancelledRecord(job, a.cluster.WriteLimits().MaxValueBytes())})
 	}
 	return t, nil
 }
--- a/internal/controller/userapi/submissions.go
+++ b/internal/controller/userapi/submissions.go
@@ -85,7 +85,7 @@
 	if err := jobspec.CheckFeasible(spec, machineTypes, a.settings.Params.Teams); err != nil {
 		return err
 	}
-	if len(value) > a.cluster.WriteLimits().Bytes() {
+	if len(value) > a.cluster.WriteLimits().MaxValueBytes() {
 		return ErrRecordTooLarge
 	}
 	return a.checkDependencies(ctx, spec.DependsOn)
--- a/internal/httpwire/client.go
+++ b/internal/httpwire/client.go
@@ -45,8 +45,8 @@
 	return &Client{addr: addr, maxIdle: maxIdle, maxBody: maxResponse}
 }
 
-// WithMaxBody lets a client take no larger responses than that.
-func (c *Client) WithMaxBody(n int) *Client {
+// WithMaxResponseBody lets a client take no larger responses than that.
+func (c *Client) WithMaxResponseBody(n int) *Client {
 	c.maxBody = n
 	return c
 }
--- a/internal/operations/operations.go
+++ b/internal/operations/operations.go
@@ -34,8 +34,8 @@
 
 // Recovery is what controllers do about a state service that loses data.
 type Recovery struct {
-	// AuditEvery is how often the leader compares its views with all records.
-	AuditEvery time.Duration
+	// AuditInterval is how often the leader compares its views with all records.
+	AuditInterval time.Duration
 }
 
 // Audits of the records.
@@ -67,12 +67,12 @@
 }
 
 func (r *recovery) settings() (*Recovery, error) {
-	out := &Recovery{AuditEvery: config.Seconds(r.AuditS)}
+	out := &Recovery{AuditInterval: config.Seconds(r.AuditS)}
 	if r.AuditS == 0 {
-		out.AuditEvery = defaultAuditEvery
+		out.AuditInterval = defaultAuditEvery
 	}
-	if out.AuditEvery < shortestAudit {
-		return nil, fmt.Errorf("audit_s: %v is less than %v", out.AuditEvery, shortestAudit)
+	if out.AuditInterval < shortestAudit {
+		return nil, fmt.Errorf("audit_s: %v is less than %v", out.AuditInterval, shortestAudit)
 	}
 	return out, nil
 }
--- a/internal/testkit/direct.go
+++ b/internal/testkit/direct.go
@@ -27,8 +27,8 @@
 	return w.agents[strings.TrimPrefix(addr, "addr-")]
 }
 
-// Command implements agent.API.
-func (d *Direct) Command(_ context.Context, addr string, o wire.DirectCommands) (wire.Heartbeat, bool, error) {
+// SendCommands implements agent.API.
+func (d *Direct) SendCommands(_ context.Context, addr string, o wire.DirectCommands) (wire.Heartbeat, bool, error) {
 	a := d.w.at(addr)
 	if a == nil || d.life.Err() != nil {
 		return wire.Heartbeat{}, false, ErrLost
@@ -47,8 +47,8 @@
 	return got.r, got.ok, err
 }
 
-// Show implements agent.API.
-func (d *Direct) Show(_ context.Context, addr string) (wire.Heartbeat, error) {
+// RequestHeartbeat implements agent.API.
+func (d *Direct) RequestHeartbeat(_ context.Context, addr string) (wire.Heartbeat, error) {
 	a := d.w.at(addr)
 	if a == nil || d.life.Err() != nil {
 		return wire.Heartbeat{}, ErrLost
