--- a/internal/controller/dependency/schedule.go
+++ b/internal/controller/dependency/schedule.go
@@ -1,6 +1,7 @@
-// Package dependency decides when the terminal records of dependencies are read: of jobs
-// that others await and that are not active any more. Usually whoever wrote such a record
-// tells the owners of what awaits it; reading serves those who were not told.
+// Package dependency schedules reads of the terminal records of dependencies: jobs that are
+// no longer active and that active jobs depend on. Usually the controller that writes such a
+// record notifies the owners of the dependent jobs. The reads serve controllers that were not
+// notified.
 package dependency
 
 import (
@@ -10,26 +11,27 @@
 )
 
 const (
-	// retryDelay is the pause after a dependency had neither an active record in the view
-	// nor a terminal one: the view is behind.
+	// retryDelay is the delay before the next read of a dependency that had neither an
+	// active record in the view nor a terminal record: the view is behind.
 	retryDelay = time.Second
-	// OwnerGrace is how long the owner has to end what depends on a cancelled job, before
-	// any controller does.
+	// OwnerGrace is how long the owner of a job that depends on a cancelled one has to end
+	// it, before any other controller does.
 	OwnerGrace = 4 * time.Second
 )
 
-// Schedule says when each dependency's terminal record is read next. It has no lock: all
-// its methods are called with the shards' lock held.
+// Schedule holds the time of the next read of each dependency's terminal record. It has no
+// lock: all its methods must be called with the shards' lock held.
 type Schedule struct {
-	next map[string]time.Time // by job
+	next map[string]time.Time // time of the next read, by the dependency's ref
 }
 
 // NewSchedule returns a schedule without any reads.
 func NewSchedule() *Schedule { return &Schedule{next: map[string]time.Time{}} }
 
-// Due reports whether a dependency is to be read now, and schedules the read after that.
-// What an own shard awaits is read at once, what only others await after their owners had
-// time for it.
+// Due reports whether a dependency's terminal record is to be read now, and if so schedules
+// the read after that. A dependency of a job in a shard of this controller, as awaitedHere
+// says, is read at once. One of other controllers' jobs only is read after about OwnerGrace,
+// so that their owners have time to read it.
 func (s *Schedule) Due(job string, awaitedHere bool, now time.Time) bool {
 	at, scheduled := s.next[job]
 	if !scheduled {
@@ -40,7 +42,7 @@
 		s.next[job] = at
 	}
 	if awaitedHere && at.Sub(now) > retryDelay {
-		at = now // the shard came to be ours meanwhile
+		at = now // this controller has acquired a shard that awaits the dependency
 	}
 	if now.Before(at) {
 		return false
@@ -49,10 +51,10 @@
 	return true
 }
 
-// Retry schedules a read again that found no terminal record.
+// Retry schedules the next read after one that returned no terminal record.
 func (s *Schedule) Retry(job string, now time.Time) { s.next[job] = now.Add(retryDelay) }
 
-// Prune forgets the dependencies that nothing awaits any more.
+// Prune drops the dependencies that no job awaits any more.
 func (s *Schedule) Prune(awaited func(job string) bool) {
 	for job := range s.next {
 		if !awaited(job) {
@@ -61,5 +63,5 @@
 	}
 }
 
-// Len returns how many reads are scheduled.
+// Len returns the number of scheduled reads.
 func (s *Schedule) Len() int { return len(s.next) }
--- a/internal/controller/dependency/schedule_test.go
+++ b/internal/controller/dependency/schedule_test.go
@@ -10,34 +10,34 @@
 func TestOwnDependencyIsReadAtOnce(t *testing.T) {
 	s := NewSchedule()
 	if !s.Due("run-000001", true, now) {
-		t.Error("not read at once")
+		t.Error("a dependency of a shard here is not read at once")
 	}
 	s.Retry("run-000001", now)
 	if s.Due("run-000001", true, now.Add(retryDelay-1)) {
-		t.Error("read again before the pause is over")
+		t.Error("read again before retryDelay is over")
 	}
 	if !s.Due("run-000001", true, now.Add(retryDelay)) {
-		t.Error("not read again after the pause")
+		t.Error("not read again after retryDelay")
 	}
 }
 
-func TestOwnersAreGivenTimeForTheirs(t *testing.T) {
+func TestDependencyOfOtherOwnersIsReadLater(t *testing.T) {
 	s := NewSchedule()
 	if s.Due("run-000001", false, now) {
-		t.Error("read before its owner had time for it")
+		t.Error("read at once although only other controllers' jobs depend on it")
 	}
 	if !s.Due("run-000001", false, now.Add(2*OwnerGrace)) {
-		t.Error("never read")
+		t.Error("not read within twice OwnerGrace")
 	}
-	// A shard that came to be ours does not wait for that.
+	// Once this controller acquires a shard that awaits the dependency, it is read at once.
 	other := NewSchedule()
 	other.Due("run-000002", false, now)
 	if !other.Due("run-000002", true, now) {
-		t.Error("awaited by a shard that is ours now, and not read at once")
+		t.Error("not read at once although a shard here awaits it now")
 	}
 }
 
-func TestPruneForgetsWhatNothingAwaits(t *testing.T) {
+func TestPruneDropsDependenciesWithoutDependents(t *testing.T) {
 	s := NewSchedule()
 	s.Due("run-000001", true, now)
 	s.Due("run-000002", true, now)
--- a/internal/controller/terminal/cache.go
+++ b/internal/controller/terminal/cache.go
@@ -1,6 +1,6 @@
-// Package terminal caches the terminal records of jobs. A terminal record is written
-// once, when a job is done or cancelled, and never changes, so what is cached never needs
-// to be read again.
+// Package terminal caches the terminal records of jobs. A terminal record is written once,
+// when a job is done or cancelled, and never changes, so a cached record never needs to be
+// read again.
 package terminal
 
 import (
@@ -16,13 +16,13 @@
 	"bramblespur/internal/statestore"
 )
 
-// maxCached is how many terminal records a cache holds.
+// maxCached is how many terminal records a cache holds at most.
 const maxCached = 20000
 
-// Cache holds terminal records of jobs. A job that it lacks may be terminal all the same.
+// Cache holds terminal records of jobs. A job without a cached record may be terminal too.
 //
-// Its lock is a leaf: methods may be called with or without the shards' lock held, and
-// call nothing that takes another lock.
+// It is safe for concurrent use. Its lock is a leaf: no other lock is taken under it. Methods
+// that do not say otherwise may be called with or without the shards' lock held.
 type Cache struct {
 	mu   sync.Mutex
 	jobs map[string]record.FinishedJob // by job id
@@ -33,7 +33,7 @@
 	return &Cache{jobs: map[string]record.FinishedJob{}}
 }
 
-// Get returns the terminal record of a job, if it is cached.
+// Get returns the terminal record of a job, and whether it is cached.
 func (c *Cache) Get(job string) (record.FinishedJob, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,8 +41,8 @@
 	return terminal, ok
 }
 
-// Put caches a job's terminal record. A full cache evicts an arbitrary other one, which
-// can be read again.
+// Put caches a job's terminal record. A full cache evicts an arbitrary record, which can be
+// read again.
 func (c *Cache) Put(job string, terminal record.FinishedJob) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,14 +55,14 @@
 	c.jobs[job] = terminal
 }
 
-// All returns a copy of what is cached, by job id.
+// All returns a copy of all cached records, by job id.
 func (c *Cache) All() map[string]record.FinishedJob {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.jobs)
 }
 
-// Sample returns up to n jobs, chosen at random, whose terminal records are cached.
+// Sample returns the ids of up to n jobs, chosen at random, whose terminal records are cached.
 func (c *Cache) Sample(n int) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,8 +77,10 @@
 	return sample
 }
 
-// Read reads a job's terminal record from the state service and caches it. It returns
-// statestore.ErrNotFound if the job has none. It must not be called with a lock held.
+// Read reads a job's terminal record from the state service and caches it. Its error is
+// statestore.ErrNotFound if the job has no terminal record, another error of the store, or
+// the error of decoding the record. It must not be called with the shards' lock held, as it
+// waits for the state service.
 func (c *Cache) Read(ctx context.Context, store statestore.Store, purpose statestore.Purpose, job string) (record.FinishedJob, error) {
 	var terminal record.FinishedJob
 	entry, err := store.Get(ctx, purpose, record.FinishedJobKey(job))
@@ -92,9 +94,10 @@
 	return terminal, nil
 }
 
-// MissingPipelineEnds returns the ends of a pipeline's jobs that its own record does not
-// tell: it may have been too large to be written again. Jobs known to be active are passed
-// over. It must not be called with a lock held.
+// MissingPipelineEnds returns the ends of those jobs of a pipeline whose ends the pipeline's
+// record lacks: the record may have been too large to be written again. The ends come from the
+// jobs' terminal records, cached or read. Jobs in active and jobs without a terminal record are
+// skipped. It must not be called with the shards' lock held, as it waits for the state service.
 func (c *Cache) MissingPipelineEnds(ctx context.Context, store statestore.Store, purpose statestore.Purpose, pipeline *record.Pipeline, active []string) ([]record.PipelineJobEnd, error) {
 	var ends []record.PipelineJobEnd
 	for _, job := range pipeline.MissingEnds() {
--- a/internal/controller/terminal/cache_test.go
+++ b/internal/controller/terminal/cache_test.go
@@ -8,7 +8,7 @@
 	"bramblespur/internal/wire"
 )
 
-// The cache is bounded, and what was put last is always there.
+// The cache is bounded, and the last record put into it is never the one evicted.
 func TestCacheIsBounded(t *testing.T) {
 	cache := NewCache()
 	for i := range maxCached + 10 {
@@ -22,6 +22,6 @@
 		t.Errorf("%d terminal records are cached, want %d", n, maxCached)
 	}
 	if _, ok := cache.Get("run-999999"); ok {
-		t.Error("knows the state of a job it was never told of")
+		t.Error("the cache has a record of a job that was never put into it")
 	}
 }
