--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -60,7 +60,7 @@
 	if r := ask("POST", wire.HeartbeatPath, []byte(`{"bush":""}`)); r.Status != 400 {
 		t.Errorf("report: %+v", r)
 	}
-	for range 2 * int(overload.InTimeFor/tickInterval) {
+	for range 2 * int(overload.BehindEndsAfter/tickInterval) {
 		now = now.Add(tickInterval)
 		c.overload.Observe(0, now)
 	}
--- a/internal/controller/overload/overload.go
+++ b/internal/controller/overload/overload.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	// InTimeFor is how long timers must be in time before what was left undone is resumed:
+	// BehindEndsAfter is how long timers must be in time before what was left undone is resumed:
 	// that alone may be what was too much.
-	InTimeFor = 20 * time.Second
-	// RelaxedFor is the same for what a strained process leaves undone, which costs little
+	BehindEndsAfter = 20 * time.Second
+	// StrainedEndsAfter is the same for what a strained process leaves undone, which costs little
 	// if that is wrong.
-	RelaxedFor = 5 * time.Second
+	StrainedEndsAfter = 5 * time.Second
 )
 
 const (
@@ -42,8 +42,8 @@
 	// meanWeight and longMeanWeight are over about how many timers the means are.
 	meanWeight     = 8
 	longMeanWeight = 40
-	// notOverloadedFor is how long a process must not be overloaded for that to end.
-	notOverloadedFor = 5 * time.Second
+	// overloadedEndsAfter is how long a process must not be overloaded for that to end.
+	overloadedEndsAfter = 5 * time.Second
 	// A process that was overloaded must keep up for MinRecovery before its shards are
 	// transferred back to it, and twice as long each time it soon is overloaded again: without shards
 	// it can't tell whether the cause has passed.
@@ -111,7 +111,7 @@
 	switch {
 	case d.mean > strainedLag:
 		d.strained, d.strainedAt = true, now
-	case now.Sub(d.strainedAt) >= RelaxedFor:
+	case now.Sub(d.strainedAt) >= StrainedEndsAfter:
 		d.strained = false
 	}
 }
@@ -121,7 +121,7 @@
 	case !d.behind && d.mean > behindLag:
 		d.behind, d.behindSince = true, now
 		return true
-	case d.behind && now.Sub(d.lateAt) >= InTimeFor:
+	case d.behind && now.Sub(d.lateAt) >= BehindEndsAfter:
 		d.behind = false
 		return true
 	}
@@ -134,7 +134,7 @@
 		d.overloaded = true
 		d.extendRecovery()
 		d.overloadedAt = now
-	case now.Sub(d.overloadedAt) >= notOverloadedFor:
+	case now.Sub(d.overloadedAt) >= overloadedEndsAfter:
 		d.overloaded = false
 	}
 }
--- a/internal/controller/overload/overload_test.go
+++ b/internal/controller/overload/overload_test.go
@@ -43,14 +43,14 @@
 	if !w.d.behind {
 		t.Error("not behind with every timer late by 500 ms")
 	}
-	w.run(200*time.Millisecond, 2*InTimeFor)
+	w.run(200*time.Millisecond, 2*BehindEndsAfter)
 	if !w.d.behind {
 		t.Error("not behind any more with every timer late by 200 ms")
 	}
-	if w.run(5*time.Millisecond, InTimeFor*9/10); !w.d.behind {
+	if w.run(5*time.Millisecond, BehindEndsAfter*9/10); !w.d.behind {
 		t.Error("what was left undone is taken up again although timers were late lately")
 	}
-	if changes := w.run(5*time.Millisecond, InTimeFor); w.d.behind || changes != 1 {
+	if changes := w.run(5*time.Millisecond, BehindEndsAfter); w.d.behind || changes != 1 {
 		t.Errorf("with timers in time again: behind %t after %d changes", w.d.behind, changes)
 	}
 }
@@ -64,7 +64,7 @@
 	if !w.d.behind || w.d.overloaded || w.d.KeepsUp(w.now) {
 		t.Errorf("after a wave: behind %t, overloaded %t, keeps up %t", w.d.behind, w.d.overloaded, w.d.KeepsUp(w.now))
 	}
-	if w.run(0, 2*InTimeFor); !w.d.KeepsUp(w.now) {
+	if w.run(0, 2*BehindEndsAfter); !w.d.KeepsUp(w.now) {
 		t.Error("a wave alone keeps it from taking parts")
 	}
 	recovery := func(want time.Duration) {
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -158,12 +158,12 @@
 		}
 		c.mu.Unlock()
 		time.Sleep(longestHeld)
-		for end := time.Now().Add(overload.RelaxedFor / 2); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		for end := time.Now().Add(overload.StrainedEndsAfter / 2); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 			if n := k.heldAt(label); n > 0 {
 				t.Fatalf("%d answers held", n)
 			}
 		}
-		k.await(2*overload.InTimeFor, "a held answer once it keeps up", func() bool { return k.heldAt(label) > 0 })
+		k.await(2*overload.BehindEndsAfter, "a held answer once it keeps up", func() bool { return k.heldAt(label) > 0 })
 	})
 }
 
