--- a/internal/controller/jobspec/jobspec.go
+++ b/internal/controller/jobspec/jobspec.go
@@ -1,6 +1,7 @@
-// Package jobspec parses and validates what users submit: specifications of jobs and of
-// pipelines. It is pure: it knows no state beyond its arguments, and reports what is wrong
-// as an *InvalidError or an *InfeasibleError.
+// Package jobspec parses and validates the specifications of jobs and pipelines that users
+// submit. It keeps no state: the results of its functions depend on their arguments only. A
+// malformed specification is reported as an *InvalidError, a job that can never run as an
+// *InfeasibleError.
 package jobspec
 
 import (
@@ -18,30 +19,30 @@
 // MaxTasks is the protocol's limit on the tasks of a job.
 const MaxTasks = 100000
 
-// Prefixes of references, which digits follow.
+// Prefixes of references. Decimal digits follow them.
 const (
 	jobPrefix      = "run-"
 	pipelinePrefix = "pipe-"
 )
 
-// How many digits a reference has.
+// Bounds on the number of digits of a reference.
 const (
 	minReferenceDigits = 6
 	maxReferenceDigits = 18
 )
 
-// limitTolerance is what rounding may add to the sum of a gang's resources.
+// limitTolerance is how far rounding may take the sum of a job's resources above a limit.
 const limitTolerance = 1e-6
 
+// Values that a specification may have.
 var (
 	kinds      = []string{wire.Array, wire.Gang, wire.Service}
 	priorities = []string{"prod", "urgent", "normal", "low"}
 )
 
-// An InvalidError says that a submission is malformed, so that no controller would ever
-// accept it.
+// An InvalidError says that a submission is malformed. No controller ever accepts it.
 type InvalidError struct {
-	Field  string // what is wrong, empty if it is the submission as a whole
+	Field  string // the field that is wrong; empty: the submission as a whole
 	Reason string
 }
 
@@ -54,10 +55,11 @@
 
 func invalid(field, reason string) error { return &InvalidError{Field: field, Reason: reason} }
 
-// ValidJobReference reports whether a job's reference is well-formed.
+// ValidJobReference reports whether a job's reference is well-formed: "run-" and 6 to 18 digits.
 func ValidJobReference(ref string) bool { return validReference(ref, jobPrefix) }
 
-// ValidPipelineReference reports whether a pipeline's reference is well-formed.
+// ValidPipelineReference reports whether a pipeline's reference is well-formed: "pipe-" and 6 to
+// 18 digits.
 func ValidPipelineReference(ref string) bool { return validReference(ref, pipelinePrefix) }
 
 func validReference(ref, prefix string) bool {
@@ -74,7 +76,8 @@
 }
 
 // ParseJob parses and validates the specification of a job. Every required field must be
-// there and not null. The dependencies of the result are sorted and named once.
+// present and not null. The dependencies of the result are sorted and without duplicates. The
+// error is an *InvalidError.
 func ParseJob(body []byte) (*wire.Spec, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
@@ -97,7 +100,7 @@
 	return spec, nil
 }
 
-// Validate checks the values of a specification's fields.
+// Validate returns an *InvalidError if a field of a specification has an invalid value.
 func Validate(spec *wire.Spec) error {
 	switch {
 	case !ValidJobReference(spec.Ref):
@@ -109,32 +112,33 @@
 	case !slices.Contains(priorities, spec.Priority):
 		return invalid("priority", "unknown")
 	case spec.Tasks < 1 || spec.Tasks > MaxTasks:
-		return invalid("tasks", "out of range")
+		return invalid("tasks", "out of range, want 1 to 100000")
 	case !validAmounts(spec):
-		return invalid("amounts", "negative or not finite")
+		return invalid("amounts", "an amount is negative or not finite")
 	}
 	for _, dependency := range spec.DependsOn {
 		if !ValidJobReference(dependency) {
-			return invalid("dependencies", "malformed reference")
+			return invalid("dependencies", "malformed reference, want run- and 6 to 18 digits")
 		}
 	}
 	return nil
 }
 
-// validAmounts checks the amounts of resources and of time in a specification.
+// validAmounts reports whether the amounts of resources and of time in a specification are
+// valid.
 func validAmounts(spec *wire.Spec) bool {
 	return isAmount(spec.CPUs) && isAmount(spec.GPUs) && isAmount(spec.MemoryGB) && isAmount(spec.ImageGB) &&
 		isAmount(spec.EstimateS) && isAmount(spec.CheckpointS) && isAmount(spec.SaveS) &&
 		(spec.DeadlineS == nil || isAmount(*spec.DeadlineS))
 }
 
-// isAmount reports whether a number may be an amount: NaN is none.
+// isAmount reports whether a number is a valid amount: finite and not negative. NaN is not
+// valid.
 func isAmount(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
 
-// An InfeasibleError says that a well-formed job could never run under the present
-// settings.
+// An InfeasibleError says that a well-formed job can never run under the present settings.
 type InfeasibleError struct {
-	Job    string
+	Job    string // reference of the job
 	Reason string
 }
 
@@ -142,27 +146,28 @@
 	return fmt.Sprintf("job %s can never run: %s", e.Job, e.Reason)
 }
 
-// CheckFeasible returns an *InfeasibleError for a job that fits no machine type or is
-// above its team's limits. Without any team in the settings there are no such limits.
+// CheckFeasible returns an *InfeasibleError for a job that fits no machine type, is of an
+// unknown team, or exceeds its team's limits. If there are no teams, neither teams nor limits
+// are checked.
 func CheckFeasible(spec *wire.Spec, machineTypes []wire.MachineType, teams []config.Team) error {
-	if !slices.ContainsFunc(machineTypes, func(t wire.MachineType) bool { return fits(spec, &t) }) {
+	if !slices.ContainsFunc(machineTypes, func(t wire.MachineType) bool { return fitsMachineType(spec, &t) }) {
 		return &InfeasibleError{Job: spec.Ref, Reason: "no machine type has room for a task"}
 	}
 	if len(teams) > 0 && !withinTeamLimits(spec, teams) {
-		return &InfeasibleError{Job: spec.Ref, Reason: "unknown team, or above its limits"}
+		return &InfeasibleError{Job: spec.Ref, Reason: "the team is unknown, or the job exceeds the limits of its team"}
 	}
 	return nil
 }
 
-// fits reports whether an empty machine of a type could run a task of a job.
-func fits(spec *wire.Spec, t *wire.MachineType) bool {
+// fitsMachineType reports whether an empty machine of a type could run a task of a job.
+func fitsMachineType(spec *wire.Spec, t *wire.MachineType) bool {
 	return (spec.Types == nil || slices.Contains(spec.Types, t.Name)) &&
 		spec.CPUs <= t.CPUs && spec.GPUs <= t.GPUs && spec.MemoryGB <= t.MemoryGB &&
 		(spec.Zone == nil || slices.Contains(t.Zones, *spec.Zone))
 }
 
-// withinTeamLimits reports whether a team's limits leave room for what a job must run at
-// once: a single task of an array, else all of them.
+// withinTeamLimits reports whether the limits of a job's team leave room for the tasks that the
+// job must run at the same time: one task of an array, all tasks of any other job.
 func withinTeamLimits(spec *wire.Spec, teams []config.Team) bool {
 	concurrent := float64(spec.Tasks)
 	if spec.Kind == wire.Array {
@@ -177,49 +182,49 @@
 		(team.GPUsMax <= 0 || concurrent*spec.GPUs <= team.GPUsMax+limitTolerance)
 }
 
-// A Pipeline is a parsed pipeline with the specifications of its jobs, in the same order as
-// in its record.
+// A Pipeline is a parsed pipeline.
 type Pipeline struct {
 	Ref    string
 	Record record.Pipeline
-	Jobs   []*wire.Spec
+	Jobs   []*wire.Spec // in the same order as in Record
 }
 
-// ParsePipeline parses and validates the specification of a pipeline, the jobs in it
-// included. They name no dependencies of their own, as its links say what follows what, and
-// are all of one team.
+// ParsePipeline parses and validates the specification of a pipeline, including its jobs.
+// These must not have dependencies of their own, since the pipeline's links give their order,
+// and must all be of one team. The shard in the result's record is not set. The error is an
+// *InvalidError.
 func ParsePipeline(body []byte) (*Pipeline, error) {
-	var w wire.Pipeline
-	if err := json.Unmarshal(body, &w); err != nil {
+	var submitted wire.Pipeline
+	if err := json.Unmarshal(body, &submitted); err != nil {
 		return nil, invalid("", err.Error())
 	}
-	if !ValidPipelineReference(w.Ref) {
+	if !ValidPipelineReference(submitted.Ref) {
 		return nil, invalid("reference", "malformed")
 	}
-	if len(w.Jobs) == 0 {
+	if len(submitted.Jobs) == 0 {
 		return nil, invalid("jobs", "none")
 	}
-	p := &Pipeline{Ref: w.Ref, Record: record.Pipeline{Links: w.Links, Choices: w.Choices}}
-	for _, raw := range w.Jobs {
+	p := &Pipeline{Ref: submitted.Ref, Record: record.Pipeline{Links: submitted.Links, Choices: submitted.Choices}}
+	for _, raw := range submitted.Jobs {
 		spec, err := ParseJob(raw)
 		if err != nil {
 			return nil, err
 		}
 		if len(spec.DependsOn) > 0 {
-			return nil, invalid("jobs", "dependencies within a pipeline")
+			return nil, invalid("jobs", "a job of a pipeline has dependencies of its own, want links of the pipeline")
 		}
 		p.Jobs = append(p.Jobs, spec)
 		p.Record.Jobs = append(p.Record.Jobs, spec.Ref)
 	}
 	team := p.Jobs[0].Team
 	if slices.ContainsFunc(p.Jobs, func(spec *wire.Spec) bool { return spec.Team != team }) {
-		return nil, invalid("jobs", "of several teams")
+		return nil, invalid("jobs", "jobs of several teams, want one team")
 	}
 	return p, validateStructure(&p.Record)
 }
 
-// validateStructure checks a pipeline's links, and that each choice that they leave is
-// stated once and names branches of that choice.
+// validateStructure returns an *InvalidError if a pipeline's links are invalid, or if a choice
+// that they leave is not stated exactly once with branches of that choice.
 func validateStructure(rec *record.Pipeline) error {
 	net, err := rec.Net()
 	if err != nil {
@@ -229,15 +234,15 @@
 	for _, choice := range rec.Choices {
 		branches, ok := unstated[choice.At]
 		if !ok {
-			return invalid("choices", "no choice there, or stated twice")
+			return invalid("choices", "a choice is stated twice, or for a job that no choice follows")
 		}
 		if !slices.Contains(branches, choice.Done) || (choice.Cancelled != "" && !slices.Contains(branches, choice.Cancelled)) {
-			return invalid("choices", "names a job that is no branch")
+			return invalid("choices", "a choice names a job that is not one of its branches")
 		}
 		delete(unstated, choice.At)
 	}
 	if len(unstated) > 0 {
-		return invalid("choices", "not all are stated")
+		return invalid("choices", "a choice that the links leave is not stated")
 	}
 	return nil
 }
--- a/internal/controller/jobspec/jobspec_test.go
+++ b/internal/controller/jobspec/jobspec_test.go
@@ -10,7 +10,7 @@
 	"bramblespur/internal/wire"
 )
 
-// trainingJob is a well-formed specification.
+// trainingJob returns a well-formed specification.
 func trainingJob() *wire.Spec {
 	return &wire.Spec{Ref: "run-000412", Class: "train", Team: "a", Kind: wire.Array, Priority: "normal", Tasks: 2,
 		CPUs: 8, GPUs: 1, MemoryGB: 16, Image: "img", ImageGB: 6.2}
@@ -33,7 +33,7 @@
 		change(spec)
 		var err *InvalidError
 		if !errors.As(Validate(spec), &err) || err.Field != field {
-			t.Errorf("%s: %v", field, err)
+			t.Errorf("a specification with a wrong %s is rejected with error %v, want an InvalidError with that field", field, err)
 		}
 	}
 }
@@ -44,15 +44,15 @@
 		"run--00001": false, "pipe-000001": false, "": false,
 	} {
 		if got := ValidJobReference(ref); got != want {
-			t.Errorf("%q: %t, want %t", ref, got, want)
+			t.Errorf("ValidJobReference(%q) = %t, want %t", ref, got, want)
 		}
 	}
 	if !ValidPipelineReference("pipe-000001") || ValidPipelineReference("run-000001") {
-		t.Error("a pipeline's reference has a prefix of its own")
+		t.Error("ValidPipelineReference does not accept exactly the prefix pipe-")
 	}
 }
 
-// Of an array one task has to fit the team's limits, of a gang all at once.
+// One task of an array has to fit the team's limits, but all tasks of a gang together.
 func TestFeasibility(t *testing.T) {
 	machineTypes := []wire.MachineType{{Name: "big", CPUs: 16, GPUs: 2, MemoryGB: 64, Zones: []string{"z"}}}
 	teams := []config.Team{{Name: "a", GPUsMax: 4}}
@@ -77,7 +77,7 @@
 		err := CheckFeasible(spec, machineTypes, x.teams)
 		var infeasible *InfeasibleError
 		if (err == nil) != x.want || (err != nil && !errors.As(err, &infeasible)) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: unexpected result %v", name, err)
 		}
 	}
 }
@@ -86,15 +86,15 @@
 	for _, body := range []string{"", "{", "[]", "null", "{}", `"x"`} {
 		var invalid *InvalidError
 		if _, err := ParseJob([]byte(body)); !errors.As(err, &invalid) {
-			t.Errorf("job %q: %v", body, err)
+			t.Errorf("ParseJob(%q) returns %v, want an InvalidError", body, err)
 		}
 		if _, err := ParsePipeline([]byte(body)); !errors.As(err, &invalid) {
-			t.Errorf("pipeline %q: %v", body, err)
+			t.Errorf("ParsePipeline(%q) returns %v, want an InvalidError", body, err)
 		}
 	}
 }
 
-// Dependencies named twice count once, and a pipeline's jobs have none of their own.
+// Duplicate dependencies are removed, and a pipeline's jobs must not have dependencies.
 func TestDependenciesAreSortedAndUnique(t *testing.T) {
 	spec := trainingJob()
 	spec.DependsOn = []string{"run-000002", "run-000001", "run-000002"}
@@ -107,7 +107,7 @@
 		t.Fatal(err)
 	}
 	if len(got.DependsOn) != 2 || got.DependsOn[0] != "run-000001" || got.DependsOn[1] != "run-000002" {
-		t.Errorf("dependencies %v", got.DependsOn)
+		t.Errorf("dependencies %v, want [run-000001 run-000002]", got.DependsOn)
 	}
 	pipeline, err := json.Marshal(wire.Pipeline{Ref: "pipe-000001", Jobs: []json.RawMessage{body}})
 	if err != nil {
@@ -115,6 +115,6 @@
 	}
 	var invalid *InvalidError
 	if _, err := ParsePipeline(pipeline); !errors.As(err, &invalid) || invalid.Field != "jobs" {
-		t.Errorf("a pipeline's job with dependencies: %v", err)
+		t.Errorf("a pipeline whose job has dependencies is rejected with error %v, want an InvalidError of field jobs", err)
 	}
 }
--- a/internal/controller/rejectlog/rejectlog_test.go
+++ b/internal/controller/rejectlog/rejectlog_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// However many names a sender uses, the lines and the memory for them are bounded.
+// The lines logged per window and the memory to remember them are bounded, however many names
+// a sender uses.
 func TestRejectionsAreBounded(t *testing.T) {
 	var out bytes.Buffer
 	l := New(slog.New(slog.NewTextHandler(&out, nil)))
@@ -17,6 +18,6 @@
 		l.Reject("heartbeat", fmt.Sprint(strings.Repeat("x", i%3), i), errors.New("malformed"))
 	}
 	if lines := strings.Count(out.String(), "\n"); lines != maxPerWindow || len(l.logged) != maxPerWindow {
-		t.Errorf("%d lines, %d senders kept", lines, len(l.logged))
+		t.Errorf("%d lines are logged and %d rejections remembered, want maxPerWindow of each", lines, len(l.logged))
 	}
 }
