--- a/internal/controller/admission/admission.go
+++ b/internal/controller/admission/admission.go
@@ -1,5 +1,6 @@
-// Package admission bounds the users' requests that a controller serves at a time. What can't
-// be admitted is answered at once with when to come back; nothing is queued.
+// Package admission bounds the number of users' requests that a controller serves at a time. A
+// request that cannot be admitted is answered at once with the time after which to repeat it.
+// Nothing is queued.
 package admission
 
 import (
@@ -10,32 +11,35 @@
 )
 
 const (
-	// requestsPerMB is how many requests are served at a time for each MB of memory: one
-	// of the largest size takes half of that with its copies.
+	// requestsPerMB is how many requests are served at a time for each MB of memory: a
+	// request of the largest size takes half a MB with its copies.
 	requestsPerMB = 2
-	minRequests   = 20
+	// minRequests is how many requests are served at a time however little memory there is.
+	minRequests = 20
 	// MaxQueriesBehind is how many status queries are served at a time while the process
-	// falls behind.
+	// is behind.
 	MaxQueriesBehind = 4
 )
 
 // Limiter counts the requests being served. It is safe for concurrent use; its lock is a leaf.
 type Limiter struct {
 	maxRequests int
-	behind      func() bool // whether the process falls behind; takes no lock but its own
+	behind      func() bool // reports whether the process is behind; takes no lock but its own
 
 	mu       sync.Mutex
-	requests int
-	queries  int // those of them that only ask for a status
+	requests int // being served
+	queries  int // the status queries among them
 }
 
-// NewLimiter returns a limiter for a process with certain resources.
+// NewLimiter returns a Limiter for a process with resources r. The function behind reports whether
+// the process is behind; it is called without the Limiter's lock held.
 func NewLimiter(r config.Resources, behind func() bool) *Limiter {
-	most := int((r.MemoryMB - config.NonRuntimeMB) * requestsPerMB)
-	return &Limiter{maxRequests: max(minRequests, most), behind: behind}
+	forMemory := int((r.MemoryMB - config.NonRuntimeMB) * requestsPerMB)
+	return &Limiter{maxRequests: max(minRequests, forMemory), behind: behind}
 }
 
-// Admit admits a request unless there are too many. An admitted one must be released.
+// Admit reports whether a request may be served, and if so counts it until Release is called, which
+// the caller must do once the request is answered.
 func (l *Limiter) Admit(req httpwire.Request) bool {
 	behind := l.behind()
 	l.mu.Lock()
@@ -53,7 +57,7 @@
 	return true
 }
 
-// Release records that an admitted request was answered.
+// Release records that an admitted request has been answered.
 func (l *Limiter) Release(req httpwire.Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,4 +67,5 @@
 	}
 }
 
+// isQuery reports whether a request is a status query.
 func isQuery(req httpwire.Request) bool { return req.Method == "GET" }
--- a/internal/controller/admission/admission_test.go
+++ b/internal/controller/admission/admission_test.go
@@ -7,26 +7,26 @@
 	"bramblespur/internal/httpwire"
 )
 
-// While the process falls behind a few status queries are served and other requests go on;
-// what was released makes room again.
+// While the process is behind, up to MaxQueriesBehind status queries are served at a time, and other
+// requests are admitted as usual. A released query makes room for another.
 func TestQueriesAreBoundedWhileBehind(t *testing.T) {
 	behind := true
 	l := NewLimiter(config.Resources{MemoryMB: 1000}, func() bool { return behind })
 	query, submission := httpwire.Request{Method: "GET"}, httpwire.Request{Method: "POST"}
 	for i := range MaxQueriesBehind {
 		if !l.Admit(query) {
-			t.Errorf("query %d is rejected", i)
+			t.Errorf("query %d of MaxQueriesBehind is rejected", i)
 		}
 	}
 	if l.Admit(query) {
-		t.Error("one query too many is admitted")
+		t.Error("a query beyond MaxQueriesBehind is admitted")
 	}
 	if !l.Admit(submission) {
-		t.Error("a submission is rejected for queries")
+		t.Error("a submission is rejected because of queries")
 	}
 	l.Release(query)
 	if !l.Admit(query) {
-		t.Error("a query is rejected though one was released")
+		t.Error("a query is rejected although another was released")
 	}
 	behind = false
 	if !l.Admit(query) {
--- a/internal/controller/overload/overload_test.go
+++ b/internal/controller/overload/overload_test.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// tickInterval is how often timers fire.
+// tickInterval is the interval of the simulated timer.
 const tickInterval = 250 * time.Millisecond
 
-// ticks feeds a detector with late timers.
-type ticks struct {
+// simulation feeds a detector with the lags of a simulated timer.
+type simulation struct {
 	d   *Detector
-	now time.Time
+	now time.Time // simulated time
 }
 
-// newTicks returns ticks for a detector whose process keeps up.
-func newTicks() *ticks {
-	return &ticks{d: NewDetector(slog.New(slog.DiscardHandler), 1, 4*time.Second), now: time.Unix(1e9, 0)}
+// newSimulation returns a simulation with a detector whose process keeps up.
+func newSimulation() *simulation {
+	return &simulation{d: NewDetector(slog.New(slog.DiscardHandler), 1, 4*time.Second), now: time.Unix(1e9, 0)}
 }
 
-// run lets timers fire late for a while and returns how often the process fell behind
-// or kept up again.
-func (w *ticks) run(late, d time.Duration) (changes int) {
-	for end := w.now.Add(d); w.now.Before(end); {
-		w.now = w.now.Add(tickInterval + late)
-		if w.d.observe(late, w.now) {
+// run lets the timer fire late by a fixed lag for a duration d, and returns how often the process
+// fell behind or caught up.
+func (s *simulation) run(lag, d time.Duration) (changes int) {
+	for end := s.now.Add(d); s.now.Before(end); {
+		s.now = s.now.Add(tickInterval + lag)
+		if s.d.observe(lag, s.now) {
 			changes++
 		}
 	}
@@ -33,57 +33,57 @@
 }
 
 func TestFallingBehindHasHysteresis(t *testing.T) {
-	w := newTicks()
+	s := newSimulation()
 	for range 2 {
-		if w.d.observe(time.Hour, w.now) || w.d.behind {
-			t.Error("behind after standing still twice")
+		if s.d.observe(time.Hour, s.now) || s.d.behind {
+			t.Error("behind although the process only stopped twice")
 		}
 	}
-	w.run(500*time.Millisecond, 10*time.Second)
-	if !w.d.behind {
+	s.run(500*time.Millisecond, 10*time.Second)
+	if !s.d.behind {
 		t.Error("not behind with every timer late by 500 ms")
 	}
-	w.run(200*time.Millisecond, 2*BehindEndsAfter)
-	if !w.d.behind {
+	s.run(200*time.Millisecond, 2*BehindEndsAfter)
+	if !s.d.behind {
 		t.Error("not behind any more with every timer late by 200 ms")
 	}
-	if w.run(5*time.Millisecond, BehindEndsAfter*9/10); !w.d.behind {
-		t.Error("what was left undone is taken up again although timers were late lately")
+	if s.run(5*time.Millisecond, BehindEndsAfter*9/10); !s.d.behind {
+		t.Error("not behind any more although timers were late within BehindEndsAfter")
 	}
-	if changes := w.run(5*time.Millisecond, BehindEndsAfter); w.d.behind || changes != 1 {
-		t.Errorf("with timers in time again: behind %t after %d changes", w.d.behind, changes)
+	if changes := s.run(5*time.Millisecond, BehindEndsAfter); s.d.behind || changes != 1 {
+		t.Errorf("with timers in time for BehindEndsAfter: behind %t after %d changes, want false after 1", s.d.behind, changes)
 	}
 }
 
-// What a short wave of work does is not overload: nothing changes hands for it. One
-// that lasts is, and then the process must keep up for a while before it gets parts,
-// the longer the more often that did not last.
+// A short burst of work is not overload, and does not keep the process from owning shards. A lasting
+// one is. After it the process must keep up for a recovery time, which doubles each time the process
+// soon is overloaded again.
 func TestOverloadAndRecovery(t *testing.T) {
-	w := newTicks()
-	w.run(time.Second, 4*time.Second)
-	if !w.d.behind || w.d.overloaded || w.d.KeepsUp(w.now) {
-		t.Errorf("after a wave: behind %t, overloaded %t, keeps up %t", w.d.behind, w.d.overloaded, w.d.KeepsUp(w.now))
+	s := newSimulation()
+	s.run(time.Second, 4*time.Second)
+	if !s.d.behind || s.d.overloaded || s.d.KeepsUp(s.now) {
+		t.Errorf("after a burst: behind %t, overloaded %t, keeps up %t; want only behind", s.d.behind, s.d.overloaded, s.d.KeepsUp(s.now))
 	}
-	if w.run(0, 2*BehindEndsAfter); !w.d.KeepsUp(w.now) {
-		t.Error("a wave alone keeps it from taking parts")
+	if s.run(0, 2*BehindEndsAfter); !s.d.KeepsUp(s.now) {
+		t.Error("does not keep up after a short burst")
 	}
 	recovery := func(want time.Duration) {
 		t.Helper()
-		w.run(time.Second, 30*time.Second)
-		if !w.d.overloaded || w.d.KeepsUp(w.now) {
-			t.Fatalf("late for long: overloaded %t, keeps up %t", w.d.overloaded, w.d.KeepsUp(w.now))
+		s.run(time.Second, 30*time.Second)
+		if !s.d.overloaded || s.d.KeepsUp(s.now) {
+			t.Fatalf("late for 30 s: overloaded %t, keeps up %t; want only overloaded", s.d.overloaded, s.d.KeepsUp(s.now))
 		}
-		if w.run(0, want*9/10); w.d.overloaded || w.d.KeepsUp(w.now) {
-			t.Errorf("in time for %s: overloaded %t, keeps up %t", want*9/10, w.d.overloaded, w.d.KeepsUp(w.now))
+		if s.run(0, want*9/10); s.d.overloaded || s.d.KeepsUp(s.now) {
+			t.Errorf("in time for %s: overloaded %t, keeps up %t; want neither", want*9/10, s.d.overloaded, s.d.KeepsUp(s.now))
 		}
-		if w.run(0, want*2/10); !w.d.KeepsUp(w.now) {
-			t.Errorf("in time for %s: not recovered", want*11/10)
+		if s.run(0, want*2/10); !s.d.KeepsUp(s.now) {
+			t.Errorf("in time for %s: does not keep up", want*11/10)
 		}
 	}
 	recovery(MinRecovery)
 	recovery(2 * MinRecovery)
 	recovery(maxRecovery)
 	recovery(maxRecovery)
-	w.run(0, 2*maxRecovery)
+	s.run(0, 2*maxRecovery)
 	recovery(MinRecovery)
 }
