--- a/internal/controller/transport/connections.go
+++ b/internal/controller/transport/connections.go
@@ -11,9 +11,11 @@
 
 // Limits on the time and the memory that connections may take.
 const (
-	idleTimeout    = 90 * time.Second // of a connection between requests
-	requestTimeout = 10 * time.Second // from the first byte of a request, or from the opening of a connection, to a whole request
-	sweepInterval  = 5 * time.Second  // minimum time between two sweeps for connections that have timed out
+	idleTimeout = 90 * time.Second // of a connection between requests
+	// requestTimeout is the time that a whole request may take from its first byte. A new
+	// connection must also send its first byte within that time.
+	requestTimeout = 10 * time.Second
+	sweepInterval  = 5 * time.Second // minimum time between two sweeps for timed out connections
 	// maxRequestFragments bounds the pieces in which a request may arrive: with each piece the
 	// request is parsed from its start again. The largest request takes 200 pieces of the
 	// smallest usual size.
--- a/internal/controller/transport/server_test.go
+++ b/internal/controller/transport/server_test.go
@@ -76,7 +76,7 @@
 func TestIdleConnectionsAreClosedByTheEventLoop(t *testing.T) {
 	for name, event := range map[string]func(s *Server, other *scriptedConn){
 		"another opens": func(s *Server, _ *scriptedConn) { s.OnOpen(&scriptedConn{}) },
-		"another asks": func(s *Server, other *scriptedConn) {
+		"another sends a request": func(s *Server, other *scriptedConn) {
 			other.in.Write(httpwire.AppendRequest(nil, "GET", wire.ReadyPath, "x", nil))
 			s.OnTraffic(other)
 		},
--- a/internal/controller/workerapi/router.go
+++ b/internal/controller/workerapi/router.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// SearchesLocked returns for how many workers a search is remembered.
+// SearchesLocked returns for how many workers a report or a search is remembered.
 func (r *Router) SearchesLocked() int { return len(r.searches) }
 
 // RedirectLocked returns the label of the controller that a worker is to be redirected to,
@@ -121,9 +121,10 @@
 // reportsTo returns the label of the controller that a machine reports to. That is one in the
 // machine's zone, so that a partition of the zone does not separate them and the worker need
 // not try the others one by one while its lease expires. The owner itself is preferred. The
-// machine reports to the owner in any zone if its own zone has no live controller, if a search
-// cannot outlast the lease (see searchMayOutlastLease), or if the owner refuses connections of
-// this controller, which does not show that it refuses those of the worker.
+// machine reports to the owner in any zone if its own zone has no live controller that this one
+// reaches, if a search cannot outlast the lease (see searchMayOutlastLease), or if the owner
+// refuses connections of this controller, which does not show that it refuses those of the
+// worker.
 func (r *Router) reportsTo(zone, machine, owner string, now time.Time) string {
 	if !r.searchMayOutlastLease(zone) || r.peers.Contact(owner).Refuses(now) {
 		return owner
