--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -1,6 +1,7 @@
 package wire
 
-// MachineType is a type of machine that the cloud provisions.
+// MachineType is a type of machine that the cloud provisions. BootS is the time in seconds that it
+// takes to boot.
 type MachineType struct {
 	Name      string   `json:"label"`
 	CPUs      float64  `json:"cores"`
@@ -14,13 +15,13 @@
 	Zones     []string `json:"patches"`
 }
 
-// MachineTypes are all types of machines.
+// MachineTypes is the response to a query for all machine types.
 type MachineTypes struct {
 	Types []MachineType `json:"stocks"`
 }
 
-// ProvisionRequest asks the cloud for machines. The cloud answers a repeated Request with the same
-// machines.
+// ProvisionRequest asks the cloud to provision Count machines. Request names the request: the cloud
+// answers a repeated name with the same machines.
 type ProvisionRequest struct {
 	Request string `json:"plea"`
 	Type    string `json:"stock"`
@@ -29,7 +30,7 @@
 	Count   int    `json:"number"`
 }
 
-// MachineNames lists machines by name.
+// MachineNames lists machines by their IDs.
 type MachineNames struct {
 	Machines []string `json:"bushes"`
 }
@@ -45,7 +46,7 @@
 	AgeS  float64 `json:"held_s"`
 }
 
-// MachineList is one page of the cloud's list.
+// MachineList is one page of the cloud's list. More is set if further pages follow.
 type MachineList struct {
 	Machines []ListedMachine `json:"bushes"`
 	More     bool            `json:"truncated"`
--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -1,8 +1,8 @@
-// Package wire holds the messages of the published protocols: of users, workers, the cloud and the
-// key-value store. It is the only place where the operators' words for things appear, as JSON names
-// and values; all other code uses the field's terms.
+// Package wire defines the messages, paths and constants of the published protocols: those of users,
+// workers, the cloud and the state service. It is the only package that uses the protocols' own
+// vocabulary, as JSON names and values; its Go names, and all other code, use standard terms.
 //
-// JSON names and values are a contract. Heartbeat, Orders, Command, Status and Entry are also sent
-// between controllers by gob (see package peer), which matches the Go names of their fields: these
-// are a contract as well, also where the field has another term for them today.
+// JSON names and values are a contract. Heartbeat, CommandBatch, Command, Status and Entry are also
+// sent between controllers by gob (see package peer), which matches fields by their Go names: these
+// names are a contract as well, even where a better term exists.
 package wire
--- a/internal/wire/heartbeat_check.go
+++ b/internal/wire/heartbeat_check.go
@@ -8,32 +8,32 @@
 	"time"
 )
 
-// Limits of a valid heartbeat: no machine has more.
+// Limits of a valid heartbeat. No worker reaches them.
 const (
 	maxName            = 128 // bytes of a name or an address
 	maxTasksPerMachine = 4096
-	maxNoticeS         = 1e6
+	maxNoticeS         = 1e6 // seconds
 )
 
-// ErrInvalidMessage is wrapped by the errors of invalid messages.
-var ErrInvalidMessage = errors.New("message makes no sense")
+// ErrInvalidMessage is wrapped by the errors that refuse an invalid message.
+var ErrInvalidMessage = errors.New("invalid message")
 
-// Check returns an error for a heartbeat that no worker sends.
+// Check returns an error that wraps ErrInvalidMessage if no worker would send such a heartbeat.
 func (r *Heartbeat) Check() error {
 	for _, name := range []string{r.Machine, r.Addr, r.Type, r.Zone} {
 		if len(name) > maxName {
-			return fmt.Errorf("%w: a name of %d bytes", ErrInvalidMessage, len(name))
+			return fmt.Errorf("%w: a name or address of %d bytes is too long", ErrInvalidMessage, len(name))
 		}
 	}
 	switch {
 	case r.Machine == "":
-		return fmt.Errorf("%w: no machine", ErrInvalidMessage)
-	case r.Session == 0: // they begin at 1; the protocol does not say where Seq begins
-		return fmt.Errorf("%w: session 0", ErrInvalidMessage)
+		return fmt.Errorf("%w: no machine name", ErrInvalidMessage)
+	case r.Session == 0: // Sessions begin at 1. The protocol does not say where Seq begins.
+		return fmt.Errorf("%w: session is 0, want 1 at least", ErrInvalidMessage)
 	case r.NoticeS != nil && !(math.Abs(*r.NoticeS) <= maxNoticeS):
-		return fmt.Errorf("%w: notice of %g s", ErrInvalidMessage, *r.NoticeS)
+		return fmt.Errorf("%w: notice of %g s is out of range", ErrInvalidMessage, *r.NoticeS)
 	case len(r.Tasks) > maxTasksPerMachine:
-		return fmt.Errorf("%w: %d tasks on one machine", ErrInvalidMessage, len(r.Tasks))
+		return fmt.Errorf("%w: %d tasks on one machine are too many", ErrInvalidMessage, len(r.Tasks))
 	}
 	for i := range r.Tasks {
 		if err := r.Tasks[i].check(); err != nil {
@@ -41,16 +41,16 @@
 		}
 	}
 	if name, twice := r.duplicateAttempt(); twice {
-		return fmt.Errorf("%w: one attempt of %.64q twice on one machine", ErrInvalidMessage, name)
+		return fmt.Errorf("%w: the same attempt of task %.64q twice on one machine", ErrInvalidMessage, name)
 	}
 	return nil
 }
 
-// pairwiseLimit is up to how many tasks are compared in pairs, which allocates nothing.
+// pairwiseLimit is the largest number of tasks that are compared in pairs, which allocates nothing.
 const pairwiseLimit = 64
 
-// duplicateAttempt returns a task of which the heartbeat has one attempt twice. Two attempts of a
-// task are valid: a start is refused where another attempt runs.
+// duplicateAttempt returns a task if the heartbeat lists the same attempt of it twice. Two different
+// attempts of a task are valid: a worker refuses a start while another attempt runs.
 func (r *Heartbeat) duplicateAttempt() (name string, twice bool) {
 	type attempt struct {
 		task string
@@ -77,24 +77,25 @@
 	return "", false
 }
 
-// taskStates are the states of tasks in heartbeats.
+// taskStates are the valid states of a task in a heartbeat.
 var taskStates = []string{Fetching, AwaitingGang, Running, Checkpointing, Exited}
 
 func (t *HeartbeatTask) check() error {
 	if t.Task == "" || len(t.Task) > maxName {
-		return fmt.Errorf("%w: a task's name of %d bytes", ErrInvalidMessage, len(t.Task))
+		return fmt.Errorf("%w: a task name of %d bytes is empty or too long", ErrInvalidMessage, len(t.Task))
 	}
 	if !slices.Contains(taskStates, t.State) {
-		return fmt.Errorf("%w: a task's state is %.32q", ErrInvalidMessage, t.State)
+		return fmt.Errorf("%w: unknown task state %.32q", ErrInvalidMessage, t.State)
 	}
 	return nil
 }
 
-// maxDuration is the longest duration of a message: times that are a hundred years ahead can still
-// be compared, while larger ones overflow.
+// maxDuration is the longest duration that Seconds returns. Times a hundred years ahead can still be
+// compared; larger ones overflow.
 const maxDuration = 100 * 365 * 24 * time.Hour
 
-// Seconds converts the seconds of a message to a duration of at most maxDuration.
+// Seconds converts the seconds of a message to a duration, limited to between -maxDuration and
+// maxDuration.
 func Seconds(s float64) time.Duration {
 	return time.Duration(min(max(s, -maxDuration.Seconds()), maxDuration.Seconds()) * float64(time.Second))
 }
--- a/internal/wire/user.go
+++ b/internal/wire/user.go
@@ -19,7 +19,8 @@
 	Cancelled = "aborted"
 )
 
-// Spec is a job as its user submits it.
+// Spec is a job as its user submits it. CPUs, GPUs, MemoryGB and SaveS are those of one task; durations
+// are in seconds.
 type Spec struct {
 	Ref         string   `json:"ref"`
 	Class       string   `json:"thicket"`
@@ -41,11 +42,11 @@
 	CheckpointS float64  `json:"graft_s"`
 	SaveS       float64  `json:"press_s"`
 	DeadlineS   *float64 `json:"harvest_s"`
-	// DependsOn are the jobs that have to complete before any task of this one starts.
+	// DependsOn lists the jobs that must complete before any task of this one starts.
 	DependsOn []string `json:"roots,omitempty"`
 }
 
-// Status is the answer to a status query of a job.
+// Status is the response to a status query of a job. Done and Running count its tasks.
 type Status struct {
 	Ref     string `json:"ref"`
 	State   string `json:"bloom"`
@@ -53,16 +54,17 @@
 	Running int    `json:"running"`
 }
 
-// JobState is the answer to a submission or a cancellation.
+// JobState is the response to a submission or a cancellation, and the state of one job in a
+// PipelineStatus.
 type JobState struct {
 	Ref   string `json:"ref"`
 	State string `json:"bloom"`
 }
 
-// Pipeline is several jobs as their user submits them together.
+// Pipeline is a set of jobs that a user submits together, with the dependencies between them.
 type Pipeline struct {
 	Ref     string            `json:"ref"`
-	Jobs    []json.RawMessage `json:"jobs"` // each as for POST /work
+	Jobs    []json.RawMessage `json:"jobs"` // each encoded as for POST /work
 	Links   []Link            `json:"links"`
 	Choices []Choice          `json:"choices"`
 }
@@ -73,21 +75,21 @@
 	To   []string `json:"to"`
 }
 
-// Choice names the job that is released after At, by how At ends. Without Cancelled the cancellation
-// of At ends the branch.
+// Choice names the job that is released after At ends: Done if At completes, Cancelled if At is
+// cancelled. If Cancelled is empty, the cancellation of At ends the branch.
 type Choice struct {
 	At        string `json:"at"`
 	Done      string `json:"done"`
 	Cancelled string `json:"aborted,omitempty"`
 }
 
-// PipelineStatus is the answer to a status query of a pipeline.
+// PipelineStatus is the response to a status query of a pipeline.
 type PipelineStatus struct {
 	Ref   string     `json:"ref"`
 	State string     `json:"bloom"`
 	Jobs  []JobState `json:"jobs"`
 }
 
-// RequiredFields are the fields of a Spec that may be neither missing nor null.
+// RequiredFields are the JSON names of the fields of a Spec that may be neither missing nor null.
 var RequiredFields = []string{"ref", "thicket", "keeper", "habit", "rank", "berries", "cores", "cards", "ram_gb",
 	"same_place", "scatter", "windfall", "seedling", "pull_gb", "ripen_s", "graft_s", "press_s"}
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -1,6 +1,6 @@
 package wire
 
-// Task states in heartbeats; Running is another one.
+// Task states in heartbeats, in addition to Running.
 const (
 	Fetching      = "fetching"
 	AwaitingGang  = "gathering"
@@ -8,7 +8,7 @@
 	Exited        = "exited"
 )
 
-// Reasons why a task exited; Done is another one.
+// Reasons why a task exited, in addition to Done.
 const (
 	ExitStopped        = "halted"
 	ExitGangPeersLost  = "mates_gone"
@@ -19,15 +19,16 @@
 	ExitUnknownTask    = "no_such"
 )
 
-// Commands to workers.
+// Operations of a Command.
 const (
 	Start  = "run"
 	Stop   = "halt"
 	Forget = "forget"
 )
 
-// Heartbeat is what a worker reports of its machine. Session is the incarnation of the worker's
-// process, Seq increases within one, and Token is the highest fencing token that it has seen.
+// Heartbeat is a worker's report on its machine. Session is the agent incarnation, Seq increases within
+// one incarnation, and Token is the highest fencing token that the agent has seen. NoticeS is the
+// time in seconds until the cloud reclaims the machine, nil if no notice was given.
 type Heartbeat struct {
 	Machine string          `json:"bush"`
 	Addr    string          `json:"address"`
@@ -41,7 +42,8 @@
 	Tasks   []HeartbeatTask `json:"berries"`
 }
 
-// HeartbeatTask is one task of a heartbeat.
+// HeartbeatTask is an attempt of a task as a heartbeat reports it. Why is set once it has exited; Saved
+// reports whether it has saved a checkpoint.
 type HeartbeatTask struct {
 	Task    string `json:"berry"`
 	Attempt uint64 `json:"sprout"`
@@ -50,7 +52,8 @@
 	Saved   bool   `json:"saved,omitempty"`
 }
 
-// Command is one command to a worker.
+// Command is one command to a worker: to start, stop or forget an attempt of a task. GraceS is the time
+// in seconds that a stop leaves the task.
 type Command struct {
 	Op      string   `json:"call"`
 	Task    string   `json:"berry"`
@@ -64,7 +67,7 @@
 	Commands []Command `json:"calls"`
 }
 
-// DirectCommands is the body of a request with direct commands, for one incarnation of a worker.
+// DirectCommands is the body of a request with direct commands. They are for one agent incarnation.
 type DirectCommands struct {
 	Token    uint64    `json:"crook"`
 	Session  uint64    `json:"season"`
