--- a/internal/snapshot/directory.go
+++ b/internal/snapshot/directory.go
@@ -11,10 +11,11 @@
 	"time"
 )
 
+// lockName is the file that is locked while snapshots are taken or pruned in its directory.
 const lockName = ".lock"
 
-// lock keeps others from taking a snapshot in a directory at the same time, also if this
-// process ends without unlocking.
+// lock prevents other processes from taking or pruning snapshots in a directory until unlock is
+// called or this process ends. It returns ErrLocked if another process holds the lock.
 func lock(directory string) (unlock func(), err error) {
 	file, err := os.OpenFile(filepath.Join(directory, lockName), os.O_CREATE|os.O_RDWR, 0o640)
 	if err != nil {
@@ -31,15 +32,16 @@
 	return func() { file.Close() }, nil
 }
 
-// Listing is a snapshot in the list of a directory.
+// Listing is the entry of one snapshot in the list of a directory.
 type Listing struct {
 	Name     string    `json:"name"`
-	Manifest *Manifest `json:"manifest,omitempty"`
-	// Invalid says why its manifest can't be used.
+	Manifest *Manifest `json:"manifest,omitempty"` // nil if it cannot be used
+	// Invalid is the error for which the manifest cannot be used. It is empty if there is none.
 	Invalid string `json:"invalid,omitempty"`
 }
 
-// List returns the snapshots in a directory, the oldest first.
+// List returns the complete snapshots in a directory, with the oldest first. Only their manifests are
+// read; a snapshot with an invalid manifest is listed with the error.
 func List(directory string) ([]Listing, error) {
 	entries, err := os.ReadDir(directory)
 	if err != nil {
@@ -59,15 +61,13 @@
 	return out, nil // ReadDir sorts by name, and names begin with their time
 }
 
-// Retention says which snapshots are kept.
+// Retention says which snapshots are kept: the newest ones, and the last one of each recent day.
 type Retention struct {
-	// Latest is how many of the newest are kept.
-	Latest int
-	// Days is the number of days of which the last one each is kept, too.
-	Days int
+	Latest int // how many of the newest snapshots are kept, 1 at least
+	Days   int // for how many times 24 hours the last snapshot of each UTC day is kept, too
 }
 
-// Check returns an error for a Retention that would keep nothing.
+// Check returns an error if Latest or Days is too low.
 func (r Retention) Check() error {
 	if r.Latest < 1 {
 		return fmt.Errorf("keep is %d, want 1 at least", r.Latest)
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// Expired returns the names of the snapshots that are not kept. Those with invalid manifests are left
-// alone.
+// Expired returns the names of the snapshots in a list that are not to be kept; the list has the oldest
+// first. Snapshots with invalid manifests neither expire nor count.
 func (r Retention) Expired(all []Listing, now time.Time) []string {
 	usable := slices.DeleteFunc(slices.Clone(all), func(l Listing) bool { return l.Manifest == nil })
 	keep := map[string]bool{}
@@ -104,7 +104,9 @@
 	return out
 }
 
-// Prune deletes the snapshots that are not kept, and returns their names.
+// Prune deletes the snapshots in a directory that have expired, and returns the names of those that
+// were deleted, also with an error. It returns ErrLocked while another process takes or prunes
+// snapshots there.
 func Prune(directory string, r Retention, now time.Time) ([]string, error) {
 	if err := r.Check(); err != nil {
 		return nil, err
--- a/internal/snapshot/measure_test.go
+++ b/internal/snapshot/measure_test.go
@@ -12,14 +12,12 @@
 	"bramblespur/internal/testkit"
 )
 
-// measuredRPS is the share of a state service's limit that the tool keeps to here, and
-// measuredJobs are the jobs of each fleet.
 const (
-	measuredRPS  = 30
-	measuredJobs = 10000
+	measuredRPS  = 30    // requests per second: the operators' tool's share of the state service's limit
+	measuredJobs = 10000 // jobs of each fleet
 )
 
-// BenchmarkTake takes a snapshot over loopback, at the tool's share of a state service's
+// BenchmarkTake takes snapshots over loopback, within the operators' tool's share of the state service's
 // limits, of fleets with 10,000 jobs.
 func BenchmarkTake(b *testing.B) {
 	for _, machines := range []int{30, 300, 4000} {
--- a/internal/snapshot/read.go
+++ b/internal/snapshot/read.go
@@ -15,10 +15,12 @@
 	"bramblespur/internal/wire"
 )
 
-// maxManifest is the size of the largest manifest that is read.
-const maxManifest = 1 << 20
+// maxManifestBytes is the size up to which a manifest is read. A larger one is reported as damaged.
+const maxManifestBytes = 1 << 20
 
-// ReadManifest reads the manifest of a snapshot.
+// ReadManifest reads the manifest of the snapshot of a name. It returns an error that wraps ErrUnknown
+// if there is no such snapshot and ErrNewerLayout if a later version has written it, and a *DamageError
+// if the manifest is malformed or incomplete.
 func ReadManifest(directory, name string) (*Manifest, error) {
 	if name != filepath.Base(name) || name == "" || name[0] == '.' {
 		return nil, fmt.Errorf("%w: %q", ErrUnknown, name)
@@ -31,7 +33,7 @@
 		return nil, err
 	}
 	defer file.Close()
-	b, err := io.ReadAll(io.LimitReader(file, maxManifest))
+	b, err := io.ReadAll(io.LimitReader(file, maxManifestBytes))
 	if err != nil {
 		return nil, &DamageError{ManifestSection, err}
 	}
@@ -43,21 +45,21 @@
 		return nil, fmt.Errorf("%w: %d of %d", ErrNewerLayout, m.Layout, Layout)
 	}
 	if m.Layout < 1 || m.Cluster == "" || m.Revision == 0 || len(m.Sections) == 0 {
-		return nil, &DamageError{ManifestSection, errors.New("it lacks its layout, cluster, revision or sections")}
+		return nil, &DamageError{ManifestSection, errors.New("the layout, cluster, revision or sections are missing")}
 	}
 	return &m, nil
 }
 
-// Contents are the records that a snapshot holds.
+// Contents holds the records of a snapshot.
 type Contents struct {
 	Manifest *Manifest
-	Records  map[string]wire.Entry
-	// Damaged are the sections whose records are missing.
+	Records  map[string]wire.Entry // of all sections that are not damaged, by key
+	// Damaged names the sections that are damaged. None of their records is in Records.
 	Damaged []*DamageError
 }
 
-// Read reads a snapshot and verifies it. Damaged sections are named in the contents, with
-// what is left of the others.
+// Read reads a snapshot and verifies sizes, checksums and values. Damaged sections are named in the
+// contents, which then have the records of the others. The errors are those of ReadManifest.
 func Read(directory, name string) (*Contents, error) {
 	m, err := ReadManifest(directory, name)
 	if err != nil {
@@ -77,13 +79,14 @@
 	return out, nil
 }
 
-// maxSection is the size of the largest section that is read: as large as a store of some
-// million records.
-const maxSection = 4 << 30
+// maxSectionBytes is the size of the largest section that is read, that of a store of some million
+// records. A larger one is reported as damaged.
+const maxSectionBytes = 4 << 30
 
+// readSection reads and verifies the file of a section in the directory of a snapshot.
 func readSection(dir string, sec Section) ([]wire.Entry, error) {
 	if sec.File != filepath.Base(sec.File) {
-		return nil, fmt.Errorf("file %q is not in the snapshot", sec.File)
+		return nil, fmt.Errorf("file %q is outside the snapshot's directory", sec.File)
 	}
 	file, err := os.Open(filepath.Join(dir, sec.File))
 	if err != nil {
@@ -96,13 +99,14 @@
 	return decodeSection(file, sec)
 }
 
-// verifyFile compares the size and checksum of a file with the manifest.
+// verifyFile returns an error if the size or checksum of a file differs from the manifest, or if the
+// file is too large.
 func verifyFile(file *os.File, sec Section) error {
 	info, err := file.Stat()
 	if err != nil {
 		return err
 	}
-	if info.Size() != sec.Bytes || sec.Bytes > maxSection {
+	if info.Size() != sec.Bytes || sec.Bytes > maxSectionBytes {
 		return fmt.Errorf("%d bytes, want %d", info.Size(), sec.Bytes)
 	}
 	sum := sha256.New()
@@ -110,24 +114,26 @@
 		return err
 	}
 	if got := hex.EncodeToString(sum.Sum(nil)); got != sec.SHA256 {
-		return errors.New("the checksum does not match")
+		return errors.New("the checksum differs from the manifest")
 	}
 	return nil
 }
 
+// decodeSection returns the records in the file of a section, and an error if their number differs from
+// the manifest or a value is not JSON.
 func decodeSection(file *os.File, sec Section) ([]wire.Entry, error) {
-	columns, err := parquet.OpenFile(file, sec.Bytes)
+	table, err := parquet.OpenFile(file, sec.Bytes)
 	if err != nil {
 		return nil, err
 	}
-	if n := columns.NumRows(); n != int64(sec.Records) {
+	if n := table.NumRows(); n != int64(sec.Records) {
 		return nil, fmt.Errorf("%d records, want %d", n, sec.Records)
 	}
-	r := parquet.NewGenericReader[row](columns)
-	defer r.Close()
+	reader := parquet.NewGenericReader[row](table)
+	defer reader.Close()
 	rows := make([]row, sec.Records)
 	for n := 0; n < len(rows); {
-		got, err := r.Read(rows[n:])
+		got, err := reader.Read(rows[n:])
 		n += got
 		if n < len(rows) && err != nil {
 			return nil, err
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -21,15 +21,14 @@
 	"bramblespur/internal/wire"
 )
 
-// source is a state service whose pages are small and to which something happens before each
-// request.
+// source is a state service with small pages.
 type source struct {
 	*testkit.State
-	before   func(request int) error
-	requests int
+	before   func(request int) error // called before each request, which fails with its error; may be nil
+	requests int                     // pages and watches requested so far
 }
 
-func (s *source) meet() error {
+func (s *source) beforeRequest() error {
 	s.requests++
 	if s.before == nil {
 		return nil
@@ -37,66 +36,66 @@
 	return s.before(s.requests)
 }
 
-// smallPage is the most keys in a page of the stand-in.
+// smallPage is the maximum number of keys in a page, so that a few records take several pages.
 const smallPage = 3
 
 func (s *source) ListPage(ctx context.Context, purpose statestore.Purpose, prefix, after string, _ int) (wire.EntryPage, error) {
-	if err := s.meet(); err != nil {
+	if err := s.beforeRequest(); err != nil {
 		return wire.EntryPage{}, err
 	}
 	return s.State.ListPage(ctx, purpose, prefix, after, smallPage)
 }
 
 func (s *source) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (wire.Changes, error) {
-	if err := s.meet(); err != nil {
+	if err := s.beforeRequest(); err != nil {
 		return wire.Changes{}, err
 	}
 	return s.State.Watch(ctx, prefix, since, wait)
 }
 
-// rig takes snapshots of a store with some records of each kind.
-type rig struct {
-	t     *testing.T
-	clock *testkit.Clock
-	src   *source
-	taker *Taker
+// fixture takes snapshots of a store with some records of each kind.
+type fixture struct {
+	t      *testing.T
+	clock  *testkit.Clock
+	source *source
+	taker  *Taker
 }
 
-func newRig(t *testing.T) *rig {
-	r := &rig{t: t, clock: testkit.NewClock(), src: &source{State: testkit.NewState()}}
+func newFixture(t *testing.T) *fixture {
+	f := &fixture{t: t, clock: testkit.NewClock(), source: &source{State: testkit.NewState()}}
 	for n := range 40 {
 		prefixes := record.Prefixes()
-		r.src.Put(fmt.Sprintf("%s%02d", prefixes[n%len(prefixes)], n), map[string]int{"n": n})
+		f.source.Put(fmt.Sprintf("%s%02d", prefixes[n%len(prefixes)], n), map[string]int{"n": n})
 	}
-	r.taker = &Taker{Source: r.src, Directory: t.TempDir(), AnswerTimeout: 10 * time.Second, Now: r.clock.Now,
-		Sleep: func(_ context.Context, d time.Duration) error { r.clock.Advance(d); return nil }}
-	return r
+	f.taker = &Taker{Source: f.source, Directory: t.TempDir(), AnswerTimeout: 10 * time.Second, Now: f.clock.Now,
+		Sleep: func(_ context.Context, d time.Duration) error { f.clock.Advance(d); return nil }}
+	return f
 }
 
-func (r *rig) take() *Manifest {
-	r.t.Helper()
-	m, err := r.taker.Take(r.t.Context())
+func (f *fixture) take() *Manifest {
+	f.t.Helper()
+	m, err := f.taker.Take(f.t.Context())
 	if err != nil {
-		r.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	return m
 }
 
-func (r *rig) read(m *Manifest) *Contents {
-	r.t.Helper()
-	c, err := Read(r.taker.Directory, m.Name())
+func (f *fixture) read(m *Manifest) *Contents {
+	f.t.Helper()
+	c, err := Read(f.taker.Directory, m.Name())
 	if err != nil {
-		r.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	return c
 }
 
-// names returns what is in the directory, without the lock.
-func (r *rig) names() []string {
-	r.t.Helper()
-	entries, err := os.ReadDir(r.taker.Directory)
+// names returns the names of the entries of the snapshots' directory, without the lock file.
+func (f *fixture) names() []string {
+	f.t.Helper()
+	entries, err := os.ReadDir(f.taker.Directory)
 	if err != nil {
-		r.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	var out []string
 	for _, e := range entries {
@@ -107,12 +106,12 @@
 	return out
 }
 
-// at returns the records as of a revision, by the log of all changes.
-func (r *rig) at(revision uint64) map[string]wire.Entry {
-	r.t.Helper()
-	changes, err := r.src.State.Watch(r.t.Context(), "", 0, 0)
+// recordsAt returns the records as they were at a revision, according to the log of all changes.
+func (f *fixture) recordsAt(revision uint64) map[string]wire.Entry {
+	f.t.Helper()
+	changes, err := f.source.State.Watch(f.t.Context(), "", 0, 0)
 	if err != nil {
-		r.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	out := map[string]wire.Entry{}
 	for _, c := range changes.Events {
@@ -127,54 +126,55 @@
 	return out
 }
 
-func (r *rig) same(got, want map[string]wire.Entry) {
-	r.t.Helper()
+func (f *fixture) wantRecords(got, want map[string]wire.Entry) {
+	f.t.Helper()
 	equal := func(a, b wire.Entry) bool { return a.Version == b.Version && bytes.Equal(a.Value, b.Value) }
 	if !maps.EqualFunc(got, want, equal) {
-		r.t.Errorf("%d records differ from the %d there were:\n%v\n%v", len(got), len(want), got, want)
+		f.t.Errorf("the snapshot has %d records, want %d:\n%v\n%v", len(got), len(want), got, want)
 	}
 }
 
-// A snapshot has every record as it was at one revision, whatever changed while it was read.
+// A snapshot has every record as it was at one revision, although records are written and deleted while
+// it is read.
 func TestSnapshotIsOfOneRevision(t *testing.T) {
-	r := newRig(t)
-	r.src.before = func(n int) error {
-		r.src.Put(fmt.Sprintf("%s%02d", record.FinishedJobPrefix, n%9), n)
-		r.src.Put(fmt.Sprintf("%snew%02d", record.ActiveJobPrefix, n), n)
-		if _, err := r.src.Txn(t.Context(), purpose, wire.Txn{Then: []wire.Op{{Delete: fmt.Sprintf("%s%02d", record.ActiveJobPrefix, n)}}}); err != nil {
+	f := newFixture(t)
+	f.source.before = func(n int) error {
+		f.source.Put(fmt.Sprintf("%s%02d", record.FinishedJobPrefix, n%9), n)
+		f.source.Put(fmt.Sprintf("%snew%02d", record.ActiveJobPrefix, n), n)
+		if _, err := f.source.Txn(t.Context(), purpose, wire.Txn{Then: []wire.Op{{Delete: fmt.Sprintf("%s%02d", record.ActiveJobPrefix, n)}}}); err != nil {
 			return err
 		}
 		return nil
 	}
-	m := r.take()
+	m := f.take()
 	if m.Span != nil {
-		t.Errorf("it spans %+v", m.Span)
+		t.Errorf("the snapshot has span %+v, want none", m.Span)
 	}
-	r.same(r.read(m).Records, r.at(m.Revision))
-	if got := r.names(); !slices.Equal(got, []string{m.Name()}) {
-		t.Errorf("the directory has %v", got)
+	f.wantRecords(f.read(m).Records, f.recordsAt(m.Revision))
+	if got := f.names(); !slices.Equal(got, []string{m.Name()}) {
+		t.Errorf("the directory has %v, want the snapshot alone", got)
 	}
 }
 
-// What was read before a snapshot was cut off is not read again, at whichever request that
-// was; and what was written last may have been cut in the middle.
+// A snapshot that is interrupted at any request resumes without reading complete pages again, also if
+// the last page in the spool is incomplete.
 func TestSnapshotIsResumed(t *testing.T) {
-	whole := newRig(t)
+	whole := newFixture(t)
 	whole.take()
-	for cut := 2; cut <= whole.src.requests; cut++ {
-		r := newRig(t)
+	for endAt := 2; endAt <= whole.source.requests; endAt++ {
+		f := newFixture(t)
 		ctx, end := context.WithCancel(t.Context())
-		r.taker.Sleep = func(context.Context, time.Duration) error { return ctx.Err() }
-		r.src.before = func(n int) error {
-			if n >= cut && ctx.Err() == nil {
+		f.taker.Sleep = func(context.Context, time.Duration) error { return ctx.Err() }
+		f.source.before = func(n int) error {
+			if n >= endAt && ctx.Err() == nil {
 				end()
 			}
 			return ctx.Err()
 		}
-		if _, err := r.taker.Take(ctx); err == nil {
-			t.Fatalf("cut %d: taken all the same", cut)
+		if _, err := f.taker.Take(ctx); err == nil {
+			t.Fatalf("interrupted at request %d: a snapshot was taken", endAt)
 		}
-		pages, err := filepath.Glob(filepath.Join(r.taker.Directory, partialName, "*.pages"))
+		pages, err := filepath.Glob(filepath.Join(f.taker.Directory, partialName, "*.pages"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -184,28 +184,28 @@
 				t.Fatal(err)
 			}
 			if _, err := io.WriteString(file, `{"entries":[{"pa`); err != nil || file.Close() != nil {
-				t.Fatal("can't cut a page off")
+				t.Fatal("cannot write an incomplete page")
 			}
 		}
-		r.src.before, r.src.requests = nil, 0
-		m := r.take()
-		want := max(whole.src.requests-cut+1, len(record.Prefixes())) // changes are always asked for
-		if r.src.requests > want {
-			t.Errorf("cut %d: %d requests to go on, want %d at most", cut, r.src.requests, want)
+		f.source.before, f.source.requests = nil, 0
+		m := f.take()
+		want := max(whole.source.requests-endAt+1, len(record.Prefixes())) // each section's changes are always requested
+		if f.source.requests > want {
+			t.Errorf("interrupted at request %d: resuming took %d requests, want at most %d", endAt, f.source.requests, want)
 		}
-		r.same(r.read(m).Records, r.at(m.Revision))
+		f.wantRecords(f.read(m).Records, f.recordsAt(m.Revision))
 	}
 }
 
-// A partial snapshot of another cluster, or an old one, is not gone on with.
-func TestSnapshotBeginsAnew(t *testing.T) {
-	for name, change := range map[string]func(r *rig){
-		"other cluster": func(r *rig) { r.src.Put(record.ClusterKey, Cluster{"other"}) },
-		"too old":       func(r *rig) { r.clock.Advance(2 * maxResumeAge) },
+// An incomplete snapshot is not resumed if it is of another cluster or too old.
+func TestUnusableSpoolIsDiscarded(t *testing.T) {
+	for name, change := range map[string]func(f *fixture){
+		"other cluster": func(f *fixture) { f.source.Put(record.ClusterKey, Cluster{"other"}) },
+		"too old":       func(f *fixture) { f.clock.Advance(2 * maxResumeAge) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t)
-			s, err := openSpool(r.taker.Directory, "this", r.clock.Now())
+			f := newFixture(t)
+			s, err := openSpool(f.taker.Directory, "this", f.clock.Now())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -213,71 +213,71 @@
 			if err := s.appendPage(record.FinishedJobPrefix, stale); err != nil {
 				t.Fatal(err)
 			}
-			r.src.Put(record.ClusterKey, Cluster{"this"})
-			change(r)
-			m := r.take()
-			r.same(r.read(m).Records, r.at(m.Revision))
+			f.source.Put(record.ClusterKey, Cluster{"this"})
+			change(f)
+			m := f.take()
+			f.wantRecords(f.read(m).Records, f.recordsAt(m.Revision))
 		})
 	}
 }
 
-// Changes that are no longer kept make the section be read again; if that never helps, the
-// snapshot says so.
+// A section is read again if the store no longer keeps its changes. If that does not help, the manifest
+// has a span.
 func TestSnapshotWhoseChangesAreNotKept(t *testing.T) {
-	r := newRig(t)
-	r.src.KeepChanges = 5
+	f := newFixture(t)
+	f.source.KeepChanges = 5
 	writes := 20
-	r.src.before = func(int) error {
+	f.source.before = func(int) error {
 		if writes--; writes >= 0 {
-			r.src.Put(record.ActiveJobPrefix+"00", writes)
+			f.source.Put(record.ActiveJobPrefix+"00", writes)
 		}
 		return nil
 	}
-	m := r.take()
+	m := f.take()
 	if m.Span != nil {
-		t.Errorf("it spans %+v though the changes came to an end", m.Span)
+		t.Errorf("the snapshot has span %+v, want none since the changes stopped", m.Span)
 	}
-	r.src.before = func(int) error {
+	f.source.before = func(int) error {
 		for n := range 6 {
-			r.src.Put(record.ActiveJobPrefix+"00", n)
+			f.source.Put(record.ActiveJobPrefix+"00", n)
 		}
 		return nil
 	}
-	r.clock.Advance(time.Minute)
-	if m = r.take(); m.Span == nil || m.Span.To < m.Span.From {
-		t.Errorf("it spans %+v", m.Span)
+	f.clock.Advance(time.Minute)
+	if m = f.take(); m.Span == nil || m.Span.To < m.Span.From {
+		t.Errorf("the snapshot has span %+v, want one with From at most To", m.Span)
 	}
 }
 
-// Without an answer it gives up in time, and leaves what it has read for the next one.
-func TestSnapshotWithoutStore(t *testing.T) {
-	r := newRig(t)
-	r.src.Down = true
-	began := r.clock.Now()
-	_, err := r.taker.Take(t.Context())
-	if !errors.Is(err, statestore.ErrRefused) || r.clock.Now().Sub(began) > r.taker.AnswerTimeout+time.Second {
-		t.Errorf("after %v: %v", r.clock.Now().Sub(began), err)
-	}
-	r.src.Down = false
+// Without an answer of the store, Take gives up after AnswerTimeout. Single failed requests are repeated.
+func TestSnapshotDuringOutage(t *testing.T) {
+	f := newFixture(t)
+	f.source.Down = true
+	began := f.clock.Now()
+	_, err := f.taker.Take(t.Context())
+	if !errors.Is(err, statestore.ErrRefused) || f.clock.Now().Sub(began) > f.taker.AnswerTimeout+time.Second {
+		t.Errorf("gave up after %v with error %v, want a refusal after the timeout", f.clock.Now().Sub(began), err)
+	}
+	f.source.Down = false
 	refused := 0
-	r.src.before = func(n int) error {
+	f.source.before = func(n int) error {
 		if n%2 == 0 {
 			refused++
 			return statestore.ErrRefused
 		}
 		return nil
 	}
-	m := r.take()
-	r.same(r.read(m).Records, r.at(m.Revision))
+	m := f.take()
+	f.wantRecords(f.read(m).Records, f.recordsAt(m.Revision))
 	if refused == 0 {
-		t.Error("nothing was refused")
+		t.Error("no request was refused, so that the test proves nothing")
 	}
 }
 
-// fullDisk takes so many bytes.
+// fullDisk is a file on a disk that gets full.
 type fullDisk struct {
 	sectionFile
-	left *int
+	left *int // bytes that still fit, shared by all files
 }
 
 func (f fullDisk) Write(b []byte) (int, error) {
@@ -287,61 +287,62 @@
 	return f.sectionFile.Write(b)
 }
 
-// A full disk at any byte leaves nothing half written, and what was there stays.
+// If the disk gets full at any byte, no incomplete snapshot is left and the earlier ones stay.
 func TestSnapshotOnFullDisk(t *testing.T) {
-	r := newRig(t)
-	first := r.take()
+	f := newFixture(t)
+	first := f.take()
 	for room := 0; room < int(first.Bytes()); room += 97 {
-		r.clock.Advance(time.Minute)
+		f.clock.Advance(time.Minute)
 		left := room
-		r.taker.writer = func(path string) (sectionFile, error) {
+		f.taker.createFile = func(path string) (sectionFile, error) {
 			file, err := createSection(path)
 			return fullDisk{file, &left}, err
 		}
-		if _, err := r.taker.Take(t.Context()); !errors.Is(err, syscall.ENOSPC) {
-			t.Fatalf("room for %d bytes: %v", room, err)
+		if _, err := f.taker.Take(t.Context()); !errors.Is(err, syscall.ENOSPC) {
+			t.Fatalf("room for %d bytes: error %v, want that of a full disk", room, err)
 		}
-		if got := r.names(); !slices.Equal(got, []string{partialName, first.Name()}) {
+		if got := f.names(); !slices.Equal(got, []string{partialName, first.Name()}) {
 			t.Fatalf("room for %d bytes: the directory has %v", room, got)
 		}
 	}
-	r.taker.writer = nil
-	r.take()
+	f.taker.createFile = nil
+	f.take()
 }
 
-// Two at once, a name that is taken, and a directory that is not there.
+// Take returns an error while another process takes a snapshot, if there is a snapshot of the same name,
+// without a directory and for a malformed cluster record.
 func TestSnapshotRefusals(t *testing.T) {
-	r := newRig(t)
-	unlock, err := lock(r.taker.Directory)
+	f := newFixture(t)
+	unlock, err := lock(f.taker.Directory)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := r.taker.Take(t.Context()); !errors.Is(err, ErrLocked) {
-		t.Errorf("beside another: %v", err)
+	if _, err := f.taker.Take(t.Context()); !errors.Is(err, ErrLocked) {
+		t.Errorf("while another one is taken: error %v, want ErrLocked", err)
 	}
 	unlock()
-	r.take()
-	if _, err := r.taker.Take(t.Context()); !errors.Is(err, ErrExists) {
-		t.Errorf("under the same name: %v", err)
+	f.take()
+	if _, err := f.taker.Take(t.Context()); !errors.Is(err, ErrExists) {
+		t.Errorf("with the name of an earlier one: error %v, want ErrExists", err)
 	}
-	r.taker.Directory = filepath.Join(r.taker.Directory, "none")
-	if _, err := r.taker.Take(t.Context()); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("without a directory: %v", err)
+	f.taker.Directory = filepath.Join(f.taker.Directory, "none")
+	if _, err := f.taker.Take(t.Context()); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("without a directory: error %v, want ErrNotExist", err)
 	}
-	r.src.Put(record.ClusterKey, "nonsense")
-	r.taker.Directory = t.TempDir()
-	if _, err := r.taker.Take(t.Context()); err == nil {
-		t.Error("taken of a cluster whose id makes no sense")
+	f.source.Put(record.ClusterKey, "nonsense")
+	f.taker.Directory = t.TempDir()
+	if _, err := f.taker.Take(t.Context()); err == nil {
+		t.Error("a snapshot was taken although the cluster record is malformed")
 	}
 }
 
-// Whatever byte of a file is changed or cut off, that section is told as damaged and the
-// others can be read.
+// A section is reported as damaged if any byte of its file is changed, if the file is truncated and if
+// it is missing. The other sections can be read.
 func TestDamagedSnapshot(t *testing.T) {
-	r := newRig(t)
-	m := r.take()
-	want := len(r.read(m).Records)
-	dir := filepath.Join(r.taker.Directory, m.Name())
+	f := newFixture(t)
+	m := f.take()
+	want := len(f.read(m).Records)
+	dir := filepath.Join(f.taker.Directory, m.Name())
 	for _, sec := range m.Sections {
 		path := filepath.Join(dir, sec.File)
 		intact, err := os.ReadFile(path)
@@ -355,17 +356,17 @@
 				if err := os.WriteFile(path, b, 0o600); err != nil {
 					t.Fatal(err)
 				}
-				c := r.read(m)
+				c := f.read(m)
 				if len(c.Damaged) != 1 || c.Damaged[0].Section != sec.Prefix || len(c.Records) != want-sec.Records {
-					t.Fatalf("%s changed at %d: %v, %d records", sec.File, at, c.Damaged, len(c.Records))
+					t.Fatalf("%s changed or truncated at byte %d: damaged %v, %d records", sec.File, at, c.Damaged, len(c.Records))
 				}
 			}
 		}
 		if err := os.Remove(path); err != nil {
 			t.Fatal(err)
 		}
-		if c := r.read(m); len(c.Damaged) != 1 || !errors.Is(c.Damaged[0], os.ErrNotExist) {
-			t.Errorf("%s missing: %v", sec.File, c.Damaged)
+		if c := f.read(m); len(c.Damaged) != 1 || !errors.Is(c.Damaged[0], os.ErrNotExist) {
+			t.Errorf("%s is missing: damaged %v, want this section alone", sec.File, c.Damaged)
 		}
 		if err := os.WriteFile(path, intact, 0o600); err != nil {
 			t.Fatal(err)
@@ -373,7 +374,9 @@
 	}
 }
 
-func TestManifestThatMakesNoSense(t *testing.T) {
+// A snapshot with an invalid manifest cannot be read, and is listed with the error. Names that are not
+// plain file names are unknown.
+func TestInvalidManifest(t *testing.T) {
 	for name, x := range map[string]struct {
 		text  string
 		newer bool
@@ -394,25 +397,26 @@
 			_, err := Read(dir, "s")
 			var damage *DamageError
 			if errors.Is(err, ErrNewerLayout) != x.newer || errors.As(err, &damage) == x.newer {
-				t.Errorf("%v", err)
+				t.Errorf("read with error %v", err)
 			}
 			if all, err := List(dir); err != nil || len(all) != 1 || all[0].Invalid == "" {
-				t.Errorf("listed as %v, %v", all, err)
+				t.Errorf("listed as %v with error %v, want one invalid snapshot", all, err)
 			}
 		})
 	}
 	for _, name := range []string{"", "none", "../x", ".partial"} {
 		if _, err := Read(t.TempDir(), name); !errors.Is(err, ErrUnknown) {
-			t.Errorf("%q: %v", name, err)
+			t.Errorf("snapshot %q: error %v, want ErrUnknown", name, err)
 		}
 	}
 	escape := &Manifest{Layout: 1, Cluster: "c", Revision: 4, Sections: []Section{{Prefix: "ctl/", File: "../other"}}}
 	if _, err := readSection(t.TempDir(), escape.Sections[0]); err == nil {
-		t.Error("a file outside of the snapshot is read")
+		t.Error("a file outside the snapshot's directory is read")
 	}
 }
 
-// The newest are kept, and of some days the last one each.
+// The newest snapshots are kept, and the last one of each of the latest days. Snapshots with invalid
+// manifests neither expire nor count.
 func TestRetention(t *testing.T) {
 	now := time.Date(2026, 3, 9, 12, 0, 0, 0, time.UTC)
 	var all []Listing
@@ -422,29 +426,30 @@
 	}
 	all = append(all, Listing{Name: "broken", Invalid: "no manifest"})
 	kept := len(all) - 1 - len(Retention{Latest: 3, Days: 4}.Expired(all, now))
-	if kept != 3+4 { // today's last is among the newest, and of the fifth day a part counts
-		t.Errorf("%d are kept, want 7", kept)
+	if kept != 3+4 { // today's last is among the newest three, and 4 * 24 hours reach into a fifth day
+		t.Errorf("%d snapshots are kept, want 7", kept)
 	}
 	expired := Retention{Latest: 1}.Expired(all, now)
 	if len(expired) != len(all)-2 || slices.Contains(expired, "broken") || slices.Contains(expired, all[len(all)-2].Name) {
-		t.Errorf("of %d, %d expire", len(all), len(expired))
+		t.Errorf("of %d snapshots %d expire, want all but the newest and the broken one", len(all), len(expired))
 	}
-	for _, r := range []Retention{{}, {Latest: -1}, {Latest: 1, Days: -1}} {
-		if _, err := Prune(t.TempDir(), r, now); err == nil {
-			t.Errorf("%+v is taken", r)
+	for _, retention := range []Retention{{}, {Latest: -1}, {Latest: 1, Days: -1}} {
+		if _, err := Prune(t.TempDir(), retention, now); err == nil {
+			t.Errorf("invalid retention %+v is accepted", retention)
 		}
 	}
 }
 
+// Prune deletes expired snapshots and returns their names.
 func TestPruneDeletes(t *testing.T) {
-	r := newRig(t)
+	f := newFixture(t)
 	var last *Manifest
 	for range 3 {
-		r.clock.Advance(time.Minute)
-		last = r.take()
+		f.clock.Advance(time.Minute)
+		last = f.take()
 	}
-	gone, err := Prune(r.taker.Directory, Retention{Latest: 1}, r.clock.Now())
-	if err != nil || len(gone) != 2 || !slices.Equal(r.names(), []string{last.Name()}) {
-		t.Errorf("pruned %v, %v; left %v", gone, err, r.names())
+	deleted, err := Prune(f.taker.Directory, Retention{Latest: 1}, f.clock.Now())
+	if err != nil || len(deleted) != 2 || !slices.Equal(f.names(), []string{last.Name()}) {
+		t.Errorf("deleted %v with error %v, %v are left; want two deleted", deleted, err, f.names())
 	}
 }
--- a/internal/snapshot/spool.go
+++ b/internal/snapshot/spool.go
@@ -15,30 +15,31 @@
 	"bramblespur/internal/wire"
 )
 
-// partialName is the directory of an incomplete snapshot. It lies beside the complete ones, and the
+// partialName is the directory of the spool of an incomplete snapshot, beside the complete ones. The
 // next Take resumes it.
 const partialName = ".partial"
 
-// maxResumeAge is how old an incomplete snapshot may be to be resumed: the changes since then have
-// to be read, too, and the store keeps them for a while only.
+// maxResumeAge is the age up to which an incomplete snapshot is resumed. The changes since it was begun
+// have to be read, too, and the store keeps them for a limited time only.
 const maxResumeAge = time.Hour
 
-// spool holds what was read so far: a file for each section, with a page on each line.
+// spool stores the pages of an incomplete snapshot in a directory: a file for each section, with a page
+// on each line.
 type spool struct {
 	dir   string
-	began time.Time
+	began time.Time // when reading began, before any interruption
 }
 
-// spoolHeader says of which cluster a spool is, and since when.
+// spoolHeader is the content of the header file of a spool.
 type spoolHeader struct {
-	Cluster string    `json:"cluster"`
+	Cluster string    `json:"cluster"` // ID of the cluster
 	Began   time.Time `json:"began"`
 }
 
 const spoolHeaderName = "begun.json"
 
-// openSpool resumes the spool in a directory if it is of the same cluster and not too old, and begins
-// a new one otherwise.
+// openSpool opens the spool in a directory of snapshots if it is of the same cluster and younger than
+// maxResumeAge. Otherwise it deletes that spool and creates an empty one.
 func openSpool(directory, cluster string, now time.Time) (*spool, error) {
 	s := &spool{dir: filepath.Join(directory, partialName)}
 	header := filepath.Join(s.dir, spoolHeaderName)
@@ -62,12 +63,14 @@
 	return s, os.WriteFile(header, b, 0o640)
 }
 
-// remove deletes what was spooled.
+// remove deletes the spool.
 func (s *spool) remove() error { return os.RemoveAll(s.dir) }
 
+// path returns the path of the file with the pages of a section.
 func (s *spool) path(prefix string) string { return filepath.Join(s.dir, sectionName(prefix)+".pages") }
 
-// sectionName is a prefix as a part of a file's name.
+// sectionName returns the prefix of a section in the form that file names contain: without the last
+// slash and with hyphens for the others.
 func sectionName(prefix string) string {
 	return strings.ReplaceAll(strings.TrimSuffix(prefix, "/"), "/", "-")
 }
@@ -81,7 +84,7 @@
 	return err
 }
 
-// appendPage appends a page of a section.
+// appendPage appends a page to the file of a section.
 func (s *spool) appendPage(prefix string, p wire.EntryPage) error {
 	b, err := json.Marshal(p)
 	if err != nil {
@@ -95,17 +98,17 @@
 	return errors.Join(err, file.Close())
 }
 
-// section is what was read of the records with one prefix.
+// section holds the records with one prefix that have been read so far.
 type section struct {
 	prefix        string
-	firstRevision uint64 // of the first page
-	lastRevision  uint64 // of the last page
-	lastKey       string // the last key that was read
-	complete      bool   // all pages were read
-	entries       map[string]wire.Entry
+	firstRevision uint64                // of the store at the first page; 0: no page has been read
+	lastRevision  uint64                // highest revision of the store at a page
+	lastKey       string                // last key that was read, after which the next page begins
+	complete      bool                  // all pages have been read
+	entries       map[string]wire.Entry // by key
 }
 
-// addPage adds the records of a page.
+// addPage adds the records of the next page.
 func (s *section) addPage(p wire.EntryPage) {
 	if s.firstRevision == 0 {
 		s.firstRevision = p.Revision
@@ -118,11 +121,11 @@
 	s.complete = !p.More || len(p.Items) == 0
 }
 
-// apply applies a change that was made after the section was begun, unless a later page has it
-// already.
+// apply applies a change that was made after the first page was read. A change that a later page
+// already contained is skipped: the record then has the version of the change or a newer one.
 func (s *section) apply(c wire.Change) {
 	key := c.Put + c.Delete
-	if held, ok := s.entries[key]; ok && held.Version >= c.Version {
+	if entry, ok := s.entries[key]; ok && entry.Version >= c.Version {
 		return
 	}
 	if c.Delete != "" {
@@ -132,8 +135,8 @@
 	s.entries[key] = wire.Entry{Key: key, Value: c.Value, Version: c.Version, Lease: s.entries[key].Lease}
 }
 
-// load reads the pages of a section. A line that was cut off is dropped; a malformed file is deleted
-// and the section begins anew.
+// load reads the pages of a section. A last line that is incomplete, because the process ended while it
+// wrote, is cut off. If another line is malformed, the file is deleted and the section returned is empty.
 func (s *spool) load(prefix string) (*section, error) {
 	out := &section{prefix: prefix, entries: map[string]wire.Entry{}}
 	file, err := os.OpenFile(s.path(prefix), os.O_RDWR, 0)
@@ -145,7 +148,7 @@
 	}
 	defer file.Close()
 	in := bufio.NewReader(file)
-	var read int64
+	var complete int64 // bytes of the complete lines
 	for {
 		line, err := in.ReadBytes('\n')
 		if errors.Is(err, io.EOF) {
@@ -159,9 +162,9 @@
 			return &section{prefix: prefix, entries: map[string]wire.Entry{}}, s.restart(prefix)
 		}
 		out.addPage(p)
-		read += int64(len(line))
+		complete += int64(len(line))
 	}
-	if err := file.Truncate(read); err != nil {
+	if err := file.Truncate(complete); err != nil {
 		return nil, fmt.Errorf("cut off pages of %s: %w", prefix, err)
 	}
 	return out, nil
--- a/internal/snapshot/take.go
+++ b/internal/snapshot/take.go
@@ -13,10 +13,11 @@
 	"bramblespur/internal/wire"
 )
 
-// purpose is that of a snapshot's requests: they give way to urgent ones.
+// purpose is the purpose of a snapshot's requests. They are routine requests, so that urgent ones go
+// first.
 var purpose = statestore.Routine("snapshot")
 
-// Source is what a Taker needs of the key-value store.
+// Source has the methods of the state service that a Taker calls.
 type Source interface {
 	Get(ctx context.Context, u statestore.Purpose, key string) (wire.Entry, error)
 	ListPage(ctx context.Context, u statestore.Purpose, prefix, after string, limit int) (wire.EntryPage, error)
@@ -24,44 +25,47 @@
 	Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (wire.Changes, error)
 }
 
-// Taker takes snapshots.
+// Taker takes snapshots. It is not safe for concurrent use.
 type Taker struct {
 	Source    Source
-	Directory string
-	// AnswerTimeout is how long the store may leave all requests without a response.
+	Directory string // where the snapshots are; it must exist
+	// AnswerTimeout is the time after the store's last answer at which Take gives up.
 	AnswerTimeout time.Duration
 	Now           func() time.Time
-	// Sleep waits, or returns an error if the context ends first.
+	// Sleep waits for a duration, and returns an error if the context ends first.
 	Sleep func(ctx context.Context, d time.Duration) error
 
-	requests int
-	answered time.Time
-	writer   func(path string) (sectionFile, error) // opens a section's file; tests replace it
+	requests   int                                    // requests of this Take
+	lastAnswer time.Time                              // when the store last answered; at first, when Take began
+	createFile func(path string) (sectionFile, error) // creates a file of a snapshot; nil: createSection
 }
 
 // Limits of a Take.
 const (
-	// pageKeys is the most keys in a page.
+	// pageKeys is the maximum number of keys in a page.
 	pageKeys = 250
 	// retryPause is the time between a failed request and the next one.
 	retryPause = 400 * time.Millisecond
-	// maxSectionReads is how often a section is read if the store no longer keeps its changes.
+	// maxSectionReads is how many times a section is read if the store no longer keeps its changes.
 	maxSectionReads = 3
 )
 
-// Cluster is the record of the identity of a cluster.
+// Cluster is the record that identifies a cluster.
 type Cluster struct {
-	ID string `json:"id"`
+	ID string `json:"id"` // random; assigned by the first snapshot
 }
 
-// Take takes a snapshot, or resumes an incomplete one, and returns its manifest.
+// Take takes a snapshot, or resumes an incomplete one, and returns its manifest. After an error the
+// pages that were read stay for the next Take. It returns ErrLocked while another process takes or
+// prunes snapshots in the directory, and an error that wraps ErrExists if there is a snapshot of the
+// same second and revision.
 func (t *Taker) Take(ctx context.Context) (*Manifest, error) {
 	unlock, err := lock(t.Directory)
 	if err != nil {
 		return nil, err
 	}
 	defer unlock()
-	t.requests, t.answered = 0, t.Now()
+	t.requests, t.lastAnswer = 0, t.Now()
 	cluster, err := t.cluster(ctx)
 	if err != nil {
 		return nil, err
@@ -85,16 +89,17 @@
 	return m, s.remove()
 }
 
-// retry makes a request until it is answered, or until no request was for too long.
+// retry repeats a request until the store answers it, also with an error. It gives up if the store has
+// not answered any request for the Taker's AnswerTimeout, or if the context ends.
 func retry[T any](ctx context.Context, t *Taker, request func() (T, error)) (T, error) {
 	for {
 		t.requests++
 		v, err := request()
 		if statestore.Answered(err) {
-			t.answered = t.Now()
+			t.lastAnswer = t.Now()
 			return v, err
 		}
-		if t.Now().Sub(t.answered) > t.AnswerTimeout {
+		if t.Now().Sub(t.lastAnswer) > t.AnswerTimeout {
 			return v, fmt.Errorf("no answer from the state service for %v: %w", t.AnswerTimeout, err)
 		}
 		if err := t.Sleep(ctx, retryPause); err != nil {
@@ -103,14 +108,14 @@
 	}
 }
 
-// cluster returns the cluster's id, and assigns one if it has none yet.
+// cluster returns the ID of the cluster, and assigns a random one if there is none yet.
 func (t *Taker) cluster(ctx context.Context) (string, error) {
 	for {
 		e, err := retry(ctx, t, func() (wire.Entry, error) { return t.Source.Get(ctx, purpose, record.ClusterKey) })
 		if err == nil {
 			var c Cluster
 			if err := json.Unmarshal(e.Value, &c); err != nil || c.ID == "" {
-				return "", fmt.Errorf("record %s makes no sense: %s", record.ClusterKey, e.Value)
+				return "", fmt.Errorf("record %s is malformed, want a cluster ID: %s", record.ClusterKey, e.Value)
 			}
 			return c.ID, nil
 		}
@@ -126,7 +131,7 @@
 	}
 }
 
-// readAll reads what the spool lacks of all sections.
+// readAll reads all sections: the pages in the spool, and the remaining pages from the store.
 func (t *Taker) readAll(ctx context.Context, s *spool) ([]*section, error) {
 	var out []*section
 	for _, prefix := range record.Prefixes() {
@@ -139,7 +144,8 @@
 	return out, nil
 }
 
-// read reads what the spool lacks of a section.
+// read reads a section: the pages in the spool, and the remaining pages from the store, which it adds to
+// the spool.
 func (t *Taker) read(ctx context.Context, s *spool, prefix string) (*section, error) {
 	sec, err := s.load(prefix)
 	if err != nil {
@@ -160,16 +166,16 @@
 	return sec, nil
 }
 
-// align brings all sections to one revision: that of the first response to a watch after all were
-// read. If the store no longer keeps the changes of a section, that is read again and all are aligned
-// anew; after maxSectionReads the manifest has a Span instead.
+// align brings all sections to one revision, which it sets in the manifest. If the store no longer keeps
+// the changes of some sections, these are read again and all sections are aligned again. After
+// maxSectionReads the manifest gets a Span instead.
 func (t *Taker) align(ctx context.Context, s *spool, sections []*section, m *Manifest) error {
-	for try := 1; ; try++ {
-		stale, err := t.follow(ctx, sections, m)
+	for attempt := 1; ; attempt++ {
+		stale, err := t.applyChanges(ctx, sections, m)
 		if err != nil || len(stale) == 0 {
 			return err
 		}
-		if try == maxSectionReads {
+		if attempt == maxSectionReads {
 			first := sections[stale[0]]
 			for _, sec := range sections {
 				m.Revision = max(m.Revision, sec.lastRevision)
@@ -189,9 +195,10 @@
 	}
 }
 
-// follow applies the changes of all sections up to one revision, and returns the sections whose
-// changes the store no longer keeps.
-func (t *Taker) follow(ctx context.Context, sections []*section, m *Manifest) (stale []int, err error) {
+// applyChanges applies the changes that were made since each section's first page, up to one revision: that
+// of the store's first answer to a watch. It sets this revision in the manifest, and returns the indexes
+// of the sections whose changes the store no longer keeps.
+func (t *Taker) applyChanges(ctx context.Context, sections []*section, m *Manifest) (stale []int, err error) {
 	m.Revision = 0
 	for i, sec := range sections {
 		changes, err := retry(ctx, t, func() (wire.Changes, error) { return t.Source.Watch(ctx, sec.prefix, sec.firstRevision, 0) })
--- a/internal/snapshot/write.go
+++ b/internal/snapshot/write.go
@@ -15,7 +15,7 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// row is a record in the file of a section.
+// row is the row of one record in the file of a section.
 type row struct {
 	Key     string `parquet:"key"`
 	Value   []byte `parquet:"value"`
@@ -25,25 +25,26 @@
 
 const (
 	manifestName = "manifest.json"
-	// writingName is the directory of a snapshot whose files are being written.
+	// writingName is the directory in which the files of a snapshot are written before it gets its name.
 	writingName = ".writing"
 )
 
-// sectionFile is what a section is written to.
+// sectionFile is an open file to which a section or a manifest is written.
 type sectionFile interface {
 	io.Writer
-	Sync() error
+	Sync() error // returns once the content is on disk
 	Close() error
 }
 
+// createSection creates a file, which must not exist.
 func createSection(path string) (sectionFile, error) {
 	return os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640)
 }
 
-// write writes all files and then renames the directory. Nothing is left of it if that
-// fails.
+// write writes all files to a temporary directory and then renames it to the snapshot's name. It adds the
+// sections to the manifest. After an error it deletes the temporary directory.
 func (t *Taker) write(m *Manifest, sections []*section) (err error) {
-	create := t.writer
+	create := t.createFile
 	if create == nil {
 		create = createSection
 	}
@@ -69,23 +70,23 @@
 	if err := writeManifest(create, writing, m); err != nil {
 		return fmt.Errorf("write manifest: %w", err)
 	}
-	whole := filepath.Join(t.Directory, m.Name())
-	if _, err := os.Lstat(whole); err == nil {
+	final := filepath.Join(t.Directory, m.Name())
+	if _, err := os.Lstat(final); err == nil {
 		return fmt.Errorf("%w: %s", ErrExists, m.Name())
 	}
 	if err := syncDirectory(writing); err != nil {
 		return err
 	}
-	if err := os.Rename(writing, whole); err != nil {
+	if err := os.Rename(writing, final); err != nil {
 		return err
 	}
 	return syncDirectory(t.Directory)
 }
 
-// countingWriter counts the bytes that are written to a Writer.
+// countingWriter counts the bytes that are written to its Writer.
 type countingWriter struct {
 	io.Writer
-	n int64
+	n int64 // bytes written
 }
 
 // Write implements io.Writer.
@@ -95,6 +96,8 @@
 	return n, err
 }
 
+// writeSection writes the file of a section, with the records sorted by key, and returns its description
+// for the manifest.
 func writeSection(create func(string) (sectionFile, error), dir string, sec *section) (Section, error) {
 	out := Section{Prefix: sec.prefix, File: sectionName(sec.prefix) + ".parquet", Records: len(sec.entries)}
 	file, err := create(filepath.Join(dir, out.File))
@@ -134,6 +137,7 @@
 	return errors.Join(err, file.Close())
 }
 
+// syncDirectory returns once the entries of a directory are on disk.
 func syncDirectory(path string) error {
 	dir, err := os.Open(path)
 	if err != nil {
