--- a/internal/recoverctl/gather.go
+++ b/internal/recoverctl/gather.go
@@ -11,13 +11,15 @@
 	"bramblespur/internal/wire"
 )
 
-// Gathered is the evidence with what could not be had of it.
+// Gathered is the evidence of one Gather, with the controllers whose evidence is missing.
 type Gathered struct {
 	recovery.Evidence
-	Unreachable []string // controllers that did not answer
+	Unreachable []string // labels of the controllers that did not return all their evidence
 }
 
-// Gather reads all evidence. The snapshot is optional.
+// Gather reads all evidence about a cluster in safe mode: from the store, the controllers and the cloud,
+// and from a snapshot unless s is nil. Controllers that fail are listed as unreachable. Gather returns
+// [recovery.ErrNoSafeMode] if there is no safe mode, and an error if the store or the cloud fails.
 func (c *Client) Gather(ctx context.Context, s *snapshot.Contents) (*Gathered, error) {
 	mode, _, err := c.Mode(ctx)
 	if err != nil {
@@ -33,8 +35,8 @@
 	if s != nil {
 		g.Snapshot, g.SnapshotRevision = s.Records, s.Manifest.Revision
 	}
-	for label, p := range c.Peers {
-		if err := gatherPeer(p, g); err != nil {
+	for label, caller := range c.Peers {
+		if err := gatherPeer(caller, g); err != nil {
 			g.Unreachable = append(g.Unreachable, label)
 		}
 	}
@@ -49,7 +51,8 @@
 	return g, nil
 }
 
-// gatherStore reads what the state service still has, and the decisions about it.
+// gatherStore reads all records that the state service still has, and the operators' decisions of this
+// safe mode.
 func (c *Client) gatherStore(ctx context.Context, g *Gathered) error {
 	g.Store = map[string]wire.Entry{}
 	for _, prefix := range record.Prefixes() {
@@ -57,15 +60,15 @@
 			entries  []wire.Entry
 			revision uint64
 		}
-		l, err := withRetry(ctx, c, func() (listed, error) {
+		list, err := withRetry(ctx, c, func() (listed, error) {
 			entries, revision, err := c.Store.List(ctx, purpose, prefix)
 			return listed{entries, revision}, err
 		})
 		if err != nil {
-			return fmt.Errorf("read %s: %w", prefix, err)
+			return fmt.Errorf("read records %s: %w", prefix, err)
 		}
-		g.Revision = max(g.Revision, l.revision)
-		for _, e := range l.entries {
+		g.Revision = max(g.Revision, list.revision)
+		for _, e := range list.entries {
 			g.Store[e.Key] = e
 		}
 	}
@@ -76,29 +79,30 @@
 	return err
 }
 
-// gatherPeer reads what a controller holds.
-func gatherPeer(p peer.Caller, g *Gathered) error {
+// gatherPeer reads the evidence of a controller, page by page, and adds it. It returns
+// [recovery.ErrNoSafeMode] if the controller is not in safe mode.
+func gatherPeer(caller peer.Caller, g *Gathered) error {
 	after := ""
 	for {
-		var r peer.EvidenceReply
-		if err := p.Call("Evidence", peer.EvidenceArgs{After: after}, &r, evidenceTimeout); err != nil {
+		var reply peer.EvidenceReply
+		if err := caller.Call("Evidence", peer.EvidenceArgs{After: after}, &reply, evidenceTimeout); err != nil {
 			return err
 		}
-		if !r.Mode.Active {
+		if !reply.Mode.Active {
 			return recovery.ErrNoSafeMode
 		}
-		g.Mode.Floor = max(g.Mode.Floor, r.Mode.Floor)
-		if after == "" && r.View.Revision > g.View.Revision {
-			g.View = r.View
+		g.Mode.Floor = max(g.Mode.Floor, reply.Mode.Floor)
+		if after == "" && reply.View.Revision > g.View.Revision {
+			g.View = reply.View
 		}
-		g.AddHeld(r.Held)
-		for _, report := range r.Reports {
-			g.Heartbeats.Add(&report)
-			g.Mode.Floor = max(g.Mode.Floor, report.Token)
+		g.AddHeld(reply.Held)
+		for _, heartbeat := range reply.Reports {
+			g.Heartbeats.Add(&heartbeat)
+			g.Mode.Floor = max(g.Mode.Floor, heartbeat.Token)
 		}
-		if !r.More {
+		if !reply.More {
 			return nil
 		}
-		after = r.Held[len(r.Held)-1].Key
+		after = reply.Held[len(reply.Held)-1].Key
 	}
 }
--- a/internal/recoverctl/measure_test.go
+++ b/internal/recoverctl/measure_test.go
@@ -15,15 +15,15 @@
 	"bramblespur/internal/wire"
 )
 
-// Share of a state service's limits of 300 requests and 100 changes a second that is measured
-// with, as the tool uses it.
+// The rates are the share of a state service's limits, 300 requests and 100 writes per second, that the
+// operators' tool uses.
 const (
-	measuredRPS      = 180
-	measuredWriteRPS = 60
-	measuredJobs     = 10000
+	measuredRPS      = 180   // requests per second
+	measuredWriteRPS = 60    // writes per second
+	measuredJobs     = 10000 // jobs of each fleet
 )
 
-// fleetListed is the cloud's list of a fleet.
+// fleetListed returns the cloud's list of a fleet, by machine ID.
 func fleetListed(machines int) map[string]wire.ListedMachine {
 	out := map[string]wire.ListedMachine{}
 	for i := range machines {
@@ -32,20 +32,20 @@
 	return out
 }
 
-// fleetReports are the reports of its workers.
+// fleetReports adds the heartbeats of a fleet's workers, with two running tasks each, to the evidence.
 func fleetReports(e *recovery.Evidence, machines int) {
 	for i := range machines {
-		r := wire.Heartbeat{Machine: testkit.FleetMachine(i), Session: 1, Seq: 1, Token: 5}
+		heartbeat := wire.Heartbeat{Machine: testkit.FleetMachine(i), Session: 1, Seq: 1, Token: 5}
 		for n := 2 * i; n < 2*i+2; n++ {
-			r.Tasks = append(r.Tasks, wire.HeartbeatTask{Task: fmt.Sprintf("run-%06d/%d", n/10, n%10), Attempt: 1, State: wire.Running})
+			heartbeat.Tasks = append(heartbeat.Tasks, wire.HeartbeatTask{Task: fmt.Sprintf("run-%06d/%d", n/10, n%10), Attempt: 1, State: wire.Running})
 		}
-		e.Heartbeats.Add(&r)
+		e.Heartbeats.Add(&heartbeat)
 	}
 }
 
-// BenchmarkRecover measures a recovery over loopback at the tool's share of the limits, of
-// fleets with 10,000 jobs: everything but the final states is lost, or all of it, and a whole
-// snapshot and the workers' reports are there.
+// BenchmarkRecover measures a recovery over loopback, within the tool's share of the limits, of fleets
+// with 10,000 jobs. Either all records are lost or all but those of finished jobs; there is a complete
+// snapshot, and all workers send heartbeats.
 func BenchmarkRecover(b *testing.B) {
 	for _, machines := range []int{30, 300, 4000} {
 		for name, kept := range map[string]string{"all but final states": record.FinishedJobPrefix, "everything": "none/"} {
@@ -58,6 +58,7 @@
 	}
 }
 
+// measureRecovery recovers a fleet whose store has kept only the records with the prefix kept.
 func measureRecovery(b *testing.B, machines int, kept string) {
 	service := testkit.NewService()
 	records := testkit.FleetRecords(machines, measuredJobs)
--- a/internal/recoverctl/recoverctl.go
+++ b/internal/recoverctl/recoverctl.go
@@ -1,5 +1,5 @@
-// Package recoverctl is what an operator's tool does about a state service that lost data: it
-// gathers the evidence, records decisions, and applies a plan.
+// Package recoverctl does the I/O of the operators' tool that recovers a state service which lost data:
+// it gathers the evidence, records decisions and applies a plan. Package recovery makes the plan.
 package recoverctl
 
 import (
@@ -17,26 +17,28 @@
 	"bramblespur/internal/wire"
 )
 
-// purpose is the purpose of recovery's requests. They are what everybody waits for.
+// purpose is the purpose of the requests of a recovery. They are urgent since the whole cluster waits for
+// them.
 var purpose = statestore.Urgent("recover")
 
 const (
-	// retryTimeout is how long a request is repeated that has no answer.
-	retryTimeout    = 15 * time.Second
-	retryPause      = 300 * time.Millisecond
-	evidenceTimeout = 5 * time.Second // for one page of a controller's evidence
+	retryTimeout    = 15 * time.Second       // how long a request without an answer is repeated
+	retryPause      = 300 * time.Millisecond // between a failed request and the next one
+	evidenceTimeout = 5 * time.Second        // for one page of a controller's evidence
 )
 
-// Client recovers a cluster.
+// Client recovers a cluster. Mode and Decide need Store and Now alone; Apply needs Limits as well, and
+// Gather needs Peers and Cloud.
 type Client struct {
 	Store  statestore.Store
 	Peers  map[string]peer.Caller // the controllers, by label
 	Cloud  cloud.API
-	Limits recovery.Limits
+	Limits recovery.Limits // of the transactions of a plan
 	Now    func() time.Time
 }
 
-// withRetry repeats a request while it has no answer.
+// withRetry repeats a request until the state service or the cloud answers it, also with an error, or
+// retryTimeout is over. It then returns the last result.
 func withRetry[T any](ctx context.Context, c *Client, request func() (T, error)) (T, error) {
 	for end := c.Now().Add(retryTimeout); ; {
 		v, err := request()
@@ -49,7 +51,7 @@
 	}
 }
 
-// readRecord reads a record; it returns nil and version 0 if there is none.
+// readRecord returns a record and its version, or nil and 0 if there is none.
 func readRecord[T any](ctx context.Context, c *Client, key string) (*T, uint64, error) {
 	e, err := withRetry(ctx, c, func() (wire.Entry, error) { return c.Store.Get(ctx, purpose, key) })
 	if errors.Is(err, statestore.ErrNotFound) {
@@ -65,12 +67,15 @@
 	return v, e.Version, nil
 }
 
-// Mode returns the record of the safe mode and its version, nil if there is none.
+// Mode returns the record of the latest safe mode, which may have ended, and its version. It returns nil
+// and 0 if there is none.
 func (c *Client) Mode(ctx context.Context) (*recovery.SafeMode, uint64, error) {
 	return readRecord[recovery.SafeMode](ctx, c, recovery.SafeModeKey)
 }
 
-// Decide records an operator's choice about an undecided record.
+// Decide records an operator's decision about an undecided record, for the plans that are made later in
+// this safe mode. It replaces an earlier decision. It returns [recovery.ErrNoSafeMode] if there is no
+// safe mode.
 func (c *Client) Decide(ctx context.Context, key string, choice recovery.Decision) error {
 	mode, _, err := c.Mode(ctx)
 	if err != nil {
@@ -84,8 +89,8 @@
 		if err != nil {
 			return err
 		}
-		t := recovery.DecisionTxn(old, version, mode.Epoch, key, choice)
-		_, err = withRetry(ctx, c, func() (uint64, error) { return c.Store.Txn(ctx, purpose, t) })
+		txn := recovery.DecisionTxn(old, version, mode.Epoch, key, choice)
+		_, err = withRetry(ctx, c, func() (uint64, error) { return c.Store.Txn(ctx, purpose, txn) })
 		if !errors.As(err, new(*statestore.ConflictError)) {
 			return err
 		}
