--- a/internal/controller/overload/overload_test.go
+++ b/internal/controller/overload/overload_test.go
@@ -45,10 +45,10 @@
 	}
 	s.run(200*time.Millisecond, 2*BehindEndsAfter)
 	if !s.d.behind {
-		t.Error("not behind any more with every timer late by 200 ms")
+		t.Error("no longer behind with every timer late by 200 ms")
 	}
 	if s.run(5*time.Millisecond, BehindEndsAfter*9/10); !s.d.behind {
-		t.Error("not behind any more although timers were late within BehindEndsAfter")
+		t.Error("no longer behind although timers were late within BehindEndsAfter")
 	}
 	if changes := s.run(5*time.Millisecond, BehindEndsAfter); s.d.behind || changes != 1 {
 		t.Errorf("with timers in time for BehindEndsAfter: behind %t after %d changes, want false after 1", s.d.behind, changes)
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -19,7 +19,7 @@
 // Caller calls the methods of one peer's service.
 type Caller interface {
 	// Call calls a method of [Service] by its bare name and stores the reply in reply, a
-	// pointer. An error that the peer returned is an rpc.ServerError.
+	// pointer.
 	Call(method string, args, reply any, timeout time.Duration) error
 }
 
@@ -90,7 +90,7 @@
 
 // Call implements Caller. After a timeout it closes the connection, which may be dead without an
 // error. If the connection breaks, it repeats the call once within the same timeout: all methods
-// are idempotent.
+// are idempotent. An error that the peer returned is an rpc.ServerError.
 func (c *Client) Call(method string, args, reply any, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	err := c.call(method, args, reply, timeout)
