--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -8,33 +8,33 @@
 	"strings"
 )
 
-// What a controller can't do with less of.
+// Minimums below which a controller cannot work.
 const (
-	// leastCPU is several times what one uses that has no machines and no users.
-	leastCPU = 0.005
-	// leastMemoryMB leaves the runtime some megabytes besides NonRuntimeMB.
-	leastMemoryMB = 24.0
-	// ownSockets are those to the state service and the cloud.
-	ownSockets = 8
-	// leastRPS is each controller's requests a second to the state service: its lease
-	// takes one, its three views most of another.
-	leastRPS = 2.0
-	// leastWriteRPS is each one's changes: below that a job, which takes three, would
-	// wait longer for its records than its user for the answer.
-	leastWriteRPS = 0.5
-	// leastValueKB holds a job's record with names of the usual length.
-	leastValueKB = 1.0
-	// leastOps is the changes in the transaction that ends a job.
-	leastOps = 2
+	// minCPUShare is several times the share that a controller without machines and users needs.
+	minCPUShare = 0.005
+	// minMemoryMB leaves the Go runtime some megabytes in addition to NonRuntimeMB.
+	minMemoryMB = 24.0
+	// outboundSockets is the number of sockets to the state service and the cloud.
+	outboundSockets = 8
+	// minRPS is the requests per second to the state service that each controller needs: one
+	// for its lease, and most of another for its three views.
+	minRPS = 2.0
+	// minWriteRPS is the writes per second that each controller needs. A job takes three writes;
+	// with a lower rate they would take longer than its user waits for the response.
+	minWriteRPS = 0.5
+	// minValueKB is enough for a job record with names of the usual length.
+	minValueKB = 1.0
+	// minTxnOps is the number of writes in the transaction that ends a job.
+	minTxnOps = 2
 )
 
-// Above these nothing is a time or a name any more.
+// Maximums of durations and labels. Larger values are mistakes.
 const (
-	mostSeconds = 1e6
-	mostLabel   = 100 // bytes; it is part of keys
+	maxSeconds    = 1e6
+	maxLabelBytes = 100 // a label is part of keys
 )
 
-// check refuses settings that a controller can't run with, naming the field.
+// check returns an error that names the field if a controller cannot run with the settings.
 func (s *Settings) check() error {
 	for _, check := range []func() error{
 		s.checkNames, s.checkAddresses, s.checkTimes, s.checkServices, s.checkPeers,
@@ -60,9 +60,9 @@
 	return checkLabel("label", s.Label)
 }
 
-// checkLabel refuses a label that can't be a part of a key.
+// checkLabel returns an error if a label cannot be part of a key. name is the field's name.
 func checkLabel(name, label string) error {
-	if len(label) > mostLabel || strings.ContainsAny(label, "/ \t\r\n") {
+	if len(label) > maxLabelBytes || strings.ContainsAny(label, "/ \t\r\n") {
 		return fmt.Errorf("%s %.40q is too long or holds a space or a slash", name, label)
 	}
 	return nil
@@ -77,7 +77,7 @@
 		}
 	}
 	if s.Listen == s.PeerListen {
-		return fmt.Errorf("cluster_listen is the same as public_addr")
+		return fmt.Errorf("cluster_listen and public_addr are the same address, want two")
 	}
 	return nil
 }
@@ -93,38 +93,38 @@
 	return nil
 }
 
-// amount is a field with the bounds of its value.
+// amount is a numeric field with the range of its valid values.
 type amount struct {
-	name        string
-	value       float64
-	least, most float64
+	name     string
+	value    float64
+	min, max float64
 }
 
 func checkAmounts(amounts ...amount) error {
 	for _, a := range amounts {
-		if !(a.value >= a.least) || !(a.value <= a.most) {
-			return fmt.Errorf("%s is %g, must be from %g to %g", a.name, a.value, a.least, a.most)
+		if !(a.value >= a.min) || !(a.value <= a.max) {
+			return fmt.Errorf("%s is %g, want %g to %g", a.name, a.value, a.min, a.max)
 		}
 	}
 	return nil
 }
 
-// leastSeconds is the shortest time that is one: there is none of zero.
-const leastSeconds = 1e-3
+// minSeconds is the shortest valid duration where 0 is not allowed.
+const minSeconds = 1e-3
 
 func (s *Settings) checkTimes() error {
 	w := s.Params.Workers
 	err := checkAmounts(
-		amount{"params.workers.report_s", w.ReportS, leastSeconds, mostSeconds},
-		amount{"params.workers.lease_s", w.LeaseS, leastSeconds, mostSeconds},
-		amount{"params.workers.gang_wait_s", w.GangWaitS, leastSeconds, mostSeconds},
-		amount{"params.workers.gang_peer_s", w.GangPeerS, leastSeconds, mostSeconds},
-		amount{"params.workers.cancel_s", w.CancelS, leastSeconds, mostSeconds},
-		amount{"params.cloud.list_lag_s", s.Params.Cloud.ListLagS, 0, mostSeconds},
-		amount{"params.clock_error_ms", s.Params.ClockErrorMS, 0, mostSeconds},
+		amount{"params.workers.report_s", w.ReportS, minSeconds, maxSeconds},
+		amount{"params.workers.lease_s", w.LeaseS, minSeconds, maxSeconds},
+		amount{"params.workers.gang_wait_s", w.GangWaitS, minSeconds, maxSeconds},
+		amount{"params.workers.gang_peer_s", w.GangPeerS, minSeconds, maxSeconds},
+		amount{"params.workers.cancel_s", w.CancelS, minSeconds, maxSeconds},
+		amount{"params.cloud.list_lag_s", s.Params.Cloud.ListLagS, 0, maxSeconds},
+		amount{"params.clock_error_ms", s.Params.ClockErrorMS, 0, maxSeconds},
 	)
 	if err == nil && w.LeaseS <= w.ReportS {
-		err = fmt.Errorf("params.workers.lease_s must be above params.workers.report_s")
+		err = fmt.Errorf("params.workers.lease_s is too short, want more than params.workers.report_s")
 	}
 	return err
 }
@@ -133,27 +133,27 @@
 	p := &s.Params
 	n := float64(max(1, p.Count))
 	amounts := []amount{
-		{"params.state.rps", p.State.RPS, n * leastRPS, math.MaxFloat64},
-		{"params.state.write_rps", p.State.WriteRPS, n * leastWriteRPS, math.MaxFloat64},
-		{"params.state.value_kb", p.State.ValueKB, leastValueKB, math.MaxInt32},
-		{"params.state.txn_ops", float64(p.State.TxnOps), leastOps, math.MaxInt32},
+		{"params.state.rps", p.State.RPS, n * minRPS, math.MaxFloat64},
+		{"params.state.write_rps", p.State.WriteRPS, n * minWriteRPS, math.MaxFloat64},
+		{"params.state.value_kb", p.State.ValueKB, minValueKB, math.MaxInt32},
+		{"params.state.txn_ops", float64(p.State.TxnOps), minTxnOps, math.MaxInt32},
 		{"params.cloud.rps", p.Cloud.RPS, math.SmallestNonzeroFloat64, math.MaxFloat64},
 	}
 	next := p.State.Next
 	for _, f := range []struct {
-		name        string
-		value       *float64
-		least, most float64
+		name     string
+		value    *float64
+		min, max float64
 	}{
-		{"rps", next.RPS, n * leastRPS, math.MaxFloat64}, {"write_rps", next.WriteRPS, n * leastWriteRPS, math.MaxFloat64},
-		{"value_kb", next.ValueKB, leastValueKB, math.MaxInt32},
+		{"rps", next.RPS, n * minRPS, math.MaxFloat64}, {"write_rps", next.WriteRPS, n * minWriteRPS, math.MaxFloat64},
+		{"value_kb", next.ValueKB, minValueKB, math.MaxInt32},
 	} {
 		if f.value != nil {
-			amounts = append(amounts, amount{"params.state.next." + f.name, *f.value, f.least, f.most})
+			amounts = append(amounts, amount{"params.state.next." + f.name, *f.value, f.min, f.max})
 		}
 	}
 	if next.TxnOps != nil {
-		amounts = append(amounts, amount{"params.state.next.txn_ops", float64(*next.TxnOps), leastOps, math.MaxInt32})
+		amounts = append(amounts, amount{"params.state.next.txn_ops", float64(*next.TxnOps), minTxnOps, math.MaxInt32})
 	}
 	return checkAmounts(amounts...)
 }
@@ -165,7 +165,7 @@
 	labels, addresses := map[string]bool{s.Label: true}, map[string]bool{s.PeerListen: true}
 	for _, q := range s.Peers {
 		if q.Label == "" || q.Zone == "" || q.Addr == "" {
-			return fmt.Errorf("seeds: an entry lacks label, zone or peer_addr")
+			return fmt.Errorf("seeds: label, zone or peer_addr is missing in an entry")
 		}
 		if err := checkLabel("seeds: label", q.Label); err != nil {
 			return err
@@ -185,7 +185,7 @@
 	zones := map[string]bool{}
 	for _, z := range p.Zones {
 		if z == "" || zones[z] {
-			return fmt.Errorf("params.zones: %q is empty or named twice", z)
+			return fmt.Errorf("params.zones: %q is empty or used twice", z)
 		}
 		zones[z] = true
 	}
@@ -209,7 +209,7 @@
 			return err
 		}
 		if (t.CPUsMax > 0 && t.CPUs > t.CPUsMax) || (t.GPUsMax > 0 && t.GPUs > t.GPUsMax) {
-			return fmt.Errorf("params.teams: %s is guaranteed more than its limit", t.Name)
+			return fmt.Errorf("params.teams: the guarantee of %s is above its limit", t.Name)
 		}
 	}
 	return nil
@@ -218,7 +218,7 @@
 func (p *Params) checkObjectives() error {
 	for _, o := range p.Objectives {
 		if err := checkAmounts(
-			amount{"params.objectives: within_s of " + o.Kind, o.WithinS, 0, mostSeconds}, amount{"params.objectives: share of " + o.Kind, o.Share, 0, 1},
+			amount{"params.objectives: within_s of " + o.Kind, o.WithinS, 0, maxSeconds}, amount{"params.objectives: share of " + o.Kind, o.Share, 0, 1},
 		); err != nil {
 			return err
 		}
@@ -226,21 +226,21 @@
 	return nil
 }
 
-// leastSockets is how many a controller among so many needs: a quarter is left for
-// what is neither a worker's nor a user's, two connections to each of the others
-// and its own to the state service and the cloud.
-func leastSockets(controllers int) int { return 4 * (2*(controllers-1) + ownSockets) }
+// minSockets returns the number of sockets that each of so many controllers needs. A quarter of the
+// sockets is left for connections that are not those of workers or users: two to each of the other
+// controllers, and those to the state service and the cloud.
+func minSockets(controllers int) int { return 4 * (2*(controllers-1) + outboundSockets) }
 
 func (r Resources) check(controllers int) error {
 	for _, f := range []struct {
-		name     string
-		v, least float64
+		name       string
+		value, min float64
 	}{
-		{"cpu_share", r.CPUShare, leastCPU}, {"memory_mb", r.MemoryMB, leastMemoryMB},
-		{"max_sockets", float64(r.MaxSockets), float64(leastSockets(controllers))},
+		{"cpu_share", r.CPUShare, minCPUShare}, {"memory_mb", r.MemoryMB, minMemoryMB},
+		{"max_sockets", float64(r.MaxSockets), float64(minSockets(controllers))},
 	} {
-		if !(f.v >= f.least) || math.IsInf(f.v, 0) {
-			return fmt.Errorf("params.resources.%s is %g, a controller needs %g at least", f.name, f.v, f.least)
+		if !(f.value >= f.min) || math.IsInf(f.value, 0) {
+			return fmt.Errorf("params.resources.%s is %g, want %g at least", f.name, f.value, f.min)
 		}
 	}
 	return nil
--- a/internal/config/check_test.go
+++ b/internal/config/check_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Settings that are too small to run, zero, negative, endless, contradictory or of the
-// wrong type are refused in one line that names the field.
+// Values that are too small to run with, zero, negative, infinite, contradictory or of the wrong type
+// are refused with an error of one line that names the field.
 func TestUnusableSettingsAreRefused(t *testing.T) {
 	for _, c := range []struct{ old, new, field string }{
 		{`label = "c-0"`, `label = "c/0"`, "label"},
@@ -53,19 +53,19 @@
 		{`[params.workers]`, "[[params.objectives]]\nkind = \"wait\"\nwithin_s = -1.0\n[params.workers]", "params.objectives"},
 		{`[params.workers]`, "[[params.objectives]]\nkind = \"wait\"\nshare = 1.5\n[params.workers]", "params.objectives"},
 	} {
-		if !strings.Contains(good, c.old) {
-			t.Errorf("no %q in the sound settings", c.old)
+		if !strings.Contains(validSettings, c.old) {
+			t.Errorf("%q is not in the valid settings", c.old)
 		}
-		_, err := Parse(strings.Replace(good, c.old, c.new, 1))
+		_, err := Parse(strings.Replace(validSettings, c.old, c.new, 1))
 		if err == nil || !strings.Contains(err.Error(), c.field) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("with %q: err %v, want one line naming %s", c.new, err, c.field)
 		}
 	}
 }
 
-// Whatever text is handed over, it is taken or refused.
+// Parse returns either settings or an error for any text, and does not panic.
 func FuzzParse(f *testing.F) {
-	f.Add(good)
+	f.Add(validSettings)
 	f.Add("")
 	f.Add("params = 1")
 	f.Add("[[seeds]]\n[[seeds]]")
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads and checks the settings file that the platform hands
-// over at start.
+// Package config reads and checks the settings file that the platform passes to a controller at start.
+// Settings that it returns are complete and valid: a controller can run with them.
 package config
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Settings is the platform's file. Unknown fields are ignored.
+// Settings holds the contents of the settings file. Unknown fields of the file are ignored.
 type Settings struct {
 	Label      string           `toml:"label"`
 	Zone       string           `toml:"zone"`
@@ -20,7 +20,7 @@
 	Peers      []Peer           `toml:"seeds"`
 	Services   ExternalServices `toml:"outside"`
 	Params     Params           `toml:"params"`
-	// PolicyFile optionally names the operators' own policy file.
+	// PolicyFile is the path of the operators' policy file, empty for the built-in policy.
 	PolicyFile string `toml:"policy_file"`
 }
 
@@ -31,13 +31,13 @@
 	Addr  string `toml:"peer_addr"`
 }
 
-// ExternalServices names the services that controllers depend on.
+// ExternalServices holds the addresses of the services that controllers depend on.
 type ExternalServices struct {
 	Cloud string `toml:"cloud"`
 	State string `toml:"state"`
 }
 
-// Params describes the deployment.
+// Params describes the deployment. Count is the number of controllers, which is also that of shards.
 type Params struct {
 	Count        int         `toml:"count"`
 	Zones        []string    `toml:"zones"`
@@ -50,7 +50,8 @@
 	Resources    Resources   `toml:"resources"`
 }
 
-// Team is a team's guarantee and limit; 0 means none.
+// Team holds the quota of a team: CPUs and GPUs are its guarantee, CPUsMax and GPUsMax its limit. 0 means
+// none.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -59,7 +60,7 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective is one aim at start or at finish.
+// Objective is a service level objective for the start or the end of jobs.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -67,7 +68,7 @@
 	Share   float64 `toml:"share"`
 }
 
-// Workers holds the workers' timing.
+// Workers holds the timing of the workers' protocol, in seconds.
 type Workers struct {
 	ReportS   float64 `toml:"report_s"`
 	LeaseS    float64 `toml:"lease_s"`
@@ -76,18 +77,19 @@
 	CancelS   float64 `toml:"cancel_s"`
 }
 
-// State holds the state service's limits.
+// State holds the limits of the state service: requests and writes per second, the size of a value and
+// the number of writes in a transaction.
 type State struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
-	// Next are the limits that it will have from some moment on, without
-	// notice; what is not given stays as it is.
+	// Next holds the limits that the state service will have from some moment on, without
+	// notice. A limit that is not given stays as it is.
 	Next NextState `toml:"next"`
 }
 
-// NextState holds the state service's limits to come.
+// NextState holds the future limits of the state service, nil where a limit does not change.
 type NextState struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
@@ -95,8 +97,8 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// LowestLimits returns the tighter of the limits now and those to come: what keeps to
-// it is taken whichever are in force.
+// LowestLimits returns the lower of the present and the next value of each limit. The state service
+// accepts a write within them whichever limits are in force.
 func (s State) LowestLimits() State {
 	t := State{RPS: s.RPS, WriteRPS: s.WriteRPS, ValueKB: s.ValueKB, TxnOps: s.TxnOps}
 	lower(&t.RPS, s.Next.RPS)
@@ -106,36 +108,37 @@
 	return t
 }
 
+// lower sets *to to *next if that is given and lower.
 func lower[N int | float64](to *N, next *N) {
 	if next != nil {
 		*to = min(*to, *next)
 	}
 }
 
-// MaxValueBytes is the largest value that it takes.
+// MaxValueBytes returns the size of the largest value that the state service accepts.
 func (s State) MaxValueBytes() int { return int(s.ValueKB * 1024) }
 
-// Cloud holds the cloud's limits.
+// Cloud holds the cloud's limit of calls per second, and by how many seconds its list of machines lags.
 type Cloud struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// Resources holds what this process may use.
+// Resources holds the limits on what this process may use. CPUShare counts processor cores.
 type Resources struct {
 	CPUShare   float64 `toml:"cpu_share"`
 	MemoryMB   float64 `toml:"memory_mb"`
 	MaxSockets int     `toml:"max_sockets"`
 }
 
-// NonRuntimeMB is what the process holds that its runtime does not count: the
-// program's and the C library's pages, 11 MB, and the threads' stacks.
+// NonRuntimeMB is the memory of the process that the Go runtime does not count: the pages of the
+// program and the C library, 11 MB, and the stacks of the threads.
 const NonRuntimeMB = 14.0
 
-// Seconds converts an amount of seconds.
+// Seconds converts seconds to a duration. It does not check for overflow: use it for checked settings.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Load reads and checks a settings file.
+// Load reads and checks the settings file at path.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -144,7 +147,7 @@
 	return Parse(string(data))
 }
 
-// Parse decodes and checks settings.
+// Parse decodes and checks the text of a settings file. The error names the field that is wrong.
 func Parse(text string) (*Settings, error) {
 	var s Settings
 	if _, err := toml.Decode(text, &s); err != nil {
@@ -156,7 +159,7 @@
 	return &s, nil
 }
 
-// Labels returns every controller's label in order.
+// Labels returns the labels of all controllers in ascending order.
 func (s *Settings) Labels() []string {
 	out := []string{s.Label}
 	for _, p := range s.Peers {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const good = `
+const validSettings = `
 label = "c-0"
 zone = "z"
 public_addr = "127.0.0.1:1"
@@ -45,7 +45,7 @@
 `
 
 func TestParse(t *testing.T) {
-	s, err := Parse(good)
+	s, err := Parse(validSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 	}
 }
 
-// A refusal names the field at fault, in one line.
+// An error names the field that is wrong.
 func TestParseNamesTheField(t *testing.T) {
 	for _, c := range []struct{ old, new, field string }{
 		{`label = "c-0"`, ``, "label"},
@@ -80,27 +80,27 @@
 		{`max_sockets = 100`, `max_sockets = -5`, "params.resources.max_sockets"},
 		{`max_sockets = 100`, `max_sockets = 39`, "params.resources.max_sockets"},
 	} {
-		_, err := Parse(strings.Replace(good, c.old, c.new, 1))
+		_, err := Parse(strings.Replace(validSettings, c.old, c.new, 1))
 		if err == nil || !strings.Contains(err.Error(), c.field) {
 			t.Errorf("without %q: err %v, want one naming %s", c.old, err, c.field)
 		}
 	}
 }
 
-// Limits to come are optional, each of them, and what is malformed stops the start.
+// Each of the next limits is optional, and a malformed one is refused.
 func TestNextLimits(t *testing.T) {
 	with := func(next string) string {
-		return strings.Replace(good, "[params.cloud]", "[params.state.next]\n"+next+"\n[params.cloud]", 1)
+		return strings.Replace(validSettings, "[params.cloud]", "[params.state.next]\n"+next+"\n[params.cloud]", 1)
 	}
 	s, err := Parse(with("value_kb = 2.0\ntxn_ops = 20\nother = 1"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := s.Params.State.LowestLimits(); got.ValueKB != 2 || got.TxnOps != 16 || got.RPS != 10 || got.MaxValueBytes() != 2048 {
-		t.Errorf("tighter limits %+v", got)
+		t.Errorf("lowest limits %+v", got)
 	}
-	if s, err = Parse(good); err != nil || s.Params.State.LowestLimits() != s.Params.State {
-		t.Errorf("without any: %+v, %v", s, err)
+	if s, err = Parse(validSettings); err != nil || s.Params.State.LowestLimits() != s.Params.State {
+		t.Errorf("without next limits: %+v, %v", s, err)
 	}
 	for _, c := range []struct{ next, field string }{
 		{"rps = 0.0", "params.state.next.rps"},
