--- a/internal/operations/operations.go
+++ b/internal/operations/operations.go
@@ -1,5 +1,6 @@
-// Package operations reads and checks the operators' file that turns on what goes beyond
-// serving: each of its sections is one subsystem, and one that is missing is off.
+// Package operations reads and checks the operations file, in which operators turn on optional
+// subsystems: drains, limits on commands after a restart, and recovery from data loss. Each section of
+// the file turns on one of them; a subsystem without a section is off.
 package operations
 
 import (
@@ -24,29 +25,30 @@
 	"bramblespur/internal/ratelimit"
 )
 
-// Settings are what the file turns on.
+// Settings holds the settings of the subsystems, nil for one that is off.
 type Settings struct {
-	Drains  *drain.Settings // nil: off
-	Restart *Restart        // nil: off
-	// Recovery is about a state service that loses data; nil: off.
+	Drains  *drain.Settings
+	Restart *Restart
+	// Recovery is for a state service that may lose data.
 	Recovery *Recovery
 }
 
-// Recovery is what controllers do about a state service that loses data.
+// Recovery holds the settings for the audits that detect data loss in the state service.
 type Recovery struct {
-	// AuditInterval is how often the leader compares its views with all records.
+	// AuditInterval is the time between audits, in which the leader compares its views with all
+	// records.
 	AuditInterval time.Duration
 }
 
-// Audits of the records.
+// Intervals between audits of the records.
 const (
-	defaultAuditEvery = time.Minute
-	// shortestAudit bounds what audits cost: each reads all records of machines and of
+	defaultAuditInterval = time.Minute
+	// minAuditInterval limits the cost of audits: each reads all records of machines and of
 	// unfinished jobs.
-	shortestAudit = 10 * time.Second
+	minAuditInterval = 10 * time.Second
 )
 
-// Restart is how quietly controllers restart.
+// Restart holds the rate limit on commands to workers after a controller restarts.
 type Restart struct{ ratelimit.Settings }
 
 //go:embed schema.json
@@ -54,11 +56,10 @@
 
 const schemaName = "operations.schema.json"
 
-// file is the layout of the file, as the schema describes it.
+// file is the layout of the operations file, which the schema describes.
 type file struct {
-	Drains  *drains  `toml:"drains"`
-	Restart *restart `toml:"restart"`
-	// Recovery holds what controllers do about lost data.
+	Drains   *drains   `toml:"drains"`
+	Restart  *restart  `toml:"restart"`
 	Recovery *recovery `toml:"recovery"`
 }
 
@@ -69,10 +70,10 @@
 func (r *recovery) settings() (*Recovery, error) {
 	out := &Recovery{AuditInterval: config.Seconds(r.AuditS)}
 	if r.AuditS == 0 {
-		out.AuditInterval = defaultAuditEvery
+		out.AuditInterval = defaultAuditInterval
 	}
-	if out.AuditInterval < shortestAudit {
-		return nil, fmt.Errorf("audit_s: %v is less than %v", out.AuditInterval, shortestAudit)
+	if out.AuditInterval < minAuditInterval {
+		return nil, fmt.Errorf("audit_s: %v is less than %v", out.AuditInterval, minAuditInterval)
 	}
 	return out, nil
 }
@@ -102,7 +103,7 @@
 	Class    map[string]budget `toml:"class"`
 }
 
-// Load reads and checks a file. Without a path everything is off.
+// Load reads and checks the operations file at path. If path is empty, every subsystem is off.
 func Load(path string) (*Settings, error) {
 	if path == "" {
 		return &Settings{}, nil
@@ -114,7 +115,7 @@
 	return Parse(string(data))
 }
 
-// Parse decodes and checks the text of a file.
+// Parse decodes and checks the text of an operations file. The error names the field that is wrong.
 func Parse(text string) (*Settings, error) {
 	var raw map[string]any
 	if _, err := toml.Decode(text, &raw); err != nil {
@@ -146,11 +147,11 @@
 	return s, nil
 }
 
-// Defaults are the settings of subsystems for tools that run without a file: limits alone,
-// no budgets.
+// Defaults returns the settings for tools that run without an operations file: the default limits of
+// drains, and no budgets.
 func Defaults() *Settings { return &Settings{Drains: (&drains{}).settings()} }
 
-// Check refuses what contradicts the platform's settings.
+// Check returns an error that names the field if the settings contradict the platform's settings.
 func (s *Settings) Check(p *config.Params) error {
 	if err := s.checkTeams(p); err != nil {
 		return fmt.Errorf("operations file: %w", err)
@@ -161,7 +162,7 @@
 	return nil
 }
 
-// checkTeams refuses budgets of teams that there are not.
+// checkTeams returns an error if there is a budget for an unknown team.
 func (s *Settings) checkTeams(p *config.Params) error {
 	if s.Drains == nil || len(p.Teams) == 0 {
 		return nil
@@ -172,28 +173,29 @@
 	}
 	for _, team := range slices.Sorted(maps.Keys(s.Drains.Teams)) {
 		if !known[team] {
-			return fmt.Errorf("drains.budgets.team.%s: there is no such team", team)
+			return fmt.Errorf("drains.budgets.team.%s: unknown team, want one of params.teams", team)
 		}
 	}
 	return nil
 }
 
-// reportsToSettle is how many reports of a worker come at least before the bound on orders
-// is given up: its orders ride on the answers.
-const reportsToSettle = 2
+// minReportsWhileLimited is the number of heartbeats of a worker for which the limit on commands must
+// last at least: commands are sent in the responses to heartbeats.
+const minReportsWhileLimited = 2
 
-// checkRestart refuses a time to settle in which orders can't be brought to workers.
+// checkRestart returns an error if the limit on commands lasts too short for commands to reach workers.
 func (s *Settings) checkRestart(p *config.Params) error {
 	if s.Restart == nil || s.Restart.LimitFor == 0 {
 		return nil
 	}
-	if least := reportsToSettle * config.Seconds(p.Workers.ReportS); s.Restart.LimitFor < least {
-		return fmt.Errorf("restart.settle_within_s: %v is less than %d reports of a worker take, %v",
-			s.Restart.LimitFor, reportsToSettle, least)
+	if least := minReportsWhileLimited * config.Seconds(p.Workers.ReportS); s.Restart.LimitFor < least {
+		return fmt.Errorf("restart.settle_within_s: %v is less than the time of %d heartbeats of a worker, %v",
+			s.Restart.LimitFor, minReportsWhileLimited, least)
 	}
 	return nil
 }
 
+// validate checks a decoded file against the schema.
 func validate(raw map[string]any) error {
 	schema, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaText))
 	if err != nil {
@@ -215,16 +217,16 @@
 	return err
 }
 
-// fieldError tells the innermost cause of a violation in one line, with its field. Of a name
-// that is not allowed only what encloses it has a place in the file.
+// fieldError returns the innermost cause of a violation in one line, with its field. For an invalid
+// name, the field is the one that encloses it.
 func fieldError(e *jsonschema.ValidationError) error {
-	field, ofName := "file", false
+	field, nameInvalid := "file", false
 	for {
 		if _, ok := e.ErrorKind.(*kind.PropertyNames); ok {
-			// The validator reuses the location of a name's error for what it visits next.
-			field, ofName = namesField(e.SchemaURL), true
+			// The validator overwrites the location of an error about a name while it goes on.
+			field, nameInvalid = fieldOfInvalidName(e.SchemaURL), true
 		}
-		if len(e.InstanceLocation) > 0 && !ofName {
+		if len(e.InstanceLocation) > 0 && !nameInvalid {
 			field = strings.Join(e.InstanceLocation, ".")
 		}
 		if len(e.Causes) == 0 {
@@ -235,8 +237,9 @@
 	return fmt.Errorf("%s: %s", field, e.ErrorKind.LocalizedString(message.NewPrinter(language.English)))
 }
 
-// namesField tells the field whose names are wrong by the place in the schema that says so.
-func namesField(schemaURL string) string {
+// fieldOfInvalidName returns the field that encloses an invalid name, from the place in the schema that
+// the name violates.
+func fieldOfInvalidName(schemaURL string) string {
 	_, pointer, _ := strings.Cut(schemaURL, "#/")
 	keywords := []string{"$defs", "properties", "propertyNames"}
 	fields := slices.DeleteFunc(strings.Split(pointer, "/"), func(s string) bool { return slices.Contains(keywords, s) })
