--- a/internal/controller/bounds_test.go
+++ b/internal/controller/bounds_test.go
@@ -311,7 +311,7 @@
 		for _, label := range k.labels {
 			k.start(label)
 		}
-		k.await(30*time.Second, "a leader and all parts", func() bool { return k.leader() != "" && k.owned() })
+		k.await(30*time.Second, "a leader and all parts", func() bool { return k.leader() != "" && k.allShardsOwned() })
 		time.Sleep(time.Minute) // what belongs to the start is over
 		for _, n := range tallies {
 			n.reset()
@@ -344,7 +344,7 @@
 		for _, label := range k.labels {
 			k.start(label)
 		}
-		k.await(30*time.Second, "a leader and all parts", func() bool { return k.leader() != "" && k.owned() })
+		k.await(30*time.Second, "a leader and all parts", func() bool { return k.leader() != "" && k.allShardsOwned() })
 		for _, label := range k.labels {
 			k.crash(label)
 		}
--- a/internal/controller/chance_seeds_test.go
+++ b/internal/controller/chance_seeds_test.go
@@ -26,8 +26,8 @@
 	return r, nil
 }
 
-// seedsToPlay returns the seeds of chance schedules that this run plays.
-func seedsToPlay(t *testing.T) seedRange {
+// seedsToRun returns the seeds of chance schedules that this run plays.
+func seedsToRun(t *testing.T) seedRange {
 	t.Helper()
 	text, set := os.LookupEnv(seedsVariable)
 	if !set {
--- a/internal/controller/cluster_jobs_test.go
+++ b/internal/controller/cluster_jobs_test.go
@@ -27,11 +27,11 @@
 // ref names the n-th job of a test.
 func ref(n int) string { return fmt.Sprintf("run-%06d", n) }
 
-// quick is how long jobs take where nothing else is said, and long for those that
+// shortRun is how longRun jobs take where nothing else is said, and longRun for those that
 // are to outlive what happens.
 var (
-	quick = testkit.Length{Run: 20 * time.Second, Fetch: 2 * time.Second}
-	long  = testkit.Length{Run: 10 * time.Minute, Fetch: 2 * time.Second}
+	shortRun = testkit.Length{Run: 20 * time.Second, Fetch: 2 * time.Second}
+	longRun  = testkit.Length{Run: 10 * time.Minute, Fetch: 2 * time.Second}
 )
 
 // submit submits a job, again if need be, and follows it as its user does.
@@ -57,7 +57,7 @@
 
 // cancel asks for a job's end until that is confirmed, beside the test.
 func (k *cluster) cancel(ref string) (confirmed func() bool) {
-	k.cancels.Store(true)
+	k.jobsCancelled.Store(true)
 	var mu sync.Mutex
 	var ok bool
 	k.world.Go(func() {
@@ -73,8 +73,8 @@
 	}
 }
 
-// running waits until all tasks of a job are on machines, and returns these.
-func (k *cluster) running(ref string, n int) []*testkit.Agent {
+// awaitRunning waits until all tasks of a job are on machines, and returns these.
+func (k *cluster) awaitRunning(ref string, n int) []*testkit.Agent {
 	k.t.Helper()
 	k.await(2*time.Minute, ref+" running", func() bool {
 		seen := 0
@@ -97,7 +97,7 @@
 	gangJob
 	serviceJob
 	limitJob
-	firstOwn // the first number free for a test's own jobs
+	firstFreeJob // the first number free for a test's own jobs
 )
 
 // teams of the jobs of load, by number.
@@ -115,7 +115,7 @@
 	submit := func(n int, kind func(*wire.Spec)) {
 		s := spec(ref(n), teamOf[n], kind)
 		change(&s)
-		k.submit(s, long)
+		k.submit(s, longRun)
 	}
 	submit(arrayJob, func(s *wire.Spec) { s.Tasks = 4 })
 	submit(gangJob, gang(2))
@@ -123,14 +123,14 @@
 		s.Kind, s.Tasks, s.Spread, s.Priority, s.CheckpointS = wire.Service, 2, true, "prod", 0
 	})
 	submit(limitJob, func(s *wire.Spec) { s.Tasks = teamLimit + 2 })
-	k.running(ref(arrayJob), 4)
-	k.running(ref(gangJob), 2)
-	k.running(ref(serviceJob), 2)
+	k.awaitRunning(ref(arrayJob), 4)
+	k.awaitRunning(ref(gangJob), 2)
+	k.awaitRunning(ref(serviceJob), 2)
 	most := teamLimit
 	if len(k.params.Teams) == 0 {
 		most += 2
 	}
-	k.running(ref(limitJob), most)
+	k.awaitRunning(ref(limitJob), most)
 }
 
 // gang makes a specification one of a gang of whole machines in one zone.
@@ -151,8 +151,8 @@
 	}
 }
 
-// submitLater submits a job beside the test, and follows it once it is accepted.
-func (k *cluster) submitLater(spec wire.Spec, l testkit.Length) {
+// submitInBackground submits a job beside the test, and follows it once it is accepted.
+func (k *cluster) submitInBackground(spec wire.Spec, l testkit.Length) {
 	k.mu.Lock()
 	k.refs = append(k.refs, spec.Ref)
 	k.mu.Unlock()
@@ -182,10 +182,10 @@
 	k.world.Follow(second.Ref)
 }
 
-// withdrawPipeline asks for a pipeline's end until that is confirmed.
-func (k *cluster) withdrawPipeline(name string, refs ...string) (confirmed func() bool) {
+// cancelPipeline asks for a pipeline's end until that is confirmed.
+func (k *cluster) cancelPipeline(name string, refs ...string) (confirmed func() bool) {
 	for _, r := range refs {
-		k.check.Cancel(r)
+		k.checker.Cancel(r)
 	}
 	var done atomic.Bool
 	k.world.Go(func() {
@@ -194,7 +194,7 @@
 				asked := time.Now()
 				if status, _, _ := p.Handle("POST", wire.PipelinesPath+"/"+name+"/"+wire.CancelAction, nil); status == 200 {
 					for _, r := range refs {
-						k.check.Answer(testkit.Cancellation, r, asked, time.Now(), status, wire.Cancelled)
+						k.checker.Answer(testkit.Cancellation, r, asked, time.Now(), status, wire.Cancelled)
 					}
 					done.Store(true)
 				}
--- a/internal/controller/cluster_process_test.go
+++ b/internal/controller/cluster_process_test.go
@@ -22,9 +22,9 @@
 
 // process is one life of a controller. It implements testkit.Node.
 type process struct {
-	c    *Controller
-	life context.Context
-	end  context.CancelFunc
+	c        *Controller
+	lifetime context.Context
+	cancel   context.CancelFunc
 }
 
 // Handle implements testkit.Node.
@@ -34,10 +34,10 @@
 		got <- r
 	}
 	select {
-	case <-p.life.Done():
+	case <-p.lifetime.Done():
 		return 0, nil, testkit.ErrLost
 	case r := <-got:
-		if p.life.Err() != nil {
+		if p.lifetime.Err() != nil {
 			return 0, nil, testkit.ErrLost
 		}
 		if r.Body == nil {
@@ -51,7 +51,7 @@
 type peerLink struct {
 	k        *cluster
 	from, to string
-	life     context.Context
+	lifetime context.Context
 }
 
 // Call implements peer.Caller.
@@ -61,15 +61,15 @@
 		if p == nil {
 			return nil, testkit.ErrRefused
 		}
-		take, err := serve(p.c, method, args, result)
-		if p.life.Err() != nil {
+		take, err := dispatch(p.c, method, args, result)
+		if p.lifetime.Err() != nil {
 			return nil, testkit.ErrLost
 		}
 		return take, err
 	})
 	switch {
-	case l.life.Err() != nil:
-		return l.life.Err()
+	case l.lifetime.Err() != nil:
+		return l.lifetime.Err()
 	case errors.Is(err, testkit.ErrLost):
 		return peer.ErrTimeout
 	case err != nil:
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// serve calls a method and returns what hands its result over.
-func serve(h peer.Handler, method string, args, result any) (take func(), err error) {
+// dispatch calls a method and returns what hands its result over.
+func dispatch(h peer.Handler, method string, args, result any) (take func(), err error) {
 	if err := h.Check(args); err != nil {
 		return nil, err
 	}
@@ -122,10 +122,10 @@
 // start begins a process of a controller.
 func (k *cluster) start(label string) {
 	k.t.Helper()
-	cfg := &config.Settings{Label: label, Zone: k.zones[label], Params: k.params}
+	cfg := &config.Settings{Label: label, Zone: k.zoneOf[label], Params: k.params}
 	for _, l := range k.labels {
 		if l != label {
-			cfg.Peers = append(cfg.Peers, config.Peer{Label: l, Zone: k.zones[l]})
+			cfg.Peers = append(cfg.Peers, config.Peer{Label: l, Zone: k.zoneOf[l]})
 		}
 	}
 	pol, err := policy.Load("")
@@ -145,7 +145,7 @@
 	}
 	p := &process{c, life, end}
 	k.mu.Lock()
-	k.procs[label] = p
+	k.processes[label] = p
 	k.mu.Unlock()
 	k.world.SetNode(label, p)
 	c.start()
@@ -154,8 +154,8 @@
 // logger writes to the schedule's record if there is one, else to standard error where
 // CLUSTER_LOG names a level.
 func (k *cluster) logger(label string) *slog.Logger {
-	if k.rec != nil {
-		return k.rec.log.With("at", label)
+	if k.recorder != nil {
+		return k.recorder.log.With("at", label)
 	}
 	var level slog.Level
 	if level.UnmarshalText([]byte(os.Getenv("CLUSTER_LOG"))) != nil {
@@ -167,7 +167,7 @@
 func (k *cluster) process(label string) *process {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.procs[label]
+	return k.processes[label]
 }
 
 // crash ends a controller's process without a word.
@@ -176,10 +176,10 @@
 	if p == nil {
 		return
 	}
-	p.end()
+	p.cancel()
 	k.world.SetNode(label, nil)
 	k.mu.Lock()
-	delete(k.procs, label)
+	delete(k.processes, label)
 	k.mu.Unlock()
 }
 
@@ -190,8 +190,8 @@
 	k.start(label)
 }
 
-// restartMissing starts every controller that has no process.
-func (k *cluster) restartMissing() {
+// startMissing starts every controller that has no process.
+func (k *cluster) startMissing() {
 	for _, l := range k.labels {
 		if k.process(l) == nil {
 			k.start(l)
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -19,35 +19,35 @@
 
 // cluster is several whole controllers among scripted peers, in bubble time.
 type cluster struct {
-	t      *testing.T
-	world  *testkit.World
-	check  *testkit.Checker
-	labels []string
-	zones  map[string]string // of controllers
-	params config.Params
-	timing testkit.Timing
-
-	mu    sync.Mutex
-	procs map[string]*process
-	refs  []string
-	said  []string  // what a script did, told if it fails
-	rec   *recorder // nil unless one is asked for
-	ended time.Time // when all controllers first ended
-	// cancels says that jobs were cancelled: their stops are never held back.
-	cancels atomic.Bool
-	// loses says that the test's state service loses data: else nobody may ever believe so.
-	loses bool
+	t       *testing.T
+	world   *testkit.World
+	checker *testkit.Checker
+	labels  []string
+	zoneOf  map[string]string // of controllers
+	params  config.Params
+	timing  testkit.Timing
+
+	mu         sync.Mutex
+	processes  map[string]*process
+	refs       []string
+	scriptLog  []string  // what a script did, told if it fails
+	recorder   *recorder // nil unless one is asked for
+	allEndedAt time.Time // when all controllers first ended
+	// jobsCancelled says that jobs were cancelled: their stops are never held back.
+	jobsCancelled atomic.Bool
+	// losesData says that the test's state service losesData data: else nobody may ever believe so.
+	losesData bool
 	// prepare is called with each new process before it starts, nil for nothing.
 	prepare func(label string, c *Controller)
 }
 
 // layout is what differs between clusters.
 type layout struct {
-	controllers int
-	zones       []string
-	timing      testkit.Timing
-	seed        uint64
-	byHash      bool // no teams: jobs are parted among the controllers by their names
+	controllers  int
+	zones        []string
+	timing       testkit.Timing
+	seed         uint64
+	shardsByHash bool // no teams: jobs are parted among the controllers by their names
 }
 
 // near is like the smaller deployment, whose workers report often: starts ride on
@@ -67,11 +67,11 @@
 // teamLimit is the cards that team "tight" may use; "wide" has no limit.
 const teamLimit = 4
 
-// play runs a script on a cluster in a bubble: the cluster is up and has its leader
+// runScript runs a script on a cluster in a bubble: the cluster is up and has its leader
 // and its parts when the script begins. After it all troubles end, every job is
 // followed to its end or long enough to tell that it is not forgotten, and nothing
 // that the checker knows may have happened.
-func play(t *testing.T, l layout, script func(k *cluster)) {
+func runScript(t *testing.T, l layout, script func(k *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		k := newCluster(t, l)
@@ -79,19 +79,19 @@
 		for _, label := range k.labels {
 			k.start(label)
 		}
-		k.await(30*time.Second, "a leader and all parts", func() bool { return k.leader() != "" && k.owned() })
+		k.await(30*time.Second, "a leader and all parts", func() bool { return k.leader() != "" && k.allShardsOwned() })
 		script(k)
 		k.settle()
 	})
 }
 
 func newCluster(t *testing.T, l layout) *cluster {
-	k := &cluster{t: t, timing: l.timing, zones: map[string]string{}, procs: map[string]*process{}}
+	k := &cluster{t: t, timing: l.timing, zoneOf: map[string]string{}, processes: map[string]*process{}}
 	types := []wire.MachineType{{Name: "big", CPUs: 16, GPUs: 2, MemoryGB: 64, CacheGB: 100, FetchGBps: 1, Price: 5, SpotPrice: 2, BootS: 10, Zones: l.zones}}
 	for i := range l.controllers {
 		label := fmt.Sprintf("c-%d", i)
 		k.labels = append(k.labels, label)
-		k.zones[label] = l.zones[i%len(l.zones)]
+		k.zoneOf[label] = l.zones[i%len(l.zones)]
 	}
 	k.params = config.Params{
 		Count: l.controllers, Zones: l.zones, Teams: []config.Team{{Name: "tight", GPUsMax: teamLimit}, {Name: "wide"}, {Name: "other"}},
@@ -101,29 +101,29 @@
 		Resources: config.Resources{CPUShare: 0.2, MemoryMB: 200, MaxSockets: 2000},
 	}
 	limits := map[string]float64{"tight": teamLimit}
-	if l.byHash {
+	if l.shardsByHash {
 		k.params.Teams, limits = nil, nil
 	}
-	k.check = testkit.NewChecker(limits, l.timing.Cancel)
-	k.world = testkit.NewWorld(k.labels, types, l.timing, k.check, l.seed)
-	k.rec = newRecorder()
-	k.world.Observe(k.rec.observer())
+	k.checker = testkit.NewChecker(limits, l.timing.Cancel)
+	k.world = testkit.NewWorld(k.labels, types, l.timing, k.checker, l.seed)
+	k.recorder = newRecorder()
+	k.world.Observe(k.recorder.observer())
 	return k
 }
 
 // stop saves the record of a schedule that failed, and ends everything, so that the bubble can end.
 func (k *cluster) stop() {
-	k.rec.save(k.t)
+	k.recorder.save(k.t)
 	for _, label := range k.labels {
 		k.crash(label)
 	}
 	k.world.Net.Heal()
 	k.world.Stop()
-	time.Sleep(lastCalls)
+	time.Sleep(pendingCallsTimeout)
 }
 
-// lastCalls is how long calls under way may take to give up.
-const lastCalls = 30 * time.Second
+// pendingCallsTimeout is how long calls under way may take to give up.
+const pendingCallsTimeout = 30 * time.Second
 
 // leader returns the label of the leader on record, if its process lives.
 func (k *cluster) leader() string {
@@ -145,12 +145,12 @@
 	return r.Owner
 }
 
-// ownerOf returns who owns the part of a team.
-func (k *cluster) ownerOf(team string) string {
-	return k.owner(k.part(team))
+// ownerOfTeam returns who owns the part of a team.
+func (k *cluster) ownerOfTeam(team string) string {
+	return k.owner(k.shardOfTeam(team))
 }
 
-func (k *cluster) part(team string) int {
+func (k *cluster) shardOfTeam(team string) int {
 	var teams []string
 	for _, t := range k.params.Teams {
 		teams = append(teams, t.Name)
@@ -159,13 +159,13 @@
 	return record.ShardForJob(teams, team, "", k.params.Count)
 }
 
-// others returns the labels of the controllers but those named.
-func (k *cluster) others(labels ...string) []string {
+// labelsExcept returns the labels of the controllers but those named.
+func (k *cluster) labelsExcept(labels ...string) []string {
 	return slices.DeleteFunc(slices.Clone(k.labels), func(l string) bool { return slices.Contains(labels, l) })
 }
 
-// owned reports whether every part is held by a process that lives.
-func (k *cluster) owned() bool {
+// allShardsOwned reports whether every part is held by a process that lives.
+func (k *cluster) allShardsOwned() bool {
 	for part := range k.params.Count {
 		p := k.process(k.owner(part))
 		if p == nil {
@@ -199,8 +199,8 @@
 func (k *cluster) settle() {
 	k.t.Helper()
 	k.world.Mend()
-	k.restartMissing()
-	k.check.Calm(true)
+	k.startMissing()
+	k.checker.Calm(true)
 	time.Sleep(settleFor)
 	for _, r := range k.refs {
 		for _, label := range k.labels {
@@ -209,43 +209,43 @@
 			}
 		}
 	}
-	k.verdict()
+	k.reportViolations()
 }
 
-// verdict fails the test for all that the checker found.
-func (k *cluster) verdict() {
+// reportViolations fails the test for all that the checker found.
+func (k *cluster) reportViolations() {
 	k.t.Helper()
 	for _, label := range k.labels {
-		if p := k.process(label); p != nil && !k.loses && p.c.everLost() {
+		if p := k.process(label); p != nil && !k.losesData && p.c.everInSafeMode() {
 			k.t.Errorf("%s believes that the state service has lost data", label)
 		}
 	}
-	for _, b := range k.check.Broken() {
+	for _, b := range k.checker.Broken() {
 		k.t.Error(b)
 	}
-	if k.t.Failed() && len(k.said) > 0 {
-		k.t.Log(strings.Join(k.said, "; "))
+	if k.t.Failed() && len(k.scriptLog) > 0 {
+		k.t.Log(strings.Join(k.scriptLog, "; "))
 	}
 }
 
-// meet plays a script on both layouts with a fixed list of seeds.
-func meet(t *testing.T, script func(k *cluster)) {
+// runOnAllLayouts plays a script on both layouts with a fixed list of seeds.
+func runOnAllLayouts(t *testing.T, script func(k *cluster)) {
 	t.Helper()
 	for name, l := range layouts {
-		for seed := range uint64(meetSeeds) {
+		for seed := range uint64(seedsPerLayout) {
 			t.Run(fmt.Sprintf("%s-%d", name, seed+1), func(t *testing.T) {
 				t.Parallel()
-				play(t, l(seed+1), script)
+				runScript(t, l(seed+1), script)
 			})
 		}
 	}
 }
 
-// meetSeeds is how many seeds a script is played with on each layout.
-const meetSeeds = 3
+// seedsPerLayout is how many seeds a script is played with on each layout.
+const seedsPerLayout = 3
 
-// happened fails the test if what it is about did not come to pass.
-func (k *cluster) happened(ok bool, what string) {
+// requireOccurred fails the test if what it is about did not come to pass.
+func (k *cluster) requireOccurred(ok bool, what string) {
 	k.t.Helper()
 	if !ok {
 		k.t.Errorf("the test's trouble did not come about: %s", what)
--- a/internal/controller/drains_failures_test.go
+++ b/internal/controller/drains_failures_test.go
@@ -12,43 +12,43 @@
 	"bramblespur/internal/wire"
 )
 
-// drainWithTrouble drains all machines while something fails, and waits until the drain has
+// runDrainDuringFault drains all machines while something fails, and waits until the drain has
 // come to its end all the same.
-func drainWithTrouble(t *testing.T, trouble func(k *drainCluster)) {
+func runDrainDuringFault(t *testing.T, trouble func(k *drainCluster)) {
 	t.Helper()
-	drainOn(t, func(k *drainCluster) {
+	runDrain(t, func(k *drainCluster) {
 		k.loadEvenly()
-		k.ask("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
+		k.requestDrain("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
 		trouble(k)
-		k.finished("all", time.Hour)
+		k.awaitFinished("all", time.Hour)
 	})
 }
 
 // awaitGrant waits until one more eviction is on record.
 func (k *drainCluster) awaitGrant() {
 	k.t.Helper()
-	before := k.granted()
-	k.await(5*time.Minute, "a grant", func() bool { return k.granted() > before })
+	before := k.grantedEvictions()
+	k.await(5*time.Minute, "a grant", func() bool { return k.grantedEvictions() > before })
 }
 
 // The owner, the leader or all end right after a grant is on record, before its order went
 // out, and again while it is being carried out.
 func TestDrainControllersEndAfterGrant(t *testing.T) {
 	victims := map[string]func(k *drainCluster) []string{
-		"owner":  func(k *drainCluster) []string { return []string{k.ownerOf("wide")} },
+		"owner":  func(k *drainCluster) []string { return []string{k.ownerOfTeam("wide")} },
 		"leader": func(k *drainCluster) []string { return []string{k.leader()} },
 		"all":    func(k *drainCluster) []string { return k.labels },
 	}
 	for name, victim := range victims {
 		t.Run(name, func(t *testing.T) {
-			drainWithTrouble(t, func(k *drainCluster) {
+			runDrainDuringFault(t, func(k *drainCluster) {
 				for _, back := range []time.Duration{200 * time.Millisecond, 12 * time.Second} {
 					k.awaitGrant()
 					for _, label := range victim(k) {
 						k.crash(label)
 					}
 					time.Sleep(back)
-					k.restartMissing()
+					k.startMissing()
 				}
 			})
 		})
@@ -59,7 +59,7 @@
 // ledgers that get no answer or are carried out late.
 func TestDrainWhileStateServiceFails(t *testing.T) {
 	t.Run("outage", func(t *testing.T) {
-		drainWithTrouble(t, func(k *drainCluster) {
+		runDrainDuringFault(t, func(k *drainCluster) {
 			k.awaitGrant()
 			k.world.State.Outage(true)
 			time.Sleep(20 * time.Second)
@@ -67,9 +67,9 @@
 		})
 	})
 	t.Run("refuses the owner", func(t *testing.T) {
-		drainWithTrouble(t, func(k *drainCluster) {
+		runDrainDuringFault(t, func(k *drainCluster) {
 			k.awaitGrant()
-			owner := k.ownerOf("wide")
+			owner := k.ownerOfTeam("wide")
 			k.world.State.Refuse(owner, true)
 			time.Sleep(20 * time.Second)
 			k.world.State.Refuse(owner, false)
@@ -77,7 +77,7 @@
 	})
 	for name, fate := range map[string]testkit.Fate{"lost": {Lost: true}, "late": {Late: 7 * time.Second}} {
 		t.Run(name, func(t *testing.T) {
-			drainWithTrouble(t, func(k *drainCluster) {
+			runDrainDuringFault(t, func(k *drainCluster) {
 				var n atomic.Int64
 				k.world.State.Decide(func(_ string, w wire.Txn) testkit.Fate {
 					if !writes(w, drain.LedgerPrefix) {
@@ -90,7 +90,7 @@
 				})
 				k.awaitGrant()
 				time.Sleep(2 * time.Minute)
-				k.happened(n.Load() > 1, "writes of ledgers without an answer")
+				k.requireOccurred(n.Load() > 1, "writes of ledgers without an answer")
 				k.world.State.Decide(nil)
 			})
 		})
@@ -114,8 +114,8 @@
 		heal()
 	}
 	troubles := map[string]func(k *drainCluster, ms []*testkit.Agent){
-		"deaf": func(k *drainCluster, ms []*testkit.Agent) { forAWhile(k, k.deaf(ids(ms))) },
-		"mute": func(k *drainCluster, ms []*testkit.Agent) { forAWhile(k, k.mute(ids(ms))) },
+		"deaf": func(k *drainCluster, ms []*testkit.Agent) { forAWhile(k, k.dropMessagesTo(matchAgents(ms))) },
+		"mute": func(k *drainCluster, ms []*testkit.Agent) { forAWhile(k, k.blockCallsFrom(matchAgents(ms))) },
 		"hung": func(k *drainCluster, ms []*testkit.Agent) {
 			for _, m := range ms {
 				m.Hang(true)
@@ -141,7 +141,7 @@
 	}
 	for name, trouble := range troubles {
 		t.Run(name, func(t *testing.T) {
-			drainWithTrouble(t, func(k *drainCluster) {
+			runDrainDuringFault(t, func(k *drainCluster) {
 				ms := cordoned(k)
 				testkit.Ail(ms...)
 				trouble(k, ms)
@@ -152,18 +152,18 @@
 
 // Parts change owners while their machines are drained.
 func TestDrainWhileShardsChangeOwners(t *testing.T) {
-	drainWithTrouble(t, func(k *drainCluster) {
+	runDrainDuringFault(t, func(k *drainCluster) {
 		k.awaitGrant()
-		before := k.ownerOf("wide")
+		before := k.ownerOfTeam("wide")
 		k.crash(before)
-		k.successor("wide", before)
+		k.awaitNewOwner("wide", before)
 		k.awaitGrant()
-		k.restartMissing() // and home again
+		k.startMissing() // and home again
 	})
 }
 
-// meanTroubles are what the schedules below choose from. Each takes a while and ends.
-var meanTroubles = []func(k *drainCluster, r *rand.Rand){
+// drainFaults are what the schedules below choose from. Each takes a while and ends.
+var drainFaults = []func(k *drainCluster, r *rand.Rand){
 	func(k *drainCluster, r *rand.Rand) {
 		label := k.labels[r.IntN(len(k.labels))]
 		k.crash(label)
@@ -175,7 +175,7 @@
 			k.crash(label)
 		}
 		k.world.Sleep(time.Duration(r.IntN(8000)) * time.Millisecond)
-		k.restartMissing()
+		k.startMissing()
 	},
 	func(k *drainCluster, r *rand.Rand) {
 		k.world.State.Outage(true)
@@ -212,9 +212,9 @@
 		k.world.State.Decide(nil)
 	},
 	func(k *drainCluster, r *rand.Rand) {
-		old := k.reports()
+		old := k.heartbeats()
 		k.world.Sleep(time.Duration(r.IntN(20000)) * time.Millisecond)
-		k.replay(old)
+		k.replayHeartbeats(old)
 	},
 }
 
@@ -229,30 +229,30 @@
 			t.Run(fmt.Sprintf("%s-%d", name, seed), func(t *testing.T) {
 				t.Parallel()
 				play := drainLayout{layout: l(seed + 1), limit: drainBudget}
-				play.byHash = seed%2 == 1 // a team's jobs are several owners'
-				playDrain(t, play, func(k *drainCluster) { k.schedule(rand.New(rand.NewPCG(seed, 7))) })
+				play.shardsByHash = seed%2 == 1 // a team's jobs are several owners'
+				runDrainScript(t, play, func(k *drainCluster) { k.runRandomSchedule(rand.New(rand.NewPCG(seed, 7))) })
 			})
 		}
 	}
 }
 
-func (k *drainCluster) schedule(r *rand.Rand) {
+func (k *drainCluster) runRandomSchedule(r *rand.Rand) {
 	k.t.Helper()
 	k.loadEvenly()
-	k.submit(spec(ref(firstOwn), "wide", func(s *wire.Spec) { s.Tasks = 4 }), long)
-	k.ask("types", func(p *drain.Plan) { p.Selector.Types, p.MaxConcurrent = []string{"big"}, 3 })
-	k.ask("zone", func(p *drain.Plan) { p.Selector.Zones, p.MaxConcurrent = []string{"a"}, 3 })
+	k.submit(spec(ref(firstFreeJob), "wide", func(s *wire.Spec) { s.Tasks = 4 }), longRun)
+	k.requestDrain("types", func(p *drain.Plan) { p.Selector.Types, p.MaxConcurrent = []string{"big"}, 3 })
+	k.requestDrain("zone", func(p *drain.Plan) { p.Selector.Zones, p.MaxConcurrent = []string{"a"}, 3 })
 	for range 6 {
 		time.Sleep(time.Duration(2000+r.IntN(25000)) * time.Millisecond)
-		k.said = append(k.said, time.Now().Format("15:04:05"))
-		meanTroubles[r.IntN(len(meanTroubles))](k, r)
+		k.scriptLog = append(k.scriptLog, time.Now().Format("15:04:05"))
+		drainFaults[r.IntN(len(drainFaults))](k, r)
 	}
 	k.world.Mend()
-	k.restartMissing()
+	k.startMissing()
 	for _, name := range []string{"types", "zone"} {
-		k.finished(name, 2*time.Hour)
+		k.awaitFinished(name, 2*time.Hour)
 	}
-	k.happened(k.granted() > 0, "work is evicted")
+	k.requireOccurred(k.grantedEvictions() > 0, "work is evicted")
 }
 
 // Owners of several parts that hold one team's work decide on the same record at the same
@@ -263,21 +263,21 @@
 			t.Run(fmt.Sprintf("%s-%d", name, seed), func(t *testing.T) {
 				t.Parallel()
 				play := drainLayout{layout: l(seed + 1), limit: drainBudget}
-				play.byHash = true
-				playDrain(t, play, func(k *drainCluster) {
+				play.shardsByHash = true
+				runDrainScript(t, play, func(k *drainCluster) {
 					const jobs = 6
 					for i := range jobs {
-						k.submit(spec(ref(firstOwn+i), "wide", func(s *wire.Spec) { s.Tasks, s.EstimateS = 2, 5 }), long)
+						k.submit(spec(ref(firstFreeJob+i), "wide", func(s *wire.Spec) { s.Tasks, s.EstimateS = 2, 5 }), longRun)
 					}
 					for i := range jobs {
-						k.running(ref(firstOwn+i), 2)
+						k.awaitRunning(ref(firstFreeJob+i), 2)
 					}
 					k.world.State.Slow(600 * time.Millisecond)
-					k.ask("all", func(p *drain.Plan) { p.Selector.Types, p.MaxConcurrent = []string{"big"}, 6 })
+					k.requestDrain("all", func(p *drain.Plan) { p.Selector.Types, p.MaxConcurrent = []string{"big"}, 6 })
 					k.awaitGrant()
 					time.Sleep(6 * time.Minute)
 					k.world.State.Slow(0)
-					k.finished("all", time.Hour)
+					k.awaitFinished("all", time.Hour)
 				})
 			})
 		}
--- a/internal/controller/drains_harness_test.go
+++ b/internal/controller/drains_harness_test.go
@@ -25,43 +25,43 @@
 // drainCluster is a cluster whose interruptions are counted.
 type drainCluster struct {
 	*cluster
-	settings *drain.Settings
-	off      map[string]bool // controllers that know nothing of drains
-	counted  *testkit.Interruptions
+	settings      *drain.Settings
+	withoutDrains map[string]bool // controllers that know nothing of drains
+	interruptions *testkit.Interruptions
 }
 
 // drainLayout is what differs between the clusters of drain tests.
 type drainLayout struct {
 	layout
-	limit   drain.Limit
-	without string
+	limit         drain.Limit
+	withoutDrains string
 	// settings are the controllers', if their budget is not the one that is counted by.
 	settings *drain.Settings
 }
 
-// playDrain runs a script on a cluster that takes part in drains, and checks in the end
+// runDrainScript runs a script on a cluster that takes part in drains, and checks in the end
 // that no rule was broken and no team's budget passed.
-func playDrain(t *testing.T, l drainLayout, script func(k *drainCluster)) {
+func runDrainScript(t *testing.T, l drainLayout, script func(k *drainCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		k := &drainCluster{cluster: newCluster(t, l.layout), settings: drainSettings(l.limit), off: map[string]bool{l.without: true}}
+		k := &drainCluster{cluster: newCluster(t, l.layout), settings: drainSettings(l.limit), withoutDrains: map[string]bool{l.withoutDrains: true}}
 		defer k.stop()
 		if l.settings != nil {
 			k.settings = l.settings
 		}
 		k.prepare = func(label string, c *Controller) {
-			if !k.off[label] {
+			if !k.withoutDrains[label] {
 				c.drainer.Enable(k.settings, &k.params)
 			}
 		}
-		k.counted = k.world.CountInterruptions(l.limit.MaxConcurrent, l.limit.MaxInWindow, l.limit.Window)
+		k.interruptions = k.world.CountInterruptions(l.limit.MaxConcurrent, l.limit.MaxInWindow, l.limit.Window)
 		for _, label := range k.labels {
 			k.start(label)
 		}
-		k.await(30*time.Second, "a leader and all parts", func() bool { return k.leader() != "" && k.owned() })
+		k.await(30*time.Second, "a leader and all parts", func() bool { return k.leader() != "" && k.allShardsOwned() })
 		script(k)
 		k.settle()
-		for _, b := range k.counted.Broken() {
+		for _, b := range k.interruptions.Broken() {
 			t.Error("over budget: " + b)
 			break
 		}
@@ -74,46 +74,46 @@
 	k.loadWith(func(spec *wire.Spec) { spec.Priority = "normal" })
 }
 
-// drainOn plays a script on both layouts with the usual budget.
-func drainOn(t *testing.T, script func(k *drainCluster)) {
+// runDrain plays a script on both layouts with the usual budget.
+func runDrain(t *testing.T, script func(k *drainCluster)) {
 	t.Helper()
-	drainOnWith(t, drainLayout{limit: drainBudget}, script)
+	runDrainWith(t, drainLayout{limit: drainBudget}, script)
 }
 
-// drainOnWith plays a script on both layouts with what else a layout says.
-func drainOnWith(t *testing.T, with drainLayout, script func(k *drainCluster)) {
+// runDrainWith plays a script on both layouts with what else a layout says.
+func runDrainWith(t *testing.T, with drainLayout, script func(k *drainCluster)) {
 	t.Helper()
 	for name, l := range layouts {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			own := with
 			own.layout = l(1)
-			playDrain(t, own, script)
+			runDrainScript(t, own, script)
 		})
 	}
 }
 
-// ask asks for a drain as an operator does.
-func (k *drainCluster) ask(name string, change func(*drain.Plan)) {
+// requestDrain asks for a drain as an operator does.
+func (k *drainCluster) requestDrain(name string, change func(*drain.Plan)) {
 	k.t.Helper()
 	p := drain.Plan{Name: name, MaxConcurrent: 2, Reason: "test", State: drain.Active, Created: time.Now().UnixMilli()}
 	change(&p)
 	if err := p.Check(); err != nil {
 		k.t.Fatal(err)
 	}
-	k.operator(drain.StartTxn(p))
+	k.applyAsOperator(drain.StartTxn(p))
 }
 
-// operator carries out an operator's transaction.
-func (k *drainCluster) operator(t wire.Txn) {
+// applyAsOperator carries out an applyAsOperator's transaction.
+func (k *drainCluster) applyAsOperator(t wire.Txn) {
 	k.t.Helper()
 	if err := k.world.State.Put(t); err != nil {
 		k.t.Fatal(err)
 	}
 }
 
-// change pauses, resumes or cancels a drain.
-func (k *drainCluster) change(name string, to drain.State) {
+// changeState pauses, resumes or cancels a drain.
+func (k *drainCluster) changeState(name string, to drain.State) {
 	k.t.Helper()
 	for range 10 { // the leader may end it at the same moment
 		t, err := drain.ChangeTxn(k.plan(name), to, time.Now())
@@ -150,8 +150,8 @@
 	return c.Machines
 }
 
-// takingWork counts the machines of each zone that are up and not cordoned on record.
-func (k *drainCluster) takingWork() map[string]int {
+// machinesTakingWork counts the machines of each zone that are up and not cordoned on record.
+func (k *drainCluster) machinesTakingWork() map[string]int {
 	cordons := k.cordons()
 	out := map[string]int{}
 	for _, m := range k.world.Machines() {
@@ -162,8 +162,8 @@
 	return out
 }
 
-// granted returns how many evictions were granted so far, on record.
-func (k *drainCluster) granted() int {
+// grantedEvictions returns how many evictions were grantedEvictions so far, on record.
+func (k *drainCluster) grantedEvictions() int {
 	seen := map[string]bool{}
 	for _, w := range k.world.State.Writes() {
 		for _, op := range w.Txn.Then {
@@ -193,8 +193,8 @@
 	return out
 }
 
-// gone reports whether none of some machines is up.
-func (k *drainCluster) gone(names []string) bool {
+// allGone reports whether none of some machines is up.
+func (k *drainCluster) allGone(names []string) bool {
 	for _, m := range k.world.Machines() {
 		for _, n := range names {
 			if m.ID == n {
@@ -205,8 +205,8 @@
 	return true
 }
 
-// finished waits until a drain has come to its end.
-func (k *drainCluster) finished(name string, within time.Duration) {
+// awaitFinished waits until a drain has come to its end.
+func (k *drainCluster) awaitFinished(name string, within time.Duration) {
 	k.t.Helper()
 	for end := time.Now().Add(within); k.state(name) != drain.Finished; time.Sleep(time.Second) {
 		if time.Now().After(end) {
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -13,13 +13,13 @@
 // A drain of all machines replaces them step by step: the work goes on elsewhere, and each
 // team is interrupted within its budget.
 func TestDrainReplacesAllMachines(t *testing.T) {
-	drainOn(t, func(k *drainCluster) {
+	runDrain(t, func(k *drainCluster) {
 		k.loadEvenly()
 		old := k.machineNames()
-		k.ask("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
-		k.finished("all", time.Hour)
-		k.happened(k.granted() > 0 && k.counted.Chosen("wide") > 0, "work is interrupted")
-		if !k.gone(old) {
+		k.requestDrain("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
+		k.awaitFinished("all", time.Hour)
+		k.requireOccurred(k.grantedEvictions() > 0 && k.interruptions.Chosen("wide") > 0, "work is interrupted")
+		if !k.allGone(old) {
 			k.t.Errorf("%v, of %v, are still there", k.machineNames(), old)
 		}
 	})
@@ -27,22 +27,22 @@
 
 // A gang in its last stretch is let finish, though it takes longer than was estimated.
 func TestDrainLetsGangFinish(t *testing.T) {
-	drainOn(t, func(k *drainCluster) {
+	runDrain(t, func(k *drainCluster) {
 		k.submit(spec(ref(gangJob), "wide", func(s *wire.Spec) {
 			gang(2)(s)
 			s.CheckpointS, s.EstimateS = 0, 100
 		}), testkit.Length{Run: 140 * time.Second, Fetch: 2 * time.Second})
-		ms := k.running(ref(gangJob), 2)
+		ms := k.awaitRunning(ref(gangJob), 2)
 		time.Sleep(85 * time.Second)
 		var names []string
 		for _, m := range ms {
 			names = append(names, m.ID)
 		}
-		k.ask("two", func(p *drain.Plan) {
+		k.requestDrain("two", func(p *drain.Plan) {
 			p.Selector.Machines, p.FinishBy = names, time.Now().Add(10*time.Minute).UnixMilli()
 		})
-		k.finished("two", 10*time.Minute)
-		if n := k.granted(); n != 0 || k.world.Told(ref(gangJob)) != wire.Done {
+		k.awaitFinished("two", 10*time.Minute)
+		if n := k.grantedEvictions(); n != 0 || k.world.Told(ref(gangJob)) != wire.Done {
 			k.t.Errorf("%d evictions, the gang is %q", n, k.world.Told(ref(gangJob)))
 		}
 	})
@@ -51,16 +51,16 @@
 // Two drains that between them select every machine never leave a zone without one that
 // takes work.
 func TestDrainsLeaveNoZoneEmpty(t *testing.T) {
-	drainOn(t, func(k *drainCluster) {
+	runDrain(t, func(k *drainCluster) {
 		k.loadEvenly()
-		k.submit(spec(ref(firstOwn), "other", func(s *wire.Spec) { s.Tasks = 8 }), long)
-		k.running(ref(firstOwn), 8)
+		k.submit(spec(ref(firstFreeJob), "other", func(s *wire.Spec) { s.Tasks = 8 }), longRun)
+		k.awaitRunning(ref(firstFreeJob), 8)
 		before := map[string]int{}
 		for _, m := range k.world.Machines() {
 			before[m.Zone]++
 		}
-		k.ask("zone", func(p *drain.Plan) { p.Selector.Zones, p.MaxConcurrent = []string{"a"}, 50 })
-		k.ask("types", func(p *drain.Plan) { p.Selector.Types, p.MaxConcurrent = []string{"big"}, 50 })
+		k.requestDrain("zone", func(p *drain.Plan) { p.Selector.Zones, p.MaxConcurrent = []string{"a"}, 50 })
+		k.requestDrain("types", func(p *drain.Plan) { p.Selector.Types, p.MaxConcurrent = []string{"big"}, 50 })
 		for range 60 {
 			time.Sleep(time.Second)
 			left := map[string]int{}
@@ -75,8 +75,8 @@
 				}
 			}
 		}
-		k.happened(len(k.cordons()) > 0, "machines are cordoned")
-		k.finished("types", 2*time.Hour)
+		k.requireOccurred(len(k.cordons()) > 0, "machines are cordoned")
+		k.awaitFinished("types", 2*time.Hour)
 	})
 }
 
@@ -89,72 +89,72 @@
 // TestDrainsLeaveNoZoneEmpty on a busy machine, where a replacement was booting as the next
 // machines were chosen.
 func TestDrainsLeaveWorkingMachinesWhileOthersBoot(t *testing.T) {
-	drainOn(t, func(k *drainCluster) {
+	runDrain(t, func(k *drainCluster) {
 		k.loadEvenly()
-		k.submit(spec(ref(firstOwn), "other", func(s *wire.Spec) { s.Tasks = 8 }), long)
-		k.running(ref(firstOwn), 8)
-		before := k.takingWork()
+		k.submit(spec(ref(firstFreeJob), "other", func(s *wire.Spec) { s.Tasks = 8 }), longRun)
+		k.awaitRunning(ref(firstFreeJob), 8)
+		before := k.machinesTakingWork()
 		k.world.Boot(time.Hour, false)
-		k.submit(spec(ref(firstOwn+1), "other", func(s *wire.Spec) { s.Tasks = 24 }), long)
+		k.submit(spec(ref(firstFreeJob+1), "other", func(s *wire.Spec) { s.Tasks = 24 }), longRun)
 		time.Sleep(10 * time.Second) // machines are rented for it
-		k.ask("zone", func(p *drain.Plan) { p.Selector.Zones, p.MaxConcurrent = []string{"a"}, 50 })
-		k.ask("types", func(p *drain.Plan) { p.Selector.Types, p.MaxConcurrent = []string{"big"}, 50 })
+		k.requestDrain("zone", func(p *drain.Plan) { p.Selector.Zones, p.MaxConcurrent = []string{"a"}, 50 })
+		k.requestDrain("types", func(p *drain.Plan) { p.Selector.Types, p.MaxConcurrent = []string{"big"}, 50 })
 		for range 90 {
 			time.Sleep(time.Second)
-			now := k.takingWork()
+			now := k.machinesTakingWork()
 			for zone, n := range before {
 				if n > 1 && now[zone] == 0 {
 					k.t.Fatalf("zone %s, of %d machines that took work, has none: %s", zone, n, k.drainRecords())
 				}
 			}
 		}
-		k.happened(len(k.cordons()) > 0, "machines are cordoned")
+		k.requireOccurred(len(k.cordons()) > 0, "machines are cordoned")
 		k.world.Boot(5*time.Second, false)
-		k.finished("types", 2*time.Hour)
+		k.awaitFinished("types", 2*time.Hour)
 	})
 }
 
 // Where nothing can be rented, work stays where it is until something can.
 func TestDrainAwaitsReplacements(t *testing.T) {
-	drainOn(t, func(k *drainCluster) {
+	runDrain(t, func(k *drainCluster) {
 		k.loadEvenly()
-		k.submit(spec(ref(firstOwn), "other", func(s *wire.Spec) { s.Tasks = 20 }), long)
-		k.running(ref(firstOwn), 20)
+		k.submit(spec(ref(firstFreeJob), "other", func(s *wire.Spec) { s.Tasks = 20 }), longRun)
+		k.awaitRunning(ref(firstFreeJob), 20)
 		k.world.Boot(5*time.Second, true)
-		k.submit(spec(ref(firstOwn+1), "other", func(s *wire.Spec) { s.Tasks = 8 }), long) // takes whatever comes free
+		k.submit(spec(ref(firstFreeJob+1), "other", func(s *wire.Spec) { s.Tasks = 8 }), longRun) // takes whatever comes free
 		time.Sleep(10 * time.Second)
-		k.ask("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
+		k.requestDrain("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
 		time.Sleep(4 * time.Minute)
-		if got := k.drainRecords(); !strings.Contains(got, string(drain.HoldNoCapacity)) || k.granted() > 1 {
-			k.t.Errorf("%d evictions without a replacement: %s", k.granted(), got)
+		if got := k.drainRecords(); !strings.Contains(got, string(drain.HoldNoCapacity)) || k.grantedEvictions() > 1 {
+			k.t.Errorf("%d evictions without a replacement: %s", k.grantedEvictions(), got)
 		}
 		k.world.Boot(5*time.Second, false)
-		k.finished("all", 4*time.Hour)
+		k.awaitFinished("all", 4*time.Hour)
 	})
 }
 
 // A drain that is cancelled leaves nothing behind: cordons are lifted, and what was granted
 // is either carried out or taken back. Paused, it begins nothing new.
 func TestDrainPausedAndCancelled(t *testing.T) {
-	drainOn(t, func(k *drainCluster) {
+	runDrain(t, func(k *drainCluster) {
 		k.loadEvenly()
-		k.ask("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
+		k.requestDrain("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
 		k.awaitGrant()
-		k.change("all", drain.Paused)
+		k.changeState("all", drain.Paused)
 		time.Sleep(10 * time.Second)
-		granted, cordons := k.granted(), k.cordons()
+		granted, cordons := k.grantedEvictions(), k.cordons()
 		time.Sleep(3 * time.Minute)
-		if k.granted() != granted {
-			k.t.Errorf("paused: %d grants became %d", granted, k.granted())
+		if k.grantedEvictions() != granted {
+			k.t.Errorf("paused: %d grants became %d", granted, k.grantedEvictions())
 		}
 		for id := range cordons {
-			if k.gone([]string{id}) {
+			if k.allGone([]string{id}) {
 				k.t.Errorf("paused: %s was given back", id)
 			}
 		}
-		k.change("all", drain.Active)
+		k.changeState("all", drain.Active)
 		k.awaitGrant()
-		k.change("all", drain.Cancelled)
+		k.changeState("all", drain.Cancelled)
 		k.await(30*time.Second, "cordons lifted", func() bool { return len(k.cordons()) == 0 })
 		time.Sleep(3 * time.Minute)
 		if got := k.drainRecords(); strings.Contains(got, `"d":"all"`) {
@@ -165,25 +165,25 @@
 
 // Nothing is drained while one controller knows nothing of drains, or has other budgets.
 func TestDrainAwaitsAllControllers(t *testing.T) {
-	drainOnWith(t, drainLayout{limit: drainBudget, without: "c-1"}, func(k *drainCluster) {
+	runDrainWith(t, drainLayout{limit: drainBudget, withoutDrains: "c-1"}, func(k *drainCluster) {
 		k.loadEvenly()
-		k.ask("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
+		k.requestDrain("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
 		time.Sleep(2 * time.Minute)
-		if len(k.cordons()) > 0 || k.granted() > 0 {
+		if len(k.cordons()) > 0 || k.grantedEvictions() > 0 {
 			k.t.Errorf("it began without c-1: %s", k.drainRecords())
 		}
-		k.off["c-1"] = false
+		k.withoutDrains["c-1"] = false
 		usual := k.settings
 		k.settings = drainSettings(drain.Limit{MaxConcurrent: 2, MaxInWindow: 3, Window: time.Minute})
 		k.restart("c-1", time.Second)
 		time.Sleep(time.Minute)
-		if len(k.cordons()) > 0 || k.granted() > 0 {
+		if len(k.cordons()) > 0 || k.grantedEvictions() > 0 {
 			k.t.Errorf("it began while c-1 has other budgets: %s", k.drainRecords())
 		}
 		k.settings = usual
 		k.restart("c-1", time.Second)
-		k.finished("all", time.Hour)
-		k.off["c-1"] = true
+		k.awaitFinished("all", time.Hour)
+		k.withoutDrains["c-1"] = true
 		k.restart("c-1", time.Second)
 		k.await(time.Minute, "c-1 takes its word back", func() bool {
 			_, said := k.world.State.Entry(drain.ParticipantKey("c-1"))
@@ -194,21 +194,21 @@
 
 // A budget that is lowered to nothing lets no work be evicted any more; what is in use stays.
 func TestDrainBudgetLowered(t *testing.T) {
-	drainOn(t, func(k *drainCluster) {
+	runDrain(t, func(k *drainCluster) {
 		k.loadEvenly()
-		k.ask("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
+		k.requestDrain("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
 		k.awaitGrant()
 		k.settings = drainSettings(drain.Limit{MaxConcurrent: 0, MaxInWindow: 0, Window: time.Minute})
 		for _, label := range k.labels {
 			k.restart(label, 500*time.Millisecond)
 			time.Sleep(5 * time.Second)
 		}
-		granted := k.granted()
+		granted := k.grantedEvictions()
 		time.Sleep(5 * time.Minute)
-		if k.granted() != granted {
-			k.t.Errorf("%d grants became %d with a budget of none", granted, k.granted())
+		if k.grantedEvictions() != granted {
+			k.t.Errorf("%d grants became %d with a budget of none", granted, k.grantedEvictions())
 		}
-		k.happened(strings.Contains(k.drainRecords(), string(drain.HoldBudgetExhausted)), "the budget holds it up")
+		k.requireOccurred(strings.Contains(k.drainRecords(), string(drain.HoldBudgetExhausted)), "the budget holds it up")
 	})
 }
 
@@ -223,21 +223,21 @@
 		}
 	}
 	t.Run("kept", func(t *testing.T) {
-		drainOnWith(t, drainLayout{settings: none}, func(k *drainCluster) {
+		runDrainWith(t, drainLayout{settings: none}, func(k *drainCluster) {
 			k.loadEvenly()
-			k.ask("all", soon(false))
+			k.requestDrain("all", soon(false))
 			time.Sleep(3 * time.Minute)
-			if n := k.granted(); n > 0 || k.state("all") != drain.Active {
+			if n := k.grantedEvictions(); n > 0 || k.state("all") != drain.Active {
 				k.t.Errorf("%d evictions without a budget, the drain is %s", n, k.state("all"))
 			}
 		})
 	})
 	t.Run("forced", func(t *testing.T) {
-		drainOnWith(t, drainLayout{settings: none, limit: drain.Limit{MaxConcurrent: 50, MaxInWindow: 50, Window: time.Minute}}, func(k *drainCluster) {
+		runDrainWith(t, drainLayout{settings: none, limit: drain.Limit{MaxConcurrent: 50, MaxInWindow: 50, Window: time.Minute}}, func(k *drainCluster) {
 			k.loadEvenly()
-			k.ask("all", soon(true))
-			k.finished("all", 30*time.Minute)
-			k.happened(strings.Contains(k.drainRecords(), `"f":`), "forced evictions are on record")
+			k.requestDrain("all", soon(true))
+			k.awaitFinished("all", 30*time.Minute)
+			k.requireOccurred(strings.Contains(k.drainRecords(), `"f":`), "forced evictions are on record")
 		})
 	})
 }
@@ -247,11 +247,11 @@
 func TestDrainRecordsOfOthers(t *testing.T) {
 	garbage := wire.Txn{Then: []wire.Op{{Put: drain.PlanKey("bad"), Value: []byte(`{"name":"good","at_once":-1}`)}}}
 	t.Run("off", func(t *testing.T) {
-		play(t, near(1), func(c *cluster) {
+		runScript(t, near(1), func(c *cluster) {
 			k := &drainCluster{cluster: c}
 			k.load()
-			k.operator(garbage)
-			k.ask("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
+			k.applyAsOperator(garbage)
+			k.requestDrain("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
 			time.Sleep(2 * time.Minute)
 			for _, w := range k.world.State.Writes() {
 				if writes(w.Txn, drain.Prefix) && w.From != testkit.TestEnd {
@@ -261,11 +261,11 @@
 		})
 	})
 	t.Run("on", func(t *testing.T) {
-		drainOn(t, func(k *drainCluster) {
+		runDrain(t, func(k *drainCluster) {
 			k.loadEvenly()
-			k.operator(garbage)
-			k.ask("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
-			k.finished("all", time.Hour)
+			k.applyAsOperator(garbage)
+			k.requestDrain("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
+			k.awaitFinished("all", time.Hour)
 		})
 	})
 }
--- a/internal/controller/meetings_jobs_test.go
+++ b/internal/controller/fault_combinations_jobs_test.go
@@ -15,7 +15,7 @@
 // One-task jobs come four a second for a minute, a quarter of them cancelled, some
 // at the very moment of their end.
 func TestManySmallJobs(t *testing.T) {
-	meet(t, func(k *cluster) {
+	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
 		var atEnd atomic.Int64
 		k.world.OnEnd(func(ref string) {
@@ -25,8 +25,8 @@
 			}
 		})
 		for i := range 120 {
-			n := firstOwn + i
-			k.submitLater(spec(ref(n), []string{"wide", "other"}[i%2], func(s *wire.Spec) { s.CPUs, s.GPUs, s.MemoryGB = 1, 0, 2 }),
+			n := firstFreeJob + i
+			k.submitInBackground(spec(ref(n), []string{"wide", "other"}[i%2], func(s *wire.Spec) { s.CPUs, s.GPUs, s.MemoryGB = 1, 0, 2 }),
 				testkit.Length{Run: 5 * time.Second, Fetch: time.Second})
 			if i%4 == 0 {
 				k.cancel(ref(n))
@@ -37,15 +37,15 @@
 			}
 		}
 		time.Sleep(30 * time.Second)
-		k.happened(atEnd.Load() > 0, "cancellations at the moment of the end")
+		k.requireOccurred(atEnd.Load() > 0, "cancellations at the moment of the end")
 	})
 }
 
 // Cancellations, questions and repeated submissions meet the end of a job's last
 // task with no other trouble: users ask at all nodes within milliseconds after a
 // job was accepted, ended or confirmed as cancelled.
-func TestCloseLooks(t *testing.T) {
-	meet(t, func(k *cluster) {
+func TestRequestsAroundTheEndOfAJob(t *testing.T) {
+	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
 		var looks atomic.Int64
 		look := func(s wire.Spec) {
@@ -60,7 +60,7 @@
 		}
 		specs := map[string]wire.Spec{}
 		for i := range 9 {
-			s := spec(ref(firstOwn+i), "wide", func(s *wire.Spec) { s.Tasks = 1 + i%2 })
+			s := spec(ref(firstFreeJob+i), "wide", func(s *wire.Spec) { s.Tasks = 1 + i%2 })
 			specs[s.Ref] = s
 		}
 		k.world.OnEnd(func(ref string) {
@@ -76,7 +76,7 @@
 			look(s)
 		})
 		for i := range 9 {
-			s := specs[ref(firstOwn+i)]
+			s := specs[ref(firstFreeJob+i)]
 			k.submit(s, testkit.Length{Run: 8 * time.Second, Fetch: time.Second})
 			k.world.Go(func() { look(s) })
 			if i%3 == 0 {
@@ -93,45 +93,45 @@
 			time.Sleep(time.Second)
 		}
 		time.Sleep(30 * time.Second)
-		k.happened(looks.Load() > 100, "users look closely")
+		k.requireOccurred(looks.Load() > 100, "users look closely")
 	})
 }
 
 // Jobs bound to one zone, arrays too, lose machines, and a gang a part of its own.
 func TestZoneBoundJobsLoseMachines(t *testing.T) {
-	meet(t, func(k *cluster) {
+	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
 		zone := k.params.Zones[0]
-		k.submit(spec(ref(firstOwn), "wide", func(s *wire.Spec) { s.Tasks, s.OneZone = 4, true }), long)
-		k.submit(spec(ref(firstOwn+1), "other", func(s *wire.Spec) { s.Tasks, s.Zone = 3, &zone }), long)
-		k.submit(spec(ref(firstOwn+2), "wide", func(s *wire.Spec) { gang(3)(s); s.Zone = &zone }), long)
-		k.running(ref(firstOwn), 4)
-		k.running(ref(firstOwn+1), 3)
-		k.running(ref(firstOwn+2), 3)
+		k.submit(spec(ref(firstFreeJob), "wide", func(s *wire.Spec) { s.Tasks, s.OneZone = 4, true }), longRun)
+		k.submit(spec(ref(firstFreeJob+1), "other", func(s *wire.Spec) { s.Tasks, s.Zone = 3, &zone }), longRun)
+		k.submit(spec(ref(firstFreeJob+2), "wide", func(s *wire.Spec) { gang(3)(s); s.Zone = &zone }), longRun)
+		k.awaitRunning(ref(firstFreeJob), 4)
+		k.awaitRunning(ref(firstFreeJob+1), 3)
+		k.awaitRunning(ref(firstFreeJob+2), 3)
 		for i := range 3 {
 			var on []*testkit.Agent // a gang has no machine for a moment after one of another job's died
 			k.await(time.Minute, "a machine of the job", func() bool {
-				on = k.world.On(ref(firstOwn + i))
+				on = k.world.On(ref(firstFreeJob + i))
 				return len(on) > 0
 			})
 			on[0].Die()
 			if i == 1 {
-				k.crash(k.ownerOf("other"))
+				k.crash(k.ownerOfTeam("other"))
 			}
 			time.Sleep(k.timing.Report)
 		}
 		time.Sleep(20 * time.Second)
-		k.restartMissing()
-		k.running(ref(firstOwn), 4)
-		k.running(ref(firstOwn+1), 3)
-		k.running(ref(firstOwn+2), 3)
+		k.startMissing()
+		k.awaitRunning(ref(firstFreeJob), 4)
+		k.awaitRunning(ref(firstFreeJob+1), 3)
+		k.awaitRunning(ref(firstFreeJob+2), 3)
 	})
 }
 
 // A cancellation whose tasks can be ended is answered so at the first try, and one
 // whose tasks can't at once with when to come again: no answer is held for that.
 func TestCancellationsAreAnsweredAtOnce(t *testing.T) {
-	meet(t, func(k *cluster) {
+	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
 		on := k.world.On(ref(arrayJob))
 		for _, m := range on {
@@ -145,7 +145,7 @@
 		for _, m := range on {
 			m.Hang(false)
 		}
-		status, state := k.world.Ask(testkit.Cancellation, k.ownerOf("other"), ref(serviceJob), nil)
+		status, state := k.world.Ask(testkit.Cancellation, k.ownerOfTeam("other"), ref(serviceJob), nil)
 		if status != 200 || state != wire.Cancelled {
 			k.t.Errorf("with machines that answer: %d %s", status, state)
 		}
@@ -155,18 +155,18 @@
 
 // Users send what can't be taken, and repeat and cancel what is over, also at
 // controllers that have just begun and without the state service.
-func TestOddRequests(t *testing.T) {
-	meet(t, func(k *cluster) {
+func TestInvalidAndRepeatedRequests(t *testing.T) {
+	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
-		k.submit(spec(ref(firstOwn), "wide", nil), testkit.Length{Run: time.Second, Fetch: time.Second})
-		k.await(time.Minute, "the first job", func() bool { return k.world.Told(ref(firstOwn)) == wire.Done })
+		k.submit(spec(ref(firstFreeJob), "wide", nil), testkit.Length{Run: time.Second, Fetch: time.Second})
+		k.await(time.Minute, "the first job", func() bool { return k.world.Told(ref(firstFreeJob)) == wire.Done })
 		odd := func() {
 			for _, label := range k.labels {
 				for what, x := range map[string]struct {
 					body []byte
 					want int
 				}{
-					"a job without a team":          {without(spec("run-000901", "wide", nil), "keeper"), 400},
+					"a job without a team":          {encodeWithout(spec("run-000901", "wide", nil), "keeper"), 400},
 					"a job of an unknown team":      {encode(spec("run-000902", "nobody", nil)), 422},
 					"a job that fits no machine":    {encode(spec("run-000903", "wide", func(s *wire.Spec) { s.CPUs = 17 })), 422},
 					"a gang above its team's limit": {encode(spec("run-000904", "tight", func(s *wire.Spec) { gang(2)(s); s.Tasks = 3 })), 422},
@@ -174,16 +174,16 @@
 					"no JSON":                       {[]byte("{"), 400},
 				} {
 					status, _ := k.world.Ask(testkit.Submission, label, "run-000900", x.body)
-					k.check.BadInput(what, status, x.want)
+					k.checker.BadInput(what, status, x.want)
 				}
 				for _, kind := range []testkit.Request{testkit.Poll, testkit.Cancellation} {
 					status, _ := k.world.Ask(kind, label, "run-000999", nil)
-					k.check.BadInput("a request about an unknown job", status, 404)
+					k.checker.BadInput("a request about an unknown job", status, 404)
 				}
 				for range 2 {
-					k.world.Ask(testkit.Submission, label, ref(firstOwn), encode(spec(ref(firstOwn), "wide", nil)))
+					k.world.Ask(testkit.Submission, label, ref(firstFreeJob), encode(spec(ref(firstFreeJob), "wide", nil)))
 					k.world.Ask(testkit.Submission, label, ref(arrayJob), encode(spec(ref(arrayJob), "wide", nil)))
-					if status, state := k.world.Ask(testkit.Cancellation, label, ref(firstOwn), nil); status == 200 && state != wire.Done {
+					if status, state := k.world.Ask(testkit.Cancellation, label, ref(firstFreeJob), nil); status == 200 && state != wire.Done {
 						k.t.Errorf("the cancellation of a done job is answered %s", state)
 					}
 				}
@@ -205,8 +205,8 @@
 	})
 }
 
-// without encodes a specification without one of its fields.
-func without(spec wire.Spec, field string) []byte {
+// encodeWithout encodes a specification encodeWithout one of its fields.
+func encodeWithout(spec wire.Spec, field string) []byte {
 	var m map[string]json.RawMessage
 	if err := json.Unmarshal(encode(spec), &m); err != nil {
 		panic(err)
--- a/internal/controller/meetings_links_test.go
+++ b/internal/controller/fault_combinations_links_test.go
@@ -15,11 +15,11 @@
 func TestZoneCutBeyondLease(t *testing.T) {
 	for _, hold := range []bool{false, true} {
 		t.Run(fmt.Sprintf("hold-%t", hold), func(t *testing.T) {
-			meet(t, func(k *cluster) {
+			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
 				zone := k.world.On(ref(arrayJob))[0].Zone
-				inside := k.in(zone)
-				heal := k.cutZone(zone, hold)
+				inside := k.inZone(zone)
+				heal := k.isolateZone(zone, hold)
 				confirmed := k.cancelAll(arrayJob, serviceJob)
 				time.Sleep(k.timing.Lease + 10*time.Second)
 				kept := 0
@@ -29,7 +29,7 @@
 					}
 				}
 				heal()
-				k.happened(kept > 0, "machines in the zone keep their leases")
+				k.requireOccurred(kept > 0, "machines in the zone keep their leases")
 				k.await(k.timing.Cancel+30*time.Second, "the cancellations", confirmed)
 			})
 		})
@@ -41,20 +41,20 @@
 func TestHeartbeatsReachNewOwnerLate(t *testing.T) {
 	for _, after := range []time.Duration{0, 300 * time.Millisecond, 3 * time.Second} {
 		t.Run(after.String(), func(t *testing.T) {
-			meet(t, func(k *cluster) {
+			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
-				old := k.reports()
-				owner := k.ownerOf("wide")
+				old := k.heartbeats()
+				owner := k.ownerOfTeam("wide")
 				confirmed := k.cancelAll(limitJob, serviceJob)
 				k.crash(owner)
-				k.submitLater(spec(ref(firstOwn), "wide", func(s *wire.Spec) { s.Tasks = 3 }), quick)
-				next := k.successor("wide", owner)
+				k.submitInBackground(spec(ref(firstFreeJob), "wide", func(s *wire.Spec) { s.Tasks = 3 }), shortRun)
+				next := k.awaitNewOwner("wide", owner)
 				time.Sleep(after)
-				k.replay(old)
-				k.replay(k.reports())
+				k.replayHeartbeats(old)
+				k.replayHeartbeats(k.heartbeats())
 				time.Sleep(k.timing.Report)
-				k.replay(old)
-				k.happened(next != owner && len(old) > 0, "copies come to a new owner")
+				k.replayHeartbeats(old)
+				k.requireOccurred(next != owner && len(old) > 0, "copies come to a new owner")
 				k.start(owner)
 				k.await(k.timing.Cancel+30*time.Second, "the cancellations", confirmed)
 			})
@@ -64,18 +64,18 @@
 
 // Copies of reports of an earlier session and of earlier attempts come after newer ones.
 func TestHeartbeatsOfEarlierIncarnations(t *testing.T) {
-	meet(t, func(k *cluster) {
+	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
-		on := k.running(ref(arrayJob), 4)
-		old := k.reports()
-		heal := k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(ids(on), testkit.Anyone)})
+		on := k.awaitRunning(ref(arrayJob), 4)
+		old := k.heartbeats()
+		heal := k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(matchAgents(on), testkit.Anyone)})
 		time.Sleep(k.timing.Lease + 2*time.Second)
 		heal()
 		time.Sleep(2 * k.timing.Report)
 		lost := slices.ContainsFunc(on, func(m *testkit.Agent) bool { return m.Session() > 1 || !slices.Contains(k.world.Machines(), m) })
-		k.happened(lost, "a lease ran out, or the machines were given back")
+		k.requireOccurred(lost, "a lease ran out, or the machines were given back")
 		for range 3 {
-			k.replay(old)
+			k.replayHeartbeats(old)
 			k.cancel(ref(limitJob))
 			time.Sleep(k.timing.Report / 2)
 		}
@@ -83,22 +83,22 @@
 }
 
 // There is more work than room, urgent and not, over links that hold messages up.
-func TestCrowdOverSlowLinks(t *testing.T) {
-	meet(t, func(k *cluster) {
+func TestMoreWorkThanCapacityOverSlowLinks(t *testing.T) {
+	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
 		k.world.Boot(5*time.Second, true)
 		k.world.Net.Slow(700 * time.Millisecond)
 		for i := range 12 {
-			k.submitLater(spec(ref(firstOwn+i), []string{"wide", "other"}[i%2], func(s *wire.Spec) {
+			k.submitInBackground(spec(ref(firstFreeJob+i), []string{"wide", "other"}[i%2], func(s *wire.Spec) {
 				s.Priority = []string{"low", "normal", "urgent", "prod"}[i%4]
 				s.Tasks = 1 + i%3
 				if i%5 == 0 {
 					gang(2)(s)
 				}
-			}), quick)
+			}), shortRun)
 		}
 		time.Sleep(20 * time.Second)
-		confirmed := k.cancelAll(firstOwn, firstOwn+1, arrayJob)
+		confirmed := k.cancelAll(firstFreeJob, firstFreeJob+1, arrayJob)
 		time.Sleep(40 * time.Second)
 		k.world.Net.Slow(0)
 		k.world.Boot(5*time.Second, false)
@@ -110,21 +110,21 @@
 func TestDelayedCommands(t *testing.T) {
 	for name, match := range map[string]func(k *cluster, ids func(string) bool) func(from, to string) bool{
 		"command": func(k *cluster, ids func(string) bool) func(from, to string) bool {
-			return func(from, to string) bool { return k.controllers(from) && ids(to) }
+			return func(from, to string) bool { return k.isController(from) && ids(to) }
 		},
 		"answer": func(k *cluster, ids func(string) bool) func(from, to string) bool {
-			return func(from, to string) bool { return k.controllers(to) && ids(from) }
+			return func(from, to string) bool { return k.isController(to) && ids(from) }
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			meet(t, func(k *cluster) {
+			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
 				all := k.world.Machines()
-				heal := k.world.Net.Cut(&testkit.Cut{Match: match(k, ids(all)), Hold: true})
-				k.submitLater(spec(ref(firstOwn), "wide", func(s *wire.Spec) { s.Tasks = 3 }), long)
+				heal := k.world.Net.Cut(&testkit.Cut{Match: match(k, matchAgents(all)), Hold: true})
+				k.submitInBackground(spec(ref(firstFreeJob), "wide", func(s *wire.Spec) { s.Tasks = 3 }), longRun)
 				confirmed := k.cancelAll(arrayJob, limitJob)
 				time.Sleep(3 * time.Second)
-				k.cancel(ref(firstOwn))
+				k.cancel(ref(firstFreeJob))
 				time.Sleep(3 * time.Second)
 				heal()
 				for _, m := range all[:len(all)/2] {
@@ -146,20 +146,20 @@
 func TestIsolatedControllerKeepsWorkers(t *testing.T) {
 	for name, who := range map[string]func(k *cluster) string{
 		"leader": (*cluster).leader,
-		"owner":  func(k *cluster) string { return k.ownerOf("wide") },
+		"owner":  func(k *cluster) string { return k.ownerOfTeam("wide") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			meet(t, func(k *cluster) {
+			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
 				cut := who(k)
 				heal := k.isolate(cut)
 				time.Sleep(time.Second)
-				k.submitLater(spec(ref(firstOwn), "wide", func(s *wire.Spec) { s.Tasks = 2 }), quick)
+				k.submitInBackground(spec(ref(firstFreeJob), "wide", func(s *wire.Spec) { s.Tasks = 2 }), shortRun)
 				confirmed := k.cancelAll(arrayJob, limitJob, serviceJob)
 				time.Sleep(k.timing.Lease + k.timing.Cancel)
 				stood := k.process(cut) != nil
 				heal()
-				k.happened(stood && cut != "", "the controller lives on by itself")
+				k.requireOccurred(stood && cut != "", "the controller lives on by itself")
 				k.await(k.timing.Cancel+30*time.Second, "the cancellations", confirmed)
 			})
 		})
@@ -167,10 +167,10 @@
 }
 
 // Workers can't open connections to any controller while direct commands reach them.
-func TestMuteMachines(t *testing.T) {
+func TestMachinesCannotCallControllers(t *testing.T) {
 	for _, share := range []int{1, 2} {
 		t.Run(fmt.Sprintf("one in %d", share), func(t *testing.T) {
-			meet(t, func(k *cluster) {
+			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
 				var muted []*testkit.Agent
 				for i, m := range k.world.Machines() {
@@ -178,12 +178,12 @@
 						muted = append(muted, m)
 					}
 				}
-				heal := k.mute(ids(muted))
-				k.submitLater(spec(ref(firstOwn), "wide", func(s *wire.Spec) { s.Tasks = 2 }), quick)
+				heal := k.blockCallsFrom(matchAgents(muted))
+				k.submitInBackground(spec(ref(firstFreeJob), "wide", func(s *wire.Spec) { s.Tasks = 2 }), shortRun)
 				confirmed := k.cancelAll(arrayJob, limitJob)
 				time.Sleep(k.timing.Lease * 3 / 2)
 				heal()
-				k.happened(len(muted) > 0, "machines are mute")
+				k.requireOccurred(len(muted) > 0, "machines are mute")
 				k.await(k.timing.Cancel+30*time.Second, "the cancellations", confirmed)
 			})
 		})
@@ -196,27 +196,27 @@
 func TestDelayedDirectStarts(t *testing.T) {
 	for name, change := range map[string]bool{"same owner": false, "next owner": true} {
 		t.Run(name, func(t *testing.T) {
-			meet(t, func(k *cluster) {
+			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
-				owner := k.ownerOf("wide")
+				owner := k.ownerOfTeam("wide")
 				sent := 0
 				heal := k.world.Net.Cut(&testkit.Cut{Hold: true, Requests: true, Match: func(from, to string) bool {
-					held := from == owner && k.machines(to)
+					held := from == owner && k.isMachine(to)
 					if held {
 						sent++
 					}
 					return held
 				}})
-				k.submitLater(spec(ref(firstOwn), "wide", func(s *wire.Spec) { s.Tasks = 3 }), long)
+				k.submitInBackground(spec(ref(firstFreeJob), "wide", func(s *wire.Spec) { s.Tasks = 3 }), longRun)
 				time.Sleep(10 * time.Second)
-				confirmed := k.cancelAll(firstOwn, arrayJob)
+				confirmed := k.cancelAll(firstFreeJob, arrayJob)
 				if change {
 					k.crash(owner)
 				}
 				time.Sleep(k.timing.Cancel / 2)
 				heal()
-				k.happened(sent > 0, "commands are held up")
-				k.restartMissing()
+				k.requireOccurred(sent > 0, "commands are held up")
+				k.startMissing()
 				k.await(k.timing.Cancel, "the cancellations", confirmed)
 			})
 		})
@@ -229,15 +229,15 @@
 func TestIsolatedOwner(t *testing.T) {
 	for _, hold := range []bool{false, true} {
 		t.Run(fmt.Sprintf("hold-%t", hold), func(t *testing.T) {
-			meet(t, func(k *cluster) {
+			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
-				owner := k.ownerOf("wide")
+				owner := k.ownerOfTeam("wide")
 				heal := k.world.Net.Cut(&testkit.Cut{Hold: hold, Match: testkit.Between(testkit.Named(owner),
 					func(n string) bool { return n != testkit.UsersEnd && n != testkit.CloudEnd })})
-				k.submitLater(spec(ref(firstOwn), "wide", func(s *wire.Spec) { s.Tasks = 3 }), quick)
+				k.submitInBackground(spec(ref(firstFreeJob), "wide", func(s *wire.Spec) { s.Tasks = 3 }), shortRun)
 				confirmed := k.cancelAll(arrayJob, limitJob)
-				next := k.successor("wide", owner)
-				k.happened(k.process(owner) != nil && next != owner, "another owner while the first lives")
+				next := k.awaitNewOwner("wide", owner)
+				k.requireOccurred(k.process(owner) != nil && next != owner, "another owner while the first lives")
 				time.Sleep(k.timing.Lease)
 				heal()
 				k.await(k.timing.Cancel+30*time.Second, "the cancellations", confirmed)
--- a/internal/controller/meetings_restarts_test.go
+++ b/internal/controller/fault_combinations_restarts_test.go
@@ -17,10 +17,10 @@
 func TestLimitWithLostMachinesAndNewLeader(t *testing.T) {
 	for name, trouble := range map[string]func(*cluster, []*testkit.Agent) (over func()){
 		"cut": func(k *cluster, ms []*testkit.Agent) func() {
-			return k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(ids(ms), testkit.Anyone)})
+			return k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(matchAgents(ms), testkit.Anyone)})
 		},
 		"held": func(k *cluster, ms []*testkit.Agent) func() {
-			return k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(ids(ms), testkit.Anyone), Hold: true})
+			return k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(matchAgents(ms), testkit.Anyone), Hold: true})
 		},
 		"hang": func(k *cluster, ms []*testkit.Agent) func() {
 			for _, m := range ms {
@@ -32,29 +32,29 @@
 				}
 			}
 		},
-		"mute": func(k *cluster, ms []*testkit.Agent) func() { return k.mute(ids(ms)) },
-		"deaf": func(k *cluster, ms []*testkit.Agent) func() { return k.deaf(ids(ms)) },
+		"mute": func(k *cluster, ms []*testkit.Agent) func() { return k.blockCallsFrom(matchAgents(ms)) },
+		"deaf": func(k *cluster, ms []*testkit.Agent) func() { return k.dropMessagesTo(matchAgents(ms)) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			meet(t, func(k *cluster) {
+			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
 				on := k.world.On(ref(limitJob))
 				over := trouble(k, on)
 				confirmed := k.cancelAll(limitJob)
-				k.submitLater(spec(ref(firstOwn), "tight", func(s *wire.Spec) { s.Tasks = teamLimit }), quick)
-				owner, leader := k.ownerOf("tight"), k.leader()
+				k.submitInBackground(spec(ref(firstFreeJob), "tight", func(s *wire.Spec) { s.Tasks = teamLimit }), shortRun)
+				owner, leader := k.ownerOfTeam("tight"), k.leader()
 				k.crash(owner)
 				k.crash(leader)
 				time.Sleep(k.timing.Lease * 3 / 4)
 				over()
-				k.happened(k.ownerOf("tight") != owner || k.params.Count == 1, "the part has another owner")
+				k.requireOccurred(k.ownerOfTeam("tight") != owner || k.params.Count == 1, "the part has another owner")
 				for _, l := range []string{owner, leader} {
 					if k.process(l) == nil {
 						k.start(l)
 					}
 				}
 				k.await(k.timing.Cancel+60*time.Second, "the cancellation", confirmed)
-				k.await(2*time.Minute, "the team's next job", func() bool { return k.world.Told(ref(firstOwn)) == wire.Done })
+				k.await(2*time.Minute, "the team's next job", func() bool { return k.world.Told(ref(firstFreeJob)) == wire.Done })
 			})
 		})
 	}
@@ -64,13 +64,13 @@
 func TestTenLeaders(t *testing.T) {
 	for _, outage := range []bool{false, true} {
 		t.Run(fmt.Sprintf("outage-%t", outage), func(t *testing.T) {
-			meet(t, func(k *cluster) {
+			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
 				leaders, last := 0, ""
 				for n := range 10 {
-					k.submitLater(spec(ref(firstOwn+n), "wide", nil), quick)
+					k.submitInBackground(spec(ref(firstFreeJob+n), "wide", nil), shortRun)
 					if n%3 == 0 {
-						k.cancel(ref(firstOwn + n))
+						k.cancel(ref(firstFreeJob + n))
 					}
 					label := k.leader()
 					if label == "" {
@@ -92,7 +92,7 @@
 					k.start(label)
 					time.Sleep(6 * time.Second)
 				}
-				k.happened(leaders >= 3, "several leaders")
+				k.requireOccurred(leaders >= 3, "several leaders")
 			})
 		})
 	}
@@ -103,19 +103,19 @@
 func TestAllEndAndReturn(t *testing.T) {
 	for _, away := range []time.Duration{300 * time.Millisecond, 5 * time.Second, 50 * time.Second} {
 		t.Run(away.String(), func(t *testing.T) {
-			meet(t, func(k *cluster) {
+			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
 				confirmed := k.cancelAll(arrayJob, limitJob)
-				first := k.ownerOf("wide")
+				first := k.ownerOfTeam("wide")
 				k.restart(first, time.Second)
 				for _, l := range k.labels {
 					k.crash(l)
 				}
 				time.Sleep(away)
-				k.start(k.others(first)[0])
+				k.start(k.labelsExcept(first)[0])
 				time.Sleep(away / 2)
-				k.restartMissing()
-				k.submitLater(spec(ref(firstOwn), "tight", func(s *wire.Spec) { s.Tasks = 2 }), quick)
+				k.startMissing()
+				k.submitInBackground(spec(ref(firstFreeJob), "tight", func(s *wire.Spec) { s.Tasks = 2 }), shortRun)
 				k.await(k.timing.Cancel+k.timing.Lease+30*time.Second, "the cancellations", confirmed)
 			})
 		})
@@ -129,19 +129,19 @@
 		"unreachable": func(k *cluster, ids func(string) bool) func() {
 			return k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(ids, testkit.Anyone)})
 		},
-		"deaf": (*cluster).deaf,
-		"mute": (*cluster).mute,
+		"deaf": (*cluster).dropMessagesTo,
+		"mute": (*cluster).blockCallsFrom,
 	} {
 		t.Run(name, func(t *testing.T) {
-			meet(t, func(k *cluster) {
+			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
 				on := k.world.On(ref(arrayJob))
-				owner := k.ownerOf("wide")
-				over := trouble(k, ids(on))
+				owner := k.ownerOfTeam("wide")
+				over := trouble(k, matchAgents(on))
 				k.crash(owner)
-				k.submitLater(spec(ref(firstOwn), "wide", func(s *wire.Spec) { s.Tasks = 4 }), quick)
-				next := k.successor("wide", owner)
-				k.happened(next != owner, "another owner")
+				k.submitInBackground(spec(ref(firstFreeJob), "wide", func(s *wire.Spec) { s.Tasks = 4 }), shortRun)
+				next := k.awaitNewOwner("wide", owner)
+				k.requireOccurred(next != owner, "another owner")
 				time.Sleep(k.timing.Lease / 2)
 				confirmed := k.cancelAll(arrayJob)
 				time.Sleep(k.timing.Lease)
@@ -157,16 +157,16 @@
 func TestCancelWhileAShardIsTransferred(t *testing.T) {
 	for _, lag := range []time.Duration{0, 2 * time.Second, 4 * time.Second, 4800 * time.Millisecond} {
 		t.Run(lag.String(), func(t *testing.T) {
-			meet(t, func(k *cluster) {
+			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
-				owner := k.ownerOf("wide")
-				k.submitLater(spec(ref(firstOwn), "wide", func(s *wire.Spec) { s.Tasks = 3 }), long)
+				owner := k.ownerOfTeam("wide")
+				k.submitInBackground(spec(ref(firstFreeJob), "wide", func(s *wire.Spec) { s.Tasks = 3 }), longRun)
 				time.Sleep(200 * time.Millisecond)
 				k.crash(owner)
 				time.Sleep(lag)
-				confirmed := k.cancelAll(arrayJob, gangJob, firstOwn)
-				next := k.successor("wide", owner)
-				k.happened(next != owner, "another owner")
+				confirmed := k.cancelAll(arrayJob, gangJob, firstFreeJob)
+				next := k.awaitNewOwner("wide", owner)
+				k.requireOccurred(next != owner, "another owner")
 				k.start(owner)
 				k.await(k.timing.Cancel, "the cancellations", confirmed)
 			})
@@ -175,23 +175,23 @@
 }
 
 // Jobs of two or three tasks end far apart across a change of owner.
-func TestTasksEndAcrossAChange(t *testing.T) {
-	meet(t, func(k *cluster) {
+func TestTasksEndAcrossAChangeOfOwner(t *testing.T) {
+	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
 		for i := range 6 {
-			n := firstOwn + i
+			n := firstFreeJob + i
 			k.submit(spec(ref(n), "wide", func(s *wire.Spec) { s.Tasks = 2 + i%2 }), testkit.Length{Run: time.Duration(6+3*i) * time.Second, Fetch: time.Duration(i) * time.Second})
 		}
 		time.Sleep(8 * time.Second)
 		for range 2 {
-			owner := k.ownerOf("wide")
+			owner := k.ownerOfTeam("wide")
 			k.crash(owner)
-			k.successor("wide", owner)
+			k.awaitNewOwner("wide", owner)
 			time.Sleep(3 * time.Second)
 			k.start(owner)
 		}
 		for i := range 6 {
-			k.await(2*time.Minute, ref(firstOwn+i)+" done", func() bool { return k.world.Told(ref(firstOwn+i)) == wire.Done })
+			k.await(2*time.Minute, ref(firstFreeJob+i)+" done", func() bool { return k.world.Told(ref(firstFreeJob+i)) == wire.Done })
 		}
 	})
 }
@@ -200,7 +200,7 @@
 // before it comes late: its member record, which goes with the older lease, replaces
 // the newer one. The controller must not be taken for dead for ever.
 func TestMemberRecordOfTheLastProcessComesLate(t *testing.T) {
-	meet(t, func(k *cluster) {
+	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
 		for _, label := range k.labels {
 			before := k.world.State.Writes()
@@ -213,7 +213,7 @@
 					break
 				}
 			}
-			k.happened(came, "the older lease still stands")
+			k.requireOccurred(came, "the older lease still stands")
 			time.Sleep(15 * time.Second)
 			var m record.Member
 			e, ok := k.world.State.Entry(record.MemberPrefix + label)
@@ -230,7 +230,7 @@
 				k.t.Errorf("%s: recorded %t as incarnation %d, is %d", label, ok, m.Incarnation, incarnation)
 			}
 		}
-		k.submit(spec(ref(firstOwn), "wide", nil), quick)
-		k.running(ref(firstOwn), 1)
+		k.submit(spec(ref(firstFreeJob), "wide", nil), shortRun)
+		k.awaitRunning(ref(firstFreeJob), 1)
 	})
 }
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -17,16 +17,16 @@
 // rules of the protocol.
 
 // A quiet day: everything runs, ends and is told. It shows that the harness serves.
-func TestQuiet(t *testing.T) {
-	meet(t, func(k *cluster) {
+func TestWithoutFaults(t *testing.T) {
+	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
-		k.submit(spec(ref(firstOwn), "wide", func(s *wire.Spec) { s.Tasks = 4 }), quick)
-		k.submit(spec(ref(firstOwn+1), "wide", gang(2)), quick)
+		k.submit(spec(ref(firstFreeJob), "wide", func(s *wire.Spec) { s.Tasks = 4 }), shortRun)
+		k.submit(spec(ref(firstFreeJob+1), "wide", gang(2)), shortRun)
 		confirmed := k.cancelAll(arrayJob, serviceJob, limitJob)
 		k.await(k.timing.Cancel, "the cancellations", confirmed)
 		time.Sleep(90 * time.Second)
 		for n, want := range map[int]string{arrayJob: wire.Cancelled, serviceJob: wire.Cancelled, limitJob: wire.Cancelled,
-			firstOwn: wire.Done, firstOwn + 1: wire.Done} {
+			firstFreeJob: wire.Done, firstFreeJob + 1: wire.Done} {
 			if got := k.world.Told(ref(n)); got != want {
 				k.t.Errorf("%s: %q, want %q", ref(n), got, want)
 			}
@@ -34,13 +34,13 @@
 	})
 }
 
-// The gap: the state service refuses the owner of the jobs' part alone, which leads
+// The refusedAloneThenOutage: the state service refuses the owner of the jobs' part alone, which leads
 // where it can be so, another controller confirms cancellations, and then the
 // service is down for all for longer than a cancelled task may live.
-func gap(k *cluster, outageAfter time.Duration, before func(owner string)) {
+func refusedAloneThenOutage(k *cluster, outageAfter time.Duration, before func(owner string)) {
 	k.load()
-	k.submit(spec(ref(firstOwn), "wide", func(s *wire.Spec) { s.DependsOn = []string{ref(arrayJob)} }), quick)
-	owner := k.ownerOf(teamOf[arrayJob])
+	k.submit(spec(ref(firstFreeJob), "wide", func(s *wire.Spec) { s.DependsOn = []string{ref(arrayJob)} }), shortRun)
+	owner := k.ownerOfTeam(teamOf[arrayJob])
 	if before != nil {
 		before(owner)
 	}
@@ -54,26 +54,26 @@
 	k.world.State.Refuse(owner, false)
 	time.Sleep(time.Until(outage.Add(k.timing.Cancel + 20*time.Second)))
 	k.world.State.Outage(false)
-	k.happened(outageAfter < 10*time.Second || early, "another controller confirms before the outage")
+	k.requireOccurred(outageAfter < 10*time.Second || early, "another controller confirms before the outage")
 	k.await(k.timing.Lease+30*time.Second, "the cancellations after the outage", confirmed)
 }
 
 // The offsets between the refusal's begin and the outage: at once, before and after
 // the refused owner's lease ends and its part has another owner, and long after.
-var gapOffsets = []time.Duration{0, 200 * time.Millisecond, 2 * time.Second, 4500 * time.Millisecond, 6 * time.Second, 13 * time.Second}
+var outageDelays = []time.Duration{0, 200 * time.Millisecond, 2 * time.Second, 4500 * time.Millisecond, 6 * time.Second, 13 * time.Second}
 
 func TestRefusedAloneThenOutage(t *testing.T) {
-	for _, d := range gapOffsets {
+	for _, d := range outageDelays {
 		t.Run(d.String(), func(t *testing.T) {
-			meet(t, func(k *cluster) { gap(k, d, nil) })
+			runOnAllLayouts(t, func(k *cluster) { refusedAloneThenOutage(k, d, nil) })
 		})
 	}
 }
 
 // The same while the cancelled jobs' machines hang and go on within the outage.
 func TestRefusedAloneThenOutageWithHungMachines(t *testing.T) {
-	meet(t, func(k *cluster) {
-		gap(k, 6*time.Second, func(string) {
+	runOnAllLayouts(t, func(k *cluster) {
+		refusedAloneThenOutage(k, 6*time.Second, func(string) {
 			for _, m := range k.world.On(ref(arrayJob)) {
 				m.Hang(true)
 				k.world.Go(func() {
@@ -87,14 +87,14 @@
 
 // The same while copies of reports come late, to all, within the outage and before.
 func TestRefusedAloneThenOutageWithLateHeartbeats(t *testing.T) {
-	meet(t, func(k *cluster) {
-		gap(k, 6*time.Second, func(string) {
-			old := k.reports()
-			k.happened(len(old) > 0, "there are reports to copy")
+	runOnAllLayouts(t, func(k *cluster) {
+		refusedAloneThenOutage(k, 6*time.Second, func(string) {
+			old := k.heartbeats()
+			k.requireOccurred(len(old) > 0, "there are reports to copy")
 			for _, d := range []time.Duration{time.Second, 4 * time.Second, 5 * time.Second, 9 * time.Second, 30 * time.Second} {
 				k.world.Go(func() {
 					if k.world.Sleep(d) {
-						k.replay(old)
+						k.replayHeartbeats(old)
 					}
 				})
 			}
@@ -107,9 +107,9 @@
 func TestRefusedAloneThenOutageWithLateWrites(t *testing.T) {
 	for name, fate := range map[string]testkit.Fate{"lost": {Lost: true}, "late": {Late: 5 * time.Second}} {
 		t.Run(name, func(t *testing.T) {
-			meet(t, func(k *cluster) {
+			runOnAllLayouts(t, func(k *cluster) {
 				var met atomic.Bool
-				gap(k, 6*time.Second, func(owner string) {
+				refusedAloneThenOutage(k, 6*time.Second, func(owner string) {
 					k.world.State.Decide(func(from string, w wire.Txn) testkit.Fate {
 						if writes(w, record.PlacementsPrefix) {
 							met.Store(true)
@@ -117,9 +117,9 @@
 						}
 						return testkit.Fate{}
 					})
-					k.submit(spec(ref(firstOwn+1), "wide", func(s *wire.Spec) { s.Tasks = 3 }), long)
+					k.submit(spec(ref(firstFreeJob+1), "wide", func(s *wire.Spec) { s.Tasks = 3 }), longRun)
 					k.await(time.Minute, "a start's record without an answer", met.Load)
-					k.cancel(ref(firstOwn + 1))
+					k.cancel(ref(firstFreeJob + 1))
 				})
 			})
 		})
@@ -134,12 +134,12 @@
 // The same while direct starts are on their way: held by the network until the
 // outage, and carried out then if their worker still takes them.
 func TestRefusedAloneThenOutageWithDelayedCommands(t *testing.T) {
-	meet(t, func(k *cluster) {
-		gap(k, 6*time.Second, func(owner string) {
-			heal := k.world.Net.Cut(&testkit.Cut{Match: func(from, to string) bool { return from == owner && k.machines(to) }, Hold: true})
-			k.submit(spec(ref(firstOwn+1), "wide", func(s *wire.Spec) { s.Tasks = 3 }), long)
+	runOnAllLayouts(t, func(k *cluster) {
+		refusedAloneThenOutage(k, 6*time.Second, func(owner string) {
+			heal := k.world.Net.Cut(&testkit.Cut{Match: func(from, to string) bool { return from == owner && k.isMachine(to) }, Hold: true})
+			k.submit(spec(ref(firstFreeJob+1), "wide", func(s *wire.Spec) { s.Tasks = 3 }), longRun)
 			time.Sleep(500 * time.Millisecond)
-			k.cancel(ref(firstOwn + 1))
+			k.cancel(ref(firstFreeJob + 1))
 			k.world.Go(func() {
 				k.world.Sleep(11 * time.Second)
 				heal()
@@ -151,7 +151,7 @@
 // New machines are up within two seconds and get work at once while writes lag, and
 // the leader and the owner end.
 func TestNewMachinesWhileWritesLag(t *testing.T) {
-	meet(t, func(k *cluster) {
+	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
 		k.world.Boot(time.Second, false)
 		n := 0
@@ -165,15 +165,15 @@
 		})
 		before := len(k.world.Machines())
 		for i := range 4 {
-			k.submitLater(spec(ref(firstOwn+i), "other", gang(2)), quick)
+			k.submitInBackground(spec(ref(firstFreeJob+i), "other", gang(2)), shortRun)
 		}
 		time.Sleep(3 * time.Second)
-		owner, leader := k.ownerOf("other"), k.leader()
+		owner, leader := k.ownerOfTeam("other"), k.leader()
 		k.crash(owner)
 		k.crash(leader)
 		time.Sleep(8 * time.Second)
-		k.happened(len(k.world.Machines()) > before && late.Load() > 0, "machines come up while writes lag")
-		k.restartMissing()
+		k.requireOccurred(len(k.world.Machines()) > before && late.Load() > 0, "machines come up while writes lag")
+		k.startMissing()
 		time.Sleep(20 * time.Second)
 		k.world.State.Decide(nil)
 	})
@@ -187,7 +187,7 @@
 		"at once": func(int) testkit.Fate { return testkit.Fate{Lost: true} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			meet(t, func(k *cluster) {
+			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
 				n, met := map[string]int{}, map[string]int{}
 				k.world.State.Decide(func(_ string, w wire.Txn) testkit.Fate {
@@ -203,21 +203,21 @@
 					return testkit.Fate{}
 				})
 				for i := range 12 {
-					k.submitLater(spec(ref(firstOwn+i), []string{"wide", "tight", "other"}[i%3], func(s *wire.Spec) { s.Tasks = 1 + i%3 }), quick)
+					k.submitInBackground(spec(ref(firstFreeJob+i), []string{"wide", "tight", "other"}[i%3], func(s *wire.Spec) { s.Tasks = 1 + i%3 }), shortRun)
 					if i%3 == 1 {
-						k.cancel(ref(firstOwn + i))
+						k.cancel(ref(firstFreeJob + i))
 					}
 					if i == 6 {
-						k.crash(k.ownerOf("wide"))
+						k.crash(k.ownerOfTeam("wide"))
 					}
 					time.Sleep(3 * time.Second)
 				}
 				confirmed := k.cancelAll(arrayJob, gangJob)
-				k.restartMissing()
+				k.startMissing()
 				time.Sleep(30 * time.Second)
 				k.world.State.Decide(nil)
 				for _, p := range []string{record.ActiveJobPrefix, record.FinishedJobPrefix, record.PlacementsPrefix} {
-					k.happened(met[p] > 0, "writes of "+p+" without an answer")
+					k.requireOccurred(met[p] > 0, "writes of "+p+" without an answer")
 				}
 				k.await(k.timing.Cancel, "the cancellations", confirmed)
 			})
@@ -228,19 +228,19 @@
 // The state service answers slowly, or refuses the leader alone and then everybody,
 // while users cancel and ask.
 func TestSlowStateWhileUsersCancel(t *testing.T) {
-	meet(t, func(k *cluster) {
+	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
 		k.world.State.Slow(900 * time.Millisecond)
 		confirmed := k.cancelAll(arrayJob, gangJob)
 		for i := range 6 {
-			k.submitLater(spec(ref(firstOwn+i), "wide", nil), quick)
+			k.submitInBackground(spec(ref(firstFreeJob+i), "wide", nil), shortRun)
 			if i%2 == 0 {
-				k.cancel(ref(firstOwn + i))
+				k.cancel(ref(firstFreeJob + i))
 			}
 			time.Sleep(time.Second)
 		}
 		leader := k.leader()
-		k.happened(leader != "", "there is a leader")
+		k.requireOccurred(leader != "", "there is a leader")
 		k.world.State.Refuse(leader, true)
 		time.Sleep(2 * time.Second)
 		k.world.State.Outage(true)
@@ -257,10 +257,10 @@
 func TestCancelAsTheLeaderIsRefused(t *testing.T) {
 	for _, d := range []time.Duration{-20 * time.Millisecond, 0, 20 * time.Millisecond} {
 		t.Run(d.String(), func(t *testing.T) {
-			meet(t, func(k *cluster) {
+			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
 				leader := k.leader()
-				k.happened(leader != "", "there is a leader")
+				k.requireOccurred(leader != "", "there is a leader")
 				if d > 0 {
 					k.world.State.Refuse(leader, true)
 				}
@@ -281,15 +281,15 @@
 
 // A pipeline is withdrawn, and a job that others need cancelled, across the gap.
 func TestRefusedAloneThenOutageWithPipelines(t *testing.T) {
-	meet(t, func(k *cluster) {
-		first, second := spec(ref(firstOwn+1), "wide", nil), spec(ref(firstOwn+2), "wide", nil)
+	runOnAllLayouts(t, func(k *cluster) {
+		first, second := spec(ref(firstFreeJob+1), "wide", nil), spec(ref(firstFreeJob+2), "wide", nil)
 		var withdrawn func() bool
-		gap(k, 6*time.Second, func(string) {
-			k.submitPipeline("pipe-000001", first, second, long)
-			k.running(first.Ref, 1)
-			withdrawn = k.withdrawPipeline("pipe-000001", first.Ref, second.Ref)
+		refusedAloneThenOutage(k, 6*time.Second, func(string) {
+			k.submitPipeline("pipe-000001", first, second, longRun)
+			k.awaitRunning(first.Ref, 1)
+			withdrawn = k.cancelPipeline("pipe-000001", first.Ref, second.Ref)
 		})
 		k.await(k.timing.Cancel, "the pipeline's end", withdrawn)
-		k.await(k.timing.Cancel, "the end of what needs a cancelled job", func() bool { return k.world.Told(ref(firstOwn)) == wire.Cancelled })
+		k.await(k.timing.Cancel, "the end of what needs a cancelled job", func() bool { return k.world.Told(ref(firstFreeJob)) == wire.Cancelled })
 	})
 }
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -49,14 +49,14 @@
 func TestOverloadedControllerTransfersItsShards(t *testing.T) {
 	for name, leads := range map[string]bool{"the leader": true, "another": false} {
 		t.Run(name, func(t *testing.T) {
-			meet(t, func(k *cluster) {
+			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
 				slow := k.leader()
 				if !leads {
-					slow = k.others(slow)[0]
+					slow = k.labelsExcept(slow)[0]
 				}
 				part := k.homeOf(slow)
-				k.happened(k.owner(part) == slow, "the part is at home")
+				k.requireOccurred(k.owner(part) == slow, "the part is at home")
 				heal := k.overload(slow)
 				k.await(30*time.Second, "another owner and leader", func() bool {
 					return k.owner(part) != slow && k.owner(part) != "" && k.leader() != slow && k.leader() != ""
@@ -77,16 +77,16 @@
 // A controller that falls behind doesn't come to answer the leader in time, nor to hear
 // others' answers: it says so in its member record, and sends its workers away.
 func TestOverloadIsToldWithoutTheLeadersCalls(t *testing.T) {
-	meet(t, func(k *cluster) {
+	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
 		// One that hears no worker either would be taken for deaf.
-		part := k.part("wide")
+		part := k.shardOfTeam("wide")
 		if k.owner(part) == k.leader() {
-			part = k.part("other")
+			part = k.shardOfTeam("other")
 		}
 		slow := k.owner(part)
-		k.happened(slow != k.leader(), "another than the leader is overloaded")
-		over := k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(testkit.Named(slow), k.controllers)})
+		k.requireOccurred(slow != k.leader(), "another than the leader is overloaded")
+		over := k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(testkit.Named(slow), k.isController)})
 		heal := k.overload(slow)
 		k.await(20*time.Second, "another owner", func() bool { return k.owner(part) != slow && k.owner(part) != "" })
 		if n := k.changes(part, time.Minute); n > 0 {
@@ -118,7 +118,7 @@
 // Where all controllers fall behind nobody keeps up better, so that parts stay where
 // they are and somebody leads.
 func TestNoFailoverWhereAllAreOverloaded(t *testing.T) {
-	meet(t, func(k *cluster) {
+	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
 		owners := map[int]string{}
 		for part := range k.params.Count {
@@ -141,7 +141,7 @@
 // A strained controller answers reports at once, since a held answer costs it
 // a timer and another turn.
 func TestStrainedParksNoResponses(t *testing.T) {
-	play(t, near(1), func(k *cluster) {
+	runScript(t, near(1), func(k *cluster) {
 		k.load()
 		var label string
 		k.await(time.Minute, "a held answer", func() bool {
--- a/internal/controller/troubles_test.go
+++ b/internal/controller/random_faults_test.go
@@ -10,23 +10,23 @@
 	"bramblespur/internal/wire"
 )
 
-// troubles are what may happen at any moment; each begins and returns what ends it.
-var troubles = []struct {
+// faults are what may happen at any moment; each begins and returns what ends it.
+var faults = []struct {
 	name  string
 	begin func(k *cluster, r *rand.Rand) (over func())
 }{
-	{"owner ends", func(k *cluster, r *rand.Rand) func() { return k.crashed(k.owner(r.IntN(k.params.Count))) }},
-	{"leader ends", func(k *cluster, _ *rand.Rand) func() { return k.crashed(k.leader()) }},
+	{"owner ends", func(k *cluster, r *rand.Rand) func() { return k.crashUntilRestart(k.owner(r.IntN(k.params.Count))) }},
+	{"leader ends", func(k *cluster, _ *rand.Rand) func() { return k.crashUntilRestart(k.leader()) }},
 	{"all end", func(k *cluster, _ *rand.Rand) func() {
 		for _, l := range k.labels {
 			k.crash(l)
 		}
-		return k.restartMissing
+		return k.startMissing
 	}},
 	{"quick restart", func(k *cluster, r *rand.Rand) func() {
 		k.crash(k.labels[r.IntN(len(k.labels))])
 		time.Sleep(time.Duration(r.IntN(400)) * time.Millisecond)
-		k.restartMissing()
+		k.startMissing()
 		return nil
 	}},
 	{"refused alone", func(k *cluster, r *rand.Rand) func() {
@@ -42,7 +42,7 @@
 		return func() { k.world.State.Outage(false) }
 	}},
 	{"zone cut", func(k *cluster, r *rand.Rand) func() {
-		return k.cutZone(k.params.Zones[r.IntN(len(k.params.Zones))], r.IntN(2) == 0)
+		return k.isolateZone(k.params.Zones[r.IntN(len(k.params.Zones))], r.IntN(2) == 0)
 	}},
 	{"isolated", func(k *cluster, r *rand.Rand) func() { return k.isolate(k.labels[r.IntN(len(k.labels))]) }},
 	{"deaf controller", func(k *cluster, r *rand.Rand) func() {
@@ -51,15 +51,15 @@
 			func(n string) bool { return n != testkit.UsersEnd && n != testkit.CloudEnd })})
 	}},
 	{"controllers apart", func(k *cluster, _ *rand.Rand) func() {
-		return k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(k.controllers, k.controllers)})
+		return k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(k.isController, k.isController)})
 	}},
-	{"mute machines", func(k *cluster, r *rand.Rand) func() { return k.mute(ids(k.some(r))) }},
-	{"deaf machines", func(k *cluster, r *rand.Rand) func() { return k.deaf(ids(k.some(r))) }},
+	{"mute machines", func(k *cluster, r *rand.Rand) func() { return k.blockCallsFrom(matchAgents(k.randomMachines(r))) }},
+	{"deaf machines", func(k *cluster, r *rand.Rand) func() { return k.dropMessagesTo(matchAgents(k.randomMachines(r))) }},
 	{"machines cut off", func(k *cluster, r *rand.Rand) func() {
-		return k.world.Net.Cut(&testkit.Cut{Hold: r.IntN(2) == 0, Match: testkit.Between(ids(k.some(r)), testkit.Anyone)})
+		return k.world.Net.Cut(&testkit.Cut{Hold: r.IntN(2) == 0, Match: testkit.Between(matchAgents(k.randomMachines(r)), testkit.Anyone)})
 	}},
 	{"machines hang", func(k *cluster, r *rand.Rand) func() {
-		ms := k.some(r)
+		ms := k.randomMachines(r)
 		for _, m := range ms {
 			m.Hang(true)
 		}
@@ -70,13 +70,13 @@
 		}
 	}},
 	{"machines die", func(k *cluster, r *rand.Rand) func() {
-		for _, m := range k.some(r) {
+		for _, m := range k.randomMachines(r) {
 			m.Die()
 		}
 		return nil
 	}},
 	{"commands held", func(k *cluster, _ *rand.Rand) func() {
-		return k.world.Net.Cut(&testkit.Cut{Hold: true, Requests: true, Match: func(from, to string) bool { return k.controllers(from) && k.machines(to) }})
+		return k.world.Net.Cut(&testkit.Cut{Hold: true, Requests: true, Match: func(from, to string) bool { return k.isController(from) && k.isMachine(to) }})
 	}},
 	{"late writes", func(k *cluster, r *rand.Rand) func() {
 		n, one, lost := 0, 2+r.IntN(4), r.IntN(2) == 0
@@ -89,9 +89,9 @@
 		return func() { k.world.State.Decide(nil) }
 	}},
 	{"late reports", func(k *cluster, r *rand.Rand) func() {
-		old := k.reports()
+		old := k.heartbeats()
 		return func() {
-			k.replay(old)
+			k.replayHeartbeats(old)
 		}
 	}},
 	{"slow network", func(k *cluster, r *rand.Rand) func() {
@@ -112,14 +112,14 @@
 	}},
 }
 
-// crashed ends a controller, if there is one, until it is started again.
-func (k *cluster) crashed(label string) (over func()) {
+// crashUntilRestart ends a controller, if there is one, until it is started again.
+func (k *cluster) crashUntilRestart(label string) (over func()) {
 	k.crash(label)
-	return k.restartMissing
+	return k.startMissing
 }
 
-// some returns some of the machines.
-func (k *cluster) some(r *rand.Rand) []*testkit.Agent {
+// randomMachines returns randomMachines of the machines.
+func (k *cluster) randomMachines(r *rand.Rand) []*testkit.Agent {
 	var out []*testkit.Agent
 	for _, m := range k.world.Machines() {
 		if r.IntN(3) == 0 {
@@ -132,37 +132,37 @@
 // Troubles of every kind meet as chance has it, several at a time, while jobs of
 // every kind come and a third of them is cancelled. What is not listed is met here.
 func TestTroublesByChance(t *testing.T) {
-	seeds := seedsToPlay(t)
+	seeds := seedsToRun(t)
 	for name, l := range layouts {
 		for seed := seeds.first; seed <= seeds.last; seed++ {
 			t.Run(fmt.Sprintf("%s-%d", name, seed), func(t *testing.T) {
 				t.Parallel()
-				play(t, l(seed), func(k *cluster) { k.byChance(rand.New(rand.NewPCG(seed-1, 7)), name == "far") })
+				runScript(t, l(seed), func(k *cluster) { k.injectRandomFaults(rand.New(rand.NewPCG(seed-1, 7)), name == "far") })
 			})
 		}
 	}
 }
 
-// byChance plays two minutes of troubles.
-func (k *cluster) byChance(r *rand.Rand, far bool) {
+// injectRandomFaults plays two minutes of troubles.
+func (k *cluster) injectRandomFaults(r *rand.Rand, far bool) {
 	k.load()
 	pause := 12 * time.Second
 	if far {
 		pause = 20 * time.Second
 	}
-	n := firstOwn
+	n := firstFreeJob
 	var said []string
 	for end := time.Now().Add(2 * time.Minute); time.Now().Before(end); {
-		x := troubles[r.IntN(len(troubles))]
+		x := faults[r.IntN(len(faults))]
 		said = append(said, fmt.Sprintf("%s %s", time.Now().Format("04:05"), x.name))
-		k.rec.note("trouble begins", "name", x.name)
+		k.recorder.note("trouble begins", "name", x.name)
 		over := x.begin(k, r)
 		d := time.Duration(r.Int64N(int64(2 * pause)))
 		if over != nil {
 			k.world.Go(func() {
 				k.world.Sleep(d)
 				over()
-				k.rec.note("trouble ends", "name", x.name)
+				k.recorder.note("trouble ends", "name", x.name)
 			})
 		}
 		for range r.IntN(3) {
@@ -178,15 +178,15 @@
 				case 2:
 					s.OneZone = true
 				case 3:
-					if n > firstOwn+2 {
-						s.DependsOn = []string{ref(limitJob + 1 + r.IntN(n-firstOwn))}
+					if n > firstFreeJob+2 {
+						s.DependsOn = []string{ref(limitJob + 1 + r.IntN(n-firstFreeJob))}
 					}
 				}
 			})
 			if len(s.DependsOn) > 0 && (k.world.Told(s.DependsOn[0]) == "" || k.world.IsService(s.DependsOn[0])) {
 				s.DependsOn = nil // users name what was accepted, and no services
 			}
-			k.submitLater(s, testkit.Length{Run: time.Duration(2+r.IntN(40)) * time.Second, Fetch: time.Duration(r.IntN(6000)) * time.Millisecond})
+			k.submitInBackground(s, testkit.Length{Run: time.Duration(2+r.IntN(40)) * time.Second, Fetch: time.Duration(r.IntN(6000)) * time.Millisecond})
 			if r.IntN(3) == 0 {
 				wait, name := time.Duration(r.Int64N(int64(10*time.Second))), s.Ref
 				k.world.Go(func() {
@@ -198,5 +198,5 @@
 		}
 		time.Sleep(time.Duration(r.Int64N(int64(pause))))
 	}
-	k.said = said
+	k.scriptLog = said
 }
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -20,16 +20,16 @@
 	"bramblespur/internal/wire"
 )
 
-// operator is the end of the network at which the recovery tool runs.
-const operator = "operator"
+// operatorEnd is the end of the network at which the recovery tool runs.
+const operatorEnd = "operator"
 
 // recoverClient is the recovery tool among a cluster's processes.
 func (k *cluster) recoverClient() *recoverctl.Client {
 	ctx := context.Background()
-	c := &recoverctl.Client{Store: k.world.State.Link(ctx, operator), Cloud: k.world.Rentals(ctx, operator), Now: time.Now,
+	c := &recoverctl.Client{Store: k.world.State.Link(ctx, operatorEnd), Cloud: k.world.Rentals(ctx, operatorEnd), Now: time.Now,
 		Peers: map[string]peer.Caller{}, Limits: recovery.Limits{ValueBytes: 16 << 10, TxnOps: 16, TxnBytes: 48 << 10}}
 	for _, label := range k.labels {
-		c.Peers[label] = &peerLink{k, operator, label, ctx}
+		c.Peers[label] = &peerLink{k, operatorEnd, label, ctx}
 	}
 	return c
 }
@@ -39,8 +39,8 @@
 	return &snapshot.Contents{Manifest: &snapshot.Manifest{Revision: i.Revision}, Records: maps.Clone(i.Entries)}
 }
 
-// decision is what an operator decides who knows what became of a job.
-func decision(key string, truth testkit.Image) recovery.Decision {
+// operatorDecision is what an operator decides who knows what became of a job.
+func operatorDecision(key string, truth testkit.Image) recovery.Decision {
 	var j record.FinishedJob
 	e, over := truth.Entries[record.FinishedJobKey(record.LastElement(key))]
 	switch {
@@ -52,8 +52,8 @@
 	return recovery.DecideCancelled
 }
 
-// plan makes a plan, and decides all that is undecided as it was.
-func (k *cluster) plan(c *recoverctl.Client, s *snapshot.Contents, truth testkit.Image) *recovery.Plan {
+// recoveryPlan makes a recoveryPlan, and decides all that is undecided as it was.
+func (k *cluster) recoveryPlan(c *recoverctl.Client, s *snapshot.Contents, truth testkit.Image) *recovery.Plan {
 	k.t.Helper()
 	for range 2 {
 		g, err := c.Gather(k.t.Context(), s)
@@ -66,7 +66,7 @@
 			return p
 		}
 		for _, i := range undecided {
-			if err := c.Decide(k.t.Context(), i.Key, decision(i.Key, truth)); err != nil {
+			if err := c.Decide(k.t.Context(), i.Key, operatorDecision(i.Key, truth)); err != nil {
 				k.t.Fatal(err)
 			}
 		}
@@ -81,12 +81,12 @@
 	if err := c.Apply(k.t.Context(), p, func(int, int) {}); err != nil {
 		k.t.Fatal(err)
 	}
-	k.await(time.Minute, "service again", func() bool { return k.owned() && k.leader() != "" })
+	k.await(time.Minute, "service again", func() bool { return k.allShardsOwned() && k.leader() != "" })
 }
 
-// compare checks a plan against the truth: what is recovered is as it was, and what controllers
+// checkPlan checks a plan against the truth: what is recovered is as it was, and what controllers
 // held is not called lost.
-func (k *cluster) compare(p *recovery.Plan, truth testkit.Image) {
+func (k *cluster) checkPlan(p *recovery.Plan, truth testkit.Image) {
 	k.t.Helper()
 	for _, i := range p.Items {
 		e, was := truth.Entries[i.Key]
@@ -120,40 +120,40 @@
 	return fmt.Sprint(x["spec"], x["state"], x["part"], x["cancelled"], x["pipe"], x["held"]) == fmt.Sprint(y["spec"], y["state"], y["part"], y["cancelled"], y["pipe"], y["held"])
 }
 
-// afterLoss plays a loss: a snapshot is taken, then jobs are accepted, end and are cancelled,
+// runLoss plays a loss: a snapshot is taken, then jobs are accepted, end and are cancelled,
 // then data is lost, and the tool recovers it. Every job must be answered, and no rule broken.
-func afterLoss(t *testing.T, lose func(k *cluster) (truth testkit.Image, fresher *snapshot.Contents)) {
+func runLoss(t *testing.T, lose func(k *cluster) (truth testkit.Image, fresher *snapshot.Contents)) {
 	t.Helper()
-	meet(t, func(k *cluster) {
-		k.loses = true
+	runOnAllLayouts(t, func(k *cluster) {
+		k.losesData = true
 		k.load()
 		for i := range 3 {
-			k.submit(spec(ref(firstOwn+i), "wide", nil), quick)
+			k.submit(spec(ref(firstFreeJob+i), "wide", nil), shortRun)
 		}
 		old := snapshotOf(k.world.State.Image())
 		cancelled := k.cancel(ref(gangJob))
 		k.await(k.timing.Cancel, "a cancellation", cancelled)
 		k.await(2*time.Minute, "jobs done", func() bool {
-			return k.world.Told(ref(firstOwn)) == wire.Done && k.world.Told(ref(firstOwn+1)) == wire.Done
+			return k.world.Told(ref(firstFreeJob)) == wire.Done && k.world.Told(ref(firstFreeJob+1)) == wire.Done
 		})
-		k.submit(spec(ref(firstOwn+5), "other", gang(2)), long)
-		k.calm()
+		k.submit(spec(ref(firstFreeJob+5), "other", gang(2)), longRun)
+		k.awaitStableTasks()
 		truth, fresher := lose(k)
 		if fresher != nil {
 			old = fresher
 		}
 		k.await(time.Minute, "safe mode", k.allInSafeMode)
-		k.holdStill(2 * k.timing.Report)
-		k.recover(old, truth)
+		k.checkSafeModeHolds(2 * k.timing.Report)
+		k.recoverLostData(old, truth)
 	})
 }
 
-// recover rebuilds what was lost, and checks that against the truth.
-func (k *cluster) recover(old *snapshot.Contents, truth testkit.Image) {
+// recoverLostData rebuilds what was lost, and checks that against the truth.
+func (k *cluster) recoverLostData(old *snapshot.Contents, truth testkit.Image) {
 	k.t.Helper()
 	c := k.recoverClient()
-	p := k.plan(c, old, truth)
-	k.compare(p, truth)
+	p := k.recoveryPlan(c, old, truth)
+	k.checkPlan(p, truth)
 	k.apply(c, p)
 }
 
@@ -162,21 +162,21 @@
 func TestRecoverWhileOneIsCutOff(t *testing.T) {
 	for name, late := range map[string]bool{"back before": false, "back after": true} {
 		t.Run(name, func(t *testing.T) {
-			meet(t, func(k *cluster) {
-				k.loses = true
+			runOnAllLayouts(t, func(k *cluster) {
+				k.losesData = true
 				k.load()
-				k.calm()
-				owner := k.ownerOf("other")
+				k.awaitStableTasks()
+				owner := k.ownerOfTeam("other")
 				heal := k.isolate(owner)
-				k.successor("other", owner)
-				k.calm()
+				k.awaitNewOwner("other", owner)
+				k.awaitStableTasks()
 				truth := k.world.State.Image()
-				k.lose("")
+				k.loseRecords("")
 				if !late {
 					heal()
 				}
 				k.await(time.Minute, "safe mode", func() bool {
-					for _, label := range k.others(owner) {
+					for _, label := range k.labelsExcept(owner) {
 						if !k.process(label).c.dataLoss.Active() {
 							return false
 						}
@@ -184,9 +184,9 @@
 					return late || k.process(owner).c.dataLoss.Active()
 				})
 				time.Sleep(2 * k.timing.Report)
-				k.recover(snapshotOf(truth), truth)
+				k.recoverLostData(snapshotOf(truth), truth)
 				heal()
-				k.await(time.Minute, "service again", func() bool { return k.owned() && k.leader() != "" })
+				k.await(time.Minute, "service again", func() bool { return k.allShardsOwned() && k.leader() != "" })
 			})
 		})
 	}
@@ -197,13 +197,13 @@
 func TestRecoverWhileMoreFails(t *testing.T) {
 	troubles := map[string]func(k *cluster) (heal func()){
 		"take-over": func(k *cluster) func() {
-			k.crash(k.ownerOf("wide"))
+			k.crash(k.ownerOfTeam("wide"))
 			time.Sleep(membership.LeaseTTL)
-			return k.restartMissing
+			return k.startMissing
 		},
 		"the leader ends": func(k *cluster) func() {
 			k.crash(k.leader())
-			return k.restartMissing
+			return k.startMissing
 		},
 		"slow state service": func(k *cluster) func() {
 			k.world.State.Slow(800 * time.Millisecond)
@@ -220,19 +220,19 @@
 	}
 	for name, trouble := range troubles {
 		t.Run(name, func(t *testing.T) {
-			meet(t, func(k *cluster) {
-				k.loses = true
+			runOnAllLayouts(t, func(k *cluster) {
+				k.losesData = true
 				k.load()
-				k.calm()
+				k.awaitStableTasks()
 				old := snapshotOf(k.world.State.Image())
 				heal := trouble(k)
 				truth := k.world.State.Image()
-				k.lose("")
+				k.loseRecords("")
 				time.Sleep(3 * time.Second)
 				heal()
 				k.await(2*time.Minute, "safe mode", k.allInSafeMode)
 				time.Sleep(2 * k.timing.Report)
-				k.recover(old, truth)
+				k.recoverLostData(old, truth)
 			})
 		})
 	}
@@ -243,7 +243,7 @@
 func TestRecoverSilentLoss(t *testing.T) {
 	for name, loss := range silentLosses {
 		t.Run(name, func(t *testing.T) {
-			afterLoss(t, func(k *cluster) (testkit.Image, *snapshot.Contents) {
+			runLoss(t, func(k *cluster) (testkit.Image, *snapshot.Contents) {
 				truth := k.world.State.Image()
 				loss(k)
 				return truth, nil
@@ -256,7 +256,7 @@
 func TestRecoverOlderRevision(t *testing.T) {
 	for name, restart := range map[string]bool{"controllers live": false, "all restarted": true} {
 		t.Run(name, func(t *testing.T) {
-			afterLoss(t, func(k *cluster) (testkit.Image, *snapshot.Contents) {
+			runLoss(t, func(k *cluster) (testkit.Image, *snapshot.Contents) {
 				image := k.world.State.Image()
 				for range 40 { // a stretch shorter than what a restart writes can't be noticed
 					noise := wire.Txn{Then: []wire.Op{{Put: record.ClusterPrefix + "noise", Value: []byte("1")}}}
@@ -264,14 +264,14 @@
 						k.t.Fatal(err)
 					}
 				}
-				owner := k.ownerOf("wide")
+				owner := k.ownerOfTeam("wide")
 				k.crash(owner)
-				k.successor("wide", owner)
-				k.restartMissing()
+				k.awaitNewOwner("wide", owner)
+				k.startMissing()
 				if !restart { // of what nobody knows nothing can be recovered
-					k.submit(spec(ref(firstOwn+6), "wide", nil), long)
+					k.submit(spec(ref(firstFreeJob+6), "wide", nil), longRun)
 				}
-				k.calm()
+				k.awaitStableTasks()
 				truth := k.world.State.Image()
 				if restart {
 					for _, label := range k.labels {
@@ -279,7 +279,7 @@
 					}
 				}
 				k.world.State.Revert(image)
-				k.restartMissing()
+				k.startMissing()
 				return truth, nil
 			})
 		})
@@ -290,7 +290,7 @@
 func TestRecoverSeededLoss(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			afterLoss(t, func(k *cluster) (testkit.Image, *snapshot.Contents) {
+			runLoss(t, func(k *cluster) (testkit.Image, *snapshot.Contents) {
 				truth := k.world.State.Image()
 				r := rand.New(rand.NewPCG(seed, 9))
 				if seed%2 == 1 {
@@ -301,8 +301,8 @@
 				lost := k.world.State.Lose(func(key string) bool {
 					return strings.HasPrefix(key, record.FleetPrefix) || strings.HasPrefix(key, record.PlacementsPrefix) || r.IntN(2) == 0
 				})
-				k.happened(len(lost) > 0, "records are lost")
-				k.restartMissing()
+				k.requireOccurred(len(lost) > 0, "records are lost")
+				k.startMissing()
 				if seed%2 == 1 { // of what neither controllers nor a snapshot know nothing can be recovered
 					return truth, snapshotOf(truth)
 				}
--- a/internal/controller/restarts_damaged_test.go
+++ b/internal/controller/restarts_damaged_test.go
@@ -29,7 +29,7 @@
 			}
 		}
 	}
-	k.happened(len(intact) > 0, "records of placements are damaged")
+	k.requireOccurred(len(intact) > 0, "records of placements are damaged")
 	return func() {
 		for key, value := range intact {
 			put(key, value)
@@ -40,14 +40,14 @@
 // All controllers come back to records of placements that can't be decoded. What runs is
 // adopted, new jobs start, and once the records are restored every job ends.
 func TestRestartWithDamagedPlacements(t *testing.T) {
-	restarting(t, func(k *cluster, r *rand.Rand) {
+	runRestarts(t, func(k *cluster, r *rand.Rand) {
 		k.crashAll()
 		restore := k.damagePlacements()
-		k.comeBack(r)
-		k.await(2*time.Minute, "all parts", k.owned)
-		fresh := ref(firstOwn + 5*busyJobs)
-		k.submit(spec(fresh, "wide", nil), quick)
-		k.running(fresh, 1)
+		k.startInRandomOrder(r)
+		k.await(2*time.Minute, "all parts", k.allShardsOwned)
+		fresh := ref(firstFreeJob + 5*busyJobs)
+		k.submit(spec(fresh, "wide", nil), shortRun)
+		k.awaitRunning(fresh, 1)
 		time.Sleep(time.Duration(r.IntN(60)) * time.Second)
 		restore()
 	})
--- a/internal/controller/restarts_test.go
+++ b/internal/controller/restarts_test.go
@@ -18,8 +18,8 @@
 	"bramblespur/internal/wire"
 )
 
-// restartOrders is how many orders a second all controllers may release in these tests.
-const restartOrders = 15
+// maxCommandsPerSecond is how many orders a second all controllers may release in these tests.
+const maxCommandsPerSecond = 15
 
 // busyJobs are the arrays of a busy night, of busyTasks tasks each.
 const (
@@ -27,55 +27,55 @@
 	busyTasks = 3
 )
 
-// restarting plays a script in a busy night, on both layouts with some seeds: after it every
+// runRestarts plays a script in a busy night, on both layouts with some seeds: after it every
 // controller must settle, with no more orders in any second than the bound, and nothing that
 // the checker knows may have happened.
-func restarting(t *testing.T, script func(k *cluster, r *rand.Rand)) {
+func runRestarts(t *testing.T, script func(k *cluster, r *rand.Rand)) {
 	t.Helper()
 	for name, l := range layouts {
-		for seed := range uint64(meetSeeds) {
+		for seed := range uint64(seedsPerLayout) {
 			t.Run(fmt.Sprintf("%s-%d", name, seed+1), func(t *testing.T) {
 				t.Parallel()
-				playQuietly(t, l(seed+1), func(k *cluster) { script(k, rand.New(rand.NewPCG(seed, 5))) })
+				runWithRateLimit(t, l(seed+1), func(k *cluster) { script(k, rand.New(rand.NewPCG(seed, 5))) })
 			})
 		}
 	}
 }
 
-// playQuietly plays a script on a cluster that restarts quietly.
-func playQuietly(t *testing.T, l layout, script func(k *cluster)) {
+// runWithRateLimit plays a script on a cluster that restarts quietly.
+func runWithRateLimit(t *testing.T, l layout, script func(k *cluster)) {
 	t.Helper()
-	play(t, l, func(k *cluster) {
-		k.prepare = quietly
+	runScript(t, l, func(k *cluster) {
+		k.prepare = enableRateLimit
 		for _, label := range k.labels { // those that began before the script did not
 			k.restart(label, 0)
 		}
-		k.await(30*time.Second, "a leader and all parts", func() bool { return k.leader() != "" && k.owned() })
+		k.await(30*time.Second, "a leader and all parts", func() bool { return k.leader() != "" && k.allShardsOwned() })
 		for i := range busyJobs {
-			k.submit(spec(ref(firstOwn+i), []string{"wide", "other"}[i%2], func(s *wire.Spec) { s.Tasks = busyTasks }), busy(i))
+			k.submit(spec(ref(firstFreeJob+i), []string{"wide", "other"}[i%2], func(s *wire.Spec) { s.Tasks = busyTasks }), busyLength(i))
 		}
-		k.running(ref(firstOwn), busyTasks)
+		k.awaitRunning(ref(firstFreeJob), busyTasks)
 		time.Sleep(20 * time.Second) // the pace of the start is over
 		script(k)
-		k.happened(!k.ended.IsZero(), "all controllers end")
+		k.requireOccurred(!k.allEndedAt.IsZero(), "all controllers end")
 		k.world.Mend()
-		k.restartMissing()
+		k.startMissing()
 		back := time.Now()
-		k.await(3*time.Minute, "all have settled", func() bool { return k.settled() })
+		k.await(3*time.Minute, "all have settled", func() bool { return k.allReconciled() })
 		paced := back.Add(ratelimit.DefaultLimitFor)
-		if n := k.world.Orders().Most(time.Second, k.ended, paced, !k.cancels.Load()); n > restartOrders {
-			k.t.Errorf("%d orders in a second, of %d", n, restartOrders)
+		if n := k.world.Orders().Most(time.Second, k.allEndedAt, paced, !k.jobsCancelled.Load()); n > maxCommandsPerSecond {
+			k.t.Errorf("%d orders in a second, of %d", n, maxCommandsPerSecond)
 		}
 	})
 }
 
-// busy is how long the tasks of a night's job run: some end while nobody listens.
-func busy(i int) testkit.Length {
+// busyLength is how long the tasks of a night's job run: some end while nobody listens.
+func busyLength(i int) testkit.Length {
 	return testkit.Length{Run: time.Duration(25+7*i) * time.Second, Fetch: 2 * time.Second}
 }
 
-func quietly(_ string, c *Controller) {
-	c.reconciliation.Enable(&operations.Restart{Settings: ratelimit.Settings{CommandsPerSecond: restartOrders}})
+func enableRateLimit(_ string, c *Controller) {
+	c.reconciliation.Enable(&operations.Restart{Settings: ratelimit.Settings{CommandsPerSecond: maxCommandsPerSecond}})
 }
 
 // episodes returns what a controller recorded.
@@ -92,8 +92,8 @@
 	return h.Episodes
 }
 
-// settled reports whether no controller has anything left to settle.
-func (k *cluster) settled() bool {
+// allReconciled reports whether no controller has anything left to settle.
+func (k *cluster) allReconciled() bool {
 	for _, label := range k.labels {
 		p := k.process(label)
 		if p == nil {
@@ -106,22 +106,22 @@
 			return false
 		}
 	}
-	return k.owned()
+	return k.allShardsOwned()
 }
 
 // crashAll ends every controller without a word. What workers are told from then on is
 // counted.
 func (k *cluster) crashAll() {
-	if k.ended.IsZero() {
-		k.ended = time.Now()
+	if k.allEndedAt.IsZero() {
+		k.allEndedAt = time.Now()
 	}
 	for _, label := range k.labels {
 		k.crash(label)
 	}
 }
 
-// comeBack starts all controllers in some order, each a fraction of a second after the last.
-func (k *cluster) comeBack(r *rand.Rand) {
+// startInRandomOrder starts all controllers in some order, each a fraction of a second after the last.
+func (k *cluster) startInRandomOrder(r *rand.Rand) {
 	order := slices.Clone(k.labels)
 	r.Shuffle(len(order), func(a, b int) { order[a], order[b] = order[b], order[a] })
 	for _, label := range order {
@@ -132,10 +132,10 @@
 	}
 }
 
-// flood submits more work than there was, so that starts are under way.
-func (k *cluster) flood() {
+// submitBacklog submits more work than there was, so that starts are under way.
+func (k *cluster) submitBacklog() {
 	for i := range busyJobs {
-		k.submitLater(spec(ref(firstOwn+busyJobs+i), []string{"wide", "other"}[i%2], func(s *wire.Spec) { s.Tasks = busyTasks }), busy(i))
+		k.submitInBackground(spec(ref(firstFreeJob+busyJobs+i), []string{"wide", "other"}[i%2], func(s *wire.Spec) { s.Tasks = busyTasks }), busyLength(i))
 	}
 }
 
@@ -148,36 +148,36 @@
 			k.world.State.Decide(func(_ string, w wire.Txn) testkit.Fate {
 				return testkit.Fate{Refused: writes(w, record.PlacementsPrefix)}
 			})
-			k.flood()
+			k.submitBacklog()
 			time.Sleep(3 * time.Second)
 		},
 		"after the write": func(k *cluster) {
 			n := len(k.world.State.Writes())
-			k.flood()
+			k.submitBacklog()
 			k.await(time.Minute, "a start on record", func() bool {
 				return slices.ContainsFunc(k.world.State.Writes()[n:], func(w testkit.Write) bool { return writes(w.Txn, record.PlacementsPrefix) })
 			})
 		},
 		"after the order": func(k *cluster) {
 			before := time.Now()
-			k.flood()
+			k.submitBacklog()
 			k.await(time.Minute, "an order", func() bool { return k.world.Orders().Since(before) > 3 })
 		},
 		"after a task's end": func(k *cluster) {
 			ended := make(chan string, 2*busyJobs)
 			k.world.OnEnd(func(ref string) { ended <- ref })
-			k.flood()
+			k.submitBacklog()
 			<-ended
 		},
 	}
 	for name, phase := range phases {
 		t.Run(name, func(t *testing.T) {
-			restarting(t, func(k *cluster, r *rand.Rand) {
+			runRestarts(t, func(k *cluster, r *rand.Rand) {
 				phase(k)
 				k.crashAll()
 				k.world.State.Decide(nil)
 				time.Sleep(time.Duration(200+r.IntN(6000)) * time.Millisecond)
-				k.comeBack(r)
+				k.startInRandomOrder(r)
 			})
 		})
 	}
@@ -186,18 +186,18 @@
 // All end once more while they reconcile, one never comes back until much later, and the
 // record of the restart tells what was found.
 func TestAllEndTwice(t *testing.T) {
-	restarting(t, func(k *cluster, r *rand.Rand) {
-		k.flood()
+	runRestarts(t, func(k *cluster, r *rand.Rand) {
+		k.submitBacklog()
 		k.crashAll()
 		time.Sleep(time.Duration(r.IntN(3000)) * time.Millisecond)
-		k.comeBack(r)
+		k.startInRandomOrder(r)
 		time.Sleep(time.Duration(500+r.IntN(3000)) * time.Millisecond)
 		k.crashAll()
 		time.Sleep(300 * time.Millisecond)
 		for _, label := range k.labels[1:] {
 			k.start(label)
 		}
-		k.await(time.Minute, "all parts without one controller", k.owned)
+		k.await(time.Minute, "all parts without one controller", k.allShardsOwned)
 		time.Sleep(10 * time.Second)
 		verdicts := map[string]int{}
 		for _, label := range k.labels {
@@ -207,7 +207,7 @@
 				}
 			}
 		}
-		k.happened(verdicts["adopted"] > 0, fmt.Sprintf("running work is adopted: %v", verdicts))
+		k.requireOccurred(verdicts["adopted"] > 0, fmt.Sprintf("running work is adopted: %v", verdicts))
 	})
 }
 
@@ -229,11 +229,11 @@
 	}
 	for name, trouble := range troubles {
 		t.Run(name, func(t *testing.T) {
-			restarting(t, func(k *cluster, r *rand.Rand) {
-				k.flood()
+			runRestarts(t, func(k *cluster, r *rand.Rand) {
+				k.submitBacklog()
 				k.crashAll()
 				heal := trouble(k)
-				k.comeBack(r)
+				k.startInRandomOrder(r)
 				time.Sleep(time.Duration(3+r.IntN(10)) * time.Second)
 				heal()
 			})
@@ -245,34 +245,34 @@
 // as cancelled or as done, or know on another machine: each is stopped or forgotten, and no
 // answer changes.
 func TestRestartFindsStrayTasks(t *testing.T) {
-	restarting(t, func(k *cluster, r *rand.Rand) {
+	runRestarts(t, func(k *cluster, r *rand.Rand) {
 		k.load()
 		cancelled := k.cancel(ref(limitJob))
 		k.await(k.timing.Cancel, "a cancellation", cancelled)
-		k.submit(spec(ref(firstOwn+busyJobs), "wide", nil), testkit.Length{Run: time.Second})
-		k.await(2*time.Minute, "an end", func() bool { return k.world.Told(ref(firstOwn+busyJobs)) == wire.Done })
+		k.submit(spec(ref(firstFreeJob+busyJobs), "wide", nil), testkit.Length{Run: time.Second})
+		k.await(2*time.Minute, "an end", func() bool { return k.world.Told(ref(firstFreeJob+busyJobs)) == wire.Done })
 		k.crashAll()
 		on := k.world.On(ref(arrayJob))
 		others := slices.DeleteFunc(k.world.Machines(), func(m *testkit.Agent) bool { return slices.Contains(on, m) })
-		k.happened(len(others) > 2, "there are machines without the job")
+		k.requireOccurred(len(others) > 2, "there are machines without the job")
 		others[0].Inject("run-999999", 0, 1, wire.Running, "")               // never known
 		others[0].Inject(ref(arrayJob), 0, 77, wire.Running, "")             // another attempt
 		others[1].Inject(ref(arrayJob), 1, 1, wire.Running, "")              // the same, elsewhere
 		others[1].Inject(ref(limitJob), 0, 1, wire.Running, "")              // cancelled
-		others[2].Inject(ref(firstOwn+busyJobs), 0, 9, wire.Running, "")     // done
+		others[2].Inject(ref(firstFreeJob+busyJobs), 0, 9, wire.Running, "") // done
 		others[2].Inject(ref(serviceJob), 0, 9, wire.Exited, wire.ExitError) // exited in vain
-		k.comeBack(r)
+		k.startInRandomOrder(r)
 		k.await(2*time.Minute, "the strays gone", func() bool {
 			for _, m := range others[:3] {
 				if slices.ContainsFunc(m.Tasks(), func(task string) bool {
-					return strings.HasPrefix(task, "run-999999/") || strings.HasPrefix(task, ref(limitJob)+"/") || strings.HasPrefix(task, ref(firstOwn+busyJobs)+"/")
+					return strings.HasPrefix(task, "run-999999/") || strings.HasPrefix(task, ref(limitJob)+"/") || strings.HasPrefix(task, ref(firstFreeJob+busyJobs)+"/")
 				}) {
 					return false
 				}
 			}
 			return len(k.world.On(ref(arrayJob))) <= 4
 		})
-		if got := k.world.Told(ref(firstOwn + busyJobs)); got != wire.Done {
+		if got := k.world.Told(ref(firstFreeJob + busyJobs)); got != wire.Done {
 			k.t.Errorf("what was done is %s", got)
 		}
 	})
@@ -281,13 +281,13 @@
 // A worker that is silent for several leases is awaited: its work is started nowhere else
 // before it is proven gone.
 func TestRestartAwaitsSilentWorkers(t *testing.T) {
-	restarting(t, func(k *cluster, r *rand.Rand) {
+	runRestarts(t, func(k *cluster, r *rand.Rand) {
 		k.load()
 		silent := k.world.On(ref(arrayJob))
 		k.crashAll()
-		isSilent := ids(silent)
+		isSilent := matchAgents(silent)
 		heal := k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(isSilent, testkit.Anyone)})
-		k.comeBack(r)
+		k.startInRandomOrder(r)
 		time.Sleep(3 * k.timing.Lease)
 		heal()
 	})
@@ -296,7 +296,7 @@
 // The cloud lists machines without a record, a record names machines that are not there, and
 // the answer to a rental is lost as its leader ends.
 func TestRestartFindsMachines(t *testing.T) {
-	restarting(t, func(k *cluster, r *rand.Rand) {
+	runRestarts(t, func(k *cluster, r *rand.Rand) {
 		stranger := wire.ProvisionRequest{Request: "late", Type: "big", Zone: "a", Count: 1}
 		names, err := k.world.Rentals(t.Context(), "late").Provision(t.Context(), stranger)
 		if err != nil {
@@ -307,11 +307,11 @@
 			k.t.Fatal(err)
 		}
 		heal := k.world.Net.Cut(&testkit.Cut{Match: func(from, _ string) bool { return from == testkit.CloudEnd }})
-		k.flood()
+		k.submitBacklog()
 		time.Sleep(4 * time.Second)
 		k.crashAll()
 		heal()
-		k.comeBack(r)
+		k.startInRandomOrder(r)
 		k.await(5*time.Minute, "the stranger returned", func() bool { return k.world.Zone(names[0]) == "" })
 		k.await(5*time.Minute, "the ghost returned", func() bool {
 			return slices.ContainsFunc(k.world.State.Writes(), func(w testkit.Write) bool {
@@ -325,18 +325,18 @@
 
 // Users submit, ask and cancel while everything reconciles.
 func TestUsersWhileReconciling(t *testing.T) {
-	restarting(t, func(k *cluster, r *rand.Rand) {
-		k.flood()
+	runRestarts(t, func(k *cluster, r *rand.Rand) {
+		k.submitBacklog()
 		k.crashAll()
 		for i := range 3 {
-			k.cancel(ref(firstOwn + i))
-			k.submitLater(spec(ref(firstOwn+3*busyJobs+i), "wide", nil), quick)
+			k.cancel(ref(firstFreeJob + i))
+			k.submitInBackground(spec(ref(firstFreeJob+3*busyJobs+i), "wide", nil), shortRun)
 		}
 		time.Sleep(time.Duration(r.IntN(2000)) * time.Millisecond)
-		k.comeBack(r)
+		k.startInRandomOrder(r)
 		for i := range 3 {
-			k.cancel(ref(firstOwn + 3 + i))
-			k.submitLater(spec(ref(firstOwn+4*busyJobs+i), "other", nil), quick)
+			k.cancel(ref(firstFreeJob + 3 + i))
+			k.submitInBackground(spec(ref(firstFreeJob+4*busyJobs+i), "other", nil), shortRun)
 			time.Sleep(300 * time.Millisecond)
 		}
 	})
@@ -348,17 +348,17 @@
 	for name, l := range layouts {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			play(t, l(1), func(k *cluster) {
+			runScript(t, l(1), func(k *cluster) {
 				k.prepare = func(label string, c *Controller) {
 					if label != "c-0" {
-						quietly(label, c)
+						enableRateLimit(label, c)
 					}
 				}
 				k.load()
 				k.crashAll()
-				k.restartMissing()
-				k.await(time.Minute, "all parts", k.owned)
-				k.await(3*time.Minute, "the others settled", func() bool { return len(k.episodes("c-1")) > 0 && k.settled() })
+				k.startMissing()
+				k.await(time.Minute, "all parts", k.allShardsOwned)
+				k.await(3*time.Minute, "the others settled", func() bool { return len(k.episodes("c-1")) > 0 && k.allReconciled() })
 				if n := len(k.episodes("c-0")); n > 0 {
 					k.t.Errorf("%d episodes of one that does not record them", n)
 				}
@@ -369,19 +369,19 @@
 
 // A drain is under way when all controllers end: its grants are kept, and it goes on.
 func TestRestartDuringADrain(t *testing.T) {
-	drainOn(t, func(k *drainCluster) {
+	runDrain(t, func(k *drainCluster) {
 		on := k.prepare
 		k.prepare = func(label string, c *Controller) {
 			on(label, c)
-			quietly(label, c)
+			enableRateLimit(label, c)
 		}
 		k.loadEvenly()
-		k.ask("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
+		k.requestDrain("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
 		k.awaitGrant()
 		k.crashAll()
 		time.Sleep(2 * time.Second)
-		k.comeBack(rand.New(rand.NewPCG(1, 1)))
-		k.finished("all", time.Hour)
-		k.await(time.Minute, "all have settled", func() bool { return k.settled() })
+		k.startInRandomOrder(rand.New(rand.NewPCG(1, 1)))
+		k.awaitFinished("all", time.Hour)
+		k.await(time.Minute, "all have settled", func() bool { return k.allReconciled() })
 	})
 }
--- a/internal/controller/safe_mode_test.go
+++ b/internal/controller/safe_mode_test.go
@@ -17,8 +17,8 @@
 // nobody may believe that data was lost unless it was.
 const testAudit = 10 * time.Second
 
-// everLost reports whether a controller has ever held a safe mode.
-func (c *Controller) everLost() bool {
+// everInSafeMode reports whether a controller has ever held a safe mode.
+func (c *Controller) everInSafeMode() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.dataLoss.ModeLocked().Epoch > 0
@@ -46,8 +46,8 @@
 	return out
 }
 
-// calm waits until nothing that was stopped to make room is still saving.
-func (k *cluster) calm() {
+// awaitStableTasks waits until nothing that was stopped to make room is still saving.
+func (k *cluster) awaitStableTasks() {
 	k.t.Helper()
 	var before []string
 	for now := k.tasks(); !slices.Equal(now, before); now = k.tasks() {
@@ -56,8 +56,8 @@
 	}
 }
 
-// restored puts back what the state service held, as if recovered, and ends the safe mode.
-func (k *cluster) restored(full testkit.Image) {
+// restoreData puts back what the state service held, as if recovered, and ends the safe mode.
+func (k *cluster) restoreData(full testkit.Image) {
 	k.t.Helper()
 	mode := recovery.SafeMode{}
 	for _, label := range k.labels {
@@ -82,30 +82,30 @@
 
 // silentLosses are what a state service may lose without a word.
 var silentLosses = map[string]func(k *cluster){
-	"everything":   func(k *cluster) { k.lose("") },
-	"open jobs":    func(k *cluster) { k.lose(record.ActiveJobPrefix) },
-	"a part's own": func(k *cluster) { k.lose(record.ShardKey(k.part("wide"))) },
-	"parts":        func(k *cluster) { k.lose(record.ShardPrefix) },
-	"machines":     func(k *cluster) { k.lose(record.FleetPrefix) },
-	"rentals":      func(k *cluster) { k.lose(record.ProvisionPrefix) },
-	"final states": func(k *cluster) { k.lose(record.FinishedJobPrefix) },
+	"everything":   func(k *cluster) { k.loseRecords("") },
+	"open jobs":    func(k *cluster) { k.loseRecords(record.ActiveJobPrefix) },
+	"a part's own": func(k *cluster) { k.loseRecords(record.ShardKey(k.shardOfTeam("wide"))) },
+	"parts":        func(k *cluster) { k.loseRecords(record.ShardPrefix) },
+	"machines":     func(k *cluster) { k.loseRecords(record.FleetPrefix) },
+	"rentals":      func(k *cluster) { k.loseRecords(record.ProvisionPrefix) },
+	"final states": func(k *cluster) { k.loseRecords(record.FinishedJobPrefix) },
 	"placements, while they are written": func(k *cluster) {
-		k.lose(record.PlacementsPrefix)
+		k.loseRecords(record.PlacementsPrefix)
 		for i, team := range []string{"wide", "other", "tight"} {
-			k.submitLater(spec(ref(firstOwn+20+i), team, nil), quick)
+			k.submitInBackground(spec(ref(firstFreeJob+20+i), team, nil), shortRun)
 		}
 	},
 }
 
-func (k *cluster) lose(prefix string) {
+func (k *cluster) loseRecords(prefix string) {
 	k.t.Helper()
 	lost := k.world.State.Lose(func(key string) bool { return strings.HasPrefix(key, prefix) })
-	k.happened(len(lost) > 0, "records with "+prefix+" are lost")
+	k.requireOccurred(len(lost) > 0, "records with "+prefix+" are lost")
 }
 
-// holdStill checks that for a while nothing is done to workers, that what runs goes on, and
+// checkSafeModeHolds checks that for a while nothing is done to workers, that what runs goes on, and
 // that users are told to come back, but for what was answered for good.
-func (k *cluster) holdStill(d time.Duration) {
+func (k *cluster) checkSafeModeHolds(d time.Duration) {
 	k.t.Helper()
 	began, running := time.Now(), k.tasks()
 	for time.Since(began) < d {
@@ -132,18 +132,18 @@
 func TestSafeModeAfterSilentLoss(t *testing.T) {
 	for name, loss := range silentLosses {
 		t.Run(name, func(t *testing.T) {
-			meet(t, func(k *cluster) {
-				k.loses = true
+			runOnAllLayouts(t, func(k *cluster) {
+				k.losesData = true
 				k.load()
-				k.submit(spec(ref(firstOwn), "wide", nil), quick)
-				k.await(2*time.Minute, "a job done", func() bool { return k.world.Told(ref(firstOwn)) == wire.Done })
-				k.calm()
+				k.submit(spec(ref(firstFreeJob), "wide", nil), shortRun)
+				k.await(2*time.Minute, "a job done", func() bool { return k.world.Told(ref(firstFreeJob)) == wire.Done })
+				k.awaitStableTasks()
 				full := k.world.State.Image()
 				loss(k)
 				k.await(time.Minute, "safe mode", k.allInSafeMode)
-				k.holdStill(2 * k.timing.Lease)
-				k.restored(full)
-				k.await(time.Minute, "service again", func() bool { return k.owned() && k.leader() != "" })
+				k.checkSafeModeHolds(2 * k.timing.Lease)
+				k.restoreData(full)
+				k.await(time.Minute, "service again", func() bool { return k.allShardsOwned() && k.leader() != "" })
 			})
 		})
 	}
@@ -159,19 +159,19 @@
 		"seconds": {2 * time.Second, false}, "a minute": {time.Minute, false}, "a minute, all restarted": {time.Minute, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			meet(t, func(k *cluster) {
-				k.loses = true
+			runOnAllLayouts(t, func(k *cluster) {
+				k.losesData = true
 				k.load()
 				old := k.world.State.Image()
-				owner := k.ownerOf("wide")
+				owner := k.ownerOfTeam("wide")
 				k.crash(owner) // the part's next token is what workers know, and the older store does not
-				k.successor("wide", owner)
-				k.restartMissing()
+				k.awaitNewOwner("wide", owner)
+				k.startMissing()
 				for i := range 4 {
-					k.submitLater(spec(ref(firstOwn+i), "wide", nil), long)
+					k.submitInBackground(spec(ref(firstFreeJob+i), "wide", nil), longRun)
 				}
 				time.Sleep(x.by + k.timing.Report)
-				k.calm()
+				k.awaitStableTasks()
 				full := k.world.State.Image()
 				if x.restart {
 					for _, label := range k.labels {
@@ -179,11 +179,11 @@
 					}
 				}
 				k.world.State.Revert(old)
-				k.restartMissing()
+				k.startMissing()
 				k.await(time.Minute, "safe mode", k.allInSafeMode)
-				k.holdStill(2 * k.timing.Lease)
-				k.restored(full)
-				k.await(time.Minute, "service again", func() bool { return k.owned() && k.leader() != "" })
+				k.checkSafeModeHolds(2 * k.timing.Lease)
+				k.restoreData(full)
+				k.await(time.Minute, "service again", func() bool { return k.allShardsOwned() && k.leader() != "" })
 			})
 		})
 	}
@@ -194,23 +194,23 @@
 func TestSafeModeAfterLossAndRestart(t *testing.T) {
 	for _, prefix := range []string{record.ActiveJobPrefix, record.FleetPrefix, record.PlacementsPrefix, record.ShardPlacementsPrefix(1), ""} {
 		t.Run("lost "+prefix, func(t *testing.T) {
-			meet(t, func(k *cluster) {
-				k.loses = true
+			runOnAllLayouts(t, func(k *cluster) {
+				k.losesData = true
 				k.load()
-				k.calm()
+				k.awaitStableTasks()
 				for _, label := range k.labels {
 					k.crash(label)
 				}
 				full := k.world.State.Image()
-				k.lose(prefix)
+				k.loseRecords(prefix)
 				if prefix == "" { // the words on formats come back with the controllers
 					time.Sleep(time.Second)
 				}
-				k.restartMissing()
+				k.startMissing()
 				k.await(time.Minute, "safe mode", k.allInSafeMode)
-				k.holdStill(2 * k.timing.Lease)
-				k.restored(full)
-				k.await(time.Minute, "service again", func() bool { return k.owned() && k.leader() != "" })
+				k.checkSafeModeHolds(2 * k.timing.Lease)
+				k.restoreData(full)
+				k.await(time.Minute, "service again", func() bool { return k.allShardsOwned() && k.leader() != "" })
 			})
 		})
 	}
--- a/internal/controller/zones_apart_test.go
+++ b/internal/controller/zones_apart_test.go
@@ -17,10 +17,10 @@
 func TestZonesApartKeepLeases(t *testing.T) {
 	for _, hold := range []bool{false, true} {
 		t.Run(fmt.Sprintf("hold-%t", hold), func(t *testing.T) {
-			meet(t, func(k *cluster) {
+			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
 				sessions := k.sessionsWithTasks()
-				inside := k.in("b")
+				inside := k.inZone("b")
 				heal := k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(inside, not(inside)), Hold: hold})
 				time.Sleep(2 * k.timing.Lease)
 				crossing := 0
@@ -34,7 +34,7 @@
 					}
 				}
 				heal()
-				k.happened(crossing > 0, "machines with tasks are cut off from their owners")
+				k.requireOccurred(crossing > 0, "machines with tasks are cut off from their owners")
 			})
 		})
 	}
