--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent is the client of the agents on workers: it sends them direct commands, and asks for
-// heartbeats out of turn. Commands usually go out with the responses to heartbeats; direct ones are
-// for those that can't wait.
+// Package agent is the client of the agents on worker machines. It sends direct commands, and requests
+// heartbeats between the regular ones. Commands are usually sent in the responses to heartbeats; direct
+// commands are those that cannot wait for the next heartbeat.
 package agent
 
 import (
@@ -14,27 +14,28 @@
 	"bramblespur/internal/wire"
 )
 
-// commandTimeout bounds a request with direct commands.
+// commandTimeout limits the time of a request with direct commands.
 const commandTimeout = 3 * time.Second
 
-// heartbeatTimeout bounds a request for a heartbeat: a response takes milliseconds.
+// heartbeatTimeout limits the time of a request for a heartbeat. A response usually takes milliseconds.
 const heartbeatTimeout = 1500 * time.Millisecond
 
-// maxHeartbeat bounds a response: it is a heartbeat, which controllers accept up to the same size
-// when the worker sends it itself.
+// maxHeartbeat limits the bytes of a response. The response is a heartbeat, and controllers accept
+// heartbeats that workers send up to the same size.
 const maxHeartbeat = httpwire.MaxBody
 
-// API is what controllers ask of workers directly.
+// API is the interface of the agents; addr is the address in a worker's heartbeat. An error that wraps
+// httpwire.ErrNotSent means that the agent certainly received no request.
 type API interface {
-	// SendCommands sends direct commands to a worker and returns its heartbeat, both when they were
-	// carried out (ok) and when they were refused.
+	// SendCommands sends direct commands to a worker and returns its heartbeat. ok reports whether
+	// they were executed; if not, and err is nil, the worker refused them.
 	SendCommands(ctx context.Context, addr string, o wire.DirectCommands) (r wire.Heartbeat, ok bool, err error)
-	// RequestHeartbeat asks a worker for its heartbeat.
+	// RequestHeartbeat returns a worker's current heartbeat.
 	RequestHeartbeat(ctx context.Context, addr string) (wire.Heartbeat, error)
 }
 
-// Client is an API over HTTP. It keeps no connections: direct commands are rare, and the number of
-// sockets is limited. It is safe for concurrent use.
+// Client implements API over HTTP. It keeps no idle connections, because direct commands are rare and the
+// number of sockets is limited. It is safe for concurrent use.
 type Client struct{}
 
 var _ API = Client{}
@@ -43,7 +44,7 @@
 func (Client) SendCommands(ctx context.Context, addr string, o wire.DirectCommands) (r wire.Heartbeat, ok bool, err error) {
 	body, err := json.Marshal(o)
 	if err != nil {
-		return r, false, fmt.Errorf("encode: %w", err)
+		return r, false, fmt.Errorf("encode commands: %w", err)
 	}
 	status, err := call(ctx, addr, commandTimeout, "POST", wire.CommandPath, body, &r)
 	return r, status == http.StatusOK, err
@@ -55,6 +56,8 @@
 	return r, err
 }
 
+// call sends a request to the agent at addr, and decodes the heartbeat of a response with status 200 or
+// 409 into r. A response with another status is an error.
 func call(ctx context.Context, addr string, timeout time.Duration, method, path string, body []byte, r *wire.Heartbeat) (status int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -63,10 +66,10 @@
 		return 0, fmt.Errorf("worker %s: %w", addr, err)
 	}
 	if resp.Status != http.StatusOK && resp.Status != http.StatusConflict {
-		return 0, fmt.Errorf("worker %s: status %d", addr, resp.Status)
+		return 0, fmt.Errorf("worker %s: status %d, want 200 or 409", addr, resp.Status)
 	}
 	if err := json.Unmarshal(resp.Body, r); err != nil {
-		return 0, fmt.Errorf("worker's answer: %w", err)
+		return 0, fmt.Errorf("worker's response: %w", err)
 	}
 	return resp.Status, nil
 }
