--- a/internal/drainctl/drainctl.go
+++ b/internal/drainctl/drainctl.go
@@ -1,5 +1,5 @@
-// Package drainctl is what an operator's tool does about drains: it reads their records
-// and asks for changes, by the state service's published protocol alone.
+// Package drainctl does the I/O of the operators' tool for drains: it reads their records, and starts,
+// pauses, resumes and cancels drains. It uses the state service alone and calls no controller.
 package drainctl
 
 import (
@@ -13,7 +13,7 @@
 	"bramblespur/internal/statestore"
 )
 
-// ErrUnknown says that something an operator named is not there.
+// ErrUnknown is wrapped by errors about drains or machines that an operator named and that do not exist.
 var ErrUnknown = errors.New("unknown")
 
 // Client reads and changes the records of drains.
@@ -22,22 +22,22 @@
 	Now   func() time.Time
 }
 
-// view reads all records of drains.
-func (c *Client) view(ctx context.Context) (*drain.View, error) {
-	entries, rev, err := c.Store.List(ctx, statestore.Routine("drain"), drain.Prefix)
+// readDrains reads all records of drains. The view also has the errors of malformed records.
+func (c *Client) readDrains(ctx context.Context) (*drain.View, error) {
+	entries, revision, err := c.Store.List(ctx, statestore.Routine("drain"), drain.Prefix)
 	if err != nil {
 		return nil, fmt.Errorf("read the drains: %w", err)
 	}
 	v := drain.NewView()
-	// What is malformed is kept apart and shown as such.
-	if err := v.Reset(entries, rev); err != nil && !errors.Is(err, drain.ErrMalformed) {
+	// The view keeps malformed records apart, and List shows them as invalid.
+	if err := v.Reset(entries, revision); err != nil && !errors.Is(err, drain.ErrMalformed) {
 		return nil, err
 	}
 	return v, nil
 }
 
-// fleet reads the records of all machines.
-func (c *Client) fleet(ctx context.Context) (*record.Fleet, error) {
+// readFleet reads the records of all machines.
+func (c *Client) readFleet(ctx context.Context) (*record.Fleet, error) {
 	entries, _, err := c.Store.List(ctx, statestore.Routine("drain"), record.FleetPrefix)
 	if err != nil {
 		return nil, fmt.Errorf("read the machines: %w", err)
@@ -49,8 +49,8 @@
 	return fleet, nil
 }
 
-// inService returns the machines that have not been given back, as a selector sees them.
-func inService(fleet *record.Fleet) map[string]record.MachineView {
+// machinesInUse returns the machines that are not being released, by ID.
+func machinesInUse(fleet *record.Fleet) map[string]record.MachineView {
 	out := map[string]record.MachineView{}
 	fleet.ForEach(func(id string, v record.MachineView) {
 		if v.Phase == record.InUse {
@@ -60,30 +60,32 @@
 	return out
 }
 
-// selects reports whether a drain is about a machine.
+// selects reports whether a drain selects a machine.
 func selects(p *drain.Plan, id string, v record.MachineView) bool {
 	return p.Selects(id, v.Type, v.Zone, time.UnixMilli(v.CreatedAt))
 }
 
-// Start asks for a drain.
+// Start records a drain, which the controllers then carry out. It returns an error that wraps ErrUnknown
+// if a machine is named that is not in use or no machine is selected.
 func (c *Client) Start(ctx context.Context, p drain.Plan) error {
 	if err := c.checkPlan(ctx, &p); err != nil {
 		return err
 	}
 	_, err := c.Store.Txn(ctx, statestore.Urgent("drain"), drain.StartTxn(p))
-	return c.explainConflict(ctx, p.Name, err)
+	return c.explainTxnError(ctx, p.Name, err)
 }
 
-// checkPlan refuses a drain that makes no sense, or selects nothing that is there.
+// checkPlan returns an error that wraps [drain.ErrInvalid] if the plan is invalid, and one that wraps
+// ErrUnknown if it names a machine that is not in use or selects no machine.
 func (c *Client) checkPlan(ctx context.Context, p *drain.Plan) error {
 	if err := p.Check(); err != nil {
 		return err
 	}
-	fleet, err := c.fleet(ctx)
+	fleet, err := c.readFleet(ctx)
 	if err != nil {
 		return err
 	}
-	machines := inService(fleet)
+	machines := machinesInUse(fleet)
 	for _, id := range p.Selector.Machines {
 		if _, ok := machines[id]; !ok {
 			return fmt.Errorf("%w machine %s", ErrUnknown, id)
@@ -97,14 +99,15 @@
 	return fmt.Errorf("%w machines: none is selected", ErrUnknown)
 }
 
-// explainConflict tells what a failed transaction means to an operator.
-func (c *Client) explainConflict(ctx context.Context, name string, err error) error {
+// explainTxnError returns the error for an operator if a transaction on a drain's record failed: for a
+// conflict, a refusal, or an unknown result.
+func (c *Client) explainTxnError(ctx context.Context, name string, err error) error {
 	var conflict *statestore.ConflictError
 	switch {
 	case err == nil:
 		return nil
 	case errors.As(err, &conflict):
-		v, readErr := c.view(ctx)
+		v, readErr := c.readDrains(ctx)
 		if readErr != nil {
 			return readErr
 		}
@@ -120,9 +123,10 @@
 	return fmt.Errorf("it is not known whether that was recorded, see \"drain show %s\": %w", name, err)
 }
 
-// Change pauses, resumes or cancels a drain.
+// Change pauses, resumes or cancels a drain, by its new state. It returns an error that wraps ErrUnknown
+// if there is no such drain, and the errors of [drain.ChangeTxn].
 func (c *Client) Change(ctx context.Context, name string, to drain.State) error {
-	v, err := c.view(ctx)
+	v, err := c.readDrains(ctx)
 	if err != nil {
 		return err
 	}
@@ -130,10 +134,10 @@
 	if !ok {
 		return fmt.Errorf("%w drain %s", ErrUnknown, name)
 	}
-	t, err := drain.ChangeTxn(p, to, c.Now())
+	txn, err := drain.ChangeTxn(p, to, c.Now())
 	if err != nil {
 		return err
 	}
-	_, err = c.Store.Txn(ctx, statestore.Urgent("drain"), t)
-	return c.explainConflict(ctx, name, err)
+	_, err = c.Store.Txn(ctx, statestore.Urgent("drain"), txn)
+	return c.explainTxnError(ctx, name, err)
 }
--- a/internal/drainreport/plots.go
+++ b/internal/drainreport/plots.go
@@ -12,16 +12,18 @@
 	"bramblespur/internal/plots"
 )
 
-const minutes = "minutes"
+// minutesLabel is the label of the time axes.
+const minutesLabel = "minutes"
 
-// progressPlot shows the machines that were cordoned and given back.
+// progressPlot plots how many machines were cordoned and released over time.
 func (r *Report) progressPlot() (template.HTML, error) {
-	return plots.SVG("Machines", minutes,
-		plots.Line{Name: "cordoned", Color: plots.Orange, Points: r.points(func(p drain.Sample) int { return p.Cordoned })},
-		plots.Line{Name: "returned", Color: plots.Blue, Points: r.points(func(p drain.Sample) int { return p.Returned })})
+	return plots.SVG("Machines", minutesLabel,
+		plots.Line{Name: "cordoned", Color: plots.Orange, Points: r.curve(func(p drain.Sample) int { return p.Cordoned })},
+		plots.Line{Name: "returned", Color: plots.Blue, Points: r.curve(func(p drain.Sample) int { return p.Returned })})
 }
 
-// disruptionPlots show each team's disruptions against its budget.
+// disruptionPlots returns a plot for each team, sorted by name, of its disruptions over time and of its
+// budget if that is known.
 func (r *Report) disruptionPlots() ([]template.HTML, error) {
 	teams := map[string]bool{}
 	for _, p := range r.Samples {
@@ -32,15 +34,15 @@
 	var out []template.HTML
 	for _, team := range slices.Sorted(maps.Keys(teams)) {
 		lines := []plots.Line{
-			{Name: "at once", Color: plots.Orange, Points: r.points(func(p drain.Sample) int { return p.Teams[team].Concurrent })},
-			{Name: "in the window", Color: plots.Blue, Points: r.points(func(p drain.Sample) int { return p.Teams[team].InWindow })},
+			{Name: "at once", Color: plots.Orange, Points: r.curve(func(p drain.Sample) int { return p.Teams[team].Concurrent })},
+			{Name: "in the window", Color: plots.Blue, Points: r.curve(func(p drain.Sample) int { return p.Teams[team].InWindow })},
 		}
 		if b, ok := r.Budgets[team]; ok {
 			lines = append(lines,
-				plots.Line{Name: "allowed at once", Color: plots.Orange, Dashed: true, Points: r.points(func(drain.Sample) int { return b.MaxConcurrent })},
-				plots.Line{Name: "allowed in the window", Color: plots.Blue, Dashed: true, Points: r.points(func(drain.Sample) int { return b.MaxInWindow })})
+				plots.Line{Name: "allowed at once", Color: plots.Orange, Dashed: true, Points: r.curve(func(drain.Sample) int { return b.MaxConcurrent })},
+				plots.Line{Name: "allowed in the window", Color: plots.Blue, Dashed: true, Points: r.curve(func(drain.Sample) int { return b.MaxInWindow })})
 		}
-		svg, err := plots.SVG("Disruptions of "+team, minutes, lines...)
+		svg, err := plots.SVG("Disruptions of "+team, minutesLabel, lines...)
 		if err != nil {
 			return nil, err
 		}
@@ -49,8 +51,8 @@
 	return out, nil
 }
 
-// points returns a curve over the minutes since the first point.
-func (r *Report) points(value func(drain.Sample) int) plotter.XYs {
+// curve returns a value of each sample over the minutes since the first sample.
+func (r *Report) curve(value func(drain.Sample) int) plotter.XYs {
 	var out plotter.XYs
 	for _, p := range r.Samples {
 		since := time.Duration(p.At-r.Samples[0].At) * time.Millisecond
--- a/internal/drainreport/report.go
+++ b/internal/drainreport/report.go
@@ -1,5 +1,4 @@
-// Package drainreport writes the report of a drain as one HTML page with its plots, or as
-// JSON.
+// Package drainreport writes the report of a drain as a single HTML page with plots, or as JSON.
 package drainreport
 
 import (
@@ -17,17 +16,17 @@
 	"bramblespur/internal/reportpage"
 )
 
-// Report is all that a report tells.
+// Report is the content of a report.
 type Report struct {
 	Status    *drainctl.Status       `json:"drain"`
-	Generated time.Time              `json:"generated"`
-	Samples   []drain.Sample         `json:"course"` // of all parts together
-	Budgets   map[string]drain.Limit `json:"budgets,omitempty"`
+	Generated time.Time              `json:"generated"`         // in UTC, to the second
+	Samples   []drain.Sample         `json:"course"`            // summed over all shards, by time
+	Budgets   map[string]drain.Limit `json:"budgets,omitempty"` // of the teams whose work was evicted, by name
 }
 
-// New makes the report of a drain; settings are optional and tell the budgets.
+// New returns the report of a drain. It has the teams' budgets unless settings is nil.
 func New(s *drainctl.Status, settings *drain.Settings, now time.Time) *Report {
-	r := &Report{Status: s, Generated: now.UTC().Truncate(time.Second), Samples: together(s.Progress)}
+	r := &Report{Status: s, Generated: now.UTC().Truncate(time.Second), Samples: mergeSamples(s.Progress)}
 	if settings != nil {
 		r.Budgets = map[string]drain.Limit{}
 		for _, t := range s.Teams {
@@ -37,35 +36,38 @@
 	return r
 }
 
-// together adds up the courses of all shards, each as it last was.
-func together(courses []drain.Progress) []drain.Sample {
-	type moment struct {
-		shard int
-		point drain.Sample
+// mergeSamples returns a sample for the time of each sample of any shard, with the sum of the latest
+// samples of all shards at that time.
+func mergeSamples(shards []drain.Progress) []drain.Sample {
+	type shardSample struct {
+		shard  int // index in shards
+		sample drain.Sample
 	}
-	var all []moment
-	for shard, c := range courses {
-		for _, p := range c.Samples {
-			all = append(all, moment{shard, p})
+	var all []shardSample
+	for shard, progress := range shards {
+		for _, sample := range progress.Samples {
+			all = append(all, shardSample{shard, sample})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b moment) int { return cmp.Compare(a.point.At, b.point.At) })
-	last := make([]drain.Sample, len(courses))
+	slices.SortStableFunc(all, func(a, b shardSample) int { return cmp.Compare(a.sample.At, b.sample.At) })
+	latest := make([]drain.Sample, len(shards))
 	var out []drain.Sample
-	for _, m := range all {
-		last[m.shard] = m.point
-		out = append(out, sum(m.point.At, last))
+	for _, next := range all {
+		latest[next.shard] = next.sample
+		out = append(out, sumSamples(next.sample.At, latest))
 	}
 	return out
 }
 
-func sum(at int64, points []drain.Sample) drain.Sample {
+// sumSamples returns the sum of one sample of each shard, for a time in Unix milliseconds.
+func sumSamples(at int64, samples []drain.Sample) drain.Sample {
 	total := drain.Sample{At: at, Teams: map[string]drain.BudgetUse{}}
-	for _, p := range points {
-		total.Cordoned += p.Cordoned
-		total.Returned += p.Returned
-		for team, use := range p.Teams {
-			// Parts that share a team tell the same ledger, at different times.
+	for _, sample := range samples {
+		total.Cordoned += sample.Cordoned
+		total.Returned += sample.Returned
+		for team, use := range sample.Teams {
+			// All shards have the use of the same ledger of the team, at different times, so that the
+			// highest use counts and not the sum.
 			if had, ok := total.Teams[team]; !ok || use.InWindow > had.InWindow {
 				total.Teams[team] = use
 			}
@@ -74,17 +76,17 @@
 	return total
 }
 
-// JSON writes a report for programs.
+// JSON writes the report as JSON.
 func (r *Report) JSON(w io.Writer) error { return reportpage.JSON(w, r) }
 
 //go:embed page.html
 var pageText string
 
 var page = reportpage.Parse(pageText, template.FuncMap{
-	"hours": func(s float64) string { return (time.Duration(s) * time.Second).String() },
+	"duration": func(seconds float64) string { return (time.Duration(seconds) * time.Second).String() },
 })
 
-// HTML writes a report as one page that needs nothing else.
+// HTML writes the report as one HTML page, which refers to no other files.
 func (r *Report) HTML(w io.Writer) error {
 	progress, err := r.progressPlot()
 	if err != nil {
@@ -97,8 +99,8 @@
 	var buf bytes.Buffer
 	err = page.Execute(&buf, struct {
 		*Report
-		Progress    template.HTML
-		Disruptions []template.HTML
+		ProgressPlot    template.HTML
+		DisruptionPlots []template.HTML
 	}{r, progress, disruptions})
 	if err != nil {
 		return err
--- a/internal/plots/plots.go
+++ b/internal/plots/plots.go
@@ -12,34 +12,35 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of a plot.
+// Size of a plot, with its title and labels.
 const (
 	width  = 18 * vg.Centimeter
 	height = 7 * vg.Centimeter
 )
 
-// legendRoom is how much higher than its curves a plot is, so that the legend hides none.
-const legendRoom = 1.6
+// legendSpace is the height of a plot relative to its highest value, so that the legend hides no curve.
+const legendSpace = 1.6
 
-// Colours of lines.
+// Colors of lines.
 var (
 	Blue   = color.RGBA{0x1f, 0x6f, 0xb4, 0xff}
 	Orange = color.RGBA{0xd9, 0x5f, 0x02, 0xff}
 )
 
-// Line is one curve: each value stays until the next point.
+// Line is a curve in steps: each value stays until the next point.
 type Line struct {
-	Name   string
+	Name   string // in the legend
 	Color  color.Color
 	Dashed bool
 	Points plotter.XYs
 }
 
-// SVG draws lines; one without points is drawn as nothing.
-func SVG(title, x string, lines ...Line) (template.HTML, error) {
+// SVG returns a plot of lines as an SVG element, with a label for the horizontal axis. A line without
+// points is drawn at zero.
+func SVG(title, xLabel string, lines ...Line) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text = title
-	p.X.Label.Text = x
+	p.X.Label.Text = xLabel
 	p.Y.Min = 0
 	p.Legend.Top = true
 	p.Add(plotter.NewGrid())
@@ -60,7 +61,7 @@
 		p.Add(curve)
 		p.Legend.Add(l.Name, curve)
 	}
-	p.Y.Max *= legendRoom
+	p.Y.Max *= legendSpace
 	canvas, err := p.WriterTo(width, height, "svg")
 	if err != nil {
 		return "", err
@@ -70,6 +71,6 @@
 		return "", err
 	}
 	text := buf.String()
-	// An SVG element within a page has no declaration of its own.
+	// The XML declaration before the element must not be in an HTML page.
 	return template.HTML(text[max(0, strings.Index(text, "<svg")):]), nil
 }
--- a/internal/recoverreport/report.go
+++ b/internal/recoverreport/report.go
@@ -1,4 +1,4 @@
-// Package recoverreport writes the report of a recovery plan as one HTML page, or as JSON.
+// Package recoverreport writes the report of a recovery plan as a single HTML page or as JSON.
 package recoverreport
 
 import (
@@ -16,50 +16,51 @@
 
 var page = reportpage.Parse(pageText, nil)
 
-// verdicts are the columns of the report's table.
-var verdicts = []recovery.Outcome{recovery.Intact, recovery.Recovered, recovery.Finished, recovery.Lost, recovery.Undecided}
+// outcomes are the columns of the table of counts, in order.
+var outcomes = []recovery.Outcome{recovery.Intact, recovery.Recovered, recovery.Finished, recovery.Lost, recovery.Undecided}
 
-// row counts the verdicts on records of one kind.
+// row is the row of one kind of records in the table of counts.
 type row struct {
 	Kind   string
-	Counts []int
+	Counts []int // number of records with each outcome, in the order of outcomes
 }
 
-// JSON writes a plan for programs.
+// JSON writes a plan as JSON.
 func JSON(w io.Writer, p *recovery.Plan) error { return reportpage.JSON(w, p) }
 
-// HTML writes the report as one page that needs nothing else.
+// HTML writes the report as one HTML page, which refers to no other files.
 func HTML(w io.Writer, p *recovery.Plan) error {
-	var named, recovered []recovery.Item
-	for _, i := range p.Items {
-		switch i.Outcome {
+	var unrecovered, recovered []recovery.Item
+	for _, item := range p.Items {
+		switch item.Outcome {
 		case recovery.Lost, recovery.Undecided:
-			named = append(named, i)
+			unrecovered = append(unrecovered, item)
 		case recovery.Recovered, recovery.Finished:
-			recovered = append(recovered, i)
+			recovered = append(recovered, item)
 		}
 	}
 	return page.Execute(w, struct {
 		*recovery.Plan
-		Verdicts         []recovery.Outcome
-		Rows             []row
-		Named, Recovered []recovery.Item
-	}{p, verdicts, rows(p), named, recovered})
+		Outcomes               []recovery.Outcome
+		Rows                   []row
+		Unrecovered, Recovered []recovery.Item
+	}{p, outcomes, countRows(p), unrecovered, recovered})
 }
 
-// kinds names the records by their prefixes.
-var kinds = []struct{ prefix, name string }{
-	{record.FinishedJobPrefix, "final states"}, {record.ActiveJobPrefix, "unfinished jobs"}, {record.PlacementsPrefix, "placements"},
+// recordKinds are the kinds of records in the table of counts, in order, with the prefix of their keys.
+var recordKinds = []struct{ prefix, name string }{
+	{record.FinishedJobPrefix, "finished jobs"}, {record.ActiveJobPrefix, "unfinished jobs"}, {record.PlacementsPrefix, "placements"},
 	{record.FleetPrefix, "machines"}, {record.PipelinePrefix, "pipelines"}, {record.ClusterPrefix, "cluster, drains and budgets"},
 }
 
-func rows(p *recovery.Plan) []row {
+// countRows returns the rows of the table of counts.
+func countRows(p *recovery.Plan) []row {
 	var out []row
-	for _, k := range kinds {
-		r := row{Kind: k.name, Counts: make([]int, len(verdicts))}
-		for _, i := range p.Items {
-			for n, v := range verdicts {
-				if i.Outcome == v && strings.HasPrefix(i.Key, k.prefix) {
+	for _, k := range recordKinds {
+		r := row{Kind: k.name, Counts: make([]int, len(outcomes))}
+		for _, item := range p.Items {
+			for n, outcome := range outcomes {
+				if item.Outcome == outcome && strings.HasPrefix(item.Key, k.prefix) {
 					r.Counts[n]++
 				}
 			}
--- a/internal/reportpage/reportpage.go
+++ b/internal/reportpage/reportpage.go
@@ -1,5 +1,5 @@
-// Package reportpage is what the operators' reports share: their style sheet, and how they are
-// written for programs.
+// Package reportpage has what the reports for operators share: the style sheet of their HTML pages and
+// the format of their JSON.
 package reportpage
 
 import (
@@ -12,15 +12,16 @@
 //go:embed style.css
 var style string
 
-// Parse returns the template of a page, which includes the style sheet by
-// {{template "style"}}. It panics if the text is no template: pages are part of the program.
+// Parse returns the template of a page with functions. The page includes the style sheet by
+// {{template "style"}}. Parse panics if the text is not a valid template, since the pages are embedded in
+// the program.
 func Parse(text string, functions template.FuncMap) *template.Template {
 	t := template.Must(template.New("page").Funcs(functions).Parse(text))
 	template.Must(t.New("style").Parse("<style>\n" + style + "</style>"))
 	return t
 }
 
-// JSON writes a report for programs.
+// JSON writes a report as indented JSON.
 func JSON(w io.Writer, report any) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
--- a/internal/restartctl/restartctl.go
+++ b/internal/restartctl/restartctl.go
@@ -1,5 +1,6 @@
-// Package restartctl is what an operator's tool does about restarts: it reads their records
-// by the state service's published protocol.
+// Package restartctl does the I/O of the operators' tool for restarts: it reads the records of
+// reconciliations after a controller's start or a failover. It uses the state service alone and calls no
+// controller.
 package restartctl
 
 import (
@@ -16,7 +17,7 @@
 	"bramblespur/internal/statestore"
 )
 
-// ErrUnknown says that there is no such restart on record.
+// ErrUnknown is wrapped by the error for a restart of which there is no record.
 var ErrUnknown = errors.New("unknown restart")
 
 // Client reads the records of restarts.
@@ -25,16 +26,18 @@
 	Now   func() time.Time
 }
 
-// Episode is an episode with the controller that recorded it.
+// Episode is an episode with the controller that recorded it. For a malformed record of a controller only
+// Name, Label and Invalid are set, and Name is the label.
 type Episode struct {
-	Name    string  `json:"name"` // CONTROLLER/TIME
-	Label   string  `json:"controller"`
-	TookS   float64 `json:"took_s"`
-	Invalid string  `json:"invalid,omitempty"` // why the controller's record makes no sense
+	Name    string  `json:"name"`              // CONTROLLER/TIME, with the time in Unix milliseconds
+	Label   string  `json:"controller"`        // of the controller
+	TookS   float64 `json:"took_s"`            // seconds until reconciliation was complete, or until now
+	Invalid string  `json:"invalid,omitempty"` // why the controller's record is malformed
 	restart.Episode
 }
 
-// State is how far an episode is.
+// State returns the state of the episode for operators: "invalid", "settled" once reconciliation is
+// complete, or "settling".
 func (e *Episode) State() string {
 	switch {
 	case e.Invalid != "":
@@ -45,7 +48,8 @@
 	return "settling"
 }
 
-// List returns all episodes on record, the oldest first.
+// List returns all recorded episodes of all controllers, the oldest first. Controllers with malformed
+// records come before them.
 func (c *Client) List(ctx context.Context) ([]Episode, error) {
 	entries, _, err := c.Store.List(ctx, statestore.Routine("restart"), restart.Prefix)
 	if err != nil {
@@ -54,12 +58,12 @@
 	out := []Episode{}
 	for _, entry := range entries {
 		label := strings.TrimPrefix(entry.Key, restart.Prefix)
-		var h restart.History
-		if err := json.Unmarshal(entry.Value, &h); err != nil {
+		var history restart.History
+		if err := json.Unmarshal(entry.Value, &history); err != nil {
 			out = append(out, Episode{Name: label, Label: label, Invalid: err.Error()})
 			continue
 		}
-		for _, e := range h.Episodes {
+		for _, e := range history.Episodes {
 			out = append(out, Episode{Name: e.ID(label), Label: label, TookS: e.Duration(c.Now()).Seconds(), Episode: e})
 		}
 	}
@@ -67,7 +71,8 @@
 	return out, nil
 }
 
-// Show returns an episode by its name, or the latest of a controller.
+// Show returns the episode with a name, or the latest episode of the controller with that label. It
+// returns an error that wraps ErrUnknown if there is none.
 func (c *Client) Show(ctx context.Context, name string) (*Episode, error) {
 	all, err := c.List(ctx)
 	if err != nil {
--- a/internal/restartreport/report.go
+++ b/internal/restartreport/report.go
@@ -1,5 +1,4 @@
-// Package restartreport writes the report of a restart as one HTML page with its plot, or
-// as JSON.
+// Package restartreport writes the report of a restart as a single HTML page with a plot, or as JSON.
 package restartreport
 
 import (
@@ -21,21 +20,21 @@
 
 var page = reportpage.Parse(pageText, nil)
 
-// JSON writes a report for programs.
+// JSON writes an episode as JSON.
 func JSON(w io.Writer, e *restartctl.Episode) error { return reportpage.JSON(w, e) }
 
-// HTML writes a report as one page that needs nothing else.
+// HTML writes the report as one HTML page, which refers to no other files.
 func HTML(w io.Writer, e *restartctl.Episode) error {
-	var orders, bound plotter.XYs
+	var commands, limit plotter.XYs
 	for second, n := range append(e.CommandsPerSecond, 0) {
-		orders = append(orders, plotter.XY{X: float64(second), Y: float64(n)})
-		bound = append(bound, plotter.XY{X: float64(second), Y: e.CommandLimit})
+		commands = append(commands, plotter.XY{X: float64(second), Y: float64(n)})
+		limit = append(limit, plotter.XY{X: float64(second), Y: e.CommandLimit})
 	}
-	svg, err := plots.SVG("Orders to workers", "seconds",
-		plots.Line{Name: "orders in a second", Color: plots.Blue, Points: orders},
-		plots.Line{Name: "an equal share of the bound", Color: plots.Orange, Dashed: true, Points: bound})
+	svg, err := plots.SVG("Commands to workers", "seconds",
+		plots.Line{Name: "commands per second", Color: plots.Blue, Points: commands},
+		plots.Line{Name: "this controller's equal share of the limit", Color: plots.Orange, Dashed: true, Points: limit})
 	if err != nil {
-		return fmt.Errorf("plot the orders: %w", err)
+		return fmt.Errorf("plot the commands: %w", err)
 	}
 	return page.Execute(w, struct {
 		*restartctl.Episode
