--- a/internal/controller/chance_seeds_test.go
+++ b/internal/controller/chance_seeds_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// seedsVariable names the seeds of a search through chance schedules, as "first-last"; without it
-// the fixed list is played.
+// seedsVariable is the environment variable that selects the seeds of TestTroublesByChance, as
+// "first-last". Without it the seeds from 1 to chanceSeeds are run.
 const seedsVariable = "CHANCE_SEEDS"
 
-// chanceSeeds is how many seeds are played on each layout.
+// chanceSeeds is how many seeds are run on each layout by default.
 const chanceSeeds = 12
 
-// seedRange is seeds by the numbers in the names of their tests.
+// seedRange is the first and the last of the seeds to run, as numbered in the names of subtests.
 type seedRange struct{ first, last uint64 }
 
 func parseSeedRange(text string) (seedRange, error) {
@@ -26,7 +26,7 @@
 	return r, nil
 }
 
-// seedsToRun returns the seeds of chance schedules that this run plays.
+// seedsToRun returns the seeds of TestTroublesByChance that this run of the tests covers.
 func seedsToRun(t *testing.T) seedRange {
 	t.Helper()
 	text, set := os.LookupEnv(seedsVariable)
@@ -43,12 +43,12 @@
 func TestSeedRange(t *testing.T) {
 	for text, want := range map[string]seedRange{"1-12": {1, 12}, "799-799": {799, 799}} {
 		if got, err := parseSeedRange(text); err != nil || got != want {
-			t.Errorf("%q: %v, %v", text, got, err)
+			t.Errorf("%q is parsed as %v with error %v, not as listed", text, got, err)
 		}
 	}
 	for _, text := range []string{"", "7", "7-", "-7", "0-3", "9-8", "a-b", "1-2-3", "1-2x", "1-99999999999999999999999"} {
 		if got, err := parseSeedRange(text); err == nil {
-			t.Errorf("%q is taken as %v", text, got)
+			t.Errorf("%q is parsed as %v, want an error", text, got)
 		}
 	}
 }
--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -7,24 +7,27 @@
 	"bramblespur/internal/wire"
 )
 
-// inZone is the group of all controllers and machines of a zone.
+// inZone returns a predicate that matches the names of all controllers and machines of a zone.
 func (k *cluster) inZone(zone string) func(string) bool {
 	return func(name string) bool { return k.zoneOf[name] == zone || k.world.Zone(name) == zone }
 }
 
+// not returns a predicate that matches all names that group does not match.
 func not(group func(string) bool) func(string) bool {
 	return func(name string) bool { return !group(name) }
 }
 
-// isController is the group of all isController, machines that of all machines.
+// isController reports whether a name is the label of a controller.
 func (k *cluster) isController(name string) bool { return k.zoneOf[name] != "" }
 
+// isMachine reports whether a name is that of a machine.
 func (k *cluster) isMachine(name string) bool { return k.world.Zone(name) != "" }
 
-// isolateZone cuts a zone off from everything and returns what ends that.
+// isolateZone partitions a zone from everything else, the state service included. Messages across
+// the partition are lost, or with hold are delivered when it ends. heal ends it.
 func (k *cluster) isolateZone(zone string, hold bool) (heal func()) {
 	inside := k.inZone(zone)
-	over := k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(inside, not(inside)), Hold: hold})
+	endCut := k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(inside, not(inside)), Hold: hold})
 	for _, l := range k.labels {
 		if k.zoneOf[l] == zone {
 			k.world.State.Cut(l, true)
@@ -34,31 +37,33 @@
 		for _, l := range k.labels {
 			k.world.State.Cut(l, false)
 		}
-		over()
+		endCut()
 	}
 }
 
-// isolate cuts a controller off from the state service and the other controllers,
-// not from workers and users.
+// isolate partitions a controller from the state service and the other controllers, but not from
+// workers and users. heal ends the partition.
 func (k *cluster) isolate(label string) (heal func()) {
-	over := k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(testkit.Named(label), k.isController)})
+	endCut := k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(testkit.Named(label), k.isController)})
 	k.world.State.Cut(label, true)
 	return func() {
 		k.world.State.Cut(label, false)
-		over()
+		endCut()
 	}
 }
 
-// blockCallsFrom keeps machines from opening connections to controllers, while direct
-// commands reach them: a call's answer goes where its request came from.
+// blockCallsFrom keeps machines from opening connections to controllers until heal. Direct
+// commands still reach them, and are answered: an answer returns on the connection of its request.
 func (k *cluster) blockCallsFrom(ids func(string) bool) (heal func()) { return k.world.Mute(ids) }
 
-// dropMessagesTo loses what is said to machines, answers and commands, while reports arrive.
+// dropMessagesTo drops all that controllers send to machines, answers and commands, until heal.
+// Heartbeats still arrive.
 func (k *cluster) dropMessagesTo(ids func(string) bool) (heal func()) {
 	return k.world.Net.Cut(&testkit.Cut{Match: func(from, to string) bool { return k.isController(from) && ids(to) }})
 }
 
-// heartbeats returns copies of the latest heartbeats of all machines, the oldest first.
+// heartbeats returns copies of the latest heartbeats of all machines, the oldest of each machine
+// first.
 func (k *cluster) heartbeats() []wire.Heartbeat {
 	var out []wire.Heartbeat
 	for _, m := range k.world.Machines() {
@@ -67,26 +72,26 @@
 	return out
 }
 
-// replayHeartbeats brings copies of reports to every controller that lives.
-func (k *cluster) replayHeartbeats(reports []wire.Heartbeat) {
+// replayHeartbeats delivers copies of heartbeats to every controller that runs.
+func (k *cluster) replayHeartbeats(copies []wire.Heartbeat) {
 	for _, l := range k.labels {
 		if k.process(l) == nil {
 			continue
 		}
-		for _, r := range reports {
+		for _, r := range copies {
 			k.world.Go(func() { k.world.Replay(l, r) })
 		}
 	}
 }
 
-// awaitNewOwner waits until another process than before owns the part of a team and
-// holds it.
+// awaitNewOwner waits until a controller other than before owns and holds the shard of a team, and
+// returns its label.
 func (k *cluster) awaitNewOwner(team, before string) string {
 	k.t.Helper()
-	k.await(40*time.Second, "another owner for "+team, func() bool {
-		o := k.ownerOfTeam(team)
-		p := k.process(o)
-		if p == nil || o == before {
+	k.await(40*time.Second, "a new owner of the shard of team "+team, func() bool {
+		owner := k.ownerOfTeam(team)
+		p := k.process(owner)
+		if p == nil || owner == before {
 			return false
 		}
 		p.c.mu.Lock()
@@ -96,6 +101,7 @@
 	return k.ownerOfTeam(team)
 }
 
+// matchAgents returns a predicate that matches the names of the given machines.
 func matchAgents(ms []*testkit.Agent) func(string) bool {
 	var names []string
 	for _, m := range ms {
--- a/internal/controller/cluster_jobs_test.go
+++ b/internal/controller/cluster_jobs_test.go
@@ -14,7 +14,7 @@
 	"bramblespur/internal/wire"
 )
 
-// spec returns an ordinary job's specification, changed as wished.
+// spec returns the specification of an array of one task, altered by change unless that is nil.
 func spec(ref, team string, change func(*wire.Spec)) wire.Spec {
 	s := wire.Spec{Ref: ref, Class: "class-" + team, Team: team, Kind: wire.Array, Priority: "normal", Tasks: 1, CPUs: 6, GPUs: 1, MemoryGB: 24,
 		Image: "img-" + team, ImageGB: 4, EstimateS: 30, CheckpointS: 15, SaveS: 2}
@@ -24,17 +24,17 @@
 	return s
 }
 
-// ref names the n-th job of a test.
+// ref returns the reference of the n-th job of a test.
 func ref(n int) string { return fmt.Sprintf("run-%06d", n) }
 
-// shortRun is how longRun jobs take where nothing else is said, and longRun for those that
-// are to outlive what happens.
+// shortRun is how long tasks run where a test needs nothing else. Tasks with longRun outlive the
+// faults of a test.
 var (
 	shortRun = testkit.Length{Run: 20 * time.Second, Fetch: 2 * time.Second}
 	longRun  = testkit.Length{Run: 10 * time.Minute, Fetch: 2 * time.Second}
 )
 
-// submit submits a job, again if need be, and follows it as its user does.
+// submit submits a job, again until it is accepted, and follows it as its user does.
 func (k *cluster) submit(spec wire.Spec, l testkit.Length) {
 	k.t.Helper()
 	k.mu.Lock()
@@ -42,7 +42,7 @@
 	k.mu.Unlock()
 	k.world.Submit(k.labels[0], spec, l)
 	if _, ok := k.world.Until(testkit.Submission, spec.Ref, encode(spec), time.Minute); !ok {
-		k.t.Fatalf("%s was not accepted", spec.Ref)
+		k.t.Fatalf("%s was not accepted within a minute", spec.Ref)
 	}
 	k.world.Follow(spec.Ref)
 }
@@ -55,7 +55,8 @@
 	return b
 }
 
-// cancel asks for a job's end until that is confirmed, beside the test.
+// cancel requests the cancellation of a job in the background until it is confirmed. The returned
+// function reports whether it is.
 func (k *cluster) cancel(ref string) (confirmed func() bool) {
 	k.jobsCancelled.Store(true)
 	var mu sync.Mutex
@@ -73,7 +74,7 @@
 	}
 }
 
-// awaitRunning waits until all tasks of a job are on machines, and returns these.
+// awaitRunning waits until exactly n tasks of a job are on machines, and returns these machines.
 func (k *cluster) awaitRunning(ref string, n int) []*testkit.Agent {
 	k.t.Helper()
 	k.await(2*time.Minute, ref+" running", func() bool {
@@ -90,26 +91,27 @@
 	return k.world.On(ref)
 }
 
-// The jobs that load submits: an array, a gang and a service that run on, and an
-// array of which only a part fits in its team's limit.
+// Numbers of the jobs that load submits: an array, a gang and a service of long tasks, and an
+// array of which only a part fits in the limit of its team.
 const (
 	arrayJob = iota + 1
 	gangJob
 	serviceJob
 	limitJob
-	firstFreeJob // the first number free for a test's own jobs
+	firstFreeJob // the first number for a test's own jobs
 )
 
-// teams of the jobs of load, by number.
+// teamOf is the team of each job of load, by number.
 var teamOf = map[int]string{arrayJob: "wide", gangJob: "wide", serviceJob: "other", limitJob: "tight"}
 
-// load submits jobs of every kind and waits until they run.
+// load submits jobs of every kind and waits until they run, as far as the limits of their teams
+// allow.
 func (k *cluster) load() {
 	k.t.Helper()
 	k.loadWith(func(*wire.Spec) {})
 }
 
-// loadWith does the same with specifications changed as wished.
+// loadWith does the same with each specification altered by change.
 func (k *cluster) loadWith(change func(*wire.Spec)) {
 	k.t.Helper()
 	submit := func(n int, kind func(*wire.Spec)) {
@@ -126,21 +128,23 @@
 	k.awaitRunning(ref(arrayJob), 4)
 	k.awaitRunning(ref(gangJob), 2)
 	k.awaitRunning(ref(serviceJob), 2)
-	most := teamLimit
+	fitting := teamLimit
 	if len(k.params.Teams) == 0 {
-		most += 2
+		fitting += 2
 	}
-	k.awaitRunning(ref(limitJob), most)
+	k.awaitRunning(ref(limitJob), fitting)
 }
 
-// gang makes a specification one of a gang of whole machines in one zone.
+// gang returns a change that makes a specification a gang of n tasks, each of which needs a whole
+// machine, all in one zone.
 func gang(n int) func(*wire.Spec) {
 	return func(spec *wire.Spec) {
 		spec.Kind, spec.Tasks, spec.CPUs, spec.GPUs, spec.MemoryGB, spec.OneZone, spec.Priority = wire.Gang, n, 14, 2, 51, true, "urgent"
 	}
 }
 
-// cancelAll asks for the end of jobs and returns whether all are confirmed.
+// cancelAll requests the cancellation of jobs, by number. The returned function reports whether
+// all are confirmed.
 func (k *cluster) cancelAll(numbers ...int) (confirmed func() bool) {
 	var all []func() bool
 	for _, n := range numbers {
@@ -151,7 +155,8 @@
 	}
 }
 
-// submitInBackground submits a job beside the test, and follows it once it is accepted.
+// submitInBackground submits a job in the background, again until it is accepted, and then follows
+// it.
 func (k *cluster) submitInBackground(spec wire.Spec, l testkit.Length) {
 	k.mu.Lock()
 	k.refs = append(k.refs, spec.Ref)
@@ -164,12 +169,12 @@
 	})
 }
 
-// submitPipeline submits two jobs of which the second follows the first.
+// submitPipeline submits a pipeline of two jobs, of which the second depends on the first.
 func (k *cluster) submitPipeline(name string, first, second wire.Spec, l testkit.Length) {
 	k.t.Helper()
 	k.world.Register(first, l)
 	after := second
-	after.DependsOn = []string{first.Ref} // as the checker is to see it
+	after.DependsOn = []string{first.Ref} // the link, as the checker expects it
 	k.world.Register(after, l)
 	p := wire.Pipeline{Ref: name, Jobs: []json.RawMessage{encode(first), encode(second)},
 		Links: []wire.Link{{From: []string{first.Ref}, To: []string{second.Ref}}}, Choices: []wire.Choice{}}
@@ -182,7 +187,8 @@
 	k.world.Follow(second.Ref)
 }
 
-// cancelPipeline asks for a pipeline's end until that is confirmed.
+// cancelPipeline requests the cancellation of a pipeline in the background until it is confirmed.
+// refs are its jobs. The returned function reports whether it is confirmed.
 func (k *cluster) cancelPipeline(name string, refs ...string) (confirmed func() bool) {
 	for _, r := range refs {
 		k.checker.Cancel(r)
--- a/internal/controller/cluster_process_test.go
+++ b/internal/controller/cluster_process_test.go
@@ -20,7 +20,7 @@
 	"bramblespur/internal/wire"
 )
 
-// process is one life of a controller. It implements testkit.Node.
+// process is one run of a controller, from its start to its crash. It implements testkit.Node.
 type process struct {
 	c        *Controller
 	lifetime context.Context
@@ -29,14 +29,14 @@
 
 // Handle implements testkit.Node.
 func (p *process) Handle(method, path string, body []byte) (int, []byte, error) {
-	got := make(chan transport.Response, 1)
-	if r, now := p.c.handle(httpwire.Request{Method: method, Path: path, Body: body}, func(r transport.Response) { got <- r }); now {
-		got <- r
+	answered := make(chan transport.Response, 1)
+	if r, now := p.c.handle(httpwire.Request{Method: method, Path: path, Body: body}, func(r transport.Response) { answered <- r }); now {
+		answered <- r
 	}
 	select {
 	case <-p.lifetime.Done():
 		return 0, nil, testkit.ErrLost
-	case r := <-got:
+	case r := <-answered:
 		if p.lifetime.Err() != nil {
 			return 0, nil, testkit.ErrLost
 		}
@@ -47,7 +47,8 @@
 	}
 }
 
-// peerLink is how one process calls another controller.
+// peerLink calls a controller over the simulated network, on behalf of another controller or of
+// the recovery tool. No call succeeds once lifetime, the context of the caller, has ended.
 type peerLink struct {
 	k        *cluster
 	from, to string
@@ -56,16 +57,16 @@
 
 // Call implements peer.Caller.
 func (l *peerLink) Call(method string, args, result any, timeout time.Duration) error {
-	take, err := testkit.Call(l.k.world.Net, l.from, l.to, timeout, func() (func(), error) {
+	deliver, err := testkit.Call(l.k.world.Net, l.from, l.to, timeout, func() (func(), error) {
 		p := l.k.process(l.to)
 		if p == nil {
 			return nil, testkit.ErrRefused
 		}
-		take, err := dispatch(p.c, method, args, result)
+		deliver, err := dispatch(p.c, method, args, result)
 		if p.lifetime.Err() != nil {
 			return nil, testkit.ErrLost
 		}
-		return take, err
+		return deliver, err
 	})
 	switch {
 	case l.lifetime.Err() != nil:
@@ -75,12 +76,12 @@
 	case err != nil:
 		return err
 	}
-	take()
+	deliver()
 	return nil
 }
 
-// dispatch calls a method and returns what hands its result over.
-func dispatch(h peer.Handler, method string, args, result any) (take func(), err error) {
+// dispatch calls a method of a controller and returns a function that stores the reply in result.
+func dispatch(h peer.Handler, method string, args, result any) (deliver func(), err error) {
 	if err := h.Check(args); err != nil {
 		return nil, err
 	}
@@ -116,10 +117,10 @@
 		}
 		return func() { *result.(*wire.Status) = r }, nil
 	}
-	return nil, fmt.Errorf("no method %s", method)
+	return nil, fmt.Errorf("unknown method %s", method)
 }
 
-// start begins a process of a controller.
+// start starts a new process of a controller.
 func (k *cluster) start(label string) {
 	k.t.Helper()
 	cfg := &config.Settings{Label: label, Zone: k.zoneOf[label], Params: k.params}
@@ -151,8 +152,8 @@
 	c.start()
 }
 
-// logger writes to the schedule's record if there is one, else to standard error where
-// CLUSTER_LOG names a level.
+// logger writes to the recording of the schedule if there is one, else to standard error if
+// CLUSTER_LOG names a level; otherwise it discards.
 func (k *cluster) logger(label string) *slog.Logger {
 	if k.recorder != nil {
 		return k.recorder.log.With("at", label)
@@ -164,13 +165,14 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("at", label)
 }
 
+// process returns the running process of a controller, nil if there is none.
 func (k *cluster) process(label string) *process {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.processes[label]
 }
 
-// crash ends a controller's process without a word.
+// crash kills the process of a controller, if one runs, without a shutdown.
 func (k *cluster) crash(label string) {
 	p := k.process(label)
 	if p == nil {
@@ -183,14 +185,14 @@
 	k.mu.Unlock()
 }
 
-// restart ends a process and begins the next after d.
+// restart kills the process of a controller and starts a new one after d.
 func (k *cluster) restart(label string, d time.Duration) {
 	k.crash(label)
 	time.Sleep(d)
 	k.start(label)
 }
 
-// startMissing starts every controller that has no process.
+// startMissing starts every controller that does not run.
 func (k *cluster) startMissing() {
 	for _, l := range k.labels {
 		if k.process(l) == nil {
--- a/internal/controller/drains_bench_test.go
+++ b/internal/controller/drains_bench_test.go
@@ -9,10 +9,11 @@
 	"bramblespur/internal/wire"
 )
 
-// BenchmarkDrainTurn is an owner's turn for the largest fleet: without a drain, and with one
-// of a third of the machines of which 200 are cordoned, as many as may be or not.
+// BenchmarkDrainTurn measures the turn of an owner for the largest fleet: idle is without a drain.
+// In choosing and waiting a drain selects a third of the machines, of which 200 are cordoned:
+// fewer than its limit, or as many.
 func BenchmarkDrainTurn(b *testing.B) {
-	for name, atOnce := range map[string]int{"idle": 0, "choosing": 400, "waiting": 200} {
+	for name, maxConcurrent := range map[string]int{"idle": 0, "choosing": 400, "waiting": 200} {
 		b.Run(name, func(b *testing.B) {
 			c, _, workers := fleetController(b, accountMachines, accountJobs)
 			met(b, c, workers)
@@ -28,8 +29,8 @@
 				put(drain.ParticipantKey(label), drain.Participant{Budgets: budgets})
 			}
 			shard := c.shards.GetLocked(0)
-			if atOnce > 0 {
-				plan := drain.Plan{Name: "all", MaxConcurrent: atOnce, State: drain.Active, Created: now.Add(time.Hour).UnixMilli()}
+			if maxConcurrent > 0 {
+				plan := drain.Plan{Name: "all", MaxConcurrent: maxConcurrent, State: drain.Active, Created: now.Add(time.Hour).UnixMilli()}
 				cordons := drain.Cordons{Machines: map[string]drain.Cordon{}}
 				for i := range accountMachines / 3 {
 					plan.Selector.Machines = append(plan.Selector.Machines, machineName(i))
--- a/internal/controller/drains_failures_test.go
+++ b/internal/controller/drains_failures_test.go
@@ -12,27 +12,27 @@
 	"bramblespur/internal/wire"
 )
 
-// runDrainDuringFault drains all machines while something fails, and waits until the drain has
-// come to its end all the same.
-func runDrainDuringFault(t *testing.T, trouble func(k *drainCluster)) {
+// runDrainDuringFault drains all machines while fault injects a fault, and waits until the drain
+// is finished all the same.
+func runDrainDuringFault(t *testing.T, fault func(k *drainCluster)) {
 	t.Helper()
 	runDrain(t, func(k *drainCluster) {
 		k.loadEvenly()
 		k.requestDrain("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
-		trouble(k)
+		fault(k)
 		k.awaitFinished("all", time.Hour)
 	})
 }
 
-// awaitGrant waits until one more eviction is on record.
+// awaitGrant waits until another granted eviction is recorded.
 func (k *drainCluster) awaitGrant() {
 	k.t.Helper()
 	before := k.grantedEvictions()
-	k.await(5*time.Minute, "a grant", func() bool { return k.grantedEvictions() > before })
+	k.await(5*time.Minute, "a granted eviction", func() bool { return k.grantedEvictions() > before })
 }
 
-// The owner, the leader or all end right after a grant is on record, before its order went
-// out, and again while it is being carried out.
+// The owner, the leader or all controllers crash right after a granted eviction is recorded,
+// before its command is sent, and again while it is carried out.
 func TestDrainControllersEndAfterGrant(t *testing.T) {
 	victims := map[string]func(k *drainCluster) []string{
 		"owner":  func(k *drainCluster) []string { return []string{k.ownerOfTeam("wide")} },
@@ -42,12 +42,12 @@
 	for name, victim := range victims {
 		t.Run(name, func(t *testing.T) {
 			runDrainDuringFault(t, func(k *drainCluster) {
-				for _, back := range []time.Duration{200 * time.Millisecond, 12 * time.Second} {
+				for _, downtime := range []time.Duration{200 * time.Millisecond, 12 * time.Second} {
 					k.awaitGrant()
 					for _, label := range victim(k) {
 						k.crash(label)
 					}
-					time.Sleep(back)
+					time.Sleep(downtime)
 					k.startMissing()
 				}
 			})
@@ -55,8 +55,8 @@
 	}
 }
 
-// The state service fails in the middle: for all, for an owner alone, and with writes of
-// ledgers that get no answer or are carried out late.
+// The state service fails during a drain: it is down for all, refuses an owner alone, or gives no
+// answer to writes of ledgers, which it applies at once or late.
 func TestDrainWhileStateServiceFails(t *testing.T) {
 	t.Run("outage", func(t *testing.T) {
 		runDrainDuringFault(t, func(k *drainCluster) {
@@ -90,17 +90,18 @@
 				})
 				k.awaitGrant()
 				time.Sleep(2 * time.Minute)
-				k.requireOccurred(n.Load() > 1, "writes of ledgers without an answer")
+				k.requireOccurred(n.Load() > 1, "writes of ledgers get no answer")
 				k.world.State.Decide(nil)
 			})
 		})
 	}
 }
 
-// Machines that are being drained can't be told, can't tell, hang, die or are taken back.
+// Machines that are being drained do not receive messages, cannot call controllers, hang, die, or
+// are reclaimed by the cloud.
 func TestDrainWhileMachinesFail(t *testing.T) {
 	cordoned := func(k *drainCluster) []*testkit.Agent {
-		k.await(time.Minute, "machines cordoned", func() bool { return len(k.cordons()) > 0 })
+		k.await(time.Minute, "cordons", func() bool { return len(k.cordons()) > 0 })
 		var out []*testkit.Agent
 		for _, m := range k.world.Machines() {
 			if _, ok := k.cordons()[m.ID]; ok {
@@ -113,7 +114,7 @@
 		time.Sleep(40 * time.Second)
 		heal()
 	}
-	troubles := map[string]func(k *drainCluster, ms []*testkit.Agent){
+	faults := map[string]func(k *drainCluster, ms []*testkit.Agent){
 		"deaf": func(k *drainCluster, ms []*testkit.Agent) { forAWhile(k, k.dropMessagesTo(matchAgents(ms))) },
 		"mute": func(k *drainCluster, ms []*testkit.Agent) { forAWhile(k, k.blockCallsFrom(matchAgents(ms))) },
 		"hung": func(k *drainCluster, ms []*testkit.Agent) {
@@ -139,18 +140,18 @@
 			}
 		},
 	}
-	for name, trouble := range troubles {
+	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			runDrainDuringFault(t, func(k *drainCluster) {
 				ms := cordoned(k)
 				testkit.Ail(ms...)
-				trouble(k, ms)
+				fault(k, ms)
 			})
 		})
 	}
 }
 
-// Parts change owners while their machines are drained.
+// Shards change owners while their machines are drained.
 func TestDrainWhileShardsChangeOwners(t *testing.T) {
 	runDrainDuringFault(t, func(k *drainCluster) {
 		k.awaitGrant()
@@ -158,11 +159,12 @@
 		k.crash(before)
 		k.awaitNewOwner("wide", before)
 		k.awaitGrant()
-		k.startMissing() // and home again
+		k.startMissing() // the shards return to their preferred owner
 	})
 }
 
-// drainFaults are what the schedules below choose from. Each takes a while and ends.
+// drainFaults are the faults that runRandomSchedule draws from. Each takes a while and ends. The
+// order of the entries is part of every seed.
 var drainFaults = []func(k *drainCluster, r *rand.Rand){
 	func(k *drainCluster, r *rand.Rand) {
 		label := k.labels[r.IntN(len(k.labels))]
@@ -212,30 +214,31 @@
 		k.world.State.Decide(nil)
 	},
 	func(k *drainCluster, r *rand.Rand) {
-		old := k.heartbeats()
+		earlier := k.heartbeats()
 		k.world.Sleep(time.Duration(r.IntN(20000)) * time.Millisecond)
-		k.replayHeartbeats(old)
+		k.replayHeartbeats(earlier)
 	},
 }
 
-// drainSeeds is how many schedules are played on each layout.
+// drainSeeds is how many seeds TestDrainBudgetsHoldInAnySchedule runs on each layout.
 const drainSeeds = 6
 
-// Two drains overlap while one trouble after the other comes, by seeds: no team is ever
-// interrupted beyond its budget, and both come to their end.
+// Two drains overlap while faults drawn by seed follow each other. No team may ever be interrupted
+// beyond its budget, and both drains must finish.
 func TestDrainBudgetsHoldInAnySchedule(t *testing.T) {
 	for name, l := range layouts {
 		for seed := range uint64(drainSeeds) {
 			t.Run(fmt.Sprintf("%s-%d", name, seed), func(t *testing.T) {
 				t.Parallel()
-				play := drainLayout{layout: l(seed + 1), limit: drainBudget}
-				play.shardsByHash = seed%2 == 1 // a team's jobs are several owners'
-				runDrainScript(t, play, func(k *drainCluster) { k.runRandomSchedule(rand.New(rand.NewPCG(seed, 7))) })
+				variant := drainLayout{layout: l(seed + 1), limit: drainBudget}
+				variant.shardsByHash = seed%2 == 1 // the jobs of a team belong to several owners
+				runDrainScript(t, variant, func(k *drainCluster) { k.runRandomSchedule(rand.New(rand.NewPCG(seed, 7))) })
 			})
 		}
 	}
 }
 
+// runRandomSchedule runs two drains during six faults drawn from drainFaults.
 func (k *drainCluster) runRandomSchedule(r *rand.Rand) {
 	k.t.Helper()
 	k.loadEvenly()
@@ -255,16 +258,16 @@
 	k.requireOccurred(k.grantedEvictions() > 0, "work is evicted")
 }
 
-// Owners of several parts that hold one team's work decide on the same record at the same
-// moment, as each sees the others' writes late: at most one takes the last grant.
+// Owners of several shards that hold the work of one team decide on the same record at the same
+// moment, while each sees the writes of the others late. At most one may take the last grant.
 func TestDrainOwnersDecideTogether(t *testing.T) {
 	for name, l := range layouts {
 		for seed := range uint64(2) {
 			t.Run(fmt.Sprintf("%s-%d", name, seed), func(t *testing.T) {
 				t.Parallel()
-				play := drainLayout{layout: l(seed + 1), limit: drainBudget}
-				play.shardsByHash = true
-				runDrainScript(t, play, func(k *drainCluster) {
+				variant := drainLayout{layout: l(seed + 1), limit: drainBudget}
+				variant.shardsByHash = true
+				runDrainScript(t, variant, func(k *drainCluster) {
 					const jobs = 6
 					for i := range jobs {
 						k.submit(spec(ref(firstFreeJob+i), "wide", func(s *wire.Spec) { s.Tasks, s.EstimateS = 2, 5 }), longRun)
--- a/internal/controller/drains_harness_test.go
+++ b/internal/controller/drains_harness_test.go
@@ -15,32 +15,33 @@
 	"bramblespur/internal/wire"
 )
 
-// drainBudget is what every team of the drain tests has.
+// drainBudget is the eviction budget of every team in the drain tests.
 var drainBudget = drain.Limit{MaxConcurrent: 1, MaxInWindow: 3, Window: 2 * time.Minute}
 
+// drainSettings returns settings whose only budget is limit, for all teams.
 func drainSettings(limit drain.Limit) *drain.Settings {
 	return &drain.Settings{StoreShare: 1, ZoneShare: 0.5, MaxWait: 30 * time.Second, Default: drain.Budget{Limit: limit}}
 }
 
-// drainCluster is a cluster whose interruptions are counted.
+// drainCluster is a cluster whose interruptions of work are counted against a budget.
 type drainCluster struct {
 	*cluster
 	settings      *drain.Settings
-	withoutDrains map[string]bool // controllers that know nothing of drains
+	withoutDrains map[string]bool // controllers that do not take part in drains
 	interruptions *testkit.Interruptions
 }
 
-// drainLayout is what differs between the clusters of drain tests.
+// drainLayout is a layout with a budget.
 type drainLayout struct {
 	layout
-	limit         drain.Limit
-	withoutDrains string
-	// settings are the controllers', if their budget is not the one that is counted by.
+	limit         drain.Limit // budget by which interruptions are counted
+	withoutDrains string      // label of a controller that does not take part in drains, or ""
+	// settings are the controllers' settings if their budget differs from limit, else nil.
 	settings *drain.Settings
 }
 
-// runDrainScript runs a script on a cluster that takes part in drains, and checks in the end
-// that no rule was broken and no team's budget passed.
+// runDrainScript runs a script on a cluster that takes part in drains. The test fails if the
+// checker found a violation or a team was interrupted beyond its budget.
 func runDrainScript(t *testing.T, l drainLayout, script func(k *drainCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -58,29 +59,29 @@
 		for _, label := range k.labels {
 			k.start(label)
 		}
-		k.await(30*time.Second, "a leader and all parts", func() bool { return k.leader() != "" && k.allShardsOwned() })
+		k.await(30*time.Second, "a leader and an owner of every shard", func() bool { return k.leader() != "" && k.allShardsOwned() })
 		script(k)
 		k.settle()
-		for _, b := range k.interruptions.Broken() {
-			t.Error("over budget: " + b)
+		for _, violation := range k.interruptions.Broken() {
+			t.Error("over budget: " + violation)
 			break
 		}
 	})
 }
 
-// loadEvenly submits jobs of every kind and one priority, so that none is preempted.
+// loadEvenly submits jobs of every kind with one priority, so that none is preempted.
 func (k *drainCluster) loadEvenly() {
 	k.t.Helper()
 	k.loadWith(func(spec *wire.Spec) { spec.Priority = "normal" })
 }
 
-// runDrain plays a script on both layouts with the usual budget.
+// runDrain runs a script on both layouts with drainBudget.
 func runDrain(t *testing.T, script func(k *drainCluster)) {
 	t.Helper()
 	runDrainWith(t, drainLayout{limit: drainBudget}, script)
 }
 
-// runDrainWith plays a script on both layouts with what else a layout says.
+// runDrainWith runs a script on both layouts with the budget and settings of with.
 func runDrainWith(t *testing.T, with drainLayout, script func(k *drainCluster)) {
 	t.Helper()
 	for name, l := range layouts {
@@ -93,7 +94,7 @@
 	}
 }
 
-// requestDrain asks for a drain as an operator does.
+// requestDrain requests a drain as an operator does. change alters the plan.
 func (k *drainCluster) requestDrain(name string, change func(*drain.Plan)) {
 	k.t.Helper()
 	p := drain.Plan{Name: name, MaxConcurrent: 2, Reason: "test", State: drain.Active, Created: time.Now().UnixMilli()}
@@ -104,7 +105,7 @@
 	k.applyAsOperator(drain.StartTxn(p))
 }
 
-// applyAsOperator carries out an applyAsOperator's transaction.
+// applyAsOperator applies a transaction of an operator.
 func (k *drainCluster) applyAsOperator(t wire.Txn) {
 	k.t.Helper()
 	if err := k.world.State.Put(t); err != nil {
@@ -115,7 +116,7 @@
 // changeState pauses, resumes or cancels a drain.
 func (k *drainCluster) changeState(name string, to drain.State) {
 	k.t.Helper()
-	for range 10 { // the leader may end it at the same moment
+	for range 10 { // the leader may change the plan at the same moment
 		t, err := drain.ChangeTxn(k.plan(name), to, time.Now())
 		if err != nil {
 			return
@@ -124,9 +125,10 @@
 			return
 		}
 	}
-	k.t.Fatalf("%s did not become %s", name, to)
+	k.t.Fatalf("drain %s did not become %s", name, to)
 }
 
+// plan returns the recorded plan of a drain.
 func (k *drainCluster) plan(name string) drain.Versioned[drain.Plan] {
 	k.t.Helper()
 	e, _ := k.world.State.Entry(drain.PlanKey(name))
@@ -139,7 +141,7 @@
 
 func (k *drainCluster) state(name string) drain.State { return k.plan(name).Rec.State }
 
-// cordons returns the machines that are cordoned on record.
+// cordons returns the recorded cordons, by machine.
 func (k *drainCluster) cordons() map[string]drain.Cordon {
 	var c drain.Cordons
 	if e, ok := k.world.State.Entry(drain.CordonsKey); ok {
@@ -150,7 +152,7 @@
 	return c.Machines
 }
 
-// machinesTakingWork counts the machines of each zone that are up and not cordoned on record.
+// machinesTakingWork counts the machines of each zone that are up and have no recorded cordon.
 func (k *drainCluster) machinesTakingWork() map[string]int {
 	cordons := k.cordons()
 	out := map[string]int{}
@@ -162,7 +164,8 @@
 	return out
 }
 
-// grantedEvictions returns how many evictions were grantedEvictions so far, on record.
+// grantedEvictions returns how many evictions have been granted, according to all writes of
+// ledgers.
 func (k *drainCluster) grantedEvictions() int {
 	seen := map[string]bool{}
 	for _, w := range k.world.State.Writes() {
@@ -193,7 +196,7 @@
 	return out
 }
 
-// allGone reports whether none of some machines is up.
+// allGone reports whether none of the named machines is up.
 func (k *drainCluster) allGone(names []string) bool {
 	for _, m := range k.world.Machines() {
 		for _, n := range names {
@@ -205,17 +208,18 @@
 	return true
 }
 
-// awaitFinished waits until a drain has come to its end.
+// awaitFinished waits until a drain is finished, and fails the test if that takes longer than
+// within.
 func (k *drainCluster) awaitFinished(name string, within time.Duration) {
 	k.t.Helper()
 	for end := time.Now().Add(within); k.state(name) != drain.Finished; time.Sleep(time.Second) {
 		if time.Now().After(end) {
-			k.t.Fatalf("%s is %s after %v: %s", name, k.state(name), within, k.drainRecords())
+			k.t.Fatalf("drain %s is %s after %v, want finished: %s", name, k.state(name), within, k.drainRecords())
 		}
 	}
 }
 
-// drainRecords returns what is recorded of drains, for messages.
+// drainRecords returns all records of drains, for messages.
 func (k *drainCluster) drainRecords() string {
 	link := k.world.State.Link(context.Background(), "operator")
 	entries, _, err := link.List(context.Background(), statestore.Urgent("operator"), drain.Prefix)
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -10,7 +10,7 @@
 	"bramblespur/internal/wire"
 )
 
-// A drain of all machines replaces them step by step: the work goes on elsewhere, and each
+// A drain of all machines must replace them step by step: the work goes on elsewhere, and each
 // team is interrupted within its budget.
 func TestDrainReplacesAllMachines(t *testing.T) {
 	runDrain(t, func(k *drainCluster) {
@@ -20,12 +20,12 @@
 		k.awaitFinished("all", time.Hour)
 		k.requireOccurred(k.grantedEvictions() > 0 && k.interruptions.Chosen("wide") > 0, "work is interrupted")
 		if !k.allGone(old) {
-			k.t.Errorf("%v, of %v, are still there", k.machineNames(), old)
+			k.t.Errorf("machines %v are up after a drain of %v", k.machineNames(), old)
 		}
 	})
 }
 
-// A gang in its last stretch is let finish, though it takes longer than was estimated.
+// A gang that is about to finish must be allowed to, even if it takes longer than estimated.
 func TestDrainLetsGangFinish(t *testing.T) {
 	runDrain(t, func(k *drainCluster) {
 		k.submit(spec(ref(gangJob), "wide", func(s *wire.Spec) {
@@ -43,12 +43,12 @@
 		})
 		k.awaitFinished("two", 10*time.Minute)
 		if n := k.grantedEvictions(); n != 0 || k.world.Told(ref(gangJob)) != wire.Done {
-			k.t.Errorf("%d evictions, the gang is %q", n, k.world.Told(ref(gangJob)))
+			k.t.Errorf("%d evictions, and the user of the gang is told %q, want none and done", n, k.world.Told(ref(gangJob)))
 		}
 	})
 }
 
-// Two drains that between them select every machine never leave a zone without one that
+// Two drains that together select every machine must never leave a zone without a machine that
 // takes work.
 func TestDrainsLeaveNoZoneEmpty(t *testing.T) {
 	runDrain(t, func(k *drainCluster) {
@@ -80,12 +80,12 @@
 	})
 }
 
-// Machines that boot slowly, or never come up, take no work: they do not allow a drain to cordon
+// Machines that boot slowly, or never come up, take no work: they must not allow a drain to cordon
 // the others of their zone.
 //
-// Machines in service were counted by their records, up or not, so that a share of the zone was
-// more than those that worked there. What showed it: "zone b, of 3 machines that took work, has
-// none", with the cordons record beside it, here in every run, and in 2 of 30 runs of
+// Guards against counting machines in service by their records, up or not, so that a share of the
+// zone is more than the machines that work there. It showed as "zone b, of 3 machines that took
+// work, has none" with the cordons record beside it, here in every run, and in 2 of 30 runs of
 // TestDrainsLeaveNoZoneEmpty on a busy machine, where a replacement was booting as the next
 // machines were chosen.
 func TestDrainsLeaveWorkingMachinesWhileOthersBoot(t *testing.T) {
@@ -96,7 +96,7 @@
 		before := k.machinesTakingWork()
 		k.world.Boot(time.Hour, false)
 		k.submit(spec(ref(firstFreeJob+1), "other", func(s *wire.Spec) { s.Tasks = 24 }), longRun)
-		time.Sleep(10 * time.Second) // machines are rented for it
+		time.Sleep(10 * time.Second) // machines are provisioned for it
 		k.requestDrain("zone", func(p *drain.Plan) { p.Selector.Zones, p.MaxConcurrent = []string{"a"}, 50 })
 		k.requestDrain("types", func(p *drain.Plan) { p.Selector.Types, p.MaxConcurrent = []string{"big"}, 50 })
 		for range 90 {
@@ -114,27 +114,27 @@
 	})
 }
 
-// Where nothing can be rented, work stays where it is until something can.
+// Where no machine can be provisioned, work must stay where it is until one can.
 func TestDrainAwaitsReplacements(t *testing.T) {
 	runDrain(t, func(k *drainCluster) {
 		k.loadEvenly()
 		k.submit(spec(ref(firstFreeJob), "other", func(s *wire.Spec) { s.Tasks = 20 }), longRun)
 		k.awaitRunning(ref(firstFreeJob), 20)
 		k.world.Boot(5*time.Second, true)
-		k.submit(spec(ref(firstFreeJob+1), "other", func(s *wire.Spec) { s.Tasks = 8 }), longRun) // takes whatever comes free
+		k.submit(spec(ref(firstFreeJob+1), "other", func(s *wire.Spec) { s.Tasks = 8 }), longRun) // takes all capacity that becomes free
 		time.Sleep(10 * time.Second)
 		k.requestDrain("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
 		time.Sleep(4 * time.Minute)
 		if got := k.drainRecords(); !strings.Contains(got, string(drain.HoldNoCapacity)) || k.grantedEvictions() > 1 {
-			k.t.Errorf("%d evictions without a replacement: %s", k.grantedEvictions(), got)
+			k.t.Errorf("%d evictions without a replacement, want the drain held for lack of capacity: %s", k.grantedEvictions(), got)
 		}
 		k.world.Boot(5*time.Second, false)
 		k.awaitFinished("all", 4*time.Hour)
 	})
 }
 
-// A drain that is cancelled leaves nothing behind: cordons are lifted, and what was granted
-// is either carried out or taken back. Paused, it begins nothing new.
+// A paused drain must begin nothing new. A cancelled drain must leave nothing behind: its cordons
+// are lifted, and granted evictions are carried out or withdrawn.
 func TestDrainPausedAndCancelled(t *testing.T) {
 	runDrain(t, func(k *drainCluster) {
 		k.loadEvenly()
@@ -145,32 +145,32 @@
 		granted, cordons := k.grantedEvictions(), k.cordons()
 		time.Sleep(3 * time.Minute)
 		if k.grantedEvictions() != granted {
-			k.t.Errorf("paused: %d grants became %d", granted, k.grantedEvictions())
+			k.t.Errorf("paused drain: granted evictions went from %d to %d", granted, k.grantedEvictions())
 		}
 		for id := range cordons {
 			if k.allGone([]string{id}) {
-				k.t.Errorf("paused: %s was given back", id)
+				k.t.Errorf("paused drain: machine %s was released", id)
 			}
 		}
 		k.changeState("all", drain.Active)
 		k.awaitGrant()
 		k.changeState("all", drain.Cancelled)
-		k.await(30*time.Second, "cordons lifted", func() bool { return len(k.cordons()) == 0 })
+		k.await(30*time.Second, "the end of all cordons", func() bool { return len(k.cordons()) == 0 })
 		time.Sleep(3 * time.Minute)
 		if got := k.drainRecords(); strings.Contains(got, `"d":"all"`) {
-			k.t.Errorf("half drained: %s", got)
+			k.t.Errorf("records still name the cancelled drain: %s", got)
 		}
 	})
 }
 
-// Nothing is drained while one controller knows nothing of drains, or has other budgets.
+// Nothing may be drained while one controller does not take part in drains, or has other budgets.
 func TestDrainAwaitsAllControllers(t *testing.T) {
 	runDrainWith(t, drainLayout{limit: drainBudget, withoutDrains: "c-1"}, func(k *drainCluster) {
 		k.loadEvenly()
 		k.requestDrain("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
 		time.Sleep(2 * time.Minute)
 		if len(k.cordons()) > 0 || k.grantedEvictions() > 0 {
-			k.t.Errorf("it began without c-1: %s", k.drainRecords())
+			k.t.Errorf("the drain began without c-1: %s", k.drainRecords())
 		}
 		k.withoutDrains["c-1"] = false
 		usual := k.settings
@@ -178,21 +178,21 @@
 		k.restart("c-1", time.Second)
 		time.Sleep(time.Minute)
 		if len(k.cordons()) > 0 || k.grantedEvictions() > 0 {
-			k.t.Errorf("it began while c-1 has other budgets: %s", k.drainRecords())
+			k.t.Errorf("the drain began while c-1 had other budgets: %s", k.drainRecords())
 		}
 		k.settings = usual
 		k.restart("c-1", time.Second)
 		k.awaitFinished("all", time.Hour)
 		k.withoutDrains["c-1"] = true
 		k.restart("c-1", time.Second)
-		k.await(time.Minute, "c-1 takes its word back", func() bool {
-			_, said := k.world.State.Entry(drain.ParticipantKey("c-1"))
-			return !said
+		k.await(time.Minute, "the deletion of c-1's participant record", func() bool {
+			_, found := k.world.State.Entry(drain.ParticipantKey("c-1"))
+			return !found
 		})
 	})
 }
 
-// A budget that is lowered to nothing lets no work be evicted any more; what is in use stays.
+// Once a budget is lowered to zero no more work may be evicted; what is in use of it stays in use.
 func TestDrainBudgetLowered(t *testing.T) {
 	runDrain(t, func(k *drainCluster) {
 		k.loadEvenly()
@@ -206,14 +206,14 @@
 		granted := k.grantedEvictions()
 		time.Sleep(5 * time.Minute)
 		if k.grantedEvictions() != granted {
-			k.t.Errorf("%d grants became %d with a budget of none", granted, k.grantedEvictions())
+			k.t.Errorf("granted evictions went from %d to %d with a budget of zero", granted, k.grantedEvictions())
 		}
-		k.requireOccurred(strings.Contains(k.drainRecords(), string(drain.HoldBudgetExhausted)), "the budget holds it up")
+		k.requireOccurred(strings.Contains(k.drainRecords(), string(drain.HoldBudgetExhausted)), "the budget holds the drain up")
 	})
 }
 
-// Past its finish-by a drain keeps to the budgets, unless it was told to pass them; then
-// that is on record.
+// Past its finish-by time a drain must keep to the budgets, unless it is forced. Forced evictions
+// must be recorded as such.
 func TestDrainPastFinishBy(t *testing.T) {
 	none := drainSettings(drain.Limit{Window: time.Minute})
 	soon := func(force bool) func(*drain.Plan) {
@@ -228,7 +228,7 @@
 			k.requestDrain("all", soon(false))
 			time.Sleep(3 * time.Minute)
 			if n := k.grantedEvictions(); n > 0 || k.state("all") != drain.Active {
-				k.t.Errorf("%d evictions without a budget, the drain is %s", n, k.state("all"))
+				k.t.Errorf("%d evictions without a budget, and the drain is %s, want none and active", n, k.state("all"))
 			}
 		})
 	})
@@ -242,8 +242,8 @@
 	})
 }
 
-// Without the operators' file nothing is written of drains, whatever the records ask for;
-// a record that makes no sense is passed over by those that have it.
+// Without drain settings in the operators' file a controller must write no drain records, whatever
+// the records request. With them it must ignore a malformed drain record.
 func TestDrainRecordsOfOthers(t *testing.T) {
 	garbage := wire.Txn{Then: []wire.Op{{Put: drain.PlanKey("bad"), Value: []byte(`{"name":"good","at_once":-1}`)}}}
 	t.Run("off", func(t *testing.T) {
@@ -255,7 +255,7 @@
 			time.Sleep(2 * time.Minute)
 			for _, w := range k.world.State.Writes() {
 				if writes(w.Txn, drain.Prefix) && w.From != testkit.TestEnd {
-					k.t.Errorf("%s wrote %v", w.From, w.Txn)
+					k.t.Errorf("%s wrote drain records without drain settings: %v", w.From, w.Txn)
 				}
 			}
 		})
--- a/internal/controller/fault_combinations_jobs_test.go
+++ b/internal/controller/fault_combinations_jobs_test.go
@@ -12,8 +12,8 @@
 	"bramblespur/internal/wire"
 )
 
-// One-task jobs come four a second for a minute, a quarter of them cancelled, some
-// at the very moment of their end.
+// Jobs of one task are submitted four a second for half a minute. A quarter of them is cancelled
+// at once, others at the moment at which they end, and the leader restarts once.
 func TestManySmallJobs(t *testing.T) {
 	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
@@ -37,21 +37,20 @@
 			}
 		}
 		time.Sleep(30 * time.Second)
-		k.requireOccurred(atEnd.Load() > 0, "cancellations at the moment of the end")
+		k.requireOccurred(atEnd.Load() > 0, "cancellations at the moment at which a job ends")
 	})
 }
 
-// Cancellations, questions and repeated submissions meet the end of a job's last
-// task with no other trouble: users ask at all nodes within milliseconds after a
-// job was accepted, ended or confirmed as cancelled.
+// Cancellations, status queries and repeated submissions reach all controllers within milliseconds
+// after a job is accepted, ends or is confirmed as cancelled, without any other fault.
 func TestRequestsAroundTheEndOfAJob(t *testing.T) {
 	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
-		var looks atomic.Int64
-		look := func(s wire.Spec) {
+		var bursts atomic.Int64
+		requestEverywhere := func(s wire.Spec) {
 			for _, label := range k.labels {
 				for range 3 {
-					looks.Add(1)
+					bursts.Add(1)
 					k.world.Go(func() { k.world.Ask(testkit.Poll, label, s.Ref, nil) })
 					k.world.Go(func() { k.world.Ask(testkit.Submission, label, s.Ref, encode(s)) })
 					time.Sleep(3 * time.Millisecond)
@@ -71,14 +70,14 @@
 			if ref[len(ref)-1]%2 == 0 {
 				k.cancel(ref)
 			}
-			look(s)
+			requestEverywhere(s)
 			time.Sleep(time.Second)
-			look(s)
+			requestEverywhere(s)
 		})
 		for i := range 9 {
 			s := specs[ref(firstFreeJob+i)]
 			k.submit(s, testkit.Length{Run: 8 * time.Second, Fetch: time.Second})
-			k.world.Go(func() { look(s) })
+			k.world.Go(func() { requestEverywhere(s) })
 			if i%3 == 0 {
 				confirmed := k.cancel(s.Ref)
 				k.world.Go(func() {
@@ -87,17 +86,18 @@
 							return
 						}
 					}
-					look(s)
+					requestEverywhere(s)
 				})
 			}
 			time.Sleep(time.Second)
 		}
 		time.Sleep(30 * time.Second)
-		k.requireOccurred(looks.Load() > 100, "users look closely")
+		k.requireOccurred(bursts.Load() > 100, "users send many requests around the end of a job")
 	})
 }
 
-// Jobs bound to one zone, arrays too, lose machines, and a gang a part of its own.
+// Jobs bound to one zone, two arrays and a gang, lose a machine each, and an owner crashes. Every
+// task must run again in the zone.
 func TestZoneBoundJobsLoseMachines(t *testing.T) {
 	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
@@ -109,7 +109,7 @@
 		k.awaitRunning(ref(firstFreeJob+1), 3)
 		k.awaitRunning(ref(firstFreeJob+2), 3)
 		for i := range 3 {
-			var on []*testkit.Agent // a gang has no machine for a moment after one of another job's died
+			var on []*testkit.Agent // a gang may have no machine for a moment after a machine of another job died
 			k.await(time.Minute, "a machine of the job", func() bool {
 				on = k.world.On(ref(firstFreeJob + i))
 				return len(on) > 0
@@ -128,8 +128,9 @@
 	})
 }
 
-// A cancellation whose tasks can be ended is answered so at the first try, and one
-// whose tasks can't at once with when to come again: no answer is held for that.
+// A cancellation of tasks that can be ended must be confirmed at the first request. A cancellation
+// of tasks that cannot be ended must be answered with 503 and a time to retry: no request is
+// parked until they end.
 func TestCancellationsAreAnsweredAtOnce(t *testing.T) {
 	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
@@ -140,27 +141,27 @@
 		asked := time.Now()
 		status, _ := k.world.Ask(testkit.Cancellation, k.labels[0], ref(arrayJob), nil)
 		if took := time.Since(asked); status != 503 || took > userapi.TerminalWait+100*time.Millisecond {
-			k.t.Errorf("with hanging machines: %d after %v", status, took)
+			k.t.Errorf("cancellation with hung machines: status %d after %v, want 503 within the terminal wait", status, took)
 		}
 		for _, m := range on {
 			m.Hang(false)
 		}
 		status, state := k.world.Ask(testkit.Cancellation, k.ownerOfTeam("other"), ref(serviceJob), nil)
 		if status != 200 || state != wire.Cancelled {
-			k.t.Errorf("with machines that answer: %d %s", status, state)
+			k.t.Errorf("cancellation with machines that answer: status %d, state %s, want 200 cancelled", status, state)
 		}
 		k.await(k.timing.Cancel, "the first cancellation", k.cancel(ref(arrayJob)))
 	})
 }
 
-// Users send what can't be taken, and repeat and cancel what is over, also at
-// controllers that have just begun and without the state service.
+// Users send invalid requests, and repeat or cancel submissions of finished jobs, also at
+// controllers that have just started and while the state service is down.
 func TestInvalidAndRepeatedRequests(t *testing.T) {
 	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
 		k.submit(spec(ref(firstFreeJob), "wide", nil), testkit.Length{Run: time.Second, Fetch: time.Second})
 		k.await(time.Minute, "the first job", func() bool { return k.world.Told(ref(firstFreeJob)) == wire.Done })
-		odd := func() {
+		sendAll := func() {
 			for _, label := range k.labels {
 				for what, x := range map[string]struct {
 					body []byte
@@ -184,33 +185,33 @@
 					k.world.Ask(testkit.Submission, label, ref(firstFreeJob), encode(spec(ref(firstFreeJob), "wide", nil)))
 					k.world.Ask(testkit.Submission, label, ref(arrayJob), encode(spec(ref(arrayJob), "wide", nil)))
 					if status, state := k.world.Ask(testkit.Cancellation, label, ref(firstFreeJob), nil); status == 200 && state != wire.Done {
-						k.t.Errorf("the cancellation of a done job is answered %s", state)
+						k.t.Errorf("the cancellation of a done job is answered with state %s, want done", state)
 					}
 				}
 			}
 		}
-		odd()
+		sendAll()
 		leader := k.leader()
 		k.crash(leader)
 		k.start(leader)
-		odd() // it doesn't know the machine types yet
+		sendAll() // the controller has not read the machine types yet
 		k.world.State.Outage(true)
-		odd()
+		sendAll()
 		k.crash(leader)
 		k.start(leader)
-		odd()
+		sendAll()
 		time.Sleep(10 * time.Second)
 		k.world.State.Outage(false)
-		odd()
+		sendAll()
 	})
 }
 
-// encodeWithout encodes a specification encodeWithout one of its fields.
+// encodeWithout encodes a specification without one of its JSON fields.
 func encodeWithout(spec wire.Spec, field string) []byte {
-	var m map[string]json.RawMessage
-	if err := json.Unmarshal(encode(spec), &m); err != nil {
+	var fields map[string]json.RawMessage
+	if err := json.Unmarshal(encode(spec), &fields); err != nil {
 		panic(err)
 	}
-	delete(m, field)
-	return record.Encode(m)
+	delete(fields, field)
+	return record.Encode(fields)
 }
--- a/internal/controller/fault_combinations_links_test.go
+++ b/internal/controller/fault_combinations_links_test.go
@@ -10,8 +10,8 @@
 	"bramblespur/internal/wire"
 )
 
-// A zone with workers and a controller is cut off for longer than the lease, and
-// some of what runs there is cancelled meanwhile.
+// A zone with workers and a controller is partitioned for longer than the lease, and some of the
+// jobs that run there are cancelled meanwhile.
 func TestZoneCutBeyondLease(t *testing.T) {
 	for _, hold := range []bool{false, true} {
 		t.Run(fmt.Sprintf("hold-%t", hold), func(t *testing.T) {
@@ -36,25 +36,25 @@
 	}
 }
 
-// A worker's report is held back until a new owner has acted, and arrives there
-// then; or old reports reach every controller just as the new owner begins.
+// Heartbeats sent before a failover arrive late: just as the new owner begins, or after it has
+// acted.
 func TestHeartbeatsReachNewOwnerLate(t *testing.T) {
 	for _, after := range []time.Duration{0, 300 * time.Millisecond, 3 * time.Second} {
 		t.Run(after.String(), func(t *testing.T) {
 			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
-				old := k.heartbeats()
+				earlier := k.heartbeats()
 				owner := k.ownerOfTeam("wide")
 				confirmed := k.cancelAll(limitJob, serviceJob)
 				k.crash(owner)
 				k.submitInBackground(spec(ref(firstFreeJob), "wide", func(s *wire.Spec) { s.Tasks = 3 }), shortRun)
-				next := k.awaitNewOwner("wide", owner)
+				newOwner := k.awaitNewOwner("wide", owner)
 				time.Sleep(after)
-				k.replayHeartbeats(old)
+				k.replayHeartbeats(earlier)
 				k.replayHeartbeats(k.heartbeats())
 				time.Sleep(k.timing.Report)
-				k.replayHeartbeats(old)
-				k.requireOccurred(next != owner && len(old) > 0, "copies come to a new owner")
+				k.replayHeartbeats(earlier)
+				k.requireOccurred(newOwner != owner && len(earlier) > 0, "copies of heartbeats reach a new owner")
 				k.start(owner)
 				k.await(k.timing.Cancel+30*time.Second, "the cancellations", confirmed)
 			})
@@ -62,27 +62,28 @@
 	}
 }
 
-// Copies of reports of an earlier session and of earlier attempts come after newer ones.
+// Copies of heartbeats of an earlier agent incarnation, with earlier attempts, arrive after newer
+// heartbeats.
 func TestHeartbeatsOfEarlierIncarnations(t *testing.T) {
 	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
 		on := k.awaitRunning(ref(arrayJob), 4)
-		old := k.heartbeats()
+		earlier := k.heartbeats()
 		heal := k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(matchAgents(on), testkit.Anyone)})
 		time.Sleep(k.timing.Lease + 2*time.Second)
 		heal()
 		time.Sleep(2 * k.timing.Report)
 		lost := slices.ContainsFunc(on, func(m *testkit.Agent) bool { return m.Session() > 1 || !slices.Contains(k.world.Machines(), m) })
-		k.requireOccurred(lost, "a lease ran out, or the machines were given back")
+		k.requireOccurred(lost, "a lease expires or the machines are released")
 		for range 3 {
-			k.replayHeartbeats(old)
+			k.replayHeartbeats(earlier)
 			k.cancel(ref(limitJob))
 			time.Sleep(k.timing.Report / 2)
 		}
 	})
 }
 
-// There is more work than room, urgent and not, over links that hold messages up.
+// There is more work than capacity, of every priority, while the network delays every message.
 func TestMoreWorkThanCapacityOverSlowLinks(t *testing.T) {
 	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
@@ -106,7 +107,8 @@
 	})
 }
 
-// A command or its answer is held up for seconds, and the machine then goes on.
+// Commands to machines, or what machines send, are held up for seconds. Then they arrive, and half
+// of the machines hang for a while and resume.
 func TestDelayedCommands(t *testing.T) {
 	for name, match := range map[string]func(k *cluster, ids func(string) bool) func(from, to string) bool{
 		"command": func(k *cluster, ids func(string) bool) func(from, to string) bool {
@@ -140,9 +142,8 @@
 	}
 }
 
-// A leader, or an owner, is cut from the state service and from the other
-// controllers while workers and users still reach it, and jobs are cancelled through
-// the others.
+// A leader, or an owner, is partitioned from the state service and the other controllers while
+// workers and users still reach it, and jobs are cancelled through the others.
 func TestIsolatedControllerKeepsWorkers(t *testing.T) {
 	for name, who := range map[string]func(k *cluster) string{
 		"leader": (*cluster).leader,
@@ -151,48 +152,48 @@
 		t.Run(name, func(t *testing.T) {
 			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
-				cut := who(k)
-				heal := k.isolate(cut)
+				isolated := who(k)
+				heal := k.isolate(isolated)
 				time.Sleep(time.Second)
 				k.submitInBackground(spec(ref(firstFreeJob), "wide", func(s *wire.Spec) { s.Tasks = 2 }), shortRun)
 				confirmed := k.cancelAll(arrayJob, limitJob, serviceJob)
 				time.Sleep(k.timing.Lease + k.timing.Cancel)
-				stood := k.process(cut) != nil
+				alive := k.process(isolated) != nil
 				heal()
-				k.requireOccurred(stood && cut != "", "the controller lives on by itself")
+				k.requireOccurred(alive && isolated != "", "the isolated controller stays alive")
 				k.await(k.timing.Cancel+30*time.Second, "the cancellations", confirmed)
 			})
 		})
 	}
 }
 
-// Workers can't open connections to any controller while direct commands reach them.
+// Workers cannot open connections to any controller, while direct commands reach them.
 func TestMachinesCannotCallControllers(t *testing.T) {
 	for _, share := range []int{1, 2} {
 		t.Run(fmt.Sprintf("one in %d", share), func(t *testing.T) {
 			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
-				var muted []*testkit.Agent
+				var blocked []*testkit.Agent
 				for i, m := range k.world.Machines() {
 					if i%share == 0 {
-						muted = append(muted, m)
+						blocked = append(blocked, m)
 					}
 				}
-				heal := k.blockCallsFrom(matchAgents(muted))
+				heal := k.blockCallsFrom(matchAgents(blocked))
 				k.submitInBackground(spec(ref(firstFreeJob), "wide", func(s *wire.Spec) { s.Tasks = 2 }), shortRun)
 				confirmed := k.cancelAll(arrayJob, limitJob)
 				time.Sleep(k.timing.Lease * 3 / 2)
 				heal()
-				k.requireOccurred(len(muted) > 0, "machines are mute")
+				k.requireOccurred(len(blocked) > 0, "machines cannot call controllers")
 				k.await(k.timing.Cancel+30*time.Second, "the cancellations", confirmed)
 			})
 		})
 	}
 }
 
-// A start that was sent straight to a worker is held up on its way, while the
-// machine's reports and their answers pass, and comes after its job was cancelled:
-// a report without the task must not count as proof that it is gone.
+// A direct start is held up on its way, while heartbeats of its machine and their answers pass,
+// and arrives after its job was cancelled. Guards against taking a heartbeat without the task as
+// proof that the task is gone.
 func TestDelayedDirectStarts(t *testing.T) {
 	for name, change := range map[string]bool{"same owner": false, "next owner": true} {
 		t.Run(name, func(t *testing.T) {
@@ -223,9 +224,9 @@
 	}
 }
 
-// A controller loses its workers and the other controllers but not the state
-// service: others take its parts over while it lives, and its workers may still run
-// what it started last.
+// A controller is partitioned from its workers and the other controllers, but not from the state
+// service. Others acquire its shards while it is alive, and its workers may still run what it
+// started last.
 func TestIsolatedOwner(t *testing.T) {
 	for _, hold := range []bool{false, true} {
 		t.Run(fmt.Sprintf("hold-%t", hold), func(t *testing.T) {
@@ -236,8 +237,8 @@
 					func(n string) bool { return n != testkit.UsersEnd && n != testkit.CloudEnd })})
 				k.submitInBackground(spec(ref(firstFreeJob), "wide", func(s *wire.Spec) { s.Tasks = 3 }), shortRun)
 				confirmed := k.cancelAll(arrayJob, limitJob)
-				next := k.awaitNewOwner("wide", owner)
-				k.requireOccurred(k.process(owner) != nil && next != owner, "another owner while the first lives")
+				newOwner := k.awaitNewOwner("wide", owner)
+				k.requireOccurred(k.process(owner) != nil && newOwner != owner, "another owner while the first is alive")
 				time.Sleep(k.timing.Lease)
 				heal()
 				k.await(k.timing.Cancel+30*time.Second, "the cancellations", confirmed)
--- a/internal/controller/fault_combinations_restarts_test.go
+++ b/internal/controller/fault_combinations_restarts_test.go
@@ -12,10 +12,10 @@
 	"bramblespur/internal/wire"
 )
 
-// Every team is at its limit while jobs are cancelled whose machines are cut off or
-// hang, or can't be asked, and the leader and the owner change.
+// Every team is at its limit while jobs are cancelled whose machines are partitioned, hang, cannot
+// call controllers or cannot be called, and the leader and the owner crash.
 func TestLimitWithLostMachinesAndNewLeader(t *testing.T) {
-	for name, trouble := range map[string]func(*cluster, []*testkit.Agent) (over func()){
+	for name, fault := range map[string]func(*cluster, []*testkit.Agent) (heal func()){
 		"cut": func(k *cluster, ms []*testkit.Agent) func() {
 			return k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(matchAgents(ms), testkit.Anyone)})
 		},
@@ -39,15 +39,15 @@
 			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
 				on := k.world.On(ref(limitJob))
-				over := trouble(k, on)
+				heal := fault(k, on)
 				confirmed := k.cancelAll(limitJob)
 				k.submitInBackground(spec(ref(firstFreeJob), "tight", func(s *wire.Spec) { s.Tasks = teamLimit }), shortRun)
 				owner, leader := k.ownerOfTeam("tight"), k.leader()
 				k.crash(owner)
 				k.crash(leader)
 				time.Sleep(k.timing.Lease * 3 / 4)
-				over()
-				k.requireOccurred(k.ownerOfTeam("tight") != owner || k.params.Count == 1, "the part has another owner")
+				heal()
+				k.requireOccurred(k.ownerOfTeam("tight") != owner || k.params.Count == 1, "the shard has another owner")
 				for _, l := range []string{owner, leader} {
 					if k.process(l) == nil {
 						k.start(l)
@@ -60,7 +60,7 @@
 	}
 }
 
-// Leaders change ten times in two minutes, also inside an outage.
+// The leader restarts ten times in two minutes, also during an outage of the state service.
 func TestTenLeaders(t *testing.T) {
 	for _, outage := range []bool{false, true} {
 		t.Run(fmt.Sprintf("outage-%t", outage), func(t *testing.T) {
@@ -86,7 +86,7 @@
 					if outage && n == 8 {
 						k.world.State.Outage(false)
 					}
-					// Some are back within a fraction of a second.
+					// Every other restart takes a fraction of a second.
 					k.crash(label)
 					time.Sleep([]time.Duration{200 * time.Millisecond, 6 * time.Second}[n%2])
 					k.start(label)
@@ -98,8 +98,8 @@
 	}
 }
 
-// Controllers hand over and back, all end, and one returns, also within a second;
-// all are away for longer than the lease.
+// Shards are transferred and transferred back, all controllers crash, and one returns ahead of the
+// others: within a second, within seconds, and after longer than the lease.
 func TestAllEndAndReturn(t *testing.T) {
 	for _, away := range []time.Duration{300 * time.Millisecond, 5 * time.Second, 50 * time.Second} {
 		t.Run(away.String(), func(t *testing.T) {
@@ -122,10 +122,10 @@
 	}
 }
 
-// A leader and owner ends while machines with long tasks can't be reached, or don't
-// hear the new owner's answers.
+// An owner, which may be the leader, crashes while machines with long tasks cannot be reached,
+// cannot call controllers, or do not receive the answers of the new owner.
 func TestOwnerEndsWhileMachinesAreOutOfReach(t *testing.T) {
-	for name, trouble := range map[string]func(*cluster, func(string) bool) func(){
+	for name, fault := range map[string]func(*cluster, func(string) bool) func(){
 		"unreachable": func(k *cluster, ids func(string) bool) func() {
 			return k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(ids, testkit.Anyone)})
 		},
@@ -137,15 +137,15 @@
 				k.load()
 				on := k.world.On(ref(arrayJob))
 				owner := k.ownerOfTeam("wide")
-				over := trouble(k, matchAgents(on))
+				heal := fault(k, matchAgents(on))
 				k.crash(owner)
 				k.submitInBackground(spec(ref(firstFreeJob), "wide", func(s *wire.Spec) { s.Tasks = 4 }), shortRun)
-				next := k.awaitNewOwner("wide", owner)
-				k.requireOccurred(next != owner, "another owner")
+				newOwner := k.awaitNewOwner("wide", owner)
+				k.requireOccurred(newOwner != owner, "another owner")
 				time.Sleep(k.timing.Lease / 2)
 				confirmed := k.cancelAll(arrayJob)
 				time.Sleep(k.timing.Lease)
-				over()
+				heal()
 				k.start(owner)
 				k.await(k.timing.Cancel+30*time.Second, "the cancellation", confirmed)
 			})
@@ -153,7 +153,7 @@
 	}
 }
 
-// Jobs are cancelled in the seconds in which one controller's work changes hands.
+// Jobs are cancelled in the seconds in which their shard passes to another owner.
 func TestCancelWhileAShardIsTransferred(t *testing.T) {
 	for _, lag := range []time.Duration{0, 2 * time.Second, 4 * time.Second, 4800 * time.Millisecond} {
 		t.Run(lag.String(), func(t *testing.T) {
@@ -165,8 +165,8 @@
 				k.crash(owner)
 				time.Sleep(lag)
 				confirmed := k.cancelAll(arrayJob, gangJob, firstFreeJob)
-				next := k.awaitNewOwner("wide", owner)
-				k.requireOccurred(next != owner, "another owner")
+				newOwner := k.awaitNewOwner("wide", owner)
+				k.requireOccurred(newOwner != owner, "another owner")
 				k.start(owner)
 				k.await(k.timing.Cancel, "the cancellations", confirmed)
 			})
@@ -174,7 +174,8 @@
 	}
 }
 
-// Jobs of two or three tasks end far apart across a change of owner.
+// The tasks of jobs with two or three tasks end at times far apart, while their shard changes
+// owners twice.
 func TestTasksEndAcrossAChangeOfOwner(t *testing.T) {
 	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
@@ -196,9 +197,9 @@
 	})
 }
 
-// A process is back within a fraction of a second, and a copy of a write of the one
-// before it comes late: its member record, which goes with the older lease, replaces
-// the newer one. The controller must not be taken for dead for ever.
+// A controller restarts within a fraction of a second, and a copy of a write of its last process
+// arrives late: the member record with the older lease replaces the newer one. Guards against
+// taking the controller for dead from then on.
 func TestMemberRecordOfTheLastProcessComesLate(t *testing.T) {
 	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
@@ -206,14 +207,14 @@
 			before := k.world.State.Writes()
 			k.restart(label, 200*time.Millisecond)
 			time.Sleep(1500 * time.Millisecond)
-			came := false
+			applied := false
 			for _, w := range slices.Backward(before) {
 				if writes(w.Txn, record.MemberPrefix+label) {
-					came = k.world.State.Repeat(w) == nil
+					applied = k.world.State.Repeat(w) == nil
 					break
 				}
 			}
-			k.requireOccurred(came, "the older lease still stands")
+			k.requireOccurred(applied, "the late write is applied, as the older lease is still valid")
 			time.Sleep(15 * time.Second)
 			var m record.Member
 			e, ok := k.world.State.Entry(record.MemberPrefix + label)
@@ -227,7 +228,7 @@
 			incarnation := p.c.lease.Current().Incarnation
 			p.c.mu.Unlock()
 			if !ok || m.Incarnation != incarnation {
-				k.t.Errorf("%s: recorded %t as incarnation %d, is %d", label, ok, m.Incarnation, incarnation)
+				k.t.Errorf("%s: member record found is %t, of incarnation %d, want %d", label, ok, m.Incarnation, incarnation)
 			}
 		}
 		k.submit(spec(ref(firstFreeJob), "wide", nil), shortRun)
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -12,11 +12,12 @@
 	"bramblespur/internal/wire"
 )
 
-// Each test in the files meetings*_test.go brings two or more troubles together, as
-// docs/meetings.md lists them, and asserts that they did meet; the checker verifies the
-// rules of the protocol.
+// Each test in the files fault_combinations*_test.go combines two or more faults, as
+// docs/meetings.md lists them, and asserts that they coincided. The checker verifies the rules
+// of the protocol.
 
-// A quiet day: everything runs, ends and is told. It shows that the harness serves.
+// Without faults every job runs and ends, and its user is told its state. Shows that the harness
+// works.
 func TestWithoutFaults(t *testing.T) {
 	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
@@ -28,15 +29,16 @@
 		for n, want := range map[int]string{arrayJob: wire.Cancelled, serviceJob: wire.Cancelled, limitJob: wire.Cancelled,
 			firstFreeJob: wire.Done, firstFreeJob + 1: wire.Done} {
 			if got := k.world.Told(ref(n)); got != want {
-				k.t.Errorf("%s: %q, want %q", ref(n), got, want)
+				k.t.Errorf("the user of %s is told %q, want %q", ref(n), got, want)
 			}
 		}
 	})
 }
 
-// The refusedAloneThenOutage: the state service refuses the owner of the jobs' part alone, which leads
-// where it can be so, another controller confirms cancellations, and then the
-// service is down for all for longer than a cancelled task may live.
+// refusedAloneThenOutage makes the state service refuse only the owner of the jobs' shard, which
+// is the leader where possible. Another controller confirms cancellations, and outageAfter the
+// refusal the state service is down for all, for longer than a cancelled task may live. before is
+// called with the owner ahead of the refusal; nil does nothing.
 func refusedAloneThenOutage(k *cluster, outageAfter time.Duration, before func(owner string)) {
 	k.load()
 	k.submit(spec(ref(firstFreeJob), "wide", func(s *wire.Spec) { s.DependsOn = []string{ref(arrayJob)} }), shortRun)
@@ -47,21 +49,22 @@
 	k.world.State.Refuse(owner, true)
 	confirmed := k.cancelAll(arrayJob, gangJob, serviceJob, limitJob)
 	time.Sleep(outageAfter)
-	early := confirmed()
+	confirmedEarly := confirmed()
 	k.world.State.Outage(true)
-	outage := time.Now()
+	outageBegan := time.Now()
 	time.Sleep(14*time.Second - outageAfter%(14*time.Second))
 	k.world.State.Refuse(owner, false)
-	time.Sleep(time.Until(outage.Add(k.timing.Cancel + 20*time.Second)))
+	time.Sleep(time.Until(outageBegan.Add(k.timing.Cancel + 20*time.Second)))
 	k.world.State.Outage(false)
-	k.requireOccurred(outageAfter < 10*time.Second || early, "another controller confirms before the outage")
+	k.requireOccurred(outageAfter < 10*time.Second || confirmedEarly, "another controller confirms before the outage")
 	k.await(k.timing.Lease+30*time.Second, "the cancellations after the outage", confirmed)
 }
 
-// The offsets between the refusal's begin and the outage: at once, before and after
-// the refused owner's lease ends and its part has another owner, and long after.
+// outageDelays are the times from the refusal to the outage: none, before and after the lease of
+// the refused owner expires and its shard has another owner, and long after.
 var outageDelays = []time.Duration{0, 200 * time.Millisecond, 2 * time.Second, 4500 * time.Millisecond, 6 * time.Second, 13 * time.Second}
 
+// The state service refuses the owner alone and is then down for all, while jobs are cancelled.
 func TestRefusedAloneThenOutage(t *testing.T) {
 	for _, d := range outageDelays {
 		t.Run(d.String(), func(t *testing.T) {
@@ -70,7 +73,7 @@
 	}
 }
 
-// The same while the cancelled jobs' machines hang and go on within the outage.
+// The same while the machines of a cancelled job hang and resume during the outage.
 func TestRefusedAloneThenOutageWithHungMachines(t *testing.T) {
 	runOnAllLayouts(t, func(k *cluster) {
 		refusedAloneThenOutage(k, 6*time.Second, func(string) {
@@ -85,16 +88,16 @@
 	})
 }
 
-// The same while copies of reports come late, to all, within the outage and before.
+// The same while late copies of heartbeats reach all controllers, before and during the outage.
 func TestRefusedAloneThenOutageWithLateHeartbeats(t *testing.T) {
 	runOnAllLayouts(t, func(k *cluster) {
 		refusedAloneThenOutage(k, 6*time.Second, func(string) {
-			old := k.heartbeats()
-			k.requireOccurred(len(old) > 0, "there are reports to copy")
+			earlier := k.heartbeats()
+			k.requireOccurred(len(earlier) > 0, "there are heartbeats to copy")
 			for _, d := range []time.Duration{time.Second, 4 * time.Second, 5 * time.Second, 9 * time.Second, 30 * time.Second} {
 				k.world.Go(func() {
 					if k.world.Sleep(d) {
-						k.replayHeartbeats(old)
+						k.replayHeartbeats(earlier)
 					}
 				})
 			}
@@ -102,23 +105,23 @@
 	})
 }
 
-// The same with starts whose record has no answer or comes late, so that a start is
-// recorded, or on its way, as its job is cancelled.
+// The same while writes of placements get no answer or are applied late, so that a start is
+// recorded, or about to be, when its job is cancelled.
 func TestRefusedAloneThenOutageWithLateWrites(t *testing.T) {
 	for name, fate := range map[string]testkit.Fate{"lost": {Lost: true}, "late": {Late: 5 * time.Second}} {
 		t.Run(name, func(t *testing.T) {
 			runOnAllLayouts(t, func(k *cluster) {
-				var met atomic.Bool
+				var affected atomic.Bool
 				refusedAloneThenOutage(k, 6*time.Second, func(owner string) {
 					k.world.State.Decide(func(from string, w wire.Txn) testkit.Fate {
 						if writes(w, record.PlacementsPrefix) {
-							met.Store(true)
+							affected.Store(true)
 							return fate
 						}
 						return testkit.Fate{}
 					})
 					k.submit(spec(ref(firstFreeJob+1), "wide", func(s *wire.Spec) { s.Tasks = 3 }), longRun)
-					k.await(time.Minute, "a start's record without an answer", met.Load)
+					k.await(time.Minute, "a start's record without an answer", affected.Load)
 					k.cancel(ref(firstFreeJob + 1))
 				})
 			})
@@ -126,13 +129,13 @@
 	}
 }
 
-// writes reports whether a transaction writes a key with a prefix.
+// writes reports whether a transaction puts or deletes a key with a prefix.
 func writes(t wire.Txn, prefix string) bool {
 	return slices.ContainsFunc(t.Then, func(op wire.Op) bool { return strings.HasPrefix(op.Put+op.Delete, prefix) })
 }
 
-// The same while direct starts are on their way: held by the network until the
-// outage, and carried out then if their worker still takes them.
+// The same while the network holds direct starts until the outage. They are delivered then, and
+// carried out if their worker still accepts them.
 func TestRefusedAloneThenOutageWithDelayedCommands(t *testing.T) {
 	runOnAllLayouts(t, func(k *cluster) {
 		refusedAloneThenOutage(k, 6*time.Second, func(owner string) {
@@ -148,8 +151,8 @@
 	})
 }
 
-// New machines are up within two seconds and get work at once while writes lag, and
-// the leader and the owner end.
+// New machines boot within two seconds and get work at once while writes are applied late, and the
+// leader and the owner crash.
 func TestNewMachinesWhileWritesLag(t *testing.T) {
 	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
@@ -179,8 +182,8 @@
 	})
 }
 
-// A transaction without an answer is carried out late, after newer ones of the same
-// controller; or at once, and others read what it wrote.
+// A transaction without an answer is applied late, after newer ones of the same controller; or it
+// is applied at once, and other controllers read what it wrote.
 func TestTransactionsWithoutAnswer(t *testing.T) {
 	for name, fate := range map[string]func(n int) testkit.Fate{
 		"late":    func(n int) testkit.Fate { return testkit.Fate{Late: time.Duration(2+n%11) * time.Second} },
@@ -189,14 +192,14 @@
 		t.Run(name, func(t *testing.T) {
 			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
-				n, met := map[string]int{}, map[string]int{}
+				n, affected := map[string]int{}, map[string]int{}
 				k.world.State.Decide(func(_ string, w wire.Txn) testkit.Fate {
 					for _, p := range []string{record.ActiveJobPrefix, record.FinishedJobPrefix, record.PlacementsPrefix, record.FleetPrefix, record.ClusterPrefix} {
 						if !writes(w, p) {
 							continue
 						}
-						if n[p]++; n[p]%3 == 1 { // of each kind of write one in three
-							met[p]++
+						if n[p]++; n[p]%3 == 1 { // one in three writes of each kind
+							affected[p]++
 							return fate(n[p])
 						}
 					}
@@ -217,7 +220,7 @@
 				time.Sleep(30 * time.Second)
 				k.world.State.Decide(nil)
 				for _, p := range []string{record.ActiveJobPrefix, record.FinishedJobPrefix, record.PlacementsPrefix} {
-					k.requireOccurred(met[p] > 0, "writes of "+p+" without an answer")
+					k.requireOccurred(affected[p] > 0, "writes of "+p+" without an answer")
 				}
 				k.await(k.timing.Cancel, "the cancellations", confirmed)
 			})
@@ -225,8 +228,8 @@
 	}
 }
 
-// The state service answers slowly, or refuses the leader alone and then everybody,
-// while users cancel and ask.
+// The state service answers slowly, then refuses the leader alone, then is down for all, while
+// users cancel jobs and query their status.
 func TestSlowStateWhileUsersCancel(t *testing.T) {
 	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
@@ -252,8 +255,8 @@
 	})
 }
 
-// Jobs are cancelled at the very moment at which the state service refuses the
-// leader alone, and a second later it is out for longer than a cancelled task may live.
+// Jobs are cancelled within 20 ms of the moment from which the state service refuses the leader
+// alone. A second later it is down for all, for longer than a cancelled task may live.
 func TestCancelAsTheLeaderIsRefused(t *testing.T) {
 	for _, d := range []time.Duration{-20 * time.Millisecond, 0, 20 * time.Millisecond} {
 		t.Run(d.String(), func(t *testing.T) {
@@ -279,17 +282,18 @@
 	}
 }
 
-// A pipeline is withdrawn, and a job that others need cancelled, across the gap.
+// The same as TestRefusedAloneThenOutage while a pipeline is cancelled, and a job on which another
+// depends.
 func TestRefusedAloneThenOutageWithPipelines(t *testing.T) {
 	runOnAllLayouts(t, func(k *cluster) {
 		first, second := spec(ref(firstFreeJob+1), "wide", nil), spec(ref(firstFreeJob+2), "wide", nil)
-		var withdrawn func() bool
+		var pipelineCancelled func() bool
 		refusedAloneThenOutage(k, 6*time.Second, func(string) {
 			k.submitPipeline("pipe-000001", first, second, longRun)
 			k.awaitRunning(first.Ref, 1)
-			withdrawn = k.cancelPipeline("pipe-000001", first.Ref, second.Ref)
+			pipelineCancelled = k.cancelPipeline("pipe-000001", first.Ref, second.Ref)
 		})
-		k.await(k.timing.Cancel, "the pipeline's end", withdrawn)
-		k.await(k.timing.Cancel, "the end of what needs a cancelled job", func() bool { return k.world.Told(ref(firstFreeJob)) == wire.Cancelled })
+		k.await(k.timing.Cancel, "the cancellation of the pipeline", pipelineCancelled)
+		k.await(k.timing.Cancel, "the cancellation of the job that depends on a cancelled one", func() bool { return k.world.Told(ref(firstFreeJob)) == wire.Cancelled })
 	})
 }
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -10,10 +10,11 @@
 	"bramblespur/internal/wire"
 )
 
-// faults are what may happen at any moment; each begins and returns what ends it.
+// faults are what TestTroublesByChance draws from. begin injects a fault and returns what ends it,
+// nil if nothing does. The order of the entries is part of every seed.
 var faults = []struct {
 	name  string
-	begin func(k *cluster, r *rand.Rand) (over func())
+	begin func(k *cluster, r *rand.Rand) (heal func())
 }{
 	{"owner ends", func(k *cluster, r *rand.Rand) func() { return k.crashUntilRestart(k.owner(r.IntN(k.params.Count))) }},
 	{"leader ends", func(k *cluster, _ *rand.Rand) func() { return k.crashUntilRestart(k.leader()) }},
@@ -79,9 +80,9 @@
 		return k.world.Net.Cut(&testkit.Cut{Hold: true, Requests: true, Match: func(from, to string) bool { return k.isController(from) && k.isMachine(to) }})
 	}},
 	{"late writes", func(k *cluster, r *rand.Rand) func() {
-		n, one, lost := 0, 2+r.IntN(4), r.IntN(2) == 0
+		n, every, lost := 0, 2+r.IntN(4), r.IntN(2) == 0
 		k.world.State.Decide(func(string, wire.Txn) testkit.Fate {
-			if n++; n%one != 0 {
+			if n++; n%every != 0 {
 				return testkit.Fate{}
 			}
 			return testkit.Fate{Lost: lost, Late: time.Duration(2+n%11) * time.Second}
@@ -89,9 +90,9 @@
 		return func() { k.world.State.Decide(nil) }
 	}},
 	{"late reports", func(k *cluster, r *rand.Rand) func() {
-		old := k.heartbeats()
+		earlier := k.heartbeats()
 		return func() {
-			k.replayHeartbeats(old)
+			k.replayHeartbeats(earlier)
 		}
 	}},
 	{"slow network", func(k *cluster, r *rand.Rand) func() {
@@ -112,13 +113,14 @@
 	}},
 }
 
-// crashUntilRestart ends a controller, if there is one, until it is started again.
-func (k *cluster) crashUntilRestart(label string) (over func()) {
+// crashUntilRestart kills a controller, if one runs. The returned function starts all controllers
+// that do not run.
+func (k *cluster) crashUntilRestart(label string) (heal func()) {
 	k.crash(label)
 	return k.startMissing
 }
 
-// randomMachines returns randomMachines of the machines.
+// randomMachines returns each machine with a probability of one third.
 func (k *cluster) randomMachines(r *rand.Rand) []*testkit.Agent {
 	var out []*testkit.Agent
 	for _, m := range k.world.Machines() {
@@ -129,8 +131,9 @@
 	return out
 }
 
-// Troubles of every kind meet as chance has it, several at a time, while jobs of
-// every kind come and a third of them is cancelled. What is not listed is met here.
+// Faults of every kind are injected by chance, several at a time, while jobs of every kind are
+// submitted and a third of them is cancelled. Guards against failures in combinations of faults
+// that no other test lists.
 func TestTroublesByChance(t *testing.T) {
 	seeds := seedsToRun(t)
 	for name, l := range layouts {
@@ -143,26 +146,26 @@
 	}
 }
 
-// injectRandomFaults plays two minutes of troubles.
+// injectRandomFaults injects faults for two minutes. far selects longer pauses between them.
 func (k *cluster) injectRandomFaults(r *rand.Rand, far bool) {
 	k.load()
-	pause := 12 * time.Second
+	maxPause := 12 * time.Second
 	if far {
-		pause = 20 * time.Second
+		maxPause = 20 * time.Second
 	}
 	n := firstFreeJob
-	var said []string
+	var scriptLog []string
 	for end := time.Now().Add(2 * time.Minute); time.Now().Before(end); {
-		x := faults[r.IntN(len(faults))]
-		said = append(said, fmt.Sprintf("%s %s", time.Now().Format("04:05"), x.name))
-		k.recorder.note("trouble begins", "name", x.name)
-		over := x.begin(k, r)
-		d := time.Duration(r.Int64N(int64(2 * pause)))
-		if over != nil {
+		fault := faults[r.IntN(len(faults))]
+		scriptLog = append(scriptLog, fmt.Sprintf("%s %s", time.Now().Format("04:05"), fault.name))
+		k.recorder.note("fault begins", "name", fault.name)
+		heal := fault.begin(k, r)
+		d := time.Duration(r.Int64N(int64(2 * maxPause)))
+		if heal != nil {
 			k.world.Go(func() {
 				k.world.Sleep(d)
-				over()
-				k.recorder.note("trouble ends", "name", x.name)
+				heal()
+				k.recorder.note("fault ends", "name", fault.name)
 			})
 		}
 		for range r.IntN(3) {
@@ -184,7 +187,7 @@
 				}
 			})
 			if len(s.DependsOn) > 0 && (k.world.Told(s.DependsOn[0]) == "" || k.world.IsService(s.DependsOn[0])) {
-				s.DependsOn = nil // users name what was accepted, and no services
+				s.DependsOn = nil // a dependency has been accepted and is not a service
 			}
 			k.submitInBackground(s, testkit.Length{Run: time.Duration(2+r.IntN(40)) * time.Second, Fetch: time.Duration(r.IntN(6000)) * time.Millisecond})
 			if r.IntN(3) == 0 {
@@ -196,7 +199,7 @@
 			}
 			n++
 		}
-		time.Sleep(time.Duration(r.Int64N(int64(pause))))
+		time.Sleep(time.Duration(r.Int64N(int64(maxPause))))
 	}
-	k.scriptLog = said
+	k.scriptLog = scriptLog
 }
--- a/internal/controller/recorder_test.go
+++ b/internal/controller/recorder_test.go
@@ -14,24 +14,25 @@
 	"bramblespur/internal/testkit"
 )
 
-// recordVariable names the directory that the records of failing schedules are written to. Without
-// it nothing is recorded.
+// recordVariable is the environment variable that names the directory for the recordings of
+// schedules that fail. Without it nothing is recorded.
 const recordVariable = "CLUSTER_RECORD"
 
-// maxRecordedLines bounds the record of one schedule: the latest lines are kept.
+// maxRecordedLines bounds the recording of one schedule: the latest lines are kept.
 const maxRecordedLines = 20000
 
-// recorder keeps the last minutes of one schedule: troubles with their ends, all controllers' log
-// lines, every transaction with its conditions and outcome, every heartbeat with its answer. A nil
-// recorder keeps nothing.
+// recorder keeps the latest lines of one schedule: faults with their ends, the log lines of all
+// controllers, every transaction with its conditions and outcome, and every heartbeat with its
+// answer. A nil recorder keeps nothing.
 type recorder struct {
 	log *slog.Logger
 
 	mu    sync.Mutex
-	lines [][]byte // a ring once it is full
-	next  int
+	lines [][]byte // a ring buffer once it holds maxRecordedLines
+	next  int      // index in lines of the next write
 }
 
+// newRecorder returns a recorder, nil unless recordVariable is set.
 func newRecorder() *recorder {
 	if os.Getenv(recordVariable) == "" {
 		return nil
@@ -41,7 +42,7 @@
 	return r
 }
 
-// Write implements io.Writer for one line.
+// Write implements io.Writer. Each call writes one line.
 func (r *recorder) Write(line []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -53,14 +54,15 @@
 	return len(line), nil
 }
 
-// note records what the test itself does.
+// note records an action of the test itself.
 func (r *recorder) note(event string, args ...any) {
 	if r != nil {
 		r.log.Info(event, args...)
 	}
 }
 
-// observer records what happens among the scripted peers; it is nil without a recorder.
+// observer returns what records heartbeats and transactions at the simulated peers, nil for a nil
+// recorder.
 func (r *recorder) observer() testkit.Observer {
 	if r == nil {
 		return nil
@@ -78,7 +80,8 @@
 	}
 }
 
-// save writes the record of a test that has failed.
+// save writes the recording of a failed test to a new file in the directory that recordVariable
+// names.
 func (r *recorder) save(t *testing.T) {
 	t.Helper()
 	if r == nil || !t.Failed() {
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -23,7 +23,7 @@
 // operatorEnd is the end of the network at which the recovery tool runs.
 const operatorEnd = "operator"
 
-// recoverClient is the recovery tool among a cluster's processes.
+// recoverClient returns the client of the recovery tool, connected to the cluster.
 func (k *cluster) recoverClient() *recoverctl.Client {
 	ctx := context.Background()
 	c := &recoverctl.Client{Store: k.world.State.Link(ctx, operatorEnd), Cloud: k.world.Rentals(ctx, operatorEnd), Now: time.Now,
@@ -34,17 +34,17 @@
 	return c
 }
 
-// snapshotOf is a snapshot as the tool would have read it.
+// snapshotOf returns the contents of a snapshot of the state service, as the tool would read them.
 func snapshotOf(i testkit.Image) *snapshot.Contents {
 	return &snapshot.Contents{Manifest: &snapshot.Manifest{Revision: i.Revision}, Records: maps.Clone(i.Entries)}
 }
 
-// operatorDecision is what an operator decides who knows what became of a job.
+// operatorDecision is the decision of an operator who knows what became of a job.
 func operatorDecision(key string, truth testkit.Image) recovery.Decision {
 	var j record.FinishedJob
-	e, over := truth.Entries[record.FinishedJobKey(record.LastElement(key))]
+	e, finished := truth.Entries[record.FinishedJobKey(record.LastElement(key))]
 	switch {
-	case !over || json.Unmarshal(e.Value, &j) != nil:
+	case !finished || json.Unmarshal(e.Value, &j) != nil:
 		return recovery.DecideRerun
 	case j.State == wire.Done:
 		return recovery.DecideDone
@@ -52,7 +52,7 @@
 	return recovery.DecideCancelled
 }
 
-// recoveryPlan makes a recoveryPlan, and decides all that is undecided as it was.
+// recoveryPlan makes a plan with every undecided record decided by the truth.
 func (k *cluster) recoveryPlan(c *recoverctl.Client, s *snapshot.Contents, truth testkit.Image) *recovery.Plan {
 	k.t.Helper()
 	for range 2 {
@@ -71,25 +71,25 @@
 			}
 		}
 	}
-	k.t.Fatal("decided records are undecided again")
+	k.t.Fatal("records are still undecided after a decision on each")
 	return nil
 }
 
-// apply carries a plan out.
+// apply applies a plan and waits until the cluster serves again.
 func (k *cluster) apply(c *recoverctl.Client, p *recovery.Plan) {
 	k.t.Helper()
 	if err := c.Apply(k.t.Context(), p, func(int, int) {}); err != nil {
 		k.t.Fatal(err)
 	}
-	k.await(time.Minute, "service again", func() bool { return k.allShardsOwned() && k.leader() != "" })
+	k.await(time.Minute, "a leader and an owner of every shard after safe mode", func() bool { return k.allShardsOwned() && k.leader() != "" })
 }
 
-// checkPlan checks a plan against the truth: what is recovered is as it was, and what controllers
-// held is not called lost.
+// checkPlan compares a plan with the true records: recovered records must be as they were, and
+// records that controllers held must not be called lost.
 func (k *cluster) checkPlan(p *recovery.Plan, truth testkit.Image) {
 	k.t.Helper()
 	for _, i := range p.Items {
-		e, was := truth.Entries[i.Key]
+		e, existed := truth.Entries[i.Key]
 		known := strings.HasPrefix(i.Key, record.ActiveJobPrefix) || strings.HasPrefix(i.Key, record.FinishedJobPrefix) ||
 			strings.HasPrefix(i.Key, record.FleetPrefix) && i.From != recovery.FromHeartbeat
 		if !known || i.From == recovery.FromOperator {
@@ -97,32 +97,33 @@
 		}
 		var got, want any
 		switch {
-		case i.Outcome == recovery.Recovered && !was:
-			k.t.Errorf("%s is recovered from the %s, and was not there", i.Key, i.From)
+		case i.Outcome == recovery.Recovered && !existed:
+			k.t.Errorf("%s is recovered from the %s, but did not exist", i.Key, i.From)
 		case i.Outcome == recovery.Recovered && (json.Unmarshal(i.Put, &got) != nil || json.Unmarshal(e.Value, &want) != nil || !sameRecord(got, want)):
-			k.t.Errorf("%s is recovered as %s, and was %s", i.Key, i.Put, e.Value)
-		case i.Outcome == recovery.Lost && was:
-			k.t.Errorf("%s is called lost: %s", i.Key, i.Why)
+			k.t.Errorf("%s is recovered as %s, want %s", i.Key, i.Put, e.Value)
+		case i.Outcome == recovery.Lost && existed:
+			k.t.Errorf("%s is called lost, but existed: %s", i.Key, i.Why)
 		}
 	}
 }
 
-// sameRecord compares decoded records but for the times that only some sources know.
+// sameRecord compares decoded records, except for the times that only some sources hold.
 func sameRecord(a, b any) bool {
 	x, okX := a.(map[string]any)
 	y, okY := b.(map[string]any)
 	if !okX || !okY {
 		return fmt.Sprint(a) == fmt.Sprint(b)
 	}
-	if x["spec"] == nil && x["state"] == nil { // of machines
+	if x["spec"] == nil && x["state"] == nil { // machine records
 		return fmt.Sprint(x) == fmt.Sprint(y)
 	}
 	return fmt.Sprint(x["spec"], x["state"], x["part"], x["cancelled"], x["pipe"], x["held"]) == fmt.Sprint(y["spec"], y["state"], y["part"], y["cancelled"], y["pipe"], y["held"])
 }
 
-// runLoss plays a loss: a snapshot is taken, then jobs are accepted, end and are cancelled,
-// then data is lost, and the tool recovers it. Every job must be answered, and no rule broken.
-func runLoss(t *testing.T, lose func(k *cluster) (truth testkit.Image, fresher *snapshot.Contents)) {
+// runLoss takes a snapshot, lets jobs be accepted, end and be cancelled, and then loses data,
+// which the recovery tool rebuilds. lose returns the true records, and a newer snapshot for the
+// tool or nil. Every job must be answered, without violations.
+func runLoss(t *testing.T, lose func(k *cluster) (truth testkit.Image, newer *snapshot.Contents)) {
 	t.Helper()
 	runOnAllLayouts(t, func(k *cluster) {
 		k.losesData = true
@@ -130,35 +131,36 @@
 		for i := range 3 {
 			k.submit(spec(ref(firstFreeJob+i), "wide", nil), shortRun)
 		}
-		old := snapshotOf(k.world.State.Image())
+		older := snapshotOf(k.world.State.Image())
 		cancelled := k.cancel(ref(gangJob))
-		k.await(k.timing.Cancel, "a cancellation", cancelled)
-		k.await(2*time.Minute, "jobs done", func() bool {
+		k.await(k.timing.Cancel, "the cancellation", cancelled)
+		k.await(2*time.Minute, "the end of two jobs", func() bool {
 			return k.world.Told(ref(firstFreeJob)) == wire.Done && k.world.Told(ref(firstFreeJob+1)) == wire.Done
 		})
 		k.submit(spec(ref(firstFreeJob+5), "other", gang(2)), longRun)
 		k.awaitStableTasks()
-		truth, fresher := lose(k)
-		if fresher != nil {
-			old = fresher
+		truth, newer := lose(k)
+		if newer != nil {
+			older = newer
 		}
 		k.await(time.Minute, "safe mode", k.allInSafeMode)
 		k.checkSafeModeHolds(2 * k.timing.Report)
-		k.recoverLostData(old, truth)
+		k.recoverLostData(older, truth)
 	})
 }
 
-// recoverLostData rebuilds what was lost, and checks that against the truth.
-func (k *cluster) recoverLostData(old *snapshot.Contents, truth testkit.Image) {
+// recoverLostData rebuilds the lost records from a snapshot and the cluster, and checks the plan
+// against the truth.
+func (k *cluster) recoverLostData(older *snapshot.Contents, truth testkit.Image) {
 	k.t.Helper()
 	c := k.recoverClient()
-	p := k.recoveryPlan(c, old, truth)
+	p := k.recoveryPlan(c, older, truth)
 	k.checkPlan(p, truth)
 	k.apply(c, p)
 }
 
-// Data is lost while a controller is cut off, which comes back with the older and fuller view
-// before the loss is noticed, or after all was recovered.
+// Data is lost while a controller is isolated. It returns with the older and fuller view before
+// the loss is noticed, or after all records were recovered.
 func TestRecoverWhileOneIsCutOff(t *testing.T) {
 	for name, late := range map[string]bool{"back before": false, "back after": true} {
 		t.Run(name, func(t *testing.T) {
@@ -186,16 +188,16 @@
 				time.Sleep(2 * k.timing.Report)
 				k.recoverLostData(snapshotOf(truth), truth)
 				heal()
-				k.await(time.Minute, "service again", func() bool { return k.allShardsOwned() && k.leader() != "" })
+				k.await(time.Minute, "a leader and an owner of every shard after safe mode", func() bool { return k.allShardsOwned() && k.leader() != "" })
 			})
 		})
 	}
 }
 
-// Data is lost in the middle of a take-over, and while the state service refuses one and then
-// is slow for all.
+// Data is lost during another fault: a failover, a crash of the leader, the death of a machine, a
+// slow state service, or one that refuses a controller.
 func TestRecoverWhileMoreFails(t *testing.T) {
-	troubles := map[string]func(k *cluster) (heal func()){
+	faults := map[string]func(k *cluster) (heal func()){
 		"take-over": func(k *cluster) func() {
 			k.crash(k.ownerOfTeam("wide"))
 			time.Sleep(membership.LeaseTTL)
@@ -218,28 +220,28 @@
 			return func() {}
 		},
 	}
-	for name, trouble := range troubles {
+	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			runOnAllLayouts(t, func(k *cluster) {
 				k.losesData = true
 				k.load()
 				k.awaitStableTasks()
-				old := snapshotOf(k.world.State.Image())
-				heal := trouble(k)
+				older := snapshotOf(k.world.State.Image())
+				heal := fault(k)
 				truth := k.world.State.Image()
 				k.loseRecords("")
 				time.Sleep(3 * time.Second)
 				heal()
 				k.await(2*time.Minute, "safe mode", k.allInSafeMode)
 				time.Sleep(2 * k.timing.Report)
-				k.recoverLostData(old, truth)
+				k.recoverLostData(older, truth)
 			})
 		})
 	}
 }
 
-// Whatever is lost without a word is rebuilt from what is left, what controllers hold, what
-// workers report and an older snapshot.
+// Whatever is lost without an error must be rebuilt from the records left, the views of
+// controllers, the heartbeats of workers and an older snapshot.
 func TestRecoverSilentLoss(t *testing.T) {
 	for name, loss := range silentLosses {
 		t.Run(name, func(t *testing.T) {
@@ -252,13 +254,14 @@
 	}
 }
 
-// The state service is back at an older revision.
+// The state service returns to an older revision, while the controllers run or have all just
+// restarted.
 func TestRecoverOlderRevision(t *testing.T) {
 	for name, restart := range map[string]bool{"controllers live": false, "all restarted": true} {
 		t.Run(name, func(t *testing.T) {
 			runLoss(t, func(k *cluster) (testkit.Image, *snapshot.Contents) {
 				image := k.world.State.Image()
-				for range 40 { // a stretch shorter than what a restart writes can't be noticed
+				for range 40 { // a gap of fewer revisions than a restart writes cannot be noticed
 					noise := wire.Txn{Then: []wire.Op{{Put: record.ClusterPrefix + "noise", Value: []byte("1")}}}
 					if err := k.world.State.Put(noise); err != nil {
 						k.t.Fatal(err)
@@ -268,7 +271,7 @@
 				k.crash(owner)
 				k.awaitNewOwner("wide", owner)
 				k.startMissing()
-				if !restart { // of what nobody knows nothing can be recovered
+				if !restart { // a job that no source holds cannot be recovered
 					k.submit(spec(ref(firstFreeJob+6), "wide", nil), longRun)
 				}
 				k.awaitStableTasks()
@@ -286,7 +289,7 @@
 	}
 }
 
-// Seeded parts of the data are lost, also as all controllers restart.
+// Records drawn by seed are lost; with every other seed all controllers restart as well.
 func TestRecoverSeededLoss(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -303,7 +306,7 @@
 				})
 				k.requireOccurred(len(lost) > 0, "records are lost")
 				k.startMissing()
-				if seed%2 == 1 { // of what neither controllers nor a snapshot know nothing can be recovered
+				if seed%2 == 1 { // records that neither controllers nor a snapshot hold cannot be recovered
 					return truth, snapshotOf(truth)
 				}
 				return truth, nil
--- a/internal/controller/restarts_test.go
+++ b/internal/controller/restarts_test.go
@@ -18,18 +18,20 @@
 	"bramblespur/internal/wire"
 )
 
-// maxCommandsPerSecond is how many orders a second all controllers may release in these tests.
+// maxCommandsPerSecond is the rate limit of commands after a restart in these tests, for all
+// controllers together.
 const maxCommandsPerSecond = 15
 
-// busyJobs are the arrays of a busy night, of busyTasks tasks each.
+// busyJobs is how many arrays a loaded cluster has, of busyTasks tasks each.
 const (
 	busyJobs  = 12
 	busyTasks = 3
 )
 
-// runRestarts plays a script in a busy night, on both layouts with some seeds: after it every
-// controller must settle, with no more orders in any second than the bound, and nothing that
-// the checker knows may have happened.
+// runRestarts runs a script on a loaded cluster whose controllers limit the rate of commands after
+// a restart, on both layouts with some seeds. After it every controller must complete its
+// reconciliation, with no more commands in any second than the rate limit, and the checker must
+// have found no violation.
 func runRestarts(t *testing.T, script func(k *cluster, r *rand.Rand)) {
 	t.Helper()
 	for name, l := range layouts {
@@ -42,57 +44,61 @@
 	}
 }
 
-// runWithRateLimit plays a script on a cluster that restarts quietly.
+// runWithRateLimit runs a script on a loaded cluster whose controllers limit the rate of commands
+// after a restart.
 func runWithRateLimit(t *testing.T, l layout, script func(k *cluster)) {
 	t.Helper()
 	runScript(t, l, func(k *cluster) {
 		k.prepare = enableRateLimit
-		for _, label := range k.labels { // those that began before the script did not
+		for _, label := range k.labels { // the processes so far have no rate limit
 			k.restart(label, 0)
 		}
-		k.await(30*time.Second, "a leader and all parts", func() bool { return k.leader() != "" && k.allShardsOwned() })
+		k.await(30*time.Second, "a leader and an owner of every shard", func() bool { return k.leader() != "" && k.allShardsOwned() })
 		for i := range busyJobs {
 			k.submit(spec(ref(firstFreeJob+i), []string{"wide", "other"}[i%2], func(s *wire.Spec) { s.Tasks = busyTasks }), busyLength(i))
 		}
 		k.awaitRunning(ref(firstFreeJob), busyTasks)
-		time.Sleep(20 * time.Second) // the pace of the start is over
+		time.Sleep(20 * time.Second) // the rate limit of this start ends
 		script(k)
-		k.requireOccurred(!k.allEndedAt.IsZero(), "all controllers end")
+		k.requireOccurred(!k.allEndedAt.IsZero(), "all controllers crash")
 		k.world.Mend()
 		k.startMissing()
-		back := time.Now()
-		k.await(3*time.Minute, "all have settled", func() bool { return k.allReconciled() })
-		paced := back.Add(ratelimit.DefaultLimitFor)
-		if n := k.world.Orders().Most(time.Second, k.allEndedAt, paced, !k.jobsCancelled.Load()); n > maxCommandsPerSecond {
-			k.t.Errorf("%d orders in a second, of %d", n, maxCommandsPerSecond)
+		restarted := time.Now()
+		k.await(3*time.Minute, "the end of all reconciliations", func() bool { return k.allReconciled() })
+		limitEnds := restarted.Add(ratelimit.DefaultLimitFor)
+		if n := k.world.Orders().Most(time.Second, k.allEndedAt, limitEnds, !k.jobsCancelled.Load()); n > maxCommandsPerSecond {
+			k.t.Errorf("%d commands in a second, want %d at most", n, maxCommandsPerSecond)
 		}
 	})
 }
 
-// busyLength is how long the tasks of a night's job run: some end while nobody listens.
+// busyLength is the length of the tasks of the i-th busy job: some end while no controller runs.
 func busyLength(i int) testkit.Length {
 	return testkit.Length{Run: time.Duration(25+7*i) * time.Second, Fetch: 2 * time.Second}
 }
 
+// enableRateLimit makes a new controller limit the rate of commands after a restart, as a prepare
+// function.
 func enableRateLimit(_ string, c *Controller) {
 	c.reconciliation.Enable(&operations.Restart{Settings: ratelimit.Settings{CommandsPerSecond: maxCommandsPerSecond}})
 }
 
-// episodes returns what a controller recorded.
+// episodes returns the restart episodes that a controller recorded.
 func (k *cluster) episodes(label string) []restart.Episode {
 	k.t.Helper()
 	e, ok := k.world.State.Entry(restart.Key(label))
 	if !ok {
 		return nil
 	}
-	var h restart.History
-	if err := json.Unmarshal(e.Value, &h); err != nil {
+	var history restart.History
+	if err := json.Unmarshal(e.Value, &history); err != nil {
 		k.t.Fatal(err)
 	}
-	return h.Episodes
+	return history.Episodes
 }
 
-// allReconciled reports whether no controller has anything left to settle.
+// allReconciled reports whether every controller has completed its reconciliation and every shard
+// is held.
 func (k *cluster) allReconciled() bool {
 	for _, label := range k.labels {
 		p := k.process(label)
@@ -100,17 +106,17 @@
 			return false
 		}
 		p.c.mu.Lock()
-		under := p.c.reconciliation.PendingLocked()
+		pending := p.c.reconciliation.PendingLocked()
 		p.c.mu.Unlock()
-		if under {
+		if pending {
 			return false
 		}
 	}
 	return k.allShardsOwned()
 }
 
-// crashAll ends every controller without a word. What workers are told from then on is
-// counted.
+// crashAll kills every controller. The commands to workers from the first call on count against
+// the rate limit.
 func (k *cluster) crashAll() {
 	if k.allEndedAt.IsZero() {
 		k.allEndedAt = time.Now()
@@ -120,7 +126,8 @@
 	}
 }
 
-// startInRandomOrder starts all controllers in some order, each a fraction of a second after the last.
+// startInRandomOrder starts all controllers that do not run, in random order, each a fraction of a
+// second after the one before.
 func (k *cluster) startInRandomOrder(r *rand.Rand) {
 	order := slices.Clone(k.labels)
 	r.Shuffle(len(order), func(a, b int) { order[a], order[b] = order[b], order[a] })
@@ -132,16 +139,16 @@
 	}
 }
 
-// submitBacklog submits more work than there was, so that starts are under way.
+// submitBacklog submits another busyJobs arrays, so that starts are in progress.
 func (k *cluster) submitBacklog() {
 	for i := range busyJobs {
 		k.submitInBackground(spec(ref(firstFreeJob+busyJobs+i), []string{"wide", "other"}[i%2], func(s *wire.Spec) { s.Tasks = busyTasks }), busyLength(i))
 	}
 }
 
-// All controllers end in the middle of a batch of starts: before the write, after it, after
-// the order, and after a task's end. They return in any order, within a fraction of a second
-// each.
+// All controllers crash in the middle of a batch of starts: before the write, after it, after the
+// command, and after the end of a task. They return in random order, each within a fraction of a
+// second.
 func TestAllEndInABatch(t *testing.T) {
 	phases := map[string]func(k *cluster){
 		"before the write": func(k *cluster) {
@@ -161,7 +168,7 @@
 		"after the order": func(k *cluster) {
 			before := time.Now()
 			k.submitBacklog()
-			k.await(time.Minute, "an order", func() bool { return k.world.Orders().Since(before) > 3 })
+			k.await(time.Minute, "commands", func() bool { return k.world.Orders().Since(before) > 3 })
 		},
 		"after a task's end": func(k *cluster) {
 			ended := make(chan string, 2*busyJobs)
@@ -183,8 +190,8 @@
 	}
 }
 
-// All end once more while they reconcile, one never comes back until much later, and the
-// record of the restart tells what was found.
+// All controllers crash once more while they reconcile, and one returns only much later. The
+// restart records must show that running tasks were adopted.
 func TestAllEndTwice(t *testing.T) {
 	runRestarts(t, func(k *cluster, r *rand.Rand) {
 		k.submitBacklog()
@@ -197,23 +204,23 @@
 		for _, label := range k.labels[1:] {
 			k.start(label)
 		}
-		k.await(time.Minute, "all parts without one controller", k.allShardsOwned)
+		k.await(time.Minute, "an owner of every shard without one controller", k.allShardsOwned)
 		time.Sleep(10 * time.Second)
-		verdicts := map[string]int{}
+		outcomes := map[string]int{}
 		for _, label := range k.labels {
 			for _, e := range k.episodes(label) {
-				for v, n := range e.Outcomes {
-					verdicts[v] += n
+				for outcome, n := range e.Outcomes {
+					outcomes[outcome] += n
 				}
 			}
 		}
-		k.requireOccurred(verdicts["adopted"] > 0, fmt.Sprintf("running work is adopted: %v", verdicts))
+		k.requireOccurred(outcomes["adopted"] > 0, fmt.Sprintf("running tasks are adopted, of outcomes %v", outcomes))
 	})
 }
 
-// The state service is down when they return, comes back slow, or refuses one alone.
+// The state service is down when the controllers return, is slow, or refuses one of them.
 func TestRestartWithoutStateService(t *testing.T) {
-	troubles := map[string]func(k *cluster) (heal func()){
+	faults := map[string]func(k *cluster) (heal func()){
 		"down": func(k *cluster) func() {
 			k.world.State.Outage(true)
 			return func() { k.world.State.Outage(false) }
@@ -227,12 +234,12 @@
 			return func() { k.world.State.Refuse(k.labels[1], false) }
 		},
 	}
-	for name, trouble := range troubles {
+	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			runRestarts(t, func(k *cluster, r *rand.Rand) {
 				k.submitBacklog()
 				k.crashAll()
-				heal := trouble(k)
+				heal := fault(k)
 				k.startInRandomOrder(r)
 				time.Sleep(time.Duration(3+r.IntN(10)) * time.Second)
 				heal()
@@ -241,28 +248,28 @@
 	}
 }
 
-// Workers come back with tasks that the records never knew, know under another attempt, know
-// as cancelled or as done, or know on another machine: each is stopped or forgotten, and no
-// answer changes.
+// Workers return with tasks that the records do not contain, contain under another attempt or on
+// another machine, or contain as cancelled or done. Each must be stopped or forgotten, and the
+// state that users are told must not change.
 func TestRestartFindsStrayTasks(t *testing.T) {
 	runRestarts(t, func(k *cluster, r *rand.Rand) {
 		k.load()
 		cancelled := k.cancel(ref(limitJob))
-		k.await(k.timing.Cancel, "a cancellation", cancelled)
+		k.await(k.timing.Cancel, "the cancellation", cancelled)
 		k.submit(spec(ref(firstFreeJob+busyJobs), "wide", nil), testkit.Length{Run: time.Second})
-		k.await(2*time.Minute, "an end", func() bool { return k.world.Told(ref(firstFreeJob+busyJobs)) == wire.Done })
+		k.await(2*time.Minute, "the end of a job", func() bool { return k.world.Told(ref(firstFreeJob+busyJobs)) == wire.Done })
 		k.crashAll()
 		on := k.world.On(ref(arrayJob))
 		others := slices.DeleteFunc(k.world.Machines(), func(m *testkit.Agent) bool { return slices.Contains(on, m) })
 		k.requireOccurred(len(others) > 2, "there are machines without the job")
-		others[0].Inject("run-999999", 0, 1, wire.Running, "")               // never known
+		others[0].Inject("run-999999", 0, 1, wire.Running, "")               // not in the records
 		others[0].Inject(ref(arrayJob), 0, 77, wire.Running, "")             // another attempt
-		others[1].Inject(ref(arrayJob), 1, 1, wire.Running, "")              // the same, elsewhere
+		others[1].Inject(ref(arrayJob), 1, 1, wire.Running, "")              // the same job, on another machine
 		others[1].Inject(ref(limitJob), 0, 1, wire.Running, "")              // cancelled
 		others[2].Inject(ref(firstFreeJob+busyJobs), 0, 9, wire.Running, "") // done
-		others[2].Inject(ref(serviceJob), 0, 9, wire.Exited, wire.ExitError) // exited in vain
+		others[2].Inject(ref(serviceJob), 0, 9, wire.Exited, wire.ExitError) // exited with an error
 		k.startInRandomOrder(r)
-		k.await(2*time.Minute, "the strays gone", func() bool {
+		k.await(2*time.Minute, "the end of the stray tasks", func() bool {
 			for _, m := range others[:3] {
 				if slices.ContainsFunc(m.Tasks(), func(task string) bool {
 					return strings.HasPrefix(task, "run-999999/") || strings.HasPrefix(task, ref(limitJob)+"/") || strings.HasPrefix(task, ref(firstFreeJob+busyJobs)+"/")
@@ -273,13 +280,13 @@
 			return len(k.world.On(ref(arrayJob))) <= 4
 		})
 		if got := k.world.Told(ref(firstFreeJob + busyJobs)); got != wire.Done {
-			k.t.Errorf("what was done is %s", got)
+			k.t.Errorf("the user of the finished job is told %s, want done", got)
 		}
 	})
 }
 
-// A worker that is silent for several leases is awaited: its work is started nowhere else
-// before it is proven gone.
+// Workers are silent for several leases after the controllers return. Their tasks must not be
+// started elsewhere before they are proven gone.
 func TestRestartAwaitsSilentWorkers(t *testing.T) {
 	runRestarts(t, func(k *cluster, r *rand.Rand) {
 		k.load()
@@ -293,17 +300,17 @@
 	})
 }
 
-// The cloud lists machines without a record, a record names machines that are not there, and
-// the answer to a rental is lost as its leader ends.
+// The cloud lists machines without a record, a record names machines that do not exist, and the
+// answer to a provision request is lost as the leader crashes.
 func TestRestartFindsMachines(t *testing.T) {
 	runRestarts(t, func(k *cluster, r *rand.Rand) {
-		stranger := wire.ProvisionRequest{Request: "late", Type: "big", Zone: "a", Count: 1}
-		names, err := k.world.Rentals(t.Context(), "late").Provision(t.Context(), stranger)
+		unrecorded := wire.ProvisionRequest{Request: "late", Type: "big", Zone: "a", Count: 1}
+		names, err := k.world.Rentals(t.Context(), "late").Provision(t.Context(), unrecorded)
 		if err != nil {
 			k.t.Fatal(err)
 		}
-		ghost := record.Provision{Type: "big", Zone: "a", Shards: []int{0}, IDs: []string{"i-999999"}, CreatedAt: time.Now().UnixMilli()}
-		if err := k.world.State.Put(wire.Txn{Then: []wire.Op{{Put: record.ProvisionKey("ghost"), Value: record.Encode(ghost)}}}); err != nil {
+		missing := record.Provision{Type: "big", Zone: "a", Shards: []int{0}, IDs: []string{"i-999999"}, CreatedAt: time.Now().UnixMilli()}
+		if err := k.world.State.Put(wire.Txn{Then: []wire.Op{{Put: record.ProvisionKey("ghost"), Value: record.Encode(missing)}}}); err != nil {
 			k.t.Fatal(err)
 		}
 		heal := k.world.Net.Cut(&testkit.Cut{Match: func(from, _ string) bool { return from == testkit.CloudEnd }})
@@ -312,8 +319,8 @@
 		k.crashAll()
 		heal()
 		k.startInRandomOrder(r)
-		k.await(5*time.Minute, "the stranger returned", func() bool { return k.world.Zone(names[0]) == "" })
-		k.await(5*time.Minute, "the ghost returned", func() bool {
+		k.await(5*time.Minute, "the release of the machine without a record", func() bool { return k.world.Zone(names[0]) == "" })
+		k.await(5*time.Minute, "the release of the machine that does not exist", func() bool {
 			return slices.ContainsFunc(k.world.State.Writes(), func(w testkit.Write) bool {
 				return slices.ContainsFunc(w.Txn.Then, func(op wire.Op) bool {
 					return strings.HasPrefix(op.Put, record.ReleasePrefix) && strings.Contains(string(op.Value), "i-999999")
@@ -323,7 +330,7 @@
 	})
 }
 
-// Users submit, ask and cancel while everything reconciles.
+// Users submit, query and cancel jobs while all controllers reconcile.
 func TestUsersWhileReconciling(t *testing.T) {
 	runRestarts(t, func(k *cluster, r *rand.Rand) {
 		k.submitBacklog()
@@ -342,8 +349,8 @@
 	})
 }
 
-// One controller does not pace its orders, as one of the production version beside ours: the
-// others keep to their shares, and all settle.
+// One controller has no rate limit, like one of the production version next to newer ones. The
+// others must keep to their shares of the limit, and all must complete their reconciliation.
 func TestRestartBesideOneWithoutRateLimit(t *testing.T) {
 	for name, l := range layouts {
 		t.Run(name, func(t *testing.T) {
@@ -357,22 +364,23 @@
 				k.load()
 				k.crashAll()
 				k.startMissing()
-				k.await(time.Minute, "all parts", k.allShardsOwned)
-				k.await(3*time.Minute, "the others settled", func() bool { return len(k.episodes("c-1")) > 0 && k.allReconciled() })
+				k.await(time.Minute, "an owner of every shard", k.allShardsOwned)
+				k.await(3*time.Minute, "the end of the others' reconciliations", func() bool { return len(k.episodes("c-1")) > 0 && k.allReconciled() })
 				if n := len(k.episodes("c-0")); n > 0 {
-					k.t.Errorf("%d episodes of one that does not record them", n)
+					k.t.Errorf("c-0 has no rate limit and recorded %d episodes, want none", n)
 				}
 			})
 		})
 	}
 }
 
-// A drain is under way when all controllers end: its grants are kept, and it goes on.
+// All controllers crash during a drain: the evictions that it granted must be kept, and it must go
+// on to its end.
 func TestRestartDuringADrain(t *testing.T) {
 	runDrain(t, func(k *drainCluster) {
-		on := k.prepare
+		enableDrains := k.prepare
 		k.prepare = func(label string, c *Controller) {
-			on(label, c)
+			enableDrains(label, c)
 			enableRateLimit(label, c)
 		}
 		k.loadEvenly()
@@ -382,6 +390,6 @@
 		time.Sleep(2 * time.Second)
 		k.startInRandomOrder(rand.New(rand.NewPCG(1, 1)))
 		k.awaitFinished("all", time.Hour)
-		k.await(time.Minute, "all have settled", func() bool { return k.allReconciled() })
+		k.await(time.Minute, "the end of all reconciliations", func() bool { return k.allReconciled() })
 	})
 }
--- a/internal/controller/safe_mode_test.go
+++ b/internal/controller/safe_mode_test.go
@@ -13,8 +13,8 @@
 	"bramblespur/internal/wire"
 )
 
-// testAudit is how often the leader audits in tests. It is on in all of them: whatever fails,
-// nobody may believe that data was lost unless it was.
+// testAudit is the interval of the leader's audits in tests. All tests run with audits: whatever
+// fails, no controller may suspect data loss unless data was lost.
 const testAudit = 10 * time.Second
 
 // everInSafeMode reports whether a controller has ever held a safe mode.
@@ -24,7 +24,7 @@
 	return c.dataLoss.ModeLocked().Epoch > 0
 }
 
-// allInSafeMode reports whether every controller does nothing.
+// allInSafeMode reports whether every controller is in safe mode.
 func (k *cluster) allInSafeMode() bool {
 	for _, label := range k.labels {
 		if p := k.process(label); p == nil || !p.c.dataLoss.Active() {
@@ -34,7 +34,7 @@
 	return true
 }
 
-// tasks returns all tasks that are on machines.
+// tasks returns all tasks on machines, each with its machine, in a fixed order.
 func (k *cluster) tasks() []string {
 	var out []string
 	for _, m := range k.world.Machines() {
@@ -46,17 +46,19 @@
 	return out
 }
 
-// awaitStableTasks waits until nothing that was stopped to make room is still saving.
+// awaitStableTasks waits until no preempted task is still saving: the tasks on machines stay the
+// same for 20 s.
 func (k *cluster) awaitStableTasks() {
 	k.t.Helper()
-	var before []string
-	for now := k.tasks(); !slices.Equal(now, before); now = k.tasks() {
-		before = now
+	var earlier []string
+	for now := k.tasks(); !slices.Equal(now, earlier); now = k.tasks() {
+		earlier = now
 		time.Sleep(20 * time.Second)
 	}
 }
 
-// restoreData puts back what the state service held, as if recovered, and ends the safe mode.
+// restoreData restores the records of the state service, as a recovery would, and ends the safe
+// mode.
 func (k *cluster) restoreData(full testkit.Image) {
 	k.t.Helper()
 	mode := recovery.SafeMode{}
@@ -70,7 +72,7 @@
 	}
 	mode.Active = false
 	now := k.world.State.Image()
-	for key, e := range now.Entries { // jobs accepted before anybody noticed
+	for key, e := range now.Entries { // jobs accepted before the loss was noticed
 		if _, known := full.Entries[key]; !known {
 			full.Entries[key] = e
 		}
@@ -80,7 +82,7 @@
 	k.world.State.Revert(full)
 }
 
-// silentLosses are what a state service may lose without a word.
+// silentLosses are the losses of data that a state service may suffer without an error.
 var silentLosses = map[string]func(k *cluster){
 	"everything":   func(k *cluster) { k.loseRecords("") },
 	"open jobs":    func(k *cluster) { k.loseRecords(record.ActiveJobPrefix) },
@@ -97,14 +99,15 @@
 	},
 }
 
+// loseRecords makes the state service lose all records with a prefix.
 func (k *cluster) loseRecords(prefix string) {
 	k.t.Helper()
 	lost := k.world.State.Lose(func(key string) bool { return strings.HasPrefix(key, prefix) })
 	k.requireOccurred(len(lost) > 0, "records with "+prefix+" are lost")
 }
 
-// checkSafeModeHolds checks that for a while nothing is done to workers, that what runs goes on, and
-// that users are told to come back, but for what was answered for good.
+// checkSafeModeHolds checks for d that workers get no commands, that running tasks go on, and that
+// users are told to retry, except where an answer is final.
 func (k *cluster) checkSafeModeHolds(d time.Duration) {
 	k.t.Helper()
 	began, running := time.Now(), k.tasks()
@@ -112,23 +115,23 @@
 		time.Sleep(time.Second)
 		for i, label := range k.labels {
 			if status, _ := k.world.Ask(testkit.Poll, label, ref(arrayJob), nil); status != 503 {
-				k.t.Fatalf("%s answers a poll with %d", label, status)
+				k.t.Fatalf("status query at %s in safe mode: status %d, want 503", label, status)
 			}
 			if status, _ := k.world.Ask(testkit.Poll, label, fmt.Sprintf("run-9%05d", i), nil); status != 503 {
-				k.t.Fatalf("%s answers for a job that it does not know with %d", label, status)
+				k.t.Fatalf("status query at %s for an unknown job in safe mode: status %d, want 503", label, status)
 			}
 		}
 	}
 	if n := k.world.Orders().Since(began.Add(time.Second)); n > 0 {
-		k.t.Errorf("%d orders in safe mode", n)
+		k.t.Errorf("%d commands in safe mode, want none", n)
 	}
 	if now := k.tasks(); !slices.Equal(now, running) {
-		k.t.Errorf("tasks on machines were %v and are %v", running, now)
+		k.t.Errorf("tasks on machines in safe mode changed from %v to %v", running, now)
 	}
 }
 
-// Whatever the state service loses without a word, every controller notices or is told, nothing
-// is done until it is restored, and then all goes on.
+// Whatever the state service loses without an error, every controller must notice it or be
+// notified, and do nothing until the data is restored. Then service must resume.
 func TestSafeModeAfterSilentLoss(t *testing.T) {
 	for name, loss := range silentLosses {
 		t.Run(name, func(t *testing.T) {
@@ -136,21 +139,21 @@
 				k.losesData = true
 				k.load()
 				k.submit(spec(ref(firstFreeJob), "wide", nil), shortRun)
-				k.await(2*time.Minute, "a job done", func() bool { return k.world.Told(ref(firstFreeJob)) == wire.Done })
+				k.await(2*time.Minute, "the end of a job", func() bool { return k.world.Told(ref(firstFreeJob)) == wire.Done })
 				k.awaitStableTasks()
 				full := k.world.State.Image()
 				loss(k)
 				k.await(time.Minute, "safe mode", k.allInSafeMode)
 				k.checkSafeModeHolds(2 * k.timing.Lease)
 				k.restoreData(full)
-				k.await(time.Minute, "service again", func() bool { return k.allShardsOwned() && k.leader() != "" })
+				k.await(time.Minute, "a leader and an owner of every shard after safe mode", func() bool { return k.allShardsOwned() && k.leader() != "" })
 			})
 		})
 	}
 }
 
-// The state service is back at an older revision, by seconds or by minutes, with controllers
-// that know better or that have all just started.
+// The state service returns to an older revision, by seconds or by a minute, while the controllers
+// hold newer records or have all just started.
 func TestSafeModeAfterOlderRevision(t *testing.T) {
 	for name, x := range map[string]struct {
 		by      time.Duration
@@ -164,7 +167,7 @@
 				k.load()
 				old := k.world.State.Image()
 				owner := k.ownerOfTeam("wide")
-				k.crash(owner) // the part's next token is what workers know, and the older store does not
+				k.crash(owner) // workers then hold the shard's next fencing token, which is not in the older revision
 				k.awaitNewOwner("wide", owner)
 				k.startMissing()
 				for i := range 4 {
@@ -183,13 +186,13 @@
 				k.await(time.Minute, "safe mode", k.allInSafeMode)
 				k.checkSafeModeHolds(2 * k.timing.Lease)
 				k.restoreData(full)
-				k.await(time.Minute, "service again", func() bool { return k.allShardsOwned() && k.leader() != "" })
+				k.await(time.Minute, "a leader and an owner of every shard after safe mode", func() bool { return k.allShardsOwned() && k.leader() != "" })
 			})
 		})
 	}
 }
 
-// All controllers have just started when nothing but the workers can tell that records are
+// Records are lost while all controllers restart, so that only workers can show that they are
 // gone.
 func TestSafeModeAfterLossAndRestart(t *testing.T) {
 	for _, prefix := range []string{record.ActiveJobPrefix, record.FleetPrefix, record.PlacementsPrefix, record.ShardPlacementsPrefix(1), ""} {
@@ -203,14 +206,14 @@
 				}
 				full := k.world.State.Image()
 				k.loseRecords(prefix)
-				if prefix == "" { // the words on formats come back with the controllers
+				if prefix == "" { // the controllers write their format records again
 					time.Sleep(time.Second)
 				}
 				k.startMissing()
 				k.await(time.Minute, "safe mode", k.allInSafeMode)
 				k.checkSafeModeHolds(2 * k.timing.Lease)
 				k.restoreData(full)
-				k.await(time.Minute, "service again", func() bool { return k.allShardsOwned() && k.leader() != "" })
+				k.await(time.Minute, "a leader and an owner of every shard after safe mode", func() bool { return k.allShardsOwned() && k.leader() != "" })
 			})
 		})
 	}
--- a/internal/controller/zones_apart_test.go
+++ b/internal/controller/zones_apart_test.go
@@ -8,12 +8,12 @@
 	"bramblespur/internal/testkit"
 )
 
-// Two zones are cut off from each other for longer than a lease, and nothing else is:
-// workers whose owner is on the other side find a controller of their own zone while
-// their leases last, and keep their tasks.
+// Two zones are partitioned from each other, and nothing else is, for longer than a lease. Workers
+// whose owner is on the other side must find a controller of their own zone while their leases
+// last, and keep their tasks.
 //
-// Guards against sending such a worker back to the owner that it has just waited for
-// in vain: the second wait outlasts the lease.
+// Guards against sending such a worker back to the owner for which it has just waited without an
+// answer: the second wait outlasts the lease.
 func TestZonesApartKeepLeases(t *testing.T) {
 	for _, hold := range []bool{false, true} {
 		t.Run(fmt.Sprintf("hold-%t", hold), func(t *testing.T) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// sessionsWithTasks returns the sessions of the machines that have tasks.
+// sessionsWithTasks returns the agent incarnations of the machines that have tasks, by machine.
 func (k *cluster) sessionsWithTasks() map[string]uint64 {
 	sessions := map[string]uint64{}
 	for _, machine := range k.world.Machines() {
@@ -51,8 +51,8 @@
 	return sessions
 }
 
-// ownerOfMachine returns who owns the part that a machine is in, as any controller's
-// view tells.
+// ownerOfMachine returns the label of the owner of a machine's shard, according to the view of any
+// controller.
 func (k *cluster) ownerOfMachine(id string) string {
 	for _, label := range k.labels {
 		process := k.process(label)
