--- a/cmd/bramblespur/loopback_bench_test.go
+++ b/cmd/bramblespur/loopback_bench_test.go
@@ -12,18 +12,19 @@
 	"bramblespur/internal/wire"
 )
 
-// largeLoopback is a fleet of any size; its state service grows with it.
-func largeLoopback(machines int) loopbackSize {
+// benchmarkLoopback returns the size of a cluster with so many machines. The rate limits of the state service
+// grow with their number.
+func benchmarkLoopback(machines int) loopbackSize {
 	return loopbackSize{report: 4 * time.Second, rps: 300 + float64(machines)/4, writeRPS: 100 + float64(machines)/10,
-		operations: "[restart]\nsettle_within_s = 30.0\n", processorSeconds: 2}
+		operations: "[restart]\nsettle_within_s = 30.0\n", cpuShare: 2}
 }
 
-// tasksOfJob is the size of the jobs that fill a fleet: one task for each machine, with room
-// for as many more.
-const tasksOfJob = 10
+// tasksPerJob is the size of the jobs that fill a fleet. There is one task for each machine, which has
+// room for another.
+const tasksPerJob = 10
 
-// addFleet rents machines for all parts in turn, and records them.
-func (l *loopback) addFleet(machines int) {
+// provisionFleet provisions machines for the shards in turn, and records them.
+func (l *loopback) provisionFleet(machines int) {
 	l.t.Helper()
 	api := l.world.Rentals(l.t.Context(), testkit.TestEnd)
 	const batch = 50
@@ -36,7 +37,7 @@
 		}
 		r.IDs = ids
 		for i := range ids {
-			r.Shards = append(r.Shards, i%partsWithMachines) // where the teams' jobs are
+			r.Shards = append(r.Shards, i%shardsWithMachines) // only the shards of the teams' jobs
 		}
 		put := wire.Txn{Then: []wire.Op{{Put: record.ProvisionKey(fmt.Sprint("fleet-", n)), Value: record.Encode(r)}}}
 		if err := l.world.State.Put(put); err != nil {
@@ -45,13 +46,13 @@
 	}
 }
 
-// partsWithMachines is how many parts have machines: those of the teams.
-const partsWithMachines = 2
+// shardsWithMachines is the number of shards that have machines: those of the teams.
+const shardsWithMachines = 2
 
-// settled reports whether every part with machines has settled since a time, and how long
-// after it the last one had.
-func (l *loopback) settled(since time.Time) (longest time.Duration, ok bool) {
-	parts := map[int]bool{}
+// reconciliationTime reports whether the reconciliation of every shard with machines has completed since a
+// time, and how long after it the last one did.
+func (l *loopback) reconciliationTime(since time.Time) (longest time.Duration, ok bool) {
+	shards := map[int]bool{}
 	for _, label := range loopbackLabels {
 		e, known := l.world.State.Entry(restart.Key(label))
 		var h restart.History
@@ -65,18 +66,18 @@
 			if episode.CompletedAt == 0 {
 				return 0, false
 			}
-			for _, part := range episode.Shards {
-				parts[part] = true
+			for _, shard := range episode.Shards {
+				shards[shard] = true
 			}
 			longest = max(longest, time.UnixMilli(episode.CompletedAt).Sub(since))
 		}
 	}
-	return longest, len(parts) >= partsWithMachines
+	return longest, len(shards) >= shardsWithMachines
 }
 
-// BenchmarkRestartOverLoopback measures three real processes that all end, while half of the
-// fleet's room is in use, and start again: the time until all has settled, and what the
-// processes needed of the state service, of processors and of memory until then.
+// BenchmarkRestartOverLoopback measures the restart of three real processes, which are all killed while half
+// of the fleet is in use: the time until reconciliation completes, and the requests to the state
+// service, the processor time and the memory that the processes use until then.
 func BenchmarkRestartOverLoopback(b *testing.B) {
 	for _, machines := range []int{30, 300, 4000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
@@ -88,12 +89,12 @@
 }
 
 func measureRestart(b *testing.B, machines int) {
-	l := newLoopbackOf(b, 1, largeLoopback(machines))
-	l.addFleet(machines)
-	jobs := machines / tasksOfJob
+	l := newLoopbackWithSize(b, 1, benchmarkLoopback(machines))
+	l.provisionFleet(machines)
+	jobs := machines / tasksPerJob
 	for n := range jobs {
 		spec := loopbackJob(n)
-		spec.Tasks = tasksOfJob
+		spec.Tasks = tasksPerJob
 		l.submitLater(spec, testkit.Length{Run: time.Hour, Fetch: 200 * time.Millisecond})
 	}
 	running := func() int {
@@ -103,37 +104,37 @@
 		}
 		return n
 	}
-	l.await("all tasks running", func() bool { return running() == machines })
+	l.waitFor("all tasks running", func() bool { return running() == machines })
 	for _, label := range loopbackLabels {
 		l.kill(label)
 	}
-	before := map[string]int64{}
+	requestsBefore := map[string]int64{}
 	for _, label := range loopbackLabels {
-		before[label] = l.served[label].Load()
+		requestsBefore[label] = l.requests[label].Load()
 	}
 	time.Sleep(2 * time.Second)
-	back := time.Now()
+	restartedAt := time.Now()
 	for _, label := range loopbackLabels {
 		l.start(label)
 	}
-	var took time.Duration
-	l.await("settled", func() (ok bool) {
-		took, ok = l.settled(back)
+	var elapsed time.Duration
+	l.waitFor("reconciliation complete", func() (ok bool) {
+		elapsed, ok = l.reconciliationTime(restartedAt)
 		return ok
 	})
 	if n := running(); n != machines {
-		b.Errorf("%d tasks run after the restart, of %d", n, machines)
+		b.Errorf("%d tasks run after the restart, want %d", n, machines)
 	}
 	var requests int64
 	var processor time.Duration
 	var memory float64
 	for _, label := range loopbackLabels {
 		l.kill(label)
-		requests += l.served[label].Load() - before[label]
-		processor += l.used[label].processor
-		memory = max(memory, l.used[label].memoryMB)
+		requests += l.requests[label].Load() - requestsBefore[label]
+		processor += l.usage[label].processor
+		memory = max(memory, l.usage[label].memoryMB)
 	}
-	b.ReportMetric(took.Seconds(), "s-settled")
+	b.ReportMetric(elapsed.Seconds(), "s-settled")
 	b.ReportMetric(float64(requests), "requests")
 	b.ReportMetric(processor.Seconds(), "processor-s")
 	b.ReportMetric(memory, "MB-peak")
--- a/cmd/bramblespur/loopback_drain_test.go
+++ b/cmd/bramblespur/loopback_drain_test.go
@@ -10,7 +10,7 @@
 	"bramblespur/internal/wire"
 )
 
-// drainState returns a drain's state on record.
+// drainState returns the recorded state of a drain, empty if there is no valid record.
 func (l *loopback) drainState(name string) drain.State {
 	e, _ := l.world.State.Entry(drain.PlanKey(name))
 	var p drain.Plan
@@ -20,9 +20,9 @@
 	return p.State
 }
 
-// Real processes on real sockets drain all machines while they are killed and the state
-// service refuses one after the other: stand-in workers, which count by themselves, never
-// find a team interrupted beyond its budget.
+// Real processes on real sockets drain all machines. Meanwhile one process after another is killed, or
+// refused by the state service. The workers count interruptions by themselves and never find that a
+// team is interrupted beyond its disruption budget.
 func TestDrainOverLoopback(t *testing.T) {
 	const seed = 1
 	l := newLoopback(t, seed)
@@ -35,16 +35,16 @@
 	for _, spec := range []wire.Spec{array, gang, others} {
 		l.submit(spec)
 	}
-	counted := l.world.CountInterruptions(1, 3, loopbackWindow)
+	interruptions := l.world.CountInterruptions(1, 3, loopbackBudgetWindow)
 	plan := drain.Plan{Name: "all", Selector: drain.Selector{Types: []string{"big"}}, MaxConcurrent: 3, Reason: "test",
 		State: drain.Active, Created: time.Now().UnixMilli()}
 	if err := l.world.State.Put(drain.StartTxn(plan)); err != nil {
 		t.Fatal(err)
 	}
 	r := rand.New(rand.NewPCG(seed, 1))
-	for n := 0; l.drainState("all") != drain.Finished; n++ {
+	for round := 0; l.drainState("all") != drain.Finished; round++ {
 		label := loopbackLabels[r.IntN(len(loopbackLabels))]
-		if n%2 == 0 {
+		if round%2 == 0 {
 			l.kill(label)
 			time.Sleep(time.Duration(100+r.IntN(3000)) * time.Millisecond)
 			l.start(label)
@@ -54,14 +54,14 @@
 			l.world.State.Refuse(label, false)
 		}
 		time.Sleep(10 * time.Second)
-		if n > 60 {
-			t.Fatalf("the drain is %s", l.drainState("all"))
+		if round > 60 {
+			t.Fatalf("the drain has not finished, its state is %s", l.drainState("all"))
 		}
 	}
-	if counted.Chosen("wide") == 0 {
-		t.Error("nothing was interrupted")
+	if interruptions.Chosen("wide") == 0 {
+		t.Error("the drain interrupted no task of team wide")
 	}
-	for _, b := range append(counted.Broken(), l.check.Broken()...) {
-		t.Error(b)
+	for _, violation := range append(interruptions.Broken(), l.checker.Broken()...) {
+		t.Error(violation)
 	}
 }
--- a/cmd/bramblespur/loopback_recover_test.go
+++ b/cmd/bramblespur/loopback_recover_test.go
@@ -13,12 +13,13 @@
 	"bramblespur/internal/wire"
 )
 
-// ctl runs the operators' tool, built from this module, as docs/recovery.md says.
+// ctl runs the operators' tool, built from this module, as docs/recovery.md describes.
 type ctl struct {
 	l    *loopback
 	path string
 }
 
+// buildCtl builds the operators' tool.
 func (l *loopback) buildCtl() ctl {
 	l.t.Helper()
 	path := filepath.Join(l.dir, "bramblespurctl")
@@ -28,14 +29,15 @@
 	return ctl{l, path}
 }
 
-// run runs a command with the settings of a controller and returns what it prints.
+// run runs a command of the tool with the settings of a controller and returns its output.
 func (c ctl) run(args ...string) (string, error) {
 	args = append([]string{"--config", filepath.Join(c.l.dir, "c-0.toml")}, args...)
 	out, err := exec.Command(c.path, args...).CombinedOutput()
 	return string(out), err
 }
 
-func (c ctl) must(args ...string) string {
+// mustRun is run for a command that must succeed.
+func (c ctl) mustRun(args ...string) string {
 	c.l.t.Helper()
 	out, err := c.run(args...)
 	if err != nil {
@@ -44,8 +46,8 @@
 	return out
 }
 
-// Real processes on real sockets lose their jobs and machines, and an operator recovers them
-// with the tool alone.
+// The state service of real processes on real sockets loses the records of jobs and machines. An
+// operator recovers them with the tool alone.
 func TestRecoverOverLoopback(t *testing.T) {
 	const seed, jobs = 4, 6
 	l := newLoopback(t, seed)
@@ -53,34 +55,34 @@
 	for n := range jobs {
 		l.submitLater(loopbackJob(n), testkit.Length{Run: time.Duration(5+15*(n%2)) * time.Second, Fetch: 200 * time.Millisecond})
 	}
-	l.await("work runs", func() bool { return len(l.world.On(loopbackJob(jobs-1).Ref)) > 0 })
+	l.waitFor("tasks running", func() bool { return len(l.world.On(loopbackJob(jobs-1).Ref)) > 0 })
 	dir := filepath.Join(l.dir, "snapshots")
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	tool.must("snapshot", "take", "--dir", dir)
-	l.await("a job is done", func() bool { return l.world.Told(loopbackJob(0).Ref) == wire.Done })
-	if out := tool.must("recover", "status"); !strings.Contains(out, "no safe mode") {
+	tool.mustRun("snapshot", "take", "--dir", dir)
+	l.waitFor("a job is done", func() bool { return l.world.Told(loopbackJob(0).Ref) == wire.Done })
+	if out := tool.mustRun("recover", "status"); !strings.Contains(out, "no safe mode") {
 		t.Errorf("before the loss: %s", out)
 	}
 	lost := l.world.State.Lose(func(key string) bool {
 		return strings.HasPrefix(key, record.ActiveJobPrefix) || strings.HasPrefix(key, record.FleetPrefix)
 	})
 	if len(lost) < jobs/2 {
-		t.Errorf("%d records were lost", len(lost))
+		t.Errorf("only %d records were lost", len(lost))
 	}
-	l.await("safe mode", func() bool { return strings.Contains(tool.must("recover", "status"), "safe mode 1 since") })
+	l.waitFor("safe mode", func() bool { return strings.Contains(tool.mustRun("recover", "status"), "safe mode 1 since") })
 	plan, report := filepath.Join(l.dir, "plan.json"), filepath.Join(l.dir, "report.html")
-	if out := tool.must("recover", "plan", "--dir", dir, "--file", plan); !strings.Contains(out, "undecided      0") {
+	if out := tool.mustRun("recover", "plan", "--dir", dir, "--file", plan); !strings.Contains(out, "undecided      0") {
 		t.Fatalf("the plan: %s", out)
 	}
-	tool.must("recover", "report", "--file", plan, "--to", report)
+	tool.mustRun("recover", "report", "--file", plan, "--to", report)
 	if page, err := os.ReadFile(report); err != nil || !strings.Contains(string(page), "unfinished jobs") {
 		t.Errorf("the report: %v", err)
 	}
-	tool.must("recover", "apply", "--file", plan)
-	tool.must("recover", "apply", "--file", plan) // once more does no harm
-	l.await("all jobs done", func() bool {
+	tool.mustRun("recover", "apply", "--file", plan)
+	tool.mustRun("recover", "apply", "--file", plan) // applying a plan is idempotent
+	l.waitFor("all jobs done", func() bool {
 		for n := range jobs {
 			if l.world.Told(loopbackJob(n).Ref) != wire.Done {
 				return false
@@ -88,7 +90,7 @@
 		}
 		return true
 	})
-	for _, b := range l.check.Broken() {
-		t.Error(b)
+	for _, violation := range l.checker.Broken() {
+		t.Error(violation)
 	}
 }
--- a/cmd/bramblespur/loopback_restart_test.go
+++ b/cmd/bramblespur/loopback_restart_test.go
@@ -14,9 +14,9 @@
 	"bramblespur/internal/wire"
 )
 
-// Real processes on real sockets all end in a busy batch, twice, and start again: running work
-// is adopted, workers are given no more orders in any second than the bound, and every job
-// ends once.
+// Real processes on real sockets are all killed twice, while they start many jobs, and start again. They
+// adopt the running tasks, send workers no more commands per second than the rate limit, and record the
+// end of every job once.
 func TestRestartOverLoopback(t *testing.T) {
 	const seed, jobs, tasks = 2, 12, 4
 	l := newLoopback(t, seed)
@@ -28,9 +28,9 @@
 	for n := range jobs {
 		submit(n)
 	}
-	l.await("work runs", func() bool { return len(l.world.On(loopbackJob(0).Ref)) > 0 })
+	l.waitFor("tasks running", func() bool { return len(l.world.On(loopbackJob(0).Ref)) > 0 })
 	r := rand.New(rand.NewPCG(seed, 1))
-	var ended time.Time
+	var killedAt time.Time
 	for round := range 2 {
 		for n := range jobs {
 			submit(jobs*(round+1) + n)
@@ -40,7 +40,7 @@
 			l.kill(label)
 		}
 		if round == 0 {
-			ended = time.Now()
+			killedAt = time.Now()
 		}
 		time.Sleep(time.Duration(200+r.IntN(4000)) * time.Millisecond)
 		for _, i := range r.Perm(len(loopbackLabels)) {
@@ -48,8 +48,8 @@
 			time.Sleep(time.Duration(r.IntN(500)) * time.Millisecond)
 		}
 	}
-	back := time.Now()
-	l.await("all jobs done", func() bool {
+	restartedAt := time.Now()
+	l.waitFor("all jobs done", func() bool {
 		for n := range 3 * jobs {
 			if l.world.Told(loopbackJob(n).Ref) != wire.Done {
 				return false
@@ -57,31 +57,31 @@
 		}
 		return true
 	})
-	if n := l.world.Orders().Most(loopbackTime, ended, back.Add(loopbackSettle), true); n > loopbackOrders {
-		t.Errorf("%d orders in %v, of %d", n, loopbackTime, loopbackOrders)
+	if n := l.world.Orders().Most(loopbackCommandWindow, killedAt, restartedAt.Add(loopbackCommandLimitTime), true); n > loopbackMaxCommands {
+		t.Errorf("%d commands in %v, want %d at most", n, loopbackCommandWindow, loopbackMaxCommands)
 	}
 	for n := range 3 * jobs {
 		ref := loopbackJob(n).Ref
-		if ends := l.writesOf(record.FinishedJobKey(ref)); ends != 1 {
-			t.Errorf("the end of %s was recorded %d times", ref, ends)
+		if ends := l.countWrites(record.FinishedJobKey(ref)); ends != 1 {
+			t.Errorf("the end of %s was recorded %d times, want once", ref, ends)
 		}
 	}
 	if n := l.adopted(); n == 0 {
-		t.Error("no record of a restart tells of adopted work")
+		t.Error("no restart record shows an adopted task")
 	}
-	for _, b := range l.check.Broken() {
-		t.Error(b)
+	for _, violation := range l.checker.Broken() {
+		t.Error(violation)
 	}
 }
 
-// adopted sums up the tasks that controllers adopted, by their records.
+// adopted returns the number of tasks that controllers adopted according to their restart records.
 func (l *loopback) adopted() int {
 	n := 0
 	for _, label := range loopbackLabels {
 		e, ok := l.world.State.Entry(restart.Key(label))
 		var h restart.History
 		if !ok || json.Unmarshal(e.Value, &h) != nil {
-			continue // its parts had no machines
+			continue // its shards had no machines
 		}
 		for _, episode := range h.Episodes {
 			n += episode.Outcomes[reconcile.Adopted.String()]
@@ -90,7 +90,7 @@
 	return n
 }
 
-// loopbackJob is the n-th job of a batch.
+// loopbackJob returns the n-th job of a test.
 func loopbackJob(n int) wire.Spec {
 	return wire.Spec{Ref: fmt.Sprintf("run-%06d", n), Class: "c", Team: []string{"wide", "other"}[n%2], Kind: wire.Array, Priority: "normal",
 		Tasks: 1, CPUs: 6, GPUs: 1, MemoryGB: 24, Image: "img", ImageGB: 1, EstimateS: 10, CheckpointS: 3, SaveS: 0.3}
--- a/cmd/bramblespur/loopback_test.go
+++ b/cmd/bramblespur/loopback_test.go
@@ -19,38 +19,38 @@
 	"bramblespur/internal/wire"
 )
 
-// loopbackLabels are the controllers of the loopback tests.
+// loopbackLabels are the labels of the controllers in the loopback tests.
 var loopbackLabels = []string{"c-0", "c-1", "c-2"}
 
-// loopback is real processes of controllers, which this test binary runs, on real sockets
-// among stand-ins of the state service, the cloud and the workers, in real time.
+// loopback is a cluster whose controllers are real processes of this test binary, on real sockets and in
+// real time. The state service, the cloud and the workers are simulated in the test's process.
 type loopback struct {
-	t       testing.TB
-	world   *testkit.World
-	check   *testkit.Checker
-	dir     string
-	public  map[string]string
-	running map[string]*exec.Cmd
-	used    map[string]rusage // by processes that were killed
-	served  map[string]*atomic.Int64
+	t           testing.TB
+	world       *testkit.World
+	checker     *testkit.Checker
+	dir         string
+	publicAddrs map[string]string // by label
+	running     map[string]*exec.Cmd
+	usage       map[string]processUsage  // by label, of the process that was killed last
+	requests    map[string]*atomic.Int64 // by label, to the state service
 }
 
-// rusage is what a process used until it was killed.
-type rusage struct {
+// processUsage is the processor time and memory that a process used until it was killed.
+type processUsage struct {
 	processor time.Duration
-	memoryMB  float64 // resident, at its peak
+	memoryMB  float64 // peak resident memory
 }
 
-// loopbackSize is what the settings scale with.
+// loopbackSize holds the settings that depend on the size of the cluster.
 type loopbackSize struct {
-	report           time.Duration
-	rps, writeRPS    float64 // of the state service
-	operations       string
-	processorSeconds float64 // a second, for each controller
+	report        time.Duration // heartbeat interval
+	rps, writeRPS float64       // of the state service
+	operations    string        // operations file
+	cpuShare      float64       // processor cores of each controller
 }
 
-// smallLoopback is a few machines that report often.
-var smallLoopback = loopbackSize{report: 600 * time.Millisecond, rps: 300, writeRPS: 100, operations: loopbackOperations, processorSeconds: 1}
+// smallLoopback is for a few machines with a short heartbeat interval.
+var smallLoopback = loopbackSize{report: 600 * time.Millisecond, rps: 300, writeRPS: 100, operations: loopbackOperations, cpuShare: 1}
 
 const loopbackSettings = `
 label = %q
@@ -105,17 +105,17 @@
 audit_s = 10.0
 `
 
-// What the tests count by. The stand-ins run on the same machine as all processes, so that
-// they may see things a little late: windows are counted shorter than they are set, and what
-// arrives in a time may have been released up to a second before.
+// Limits that the tests check. The simulated workers run on the same machine as all processes and may
+// observe events a little late. The tests therefore check shorter windows than those in the settings,
+// and commands that arrive within a window may have been sent up to a second before it.
 const (
-	loopbackWindow = 10 * time.Second
-	loopbackTime   = 4 * time.Second
-	loopbackOrders = 8 * (4 + 1) // in loopbackTime
-	loopbackSettle = 25 * time.Second
+	loopbackBudgetWindow     = 10 * time.Second
+	loopbackCommandWindow    = 4 * time.Second
+	loopbackMaxCommands      = 8 * (4 + 1) // in loopbackCommandWindow, see above
+	loopbackCommandLimitTime = 25 * time.Second
 )
 
-// freeAddr returns an address on which nothing listens.
+// freeAddr returns a local address on which nothing listens.
 func freeAddr(t testing.TB) string {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -126,20 +126,22 @@
 	return ln.Addr().String()
 }
 
+// newLoopback starts a small cluster that runs until the test ends.
 func newLoopback(t testing.TB, seed uint64) *loopback {
 	t.Helper()
-	return newLoopbackOf(t, seed, smallLoopback)
+	return newLoopbackWithSize(t, seed, smallLoopback)
 }
 
-func newLoopbackOf(t testing.TB, seed uint64, size loopbackSize) *loopback {
+// newLoopbackWithSize starts a cluster that runs until the test ends.
+func newLoopbackWithSize(t testing.TB, seed uint64, size loopbackSize) *loopback {
 	t.Helper()
-	l := &loopback{t: t, dir: t.TempDir(), public: map[string]string{}, running: map[string]*exec.Cmd{},
-		used: map[string]rusage{}, served: map[string]*atomic.Int64{}}
+	l := &loopback{t: t, dir: t.TempDir(), publicAddrs: map[string]string{}, running: map[string]*exec.Cmd{},
+		usage: map[string]processUsage{}, requests: map[string]*atomic.Int64{}}
 	timing := testkit.Timing{Report: size.report, Lease: 10 * time.Second, GangWait: 20 * time.Second,
 		GangPeer: 2 * time.Second, Cancel: 30 * time.Second}
 	types := []wire.MachineType{{Name: "big", CPUs: 16, GPUs: 2, MemoryGB: 64, CacheGB: 100, FetchGBps: 1, Price: 5, SpotPrice: 2, BootS: 2, Zones: []string{"a", "b"}}}
-	l.check = testkit.NewChecker(nil, timing.Cancel)
-	l.world = testkit.NewWorld(loopbackLabels, types, timing, l.check, seed)
+	l.checker = testkit.NewChecker(nil, timing.Cancel)
+	l.world = testkit.NewWorld(loopbackLabels, types, timing, l.checker, seed)
 	l.world.Boot(time.Second, false)
 	stopWorkers := l.world.ServeWorkers()
 	cloud := httptest.NewServer(l.world.CloudHTTP())
@@ -159,21 +161,21 @@
 	return l
 }
 
-// configure writes the settings of all controllers. Each reaches the state service by an
-// address of its own, so that it can be refused alone.
+// configure writes the settings files of all controllers. Each controller has its own address of the
+// state service, so that the service can refuse it alone.
 func (l *loopback) configure(cloud *httptest.Server, size loopbackSize) {
 	peers := map[string]string{}
 	zones := map[string]string{"c-0": "a", "c-1": "b", "c-2": "a"}
 	for _, label := range loopbackLabels {
-		l.public[label], peers[label] = freeAddr(l.t), freeAddr(l.t)
+		l.publicAddrs[label], peers[label] = freeAddr(l.t), freeAddr(l.t)
 	}
 	for _, label := range loopbackLabels {
-		served := &atomic.Int64{}
-		l.served[label] = served
-		answer := l.world.State.HTTP(label)
+		requests := &atomic.Int64{}
+		l.requests[label] = requests
+		handler := l.world.State.HTTP(label)
 		state := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			served.Add(1)
-			answer.ServeHTTP(w, r)
+			requests.Add(1)
+			handler.ServeHTTP(w, r)
 		}))
 		l.t.Cleanup(state.CloseClientConnections)
 		var seeds strings.Builder
@@ -182,13 +184,14 @@
 				fmt.Fprintf(&seeds, "[[seeds]]\nlabel = %q\nzone = %q\npeer_addr = %q\n", other, zones[other], peers[other])
 			}
 		}
-		l.write(label+".toml", fmt.Sprintf(loopbackSettings, label, zones[label], l.public[label], peers[label], seeds.String(),
+		l.write(label+".toml", fmt.Sprintf(loopbackSettings, label, zones[label], l.publicAddrs[label], peers[label], seeds.String(),
 			strings.TrimPrefix(cloud.URL, "http://"), strings.TrimPrefix(state.URL, "http://"),
-			size.report.Seconds(), size.rps, size.writeRPS, size.processorSeconds))
+			size.report.Seconds(), size.rps, size.writeRPS, size.cpuShare))
 	}
 	l.write("operations.toml", size.operations)
 }
 
+// write writes a file to the cluster's directory.
 func (l *loopback) write(name, text string) {
 	l.t.Helper()
 	if err := os.WriteFile(filepath.Join(l.dir, name), []byte(text), 0o600); err != nil {
@@ -196,7 +199,7 @@
 	}
 }
 
-// start begins a controller's process.
+// start starts a controller's process.
 func (l *loopback) start(label string) {
 	l.t.Helper()
 	cmd := exec.Command(os.Args[0], "--operations", filepath.Join(l.dir, "operations.toml"), "--config", filepath.Join(l.dir, label+".toml"))
@@ -208,42 +211,43 @@
 		l.t.Fatal(err)
 	}
 	l.running[label] = cmd
-	l.world.SetNode(label, testkit.RemoteNode{Addr: l.public[label]})
+	l.world.SetNode(label, testkit.RemoteNode{Addr: l.publicAddrs[label]})
 }
 
-// kill ends a controller's process without a word.
+// kill kills a controller's process, if it runs, and records its resource usage.
 func (l *loopback) kill(label string) {
 	if cmd := l.running[label]; cmd != nil {
 		cmd.Process.Kill()
-		cmd.Wait() // it was killed: its status says so
-		l.used[label] = rusageOf(cmd.ProcessState)
+		cmd.Wait() // the error is that it was killed
+		l.usage[label] = usageOf(cmd.ProcessState)
 		delete(l.running, label)
 		l.world.SetNode(label, nil)
 	}
 }
 
-// rusageOf reads what a process used.
-func rusageOf(p *os.ProcessState) rusage {
-	u := rusage{processor: p.UserTime() + p.SystemTime()}
+// usageOf returns the resource usage of a process that has ended.
+func usageOf(p *os.ProcessState) processUsage {
+	u := processUsage{processor: p.UserTime() + p.SystemTime()}
 	if r, ok := p.SysUsage().(*syscall.Rusage); ok {
 		u.memoryMB = float64(r.Maxrss) / 1024 // in kB on Linux
 	}
 	return u
 }
 
-// giveUp is when a loopback test stops waiting; nothing is timed by it.
-const giveUp = 10 * time.Minute
+// waitTimeout is how long a loopback test waits before it fails. No assertion depends on it.
+const waitTimeout = 10 * time.Minute
 
-func (l *loopback) await(what string, holds func() bool) {
+// waitFor waits until the condition holds, and fails the test after waitTimeout.
+func (l *loopback) waitFor(what string, holds func() bool) {
 	l.t.Helper()
-	for end := time.Now().Add(giveUp); !holds(); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
-			l.t.Fatalf("%s: not within %v", what, giveUp)
+			l.t.Fatalf("%s: not reached within %v", what, waitTimeout)
 		}
 	}
 }
 
-// submitLater submits a job beside the test, and follows it as its user does.
+// submitLater submits a job in the background, and polls its status as its user would.
 func (l *loopback) submitLater(spec wire.Spec, length testkit.Length) {
 	l.t.Helper()
 	l.world.Register(spec, length)
@@ -252,14 +256,14 @@
 		l.t.Fatal(err)
 	}
 	l.world.Go(func() {
-		if _, ok := l.world.Until(testkit.Submission, spec.Ref, body, giveUp); ok {
+		if _, ok := l.world.Until(testkit.Submission, spec.Ref, body, waitTimeout); ok {
 			l.world.Follow(spec.Ref)
 		}
 	})
 }
 
-// writesOf counts the writes of a record.
-func (l *loopback) writesOf(key string) int {
+// countWrites returns the number of writes of a record.
+func (l *loopback) countWrites(key string) int {
 	n := 0
 	for _, w := range l.world.State.Writes() {
 		for _, op := range w.Txn.Then {
@@ -271,11 +275,11 @@
 	return n
 }
 
-// submit submits a job that runs on, and waits until it does.
+// submit submits a job whose tasks run for an hour, and waits until all of them run.
 func (l *loopback) submit(spec wire.Spec) {
 	l.t.Helper()
 	l.submitLater(spec, testkit.Length{Run: time.Hour, Fetch: 200 * time.Millisecond})
-	l.await(spec.Ref+" running", func() bool {
+	l.waitFor(spec.Ref+" running", func() bool {
 		n := 0
 		for _, m := range l.world.On(spec.Ref) {
 			for _, task := range m.Tasks() {
--- a/cmd/bramblespur/main.go
+++ b/cmd/bramblespur/main.go
@@ -1,4 +1,4 @@
-// Command bramblespur is the cluster scheduler: one process per controller.
+// Command bramblespur is the cluster scheduler. Each process runs one controller.
 package main
 
 import (
@@ -21,14 +21,15 @@
 var version = "0.1.0-dev"
 
 func main() {
-	if err := command().Execute(); err != nil {
+	if err := newCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "bramblespur:", err)
 		os.Exit(2)
 	}
 }
 
-func command() *cobra.Command {
-	var path, operationsPath string
+// newCommand returns the command line of the program.
+func newCommand() *cobra.Command {
+	var settingsPath, operationsPath string
 	root := &cobra.Command{
 		Use:           "bramblespur --config FILE",
 		Short:         "A cluster scheduler: run one controller",
@@ -36,96 +37,99 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			l, err := load(path, operationsPath)
+			c, err := load(settingsPath, operationsPath)
 			if err != nil {
 				return err
 			}
-			return run(l)
+			return run(c)
 		},
 	}
-	root.PersistentFlags().StringVar(&path, "config", "", "settings file (TOML)")
-	root.PersistentFlags().StringVar(&operationsPath, "operations", "", "operators' file of what else is turned on (TOML)")
-	check := &cobra.Command{
+	root.PersistentFlags().StringVar(&settingsPath, "config", "", "settings file (TOML)")
+	root.PersistentFlags().StringVar(&operationsPath, "operations", "", "operations file, which turns on optional subsystems (TOML)")
+	checkCommand := &cobra.Command{
 		Use:   "check --config FILE",
-		Short: "Check the settings, the policy they name and the operations file without starting",
+		Short: "Check the settings file, its policy file and the operations file without starting",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if _, err := load(path, operationsPath); err != nil {
+			if _, err := load(settingsPath, operationsPath); err != nil {
 				return err
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), "ok")
 			return nil
 		},
 	}
-	ver := &cobra.Command{
+	versionCommand := &cobra.Command{
 		Use:   "version",
 		Short: "Print the version",
 		Args:  cobra.NoArgs,
 		Run:   func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), "bramblespur", version) },
 	}
-	root.AddCommand(check, ver)
+	root.AddCommand(checkCommand, versionCommand)
 	return root
 }
 
-// loaded is all that a controller is configured by.
-type loaded struct {
+// configuration is the checked content of the files that configure a controller.
+type configuration struct {
 	settings   *config.Settings
 	policy     *policy.Policy
 	operations *operations.Settings
 }
 
-func load(path, operationsPath string) (l loaded, err error) {
-	if path == "" {
-		return l, fmt.Errorf("--config is missing")
+// load reads and checks the settings file, the policy file that it names and the operations file.
+func load(settingsPath, operationsPath string) (c configuration, err error) {
+	if settingsPath == "" {
+		return c, fmt.Errorf("--config is missing")
 	}
-	if l.settings, err = config.Load(path); err != nil {
-		return l, err
+	if c.settings, err = config.Load(settingsPath); err != nil {
+		return c, err
 	}
-	if l.policy, err = policy.Load(l.settings.PolicyFile); err != nil {
-		return l, err
+	if c.policy, err = policy.Load(c.settings.PolicyFile); err != nil {
+		return c, err
 	}
-	if l.operations, err = operations.Load(operationsPath); err != nil {
-		return l, err
+	if c.operations, err = operations.Load(operationsPath); err != nil {
+		return c, err
 	}
-	return l, l.operations.Check(&l.settings.Params)
+	return c, c.operations.Check(&c.settings.Params)
 }
 
-// gcPercent lets the heap grow to five times what lives between collections:
-// some megabytes live, and each collection costs a part of the processor's share.
+// gcPercent lets the heap grow to five times the live heap between collections: the live heap is a few
+// megabytes, and each collection costs a part of the processor share.
 const gcPercent = 400
 
-// heapShare is the part of the memory left to the runtime that it may fill: its
-// limit is a soft one, which a burst of requests passes before a collection ends.
+// heapShare is the fraction of the Go runtime's memory that its limit allows. The limit is a soft one: a
+// burst of requests exceeds it before a collection ends.
 const heapShare = 0.85
 
-// memoryLimit is the runtime's memory limit in bytes. What the process holds besides
-// is taken off first: it is the same on small machines as on large ones.
+// memoryLimit returns the Go runtime's memory limit in bytes. The process's other memory is subtracted
+// first, as it is the same on small machines as on large ones.
 func memoryLimit(r config.Resources) int64 {
 	return int64((r.MemoryMB - config.NonRuntimeMB) * heapShare * (1 << 20))
 }
 
-// processors is how many threads run Go code at a time. A second one on a share of
-// a core only makes the two wake each other.
+// processors returns the number of threads that may run Go code at a time. On a fraction of a core, a
+// second thread only makes the two wake each other.
 func processors(r config.Resources) int { return max(1, int(math.Ceil(r.CPUShare))) }
 
-func run(l loaded) error {
-	// The machines are small: a share of a core and a hard memory limit, so the
-	// runtime gets no more processors, collects garbage seldom, since little of
-	// the memory is in use, and in time before the limit bites.
-	r := l.settings.Params.Resources
+// run sets up the Go runtime and runs the controller until it ends.
+func run(c configuration) error {
+	// The machines are small: a fraction of a core and a hard memory limit. The runtime therefore
+	// uses no more processors, collects garbage rarely, since little of the memory is in use, and
+	// collects before the process reaches the hard limit.
+	r := c.settings.Params.Resources
 	runtime.GOMAXPROCS(processors(r))
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(memoryLimit(r))
-	return controller.Run(l.settings, l.policy, l.operations, logger(os.Getenv("LOG_LEVEL")))
+	return controller.Run(c.settings, c.policy, c.operations, logger(os.Getenv("LOG_LEVEL")))
 }
 
-func logger(level string) *slog.Logger {
-	l := slog.LevelInfo
-	switch level {
+// logger returns a logger to standard error. levelName is error, debug, or anything else for info.
+func logger(levelName string) *slog.Logger {
+	level := slog.LevelInfo
+	switch levelName {
 	case "error":
-		l = slog.LevelError
+		level = slog.LevelError
 	case "debug":
-		l = slog.LevelDebug
+		level = slog.LevelDebug
 	}
-	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: l}))
+	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 }
--- a/cmd/bramblespur/main_test.go
+++ b/cmd/bramblespur/main_test.go
@@ -6,8 +6,8 @@
 	"bramblespur/internal/config"
 )
 
-// The runtime's settings leave room for what the runtime does not count, at the
-// smallest settings that are taken and at those of the deployments.
+// The runtime's memory limit leaves room for the memory that the runtime does not count, with the
+// smallest valid settings and with those of the deployments.
 func TestRuntimeSettings(t *testing.T) {
 	for _, x := range []struct {
 		cpu, memory float64
@@ -19,7 +19,7 @@
 		}
 		limit := float64(memoryLimit(r)) / (1 << 20)
 		if limit < x.memory/3 || limit+config.NonRuntimeMB > x.memory*0.97 {
-			t.Errorf("%g MB: a limit of %.1f MB", x.memory, limit)
+			t.Errorf("%g MB: a runtime limit of %.1f MB", x.memory, limit)
 		}
 	}
 }
--- a/cmd/bramblespur/start_test.go
+++ b/cmd/bramblespur/start_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// asProgram makes the test's own binary run the program, so that its exit code shows.
+// asProgram is the environment variable that makes the test binary run the program instead of its tests,
+// so that tests can check exit codes.
 const asProgram = "BRAMBLESPUR_TEST_RUNS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -20,7 +21,7 @@
 	os.Exit(m.Run())
 }
 
-const settings = `
+const validSettings = `
 label = "c-0"
 zone = "z"
 public_addr = "127.0.0.1:1"
@@ -50,8 +51,8 @@
 max_sockets = 100
 `
 
-// program runs the program and returns its exit code and what it says.
-func program(t *testing.T, args ...string) (code int, said string) {
+// runProgram runs the program and returns its exit code and its output.
+func runProgram(t *testing.T, args ...string) (code int, output string) {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
@@ -60,15 +61,15 @@
 	cmd := exec.Command(self, args...)
 	cmd.Env = append(os.Environ(), asProgram+"=1")
 	out, err := cmd.CombinedOutput()
-	var failed *exec.ExitError
-	if err != nil && !errors.As(err, &failed) {
+	var exitError *exec.ExitError
+	if err != nil && !errors.As(err, &exitError) {
 		t.Fatal(err)
 	}
 	return cmd.ProcessState.ExitCode(), string(out)
 }
 
-// A start with settings that can't be run ends with code 2 and one line that names the
-// field; so does the check of them.
+// With settings that a controller cannot run with, both the start and the check command end with exit
+// code 2 and an error of one line that names the field.
 func TestUnusableSettingsStopTheStart(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.toml")
 	for _, x := range []struct{ old, new, field string }{
@@ -82,30 +83,30 @@
 		{"count = 1", "count =", "settings"},
 		{"zone = \"z\"", "zone = \"z\"\npolicy_file = \"/nowhere/policy.toml\"", "policy"},
 	} {
-		if err := os.WriteFile(file, []byte(strings.Replace(settings, x.old, x.new, 1)), 0o600); err != nil {
+		if err := os.WriteFile(file, []byte(strings.Replace(validSettings, x.old, x.new, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		for _, args := range [][]string{{"--config", file}, {"check", "--config", file}} {
-			code, said := program(t, args...)
-			if code != 2 || !strings.Contains(said, x.field) || strings.Count(strings.TrimSpace(said), "\n") != 0 {
-				t.Errorf("%s, %v: code %d, said %q, want code 2 and one line naming %s", x.new, args, code, said, x.field)
+			code, output := runProgram(t, args...)
+			if code != 2 || !strings.Contains(output, x.field) || strings.Count(strings.TrimSpace(output), "\n") != 0 {
+				t.Errorf("%s, %v: code %d, output %q, want code 2 and one line naming %s", x.new, args, code, output, x.field)
 			}
 		}
 	}
 }
 
-// Arguments that make no sense end so, too; sound settings are told to be.
-func TestArgumentsOfTheStart(t *testing.T) {
+// Invalid arguments end with exit code 2 and an error. The check of valid settings prints ok.
+func TestArgumentsAreChecked(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.toml")
-	if err := os.WriteFile(file, []byte(settings), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(validSettings), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if code, said := program(t, "check", "--config", file); code != 0 || said != "ok\n" {
-		t.Errorf("sound settings: code %d, said %q", code, said)
+	if code, output := runProgram(t, "check", "--config", file); code != 0 || output != "ok\n" {
+		t.Errorf("valid settings: code %d, output %q, want 0 and ok", code, output)
 	}
 	for _, args := range [][]string{{}, {"--config"}, {"--config", "/nowhere/settings.toml"}, {"--nonsense"}, {"nonsense"}} {
-		if code, said := program(t, args...); code != 2 || said == "" {
-			t.Errorf("%v: code %d, said %q", args, code, said)
+		if code, output := runProgram(t, args...); code != 2 || output == "" {
+			t.Errorf("%v: code %d, output %q, want code 2 and an error", args, code, output)
 		}
 	}
 }
