--- a/internal/recoverctl/measure_test.go
+++ b/internal/recoverctl/measure_test.go
@@ -32,8 +32,8 @@
 	return out
 }
 
-// fleetReports adds the heartbeats of a fleet's workers, with two running tasks each, to the evidence.
-func fleetReports(e *recovery.Evidence, machines int) {
+// addHeartbeats adds the heartbeats of a fleet's workers, with two running tasks each, to the evidence.
+func addHeartbeats(e *recovery.Evidence, machines int) {
 	for i := range machines {
 		heartbeat := wire.Heartbeat{Machine: testkit.FleetMachine(i), Session: 1, Seq: 1, Token: 5}
 		for n := 2 * i; n < 2*i+2; n++ {
@@ -81,7 +81,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	fleetReports(&g.Evidence, machines)
+	addHeartbeats(&g.Evidence, machines)
 	g.Listed = fleetListed(machines)
 	gathered := time.Since(began)
 	p := recovery.NewPlan(g.Evidence, c.Limits)
--- a/internal/recoverctl/recoverctl_test.go
+++ b/internal/recoverctl/recoverctl_test.go
@@ -86,12 +86,12 @@
 // If the tool is interrupted at any transaction, before it or with its answer lost, the same plan can be
 // applied again.
 func TestApplyIsResumed(t *testing.T) {
-	whole, c, contents := newFixture()
+	uninterrupted, c, contents := newFixture()
 	if err := apply(t, c, makePlan(t, c, contents)); err != nil {
 		t.Fatal(err)
 	}
-	wantRecovered(t, whole)
-	for endAt := 1; endAt <= whole.requests; endAt++ {
+	wantRecovered(t, uninterrupted)
+	for endAt := 1; endAt <= uninterrupted.requests; endAt++ {
 		for name, lost := range map[string]bool{"before it": false, "its answer is lost": true} {
 			s, c, contents := newFixture()
 			p := makePlan(t, c, contents)
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -159,9 +159,9 @@
 // A snapshot that is interrupted at any request resumes without reading complete pages again, also if
 // the last page in the spool is incomplete.
 func TestSnapshotIsResumed(t *testing.T) {
-	whole := newFixture(t)
-	whole.take()
-	for endAt := 2; endAt <= whole.source.requests; endAt++ {
+	uninterrupted := newFixture(t)
+	uninterrupted.take()
+	for endAt := 2; endAt <= uninterrupted.source.requests; endAt++ {
 		f := newFixture(t)
 		ctx, end := context.WithCancel(t.Context())
 		f.taker.Sleep = func(context.Context, time.Duration) error { return ctx.Err() }
@@ -189,7 +189,7 @@
 		}
 		f.source.before, f.source.requests = nil, 0
 		m := f.take()
-		want := max(whole.source.requests-endAt+1, len(record.Prefixes())) // each section's changes are always requested
+		want := max(uninterrupted.source.requests-endAt+1, len(record.Prefixes())) // each section's changes are always requested
 		if f.source.requests > want {
 			t.Errorf("interrupted at request %d: resuming took %d requests, want at most %d", endAt, f.source.requests, want)
 		}
@@ -311,7 +311,7 @@
 
 // Take returns an error while another process takes a snapshot, if there is a snapshot of the same name,
 // without a directory and for a malformed cluster record.
-func TestSnapshotRefusals(t *testing.T) {
+func TestTakeReturnsErrors(t *testing.T) {
 	f := newFixture(t)
 	unlock, err := lock(f.taker.Directory)
 	if err != nil {
--- a/internal/snapshot/spool.go
+++ b/internal/snapshot/spool.go
@@ -75,8 +75,8 @@
 	return strings.ReplaceAll(strings.TrimSuffix(prefix, "/"), "/", "-")
 }
 
-// restart deletes the pages of a section.
-func (s *spool) restart(prefix string) error {
+// discard deletes the pages of a section.
+func (s *spool) discard(prefix string) error {
 	err := os.Remove(s.path(prefix))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -159,7 +159,7 @@
 		}
 		var p wire.EntryPage
 		if err := json.Unmarshal(bytes.TrimSpace(line), &p); err != nil {
-			return &section{prefix: prefix, entries: map[string]wire.Entry{}}, s.restart(prefix)
+			return &section{prefix: prefix, entries: map[string]wire.Entry{}}, s.discard(prefix)
 		}
 		out.addPage(p)
 		complete += int64(len(line))
--- a/internal/snapshot/take.go
+++ b/internal/snapshot/take.go
@@ -19,9 +19,9 @@
 
 // Source has the methods of the state service that a Taker calls.
 type Source interface {
-	Get(ctx context.Context, u statestore.Purpose, key string) (wire.Entry, error)
-	ListPage(ctx context.Context, u statestore.Purpose, prefix, after string, limit int) (wire.EntryPage, error)
-	Txn(ctx context.Context, u statestore.Purpose, t wire.Txn) (uint64, error)
+	Get(ctx context.Context, purpose statestore.Purpose, key string) (wire.Entry, error)
+	ListPage(ctx context.Context, purpose statestore.Purpose, prefix, after string, limit int) (wire.EntryPage, error)
+	Txn(ctx context.Context, purpose statestore.Purpose, txn wire.Txn) (uint64, error)
 	Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (wire.Changes, error)
 }
 
@@ -185,7 +185,7 @@
 		}
 		for _, i := range stale {
 			prefix := sections[i].prefix
-			if err := s.restart(prefix); err != nil {
+			if err := s.discard(prefix); err != nil {
 				return err
 			}
 			if sections[i], err = t.read(ctx, s, prefix); err != nil {
@@ -195,9 +195,9 @@
 	}
 }
 
-// applyChanges applies the changes that were made since each section's first page, up to one revision: that
-// of the store's first answer to a watch. It sets this revision in the manifest, and returns the indexes
-// of the sections whose changes the store no longer keeps.
+// applyChanges applies the changes that were made since the first page of each section, up to one
+// revision: that of the store's first answer to a watch. It sets this revision in the manifest, and
+// returns the indexes of the sections whose changes the store no longer keeps.
 func (t *Taker) applyChanges(ctx context.Context, sections []*section, m *Manifest) (stale []int, err error) {
 	m.Revision = 0
 	for i, sec := range sections {
