--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -20,7 +20,7 @@
 // A controller that falls behind says so in one line, serves a few polls at a time,
 // refuses more at once, and goes on with reports, submissions and cancellations.
 func TestBehindStatusQueriesAreRefusedFirst(t *testing.T) {
-	c := newTest(t, testkit.NewState())
+	c := newTestController(t, testkit.NewState())
 	c.cfg.Params.Resources = config.Resources{CPUShare: 0.01, MemoryMB: 49}
 	var out bytes.Buffer
 	c.log = slog.New(slog.NewTextHandler(&out, nil))
@@ -54,7 +54,7 @@
 	if r := ask(poll.Method, poll.Path, nil); r.Status != 503 || r.RetryAfter == 0 {
 		t.Errorf("one poll too many: %+v", r)
 	}
-	if r := ask("POST", wire.JobsPath, body(t, nil)); r.Status != 201 {
+	if r := ask("POST", wire.JobsPath, jobBody(t, nil)); r.Status != 201 {
 		t.Errorf("submission: %+v", r)
 	}
 	if r := ask("POST", wire.HeartbeatPath, []byte(`{"bush":""}`)); r.Status != 400 {
@@ -71,7 +71,7 @@
 
 // Users' requests at a time are bounded by the memory; the rest is refused at once.
 func TestUserRequestsAreBounded(t *testing.T) {
-	c := newTest(t, testkit.NewState())
+	c := newTestController(t, testkit.NewState())
 	c.cfg.Params.Resources = config.Resources{CPUShare: 0.036, MemoryMB: 49}
 	c.admission = admission.NewLimiter(c.cfg.Params.Resources, c.overload.Behind)
 	n := 0
--- a/internal/controller/bounds_test.go
+++ b/internal/controller/bounds_test.go
@@ -25,13 +25,13 @@
 // What was measured repeats exactly, so the bounds lie close above it: a record decoded or
 // encoded once more than needed fails, not only twice the work.
 const (
-	takeOverAllocs  = 56   // for a job of two tasks and its machine; measured: 50
-	foreignAllocs   = 0.5  // for another part's job in a take-over; 0.02
-	knownAllocs     = 0.5  // for a job and its machine in records that are known; 0.09
-	pollAllocs      = 53   // for one of an open job and one of a job that is over; 46
-	startAllocs     = 280  // from a submission to its recorded start; 242
-	controllerBytes = 4400 // for a machine and its job; 2976
-	summaryWire     = 90   // of a call's answer for a machine, of which it may have 8 MB
+	failoverAllocs    = 56   // for a job of two tasks and its machine; measured: 50
+	otherShardAllocs  = 0.5  // for another part's job in a take-over; 0.02
+	knownRecordAllocs = 0.5  // for a job and its machine in records that are known; 0.09
+	statusQueryAllocs = 53   // for one of an open job and one of a job that is over; 46
+	startAllocs       = 280  // from a submission to its recorded start; 242
+	controllerBytes   = 4400 // for a machine and its job; 2976
+	summaryBytes      = 90   // of a call's answer for a machine, of which it may have 8 MB
 )
 
 // bubble runs f where time moves only when all wait.
@@ -44,25 +44,25 @@
 		bubble(t, func(t *testing.T) {
 			c, state, _ := fleetController(t, size, size)
 			for i := range foreign {
-				spec := mustSpec(t, body(t, set("ref", ref(1000+i))))
+				spec := mustSpec(t, jobBody(t, withField("ref", ref(1000+i))))
 				state.Put(record.ActiveJobKey(spec.Ref), record.ActiveJob{Spec: *spec, Shard: 1})
 			}
-			viewOpen(t, c)
-			allocs = takeOverAllocations(t, 5, c, state, synctest.Wait)
+			reloadActiveJobsView(t, c)
+			allocs = measureFailoverAllocs(t, 5, c, state, synctest.Wait)
 		})
 		return allocs
 	}
 	own := measure(0)
-	if got := own / size; got > takeOverAllocs {
-		t.Errorf("%.1f allocations for a job and its machine, want %d at most", got, takeOverAllocs)
+	if got := own / size; got > failoverAllocs {
+		t.Errorf("%.1f allocations for a job and its machine, want %d at most", got, failoverAllocs)
 	}
-	if got := (measure(size) - own) / size; got > foreignAllocs {
-		t.Errorf("%.2f allocations for another part's job, want %g at most", got, foreignAllocs)
+	if got := (measure(size) - own) / size; got > otherShardAllocs {
+		t.Errorf("%.2f allocations for another part's job, want %g at most", got, otherShardAllocs)
 	}
 }
 
-// takeOverAllocations measures what a controller allocates to take its part over anew.
-func takeOverAllocations(t *testing.T, runs int, c *Controller, state *countingState, settled func()) float64 {
+// measureFailoverAllocs measures what a controller allocates to take its part over anew.
+func measureFailoverAllocs(t *testing.T, runs int, c *Controller, state *countingState, settled func()) float64 {
 	t.Helper()
 	inc := uint64(1)
 	return testing.AllocsPerRun(runs, func() {
@@ -71,14 +71,14 @@
 		c.shards.DropAllLocked()
 		c.mu.Unlock()
 		inc++
-		takeOverPart(t, c, state, held, inc)
+		acquireTestShard(t, c, state, held, inc)
 		settled()
 	})
 }
 
-// asked brings a user's request to a controller whose lease stands, and waits for the
+// serveRequest brings a user's request to a controller whose lease stands, and waits for the
 // answer.
-func asked(c *Controller, method, path string, body []byte) transport.Response {
+func serveRequest(c *Controller, method, path string, body []byte) transport.Response {
 	c.mu.Lock()
 	setLeaseRenewed(c, time.Now())
 	c.mu.Unlock()
@@ -100,15 +100,15 @@
 			state.reset()
 			const polls = 20
 			got := testing.AllocsPerRun(polls-1, func() { // one more to warm up
-				if r := asked(c, "GET", wire.JobsPath+"/"+ref(7), nil); r.Status != 200 {
+				if r := serveRequest(c, "GET", wire.JobsPath+"/"+ref(7), nil); r.Status != 200 {
 					t.Fatalf("answered %+v", r)
 				}
-				if r := asked(c, "GET", wire.JobsPath+"/run-900000", nil); r.Status != 200 {
+				if r := serveRequest(c, "GET", wire.JobsPath+"/run-900000", nil); r.Status != 200 {
 					t.Fatalf("answered %+v", r)
 				}
 			})
-			if got > pollAllocs {
-				t.Errorf("%d jobs: %.0f allocations for two polls, want %d at most", jobs, got, pollAllocs)
+			if got > statusQueryAllocs {
+				t.Errorf("%d jobs: %.0f allocations for two polls, want %d at most", jobs, got, statusQueryAllocs)
 			}
 			if n := state.txns.Load(); n != polls {
 				t.Errorf("%d jobs: %d polls of each kind took %d requests", jobs, polls, n)
@@ -123,17 +123,17 @@
 	for _, machines := range []int{40, 400} {
 		bubble(t, func(t *testing.T) {
 			c, state, workers := fleetController(t, machines, 0)
-			met(t, c, workers)
+			exchangeHeartbeats(t, c, workers)
 			state.reset()
 			const jobs = 10
 			var bodies [][]byte
 			for i := range jobs {
-				bodies = append(bodies, body(t, func(m map[string]any) { m["ref"], m["berries"], m["cards"] = ref(i), 1, 0.0 }))
+				bodies = append(bodies, jobBody(t, func(m map[string]any) { m["ref"], m["berries"], m["cards"] = ref(i), 1, 0.0 }))
 			}
 			got := testing.AllocsPerRun(jobs-1, func() { // one more to warm up
 				b := bodies[0]
 				bodies = bodies[1:]
-				if r := asked(c, "POST", wire.JobsPath, b); r.Status != 201 {
+				if r := serveRequest(c, "POST", wire.JobsPath, b); r.Status != 201 {
 					t.Fatalf("answered %+v", r)
 				}
 				time.Sleep(c.shards.SchedulerConfigLocked().StartBatchDelay)
@@ -168,8 +168,8 @@
 		c.resetActiveJobs(open, rev, time.Now())
 		c.resetMachines(machines, rev, time.Now())
 	}) / size
-	if got > knownAllocs {
-		t.Errorf("%.2f allocations for a known machine and job, want %g at most", got, knownAllocs)
+	if got > knownRecordAllocs {
+		t.Errorf("%.2f allocations for a known machine and job, want %g at most", got, knownRecordAllocs)
 	}
 }
 
@@ -178,7 +178,7 @@
 	const size = 1600
 	before := liveHeap()
 	c, state, workers := fleetController(t, size, size)
-	met(t, c, workers)
+	exchangeHeartbeats(t, c, workers)
 	state.State, workers = nil, nil // the test's own
 	c.store = nil
 	if got := (liveHeap() - before) / size; got > controllerBytes {
@@ -191,13 +191,13 @@
 // take it over, and what it tells the leader, which must fit what one call may bring.
 func TestControllerHoldsLargestFleet(t *testing.T) {
 	before := liveHeap()
-	c, state, workers := fleetController(t, accountMachines, accountJobs)
-	met(t, c, workers)
-	allocs := takeOverAllocations(t, 1, c, state, func() {})
-	if got := allocs / accountMachines; got > takeOverAllocs {
-		t.Errorf("%.1f allocations to take a machine and its job over, want %d at most", got, takeOverAllocs)
+	c, state, workers := fleetController(t, largestFleetMachines, largestFleetJobs)
+	exchangeHeartbeats(t, c, workers)
+	allocs := measureFailoverAllocs(t, 1, c, state, func() {})
+	if got := allocs / largestFleetMachines; got > failoverAllocs {
+		t.Errorf("%.1f allocations to take a machine and its job over, want %d at most", got, failoverAllocs)
 	}
-	met(t, c, workers)
+	exchangeHeartbeats(t, c, workers)
 	c.mu.Lock()
 	reply := peer.SyncReply{Summaries: leaderHost{c}.SummariesLocked(time.Now())}
 	c.mu.Unlock()
@@ -205,13 +205,13 @@
 	if err := gob.NewEncoder(&told).Encode(reply); err != nil {
 		t.Fatal(err)
 	}
-	if len(reply.Summaries[0].Machines) != accountMachines || told.Len() > accountMachines*summaryWire {
-		t.Errorf("%d bytes for %d machines, want %d each at most", told.Len(), len(reply.Summaries[0].Machines), summaryWire)
+	if len(reply.Summaries[0].Machines) != largestFleetMachines || told.Len() > largestFleetMachines*summaryBytes {
+		t.Errorf("%d bytes for %d machines, want %d each at most", told.Len(), len(reply.Summaries[0].Machines), summaryBytes)
 	}
 	state.State, workers, reply = nil, nil, peer.SyncReply{} // the test's own
 	c.store = nil
 	told.Reset()
-	if got := (liveHeap() - before) / accountMachines; got > controllerBytes {
+	if got := (liveHeap() - before) / largestFleetMachines; got > controllerBytes {
 		t.Errorf("%d bytes for a machine and its job, want %d at most", got, controllerBytes)
 	}
 	runtime.KeepAlive(c)
@@ -238,14 +238,14 @@
 	return out
 }
 
-// countingLife counts how often a loop waits or asks for something: each does so under its
+// countingContext counts how often a loop waits or asks for something: each does so under its
 // context, once.
-type countingLife struct {
+type countingContext struct {
 	context.Context
 	n *tally
 }
 
-func (l countingLife) Done() <-chan struct{} {
+func (l countingContext) Done() <-chan struct{} {
 	l.n.add("wait")
 	return l.Context.Done()
 }
@@ -303,7 +303,7 @@
 			n := &tally{did: map[string]int{}}
 			tallies[label] = n
 			c.dataLoss.SetAuditInterval(time.Minute)
-			c.lifetime, c.store = countingLife{c.lifetime, n}, countingStore{c.store, n}
+			c.lifetime, c.store = countingContext{c.lifetime, n}, countingStore{c.store, n}
 			for l, p := range c.peers {
 				c.peers[l] = countingPeer{p, n}
 			}
@@ -319,7 +319,7 @@
 		time.Sleep(time.Minute)
 		for label, n := range tallies {
 			got := n.reset()
-			most := maps.Clone(quietMost)
+			most := maps.Clone(quietMinuteMax)
 			if label == k.leader() {
 				most["call Sync"] = 2 * 60
 			} else {
@@ -371,9 +371,9 @@
 	})
 }
 
-// quietMost is what a controller does at most in a quiet minute. It waits 469 times, the
+// quietMinuteMax is what a controller does at most in a quiet minute. It waits 469 times, the
 // leader 475: one loop more that turns once a second is too many.
-var quietMost = map[string]int{
+var quietMinuteMax = map[string]int{
 	"wait":  520, // of loops and for answers
 	"lease": 60,
 	"watch": 45,
--- a/internal/controller/account_connections_test.go
+++ b/internal/controller/connections_bench_test.go
@@ -41,7 +41,7 @@
 func BenchmarkConnections(b *testing.B) {
 	const conns = 1000
 	c, _, workers := fleetController(b, conns, 0)
-	met(b, c, workers)
+	exchangeHeartbeats(b, c, workers)
 	port := freePort(b)
 	srv := transport.New(transport.Config{
 		Handler: c.handle, Log: slog.New(slog.DiscardHandler), Rejections: rejectlog.New(slog.New(slog.DiscardHandler)),
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -22,8 +22,8 @@
 	"bramblespur/internal/wire"
 )
 
-// newTest returns a controller on scripted peers, without loops or sockets.
-func newTest(t testing.TB, state *testkit.State) *Controller {
+// newTestController returns a controller on scripted peers, without loops or sockets.
+func newTestController(t testing.TB, state *testkit.State) *Controller {
 	t.Helper()
 	cfg := &config.Settings{Label: "c-0", Params: config.Params{
 		Count: 1, Zones: []string{"z"}, Teams: []config.Team{{Name: "a", GPUsMax: 4}},
@@ -55,7 +55,7 @@
 	c.lease.Grant(lease)
 }
 
-func body(t testing.TB, change func(map[string]any)) []byte {
+func jobBody(t testing.TB, change func(map[string]any)) []byte {
 	t.Helper()
 	m := map[string]any{}
 	text := `{"ref":"run-000412","thicket":"train","keeper":"a","habit":"batch","rank":"normal","berries":2,
@@ -74,13 +74,13 @@
 	return b
 }
 
-func set(k string, v any) func(map[string]any) { return func(m map[string]any) { m[k] = v } }
+func withField(k string, v any) func(map[string]any) { return func(m map[string]any) { m[k] = v } }
 
-func drop(k string) func(map[string]any) { return func(m map[string]any) { delete(m, k) } }
+func withoutField(k string) func(map[string]any) { return func(m map[string]any) { delete(m, k) } }
 
-// owned plays the owner while a user's request is served: of jobs that are
+// serveAndEndCancelled plays the owner while a user's request is served: of jobs that are
 // cancelled it proves all tasks gone and records the end.
-func owned(state *testkit.State, c *Controller, serve func() transport.Response) transport.Response {
+func serveAndEndCancelled(state *testkit.State, c *Controller, serve func() transport.Response) transport.Response {
 	got := make(chan transport.Response, 1)
 	go func() { got <- serve() }()
 	for {
@@ -88,13 +88,13 @@
 		case r := <-got:
 			return r
 		default:
-			endCancelled(state, c)
+			endCancelledJobs(state, c)
 			runtime.Gosched()
 		}
 	}
 }
 
-func endCancelled(state *testkit.State, c *Controller) {
+func endCancelledJobs(state *testkit.State, c *Controller) {
 	open, _, _ := state.List(context.Background(), statestore.Urgent("test"), record.ActiveJobPrefix)
 	for _, e := range open {
 		var o record.ActiveJob
@@ -119,8 +119,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		state, cl := testkit.NewState(), &testkit.Cloud{}
-		c, leading := newTest(t, state), newTest(t, state)
-		c.submit(body(t, nil))
+		c, leading := newTestController(t, state), newTestController(t, state)
+		c.submit(jobBody(t, nil))
 		if err := c.shards.Acquire(ctx, 0, shardhost.Ownership{}, 1); err != nil {
 			t.Fatal(err)
 		}
@@ -147,7 +147,7 @@
 		}
 		name := record.LastElement(entries[0].Key)
 		leading.resetMachines(entries, math.MaxUint64, now)
-		leaderOf(leading, 1)
+		makeLeader(leading, 1)
 		leading.cloud = cl
 		for range 2 { // the second finds it done
 			leading.leaderDuties.Turn(ctx)
--- a/internal/controller/lean_test.go
+++ b/internal/controller/costs_test.go
@@ -49,8 +49,8 @@
 	return s.State.Txn(ctx, purpose, t)
 }
 
-// takeOverLists is how many lists a take-over reads: machines, open jobs twice, slots.
-const takeOverLists = 4
+// failoverLists is how many lists a take-over reads: machines, open jobs twice, slots.
+const failoverLists = 4
 
 // A report that tells nothing new asks nothing of the state service, and its way
 // through the controller costs the same allocations whatever the fleet's size.
@@ -85,8 +85,8 @@
 				t.Fatalf("answered %+v", r)
 			}
 		})
-		if got > wayAllocs {
-			t.Errorf("%d machines: %.0f allocations for a report, want %d at most", machines, got, wayAllocs)
+		if got > heartbeatAllocs {
+			t.Errorf("%d machines: %.0f allocations for a report, want %d at most", machines, got, heartbeatAllocs)
 		}
 		if n := state.txns.Load() - before; n != 0 {
 			t.Errorf("%d machines: quiet reports took %d transactions", machines, n)
@@ -98,7 +98,7 @@
 // jobs once more.
 func TestRecordsReadInAFailover(t *testing.T) {
 	c, state, _ := fleetController(t, 200, 0)
-	c.submit(body(t, nil))
+	c.submit(jobBody(t, nil))
 	c.mu.Lock()
 	held, _ := c.cluster.Shard(0)
 	c.shards.DropLocked(0)
@@ -107,10 +107,10 @@
 	if err := c.shards.Acquire(context.Background(), 0, held, 2); err != nil {
 		t.Fatal(err)
 	}
-	for state.lists.Load() < takeOverLists { // the last is another goroutine's
+	for state.lists.Load() < failoverLists { // the last is another goroutine's
 		runtime.Gosched()
 	}
-	if l, e := state.lists.Load(), state.read.Load(); l != takeOverLists || e != 4+2 {
+	if l, e := state.lists.Load(), state.read.Load(); l != failoverLists || e != 4+2 {
 		t.Errorf("%d lists of %d records, want 4 of 4 rentals and twice a job", l, e)
 	}
 	if n := state.txns.Load(); n != 1 {
@@ -121,7 +121,7 @@
 // Of a job that is over a controller keeps little.
 func TestBytesPerFinishedJob(t *testing.T) {
 	const jobs = 2000
-	c := newTest(t, testkit.NewState())
+	c := newTestController(t, testkit.NewState())
 	heap := func() int64 {
 		var m runtime.MemStats
 		for range 3 { // pools give up what they hold after two
@@ -133,7 +133,7 @@
 	before := heap()
 	for i := range jobs {
 		ref := fmt.Sprintf("run-%06d", i)
-		value := body(t, set("ref", ref))
+		value := jobBody(t, withField("ref", ref))
 		rec := record.Encode(record.ActiveJob{Spec: *mustSpec(t, value), Shard: 0})
 		c.applyActiveJobChange(wire.Change{Put: record.ActiveJobKey(ref), Value: rec, Version: uint64(2*i + 1)}, c.startedAt)
 		c.terminalStates.Put(ref, record.FinishedJob{State: wire.Done, Tasks: 2, FinishedAt: int64(i)})
@@ -144,8 +144,8 @@
 		t.Fatalf("%d jobs open", n)
 	}
 	runtime.KeepAlive(c)
-	if got > jobBytes {
-		t.Errorf("%d bytes for a finished job, want %d at most", got, jobBytes)
+	if got > finishedJobBytes {
+		t.Errorf("%d bytes for a finished job, want %d at most", got, finishedJobBytes)
 	}
 }
 
@@ -160,8 +160,8 @@
 
 // Bounds are about half as much again as was measured, so that twice the work fails.
 const (
-	wayAllocs = 22  // measured: 19, with those of the test's own worker; once more decoded: 27
-	jobBytes  = 210 // 140
+	heartbeatAllocs  = 22  // measured: 19, with those of the test's own worker; once more decoded: 27
+	finishedJobBytes = 210 // 140
 )
 
 // Users repeat a cancellation each second until the job's end is recorded, at all
@@ -170,8 +170,8 @@
 func TestRepeatedCancellationReadsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		inner := testkit.NewState()
-		c := newTest(t, inner)
-		c.submit(body(t, nil))
+		c := newTestController(t, inner)
+		c.submit(jobBody(t, nil))
 		state := &countingState{State: inner}
 		c.store = state
 		c.activeJobs.SetAsOf(time.Now())
--- a/internal/controller/dependency_tracking_test.go
+++ b/internal/controller/dependency_tracking_test.go
@@ -22,10 +22,10 @@
 	"bramblespur/internal/wire"
 )
 
-// dependent is a submission of a job that names others.
-func dependent(t *testing.T, ref string, roots any) []byte {
+// dependentBody is a submission of a job that names others.
+func dependentBody(t *testing.T, ref string, roots any) []byte {
 	t.Helper()
-	return body(t, func(m map[string]any) { m["ref"], m["roots"] = ref, roots })
+	return jobBody(t, func(m map[string]any) { m["ref"], m["roots"] = ref, roots })
 }
 
 // In a bubble, since requests give up after a time that a busy machine may take for the
@@ -33,11 +33,11 @@
 func TestDependentSubmissions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		state := testkit.NewState()
-		other := newTest(t, state) // accepted what c has not heard of
-		if got := other.submit(body(t, set("ref", "run-000001"))); got.Status != 201 {
+		other := newTestController(t, state) // accepted what c has not heard of
+		if got := other.submit(jobBody(t, withField("ref", "run-000001"))); got.Status != 201 {
 			t.Fatal(got)
 		}
-		if got := other.submit(body(t, func(m map[string]any) { m["ref"], m["habit"] = "run-000002", "standing" })); got.Status != 201 {
+		if got := other.submit(jobBody(t, func(m map[string]any) { m["ref"], m["habit"] = "run-000002", "standing" })); got.Status != 201 {
 			t.Fatal(got)
 		}
 		state.Put(record.FinishedJobKey("run-000003"), record.FinishedJob{State: wire.Done, Tasks: 2})
@@ -70,9 +70,9 @@
 			"malformed reference": {[]string{"run-1"}, 400},
 			"a pipeline":          {[]string{"pipe-000001"}, 400},
 		} {
-			c := newTest(t, state)
+			c := newTestController(t, state)
 			c.cfg.Params.State.Next.ValueKB = new(2.0)
-			if got := c.submit(dependent(t, "run-000500", x.roots)); got.Status != x.want {
+			if got := c.submit(dependentBody(t, "run-000500", x.roots)); got.Status != x.want {
 				t.Errorf("%s: status %d, want %d", name, got.Status, x.want)
 			}
 			e, err := state.Get(context.Background(), statestore.Urgent("test"), record.ActiveJobKey("run-000500"))
@@ -89,26 +89,26 @@
 			// A known job is never refused, whatever it names now, and whatever the
 			// limits have become.
 			c.cfg.Params.State.Next.ValueKB = new(0.1)
-			if got := newTest(t, state).submit(dependent(t, "run-000500", []string{"run-000009"})); got.Status != 200 {
+			if got := newTestController(t, state).submit(dependentBody(t, "run-000500", []string{"run-000009"})); got.Status != 200 {
 				t.Errorf("%s: repeat: status %d, want 200", name, got.Status)
 			}
-			if got := c.submit(dependent(t, "run-000500", x.roots)); got.Status != 200 {
+			if got := c.submit(dependentBody(t, "run-000500", x.roots)); got.Status != 200 {
 				t.Errorf("%s: repeat under tighter limits: status %d, want 200", name, got.Status)
 			}
 			if _, err := state.Txn(context.Background(), statestore.Urgent("test"), wire.Txn{Then: []wire.Op{{Delete: e.Key}}}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		c := newTest(t, state)
+		c := newTestController(t, state)
 		state.Down = true
-		if got := c.submit(dependent(t, "run-000501", []string{"run-000009"})); got.Status != 503 {
+		if got := c.submit(dependentBody(t, "run-000501", []string{"run-000009"})); got.Status != 503 {
 			t.Errorf("unknown while the state service can't be asked: status %d, want 503", got.Status)
 		}
 	})
 }
 
 // ending is a record of a job's end as some owner writes it.
-func endedAs(t *testing.T, state *testkit.State, ref, how string) {
+func recordEnd(t *testing.T, state *testkit.State, ref, how string) {
 	t.Helper()
 	_, err := state.Txn(context.Background(), statestore.Urgent("test"), wire.Txn{Then: []wire.Op{
 		{Put: record.FinishedJobKey(ref), Value: record.Encode(record.FinishedJob{State: how})}, {Delete: record.ActiveJobKey(ref)}}})
@@ -117,8 +117,8 @@
 	}
 }
 
-// view brings a controller's view of open jobs up to date.
-func view(t *testing.T, state *testkit.State, c *Controller) {
+// loadActiveJobsView brings a controller's loadActiveJobsView of open jobs up to date.
+func loadActiveJobsView(t *testing.T, state *testkit.State, c *Controller) {
 	t.Helper()
 	open, rev, err := state.List(context.Background(), statestore.Urgent("test"), record.ActiveJobPrefix)
 	if err != nil {
@@ -144,34 +144,34 @@
 // it was told of them or not; and it says pending until then.
 func TestOwnerLearnsOfEndedDependencies(t *testing.T) {
 	state := testkit.NewState()
-	c, other := newTest(t, state), newTest(t, state)
+	c, other := newTestController(t, state), newTestController(t, state)
 	shard := scheduler.New(c.shards.SchedulerConfigLocked(), 0, 1)
 	c.shards.ServeLocked(shard)
 	for _, ref := range []string{"run-000001", "run-000002"} {
-		other.submit(body(t, set("ref", ref)))
+		other.submit(jobBody(t, withField("ref", ref)))
 	}
-	view(t, state, c)
-	c.submit(dependent(t, "run-000003", []string{"run-000001", "run-000002"}))
+	loadActiveJobsView(t, state, c)
+	c.submit(dependentBody(t, "run-000003", []string{"run-000001", "run-000002"}))
 	if got := shard.Dependencies(); len(got) != 2 {
 		t.Fatalf("waits for %v, want both", got)
 	}
-	if got := c.submit(dependent(t, "run-000003", []string{"run-000001", "run-000002"})); got.Status != 200 || got.Body.(wire.JobState).State != wire.Pending {
+	if got := c.submit(dependentBody(t, "run-000003", []string{"run-000001", "run-000002"})); got.Status != 200 || got.Body.(wire.JobState).State != wire.Pending {
 		t.Fatalf("repeated submission: %+v, want pending", got)
 	}
 	// One end is told by its owner, the other only by the state service.
-	endedAs(t, state, "run-000001", wire.Done)
+	recordEnd(t, state, "run-000001", wire.Done)
 	c.ReceiveJobRecord(peer.NotifyArgs{Key: record.FinishedJobKey("run-000001"), Value: record.Encode(record.FinishedJob{State: wire.Done})})
 	if got := shard.Dependencies(); len(got) != 1 || got[0] != "run-000002" {
 		t.Fatalf("waits for %v after it was told of the first", got)
 	}
-	endedAs(t, state, "run-000002", wire.Done)
-	view(t, state, c)
+	recordEnd(t, state, "run-000002", wire.Done)
+	loadActiveJobsView(t, state, c)
 	c.lookUpDependency(context.Background(), "run-000002", nil) // as its loops do
 	if got := shard.Dependencies(); len(got) != 0 {
 		t.Fatalf("still waits for %v", got)
 	}
 	// What is not known yet is asked for again, not taken for done.
-	other.submit(body(t, set("ref", "run-000004")))
+	other.submit(jobBody(t, withField("ref", "run-000004")))
 	c.ReceiveJobRecord(peer.NotifyArgs{Key: record.ActiveJobKey("run-000005"), Version: 99,
 		Value: record.Encode(record.ActiveJob{Spec: wire.Spec{Ref: "run-000005", Tasks: 1, DependsOn: []string{"run-000004"}}, AwaitsDependencies: true})})
 	c.lookUpDependency(context.Background(), "run-000004", nil)
@@ -184,23 +184,23 @@
 // the owners are gone, and says so only once it is recorded.
 func TestDependentsOfCancelledJobEndWithoutTheirOwners(t *testing.T) {
 	state := testkit.NewState()
-	c := newTest(t, state)
+	c := newTestController(t, state)
 	for i := range 12 {
 		roots := []string{"run-000001"}
 		if i > 0 {
 			roots = []string{fmt.Sprintf("run-1%05d", i-1)} // a chain, and branches from its head
 		}
 		if i == 0 {
-			c.submit(body(t, set("ref", "run-000001")))
+			c.submit(jobBody(t, withField("ref", "run-000001")))
 		}
-		c.submit(dependent(t, fmt.Sprintf("run-1%05d", i), roots))
-		c.submit(dependent(t, fmt.Sprintf("run-2%05d", i), []string{"run-000001"}))
+		c.submit(dependentBody(t, fmt.Sprintf("run-1%05d", i), roots))
+		c.submit(dependentBody(t, fmt.Sprintf("run-2%05d", i), []string{"run-000001"}))
 	}
-	c.submit(body(t, set("ref", "run-000002")))
-	endedAs(t, state, "run-000001", wire.Cancelled)
+	c.submit(jobBody(t, withField("ref", "run-000002")))
+	recordEnd(t, state, "run-000001", wire.Cancelled)
 	state.Limit(0, 2)
 	for range 14 { // once each for the depth, and no more
-		view(t, state, c)
+		loadActiveJobsView(t, state, c)
 		var roots []string
 		after := map[string][]string{}
 		for _, r := range c.activeJobs.EndedDependencies() {
@@ -232,11 +232,11 @@
 // A root that was done lets go what waits; nobody ends it.
 func TestDoneDependencyCancelsNothing(t *testing.T) {
 	state := testkit.NewState()
-	c := newTest(t, state)
-	c.submit(body(t, set("ref", "run-000001")))
-	c.submit(dependent(t, "run-000002", []string{"run-000001"}))
-	endedAs(t, state, "run-000001", wire.Done)
-	view(t, state, c)
+	c := newTestController(t, state)
+	c.submit(jobBody(t, withField("ref", "run-000001")))
+	c.submit(dependentBody(t, "run-000002", []string{"run-000001"}))
+	recordEnd(t, state, "run-000001", wire.Done)
+	loadActiveJobsView(t, state, c)
 	c.lookUpDependency(context.Background(), "run-000001", []string{"run-000002"})
 	if finalState(t, state, "run-000002") != "" {
 		t.Error("ended though its root was done")
@@ -246,9 +246,9 @@
 // The limits to write by are the tighter ones from the start; what only the second
 // version reads is written, and the lower rate used, once every controller of the
 // settings has given its word, and then for ever.
-func TestFormats(t *testing.T) {
+func TestNewFormatNeedsAllControllers(t *testing.T) {
 	state := testkit.NewState()
-	c := newTest(t, state)
+	c := newTestController(t, state)
 	c.cfg.Params.State = config.State{RPS: 100, WriteRPS: 40, ValueKB: 16, TxnOps: 16,
 		Next: config.NextState{ValueKB: new(2.0), TxnOps: new(5), WriteRPS: new(28.0)}}
 	c.cfg.Peers = []config.Peer{{Label: "c-1"}, {Label: "c-2"}}
@@ -289,7 +289,7 @@
 // Of each kind of record the largest that is written keeps to the limits to come.
 func TestLargestRecords(t *testing.T) {
 	state := testkit.NewState()
-	c := newTest(t, state)
+	c := newTestController(t, state)
 	c.cfg.Params.State.Next = config.NextState{ValueKB: new(2.0), TxnOps: new(5)}
 	most := c.writeLimits().MaxValueBytes()
 	fits := func(name string, v any) {
@@ -310,7 +310,7 @@
 	}
 	fits("a rental", rental)
 	// A submission as long as it may be is refused, not recorded.
-	long := body(t, func(m map[string]any) { m["ref"], m["seedling"] = "run-000777", strings.Repeat("i", 3000) })
+	long := jobBody(t, func(m map[string]any) { m["ref"], m["seedling"] = "run-000777", strings.Repeat("i", 3000) })
 	if got := c.submit(long); got.Status != 422 {
 		t.Errorf("a specification of 3,000 bytes: status %d, want 422", got.Status)
 	}
@@ -331,15 +331,15 @@
 	}
 }
 
-// first is a peer of the first version: it has Ping, and no other method that
+// firstVersionPeer is a peer of the firstVersionPeer version: it has Ping, and no other method that
 // matters here.
-type first struct{}
+type firstVersionPeer struct{}
 
-func (first) Ping(_ string, r *bool) error { *r = true; return nil }
+func (firstVersionPeer) Ping(_ string, r *bool) error { *r = true; return nil }
 
 // A controller that can't reach the state service is asked for its word by others;
 // one of the first version can't give it, and that is no failure.
-func TestWordOfOthers(t *testing.T) {
+func TestFormatsOfPeersAreRead(t *testing.T) {
 	listen := func(name string, serve func(net.Listener)) string {
 		ln, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
@@ -351,7 +351,7 @@
 	}
 	old := listen("old", func(ln net.Listener) {
 		srv := rpc.NewServer()
-		if err := srv.RegisterName("Controller", first{}); err != nil {
+		if err := srv.RegisterName("Controller", firstVersionPeer{}); err != nil {
 			return // and the test fails for want of an answer
 		}
 		for {
@@ -362,9 +362,9 @@
 			go srv.ServeConn(conn)
 		}
 	})
-	cut := newTest(t, testkit.NewState())
+	cut := newTestController(t, testkit.NewState())
 	second := listen("new", func(ln net.Listener) { _ = peer.Serve(ln, cut, 2) })
-	c := newTest(t, testkit.NewState())
+	c := newTestController(t, testkit.NewState())
 	c.cluster.SetAsOf(time.Now())
 	c.peers = map[string]peer.Caller{"c-1": peer.NewClient(old), "c-2": peer.NewClient(second)}
 	var ok bool
--- a/internal/controller/drains_bench_test.go
+++ b/internal/controller/drains_bench_test.go
@@ -15,8 +15,8 @@
 func BenchmarkDrainTurn(b *testing.B) {
 	for name, maxConcurrent := range map[string]int{"idle": 0, "choosing": 400, "waiting": 200} {
 		b.Run(name, func(b *testing.B) {
-			c, _, workers := fleetController(b, accountMachines, accountJobs)
-			met(b, c, workers)
+			c, _, workers := fleetController(b, largestFleetMachines, largestFleetJobs)
+			exchangeHeartbeats(b, c, workers)
 			now := time.Now()
 			c.drainer.Enable(drainSettings(drainBudget), &c.cfg.Params)
 			budgets := drainSettings(drainBudget).Fingerprint()
@@ -32,7 +32,7 @@
 			if maxConcurrent > 0 {
 				plan := drain.Plan{Name: "all", MaxConcurrent: maxConcurrent, State: drain.Active, Created: now.Add(time.Hour).UnixMilli()}
 				cordons := drain.Cordons{Machines: map[string]drain.Cordon{}}
-				for i := range accountMachines / 3 {
+				for i := range largestFleetMachines / 3 {
 					plan.Selector.Machines = append(plan.Selector.Machines, machineName(i))
 					if i < 200 {
 						cordons.Machines[machineName(i)] = drain.Cordon{Drain: "all", Since: now.UnixMilli(), Zone: "z"}
--- a/internal/controller/account_test.go
+++ b/internal/controller/largest_fleet_bench_test.go
@@ -24,21 +24,21 @@
 
 // The largest fleet that one controller may come to hold, with two tasks on each machine.
 const (
-	accountMachines = 4000
-	accountJobs     = 4000
-	tasksOfJob      = 2
-	jobsOfSlot      = 64 // as many plain ranges of two tasks as a slot holds
-	machinesOfOne   = 50 // rental
+	largestFleetMachines = 4000
+	largestFleetJobs     = 4000
+	tasksPerJob          = 2
+	jobsPerPlacements    = 64 // as many plain ranges of two tasks as a slot holds
+	machinesPerProvision = 50 // rental
 )
 
 func machineName(i int) string { return fmt.Sprintf("i-%06d", i) }
 
-// putRentals records so many machines of part 0 and returns their workers.
-func putRentals(put func(key string, v any), machines int) []*testkit.Worker {
+// putProvisions records so many machines of part 0 and returns their workers.
+func putProvisions(put func(key string, v any), machines int) []*testkit.Worker {
 	var workers []*testkit.Worker
-	for at := 0; at < machines; at += machinesOfOne {
+	for at := 0; at < machines; at += machinesPerProvision {
 		r := record.Provision{Type: "big", Zone: "z", CreatedAt: time.Now().UnixMilli()}
-		for i := at; i < min(at+machinesOfOne, machines); i++ {
+		for i := at; i < min(at+machinesPerProvision, machines); i++ {
 			r.IDs, r.Shards = append(r.IDs, machineName(i)), append(r.Shards, 0)
 			workers = append(workers, testkit.NewWorker(machineName(i), "big", "z", false))
 		}
@@ -52,30 +52,30 @@
 	slot := record.Placements{Ranges: map[string]record.TaskRange{}}
 	for i := range jobs {
 		name := ref(i)
-		spec := mustSpec(t, body(t, set("ref", name)))
+		spec := mustSpec(t, jobBody(t, withField("ref", name)))
 		state.Put(record.ActiveJobKey(name), record.ActiveJob{Spec: *spec, AcceptedAt: time.Now().UnixMilli()})
 		w := workers[i%len(workers)]
 		run := record.TaskRange{Attempt: 1, Placed: map[int]record.TaskPlacement{}}
-		for n := range tasksOfJob {
+		for n := range tasksPerJob {
 			run.Placed[n] = record.TaskPlacement{Machine: w.ID, Attempt: 1}
 			w.Tasks[name+"/"+strconv.Itoa(n)] = &testkit.WorkerTask{Attempt: 1, State: wire.Running}
 		}
 		slot.Ranges[record.RangeName(name, 0)] = run
-		if len(slot.Ranges) == jobsOfSlot || i == jobs-1 {
-			state.Put(record.PlacementsKey(0, i/jobsOfSlot), slot)
+		if len(slot.Ranges) == jobsPerPlacements || i == jobs-1 {
+			state.Put(record.PlacementsKey(0, i/jobsPerPlacements), slot)
 			slot.Ranges = map[string]record.TaskRange{}
 		}
 	}
 }
 
-// mute are workers that no direct command reaches.
-type mute struct{}
+// unreachableAgents are workers that no direct command reaches.
+type unreachableAgents struct{}
 
-func (mute) SendCommands(context.Context, string, wire.DirectCommands) (r wire.Heartbeat, ok bool, err error) {
+func (unreachableAgents) SendCommands(context.Context, string, wire.DirectCommands) (r wire.Heartbeat, ok bool, err error) {
 	return r, false, httpwire.ErrNotSent
 }
 
-func (mute) RequestHeartbeat(context.Context, string) (r wire.Heartbeat, err error) {
+func (unreachableAgents) RequestHeartbeat(context.Context, string) (r wire.Heartbeat, err error) {
 	return r, testkit.ErrLost
 }
 
@@ -83,20 +83,20 @@
 func fleetController(t testing.TB, machines, jobs int) (*Controller, *countingState, []*testkit.Worker) {
 	t.Helper()
 	inner := testkit.NewState()
-	c := newTest(t, inner)
+	c := newTestController(t, inner)
 	c.shards.SchedulerConfigLocked().HeartbeatInterval = 1500 * time.Millisecond // starts ride on reports' answers
-	c.agents = mute{}
-	workers := putRentals(fleetPut(inner, c), machines)
+	c.agents = unreachableAgents{}
+	workers := putProvisions(putFleetRecord(inner, c), machines)
 	putJobs(t, inner, workers, jobs)
 	state := &countingState{State: inner}
 	c.store = state
-	viewOpen(t, c)
-	takeOverPart(t, c, state, record.Versioned[record.Shard]{}, 1)
+	reloadActiveJobsView(t, c)
+	acquireTestShard(t, c, state, record.Versioned[record.Shard]{}, 1)
 	return c, state, workers
 }
 
-// viewOpen brings the view of open jobs up to the records, as the watch does.
-func viewOpen(t testing.TB, c *Controller) {
+// reloadActiveJobsView brings the view of open jobs up to the records, as the watch does.
+func reloadActiveJobsView(t testing.TB, c *Controller) {
 	t.Helper()
 	entries, rev, err := c.store.List(context.Background(), statestore.Urgent("test"), record.ActiveJobPrefix)
 	if err != nil {
@@ -105,30 +105,30 @@
 	c.resetActiveJobs(entries, rev, c.startedAt)
 }
 
-// takeOverPart claims part 0 and waits until all that it reads has come.
-func takeOverPart(t testing.TB, c *Controller, state *countingState, held record.Versioned[record.Shard], inc uint64) {
+// acquireTestShard claims part 0 and waits until all that it reads has come.
+func acquireTestShard(t testing.TB, c *Controller, state *countingState, held record.Versioned[record.Shard], inc uint64) {
 	t.Helper()
 	state.reset()
 	if err := c.shards.Acquire(context.Background(), 0, held, inc); err != nil {
 		t.Fatal(err)
 	}
-	for state.lists.Load() < takeOverLists { // the last is another goroutine's, and must not count as a later one's
+	for state.lists.Load() < failoverLists { // the last is another goroutine's, and must not count as a later one's
 		runtime.Gosched()
 	}
 }
 
-// reported brings a worker's report to its controller and returns the answer, also one
+// sendHeartbeat brings a worker's report to its controller and returns the answer, also one
 // that is held.
-func reported(t testing.TB, c *Controller, w *testkit.Worker) transport.Response {
+func sendHeartbeat(t testing.TB, c *Controller, w *testkit.Worker) transport.Response {
 	t.Helper()
 	b, err := json.Marshal(w.Report())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return sent(c, b, w.ID)
+	return serveHeartbeat(c, b, w.ID)
 }
 
-func sent(c *Controller, report []byte, machine string) transport.Response {
+func serveHeartbeat(c *Controller, report []byte, machine string) transport.Response {
 	later := make(chan transport.Response, 1)
 	r, now := c.handle(httpwire.Request{Method: "POST", Path: wire.HeartbeatPath, Body: report}, func(r transport.Response) { later <- r })
 	if !now {
@@ -140,12 +140,12 @@
 	return r
 }
 
-// met lets every worker report until its controller has heard it under its own token.
-func met(t testing.TB, c *Controller, workers []*testkit.Worker) {
+// exchangeHeartbeats lets every worker report until its controller has heard it under its own token.
+func exchangeHeartbeats(t testing.TB, c *Controller, workers []*testkit.Worker) {
 	t.Helper()
 	for range 2 {
 		for _, w := range workers {
-			o, ok := reported(t, c, w).Body.(wire.CommandBatch)
+			o, ok := sendHeartbeat(t, c, w).Body.(wire.CommandBatch)
 			if !ok || !w.Obey(o) {
 				t.Fatalf("%s was not answered", w.ID)
 			}
@@ -163,12 +163,12 @@
 	return int64(m.HeapAlloc)
 }
 
-// BenchmarkParkedResponses tells what a controller with the largest fleet holds, by what it is for,
+// BenchmarkMemoryByComponent tells what a controller with the largest fleet holds, by what it is for,
 // in bytes; what the runtime holds besides is told by its own counters.
-func BenchmarkParkedResponses(b *testing.B) {
+func BenchmarkMemoryByComponent(b *testing.B) {
 	for b.Loop() {
-		c, _, workers := fleetController(b, accountMachines, accountJobs)
-		met(b, c, workers)
+		c, _, workers := fleetController(b, largestFleetMachines, largestFleetJobs)
+		exchangeHeartbeats(b, c, workers)
 		workers = nil
 		at := liveHeap()
 		held := func(name string, n int, drop func()) {
@@ -178,9 +178,9 @@
 			b.ReportMetric(float64(at-now)/float64(n), name+"-B/each")
 			at = now
 		}
-		held("scheduler", accountMachines, func() { c.shards.DropAllLocked() })
-		held("fleet-view", accountMachines, func() { c.machines = nil })
-		held("open-jobs", accountJobs, func() { c.activeJobs = nil })
+		held("scheduler", largestFleetMachines, func() { c.shards.DropAllLocked() })
+		held("fleet-view", largestFleetMachines, func() { c.machines = nil })
+		held("open-jobs", largestFleetJobs, func() { c.activeJobs = nil })
 		runtime.KeepAlive(c)
 	}
 }
@@ -191,7 +191,7 @@
 func BenchmarkFailover(b *testing.B) {
 	const deployedPercent = 400
 	defer debug.SetGCPercent(debug.SetGCPercent(deployedPercent))
-	c, state, _ := fleetController(b, accountMachines, accountJobs)
+	c, state, _ := fleetController(b, largestFleetMachines, largestFleetJobs)
 	b.ReportAllocs()
 	inc, most := uint64(1), map[string]uint64{}
 	for b.Loop() {
@@ -205,20 +205,20 @@
 		c.mu.Unlock()
 		inc++
 		b.StartTimer()
-		takeOverPart(b, c, state, held, inc)
+		acquireTestShard(b, c, state, held, inc)
 	}
 	for name, bytes := range most {
 		b.ReportMetric(float64(bytes), name)
 	}
 }
 
-// BenchmarkViewsAnew is the reading of all open jobs and machines into the views.
-func BenchmarkViewsAnew(b *testing.B) {
-	c, state, _ := fleetController(b, accountMachines, accountJobs)
+// BenchmarkViewReset is the reading of all open jobs and machines into the views.
+func BenchmarkViewReset(b *testing.B) {
+	c, state, _ := fleetController(b, largestFleetMachines, largestFleetJobs)
 	ctx := context.Background()
 	b.ReportAllocs()
 	for b.Loop() {
-		viewOpen(b, c)
+		reloadActiveJobsView(b, c)
 		entries, rev, err := state.List(ctx, statestore.Urgent("test"), record.FleetPrefix)
 		if err != nil {
 			b.Fatal(err)
@@ -229,8 +229,8 @@
 
 // BenchmarkWholeHeartbeat is a report with two tasks, from its body to its answer's.
 func BenchmarkWholeHeartbeat(b *testing.B) {
-	c, _, workers := fleetController(b, accountMachines, accountJobs)
-	met(b, c, workers)
+	c, _, workers := fleetController(b, largestFleetMachines, largestFleetJobs)
+	exchangeHeartbeats(b, c, workers)
 	var bodies [][]byte
 	for range 200 {
 		for _, w := range workers {
@@ -244,14 +244,14 @@
 	srv := transport.New(transport.Config{Log: c.log})
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		srv.Encode(sent(c, bodies[i%len(bodies)], machineName(i%accountMachines)), false)
+		srv.Encode(serveHeartbeat(c, bodies[i%len(bodies)], machineName(i%largestFleetMachines)), false)
 	}
 }
 
-// BenchmarkAsked is what an owner does for the leader each second, gob included.
-func BenchmarkAsked(b *testing.B) {
-	c, _, workers := fleetController(b, accountMachines, accountJobs)
-	met(b, c, workers)
+// BenchmarkLeaderSync is what an owner does for the leader each second, gob included.
+func BenchmarkLeaderSync(b *testing.B) {
+	c, _, workers := fleetController(b, largestFleetMachines, largestFleetJobs)
+	exchangeHeartbeats(b, c, workers)
 	var wire bytes.Buffer
 	to, from := gob.NewEncoder(&wire), gob.NewDecoder(&wire)
 	b.Run("summary", func(b *testing.B) {
@@ -281,8 +281,8 @@
 // BenchmarkSubmission is a job of one task from its body to its recorded acceptance and,
 // once a slot may be written again, its recorded start.
 func BenchmarkSubmission(b *testing.B) {
-	c, _, workers := fleetController(b, accountMachines, 0)
-	met(b, c, workers)
+	c, _, workers := fleetController(b, largestFleetMachines, 0)
+	exchangeHeartbeats(b, c, workers)
 	c.mu.Lock()
 	c.shards.SchedulerConfigLocked().StartBatchDelay = 0
 	c.mu.Unlock()
@@ -293,7 +293,7 @@
 		c.mu.Lock()
 		setLeaseRenewed(c, time.Now())
 		c.mu.Unlock()
-		spec := body(b, func(m map[string]any) { m["ref"], m["berries"], m["cards"], m["cores"] = ref(n), 1, 0.0, 0.01 })
+		spec := jobBody(b, func(m map[string]any) { m["ref"], m["berries"], m["cards"], m["cores"] = ref(n), 1, 0.0, 0.01 })
 		n++
 		b.StartTimer()
 		if r := c.submit(spec); r.Status != 201 {
@@ -306,8 +306,8 @@
 // wait for one request.
 func BenchmarkStatusQueries(b *testing.B) {
 	const together = 10
-	c, _, workers := fleetController(b, accountMachines, accountJobs)
-	met(b, c, workers)
+	c, _, workers := fleetController(b, largestFleetMachines, largestFleetJobs)
+	exchangeHeartbeats(b, c, workers)
 	c.mu.Lock()
 	version := activeJob(c, ref(7)).Version
 	c.mu.Unlock()
@@ -328,8 +328,8 @@
 	}
 }
 
-// fleetPut writes a machine's record and tells a controller of it.
-func fleetPut(state *testkit.State, c *Controller) func(key string, v any) {
+// putFleetRecord writes a machine's record and tells a controller of it.
+func putFleetRecord(state *testkit.State, c *Controller) func(key string, v any) {
 	return func(key string, v any) {
 		e := state.Put(key, v)
 		c.applyMachineChange(e.Change(), time.Now())
--- a/internal/controller/leader_host_test.go
+++ b/internal/controller/leader_host_test.go
@@ -9,7 +9,7 @@
 
 // The leader clears records of machines only once it has a view of them all.
 func TestLeaderSeesFleetOnceLoaded(t *testing.T) {
-	c := newTest(t, testkit.NewState())
+	c := newTestController(t, testkit.NewState())
 	host := leaderHost{c}
 	if host.FleetLoadedLocked() {
 		t.Error("fleet seen before it was loaded")
--- a/internal/controller/leader_test.go
+++ b/internal/controller/leader_test.go
@@ -11,12 +11,12 @@
 
 // A leader clears records of machines long gone, but not before it has a view of all
 // records: that may lack provisions.
-func TestOldRecordsAreClearedOnceThereIsAView(t *testing.T) {
+func TestOldRecordsAreDeletedOnceViewIsLoaded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		state := testkit.NewState()
-		c := newTest(t, state)
-		leaderOf(c, 1)
-		put := fleetPut(state, c)
+		c := newTestController(t, state)
+		makeLeader(c, 1)
+		put := putFleetRecord(state, c)
 		put(record.ProvisionKey("gone"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"b"}, Addrs: []string{"b:1"}})
 		put(record.ReleaseKey(0, 1, 1), record.Release{IDs: []string{"b"}, Done: true})
 		turn := func() (left int) {
--- a/internal/controller/loans_test.go
+++ b/internal/controller/loans_test.go
@@ -12,8 +12,8 @@
 	"bramblespur/internal/testkit"
 )
 
-// leaderOf makes a controller the leader of so many.
-func leaderOf(c *Controller, n int) {
+// makeLeader makes a controller the leader of so many.
+func makeLeader(c *Controller, n int) {
 	c.cfg.Params.Count = n
 	c.cfg.Params.State.RPS, c.cfg.Params.State.WriteRPS = 200, 25
 	c.lease.Grant(membership.LeaseState{ID: 1, Incarnation: 5, RenewedAt: time.Now()})
@@ -36,8 +36,8 @@
 // an ousted leader lends nothing: its successor does.
 func TestLeaderLendsWithinTheLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newTest(t, testkit.NewState())
-		leaderOf(c, 7)
+		c := newTestController(t, testkit.NewState())
+		makeLeader(c, 7)
 		state := &busyState{State: testkit.NewState()}
 		c.store = state
 		for range 2 { // each turn sets the limits anew
--- a/internal/controller/malformed_requests_test.go
+++ b/internal/controller/malformed_requests_test.go
@@ -17,7 +17,7 @@
 func TestBadRequestsAreAnsweredAtOnce(t *testing.T) {
 	job := wire.JobsPath + "/run-000001"
 	pipeline := wire.PipelinesPath + "/pipe-000001"
-	sound := string(body(t, nil))
+	sound := string(jobBody(t, nil))
 	piped := `{"ref":"pipe-000001","jobs":[` + sound + `],"links":[],"choices":[]}`
 	for _, x := range []struct {
 		method, path, body string
@@ -41,11 +41,11 @@
 		{"POST", wire.JobsPath, "", 400, 400},
 		{"POST", wire.JobsPath, "{", 400, 400},
 		{"POST", wire.JobsPath, strings.Repeat("[", 50000), 400, 400},
-		{"POST", wire.JobsPath, string(body(t, set("berries", 1.5))), 400, 400},
-		{"POST", wire.JobsPath, string(body(t, set("berries", 1e30))), 400, 400},
-		{"POST", wire.JobsPath, string(body(t, set("press_s", -1))), 400, 400},
-		{"POST", wire.JobsPath, string(body(t, set("keeper", "nobody"))), 422, 503},
-		{"POST", wire.JobsPath, string(body(t, set("cores", 1e12))), 422, 503},
+		{"POST", wire.JobsPath, string(jobBody(t, withField("berries", 1.5))), 400, 400},
+		{"POST", wire.JobsPath, string(jobBody(t, withField("berries", 1e30))), 400, 400},
+		{"POST", wire.JobsPath, string(jobBody(t, withField("press_s", -1))), 400, 400},
+		{"POST", wire.JobsPath, string(jobBody(t, withField("keeper", "nobody"))), 422, 503},
+		{"POST", wire.JobsPath, string(jobBody(t, withField("cores", 1e12))), 422, 503},
 		{"POST", wire.PipelinesPath, "", 400, 400},
 		{"POST", wire.PipelinesPath, `{"ref":"pipe-000001","jobs":[{}],"links":[],"choices":[]}`, 400, 400},
 		{"POST", wire.PipelinesPath, `{"ref":"pipe-000001","jobs":[` + sound + "," + sound + `],"links":[],"choices":[]}`, 400, 400},
@@ -54,7 +54,7 @@
 	} {
 		for _, down := range []bool{true, false} {
 			synctest.Test(t, func(t *testing.T) {
-				c := newTest(t, testkit.NewState())
+				c := newTestController(t, testkit.NewState())
 				want := x.up
 				if down {
 					c.store.(*testkit.State).Outage(true)
--- a/internal/controller/member_strained_test.go
+++ b/internal/controller/member_strained_test.go
@@ -12,9 +12,9 @@
 	"bramblespur/internal/testkit"
 )
 
-// lateAnswers is a state service whose answers are read late, as by a process that
+// slowRenewals is a state service whose answers are read late, as by a process that
 // falls behind. Its leases end when they are not renewed in time.
-type lateAnswers struct {
+type slowRenewals struct {
 	*testkit.State
 	late    time.Duration
 	mu      sync.Mutex
@@ -23,14 +23,14 @@
 	most    int
 }
 
-func (s *lateAnswers) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
+func (s *slowRenewals) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
 	s.mu.Lock()
 	s.renewed = time.Now()
 	s.mu.Unlock()
 	return s.State.Grant(ctx, ttl)
 }
 
-func (s *lateAnswers) Renew(context.Context, uint64) error {
+func (s *slowRenewals) Renew(context.Context, uint64) error {
 	s.mu.Lock()
 	gone := time.Since(s.renewed) >= membership.LeaseTTL
 	if !gone {
@@ -54,8 +54,8 @@
 // without awaiting the answers, which it reads late. One by one the renewals would come too late.
 func TestStrainedKeepsItsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		state := &lateAnswers{State: testkit.NewState()}
-		c := newTest(t, state.State)
+		state := &slowRenewals{State: testkit.NewState()}
+		c := newTestController(t, state.State)
 		ctx, cancel := context.WithCancel(t.Context())
 		c.store = state
 		c.member = c.newMember()
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -31,7 +31,7 @@
 		"offered":                   {record.Shard{TransferTo: "c-0"}, []string{"c-0", "c-1"}, time.Minute, true},
 		"offered as it has started": {record.Shard{TransferTo: "c-0"}, []string{"c-0", "c-1"}, 0, true},
 	} {
-		c := newTest(t, testkit.NewState())
+		c := newTestController(t, testkit.NewState())
 		now := time.Now()
 		setIncarnation(c, 2)
 		c.startedAt = now.Add(-x.up)
@@ -49,7 +49,7 @@
 		}
 	}
 	// Without a lease that certainly stands, nothing is claimed.
-	c := newTest(t, testkit.NewState())
+	c := newTestController(t, testkit.NewState())
 	c.cluster.SetAsOf(time.Now())
 	setLeaseRenewed(c, c.cluster.AsOf().Add(-time.Minute))
 	c.cluster.SetShard(0, record.Shard{Owner: "c-0"}, 5)
@@ -64,8 +64,8 @@
 // somebody else ends that.
 func TestAcquisitionAndLoss(t *testing.T) {
 	state := testkit.NewState()
-	c := newTest(t, state)
-	c.submit(body(t, nil))
+	c := newTestController(t, state)
+	c.submit(jobBody(t, nil))
 	if err := c.shards.Acquire(context.Background(), 0, shardhost.Ownership{}, 1); err != nil {
 		t.Fatal(err)
 	}
@@ -90,10 +90,10 @@
 // A controller that stood still while its clocks ran on sends nothing that was
 // recorded before: it looks at what it still is before it answers, though none of
 // its loops has run again.
-func TestStandingStillStartsNothing(t *testing.T) {
+func TestPausedControllerStartsNothing(t *testing.T) {
 	ctx := context.Background()
 	state := testkit.NewState()
-	c := newTest(t, state)
+	c := newTestController(t, state)
 	setViewsAsOf(c, time.Now())
 	if err := c.shards.Acquire(ctx, 0, shardhost.Ownership{}, 1); err != nil {
 		t.Fatal(err)
@@ -117,7 +117,7 @@
 		o, _ := (<-got).Body.(wire.CommandBatch)
 		return len(o.Commands)
 	}
-	if got := c.submit(body(t, func(m map[string]any) { m["berries"] = 1 })); got.Status != 201 {
+	if got := c.submit(jobBody(t, func(m map[string]any) { m["berries"] = 1 })); got.Status != 201 {
 		t.Fatalf("submission: %+v", got)
 	}
 	for held(time.Now()) == 0 { // until the start is recorded
--- a/internal/controller/messages_test.go
+++ b/internal/controller/messages_test.go
@@ -25,8 +25,8 @@
 	"bramblespur/internal/wire"
 )
 
-// logged makes a controller log into a buffer.
-func logged(c *Controller) *bytes.Buffer {
+// captureLog makes a controller log into a buffer.
+func captureLog(c *Controller) *bytes.Buffer {
 	var out bytes.Buffer
 	c.log = slog.New(slog.NewTextHandler(&out, nil))
 	c.rejections = rejectlog.New(c.log)
@@ -37,7 +37,7 @@
 // ownerForTest returns a controller that owns its part and reaches a state through store.
 func ownerForTest(t testing.TB, state *testkit.State, store statestore.Store) *Controller {
 	t.Helper()
-	c := newTest(t, state)
+	c := newTestController(t, state)
 	c.store = store
 	setViewsAsOf(c, time.Now())
 	if err := c.shards.Acquire(context.Background(), 0, shardhost.Ownership{}, 1); err != nil {
@@ -53,8 +53,8 @@
 	return ownerForTest(t, state, state)
 }
 
-// openOf is a job's open record, changed as wished.
-func openOf(change func(*record.ActiveJob)) []byte {
+// encodeActiveJob is a job's open record, changed as wished.
+func encodeActiveJob(change func(*record.ActiveJob)) []byte {
 	o := record.ActiveJob{Spec: spec("run-000001", "a", nil)}
 	change(&o)
 	return record.Encode(o)
@@ -64,7 +64,7 @@
 // they change nothing that is remembered.
 func TestInvalidHeartbeatsAreAnswered(t *testing.T) {
 	c := newOwner(t)
-	out := logged(c)
+	out := captureLog(c)
 	for _, body := range []string{
 		``, `{`, `[]`, `null`, `"x"`, `{}`, `{"bush":7}`, `{"bush":"m","season":-1,"tally":1}`, `{"bush":"m","season":1,"tally":-4}`,
 		`{"bush":"m","season":1,"tally":1,"crook":-1}`, `{"bush":"m","season":1,"tally":1,"crook":1e30}`, `{"bush":"m","season":0,"tally":1}`,
@@ -87,7 +87,7 @@
 // While a controller does not know its fleet, any machine's name may come: what is
 // remembered of them is bounded.
 func TestUnknownMachinesAreBounded(t *testing.T) {
-	c := newTest(t, testkit.NewState())
+	c := newTestController(t, testkit.NewState())
 	c.startedAt = time.Now().Add(-time.Hour)
 	c.activeJobs.SetAsOf(time.Time{}) // its view is stale
 	setLeaseRenewed(c, time.Time{})
@@ -105,7 +105,7 @@
 // process lives, gives its lock back and answers with a status that its sender knows.
 func FuzzBodies(f *testing.F) {
 	for _, seed := range []string{
-		``, `null`, `{}`, `[]`, `{"ref":"run-000001"}`, string(openOf(func(*record.ActiveJob) {})),
+		``, `null`, `{}`, `[]`, `{"ref":"run-000001"}`, string(encodeActiveJob(func(*record.ActiveJob) {})),
 		`{"bush":"m","season":1,"tally":1,"berries":[{"berry":"run-000001/-1","sprout":1,"bloom":"running"}]}`,
 		`{"ref":"pipe-000001","jobs":[{}],"links":[{"from":["x"],"to":null}],"choices":[{"at":"","done":""}]}`,
 		string(encode(spec("run-000001", "a", func(s *wire.Spec) { s.EstimateS, s.DependsOn = 1e300, []string{"run-000002"} }))),
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -31,8 +31,8 @@
 	return func() { close(done) }
 }
 
-// changes counts how often a part comes to another owner while something goes on.
-func (k *cluster) changes(part int, d time.Duration) (n int) {
+// ownerChanges counts how often a part comes to another owner while something goes on.
+func (k *cluster) ownerChanges(part int, d time.Duration) (n int) {
 	owner := k.owner(part)
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		if now := k.owner(part); now != owner && now != "" {
@@ -55,17 +55,17 @@
 				if !leads {
 					slow = k.labelsExcept(slow)[0]
 				}
-				part := k.homeOf(slow)
+				part := k.preferredShard(slow)
 				k.requireOccurred(k.owner(part) == slow, "the part is at home")
 				heal := k.overload(slow)
 				k.await(30*time.Second, "another owner and leader", func() bool {
 					return k.owner(part) != slow && k.owner(part) != "" && k.leader() != slow && k.leader() != ""
 				})
-				if n := k.changes(part, time.Minute); n > 0 {
+				if n := k.ownerChanges(part, time.Minute); n > 0 {
 					k.t.Errorf("%d more owners while the cause lasts", n)
 				}
 				heal()
-				if n := k.changes(part, overload.MinRecovery*9/10); n > 0 {
+				if n := k.ownerChanges(part, overload.MinRecovery*9/10); n > 0 {
 					k.t.Errorf("%d more owners before its home has kept up for %v", n, overload.MinRecovery)
 				}
 				k.await(overload.MinRecovery, "at home", func() bool { return k.owner(part) == slow })
@@ -76,7 +76,7 @@
 
 // A controller that falls behind doesn't come to answer the leader in time, nor to hear
 // others' answers: it says so in its member record, and sends its workers away.
-func TestOverloadIsToldWithoutTheLeadersCalls(t *testing.T) {
+func TestOverloadIsReportedInMemberRecord(t *testing.T) {
 	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
 		// One that hears no worker either would be taken for deaf.
@@ -89,7 +89,7 @@
 		over := k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(testkit.Named(slow), k.isController)})
 		heal := k.overload(slow)
 		k.await(20*time.Second, "another owner", func() bool { return k.owner(part) != slow && k.owner(part) != "" })
-		if n := k.changes(part, time.Minute); n > 0 {
+		if n := k.ownerChanges(part, time.Minute); n > 0 {
 			k.t.Errorf("%d more owners while the cause lasts", n)
 		}
 		over()
@@ -99,8 +99,8 @@
 
 // A worker with tasks is sent on although its owner does not answer this controller,
 // where this one itself falls behind: what it does not hear tells nothing.
-func TestBehindSendsWorkersOn(t *testing.T) {
-	c := newTest(t, testkit.NewState())
+func TestBehindControllerRedirectsWorkers(t *testing.T) {
+	c := newTestController(t, testkit.NewState())
 	r := &wire.Heartbeat{Tasks: []wire.HeartbeatTask{{}}}
 	now := time.Now()
 	if c.router.MayRedirectLocked(r, "c-1", now) {
@@ -145,7 +145,7 @@
 		k.load()
 		var label string
 		k.await(time.Minute, "a held answer", func() bool {
-			i := slices.IndexFunc(k.labels, func(label string) bool { return k.heldAt(label) > 0 })
+			i := slices.IndexFunc(k.labels, func(label string) bool { return k.parkedResponses(label) > 0 })
 			if i >= 0 {
 				label = k.labels[i]
 			}
@@ -157,27 +157,27 @@
 			c.overload.Observe(60*time.Millisecond, time.Now())
 		}
 		c.mu.Unlock()
-		time.Sleep(longestHeld)
+		time.Sleep(maxParkTime)
 		for end := time.Now().Add(overload.StrainedEndsAfter / 2); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-			if n := k.heldAt(label); n > 0 {
+			if n := k.parkedResponses(label); n > 0 {
 				t.Fatalf("%d answers held", n)
 			}
 		}
-		k.await(2*overload.BehindEndsAfter, "a held answer once it keeps up", func() bool { return k.heldAt(label) > 0 })
+		k.await(2*overload.BehindEndsAfter, "a held answer once it keeps up", func() bool { return k.parkedResponses(label) > 0 })
 	})
 }
 
-// longestHeld is more than any answer is held.
-const longestHeld = 2 * time.Second
+// maxParkTime is more than any answer is held.
+const maxParkTime = 2 * time.Second
 
-func (k *cluster) heldAt(label string) int {
+func (k *cluster) parkedResponses(label string) int {
 	c := k.process(label).c
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.longPolls.LenLocked()
 }
 
-func (k *cluster) homeOf(label string) int {
+func (k *cluster) preferredShard(label string) int {
 	c := k.process(label).c
 	for part := range k.params.Count {
 		if c.shards.PreferredOwner(part) == label {
--- a/internal/controller/owner_renewals_test.go
+++ b/internal/controller/owner_renewals_test.go
@@ -14,7 +14,7 @@
 // cancellation only once nothing runs. While all is seen, no task of a job that is
 // over lives on by it.
 func TestLeaseIsRenewedForOwner(t *testing.T) {
-	c := newTest(t, testkit.NewState())
+	c := newTestController(t, testkit.NewState())
 	seen := func(ago time.Duration) {
 		setViewsAsOf(c, time.Now().Add(-ago))
 	}
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -13,14 +13,14 @@
 	"bramblespur/internal/wire"
 )
 
-// pipeline makes a submission of so many jobs, numbered from 1, with links
+// pipelineBody makes a submission of so many jobs, numbered from 1, with links
 // given as pairs of numbers.
-func pipeline(t *testing.T, ref string, n int, links [][2]int, change func(*wire.Pipeline)) []byte {
+func pipelineBody(t *testing.T, ref string, n int, links [][2]int, change func(*wire.Pipeline)) []byte {
 	t.Helper()
 	name := func(i int) string { return fmt.Sprintf("run-%06d", i) }
 	p := wire.Pipeline{Ref: ref}
 	for i := range n {
-		p.Jobs = append(p.Jobs, body(t, set("ref", name(i+1))))
+		p.Jobs = append(p.Jobs, jobBody(t, withField("ref", name(i+1))))
 	}
 	for _, l := range links {
 		p.Links = append(p.Links, wire.Link{From: []string{name(l[0])}, To: []string{name(l[1])}})
@@ -50,30 +50,30 @@
 		body []byte
 		want int
 	}{
-		"chain":             {pipeline(t, "pipe-000001", 3, chain(3), nil), 201},
-		"choice":            {pipeline(t, "pipe-000001", 3, nil, choice), 201},
+		"chain":             {pipelineBody(t, "pipe-000001", 3, chain(3), nil), 201},
+		"choice":            {pipelineBody(t, "pipe-000001", 3, nil, choice), 201},
 		"not JSON":          {[]byte("{"), 400},
-		"bad reference":     {pipeline(t, "x", 1, nil, nil), 400},
-		"no jobs":           {pipeline(t, "pipe-000001", 0, nil, nil), 400},
-		"malformed job":     {pipeline(t, "pipe-000001", 1, nil, func(p *wire.Pipeline) { p.Jobs[0] = body(t, drop("rank")) }), 400},
-		"cycle":             {pipeline(t, "pipe-000001", 3, [][2]int{{1, 2}, {2, 3}, {3, 2}}, nil), 400},
-		"unlinked job":      {pipeline(t, "pipe-000001", 2, nil, nil), 400},
-		"unknown job":       {pipeline(t, "pipe-000001", 1, [][2]int{{1, 9}}, nil), 400},
-		"job twice":         {pipeline(t, "pipe-000001", 2, chain(2), func(p *wire.Pipeline) { p.Jobs[1] = p.Jobs[0] }), 400},
-		"choice not stated": {pipeline(t, "pipe-000001", 3, nil, func(p *wire.Pipeline) { choice(p); p.Choices = nil }), 400},
-		"choice of no branch": {pipeline(t, "pipe-000001", 3, nil, func(p *wire.Pipeline) {
+		"bad reference":     {pipelineBody(t, "x", 1, nil, nil), 400},
+		"no jobs":           {pipelineBody(t, "pipe-000001", 0, nil, nil), 400},
+		"malformed job":     {pipelineBody(t, "pipe-000001", 1, nil, func(p *wire.Pipeline) { p.Jobs[0] = jobBody(t, withoutField("rank")) }), 400},
+		"cycle":             {pipelineBody(t, "pipe-000001", 3, [][2]int{{1, 2}, {2, 3}, {3, 2}}, nil), 400},
+		"unlinked job":      {pipelineBody(t, "pipe-000001", 2, nil, nil), 400},
+		"unknown job":       {pipelineBody(t, "pipe-000001", 1, [][2]int{{1, 9}}, nil), 400},
+		"job twice":         {pipelineBody(t, "pipe-000001", 2, chain(2), func(p *wire.Pipeline) { p.Jobs[1] = p.Jobs[0] }), 400},
+		"choice not stated": {pipelineBody(t, "pipe-000001", 3, nil, func(p *wire.Pipeline) { choice(p); p.Choices = nil }), 400},
+		"choice of no branch": {pipelineBody(t, "pipe-000001", 3, nil, func(p *wire.Pipeline) {
 			choice(p)
 			p.Choices[0].Done = "run-000001"
 		}), 400},
-		"choice where there is none": {pipeline(t, "pipe-000001", 2, chain(2), func(p *wire.Pipeline) {
+		"choice where there is none": {pipelineBody(t, "pipe-000001", 2, chain(2), func(p *wire.Pipeline) {
 			p.Choices = []wire.Choice{{At: "run-000001", Done: "run-000002"}}
 		}), 400},
-		"a job that can never run": {pipeline(t, "pipe-000001", 2, chain(2), func(p *wire.Pipeline) {
-			p.Jobs[1] = body(t, func(m map[string]any) { m["ref"], m["cores"] = "run-000002", 99 })
+		"a job that can never run": {pipelineBody(t, "pipe-000001", 2, chain(2), func(p *wire.Pipeline) {
+			p.Jobs[1] = jobBody(t, func(m map[string]any) { m["ref"], m["cores"] = "run-000002", 99 })
 		}), 422},
-		"more than a transaction holds": {pipeline(t, "pipe-000001", 16, chain(16), nil), 422},
+		"more than a transaction holds": {pipelineBody(t, "pipe-000001", 16, chain(16), nil), 422},
 	} {
-		c := newTest(t, testkit.NewState())
+		c := newTestController(t, testkit.NewState())
 		if got := c.submitPipeline(x.body); got.Status != x.want {
 			t.Errorf("%s: status %d, want %d", name, got.Status, x.want)
 		}
@@ -81,30 +81,30 @@
 			t.Errorf("%s: refused, but %d jobs are known", name, len(c.activeJobs.Jobs()))
 		}
 	}
-	c := newTest(t, testkit.NewState())
-	if got := c.submit(body(t, set("ref", "run-000002"))); got.Status != 201 {
+	c := newTestController(t, testkit.NewState())
+	if got := c.submit(jobBody(t, withField("ref", "run-000002"))); got.Status != 201 {
 		t.Fatal(got)
 	}
-	if got := c.submitPipeline(pipeline(t, "pipe-000001", 3, chain(3), nil)); got.Status != 400 {
+	if got := c.submitPipeline(pipelineBody(t, "pipe-000001", 3, chain(3), nil)); got.Status != 400 {
 		t.Errorf("with a job that is known: status %d, want 400", got.Status)
 	}
-	if got := c.submitPipeline(pipeline(t, "pipe-000002", 1, nil, nil)); got.Status != 201 {
+	if got := c.submitPipeline(pipelineBody(t, "pipe-000002", 1, nil, nil)); got.Status != 201 {
 		t.Errorf("its first job is not taken: status %d", got.Status)
 	}
-	if got := c.submitPipeline(pipeline(t, "pipe-000002", 1, nil, nil)); got.Status != 200 {
+	if got := c.submitPipeline(pipelineBody(t, "pipe-000002", 1, nil, nil)); got.Status != 200 {
 		t.Errorf("repeat: status %d, want 200", got.Status)
 	}
 }
 
 // Every job of a pipeline is known from the first answer on; a withdrawal ends
 // the pipeline and all its jobs for ever.
-func TestPipelineIsCancelledWhole(t *testing.T) {
+func TestCancelledPipelineCancelsItsJobs(t *testing.T) {
 	state := testkit.NewState()
-	c, other := newTest(t, state), newTest(t, state)
+	c, other := newTestController(t, state), newTestController(t, state)
 	if got := c.pipelineStatusQuery("pipe-000001"); got.Status != 404 {
 		t.Fatalf("unknown pipeline: %+v", got)
 	}
-	c.submitPipeline(pipeline(t, "pipe-000001", 3, [][2]int{{1, 2}, {2, 3}}, nil))
+	c.submitPipeline(pipelineBody(t, "pipe-000001", 3, [][2]int{{1, 2}, {2, 3}}, nil))
 	for i := 1; i <= 3; i++ {
 		if got := other.statusQuery(fmt.Sprintf("run-%06d", i)); got.Status != 200 || got.Body.(wire.Status).State != wire.Pending {
 			t.Errorf("job %d: %+v", i, got)
@@ -117,7 +117,7 @@
 	work := func() transport.Response {
 		return other.serveLocally("POST", "/pipelines/pipe-000001/withdraw", nil)
 	}
-	if got := owned(state, other, work); got.Status != 200 || got.Body.(wire.JobState).State != wire.Cancelled {
+	if got := serveAndEndCancelled(state, other, work); got.Status != 200 || got.Body.(wire.JobState).State != wire.Cancelled {
 		t.Fatalf("withdraw: %+v", got)
 	}
 	c.resetActiveJobs(nil, math.MaxUint64, time.Now())
@@ -126,7 +126,7 @@
 			t.Errorf("job %d after the withdrawal: %+v", i, got)
 		}
 	}
-	if got := c.submitPipeline(pipeline(t, "pipe-000001", 3, [][2]int{{1, 2}, {2, 3}}, nil)); got.Status != 200 || got.Body.(wire.JobState).State != wire.Cancelled {
+	if got := c.submitPipeline(pipelineBody(t, "pipe-000001", 3, [][2]int{{1, 2}, {2, 3}}, nil)); got.Status != 200 || got.Body.(wire.JobState).State != wire.Cancelled {
 		t.Errorf("repeat after the withdrawal: %+v", got)
 	}
 	state.Put(record.PipelineKey("pipe-000002"), record.Pipeline{Jobs: []string{"run-000009"}, State: wire.Done})
--- a/internal/controller/saturated_test.go
+++ b/internal/controller/saturated_test.go
@@ -42,7 +42,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		state := testkit.NewState()
 		state.Put(record.FinishedJobKey("run-000412"), record.FinishedJob{State: wire.Done, Tasks: 2})
-		c := newTest(t, state)
+		c := newTestController(t, state)
 		c.store = &saturatedState{state, 450 * time.Millisecond} // as long as who waits can
 		begun := time.Now()
 		got := c.statusQuery("run-000412")
@@ -55,16 +55,16 @@
 	})
 }
 
-// passedOn is another controller that counts the requests passed on to it.
-type passedOn struct{ n atomic.Int64 }
+// forwardCounter is another controller that counts the requests passed on to it.
+type forwardCounter struct{ n atomic.Int64 }
 
-func (p *passedOn) Call(string, any, any, time.Duration) error {
+func (p *forwardCounter) Call(string, any, any, time.Duration) error {
 	p.n.Add(1)
 	return peer.ErrTimeout
 }
 
 // A request is passed on as long as the other's answer can be in time for the user.
-func TestRequestsThatTookTooLongAreNotPassedOn(t *testing.T) {
+func TestLateRequestsAreNotForwarded(t *testing.T) {
 	for name, x := range map[string]struct {
 		method, path string
 		turn         time.Duration
@@ -81,12 +81,12 @@
 			synctest.Test(t, func(t *testing.T) {
 				state := testkit.NewState()
 				state.Down = true
-				c := newTest(t, state)
+				c := newTestController(t, state)
 				c.store = &saturatedState{state, x.turn}
 				if x.turn == 0 {
 					c.store = state // refuses without a wait
 				}
-				other := &passedOn{}
+				other := &forwardCounter{}
 				c.peers = map[string]peer.Caller{"c-1": other}
 				c.peerHealth.RecordCall("c-1", nil, true, time.Now())
 				if r := c.userAPI.Serve(httpwire.Request{Method: x.method, Path: x.path}); r.Status == 200 {
--- a/internal/controller/server_test.go
+++ b/internal/controller/server_test.go
@@ -10,8 +10,8 @@
 
 // Refused by the state service alone, or cut off from everybody but its
 // workers, a controller sends users elsewhere; when all are refused, it stays.
-func TestServes(t *testing.T) {
-	c := newTest(t, testkit.NewState())
+func TestServesUsers(t *testing.T) {
+	c := newTestController(t, testkit.NewState())
 	now := time.Now()
 	c.activeJobs.SetAsOf(now)
 	if !c.servesUsersLocked(now) {
--- a/internal/controller/store_test.go
+++ b/internal/controller/store_test.go
@@ -10,8 +10,8 @@
 
 // The guard against lost data takes the store's place after the components are built: what the
 // election and the member's lease ask of the store goes through it all the same.
-func TestElectionAndLeaseUseTheStoreOfTheMoment(t *testing.T) {
-	c := newTest(t, testkit.NewState())
+func TestElectionAndLeaseUseCurrentStore(t *testing.T) {
+	c := newTestController(t, testkit.NewState())
 	n := &tally{did: map[string]int{}}
 	c.store = countingStore{c.store, n}
 	c.election.Campaign(context.Background(), record.Versioned[record.Leader]{})
--- a/internal/controller/user_requests_test.go
+++ b/internal/controller/user_requests_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestSubmissions(t *testing.T) {
-	c := newTest(t, testkit.NewState())
+	c := newTestController(t, testkit.NewState())
 	for name, x := range map[string]struct {
 		body []byte
 		want int
@@ -26,19 +26,19 @@
 		"not JSON":        {[]byte("{"), 400},
 		"not an object":   {[]byte("[]"), 400},
 		"null":            {[]byte("null"), 400},
-		"field missing":   {body(t, drop("rank")), 400},
-		"field null":      {body(t, set("berries", nil)), 400},
-		"wrong type":      {body(t, set("cores", "8")), 400},
-		"unknown kind":    {body(t, set("habit", "x")), 400},
-		"bad id":          {body(t, set("ref", "job-1")), 400},
-		"no tasks":        {body(t, set("berries", 0)), 400},
-		"too many tasks":  {body(t, set("berries", 100001)), 400},
-		"negative amount": {body(t, set("cards", -1)), 400},
-		"unknown team":    {body(t, set("keeper", "zz")), 422},
-		"fits no machine": {body(t, set("cores", 17)), 422},
-		"unknown type":    {body(t, set("stocks", []string{"x"})), 422},
-		"above the limit": {body(t, func(m map[string]any) { m["habit"], m["berries"] = "ensemble", 5 }), 422},
-		"null may be missing": {body(t, func(m map[string]any) {
+		"field missing":   {jobBody(t, withoutField("rank")), 400},
+		"field null":      {jobBody(t, withField("berries", nil)), 400},
+		"wrong type":      {jobBody(t, withField("cores", "8")), 400},
+		"unknown kind":    {jobBody(t, withField("habit", "x")), 400},
+		"bad id":          {jobBody(t, withField("ref", "job-1")), 400},
+		"no tasks":        {jobBody(t, withField("berries", 0)), 400},
+		"too many tasks":  {jobBody(t, withField("berries", 100001)), 400},
+		"negative amount": {jobBody(t, withField("cards", -1)), 400},
+		"unknown team":    {jobBody(t, withField("keeper", "zz")), 422},
+		"fits no machine": {jobBody(t, withField("cores", 17)), 422},
+		"unknown type":    {jobBody(t, withField("stocks", []string{"x"})), 422},
+		"above the limit": {jobBody(t, func(m map[string]any) { m["habit"], m["berries"] = "ensemble", 5 }), 422},
+		"null may be missing": {jobBody(t, func(m map[string]any) {
 			delete(m, "stocks")
 			m["ref"] = "run-000001"
 		}), 201},
@@ -47,36 +47,36 @@
 			t.Errorf("%s: status %d, want %d", name, got.Status, x.want)
 		}
 	}
-	if got := c.submit(body(t, nil)); got.Status != 201 {
+	if got := c.submit(jobBody(t, nil)); got.Status != 201 {
 		t.Errorf("new: status %d, want 201", got.Status)
 	}
-	if got := c.submit(body(t, nil)); got.Status != 200 {
+	if got := c.submit(jobBody(t, nil)); got.Status != 200 {
 		t.Errorf("repeat: status %d, want 200", got.Status)
 	}
 	// A known job's repeat is never refused, whatever the settings say by now.
 	c.cfg.Params.Teams[0].GPUsMax = 0.5
-	if got := c.submit(body(t, nil)); got.Status != 200 {
+	if got := c.submit(jobBody(t, nil)); got.Status != 200 {
 		t.Errorf("repeat under new limits: status %d, want 200", got.Status)
 	}
 }
 
 func TestSubmissionOutcomes(t *testing.T) {
 	state := testkit.NewState()
-	c := newTest(t, state)
+	c := newTestController(t, state)
 	state.Down = true
-	if got := c.submit(body(t, nil)); got.Status != 503 || got.RetryAfter == 0 {
+	if got := c.submit(jobBody(t, nil)); got.Status != 503 || got.RetryAfter == 0 {
 		t.Fatalf("in an outage: %+v, want 503 with a time to come back", got)
 	}
 	state.Down = false
 	state.LoseAnswers = 1
-	if got := c.submit(body(t, nil)); got.Status != 503 {
+	if got := c.submit(jobBody(t, nil)); got.Status != 503 {
 		t.Fatalf("without the state service's answer: %+v, want 503", got)
 	}
-	if got := c.submit(body(t, nil)); got.Status != 200 {
+	if got := c.submit(jobBody(t, nil)); got.Status != 200 {
 		t.Fatalf("repeat: %+v, want 200", got)
 	}
 	setLeaseRenewed(c, time.Now().Add(-time.Minute))
-	if got := c.submit(body(t, set("ref", "run-000777"))); got.Status != 503 {
+	if got := c.submit(jobBody(t, withField("ref", "run-000777"))); got.Status != 503 {
 		t.Fatalf("long without the state service: %+v, want 503 at once", got)
 	}
 }
@@ -85,8 +85,8 @@
 // must not use the budget of changes, which acceptances and starts share.
 func TestRepeatedSubmissionWritesNothing(t *testing.T) {
 	state := testkit.NewState()
-	c, other := newTest(t, state), newTest(t, state)
-	if got := c.submit(body(t, nil)); got.Status != 201 {
+	c, other := newTestController(t, state), newTestController(t, state)
+	if got := c.submit(jobBody(t, nil)); got.Status != 201 {
 		t.Fatalf("new: %+v, want 201", got)
 	}
 	e, err := state.Get(context.Background(), statestore.Urgent("test"), record.ActiveJobKey("run-000412"))
@@ -96,7 +96,7 @@
 	other.applyActiveJobChange(e.Change(), time.Now())
 	state.HoldTxns = 2 // none may be asked for
 	for name, at := range map[string]*Controller{"where it was accepted": c, "elsewhere": other} {
-		if got := at.submit(body(t, nil)); got.Status != 200 || got.Body.(wire.JobState).State != wire.Pending {
+		if got := at.submit(jobBody(t, nil)); got.Status != 200 || got.Body.(wire.JobState).State != wire.Pending {
 			t.Errorf("repeat %s: %+v, want 200 and pending", name, got)
 		}
 	}
@@ -111,32 +111,32 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if got := other.submit(body(t, nil)); got.Status != 200 || got.Body.(wire.JobState).State != wire.Done {
+	if got := other.submit(jobBody(t, nil)); got.Status != 200 || got.Body.(wire.JobState).State != wire.Done {
 		t.Errorf("repeat after the end: %+v, want 200 and done", got)
 	}
 }
 
 func TestStatusQueryAndCancellation(t *testing.T) {
 	state := testkit.NewState()
-	c, other := newTest(t, state), newTest(t, state)
+	c, other := newTestController(t, state), newTestController(t, state)
 	if got := c.statusQuery("run-000412"); got.Status != 404 {
 		t.Fatalf("unknown job: %+v", got)
 	}
 	if got := c.cancel("run-000412"); got.Status != 404 {
 		t.Fatalf("cancel of an unknown job: %+v", got)
 	}
-	c.submit(body(t, nil))
+	c.submit(jobBody(t, nil))
 	if got := other.statusQuery("run-000412"); got.Status != 200 || got.Body.(wire.Status).State != wire.Pending {
 		t.Fatalf("accepted job elsewhere: %+v", got)
 	}
-	if got := owned(state, c, func() transport.Response { return c.cancel("run-000412") }); got.Status != 200 || got.Body.(wire.JobState).State != wire.Cancelled {
+	if got := serveAndEndCancelled(state, c, func() transport.Response { return c.cancel("run-000412") }); got.Status != 200 || got.Body.(wire.JobState).State != wire.Cancelled {
 		t.Fatalf("cancel: %+v", got)
 	}
 	// No controller says anything older from now on.
 	if got := other.statusQuery("run-000412"); got.Body.(wire.Status).State != wire.Cancelled {
 		t.Fatalf("poll elsewhere after the cancellation: %+v", got)
 	}
-	if got := other.submit(body(t, nil)); got.Status != 200 || got.Body.(wire.JobState).State != wire.Cancelled {
+	if got := other.submit(jobBody(t, nil)); got.Status != 200 || got.Body.(wire.JobState).State != wire.Cancelled {
 		t.Fatalf("repeat after the cancellation: %+v", got)
 	}
 	state.Down = true
@@ -149,8 +149,8 @@
 // cut off keeps its lease, and may run on for as long as the cut lasts.
 func TestCancellationIsAnsweredOnceTerminal(t *testing.T) {
 	state := testkit.NewState()
-	c, other := newTest(t, state), newTest(t, state)
-	c.submit(body(t, nil))
+	c, other := newTestController(t, state), newTestController(t, state)
+	c.submit(jobBody(t, nil))
 	e, err := state.Get(context.Background(), statestore.Urgent("test"), record.ActiveJobKey("run-000412"))
 	if err != nil {
 		t.Fatal(err)
@@ -166,7 +166,7 @@
 		if got := x.statusQuery("run-000412"); got.Status != 200 || got.Body.(wire.Status).State != wire.Pending {
 			t.Errorf("%s: poll answers %+v", name, got)
 		}
-		if got := x.submit(body(t, nil)); got.Status != 200 || got.Body.(wire.JobState).State != wire.Pending {
+		if got := x.submit(jobBody(t, nil)); got.Status != 200 || got.Body.(wire.JobState).State != wire.Pending {
 			t.Errorf("%s: a repeated submission answers %+v", name, got)
 		}
 	}
@@ -178,7 +178,7 @@
 			t.Error("not active though tasks still run")
 		}
 	}
-	if got := owned(state, c, func() transport.Response { return c.cancel("run-000412") }); got.Status != 200 || got.Body.(wire.JobState).State != wire.Cancelled {
+	if got := serveAndEndCancelled(state, c, func() transport.Response { return c.cancel("run-000412") }); got.Status != 200 || got.Body.(wire.JobState).State != wire.Cancelled {
 		t.Errorf("cancel: %+v", got)
 	}
 }
@@ -186,7 +186,7 @@
 // A done job stays done: its cancellation answers so and changes nothing.
 func TestCancellationOfDoneJobChangesNothing(t *testing.T) {
 	state := testkit.NewState()
-	c := newTest(t, state)
+	c := newTestController(t, state)
 	state.Put(record.FinishedJobKey("run-000009"), record.FinishedJob{State: wire.Done, Tasks: 2})
 	if got := c.cancel("run-000009"); got.Body.(wire.JobState).State != wire.Done {
 		t.Fatalf("got %+v", got)
@@ -197,7 +197,7 @@
 // by a controller that reaches it, and no further.
 func TestRequestIsForwarded(t *testing.T) {
 	state := testkit.NewState()
-	far := newTest(t, state)
+	far := newTestController(t, state)
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -206,9 +206,9 @@
 	go peer.Serve(ln, far, 2)
 	down := testkit.NewState()
 	down.Down = true
-	c := newTest(t, down)
+	c := newTestController(t, down)
 	c.peers["c-1"] = peer.NewClient(ln.Addr().String())
-	req := httpwire.Request{Method: "POST", Path: wire.JobsPath, Body: body(t, nil)}
+	req := httpwire.Request{Method: "POST", Path: wire.JobsPath, Body: jobBody(t, nil)}
 	if got := c.userAPI.Serve(req); got.Status != 503 {
 		t.Fatalf("with nobody known to reach the state service: %+v", got)
 	}
@@ -246,7 +246,7 @@
 			s.Outage(false)
 			return c
 		},
-		"restart": func(s *testkit.State, c *Controller) *Controller { return newTest(t, s) },
+		"restart": func(s *testkit.State, c *Controller) *Controller { return newTestController(t, s) },
 		"take over": func(s *testkit.State, c *Controller) *Controller {
 			if err := c.shards.Acquire(ctx, 0, shardRecord(c, 0), 2); err != nil {
 				t.Error(err)
@@ -269,13 +269,13 @@
 	for a, first := range events {
 		for b, second := range events {
 			state := testkit.NewState()
-			c := newTest(t, state)
+			c := newTestController(t, state)
 			for i, ref := range []string{"run-000001", "run-000002", "run-000003"} {
-				if got := c.submit(body(t, set("ref", ref))); got.Status != 201 {
+				if got := c.submit(jobBody(t, withField("ref", ref))); got.Status != 201 {
 					t.Fatalf("%s: %+v", ref, got)
 				}
 				if i == 1 {
-					owned(state, c, func() transport.Response { return c.cancel(ref) })
+					serveAndEndCancelled(state, c, func() transport.Response { return c.cancel(ref) })
 				}
 			}
 			c = second(state, first(state, c))
--- a/internal/controller/view_watches_test.go
+++ b/internal/controller/view_watches_test.go
@@ -16,9 +16,9 @@
 // A reset applies a list: what it lacks is dropped, and may come again.
 func TestResetDropsWhatIsGone(t *testing.T) {
 	state := testkit.NewState()
-	c := newTest(t, state)
+	c := newTestController(t, state)
 	now := time.Now()
-	c.submit(body(t, nil))
+	c.submit(jobBody(t, nil))
 	e := state.Put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"m"}})
 	c.resetMachines([]wire.Entry{e}, e.Version, now)
 	if _, ok := c.machines.Machine("m"); !ok || len(c.activeJobs.Jobs()) != 1 {
@@ -41,7 +41,7 @@
 func TestResetKeepsMachinesOfAcquiredShard(t *testing.T) {
 	ctx := context.Background()
 	state := testkit.NewState()
-	c := newTest(t, state)
+	c := newTestController(t, state)
 	now := time.Now()
 	provision := func(name, id string) wire.Entry {
 		return state.Put(record.ProvisionKey(name), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{id}})
@@ -89,7 +89,7 @@
 // Where a watch has missed changes, its view is reset from a new list.
 func TestMissedChangesResetTheView(t *testing.T) {
 	state := testkit.NewState()
-	c := newTest(t, state)
+	c := newTestController(t, state)
 	c.store = &forgetful{state, 2}
 	state.Put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"m"}})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/controller/withheld_test.go
+++ b/internal/controller/withheld_test.go
@@ -45,9 +45,9 @@
 	return s.State.Get(ctx, purpose, key)
 }
 
-// ownerOfOne returns a controller that owns a machine without an address, so that starts
+// newOwnerOfOneMachine returns a controller that owns a machine without an address, so that starts
 // ride on answers to its reports, and what brings the next of those.
-func ownerOfOne(t *testing.T, state *testkit.State, store statestore.Store) (c *Controller, starts func() int) {
+func newOwnerOfOneMachine(t *testing.T, state *testkit.State, store statestore.Store) (c *Controller, starts func() int) {
 	t.Helper()
 	c = ownerForTest(t, state, store)
 	e := state.Put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"m"}})
@@ -68,7 +68,7 @@
 // submitOne submits a job of one task.
 func submitOne(t *testing.T, c *Controller) {
 	t.Helper()
-	if got := c.submit(body(t, func(m map[string]any) { m["berries"] = 1 })); got.Status != 201 {
+	if got := c.submit(jobBody(t, func(m map[string]any) { m["berries"] = 1 })); got.Status != 201 {
 		t.Fatalf("submission: %+v", got)
 	}
 }
@@ -80,7 +80,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		state := testkit.NewState()
 		store := &lossyState{State: state}
-		c, starts := ownerOfOne(t, state, store)
+		c, starts := newOwnerOfOneMachine(t, state, store)
 		submitOne(t, c)
 		for starts() == 0 {
 			time.Sleep(10 * time.Millisecond)
@@ -99,7 +99,7 @@
 func TestStartsAreWithheldWithoutAView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		state := testkit.NewState()
-		c, starts := ownerOfOne(t, state, state)
+		c, starts := newOwnerOfOneMachine(t, state, state)
 		submitOne(t, c)
 		for starts() == 0 { // until the start is recorded
 			time.Sleep(10 * time.Millisecond)
