--- a/internal/controller/drains_failures_test.go
+++ b/internal/controller/drains_failures_test.go
@@ -75,18 +75,18 @@
 			k.world.State.Refuse(owner, false)
 		})
 	})
-	for name, fate := range map[string]testkit.Fate{"lost": {Lost: true}, "late": {Late: 7 * time.Second}} {
+	for name, fate := range map[string]testkit.TxnFault{"lost": {Lost: true}, "late": {Late: 7 * time.Second}} {
 		t.Run(name, func(t *testing.T) {
 			runDrainDuringFault(t, func(k *drainCluster) {
 				var n atomic.Int64
-				k.world.State.Decide(func(_ string, w wire.Txn) testkit.Fate {
+				k.world.State.Decide(func(_ string, w wire.Txn) testkit.TxnFault {
 					if !writes(w, drain.LedgerPrefix) {
-						return testkit.Fate{}
+						return testkit.TxnFault{}
 					}
 					if n.Add(1)%2 == 1 {
 						return fate
 					}
-					return testkit.Fate{}
+					return testkit.TxnFault{}
 				})
 				k.awaitGrant()
 				time.Sleep(2 * time.Minute)
@@ -201,14 +201,14 @@
 		m.Hang(false)
 	},
 	func(k *drainCluster, r *rand.Rand) {
-		k.world.State.Decide(func(_ string, w wire.Txn) testkit.Fate {
+		k.world.State.Decide(func(_ string, w wire.Txn) testkit.TxnFault {
 			switch {
 			case !writes(w, drain.Prefix) || r.IntN(2) == 0:
-				return testkit.Fate{}
+				return testkit.TxnFault{}
 			case r.IntN(2) == 0:
-				return testkit.Fate{Lost: true}
+				return testkit.TxnFault{Lost: true}
 			}
-			return testkit.Fate{Late: time.Duration(r.IntN(20000)) * time.Millisecond}
+			return testkit.TxnFault{Late: time.Duration(r.IntN(20000)) * time.Millisecond}
 		})
 		k.world.Sleep(30 * time.Second)
 		k.world.State.Decide(nil)
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -108,17 +108,17 @@
 // The same while writes of placements get no answer or are applied late, so that a start is
 // recorded, or about to be, when its job is cancelled.
 func TestRefusedAloneThenOutageWithLateWrites(t *testing.T) {
-	for name, fate := range map[string]testkit.Fate{"lost": {Lost: true}, "late": {Late: 5 * time.Second}} {
+	for name, fate := range map[string]testkit.TxnFault{"lost": {Lost: true}, "late": {Late: 5 * time.Second}} {
 		t.Run(name, func(t *testing.T) {
 			runOnAllLayouts(t, func(k *cluster) {
 				var affected atomic.Bool
 				refusedAloneThenOutage(k, 6*time.Second, func(owner string) {
-					k.world.State.Decide(func(from string, w wire.Txn) testkit.Fate {
+					k.world.State.Decide(func(from string, w wire.Txn) testkit.TxnFault {
 						if writes(w, record.PlacementsPrefix) {
 							affected.Store(true)
 							return fate
 						}
-						return testkit.Fate{}
+						return testkit.TxnFault{}
 					})
 					k.submit(spec(ref(firstFreeJob+1), "wide", func(s *wire.Spec) { s.Tasks = 3 }), longRun)
 					k.await(time.Minute, "a start's record without an answer", affected.Load)
@@ -159,12 +159,12 @@
 		k.world.Boot(time.Second, false)
 		n := 0
 		var late atomic.Int64
-		k.world.State.Decide(func(_ string, w wire.Txn) testkit.Fate {
+		k.world.State.Decide(func(_ string, w wire.Txn) testkit.TxnFault {
 			if n++; len(w.Then) > 0 && n%4 == 0 && !writes(w, record.ClusterPrefix) {
 				late.Add(1)
-				return testkit.Fate{Late: time.Duration(2+n%9) * time.Second}
+				return testkit.TxnFault{Late: time.Duration(2+n%9) * time.Second}
 			}
-			return testkit.Fate{}
+			return testkit.TxnFault{}
 		})
 		before := len(k.world.Machines())
 		for i := range 4 {
@@ -185,15 +185,15 @@
 // A transaction without an answer is applied late, after newer ones of the same controller; or it
 // is applied at once, and other controllers read what it wrote.
 func TestTransactionsWithoutAnswer(t *testing.T) {
-	for name, fate := range map[string]func(n int) testkit.Fate{
-		"late":    func(n int) testkit.Fate { return testkit.Fate{Late: time.Duration(2+n%11) * time.Second} },
-		"at once": func(int) testkit.Fate { return testkit.Fate{Lost: true} },
+	for name, fate := range map[string]func(n int) testkit.TxnFault{
+		"late":    func(n int) testkit.TxnFault { return testkit.TxnFault{Late: time.Duration(2+n%11) * time.Second} },
+		"at once": func(int) testkit.TxnFault { return testkit.TxnFault{Lost: true} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
 				n, affected := map[string]int{}, map[string]int{}
-				k.world.State.Decide(func(_ string, w wire.Txn) testkit.Fate {
+				k.world.State.Decide(func(_ string, w wire.Txn) testkit.TxnFault {
 					for _, p := range []string{record.ActiveJobPrefix, record.FinishedJobPrefix, record.PlacementsPrefix, record.FleetPrefix, record.ClusterPrefix} {
 						if !writes(w, p) {
 							continue
@@ -203,7 +203,7 @@
 							return fate(n[p])
 						}
 					}
-					return testkit.Fate{}
+					return testkit.TxnFault{}
 				})
 				for i := range 12 {
 					k.submitInBackground(spec(ref(firstFreeJob+i), []string{"wide", "tight", "other"}[i%3], func(s *wire.Spec) { s.Tasks = 1 + i%3 }), shortRun)
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -81,11 +81,11 @@
 	}},
 	{"late writes", func(k *cluster, r *rand.Rand) func() {
 		n, every, lost := 0, 2+r.IntN(4), r.IntN(2) == 0
-		k.world.State.Decide(func(string, wire.Txn) testkit.Fate {
+		k.world.State.Decide(func(string, wire.Txn) testkit.TxnFault {
 			if n++; n%every != 0 {
-				return testkit.Fate{}
+				return testkit.TxnFault{}
 			}
-			return testkit.Fate{Lost: lost, Late: time.Duration(2+n%11) * time.Second}
+			return testkit.TxnFault{Lost: lost, Late: time.Duration(2+n%11) * time.Second}
 		})
 		return func() { k.world.State.Decide(nil) }
 	}},
--- a/internal/controller/restarts_test.go
+++ b/internal/controller/restarts_test.go
@@ -152,8 +152,8 @@
 func TestAllEndInABatch(t *testing.T) {
 	phases := map[string]func(k *cluster){
 		"before the write": func(k *cluster) {
-			k.world.State.Decide(func(_ string, w wire.Txn) testkit.Fate {
-				return testkit.Fate{Refused: writes(w, record.PlacementsPrefix)}
+			k.world.State.Decide(func(_ string, w wire.Txn) testkit.TxnFault {
+				return testkit.TxnFault{Refused: writes(w, record.PlacementsPrefix)}
 			})
 			k.submitBacklog()
 			time.Sleep(3 * time.Second)
--- a/internal/testkit/service.go
+++ b/internal/testkit/service.go
@@ -10,8 +10,8 @@
 	"bramblespur/internal/wire"
 )
 
-// Fate is what becomes of a transaction.
-type Fate struct {
+// TxnFault is what becomes of a transaction.
+type TxnFault struct {
 	Refused bool          // 503, not carried out
 	Lost    bool          // carried out at once, without an answer
 	Late    time.Duration // carried out so much later, without an answer; 0: at once
@@ -30,7 +30,7 @@
 	leases  map[uint64]*lease
 	changed chan struct{} // closed at the next change
 	slow    time.Duration
-	fate    func(from string, t wire.Txn) Fate
+	fate    func(from string, t wire.Txn) TxnFault
 	writes  []Write
 	observe Observer
 }
@@ -106,7 +106,7 @@
 }
 
 // Decide sets what becomes of transactions, nil for nothing special.
-func (s *Service) Decide(fate func(from string, t wire.Txn) Fate) {
+func (s *Service) Decide(fate func(from string, t wire.Txn) TxnFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fate = fate
@@ -278,11 +278,11 @@
 	if err := l.begin(ctx); err != nil {
 		return 0, err
 	}
-	var f Fate
+	var f TxnFault
 	if l.s.fate != nil {
 		f = l.s.fate(l.label, t)
 	}
-	if l.s.observe != nil && f != (Fate{}) {
+	if l.s.observe != nil && f != (TxnFault{}) {
 		l.s.observe("fate of the next transaction", "from", l.label, "fate", f, "then", t.Then)
 	}
 	switch {
