--- a/internal/controller/drains_failures_test.go
+++ b/internal/controller/drains_failures_test.go
@@ -75,7 +75,7 @@
 			k.world.State.Refuse(owner, false)
 		})
 	})
-	for name, fate := range map[string]testkit.TxnFault{"lost": {Lost: true}, "late": {Late: 7 * time.Second}} {
+	for name, fate := range map[string]testkit.TxnFault{"lost": {AnswerLost: true}, "late": {Late: 7 * time.Second}} {
 		t.Run(name, func(t *testing.T) {
 			runDrainDuringFault(t, func(k *drainCluster) {
 				var n atomic.Int64
@@ -206,7 +206,7 @@
 			case !writes(w, drain.Prefix) || r.IntN(2) == 0:
 				return testkit.TxnFault{}
 			case r.IntN(2) == 0:
-				return testkit.TxnFault{Lost: true}
+				return testkit.TxnFault{AnswerLost: true}
 			}
 			return testkit.TxnFault{Late: time.Duration(r.IntN(20000)) * time.Millisecond}
 		})
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -108,7 +108,7 @@
 // The same while writes of placements get no answer or are applied late, so that a start is
 // recorded, or about to be, when its job is cancelled.
 func TestRefusedAloneThenOutageWithLateWrites(t *testing.T) {
-	for name, fate := range map[string]testkit.TxnFault{"lost": {Lost: true}, "late": {Late: 5 * time.Second}} {
+	for name, fate := range map[string]testkit.TxnFault{"lost": {AnswerLost: true}, "late": {Late: 5 * time.Second}} {
 		t.Run(name, func(t *testing.T) {
 			runOnAllLayouts(t, func(k *cluster) {
 				var affected atomic.Bool
@@ -187,7 +187,7 @@
 func TestTransactionsWithoutAnswer(t *testing.T) {
 	for name, fate := range map[string]func(n int) testkit.TxnFault{
 		"late":    func(n int) testkit.TxnFault { return testkit.TxnFault{Late: time.Duration(2+n%11) * time.Second} },
-		"at once": func(int) testkit.TxnFault { return testkit.TxnFault{Lost: true} },
+		"at once": func(int) testkit.TxnFault { return testkit.TxnFault{AnswerLost: true} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			runOnAllLayouts(t, func(k *cluster) {
--- a/internal/testkit/service.go
+++ b/internal/testkit/service.go
@@ -12,9 +12,9 @@
 
 // TxnFault is what becomes of a transaction.
 type TxnFault struct {
-	Refused bool          // 503, not carried out
-	Lost    bool          // carried out at once, without an answer
-	Late    time.Duration // carried out so much later, without an answer; 0: at once
+	Refused    bool          // 503, not carried out
+	AnswerLost bool          // carried out at once, without an answer
+	Late       time.Duration // carried out so much later, without an answer; 0: at once
 }
 
 // Service is a state service whose leases end and whose watches wait, with
@@ -289,7 +289,7 @@
 	case f.Refused:
 		l.s.mu.Unlock()
 		return 0, statestore.ErrRefused
-	case f.Lost:
+	case f.AnswerLost:
 		l.s.apply(l.label, t)
 		l.s.mu.Unlock()
 		l.wait(ctx, serviceTimeout)
