--- a/internal/controller/drains_failures_test.go
+++ b/internal/controller/drains_failures_test.go
@@ -75,7 +75,7 @@
 			k.world.State.Refuse(owner, false)
 		})
 	})
-	for name, fate := range map[string]testkit.TxnFault{"lost": {AnswerLost: true}, "late": {Late: 7 * time.Second}} {
+	for name, fate := range map[string]testkit.TxnFault{"lost": {AnswerLost: true}, "late": {Delay: 7 * time.Second}} {
 		t.Run(name, func(t *testing.T) {
 			runDrainDuringFault(t, func(k *drainCluster) {
 				var n atomic.Int64
@@ -208,7 +208,7 @@
 			case r.IntN(2) == 0:
 				return testkit.TxnFault{AnswerLost: true}
 			}
-			return testkit.TxnFault{Late: time.Duration(r.IntN(20000)) * time.Millisecond}
+			return testkit.TxnFault{Delay: time.Duration(r.IntN(20000)) * time.Millisecond}
 		})
 		k.world.Sleep(30 * time.Second)
 		k.world.State.Decide(nil)
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -108,7 +108,7 @@
 // The same while writes of placements get no answer or are applied late, so that a start is
 // recorded, or about to be, when its job is cancelled.
 func TestRefusedAloneThenOutageWithLateWrites(t *testing.T) {
-	for name, fate := range map[string]testkit.TxnFault{"lost": {AnswerLost: true}, "late": {Late: 5 * time.Second}} {
+	for name, fate := range map[string]testkit.TxnFault{"lost": {AnswerLost: true}, "late": {Delay: 5 * time.Second}} {
 		t.Run(name, func(t *testing.T) {
 			runOnAllLayouts(t, func(k *cluster) {
 				var affected atomic.Bool
@@ -162,7 +162,7 @@
 		k.world.State.Decide(func(_ string, w wire.Txn) testkit.TxnFault {
 			if n++; len(w.Then) > 0 && n%4 == 0 && !writes(w, record.ClusterPrefix) {
 				late.Add(1)
-				return testkit.TxnFault{Late: time.Duration(2+n%9) * time.Second}
+				return testkit.TxnFault{Delay: time.Duration(2+n%9) * time.Second}
 			}
 			return testkit.TxnFault{}
 		})
@@ -186,7 +186,7 @@
 // is applied at once, and other controllers read what it wrote.
 func TestTransactionsWithoutAnswer(t *testing.T) {
 	for name, fate := range map[string]func(n int) testkit.TxnFault{
-		"late":    func(n int) testkit.TxnFault { return testkit.TxnFault{Late: time.Duration(2+n%11) * time.Second} },
+		"late":    func(n int) testkit.TxnFault { return testkit.TxnFault{Delay: time.Duration(2+n%11) * time.Second} },
 		"at once": func(int) testkit.TxnFault { return testkit.TxnFault{AnswerLost: true} },
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -85,7 +85,7 @@
 			if n++; n%every != 0 {
 				return testkit.TxnFault{}
 			}
-			return testkit.TxnFault{AnswerLost: lost, Late: time.Duration(2+n%11) * time.Second}
+			return testkit.TxnFault{AnswerLost: lost, Delay: time.Duration(2+n%11) * time.Second}
 		})
 		return func() { k.world.State.Decide(nil) }
 	}},
--- a/internal/testkit/service.go
+++ b/internal/testkit/service.go
@@ -14,7 +14,7 @@
 type TxnFault struct {
 	Refused    bool          // 503, not carried out
 	AnswerLost bool          // carried out at once, without an answer
-	Late       time.Duration // carried out so much later, without an answer; 0: at once
+	Delay      time.Duration // carried out so much later, without an answer; 0: at once
 }
 
 // Service is a state service whose leases end and whose watches wait, with
@@ -294,8 +294,8 @@
 		l.s.mu.Unlock()
 		l.wait(ctx, serviceTimeout)
 		return 0, ErrLost
-	case f.Late > 0:
-		time.AfterFunc(f.Late, func() {
+	case f.Delay > 0:
+		time.AfterFunc(f.Delay, func() {
 			l.s.mu.Lock()
 			defer l.s.mu.Unlock()
 			l.s.apply(l.label, t)
