--- a/internal/controller/drains_failures_test.go
+++ b/internal/controller/drains_failures_test.go
@@ -79,7 +79,7 @@
 		t.Run(name, func(t *testing.T) {
 			runDrainDuringFault(t, func(k *drainCluster) {
 				var n atomic.Int64
-				k.world.State.Decide(func(_ string, w wire.Txn) testkit.TxnFault {
+				k.world.State.InjectTxnFaults(func(_ string, w wire.Txn) testkit.TxnFault {
 					if !writes(w, drain.LedgerPrefix) {
 						return testkit.TxnFault{}
 					}
@@ -91,7 +91,7 @@
 				k.awaitGrant()
 				time.Sleep(2 * time.Minute)
 				k.requireOccurred(n.Load() > 1, "writes of ledgers get no answer")
-				k.world.State.Decide(nil)
+				k.world.State.InjectTxnFaults(nil)
 			})
 		})
 	}
@@ -201,7 +201,7 @@
 		m.Hang(false)
 	},
 	func(k *drainCluster, r *rand.Rand) {
-		k.world.State.Decide(func(_ string, w wire.Txn) testkit.TxnFault {
+		k.world.State.InjectTxnFaults(func(_ string, w wire.Txn) testkit.TxnFault {
 			switch {
 			case !writes(w, drain.Prefix) || r.IntN(2) == 0:
 				return testkit.TxnFault{}
@@ -211,7 +211,7 @@
 			return testkit.TxnFault{Delay: time.Duration(r.IntN(20000)) * time.Millisecond}
 		})
 		k.world.Sleep(30 * time.Second)
-		k.world.State.Decide(nil)
+		k.world.State.InjectTxnFaults(nil)
 	},
 	func(k *drainCluster, r *rand.Rand) {
 		earlier := k.heartbeats()
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -113,7 +113,7 @@
 			runOnAllLayouts(t, func(k *cluster) {
 				var affected atomic.Bool
 				refusedAloneThenOutage(k, 6*time.Second, func(owner string) {
-					k.world.State.Decide(func(from string, w wire.Txn) testkit.TxnFault {
+					k.world.State.InjectTxnFaults(func(from string, w wire.Txn) testkit.TxnFault {
 						if writes(w, record.PlacementsPrefix) {
 							affected.Store(true)
 							return fate
@@ -159,7 +159,7 @@
 		k.world.Boot(time.Second, false)
 		n := 0
 		var late atomic.Int64
-		k.world.State.Decide(func(_ string, w wire.Txn) testkit.TxnFault {
+		k.world.State.InjectTxnFaults(func(_ string, w wire.Txn) testkit.TxnFault {
 			if n++; len(w.Then) > 0 && n%4 == 0 && !writes(w, record.ClusterPrefix) {
 				late.Add(1)
 				return testkit.TxnFault{Delay: time.Duration(2+n%9) * time.Second}
@@ -178,7 +178,7 @@
 		k.requireOccurred(len(k.world.Machines()) > before && late.Load() > 0, "machines come up while writes lag")
 		k.startMissing()
 		time.Sleep(20 * time.Second)
-		k.world.State.Decide(nil)
+		k.world.State.InjectTxnFaults(nil)
 	})
 }
 
@@ -193,7 +193,7 @@
 			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
 				n, affected := map[string]int{}, map[string]int{}
-				k.world.State.Decide(func(_ string, w wire.Txn) testkit.TxnFault {
+				k.world.State.InjectTxnFaults(func(_ string, w wire.Txn) testkit.TxnFault {
 					for _, p := range []string{record.ActiveJobPrefix, record.FinishedJobPrefix, record.PlacementsPrefix, record.FleetPrefix, record.ClusterPrefix} {
 						if !writes(w, p) {
 							continue
@@ -218,7 +218,7 @@
 				confirmed := k.cancelAll(arrayJob, gangJob)
 				k.startMissing()
 				time.Sleep(30 * time.Second)
-				k.world.State.Decide(nil)
+				k.world.State.InjectTxnFaults(nil)
 				for _, p := range []string{record.ActiveJobPrefix, record.FinishedJobPrefix, record.PlacementsPrefix} {
 					k.requireOccurred(affected[p] > 0, "writes of "+p+" without an answer")
 				}
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -81,13 +81,13 @@
 	}},
 	{"late writes", func(k *cluster, r *rand.Rand) func() {
 		n, every, lost := 0, 2+r.IntN(4), r.IntN(2) == 0
-		k.world.State.Decide(func(string, wire.Txn) testkit.TxnFault {
+		k.world.State.InjectTxnFaults(func(string, wire.Txn) testkit.TxnFault {
 			if n++; n%every != 0 {
 				return testkit.TxnFault{}
 			}
 			return testkit.TxnFault{AnswerLost: lost, Delay: time.Duration(2+n%11) * time.Second}
 		})
-		return func() { k.world.State.Decide(nil) }
+		return func() { k.world.State.InjectTxnFaults(nil) }
 	}},
 	{"late reports", func(k *cluster, r *rand.Rand) func() {
 		earlier := k.heartbeats()
--- a/internal/controller/restarts_test.go
+++ b/internal/controller/restarts_test.go
@@ -152,7 +152,7 @@
 func TestAllEndInABatch(t *testing.T) {
 	phases := map[string]func(k *cluster){
 		"before the write": func(k *cluster) {
-			k.world.State.Decide(func(_ string, w wire.Txn) testkit.TxnFault {
+			k.world.State.InjectTxnFaults(func(_ string, w wire.Txn) testkit.TxnFault {
 				return testkit.TxnFault{Refused: writes(w, record.PlacementsPrefix)}
 			})
 			k.submitBacklog()
@@ -182,7 +182,7 @@
 			runRestarts(t, func(k *cluster, r *rand.Rand) {
 				phase(k)
 				k.crashAll()
-				k.world.State.Decide(nil)
+				k.world.State.InjectTxnFaults(nil)
 				time.Sleep(time.Duration(200+r.IntN(6000)) * time.Millisecond)
 				k.startInRandomOrder(r)
 			})
--- a/internal/testkit/service.go
+++ b/internal/testkit/service.go
@@ -105,8 +105,8 @@
 	s.slow = d
 }
 
-// Decide sets what becomes of transactions, nil for nothing special.
-func (s *Service) Decide(fate func(from string, t wire.Txn) TxnFault) {
+// InjectTxnFaults sets what becomes of transactions, nil for nothing special.
+func (s *Service) InjectTxnFaults(fate func(from string, t wire.Txn) TxnFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fate = fate
--- a/internal/testkit/world.go
+++ b/internal/testkit/world.go
@@ -336,7 +336,7 @@
 // Mend ends every trouble of the network, the state service and the machines.
 func (w *World) Mend() {
 	w.Net.Heal()
-	w.State.Decide(nil)
+	w.State.InjectTxnFaults(nil)
 	w.State.Outage(false)
 	w.State.Slow(0)
 	for _, label := range w.labels {
