--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -207,7 +207,7 @@
 // does not answer for a job or the checker found a violation.
 func (k *cluster) settle() {
 	k.t.Helper()
-	k.world.Mend()
+	k.world.ClearFaults()
 	k.startMissing()
 	k.checker.Calm(true)
 	time.Sleep(settleFor)
--- a/internal/controller/drains_failures_test.go
+++ b/internal/controller/drains_failures_test.go
@@ -250,7 +250,7 @@
 		k.scriptLog = append(k.scriptLog, time.Now().Format("15:04:05"))
 		drainFaults[r.IntN(len(drainFaults))](k, r)
 	}
-	k.world.Mend()
+	k.world.ClearFaults()
 	k.startMissing()
 	for _, name := range []string{"types", "zone"} {
 		k.awaitFinished(name, 2*time.Hour)
--- a/internal/controller/restarts_test.go
+++ b/internal/controller/restarts_test.go
@@ -61,7 +61,7 @@
 		time.Sleep(20 * time.Second) // the rate limit of this start ends
 		script(k)
 		k.requireOccurred(!k.allEndedAt.IsZero(), "all controllers crash")
-		k.world.Mend()
+		k.world.ClearFaults()
 		k.startMissing()
 		restarted := time.Now()
 		k.await(3*time.Minute, "the end of all reconciliations", func() bool { return k.allReconciled() })
--- a/internal/testkit/world.go
+++ b/internal/testkit/world.go
@@ -333,8 +333,8 @@
 	}
 }
 
-// Mend ends every trouble of the network, the state service and the machines.
-func (w *World) Mend() {
+// ClearFaults ends every trouble of the network, the state service and the machines.
+func (w *World) ClearFaults() {
 	w.Net.Heal()
 	w.State.InjectTxnFaults(nil)
 	w.State.Outage(false)
