--- a/cmd/bramblespur/loopback_test.go
+++ b/cmd/bramblespur/loopback_test.go
@@ -142,7 +142,7 @@
 	types := []wire.MachineType{{Name: "big", CPUs: 16, GPUs: 2, MemoryGB: 64, CacheGB: 100, FetchGBps: 1, Price: 5, SpotPrice: 2, BootS: 2, Zones: []string{"a", "b"}}}
 	l.checker = testkit.NewChecker(nil, timing.Cancel)
 	l.world = testkit.NewWorld(loopbackLabels, types, timing, l.checker, seed)
-	l.world.Boot(time.Second, false)
+	l.world.SetBoot(time.Second, false)
 	stopWorkers := l.world.ServeWorkers()
 	cloud := httptest.NewServer(l.world.CloudHTTP())
 	l.configure(cloud, size)
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -94,7 +94,7 @@
 		k.submit(spec(ref(firstFreeJob), "other", func(s *wire.Spec) { s.Tasks = 8 }), longRun)
 		k.awaitRunning(ref(firstFreeJob), 8)
 		before := k.machinesTakingWork()
-		k.world.Boot(time.Hour, false)
+		k.world.SetBoot(time.Hour, false)
 		k.submit(spec(ref(firstFreeJob+1), "other", func(s *wire.Spec) { s.Tasks = 24 }), longRun)
 		time.Sleep(10 * time.Second) // machines are provisioned for it
 		k.requestDrain("zone", func(p *drain.Plan) { p.Selector.Zones, p.MaxConcurrent = []string{"a"}, 50 })
@@ -109,7 +109,7 @@
 			}
 		}
 		k.requireOccurred(len(k.cordons()) > 0, "machines are cordoned")
-		k.world.Boot(5*time.Second, false)
+		k.world.SetBoot(5*time.Second, false)
 		k.awaitFinished("types", 2*time.Hour)
 	})
 }
@@ -120,7 +120,7 @@
 		k.loadEvenly()
 		k.submit(spec(ref(firstFreeJob), "other", func(s *wire.Spec) { s.Tasks = 20 }), longRun)
 		k.awaitRunning(ref(firstFreeJob), 20)
-		k.world.Boot(5*time.Second, true)
+		k.world.SetBoot(5*time.Second, true)
 		k.submit(spec(ref(firstFreeJob+1), "other", func(s *wire.Spec) { s.Tasks = 8 }), longRun) // takes all capacity that becomes free
 		time.Sleep(10 * time.Second)
 		k.requestDrain("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
@@ -128,7 +128,7 @@
 		if got := k.drainRecords(); !strings.Contains(got, string(drain.HoldNoCapacity)) || k.grantedEvictions() > 1 {
 			k.t.Errorf("%d evictions without a replacement, want the drain held for lack of capacity: %s", k.grantedEvictions(), got)
 		}
-		k.world.Boot(5*time.Second, false)
+		k.world.SetBoot(5*time.Second, false)
 		k.awaitFinished("all", 4*time.Hour)
 	})
 }
--- a/internal/controller/fault_combinations_links_test.go
+++ b/internal/controller/fault_combinations_links_test.go
@@ -87,7 +87,7 @@
 func TestMoreWorkThanCapacityOverSlowLinks(t *testing.T) {
 	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
-		k.world.Boot(5*time.Second, true)
+		k.world.SetBoot(5*time.Second, true)
 		k.world.Net.Slow(700 * time.Millisecond)
 		for i := range 12 {
 			k.submitInBackground(spec(ref(firstFreeJob+i), []string{"wide", "other"}[i%2], func(s *wire.Spec) {
@@ -102,7 +102,7 @@
 		confirmed := k.cancelAll(firstFreeJob, firstFreeJob+1, arrayJob)
 		time.Sleep(40 * time.Second)
 		k.world.Net.Slow(0)
-		k.world.Boot(5*time.Second, false)
+		k.world.SetBoot(5*time.Second, false)
 		k.await(k.timing.Cancel, "the cancellations", confirmed)
 	})
 }
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -156,7 +156,7 @@
 func TestNewMachinesWhileWritesLag(t *testing.T) {
 	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
-		k.world.Boot(time.Second, false)
+		k.world.SetBoot(time.Second, false)
 		n := 0
 		var late atomic.Int64
 		k.world.State.InjectTxnFaults(func(_ string, w wire.Txn) testkit.TxnFault {
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -104,12 +104,12 @@
 		return func() { k.world.State.Slow(0) }
 	}},
 	{"quick boots", func(k *cluster, _ *rand.Rand) func() {
-		k.world.Boot(500*time.Millisecond, false)
+		k.world.SetBoot(500*time.Millisecond, false)
 		return nil
 	}},
 	{"no capacity", func(k *cluster, _ *rand.Rand) func() {
-		k.world.Boot(5*time.Second, true)
-		return func() { k.world.Boot(5*time.Second, false) }
+		k.world.SetBoot(5*time.Second, true)
+		return func() { k.world.SetBoot(5*time.Second, false) }
 	}},
 }
 
--- a/internal/testkit/cloud.go
+++ b/internal/testkit/cloud.go
@@ -88,8 +88,8 @@
 	})
 }
 
-// Boot sets how long machines take to come up, and whether there are any.
-func (w *World) Boot(d time.Duration, full bool) {
+// SetBoot sets how long machines take to come up, and whether there are any.
+func (w *World) SetBoot(d time.Duration, full bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.boot, w.full = d, full
