--- a/cmd/bramblespur/loopback_recover_test.go
+++ b/cmd/bramblespur/loopback_recover_test.go
@@ -55,7 +55,7 @@
 	for n := range jobs {
 		l.submitLater(loopbackJob(n), testkit.Length{Run: time.Duration(5+15*(n%2)) * time.Second, Fetch: 200 * time.Millisecond})
 	}
-	l.waitFor("tasks running", func() bool { return len(l.world.On(loopbackJob(jobs-1).Ref)) > 0 })
+	l.waitFor("tasks running", func() bool { return len(l.world.MachinesOf(loopbackJob(jobs-1).Ref)) > 0 })
 	dir := filepath.Join(l.dir, "snapshots")
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
--- a/cmd/bramblespur/loopback_restart_test.go
+++ b/cmd/bramblespur/loopback_restart_test.go
@@ -28,7 +28,7 @@
 	for n := range jobs {
 		submit(n)
 	}
-	l.waitFor("tasks running", func() bool { return len(l.world.On(loopbackJob(0).Ref)) > 0 })
+	l.waitFor("tasks running", func() bool { return len(l.world.MachinesOf(loopbackJob(0).Ref)) > 0 })
 	r := rand.New(rand.NewPCG(seed, 1))
 	var killedAt time.Time
 	for round := range 2 {
--- a/cmd/bramblespur/loopback_test.go
+++ b/cmd/bramblespur/loopback_test.go
@@ -281,7 +281,7 @@
 	l.submitLater(spec, testkit.Length{Run: time.Hour, Fetch: 200 * time.Millisecond})
 	l.waitFor(spec.Ref+" running", func() bool {
 		n := 0
-		for _, m := range l.world.On(spec.Ref) {
+		for _, m := range l.world.MachinesOf(spec.Ref) {
 			for _, task := range m.Tasks() {
 				if strings.HasPrefix(task, spec.Ref+"/") {
 					n++
--- a/internal/controller/cluster_jobs_test.go
+++ b/internal/controller/cluster_jobs_test.go
@@ -79,7 +79,7 @@
 	k.t.Helper()
 	k.await(2*time.Minute, ref+" running", func() bool {
 		seen := 0
-		for _, m := range k.world.On(ref) {
+		for _, m := range k.world.MachinesOf(ref) {
 			for _, task := range m.Tasks() {
 				if strings.HasPrefix(task, ref+"/") {
 					seen++
@@ -88,7 +88,7 @@
 		}
 		return seen == n
 	})
-	return k.world.On(ref)
+	return k.world.MachinesOf(ref)
 }
 
 // Numbers of the jobs that load submits: an array, a gang and a service of long tasks, and an
--- a/internal/controller/fault_combinations_jobs_test.go
+++ b/internal/controller/fault_combinations_jobs_test.go
@@ -111,7 +111,7 @@
 		for i := range 3 {
 			var on []*testkit.Agent // a gang may have no machine for a moment after a machine of another job died
 			k.await(time.Minute, "a machine of the job", func() bool {
-				on = k.world.On(ref(firstFreeJob + i))
+				on = k.world.MachinesOf(ref(firstFreeJob + i))
 				return len(on) > 0
 			})
 			on[0].Die()
@@ -134,7 +134,7 @@
 func TestCancellationsAreAnsweredAtOnce(t *testing.T) {
 	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
-		on := k.world.On(ref(arrayJob))
+		on := k.world.MachinesOf(ref(arrayJob))
 		for _, m := range on {
 			m.Hang(true)
 		}
--- a/internal/controller/fault_combinations_links_test.go
+++ b/internal/controller/fault_combinations_links_test.go
@@ -17,7 +17,7 @@
 		t.Run(fmt.Sprintf("hold-%t", hold), func(t *testing.T) {
 			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
-				zone := k.world.On(ref(arrayJob))[0].Zone
+				zone := k.world.MachinesOf(ref(arrayJob))[0].Zone
 				inside := k.inZone(zone)
 				heal := k.isolateZone(zone, hold)
 				confirmed := k.cancelAll(arrayJob, serviceJob)
--- a/internal/controller/fault_combinations_restarts_test.go
+++ b/internal/controller/fault_combinations_restarts_test.go
@@ -38,7 +38,7 @@
 		t.Run(name, func(t *testing.T) {
 			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
-				on := k.world.On(ref(limitJob))
+				on := k.world.MachinesOf(ref(limitJob))
 				heal := fault(k, on)
 				confirmed := k.cancelAll(limitJob)
 				k.submitInBackground(spec(ref(firstFreeJob), "tight", func(s *wire.Spec) { s.Tasks = teamLimit }), shortRun)
@@ -135,7 +135,7 @@
 		t.Run(name, func(t *testing.T) {
 			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
-				on := k.world.On(ref(arrayJob))
+				on := k.world.MachinesOf(ref(arrayJob))
 				owner := k.ownerOfTeam("wide")
 				heal := fault(k, matchAgents(on))
 				k.crash(owner)
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -77,7 +77,7 @@
 func TestRefusedAloneThenOutageWithHungMachines(t *testing.T) {
 	runOnAllLayouts(t, func(k *cluster) {
 		refusedAloneThenOutage(k, 6*time.Second, func(string) {
-			for _, m := range k.world.On(ref(arrayJob)) {
+			for _, m := range k.world.MachinesOf(ref(arrayJob)) {
 				m.Hang(true)
 				k.world.Go(func() {
 					k.world.Sleep(k.timing.Lease * 3 / 4)
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -216,7 +216,7 @@
 			return func() { k.world.State.Refuse(k.labels[0], false) }
 		},
 		"machines end": func(k *cluster) func() {
-			k.world.On(ref(arrayJob))[0].Die()
+			k.world.MachinesOf(ref(arrayJob))[0].Die()
 			return func() {}
 		},
 	}
--- a/internal/controller/restarts_test.go
+++ b/internal/controller/restarts_test.go
@@ -259,7 +259,7 @@
 		k.submit(spec(ref(firstFreeJob+busyJobs), "wide", nil), testkit.Length{Run: time.Second})
 		k.await(2*time.Minute, "the end of a job", func() bool { return k.world.Told(ref(firstFreeJob+busyJobs)) == wire.Done })
 		k.crashAll()
-		on := k.world.On(ref(arrayJob))
+		on := k.world.MachinesOf(ref(arrayJob))
 		others := slices.DeleteFunc(k.world.Machines(), func(m *testkit.Agent) bool { return slices.Contains(on, m) })
 		k.requireOccurred(len(others) > 2, "there are machines without the job")
 		others[0].Inject("run-999999", 0, 1, wire.Running, "")               // not in the records
@@ -277,7 +277,7 @@
 					return false
 				}
 			}
-			return len(k.world.On(ref(arrayJob))) <= 4
+			return len(k.world.MachinesOf(ref(arrayJob))) <= 4
 		})
 		if got := k.world.Told(ref(firstFreeJob + busyJobs)); got != wire.Done {
 			k.t.Errorf("the user of the finished job is told %s, want done", got)
@@ -290,7 +290,7 @@
 func TestRestartAwaitsSilentWorkers(t *testing.T) {
 	runRestarts(t, func(k *cluster, r *rand.Rand) {
 		k.load()
-		silent := k.world.On(ref(arrayJob))
+		silent := k.world.MachinesOf(ref(arrayJob))
 		k.crashAll()
 		isSilent := matchAgents(silent)
 		heal := k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(isSilent, testkit.Anyone)})
--- a/internal/testkit/world.go
+++ b/internal/testkit/world.go
@@ -206,8 +206,8 @@
 	return ""
 }
 
-// On returns the machines with a task of a job, by name.
-func (w *World) On(ref string) []*Agent {
+// MachinesOf returns the machines with a task of a job, by name.
+func (w *World) MachinesOf(ref string) []*Agent {
 	return slices.DeleteFunc(w.Machines(), func(a *Agent) bool {
 		return !slices.ContainsFunc(a.Tasks(), func(t string) bool { return strings.HasPrefix(t, ref+"/") })
 	})
