--- a/cmd/bramblespur/loopback_test.go
+++ b/cmd/bramblespur/loopback_test.go
@@ -256,7 +256,7 @@
 		l.t.Fatal(err)
 	}
 	l.world.Go(func() {
-		if _, ok := l.world.Until(testkit.Submission, spec.Ref, body, waitTimeout); ok {
+		if _, ok := l.world.AskUntilAnswered(testkit.Submission, spec.Ref, body, waitTimeout); ok {
 			l.world.Follow(spec.Ref)
 		}
 	})
--- a/internal/controller/cluster_jobs_test.go
+++ b/internal/controller/cluster_jobs_test.go
@@ -41,7 +41,7 @@
 	k.refs = append(k.refs, spec.Ref)
 	k.mu.Unlock()
 	k.world.Submit(k.labels[0], spec, l)
-	if _, ok := k.world.Until(testkit.Submission, spec.Ref, encode(spec), time.Minute); !ok {
+	if _, ok := k.world.AskUntilAnswered(testkit.Submission, spec.Ref, encode(spec), time.Minute); !ok {
 		k.t.Fatalf("%s was not accepted within a minute", spec.Ref)
 	}
 	k.world.Follow(spec.Ref)
@@ -62,7 +62,7 @@
 	var mu sync.Mutex
 	var ok bool
 	k.world.Go(func() {
-		_, done := k.world.Until(testkit.Cancellation, ref, nil, 5*time.Minute)
+		_, done := k.world.AskUntilAnswered(testkit.Cancellation, ref, nil, 5*time.Minute)
 		mu.Lock()
 		defer mu.Unlock()
 		ok = done
@@ -163,7 +163,7 @@
 	k.mu.Unlock()
 	k.world.Register(spec, l)
 	k.world.Go(func() {
-		if _, ok := k.world.Until(testkit.Submission, spec.Ref, encode(spec), 5*time.Minute); ok {
+		if _, ok := k.world.AskUntilAnswered(testkit.Submission, spec.Ref, encode(spec), 5*time.Minute); ok {
 			k.world.Follow(spec.Ref)
 		}
 	})
--- a/internal/testkit/users.go
+++ b/internal/testkit/users.go
@@ -57,9 +57,9 @@
 	return w.Ask(Submission, label, spec.Ref, body)
 }
 
-// Until repeats a request, at one node after the other as a load balancer would,
+// AskUntilAnswered repeats a request, at one node after the other as a load balancer would,
 // until it is answered with a state, or for at most d.
-func (w *World) Until(kind Request, ref string, body []byte, d time.Duration) (state string, ok bool) {
+func (w *World) AskUntilAnswered(kind Request, ref string, body []byte, d time.Duration) (state string, ok bool) {
 	end := time.Now().Add(d)
 	for i := int(w.rand.Uint32() % uint32(len(w.labels))); time.Now().Before(end); i++ {
 		label := w.labels[i%len(w.labels)]
@@ -86,7 +86,7 @@
 func (w *World) Follow(ref string) {
 	w.running.Go(func() {
 		for {
-			state, _ := w.Until(Poll, ref, nil, 20*time.Second)
+			state, _ := w.AskUntilAnswered(Poll, ref, nil, 20*time.Second)
 			if state == wire.Done || state == wire.Cancelled || !w.Sleep(5*time.Second) {
 				return
 			}
