--- a/cmd/bramblespur/loopback_recover_test.go
+++ b/cmd/bramblespur/loopback_recover_test.go
@@ -61,7 +61,7 @@
 		t.Fatal(err)
 	}
 	tool.mustRun("snapshot", "take", "--dir", dir)
-	l.waitFor("a job is done", func() bool { return l.world.Told(loopbackJob(0).Ref) == wire.Done })
+	l.waitFor("a job is done", func() bool { return l.world.LastState(loopbackJob(0).Ref) == wire.Done })
 	if out := tool.mustRun("recover", "status"); !strings.Contains(out, "no safe mode") {
 		t.Errorf("before the loss: %s", out)
 	}
@@ -84,7 +84,7 @@
 	tool.mustRun("recover", "apply", "--file", plan) // applying a plan is idempotent
 	l.waitFor("all jobs done", func() bool {
 		for n := range jobs {
-			if l.world.Told(loopbackJob(n).Ref) != wire.Done {
+			if l.world.LastState(loopbackJob(n).Ref) != wire.Done {
 				return false
 			}
 		}
--- a/cmd/bramblespur/loopback_restart_test.go
+++ b/cmd/bramblespur/loopback_restart_test.go
@@ -51,7 +51,7 @@
 	restartedAt := time.Now()
 	l.waitFor("all jobs done", func() bool {
 		for n := range 3 * jobs {
-			if l.world.Told(loopbackJob(n).Ref) != wire.Done {
+			if l.world.LastState(loopbackJob(n).Ref) != wire.Done {
 				return false
 			}
 		}
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -42,8 +42,8 @@
 			p.Selector.Machines, p.FinishBy = names, time.Now().Add(10*time.Minute).UnixMilli()
 		})
 		k.awaitFinished("two", 10*time.Minute)
-		if n := k.grantedEvictions(); n != 0 || k.world.Told(ref(gangJob)) != wire.Done {
-			k.t.Errorf("%d evictions, and the user of the gang is told %q, want none and done", n, k.world.Told(ref(gangJob)))
+		if n := k.grantedEvictions(); n != 0 || k.world.LastState(ref(gangJob)) != wire.Done {
+			k.t.Errorf("%d evictions, and the user of the gang is told %q, want none and done", n, k.world.LastState(ref(gangJob)))
 		}
 	})
 }
--- a/internal/controller/fault_combinations_jobs_test.go
+++ b/internal/controller/fault_combinations_jobs_test.go
@@ -160,7 +160,7 @@
 	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
 		k.submit(spec(ref(firstFreeJob), "wide", nil), testkit.Length{Run: time.Second, Fetch: time.Second})
-		k.await(time.Minute, "the first job", func() bool { return k.world.Told(ref(firstFreeJob)) == wire.Done })
+		k.await(time.Minute, "the first job", func() bool { return k.world.LastState(ref(firstFreeJob)) == wire.Done })
 		sendAll := func() {
 			for _, label := range k.labels {
 				for what, x := range map[string]struct {
--- a/internal/controller/fault_combinations_restarts_test.go
+++ b/internal/controller/fault_combinations_restarts_test.go
@@ -54,7 +54,7 @@
 					}
 				}
 				k.await(k.timing.Cancel+60*time.Second, "the cancellation", confirmed)
-				k.await(2*time.Minute, "the team's next job", func() bool { return k.world.Told(ref(firstFreeJob)) == wire.Done })
+				k.await(2*time.Minute, "the team's next job", func() bool { return k.world.LastState(ref(firstFreeJob)) == wire.Done })
 			})
 		})
 	}
@@ -192,7 +192,7 @@
 			k.start(owner)
 		}
 		for i := range 6 {
-			k.await(2*time.Minute, ref(firstFreeJob+i)+" done", func() bool { return k.world.Told(ref(firstFreeJob+i)) == wire.Done })
+			k.await(2*time.Minute, ref(firstFreeJob+i)+" done", func() bool { return k.world.LastState(ref(firstFreeJob+i)) == wire.Done })
 		}
 	})
 }
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -28,7 +28,7 @@
 		time.Sleep(90 * time.Second)
 		for n, want := range map[int]string{arrayJob: wire.Cancelled, serviceJob: wire.Cancelled, limitJob: wire.Cancelled,
 			firstFreeJob: wire.Done, firstFreeJob + 1: wire.Done} {
-			if got := k.world.Told(ref(n)); got != want {
+			if got := k.world.LastState(ref(n)); got != want {
 				k.t.Errorf("the user of %s is told %q, want %q", ref(n), got, want)
 			}
 		}
@@ -294,6 +294,6 @@
 			pipelineCancelled = k.cancelPipeline("pipe-000001", first.Ref, second.Ref)
 		})
 		k.await(k.timing.Cancel, "the cancellation of the pipeline", pipelineCancelled)
-		k.await(k.timing.Cancel, "the cancellation of the job that depends on a cancelled one", func() bool { return k.world.Told(ref(firstFreeJob)) == wire.Cancelled })
+		k.await(k.timing.Cancel, "the cancellation of the job that depends on a cancelled one", func() bool { return k.world.LastState(ref(firstFreeJob)) == wire.Cancelled })
 	})
 }
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -186,7 +186,7 @@
 					}
 				}
 			})
-			if len(s.DependsOn) > 0 && (k.world.Told(s.DependsOn[0]) == "" || k.world.IsService(s.DependsOn[0])) {
+			if len(s.DependsOn) > 0 && (k.world.LastState(s.DependsOn[0]) == "" || k.world.IsService(s.DependsOn[0])) {
 				s.DependsOn = nil // a dependency has been accepted and is not a service
 			}
 			k.submitInBackground(s, testkit.Length{Run: time.Duration(2+r.IntN(40)) * time.Second, Fetch: time.Duration(r.IntN(6000)) * time.Millisecond})
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -135,7 +135,7 @@
 		cancelled := k.cancel(ref(gangJob))
 		k.await(k.timing.Cancel, "the cancellation", cancelled)
 		k.await(2*time.Minute, "the end of two jobs", func() bool {
-			return k.world.Told(ref(firstFreeJob)) == wire.Done && k.world.Told(ref(firstFreeJob+1)) == wire.Done
+			return k.world.LastState(ref(firstFreeJob)) == wire.Done && k.world.LastState(ref(firstFreeJob+1)) == wire.Done
 		})
 		k.submit(spec(ref(firstFreeJob+5), "other", gang(2)), longRun)
 		k.awaitStableTasks()
--- a/internal/controller/restarts_test.go
+++ b/internal/controller/restarts_test.go
@@ -257,7 +257,7 @@
 		cancelled := k.cancel(ref(limitJob))
 		k.await(k.timing.Cancel, "the cancellation", cancelled)
 		k.submit(spec(ref(firstFreeJob+busyJobs), "wide", nil), testkit.Length{Run: time.Second})
-		k.await(2*time.Minute, "the end of a job", func() bool { return k.world.Told(ref(firstFreeJob+busyJobs)) == wire.Done })
+		k.await(2*time.Minute, "the end of a job", func() bool { return k.world.LastState(ref(firstFreeJob+busyJobs)) == wire.Done })
 		k.crashAll()
 		on := k.world.MachinesOf(ref(arrayJob))
 		others := slices.DeleteFunc(k.world.Machines(), func(m *testkit.Agent) bool { return slices.Contains(on, m) })
@@ -279,7 +279,7 @@
 			}
 			return len(k.world.MachinesOf(ref(arrayJob))) <= 4
 		})
-		if got := k.world.Told(ref(firstFreeJob + busyJobs)); got != wire.Done {
+		if got := k.world.LastState(ref(firstFreeJob + busyJobs)); got != wire.Done {
 			k.t.Errorf("the user of the finished job is told %s, want done", got)
 		}
 	})
--- a/internal/controller/safe_mode_test.go
+++ b/internal/controller/safe_mode_test.go
@@ -139,7 +139,7 @@
 				k.losesData = true
 				k.load()
 				k.submit(spec(ref(firstFreeJob), "wide", nil), shortRun)
-				k.await(2*time.Minute, "the end of a job", func() bool { return k.world.Told(ref(firstFreeJob)) == wire.Done })
+				k.await(2*time.Minute, "the end of a job", func() bool { return k.world.LastState(ref(firstFreeJob)) == wire.Done })
 				k.awaitStableTasks()
 				full := k.world.State.Image()
 				loss(k)
--- a/internal/testkit/users.go
+++ b/internal/testkit/users.go
@@ -100,8 +100,8 @@
 	return spec.Kind == wire.Service
 }
 
-// Told returns the state of a job that its user was told last.
-func (w *World) Told(ref string) string {
+// LastState returns the state of a job that its user was told last.
+func (w *World) LastState(ref string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.told[ref]
