--- a/internal/testkit/agent_tasks.go
+++ b/internal/testkit/agent_tasks.go
@@ -77,7 +77,7 @@
 		t.why = wire.ExitNoRoom
 	default:
 		t.state = wire.Fetching
-		a.w.check.On(name, a.Place)
+		a.w.check.TaskStarted(name, a.Place)
 	}
 	a.tasks[name] = t
 	a.note()
--- a/internal/testkit/checker.go
+++ b/internal/testkit/checker.go
@@ -190,8 +190,8 @@
 	return false
 }
 
-// On takes in that a task starts on a machine.
-func (c *Checker) On(task string, at Place) {
+// TaskStarted takes in that a task starts on a machine.
+func (c *Checker) TaskStarted(task string, at Place) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ref, _, _ := strings.Cut(task, "/")
--- a/internal/testkit/checker_test.go
+++ b/internal/testkit/checker_test.go
@@ -43,19 +43,30 @@
 		ready func(c *Checker)
 		wrong func(c *Checker)
 	}{
-		"on two machines": {RanTwice, func(c *Checker) { job(c, "r1", nil); c.On("r1/0", zoneA) }, func(c *Checker) { c.On("r1/0", zoneB) }},
-		"above the limit": {OverQuota, func(c *Checker) { job(c, "r1", nil); c.On("r1/0", zoneA); job(c, "r2", nil); c.On("r2/0", zoneA) },
-			func(c *Checker) { c.On("r1/1", zoneB) }},
-		"wrong type": {WrongPlace, func(c *Checker) { job(c, "r1", func(spec *wire.Spec) { spec.Types = []string{"small"} }) }, func(c *Checker) { c.On("r1/0", zoneA) }},
-		"wrong zone": {WrongPlace, func(c *Checker) { job(c, "r1", func(spec *wire.Spec) { spec.Zone = &zoneB.Zone }) }, func(c *Checker) { c.On("r1/0", zoneA) }},
-		"wrong kind": {WrongPlace, func(c *Checker) { job(c, "r1", nil) }, func(c *Checker) { c.On("r1/0", Place{ID: "s", Type: "big", Zone: "a", Spot: true}) }},
-		"two zones":  {WrongPlace, func(c *Checker) { job(c, "r1", func(spec *wire.Spec) { spec.OneZone = true }); c.On("r1/0", zoneA) }, func(c *Checker) { c.On("r1/1", zoneB) }},
-		"not spread": {WrongPlace, func(c *Checker) { job(c, "r1", func(spec *wire.Spec) { spec.Spread = true }); c.On("r1/0", zoneA) }, func(c *Checker) { c.On("r1/1", other) }},
+		"on two machines": {RanTwice, func(c *Checker) { job(c, "r1", nil); c.TaskStarted("r1/0", zoneA) }, func(c *Checker) { c.TaskStarted("r1/0", zoneB) }},
+		"above the limit": {OverQuota, func(c *Checker) {
+			job(c, "r1", nil)
+			c.TaskStarted("r1/0", zoneA)
+			job(c, "r2", nil)
+			c.TaskStarted("r2/0", zoneA)
+		},
+			func(c *Checker) { c.TaskStarted("r1/1", zoneB) }},
+		"wrong type": {WrongPlace, func(c *Checker) { job(c, "r1", func(spec *wire.Spec) { spec.Types = []string{"small"} }) }, func(c *Checker) { c.TaskStarted("r1/0", zoneA) }},
+		"wrong zone": {WrongPlace, func(c *Checker) { job(c, "r1", func(spec *wire.Spec) { spec.Zone = &zoneB.Zone }) }, func(c *Checker) { c.TaskStarted("r1/0", zoneA) }},
+		"wrong kind": {WrongPlace, func(c *Checker) { job(c, "r1", nil) }, func(c *Checker) { c.TaskStarted("r1/0", Place{ID: "s", Type: "big", Zone: "a", Spot: true}) }},
+		"two zones": {WrongPlace, func(c *Checker) {
+			job(c, "r1", func(spec *wire.Spec) { spec.OneZone = true })
+			c.TaskStarted("r1/0", zoneA)
+		}, func(c *Checker) { c.TaskStarted("r1/1", zoneB) }},
+		"not spread": {WrongPlace, func(c *Checker) {
+			job(c, "r1", func(spec *wire.Spec) { spec.Spread = true })
+			c.TaskStarted("r1/0", zoneA)
+		}, func(c *Checker) { c.TaskStarted("r1/1", other) }},
 		"start after a cancellation": {StartedLate, func(c *Checker) { job(c, "r1", nil); c.Cancel("r1"); told(c, Cancellation, "r1", 200, wire.Cancelled) },
-			func(c *Checker) { c.On("r1/0", zoneA) }},
+			func(c *Checker) { c.TaskStarted("r1/0", zoneA) }},
 		"lives on after a cancellation": {RanCancelled, func(c *Checker) {
 			job(c, "r1", nil)
-			c.On("r1/0", zoneA)
+			c.TaskStarted("r1/0", zoneA)
 			c.Cancel("r1")
 			told(c, Cancellation, "r1", 200, wire.Cancelled)
 			time.Sleep(cancelAfter - time.Second)
@@ -66,7 +77,7 @@
 		"404 for a cancellation":         {Forgotten, func(c *Checker) { job(c, "r1", nil) }, func(c *Checker) { told(c, Cancellation, "r1", 404, "") }},
 		"no answer after the troubles":   {Forgotten, func(c *Checker) { job(c, "r1", nil); c.Calm(true); time.Sleep(pollLimit); c.Look(none) }, func(c *Checker) { time.Sleep(time.Second); c.Look(none) }},
 		"200 for what nobody submitted":  {Invented, func(c *Checker) { told(c, Poll, "r9", 404, "") }, func(c *Checker) { told(c, Poll, "r9", 200, wire.Pending) }},
-		"start of what nobody submitted": {Invented, func(*Checker) {}, func(c *Checker) { c.On("r9/0", zoneA) }},
+		"start of what nobody submitted": {Invented, func(*Checker) {}, func(c *Checker) { c.TaskStarted("r9/0", zoneA) }},
 		"done too early":                 {NotDone, func(c *Checker) { job(c, "r1", nil); c.Done("r1", 0) }, func(c *Checker) { told(c, Poll, "r1", 200, wire.Done) }},
 		"pending after done": {WentBack, func(c *Checker) {
 			job(c, "r1", nil)
@@ -88,7 +99,7 @@
 			job(c, "r1", nil)
 			job(c, "r2", func(spec *wire.Spec) { spec.DependsOn = []string{"r1"} })
 			c.Done("r1", 0)
-		}, func(c *Checker) { c.On("r2/0", zoneA) }},
+		}, func(c *Checker) { c.TaskStarted("r2/0", zoneA) }},
 		"after its dependency's end": {Orphaned, func(c *Checker) {
 			job(c, "r1", nil)
 			job(c, "r2", func(spec *wire.Spec) { spec.DependsOn = []string{"r1"} })
@@ -158,10 +169,10 @@
 		c.Submit(wire.Spec{Ref: "r3", Team: "wide", Kind: wire.Gang, Tasks: 8, GPUs: 1})
 		c.Submit(wire.Spec{Ref: "r4", Team: "wide", Kind: wire.Service, Tasks: 2, GPUs: 1, Spread: true})
 		c.Submit(wire.Spec{Ref: "r5", Team: "wide", Kind: wire.Array, Tasks: 2, GPUs: 1, OneZone: true})
-		c.On("r4/0", Place{ID: "m1", Zone: "a"})
-		c.On("r5/0", Place{ID: "m2", Zone: "b"})
-		c.On("r1/0", Place{ID: "m1"})
-		c.On("r1/1", Place{ID: "m2"})
+		c.TaskStarted("r4/0", Place{ID: "m1", Zone: "a"})
+		c.TaskStarted("r5/0", Place{ID: "m2", Zone: "b"})
+		c.TaskStarted("r1/0", Place{ID: "m1"})
+		c.TaskStarted("r1/1", Place{ID: "m2"})
 		c.Calm(true)
 		noGangs := func(spec *wire.Spec, may func(string) bool) bool { return spec.Kind != wire.Gang && may("a") }
 		watchPending(c, noGangs, "r1", "r2", "r3", "r4", "r5")
@@ -185,7 +196,7 @@
 		c.Done("r1", 0)
 		c.Done("r1", 1)
 		c.CompletionLost("r1", 1, false)
-		c.On("r3/0", Place{ID: "m1", Zone: "a"})
+		c.TaskStarted("r3/0", Place{ID: "m1", Zone: "a"})
 		look := func() { watchPending(c, everywhere, "r1", "r2", "r3") }
 		c.Calm(true)
 		look()
@@ -209,7 +220,7 @@
 		c.Submit(wire.Spec{Ref: "r1", Team: "tight", Kind: wire.Array, Tasks: 1, GPUs: 1})
 		c.Submit(wire.Spec{Ref: "r2", Team: "wide", Kind: wire.Array, Tasks: 1, GPUs: 1, DependsOn: []string{"r1"}})
 		c.Submit(wire.Spec{Ref: "r3", Team: "tight", Kind: wire.Array, Tasks: 1, GPUs: 1})
-		c.On("r3/0", Place{ID: "m1", Zone: "a"})
+		c.TaskStarted("r3/0", Place{ID: "m1", Zone: "a"})
 		c.Done("r1", 0)
 		c.CompletionLost("r1", 0, true)
 		c.Calm(true)
