--- a/internal/testkit/agent_tasks.go
+++ b/internal/testkit/agent_tasks.go
@@ -105,7 +105,7 @@
 	if t.injected {
 		return
 	}
-	a.w.check.Off(t.name(), a.Place)
+	a.w.check.TaskGone(t.name(), a.Place)
 	if why == wire.Done {
 		a.w.finish(t.ref, t.i)
 		a.w.check.Done(t.ref, t.i)
@@ -120,7 +120,7 @@
 		switch {
 		case t.injected:
 		case t.on():
-			a.w.check.Off(name, a.Place)
+			a.w.check.TaskGone(name, a.Place)
 		case t.why == wire.Done:
 			a.w.check.CompletionLost(t.ref, t.i, t.reached)
 		}
--- a/internal/testkit/checker.go
+++ b/internal/testkit/checker.go
@@ -248,8 +248,8 @@
 	}
 }
 
-// Off takes in that a task is not on a machine any more.
-func (c *Checker) Off(task string, at Place) {
+// TaskGone takes in that a task is not on a machine any more.
+func (c *Checker) TaskGone(task string, at Place) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.on[task][at]--; c.on[task][at] <= 0 {
