--- a/internal/testkit/agent_tasks.go
+++ b/internal/testkit/agent_tasks.go
@@ -108,7 +108,7 @@
 	a.w.check.TaskGone(t.name(), a.Place)
 	if why == wire.Done {
 		a.w.finish(t.ref, t.i)
-		a.w.check.Done(t.ref, t.i)
+		a.w.check.TaskCompleted(t.ref, t.i)
 	}
 }
 
--- a/internal/testkit/checker.go
+++ b/internal/testkit/checker.go
@@ -260,8 +260,8 @@
 	}
 }
 
-// Done takes in that a task has completed.
-func (c *Checker) Done(ref string, task int) {
+// TaskCompleted takes in that a task has completed.
+func (c *Checker) TaskCompleted(ref string, task int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if j := c.jobs[ref]; j != nil {
--- a/internal/testkit/checker_test.go
+++ b/internal/testkit/checker_test.go
@@ -78,18 +78,18 @@
 		"no answer after the troubles":   {Forgotten, func(c *Checker) { job(c, "r1", nil); c.Calm(true); time.Sleep(pollLimit); c.Look(none) }, func(c *Checker) { time.Sleep(time.Second); c.Look(none) }},
 		"200 for what nobody submitted":  {Invented, func(c *Checker) { told(c, Poll, "r9", 404, "") }, func(c *Checker) { told(c, Poll, "r9", 200, wire.Pending) }},
 		"start of what nobody submitted": {Invented, func(*Checker) {}, func(c *Checker) { c.TaskStarted("r9/0", zoneA) }},
-		"done too early":                 {NotDone, func(c *Checker) { job(c, "r1", nil); c.Done("r1", 0) }, func(c *Checker) { told(c, Poll, "r1", 200, wire.Done) }},
+		"done too early":                 {NotDone, func(c *Checker) { job(c, "r1", nil); c.TaskCompleted("r1", 0) }, func(c *Checker) { told(c, Poll, "r1", 200, wire.Done) }},
 		"pending after done": {WentBack, func(c *Checker) {
 			job(c, "r1", nil)
-			c.Done("r1", 0)
-			c.Done("r1", 1)
+			c.TaskCompleted("r1", 0)
+			c.TaskCompleted("r1", 1)
 			told(c, Poll, "r1", 200, wire.Done)
 		}, func(c *Checker) { told(c, Poll, "r1", 200, wire.Pending) }},
 		"running after a cancellation": {WentBack, func(c *Checker) { job(c, "r1", nil); c.Cancel("r1"); told(c, Cancellation, "r1", 200, wire.Cancelled) }, func(c *Checker) { told(c, Submission, "r1", 200, wire.Running) }},
 		"done after a cancellation": {WentBack, func(c *Checker) {
 			job(c, "r1", nil)
-			c.Done("r1", 0)
-			c.Done("r1", 1)
+			c.TaskCompleted("r1", 0)
+			c.TaskCompleted("r1", 1)
 			c.Cancel("r1")
 			told(c, Poll, "r1", 200, wire.Cancelled)
 		}, func(c *Checker) { told(c, Poll, "r1", 200, wire.Done) }},
@@ -98,7 +98,7 @@
 		"before its dependency is done": {TooEarly, func(c *Checker) {
 			job(c, "r1", nil)
 			job(c, "r2", func(spec *wire.Spec) { spec.DependsOn = []string{"r1"} })
-			c.Done("r1", 0)
+			c.TaskCompleted("r1", 0)
 		}, func(c *Checker) { c.TaskStarted("r2/0", zoneA) }},
 		"after its dependency's end": {Orphaned, func(c *Checker) {
 			job(c, "r1", nil)
@@ -114,16 +114,16 @@
 		}, func(c *Checker) { c.Look(room) }},
 		"waits beside room to run again": {Waited, func(c *Checker) {
 			job(c, "r1", nil)
-			c.Done("r1", 0)
-			c.Done("r1", 1)
+			c.TaskCompleted("r1", 0)
+			c.TaskCompleted("r1", 1)
 			c.CompletionLost("r1", 1, false)
 			waits(c, "r1")
 		}, func(c *Checker) { c.Look(room) }},
 		"waits beside room after its dependency": {Waited, func(c *Checker) {
 			job(c, "r1", nil)
 			job(c, "r2", func(spec *wire.Spec) { spec.DependsOn = []string{"r1"} })
-			c.Done("r1", 0)
-			c.Done("r1", 1)
+			c.TaskCompleted("r1", 0)
+			c.TaskCompleted("r1", 1)
 			told(c, Poll, "r1", 200, wire.Done)
 			waits(c, "r2")
 		}, func(c *Checker) { c.Look(room) }},
@@ -193,8 +193,8 @@
 		c.Submit(wire.Spec{Ref: "r1", Team: "tight", Kind: wire.Array, Tasks: 2, GPUs: 1})
 		c.Submit(wire.Spec{Ref: "r2", Team: "wide", Kind: wire.Array, Tasks: 1, GPUs: 1, DependsOn: []string{"r1"}})
 		c.Submit(wire.Spec{Ref: "r3", Team: "tight", Kind: wire.Array, Tasks: 1, GPUs: 1})
-		c.Done("r1", 0)
-		c.Done("r1", 1)
+		c.TaskCompleted("r1", 0)
+		c.TaskCompleted("r1", 1)
 		c.CompletionLost("r1", 1, false)
 		c.TaskStarted("r3/0", Place{ID: "m1", Zone: "a"})
 		look := func() { watchPending(c, everywhere, "r1", "r2", "r3") }
@@ -203,7 +203,7 @@
 		if b := c.Broken(); len(b) > 0 {
 			t.Errorf("found %q", b)
 		}
-		c.Done("r1", 1) // again
+		c.TaskCompleted("r1", 1) // again
 		look()
 		if b := c.Broken(); len(b) != 1 || !strings.HasPrefix(b[0], Waited+": r2") {
 			t.Errorf("found %q once r1 is known to be done, want that r2 waits", b)
@@ -221,7 +221,7 @@
 		c.Submit(wire.Spec{Ref: "r2", Team: "wide", Kind: wire.Array, Tasks: 1, GPUs: 1, DependsOn: []string{"r1"}})
 		c.Submit(wire.Spec{Ref: "r3", Team: "tight", Kind: wire.Array, Tasks: 1, GPUs: 1})
 		c.TaskStarted("r3/0", Place{ID: "m1", Zone: "a"})
-		c.Done("r1", 0)
+		c.TaskCompleted("r1", 0)
 		c.CompletionLost("r1", 0, true)
 		c.Calm(true)
 		for _, recorded = range []bool{false, true} {
