--- a/internal/testkit/checker.go
+++ b/internal/testkit/checker.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// Submit takes in that a user is about to submit a job.
-func (c *Checker) Submit(spec wire.Spec) {
+// JobSubmitted takes in that a user is about to submit a job.
+func (c *Checker) JobSubmitted(spec wire.Spec) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.jobs[spec.Ref] == nil {
--- a/internal/testkit/checker_test.go
+++ b/internal/testkit/checker_test.go
@@ -25,7 +25,7 @@
 		if change != nil {
 			change(&spec)
 		}
-		c.Submit(spec)
+		c.JobSubmitted(spec)
 		told(c, Submission, ref, 201, wire.Pending)
 	}
 	room := func(_ *wire.Spec, may func(string) bool) bool { return may("a") }
@@ -164,11 +164,11 @@
 func TestCheckerLetsWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewChecker(map[string]float64{"tight": 2}, time.Minute)
-		c.Submit(wire.Spec{Ref: "r1", Team: "tight", Kind: wire.Array, Tasks: 4, GPUs: 1})
-		c.Submit(wire.Spec{Ref: "r2", Team: "wide", Kind: wire.Array, Tasks: 1, GPUs: 1, DependsOn: []string{"r1"}})
-		c.Submit(wire.Spec{Ref: "r3", Team: "wide", Kind: wire.Gang, Tasks: 8, GPUs: 1})
-		c.Submit(wire.Spec{Ref: "r4", Team: "wide", Kind: wire.Service, Tasks: 2, GPUs: 1, Spread: true})
-		c.Submit(wire.Spec{Ref: "r5", Team: "wide", Kind: wire.Array, Tasks: 2, GPUs: 1, OneZone: true})
+		c.JobSubmitted(wire.Spec{Ref: "r1", Team: "tight", Kind: wire.Array, Tasks: 4, GPUs: 1})
+		c.JobSubmitted(wire.Spec{Ref: "r2", Team: "wide", Kind: wire.Array, Tasks: 1, GPUs: 1, DependsOn: []string{"r1"}})
+		c.JobSubmitted(wire.Spec{Ref: "r3", Team: "wide", Kind: wire.Gang, Tasks: 8, GPUs: 1})
+		c.JobSubmitted(wire.Spec{Ref: "r4", Team: "wide", Kind: wire.Service, Tasks: 2, GPUs: 1, Spread: true})
+		c.JobSubmitted(wire.Spec{Ref: "r5", Team: "wide", Kind: wire.Array, Tasks: 2, GPUs: 1, OneZone: true})
 		c.TaskStarted("r4/0", Place{ID: "m1", Zone: "a"})
 		c.TaskStarted("r5/0", Place{ID: "m2", Zone: "b"})
 		c.TaskStarted("r1/0", Place{ID: "m1"})
@@ -190,9 +190,9 @@
 func TestCheckerLetsWaitForLostCompletion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewChecker(map[string]float64{"tight": 1}, time.Minute)
-		c.Submit(wire.Spec{Ref: "r1", Team: "tight", Kind: wire.Array, Tasks: 2, GPUs: 1})
-		c.Submit(wire.Spec{Ref: "r2", Team: "wide", Kind: wire.Array, Tasks: 1, GPUs: 1, DependsOn: []string{"r1"}})
-		c.Submit(wire.Spec{Ref: "r3", Team: "tight", Kind: wire.Array, Tasks: 1, GPUs: 1})
+		c.JobSubmitted(wire.Spec{Ref: "r1", Team: "tight", Kind: wire.Array, Tasks: 2, GPUs: 1})
+		c.JobSubmitted(wire.Spec{Ref: "r2", Team: "wide", Kind: wire.Array, Tasks: 1, GPUs: 1, DependsOn: []string{"r1"}})
+		c.JobSubmitted(wire.Spec{Ref: "r3", Team: "tight", Kind: wire.Array, Tasks: 1, GPUs: 1})
 		c.TaskCompleted("r1", 0)
 		c.TaskCompleted("r1", 1)
 		c.CompletionLost("r1", 1, false)
@@ -217,9 +217,9 @@
 		c := NewChecker(map[string]float64{"tight": 1}, time.Minute)
 		recorded := false
 		c.RecordedBy(func(ref string, task int) bool { return recorded && ref == "r1" && task == 0 })
-		c.Submit(wire.Spec{Ref: "r1", Team: "tight", Kind: wire.Array, Tasks: 1, GPUs: 1})
-		c.Submit(wire.Spec{Ref: "r2", Team: "wide", Kind: wire.Array, Tasks: 1, GPUs: 1, DependsOn: []string{"r1"}})
-		c.Submit(wire.Spec{Ref: "r3", Team: "tight", Kind: wire.Array, Tasks: 1, GPUs: 1})
+		c.JobSubmitted(wire.Spec{Ref: "r1", Team: "tight", Kind: wire.Array, Tasks: 1, GPUs: 1})
+		c.JobSubmitted(wire.Spec{Ref: "r2", Team: "wide", Kind: wire.Array, Tasks: 1, GPUs: 1, DependsOn: []string{"r1"}})
+		c.JobSubmitted(wire.Spec{Ref: "r3", Team: "tight", Kind: wire.Array, Tasks: 1, GPUs: 1})
 		c.TaskStarted("r3/0", Place{ID: "m1", Zone: "a"})
 		c.TaskCompleted("r1", 0)
 		c.CompletionLost("r1", 0, true)
--- a/internal/testkit/users.go
+++ b/internal/testkit/users.go
@@ -47,7 +47,7 @@
 	w.specs[spec.Ref] = spec
 	w.lengths[spec.Ref] = l
 	w.mu.Unlock()
-	w.check.Submit(spec)
+	w.check.JobSubmitted(spec)
 }
 
 // Submit submits a job once.
