--- a/internal/controller/cluster_jobs_test.go
+++ b/internal/controller/cluster_jobs_test.go
@@ -191,7 +191,7 @@
 // refs are its jobs. The returned function reports whether it is confirmed.
 func (k *cluster) cancelPipeline(name string, refs ...string) (confirmed func() bool) {
 	for _, r := range refs {
-		k.checker.Cancel(r)
+		k.checker.CancellationRequested(r)
 	}
 	var done atomic.Bool
 	k.world.Go(func() {
--- a/internal/testkit/checker.go
+++ b/internal/testkit/checker.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// Cancel takes in that a user asks for a job's end.
-func (c *Checker) Cancel(ref string) {
+// CancellationRequested takes in that a user asks for a job's end.
+func (c *Checker) CancellationRequested(ref string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if j := c.jobs[ref]; j != nil {
--- a/internal/testkit/checker_test.go
+++ b/internal/testkit/checker_test.go
@@ -62,12 +62,16 @@
 			job(c, "r1", func(spec *wire.Spec) { spec.Spread = true })
 			c.TaskStarted("r1/0", zoneA)
 		}, func(c *Checker) { c.TaskStarted("r1/1", other) }},
-		"start after a cancellation": {StartedLate, func(c *Checker) { job(c, "r1", nil); c.Cancel("r1"); told(c, Cancellation, "r1", 200, wire.Cancelled) },
+		"start after a cancellation": {StartedLate, func(c *Checker) {
+			job(c, "r1", nil)
+			c.CancellationRequested("r1")
+			told(c, Cancellation, "r1", 200, wire.Cancelled)
+		},
 			func(c *Checker) { c.TaskStarted("r1/0", zoneA) }},
 		"lives on after a cancellation": {RanCancelled, func(c *Checker) {
 			job(c, "r1", nil)
 			c.TaskStarted("r1/0", zoneA)
-			c.Cancel("r1")
+			c.CancellationRequested("r1")
 			told(c, Cancellation, "r1", 200, wire.Cancelled)
 			time.Sleep(cancelAfter - time.Second)
 			c.Look(none)
@@ -85,16 +89,20 @@
 			c.TaskCompleted("r1", 1)
 			told(c, Poll, "r1", 200, wire.Done)
 		}, func(c *Checker) { told(c, Poll, "r1", 200, wire.Pending) }},
-		"running after a cancellation": {WentBack, func(c *Checker) { job(c, "r1", nil); c.Cancel("r1"); told(c, Cancellation, "r1", 200, wire.Cancelled) }, func(c *Checker) { told(c, Submission, "r1", 200, wire.Running) }},
+		"running after a cancellation": {WentBack, func(c *Checker) {
+			job(c, "r1", nil)
+			c.CancellationRequested("r1")
+			told(c, Cancellation, "r1", 200, wire.Cancelled)
+		}, func(c *Checker) { told(c, Submission, "r1", 200, wire.Running) }},
 		"done after a cancellation": {WentBack, func(c *Checker) {
 			job(c, "r1", nil)
 			c.TaskCompleted("r1", 0)
 			c.TaskCompleted("r1", 1)
-			c.Cancel("r1")
+			c.CancellationRequested("r1")
 			told(c, Poll, "r1", 200, wire.Cancelled)
 		}, func(c *Checker) { told(c, Poll, "r1", 200, wire.Done) }},
 		"cancelled by nobody":           {WentBack, func(c *Checker) { job(c, "r1", nil) }, func(c *Checker) { told(c, Poll, "r1", 200, wire.Cancelled) }},
-		"cancellation answered pending": {WentBack, func(c *Checker) { job(c, "r1", nil); c.Cancel("r1") }, func(c *Checker) { told(c, Cancellation, "r1", 200, wire.Pending) }},
+		"cancellation answered pending": {WentBack, func(c *Checker) { job(c, "r1", nil); c.CancellationRequested("r1") }, func(c *Checker) { told(c, Cancellation, "r1", 200, wire.Pending) }},
 		"before its dependency is done": {TooEarly, func(c *Checker) {
 			job(c, "r1", nil)
 			job(c, "r2", func(spec *wire.Spec) { spec.DependsOn = []string{"r1"} })
@@ -103,7 +111,7 @@
 		"after its dependency's end": {Orphaned, func(c *Checker) {
 			job(c, "r1", nil)
 			job(c, "r2", func(spec *wire.Spec) { spec.DependsOn = []string{"r1"} })
-			c.Cancel("r1")
+			c.CancellationRequested("r1")
 			told(c, Cancellation, "r1", 200, wire.Cancelled)
 			time.Sleep(cancelAfter - time.Second)
 			told(c, Poll, "r2", 200, wire.Pending)
--- a/internal/testkit/users.go
+++ b/internal/testkit/users.go
@@ -15,7 +15,7 @@
 		method, path, timeout = "GET", wire.JobsPath+"/"+ref, pollTimeout
 	case Cancellation:
 		path = wire.JobsPath + "/" + ref + "/" + wire.CancelAction
-		w.check.Cancel(ref)
+		w.check.CancellationRequested(ref)
 	}
 	asked := time.Now()
 	type answer struct {
