--- a/internal/controller/cluster_jobs_test.go
+++ b/internal/controller/cluster_jobs_test.go
@@ -200,7 +200,7 @@
 				asked := time.Now()
 				if status, _, _ := p.Handle("POST", wire.PipelinesPath+"/"+name+"/"+wire.CancelAction, nil); status == 200 {
 					for _, r := range refs {
-						k.checker.Answer(testkit.Cancellation, r, asked, time.Now(), status, wire.Cancelled)
+						k.checker.Answered(testkit.Cancellation, r, asked, time.Now(), status, wire.Cancelled)
 					}
 					done.Store(true)
 				}
--- a/internal/testkit/checker.go
+++ b/internal/testkit/checker.go
@@ -117,9 +117,9 @@
 	Cancellation
 )
 
-// Answer takes in a node's answer: its status, and the job's state if that is 200
+// Answered takes in a node's answer: its status, and the job's state if that is 200
 // or 201.
-func (c *Checker) Answer(kind Request, ref string, asked, got time.Time, status int, state string) {
+func (c *Checker) Answered(kind Request, ref string, asked, got time.Time, status int, state string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.jobs[ref]
--- a/internal/testkit/checker_test.go
+++ b/internal/testkit/checker_test.go
@@ -17,7 +17,7 @@
 	other := Place{ID: "m3", Type: "big", Zone: "a"}
 	now := func() time.Time { return time.Now() }
 	told := func(c *Checker, kind Request, ref string, status int, state string) {
-		c.Answer(kind, ref, now(), now().Add(time.Millisecond), status, state)
+		c.Answered(kind, ref, now(), now().Add(time.Millisecond), status, state)
 		time.Sleep(2 * time.Millisecond)
 	}
 	job := func(c *Checker, ref string, change func(*wire.Spec)) {
@@ -161,7 +161,7 @@
 func watchPending(c *Checker, room Room, refs ...string) {
 	for range 30 {
 		for _, ref := range refs {
-			c.Answer(Poll, ref, time.Now(), time.Now(), 200, wire.Pending)
+			c.Answered(Poll, ref, time.Now(), time.Now(), 200, wire.Pending)
 		}
 		c.Look(room)
 		time.Sleep(5 * time.Second)
--- a/internal/testkit/users.go
+++ b/internal/testkit/users.go
@@ -37,7 +37,7 @@
 	if len(a.body) > 0 && json.Unmarshal(a.body, &s) != nil {
 		return a.status, ""
 	}
-	w.check.Answer(kind, ref, asked, time.Now(), a.status, s.State)
+	w.check.Answered(kind, ref, asked, time.Now(), a.status, s.State)
 	return a.status, s.State
 }
 
