--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -209,7 +209,7 @@
 	k.t.Helper()
 	k.world.ClearFaults()
 	k.startMissing()
-	k.checker.Calm(true)
+	k.checker.SetFaultFree(true)
 	time.Sleep(settleFor)
 	for _, r := range k.refs {
 		for _, label := range k.labels {
--- a/internal/testkit/checker.go
+++ b/internal/testkit/checker.go
@@ -318,8 +318,8 @@
 	return !j.done[task] || j.unheard[task]
 }
 
-// Calm takes in that all troubles are over, or that they begin.
-func (c *Checker) Calm(calm bool) {
+// SetFaultFree takes in that all troubles are over, or that they begin.
+func (c *Checker) SetFaultFree(calm bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calm = time.Time{}
--- a/internal/testkit/checker_test.go
+++ b/internal/testkit/checker_test.go
@@ -31,7 +31,7 @@
 	room := func(_ *wire.Spec, may func(string) bool) bool { return may("a") }
 	none := func(*wire.Spec, func(string) bool) bool { return false }
 	waits := func(c *Checker, ref string) {
-		c.Calm(true)
+		c.SetFaultFree(true)
 		for range waitLimit / (10 * time.Second) {
 			told(c, Poll, ref, 200, wire.Pending)
 			c.Look(room)
@@ -79,7 +79,7 @@
 		"404 for an accepted job":        {Forgotten, func(c *Checker) { job(c, "r1", nil) }, func(c *Checker) { told(c, Poll, "r1", 404, "") }},
 		"422 for a repeat":               {Forgotten, func(c *Checker) { job(c, "r1", nil) }, func(c *Checker) { told(c, Submission, "r1", 422, "") }},
 		"404 for a cancellation":         {Forgotten, func(c *Checker) { job(c, "r1", nil) }, func(c *Checker) { told(c, Cancellation, "r1", 404, "") }},
-		"no answer after the troubles":   {Forgotten, func(c *Checker) { job(c, "r1", nil); c.Calm(true); time.Sleep(pollLimit); c.Look(none) }, func(c *Checker) { time.Sleep(time.Second); c.Look(none) }},
+		"no answer after the troubles":   {Forgotten, func(c *Checker) { job(c, "r1", nil); c.SetFaultFree(true); time.Sleep(pollLimit); c.Look(none) }, func(c *Checker) { time.Sleep(time.Second); c.Look(none) }},
 		"200 for what nobody submitted":  {Invented, func(c *Checker) { told(c, Poll, "r9", 404, "") }, func(c *Checker) { told(c, Poll, "r9", 200, wire.Pending) }},
 		"start of what nobody submitted": {Invented, func(*Checker) {}, func(c *Checker) { c.TaskStarted("r9/0", zoneA) }},
 		"done too early":                 {NotDone, func(c *Checker) { job(c, "r1", nil); c.TaskCompleted("r1", 0) }, func(c *Checker) { told(c, Poll, "r1", 200, wire.Done) }},
@@ -181,7 +181,7 @@
 		c.TaskStarted("r5/0", Place{ID: "m2", Zone: "b"})
 		c.TaskStarted("r1/0", Place{ID: "m1"})
 		c.TaskStarted("r1/1", Place{ID: "m2"})
-		c.Calm(true)
+		c.SetFaultFree(true)
 		noGangs := func(spec *wire.Spec, may func(string) bool) bool { return spec.Kind != wire.Gang && may("a") }
 		watchPending(c, noGangs, "r1", "r2", "r3", "r4", "r5")
 		if b := c.Broken(); len(b) > 0 {
@@ -206,7 +206,7 @@
 		c.CompletionLost("r1", 1, false)
 		c.TaskStarted("r3/0", Place{ID: "m1", Zone: "a"})
 		look := func() { watchPending(c, everywhere, "r1", "r2", "r3") }
-		c.Calm(true)
+		c.SetFaultFree(true)
 		look()
 		if b := c.Broken(); len(b) > 0 {
 			t.Errorf("found %q", b)
@@ -231,7 +231,7 @@
 		c.TaskStarted("r3/0", Place{ID: "m1", Zone: "a"})
 		c.TaskCompleted("r1", 0)
 		c.CompletionLost("r1", 0, true)
-		c.Calm(true)
+		c.SetFaultFree(true)
 		for _, recorded = range []bool{false, true} {
 			watchPending(c, everywhere, "r1", "r2", "r3")
 			if b := c.Broken(); (len(b) > 0) != recorded {
