--- a/internal/testkit/checker.go
+++ b/internal/testkit/checker.go
@@ -332,8 +332,8 @@
 // that are left to it.
 type Room func(s *wire.Spec, may func(zone string) bool) bool
 
-// Look is to be called now and then: it finds what lasts too long.
-func (c *Checker) Look(room Room) {
+// CheckDurations is to be called now and then: it finds what lasts too long.
+func (c *Checker) CheckDurations(room Room) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
--- a/internal/testkit/checker_test.go
+++ b/internal/testkit/checker_test.go
@@ -34,7 +34,7 @@
 		c.SetFaultFree(true)
 		for range waitLimit / (10 * time.Second) {
 			told(c, Poll, ref, 200, wire.Pending)
-			c.Look(room)
+			c.CheckDurations(room)
 			time.Sleep(10 * time.Second)
 		}
 	}
@@ -74,12 +74,17 @@
 			c.CancellationRequested("r1")
 			told(c, Cancellation, "r1", 200, wire.Cancelled)
 			time.Sleep(cancelAfter - time.Second)
-			c.Look(none)
-		}, func(c *Checker) { time.Sleep(2 * time.Second); c.Look(none) }},
-		"404 for an accepted job":        {Forgotten, func(c *Checker) { job(c, "r1", nil) }, func(c *Checker) { told(c, Poll, "r1", 404, "") }},
-		"422 for a repeat":               {Forgotten, func(c *Checker) { job(c, "r1", nil) }, func(c *Checker) { told(c, Submission, "r1", 422, "") }},
-		"404 for a cancellation":         {Forgotten, func(c *Checker) { job(c, "r1", nil) }, func(c *Checker) { told(c, Cancellation, "r1", 404, "") }},
-		"no answer after the troubles":   {Forgotten, func(c *Checker) { job(c, "r1", nil); c.SetFaultFree(true); time.Sleep(pollLimit); c.Look(none) }, func(c *Checker) { time.Sleep(time.Second); c.Look(none) }},
+			c.CheckDurations(none)
+		}, func(c *Checker) { time.Sleep(2 * time.Second); c.CheckDurations(none) }},
+		"404 for an accepted job": {Forgotten, func(c *Checker) { job(c, "r1", nil) }, func(c *Checker) { told(c, Poll, "r1", 404, "") }},
+		"422 for a repeat":        {Forgotten, func(c *Checker) { job(c, "r1", nil) }, func(c *Checker) { told(c, Submission, "r1", 422, "") }},
+		"404 for a cancellation":  {Forgotten, func(c *Checker) { job(c, "r1", nil) }, func(c *Checker) { told(c, Cancellation, "r1", 404, "") }},
+		"no answer after the troubles": {Forgotten, func(c *Checker) {
+			job(c, "r1", nil)
+			c.SetFaultFree(true)
+			time.Sleep(pollLimit)
+			c.CheckDurations(none)
+		}, func(c *Checker) { time.Sleep(time.Second); c.CheckDurations(none) }},
 		"200 for what nobody submitted":  {Invented, func(c *Checker) { told(c, Poll, "r9", 404, "") }, func(c *Checker) { told(c, Poll, "r9", 200, wire.Pending) }},
 		"start of what nobody submitted": {Invented, func(*Checker) {}, func(c *Checker) { c.TaskStarted("r9/0", zoneA) }},
 		"done too early":                 {NotDone, func(c *Checker) { job(c, "r1", nil); c.TaskCompleted("r1", 0) }, func(c *Checker) { told(c, Poll, "r1", 200, wire.Done) }},
@@ -119,14 +124,14 @@
 		"waits beside room": {Waited, func(c *Checker) {
 			job(c, "r1", nil)
 			waits(c, "r1")
-		}, func(c *Checker) { c.Look(room) }},
+		}, func(c *Checker) { c.CheckDurations(room) }},
 		"waits beside room to run again": {Waited, func(c *Checker) {
 			job(c, "r1", nil)
 			c.TaskCompleted("r1", 0)
 			c.TaskCompleted("r1", 1)
 			c.CompletionLost("r1", 1, false)
 			waits(c, "r1")
-		}, func(c *Checker) { c.Look(room) }},
+		}, func(c *Checker) { c.CheckDurations(room) }},
 		"waits beside room after its dependency": {Waited, func(c *Checker) {
 			job(c, "r1", nil)
 			job(c, "r2", func(spec *wire.Spec) { spec.DependsOn = []string{"r1"} })
@@ -134,7 +139,7 @@
 			c.TaskCompleted("r1", 1)
 			told(c, Poll, "r1", 200, wire.Done)
 			waits(c, "r2")
-		}, func(c *Checker) { c.Look(room) }},
+		}, func(c *Checker) { c.CheckDurations(room) }},
 		"bad input accepted": {BadAnswer, func(c *Checker) { c.BadInput("no team", 400, 400) }, func(c *Checker) { c.BadInput("no team", 201, 400) }},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -163,7 +168,7 @@
 		for _, ref := range refs {
 			c.Answered(Poll, ref, time.Now(), time.Now(), 200, wire.Pending)
 		}
-		c.Look(room)
+		c.CheckDurations(room)
 		time.Sleep(5 * time.Second)
 	}
 }
--- a/internal/testkit/world.go
+++ b/internal/testkit/world.go
@@ -224,7 +224,7 @@
 			a.mu.Unlock()
 		}
 		w.gangs(all, now)
-		w.check.Look(w.room)
+		w.check.CheckDurations(w.room)
 	}
 }
 
