--- a/internal/testkit/checker.go
+++ b/internal/testkit/checker.go
@@ -285,8 +285,8 @@
 	}
 }
 
-// RecordedBy sets how the checker learns whether the state service holds a task's completion.
-func (c *Checker) RecordedBy(recorded func(ref string, task int) bool) {
+// SetCompletionLookup sets how the checker learns whether the state service holds a task's completion.
+func (c *Checker) SetCompletionLookup(recorded func(ref string, task int) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.recorded = recorded
--- a/internal/testkit/checker_test.go
+++ b/internal/testkit/checker_test.go
@@ -229,7 +229,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := NewChecker(map[string]float64{"tight": 1}, time.Minute)
 		recorded := false
-		c.RecordedBy(func(ref string, task int) bool { return recorded && ref == "r1" && task == 0 })
+		c.SetCompletionLookup(func(ref string, task int) bool { return recorded && ref == "r1" && task == 0 })
 		c.JobSubmitted(wire.Spec{Ref: "r1", Team: "tight", Kind: wire.Array, Tasks: 1, GPUs: 1})
 		c.JobSubmitted(wire.Spec{Ref: "r2", Team: "wide", Kind: wire.Array, Tasks: 1, GPUs: 1, DependsOn: []string{"r1"}})
 		c.JobSubmitted(wire.Spec{Ref: "r3", Team: "tight", Kind: wire.Array, Tasks: 1, GPUs: 1})
--- a/internal/testkit/world.go
+++ b/internal/testkit/world.go
@@ -79,7 +79,7 @@
 		specs: map[string]wire.Spec{}, lengths: map[string]Length{}, rentals: map[string][]string{}, boot: usualBoot,
 		finished: map[string]bool{}, told: map[string]string{}, mute: map[int]func(string) bool{},
 	}
-	check.RecordedBy(w.completionRecorded)
+	check.SetCompletionLookup(w.completionRecorded)
 	w.running.Go(w.tick)
 	return w
 }
