--- a/cmd/bramblespur/loopback_recover_test.go
+++ b/cmd/bramblespur/loopback_recover_test.go
@@ -90,7 +90,7 @@
 		}
 		return true
 	})
-	for _, violation := range l.checker.Broken() {
+	for _, violation := range l.checker.Violations() {
 		t.Error(violation)
 	}
 }
--- a/cmd/bramblespur/loopback_restart_test.go
+++ b/cmd/bramblespur/loopback_restart_test.go
@@ -69,7 +69,7 @@
 	if n := l.adopted(); n == 0 {
 		t.Error("no restart record shows an adopted task")
 	}
-	for _, violation := range l.checker.Broken() {
+	for _, violation := range l.checker.Violations() {
 		t.Error(violation)
 	}
 }
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -230,7 +230,7 @@
 			k.t.Errorf("%s has suspected data loss, but the state service lost no data", label)
 		}
 	}
-	for _, violation := range k.checker.Broken() {
+	for _, violation := range k.checker.Violations() {
 		k.t.Error(violation)
 	}
 	if k.t.Failed() && len(k.scriptLog) > 0 {
--- a/internal/testkit/checker.go
+++ b/internal/testkit/checker.go
@@ -74,8 +74,8 @@
 	return &Checker{teams: teams, cancelS: cancelAfter, jobs: map[string]*watched{}, on: map[string]map[Place]int{}, seen: map[string]bool{}}
 }
 
-// Broken returns what was found, each once, in the order found.
-func (c *Checker) Broken() []string {
+// Violations returns what was found, each once, in the order found.
+func (c *Checker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.broken)
--- a/internal/testkit/checker_test.go
+++ b/internal/testkit/checker_test.go
@@ -146,11 +146,11 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := NewChecker(map[string]float64{"tight": 2}, cancelAfter)
 				x.ready(c)
-				if b := c.Broken(); len(b) > 0 {
+				if b := c.Violations(); len(b) > 0 {
 					t.Fatalf("before anything is wrong: %q", b)
 				}
 				x.wrong(c)
-				if b := c.Broken(); len(b) != 1 || !strings.HasPrefix(b[0], x.rule+":") {
+				if b := c.Violations(); len(b) != 1 || !strings.HasPrefix(b[0], x.rule+":") {
 					t.Errorf("found %q, want one of %s", b, x.rule)
 				}
 			})
@@ -189,7 +189,7 @@
 		c.SetFaultFree(true)
 		noGangs := func(spec *wire.Spec, may func(string) bool) bool { return spec.Kind != wire.Gang && may("a") }
 		watchPending(c, noGangs, "r1", "r2", "r3", "r4", "r5")
-		if b := c.Broken(); len(b) > 0 {
+		if b := c.Violations(); len(b) > 0 {
 			t.Errorf("found %q", b)
 		}
 	})
@@ -213,12 +213,12 @@
 		look := func() { watchPending(c, everywhere, "r1", "r2", "r3") }
 		c.SetFaultFree(true)
 		look()
-		if b := c.Broken(); len(b) > 0 {
+		if b := c.Violations(); len(b) > 0 {
 			t.Errorf("found %q", b)
 		}
 		c.TaskCompleted("r1", 1) // again
 		look()
-		if b := c.Broken(); len(b) != 1 || !strings.HasPrefix(b[0], Waited+": r2") {
+		if b := c.Violations(); len(b) != 1 || !strings.HasPrefix(b[0], Waited+": r2") {
 			t.Errorf("found %q once r1 is known to be done, want that r2 waits", b)
 		}
 	})
@@ -239,7 +239,7 @@
 		c.SetFaultFree(true)
 		for _, recorded = range []bool{false, true} {
 			watchPending(c, everywhere, "r1", "r2", "r3")
-			if b := c.Broken(); (len(b) > 0) != recorded {
+			if b := c.Violations(); (len(b) > 0) != recorded {
 				t.Errorf("recorded %t: found %q", recorded, b)
 			}
 		}
