--- a/cmd/bramblespur/loopback_drain_test.go
+++ b/cmd/bramblespur/loopback_drain_test.go
@@ -61,7 +61,7 @@
 	if interruptions.Chosen("wide") == 0 {
 		t.Error("the drain interrupted no task of team wide")
 	}
-	for _, violation := range append(interruptions.Broken(), l.checker.Violations()...) {
+	for _, violation := range append(interruptions.Violations(), l.checker.Violations()...) {
 		t.Error(violation)
 	}
 }
--- a/internal/controller/drains_harness_test.go
+++ b/internal/controller/drains_harness_test.go
@@ -62,7 +62,7 @@
 		k.await(30*time.Second, "a leader and an owner of every shard", func() bool { return k.leader() != "" && k.allShardsOwned() })
 		script(k)
 		k.settle()
-		for _, violation := range k.interruptions.Broken() {
+		for _, violation := range k.interruptions.Violations() {
 			t.Error("over budget: " + violation)
 			break
 		}
--- a/internal/testkit/interruptions.go
+++ b/internal/testkit/interruptions.go
@@ -52,8 +52,8 @@
 	return n
 }
 
-// Broken returns what was found over the budget.
-func (n *Interruptions) Broken() []string {
+// Violations returns what was found over the budget.
+func (n *Interruptions) Violations() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Clone(n.broken)
