--- a/cmd/bramblespur/loopback_drain_test.go
+++ b/cmd/bramblespur/loopback_drain_test.go
@@ -58,7 +58,7 @@
 			t.Fatalf("the drain has not finished, its state is %s", l.drainState("all"))
 		}
 	}
-	if interruptions.Chosen("wide") == 0 {
+	if interruptions.Voluntary("wide") == 0 {
 		t.Error("the drain interrupted no task of team wide")
 	}
 	for _, violation := range append(interruptions.Violations(), l.checker.Violations()...) {
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -18,7 +18,7 @@
 		old := k.machineNames()
 		k.requestDrain("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
 		k.awaitFinished("all", time.Hour)
-		k.requireOccurred(k.grantedEvictions() > 0 && k.interruptions.Chosen("wide") > 0, "work is interrupted")
+		k.requireOccurred(k.grantedEvictions() > 0 && k.interruptions.Voluntary("wide") > 0, "work is interrupted")
 		if !k.allGone(old) {
 			k.t.Errorf("machines %v are up after a drain of %v", k.machineNames(), old)
 		}
--- a/internal/testkit/interruptions.go
+++ b/internal/testkit/interruptions.go
@@ -59,8 +59,8 @@
 	return slices.Clone(n.broken)
 }
 
-// Chosen returns how many stops by choice there were of a team's work.
-func (n *Interruptions) Chosen(team string) int {
+// Voluntary returns how many stops by choice there were of a team's work.
+func (n *Interruptions) Voluntary(team string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.chosen[team])
