--- a/internal/controller/drains_failures_test.go
+++ b/internal/controller/drains_failures_test.go
@@ -144,7 +144,7 @@
 		t.Run(name, func(t *testing.T) {
 			runDrainDuringFault(t, func(k *drainCluster) {
 				ms := cordoned(k)
-				testkit.Ail(ms...)
+				testkit.MarkUnreachable(ms...)
 				fault(k, ms)
 			})
 		})
--- a/internal/testkit/interruptions.go
+++ b/internal/testkit/interruptions.go
@@ -145,8 +145,8 @@
 	ailsAfter = time.Minute
 )
 
-// Ail notes that a test keeps machines from being reached: what is stopped there is lost.
-func Ail(machines ...*Agent) {
+// MarkUnreachable notes that a test keeps machines from being reached: what is stopped there is lost.
+func MarkUnreachable(machines ...*Agent) {
 	for _, a := range machines {
 		a.mu.Lock()
 		a.ailsUntil = time.Now().Add(ailsLong)
