--- a/cmd/bramblespur/loopback_bench_test.go
+++ b/cmd/bramblespur/loopback_bench_test.go
@@ -95,7 +95,7 @@
 	for n := range jobs {
 		spec := loopbackJob(n)
 		spec.Tasks = tasksPerJob
-		l.submitLater(spec, testkit.Length{Run: time.Hour, Fetch: 200 * time.Millisecond})
+		l.submitLater(spec, testkit.JobDurations{Run: time.Hour, Fetch: 200 * time.Millisecond})
 	}
 	running := func() int {
 		n := 0
--- a/cmd/bramblespur/loopback_recover_test.go
+++ b/cmd/bramblespur/loopback_recover_test.go
@@ -53,7 +53,7 @@
 	l := newLoopback(t, seed)
 	tool := l.buildCtl()
 	for n := range jobs {
-		l.submitLater(loopbackJob(n), testkit.Length{Run: time.Duration(5+15*(n%2)) * time.Second, Fetch: 200 * time.Millisecond})
+		l.submitLater(loopbackJob(n), testkit.JobDurations{Run: time.Duration(5+15*(n%2)) * time.Second, Fetch: 200 * time.Millisecond})
 	}
 	l.waitFor("tasks running", func() bool { return len(l.world.MachinesOf(loopbackJob(jobs-1).Ref)) > 0 })
 	dir := filepath.Join(l.dir, "snapshots")
--- a/cmd/bramblespur/loopback_restart_test.go
+++ b/cmd/bramblespur/loopback_restart_test.go
@@ -23,7 +23,7 @@
 	submit := func(n int) {
 		spec := loopbackJob(n)
 		spec.Tasks = tasks
-		l.submitLater(spec, testkit.Length{Run: time.Duration(8+n%7) * time.Second, Fetch: 200 * time.Millisecond})
+		l.submitLater(spec, testkit.JobDurations{Run: time.Duration(8+n%7) * time.Second, Fetch: 200 * time.Millisecond})
 	}
 	for n := range jobs {
 		submit(n)
--- a/cmd/bramblespur/loopback_test.go
+++ b/cmd/bramblespur/loopback_test.go
@@ -248,7 +248,7 @@
 }
 
 // submitLater submits a job in the background, and polls its status as its user would.
-func (l *loopback) submitLater(spec wire.Spec, length testkit.Length) {
+func (l *loopback) submitLater(spec wire.Spec, length testkit.JobDurations) {
 	l.t.Helper()
 	l.world.Register(spec, length)
 	body, err := json.Marshal(spec)
@@ -278,7 +278,7 @@
 // submit submits a job whose tasks run for an hour, and waits until all of them run.
 func (l *loopback) submit(spec wire.Spec) {
 	l.t.Helper()
-	l.submitLater(spec, testkit.Length{Run: time.Hour, Fetch: 200 * time.Millisecond})
+	l.submitLater(spec, testkit.JobDurations{Run: time.Hour, Fetch: 200 * time.Millisecond})
 	l.waitFor(spec.Ref+" running", func() bool {
 		n := 0
 		for _, m := range l.world.MachinesOf(spec.Ref) {
--- a/internal/controller/cluster_jobs_test.go
+++ b/internal/controller/cluster_jobs_test.go
@@ -30,12 +30,12 @@
 // shortRun is how long tasks run where a test needs nothing else. Tasks with longRun outlive the
 // faults of a test.
 var (
-	shortRun = testkit.Length{Run: 20 * time.Second, Fetch: 2 * time.Second}
-	longRun  = testkit.Length{Run: 10 * time.Minute, Fetch: 2 * time.Second}
+	shortRun = testkit.JobDurations{Run: 20 * time.Second, Fetch: 2 * time.Second}
+	longRun  = testkit.JobDurations{Run: 10 * time.Minute, Fetch: 2 * time.Second}
 )
 
 // submit submits a job, again until it is accepted, and follows it as its user does.
-func (k *cluster) submit(spec wire.Spec, l testkit.Length) {
+func (k *cluster) submit(spec wire.Spec, l testkit.JobDurations) {
 	k.t.Helper()
 	k.mu.Lock()
 	k.refs = append(k.refs, spec.Ref)
@@ -157,7 +157,7 @@
 
 // submitInBackground submits a job in the background, again until it is accepted, and then follows
 // it.
-func (k *cluster) submitInBackground(spec wire.Spec, l testkit.Length) {
+func (k *cluster) submitInBackground(spec wire.Spec, l testkit.JobDurations) {
 	k.mu.Lock()
 	k.refs = append(k.refs, spec.Ref)
 	k.mu.Unlock()
@@ -170,7 +170,7 @@
 }
 
 // submitPipeline submits a pipeline of two jobs, of which the second depends on the first.
-func (k *cluster) submitPipeline(name string, first, second wire.Spec, l testkit.Length) {
+func (k *cluster) submitPipeline(name string, first, second wire.Spec, l testkit.JobDurations) {
 	k.t.Helper()
 	k.world.Register(first, l)
 	after := second
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -31,7 +31,7 @@
 		k.submit(spec(ref(gangJob), "wide", func(s *wire.Spec) {
 			gang(2)(s)
 			s.CheckpointS, s.EstimateS = 0, 100
-		}), testkit.Length{Run: 140 * time.Second, Fetch: 2 * time.Second})
+		}), testkit.JobDurations{Run: 140 * time.Second, Fetch: 2 * time.Second})
 		ms := k.awaitRunning(ref(gangJob), 2)
 		time.Sleep(85 * time.Second)
 		var names []string
--- a/internal/controller/fault_combinations_jobs_test.go
+++ b/internal/controller/fault_combinations_jobs_test.go
@@ -27,7 +27,7 @@
 		for i := range 120 {
 			n := firstFreeJob + i
 			k.submitInBackground(spec(ref(n), []string{"wide", "other"}[i%2], func(s *wire.Spec) { s.CPUs, s.GPUs, s.MemoryGB = 1, 0, 2 }),
-				testkit.Length{Run: 5 * time.Second, Fetch: time.Second})
+				testkit.JobDurations{Run: 5 * time.Second, Fetch: time.Second})
 			if i%4 == 0 {
 				k.cancel(ref(n))
 			}
@@ -76,7 +76,7 @@
 		})
 		for i := range 9 {
 			s := specs[ref(firstFreeJob+i)]
-			k.submit(s, testkit.Length{Run: 8 * time.Second, Fetch: time.Second})
+			k.submit(s, testkit.JobDurations{Run: 8 * time.Second, Fetch: time.Second})
 			k.world.Go(func() { requestEverywhere(s) })
 			if i%3 == 0 {
 				confirmed := k.cancel(s.Ref)
@@ -159,7 +159,7 @@
 func TestInvalidAndRepeatedRequests(t *testing.T) {
 	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
-		k.submit(spec(ref(firstFreeJob), "wide", nil), testkit.Length{Run: time.Second, Fetch: time.Second})
+		k.submit(spec(ref(firstFreeJob), "wide", nil), testkit.JobDurations{Run: time.Second, Fetch: time.Second})
 		k.await(time.Minute, "the first job", func() bool { return k.world.LastState(ref(firstFreeJob)) == wire.Done })
 		sendAll := func() {
 			for _, label := range k.labels {
--- a/internal/controller/fault_combinations_restarts_test.go
+++ b/internal/controller/fault_combinations_restarts_test.go
@@ -181,7 +181,7 @@
 		k.load()
 		for i := range 6 {
 			n := firstFreeJob + i
-			k.submit(spec(ref(n), "wide", func(s *wire.Spec) { s.Tasks = 2 + i%2 }), testkit.Length{Run: time.Duration(6+3*i) * time.Second, Fetch: time.Duration(i) * time.Second})
+			k.submit(spec(ref(n), "wide", func(s *wire.Spec) { s.Tasks = 2 + i%2 }), testkit.JobDurations{Run: time.Duration(6+3*i) * time.Second, Fetch: time.Duration(i) * time.Second})
 		}
 		time.Sleep(8 * time.Second)
 		for range 2 {
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -189,7 +189,7 @@
 			if len(s.DependsOn) > 0 && (k.world.LastState(s.DependsOn[0]) == "" || k.world.IsService(s.DependsOn[0])) {
 				s.DependsOn = nil // a dependency has been accepted and is not a service
 			}
-			k.submitInBackground(s, testkit.Length{Run: time.Duration(2+r.IntN(40)) * time.Second, Fetch: time.Duration(r.IntN(6000)) * time.Millisecond})
+			k.submitInBackground(s, testkit.JobDurations{Run: time.Duration(2+r.IntN(40)) * time.Second, Fetch: time.Duration(r.IntN(6000)) * time.Millisecond})
 			if r.IntN(3) == 0 {
 				wait, name := time.Duration(r.Int64N(int64(10*time.Second))), s.Ref
 				k.world.Go(func() {
--- a/internal/controller/restarts_test.go
+++ b/internal/controller/restarts_test.go
@@ -73,8 +73,8 @@
 }
 
 // busyLength is the length of the tasks of the i-th busy job: some end while no controller runs.
-func busyLength(i int) testkit.Length {
-	return testkit.Length{Run: time.Duration(25+7*i) * time.Second, Fetch: 2 * time.Second}
+func busyLength(i int) testkit.JobDurations {
+	return testkit.JobDurations{Run: time.Duration(25+7*i) * time.Second, Fetch: 2 * time.Second}
 }
 
 // enableRateLimit makes a new controller limit the rate of commands after a restart, as a prepare
@@ -256,7 +256,7 @@
 		k.load()
 		cancelled := k.cancel(ref(limitJob))
 		k.await(k.timing.Cancel, "the cancellation", cancelled)
-		k.submit(spec(ref(firstFreeJob+busyJobs), "wide", nil), testkit.Length{Run: time.Second})
+		k.submit(spec(ref(firstFreeJob+busyJobs), "wide", nil), testkit.JobDurations{Run: time.Second})
 		k.await(2*time.Minute, "the end of a job", func() bool { return k.world.LastState(ref(firstFreeJob+busyJobs)) == wire.Done })
 		k.crashAll()
 		on := k.world.MachinesOf(ref(arrayJob))
--- a/internal/testkit/agent.go
+++ b/internal/testkit/agent.go
@@ -14,8 +14,8 @@
 	Report, Lease, GangWait, GangPeer, Cancel time.Duration
 }
 
-// Length says how long a job's tasks run and its image takes to come.
-type Length struct{ Run, Fetch time.Duration }
+// JobDurations says how long a job's tasks run and its image takes to come.
+type JobDurations struct{ Run, Fetch time.Duration }
 
 // Agent is a machine with its worker, which keeps the protocol in full: reports,
 // tokens, sessions, leases, commands, gangs, fetches, saving and hanging. Its world
--- a/internal/testkit/users.go
+++ b/internal/testkit/users.go
@@ -42,7 +42,7 @@
 }
 
 // Register uploads a job's description, as users do before they submit it.
-func (w *World) Register(spec wire.Spec, l Length) {
+func (w *World) Register(spec wire.Spec, l JobDurations) {
 	w.mu.Lock()
 	w.specs[spec.Ref] = spec
 	w.lengths[spec.Ref] = l
@@ -51,7 +51,7 @@
 }
 
 // Submit submits a job once.
-func (w *World) Submit(label string, spec wire.Spec, l Length) (status int, state string) {
+func (w *World) Submit(label string, spec wire.Spec, l JobDurations) (status int, state string) {
 	w.Register(spec, l)
 	body, _ := json.Marshal(spec)
 	return w.Ask(Submission, label, spec.Ref, body)
--- a/internal/testkit/world.go
+++ b/internal/testkit/world.go
@@ -38,7 +38,7 @@
 	nodes    map[string]Node
 	agents   map[string]*Agent
 	specs    map[string]wire.Spec
-	lengths  map[string]Length
+	lengths  map[string]JobDurations
 	rentals  map[string][]string
 	rented   int
 	boot     time.Duration
@@ -76,7 +76,7 @@
 	w := &World{
 		State: NewService(), Net: NewNetwork(), check: check, timing: timing, types: types, labels: labels,
 		rand: rand.New(&lockedSource{src: rand.NewPCG(seed, 1)}), over: make(chan struct{}), nodes: map[string]Node{}, agents: map[string]*Agent{},
-		specs: map[string]wire.Spec{}, lengths: map[string]Length{}, rentals: map[string][]string{}, boot: usualBoot,
+		specs: map[string]wire.Spec{}, lengths: map[string]JobDurations{}, rentals: map[string][]string{}, boot: usualBoot,
 		finished: map[string]bool{}, told: map[string]string{}, mute: map[int]func(string) bool{},
 	}
 	check.SetCompletionLookup(w.completionRecorded)
@@ -170,7 +170,7 @@
 	return spec, ok
 }
 
-func (w *World) length(ref string) Length {
+func (w *World) length(ref string) JobDurations {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.lengths[ref]
