--- a/internal/testkit/cloud.go
+++ b/internal/testkit/cloud.go
@@ -11,27 +11,29 @@
 	"bramblespur/internal/wire"
 )
 
-// Rentals is how a controller's process reaches the cloud. It implements cloud.API.
-type Rentals struct {
+// CloudClient is how a controller's process reaches the cloud. It implements cloud.API.
+type CloudClient struct {
 	w    *World
 	from string
 	life context.Context
 }
 
-var _ cloud.API = (*Rentals)(nil)
+var _ cloud.API = (*CloudClient)(nil)
 
 // Rentals returns the cloud for a process that lives as long as ctx.
-func (w *World) Rentals(ctx context.Context, from string) *Rentals { return &Rentals{w, from, ctx} }
+func (w *World) Rentals(ctx context.Context, from string) *CloudClient {
+	return &CloudClient{w, from, ctx}
+}
 
 const cloudTimeout = 5 * time.Second
 
 // Types implements cloud.API.
-func (c *Rentals) Types(context.Context) ([]wire.MachineType, error) {
+func (c *CloudClient) Types(context.Context) ([]wire.MachineType, error) {
 	return Call(c.w.Net, c.from, CloudEnd, cloudTimeout, func() ([]wire.MachineType, error) { return c.w.types, c.life.Err() })
 }
 
 // Provision implements cloud.API: a repeated name gives the same machines.
-func (c *Rentals) Provision(_ context.Context, r wire.ProvisionRequest) ([]string, error) {
+func (c *CloudClient) Provision(_ context.Context, r wire.ProvisionRequest) ([]string, error) {
 	return Call(c.w.Net, c.from, CloudEnd, cloudTimeout, func() ([]string, error) {
 		if err := c.life.Err(); err != nil {
 			return nil, err
@@ -96,7 +98,7 @@
 }
 
 // Release implements cloud.API: the machines are gone before it answers.
-func (c *Rentals) Release(_ context.Context, ids []string) error {
+func (c *CloudClient) Release(_ context.Context, ids []string) error {
 	_, err := Call(c.w.Net, c.from, CloudEnd, cloudTimeout, func() (struct{}, error) {
 		if err := c.life.Err(); err != nil {
 			return struct{}{}, err
@@ -119,7 +121,7 @@
 }
 
 // List implements cloud.API.
-func (c *Rentals) List(context.Context) ([]wire.ListedMachine, error) {
+func (c *CloudClient) List(context.Context) ([]wire.ListedMachine, error) {
 	return Call(c.w.Net, c.from, CloudEnd, cloudTimeout, func() ([]wire.ListedMachine, error) {
 		c.w.mu.Lock()
 		defer c.w.mu.Unlock()
@@ -133,4 +135,4 @@
 }
 
 // SetRate implements cloud.API.
-func (c *Rentals) SetRate(float64) {}
+func (c *CloudClient) SetRate(float64) {}
