--- a/internal/controller/cluster_process_test.go
+++ b/internal/controller/cluster_process_test.go
@@ -135,7 +135,7 @@
 	}
 	life, end := context.WithCancel(context.Background())
 	c := &Controller{cfg: cfg, policy: pol, log: k.logger(label), lifetime: life, store: k.world.State.Link(life, label),
-		cloud: k.world.Rentals(life, label), agents: k.world.Direct(life, label)}
+		cloud: k.world.CloudClient(life, label), agents: k.world.Direct(life, label)}
 	c.createComponents()
 	for _, q := range cfg.Peers {
 		c.peers[q.Label] = &peerLink{k, label, q.Label, life}
--- a/internal/controller/restarts_test.go
+++ b/internal/controller/restarts_test.go
@@ -305,7 +305,7 @@
 func TestRestartFindsMachines(t *testing.T) {
 	runRestarts(t, func(k *cluster, r *rand.Rand) {
 		unrecorded := wire.ProvisionRequest{Request: "late", Type: "big", Zone: "a", Count: 1}
-		names, err := k.world.Rentals(t.Context(), "late").Provision(t.Context(), unrecorded)
+		names, err := k.world.CloudClient(t.Context(), "late").Provision(t.Context(), unrecorded)
 		if err != nil {
 			k.t.Fatal(err)
 		}
--- a/internal/testkit/cloud.go
+++ b/internal/testkit/cloud.go
@@ -20,8 +20,8 @@
 
 var _ cloud.API = (*CloudClient)(nil)
 
-// Rentals returns the cloud for a process that lives as long as ctx.
-func (w *World) Rentals(ctx context.Context, from string) *CloudClient {
+// CloudClient returns the cloud for a process that lives as long as ctx.
+func (w *World) CloudClient(ctx context.Context, from string) *CloudClient {
 	return &CloudClient{w, from, ctx}
 }
 
--- a/internal/testkit/loopback.go
+++ b/internal/testkit/loopback.go
@@ -92,7 +92,7 @@
 
 // CloudHTTP serves the cloud by its published protocol.
 func (w *World) CloudHTTP() http.Handler {
-	api := w.Rentals(context.Background(), "loopback")
+	api := w.CloudClient(context.Background(), "loopback")
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /machine_types", func(rw http.ResponseWriter, r *http.Request) {
 		types, err := api.Types(r.Context())
