--- a/internal/controller/cluster_process_test.go
+++ b/internal/controller/cluster_process_test.go
@@ -133,18 +133,18 @@
 	if err != nil {
 		k.t.Fatal(err)
 	}
-	life, end := context.WithCancel(context.Background())
-	c := &Controller{cfg: cfg, policy: pol, log: k.logger(label), lifetime: life, store: k.world.State.Link(life, label),
-		cloud: k.world.CloudClient(life, label), agents: k.world.Direct(life, label)}
+	lifetime, cancel := context.WithCancel(context.Background())
+	c := &Controller{cfg: cfg, policy: pol, log: k.logger(label), lifetime: lifetime, store: k.world.State.Link(lifetime, label),
+		cloud: k.world.CloudClient(lifetime, label), agents: k.world.Direct(lifetime, label)}
 	c.createComponents()
 	for _, q := range cfg.Peers {
-		c.peers[q.Label] = &peerLink{k, label, q.Label, life}
+		c.peers[q.Label] = &peerLink{k, label, q.Label, lifetime}
 	}
 	c.store = c.dataLoss.Enable(&operations.Recovery{AuditInterval: testAudit}, c.store)
 	if k.prepare != nil {
 		k.prepare(label, c)
 	}
-	p := &process{c, life, end}
+	p := &process{c, lifetime, cancel}
 	k.mu.Lock()
 	k.processes[label] = p
 	k.mu.Unlock()
