--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -56,7 +56,7 @@
 // commands still reach them, and are answered: an answer returns on the connection of its request.
 func (k *cluster) blockCallsFrom(ids func(string) bool) (heal func()) { return k.world.Mute(ids) }
 
-// dropMessagesTo drops all that controllers send to machines, answers and commands, until heal.
+// dropMessagesTo drops all messages of controllers to machines, answers and commands, until heal.
 // Heartbeats still arrive.
 func (k *cluster) dropMessagesTo(ids func(string) bool) (heal func()) {
 	return k.world.Net.Cut(&testkit.Cut{Match: func(from, to string) bool { return k.isController(from) && ids(to) }})
--- a/internal/controller/drains_harness_test.go
+++ b/internal/controller/drains_harness_test.go
@@ -26,12 +26,12 @@
 // drainCluster is a cluster whose interruptions of work are counted against a budget.
 type drainCluster struct {
 	*cluster
-	settings      *drain.Settings
+	settings      *drain.Settings // of the controllers that start from now on
 	withoutDrains map[string]bool // controllers that do not take part in drains
 	interruptions *testkit.Interruptions
 }
 
-// drainLayout is a layout with a budget.
+// drainLayout is a layout with a budget and with drain settings of its controllers.
 type drainLayout struct {
 	layout
 	limit         drain.Limit // budget by which interruptions are counted
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -96,7 +96,7 @@
 		before := k.machinesTakingWork()
 		k.world.SetBoot(time.Hour, false)
 		k.submit(spec(ref(firstFreeJob+1), "other", func(s *wire.Spec) { s.Tasks = 24 }), longRun)
-		time.Sleep(10 * time.Second) // machines are provisioned for it
+		time.Sleep(10 * time.Second) // machines are provisioned for the job
 		k.requestDrain("zone", func(p *drain.Plan) { p.Selector.Zones, p.MaxConcurrent = []string{"a"}, 50 })
 		k.requestDrain("types", func(p *drain.Plan) { p.Selector.Types, p.MaxConcurrent = []string{"big"}, 50 })
 		for range 90 {
--- a/internal/controller/fault_combinations_links_test.go
+++ b/internal/controller/fault_combinations_links_test.go
@@ -107,7 +107,7 @@
 	})
 }
 
-// Commands to machines, or what machines send, are held up for seconds. Then they arrive, and half
+// All messages to machines, or all messages from them, are held up for seconds. Then they arrive, and half
 // of the machines hang for a while and resume.
 func TestDelayedCommands(t *testing.T) {
 	for name, match := range map[string]func(k *cluster, ids func(string) bool) func(from, to string) bool{
