--- a/internal/testkit/direct.go
+++ b/internal/testkit/direct.go
@@ -8,17 +8,19 @@
 	"bramblespur/internal/wire"
 )
 
-// Direct is how a controller's process reaches workers. It implements agent.API.
-type Direct struct {
+// WorkerClient is how a controller's process reaches workers. It implements agent.API.
+type WorkerClient struct {
 	w    *World
 	from string
 	life context.Context
 }
 
-var _ agent.API = (*Direct)(nil)
+var _ agent.API = (*WorkerClient)(nil)
 
 // Direct returns the way to workers for a process that lives as long as ctx.
-func (w *World) Direct(ctx context.Context, from string) *Direct { return &Direct{w, from, ctx} }
+func (w *World) Direct(ctx context.Context, from string) *WorkerClient {
+	return &WorkerClient{w, from, ctx}
+}
 
 // at returns the machine at an address.
 func (w *World) at(addr string) *Agent {
@@ -28,7 +30,7 @@
 }
 
 // SendCommands implements agent.API.
-func (d *Direct) SendCommands(_ context.Context, addr string, o wire.DirectCommands) (wire.Heartbeat, bool, error) {
+func (d *WorkerClient) SendCommands(_ context.Context, addr string, o wire.DirectCommands) (wire.Heartbeat, bool, error) {
 	a := d.w.at(addr)
 	if a == nil || d.life.Err() != nil {
 		return wire.Heartbeat{}, false, ErrLost
@@ -48,7 +50,7 @@
 }
 
 // RequestHeartbeat implements agent.API.
-func (d *Direct) RequestHeartbeat(_ context.Context, addr string) (wire.Heartbeat, error) {
+func (d *WorkerClient) RequestHeartbeat(_ context.Context, addr string) (wire.Heartbeat, error) {
 	a := d.w.at(addr)
 	if a == nil || d.life.Err() != nil {
 		return wire.Heartbeat{}, ErrLost
