--- a/internal/controller/cluster_process_test.go
+++ b/internal/controller/cluster_process_test.go
@@ -135,7 +135,7 @@
 	}
 	lifetime, cancel := context.WithCancel(context.Background())
 	c := &Controller{cfg: cfg, policy: pol, log: k.logger(label), lifetime: lifetime, store: k.world.State.Link(lifetime, label),
-		cloud: k.world.CloudClient(lifetime, label), agents: k.world.Direct(lifetime, label)}
+		cloud: k.world.CloudClient(lifetime, label), agents: k.world.WorkerClient(lifetime, label)}
 	c.createComponents()
 	for _, q := range cfg.Peers {
 		c.peers[q.Label] = &peerLink{k, label, q.Label, lifetime}
--- a/internal/testkit/direct.go
+++ b/internal/testkit/direct.go
@@ -17,8 +17,8 @@
 
 var _ agent.API = (*WorkerClient)(nil)
 
-// Direct returns the way to workers for a process that lives as long as ctx.
-func (w *World) Direct(ctx context.Context, from string) *WorkerClient {
+// WorkerClient returns the way to workers for a process that lives as long as ctx.
+func (w *World) WorkerClient(ctx context.Context, from string) *WorkerClient {
 	return &WorkerClient{w, from, ctx}
 }
 
