--- a/internal/testkit/service.go
+++ b/internal/testkit/service.go
@@ -196,23 +196,23 @@
 	}
 }
 
-// Link is the service as one process of a controller reaches it. It implements
+// StoreClient is the service as one process of a controller reaches it. It implements
 // statestore.Store.
-type Link struct {
+type StoreClient struct {
 	s     *Service
 	label string
 	life  context.Context // the process's
 }
 
-var _ statestore.Store = (*Link)(nil)
+var _ statestore.Store = (*StoreClient)(nil)
 
 // Link returns the service for a process that lives as long as ctx.
-func (s *Service) Link(ctx context.Context, label string) *Link {
-	return &Link{s: s, label: label, life: ctx}
+func (s *Service) Link(ctx context.Context, label string) *StoreClient {
+	return &StoreClient{s: s, label: label, life: ctx}
 }
 
 // wait sleeps unless the caller or its process ends first.
-func (l *Link) wait(ctx context.Context, d time.Duration) error {
+func (l *StoreClient) wait(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -226,7 +226,7 @@
 }
 
 // begin carries a request to the service, which is locked if it arrives.
-func (l *Link) begin(ctx context.Context) error {
+func (l *StoreClient) begin(ctx context.Context) error {
 	l.s.mu.Lock()
 	delay := serviceDelay + l.s.slow
 	l.s.mu.Unlock()
@@ -247,7 +247,7 @@
 }
 
 // Get implements statestore.Store.
-func (l *Link) Get(ctx context.Context, purpose statestore.Purpose, key string) (wire.Entry, error) {
+func (l *StoreClient) Get(ctx context.Context, purpose statestore.Purpose, key string) (wire.Entry, error) {
 	if err := l.begin(ctx); err != nil {
 		return wire.Entry{}, err
 	}
@@ -256,7 +256,7 @@
 }
 
 // List implements statestore.Store.
-func (l *Link) List(ctx context.Context, purpose statestore.Purpose, prefix string) ([]wire.Entry, uint64, error) {
+func (l *StoreClient) List(ctx context.Context, purpose statestore.Purpose, prefix string) ([]wire.Entry, uint64, error) {
 	if err := l.begin(ctx); err != nil {
 		return nil, 0, err
 	}
@@ -265,7 +265,7 @@
 }
 
 // ListPage implements statestore.Store.
-func (l *Link) ListPage(ctx context.Context, purpose statestore.Purpose, prefix, after string, limit int) (wire.EntryPage, error) {
+func (l *StoreClient) ListPage(ctx context.Context, purpose statestore.Purpose, prefix, after string, limit int) (wire.EntryPage, error) {
 	if err := l.begin(ctx); err != nil {
 		return wire.EntryPage{}, err
 	}
@@ -274,7 +274,7 @@
 }
 
 // Txn implements statestore.Store.
-func (l *Link) Txn(ctx context.Context, _ statestore.Purpose, t wire.Txn) (uint64, error) {
+func (l *StoreClient) Txn(ctx context.Context, _ statestore.Purpose, t wire.Txn) (uint64, error) {
 	if err := l.begin(ctx); err != nil {
 		return 0, err
 	}
@@ -309,7 +309,7 @@
 }
 
 // Grant implements statestore.Store.
-func (l *Link) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
+func (l *StoreClient) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
 	if err := l.begin(ctx); err != nil {
 		return 0, err
 	}
@@ -320,7 +320,7 @@
 }
 
 // Renew implements statestore.Store.
-func (l *Link) Renew(ctx context.Context, id uint64) error {
+func (l *StoreClient) Renew(ctx context.Context, id uint64) error {
 	if err := l.begin(ctx); err != nil {
 		return err
 	}
@@ -334,7 +334,7 @@
 }
 
 // Watch implements statestore.Store. One that is open waits through an outage.
-func (l *Link) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (wire.Changes, error) {
+func (l *StoreClient) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (wire.Changes, error) {
 	if err := l.begin(ctx); err != nil {
 		return wire.Changes{}, err
 	}
@@ -367,16 +367,16 @@
 }
 
 // SetLimits implements statestore.Store: the service has no limits here.
-func (l *Link) SetLimits(float64, float64) {}
+func (l *StoreClient) SetLimits(float64, float64) {}
 
 // TakeDemand implements statestore.Store.
-func (l *Link) TakeDemand() (requests, changes int) { return 0, 0 }
+func (l *StoreClient) TakeDemand() (requests, changes int) { return 0, 0 }
 
 // Backlog implements statestore.Store.
-func (l *Link) Backlog() time.Duration { return 0 }
+func (l *StoreClient) Backlog() time.Duration { return 0 }
 
 // TakeUsage implements statestore.Store.
-func (l *Link) TakeUsage() map[string]statestore.Usage { return nil }
+func (l *StoreClient) TakeUsage() map[string]statestore.Usage { return nil }
 
 // TestEnd is who writes what a test itself puts.
 const TestEnd = "test"
