--- a/internal/controller/cluster_process_test.go
+++ b/internal/controller/cluster_process_test.go
@@ -134,7 +134,7 @@
 		k.t.Fatal(err)
 	}
 	lifetime, cancel := context.WithCancel(context.Background())
-	c := &Controller{cfg: cfg, policy: pol, log: k.logger(label), lifetime: lifetime, store: k.world.State.Link(lifetime, label),
+	c := &Controller{cfg: cfg, policy: pol, log: k.logger(label), lifetime: lifetime, store: k.world.State.StoreClient(lifetime, label),
 		cloud: k.world.CloudClient(lifetime, label), agents: k.world.WorkerClient(lifetime, label)}
 	c.createComponents()
 	for _, q := range cfg.Peers {
--- a/internal/controller/drains_harness_test.go
+++ b/internal/controller/drains_harness_test.go
@@ -221,7 +221,7 @@
 
 // drainRecords returns all records of drains, for messages.
 func (k *drainCluster) drainRecords() string {
-	link := k.world.State.Link(context.Background(), "operator")
+	link := k.world.State.StoreClient(context.Background(), "operator")
 	entries, _, err := link.List(context.Background(), statestore.Urgent("operator"), drain.Prefix)
 	if err != nil {
 		return err.Error()
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -26,7 +26,7 @@
 // recoverClient returns the client of the recovery tool, connected to the cluster.
 func (k *cluster) recoverClient() *recoverctl.Client {
 	ctx := context.Background()
-	c := &recoverctl.Client{Store: k.world.State.Link(ctx, operatorEnd), Cloud: k.world.CloudClient(ctx, operatorEnd), Now: time.Now,
+	c := &recoverctl.Client{Store: k.world.State.StoreClient(ctx, operatorEnd), Cloud: k.world.CloudClient(ctx, operatorEnd), Now: time.Now,
 		Peers: map[string]peer.Caller{}, Limits: recovery.Limits{ValueBytes: 16 << 10, TxnOps: 16, TxnBytes: 48 << 10}}
 	for _, label := range k.labels {
 		c.Peers[label] = &peerLink{k, operatorEnd, label, ctx}
--- a/internal/testkit/loopback.go
+++ b/internal/testkit/loopback.go
@@ -17,7 +17,7 @@
 
 // HTTP serves the state service by its published protocol, as one of the label reaches it.
 func (s *Service) HTTP(label string) http.Handler {
-	link := s.Link(context.Background(), label)
+	link := s.StoreClient(context.Background(), label)
 	use := statestore.Urgent("loopback")
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /store/{key...}", func(w http.ResponseWriter, r *http.Request) {
--- a/internal/testkit/service.go
+++ b/internal/testkit/service.go
@@ -206,8 +206,8 @@
 
 var _ statestore.Store = (*StoreClient)(nil)
 
-// Link returns the service for a process that lives as long as ctx.
-func (s *Service) Link(ctx context.Context, label string) *StoreClient {
+// StoreClient returns the service for a process that lives as long as ctx.
+func (s *Service) StoreClient(ctx context.Context, label string) *StoreClient {
 	return &StoreClient{s: s, label: label, life: ctx}
 }
 
