--- a/internal/testkit/orders.go
+++ b/internal/testkit/orders.go
@@ -7,8 +7,8 @@
 	"bramblespur/internal/wire"
 )
 
-// Orders are the starts and stops that workers were given, as they saw them.
-type Orders struct {
+// CommandLog are the starts and stops that workers were given, as they saw them.
+type CommandLog struct {
 	mu  sync.Mutex
 	all []seenOrder
 }
@@ -19,9 +19,9 @@
 }
 
 // Orders returns the orders of all workers.
-func (w *World) Orders() *Orders { return &w.orders }
+func (w *World) Orders() *CommandLog { return &w.orders }
 
-func (o *Orders) note(op string) {
+func (o *CommandLog) note(op string) {
 	if op == wire.Forget {
 		return
 	}
@@ -32,7 +32,7 @@
 
 // Most returns the most starts within any time of length d between two moments, or of
 // starts and stops.
-func (o *Orders) Most(d time.Duration, after, before time.Time, stops bool) int {
+func (o *CommandLog) Most(d time.Duration, after, before time.Time, stops bool) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var seen []time.Time
@@ -52,7 +52,7 @@
 }
 
 // Since returns how many orders there were after some moment.
-func (o *Orders) Since(after time.Time) int {
+func (o *CommandLog) Since(after time.Time) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	n := 0
--- a/internal/testkit/world.go
+++ b/internal/testkit/world.go
@@ -48,7 +48,7 @@
 	onEnd    func(ref string) // called when the last task of a job completes
 	mute     map[int]func(string) bool
 	mutes    int
-	orders   Orders
+	orders   CommandLog
 	observe  Observer
 	listen   func(*Agent) string // gives a machine an address; nil: one of the scripted network
 }
