--- a/internal/controller/restarts_test.go
+++ b/internal/controller/restarts_test.go
@@ -66,7 +66,7 @@
 		restarted := time.Now()
 		k.await(3*time.Minute, "the end of all reconciliations", func() bool { return k.allReconciled() })
 		limitEnds := restarted.Add(ratelimit.DefaultLimitFor)
-		if n := k.world.Orders().Most(time.Second, k.allEndedAt, limitEnds, !k.jobsCancelled.Load()); n > maxCommandsPerSecond {
+		if n := k.world.CommandLog().Most(time.Second, k.allEndedAt, limitEnds, !k.jobsCancelled.Load()); n > maxCommandsPerSecond {
 			k.t.Errorf("%d commands in a second, want %d at most", n, maxCommandsPerSecond)
 		}
 	})
@@ -168,7 +168,7 @@
 		"after the order": func(k *cluster) {
 			before := time.Now()
 			k.submitBacklog()
-			k.await(time.Minute, "commands", func() bool { return k.world.Orders().Since(before) > 3 })
+			k.await(time.Minute, "commands", func() bool { return k.world.CommandLog().Since(before) > 3 })
 		},
 		"after a task's end": func(k *cluster) {
 			ended := make(chan string, 2*busyJobs)
--- a/internal/testkit/orders.go
+++ b/internal/testkit/orders.go
@@ -18,8 +18,8 @@
 	start bool
 }
 
-// Orders returns the orders of all workers.
-func (w *World) Orders() *CommandLog { return &w.orders }
+// CommandLog returns the orders of all workers.
+func (w *World) CommandLog() *CommandLog { return &w.orders }
 
 func (o *CommandLog) note(op string) {
 	if op == wire.Forget {
