--- a/cmd/bramblespur/loopback_restart_test.go
+++ b/cmd/bramblespur/loopback_restart_test.go
@@ -57,7 +57,7 @@
 		}
 		return true
 	})
-	if n := l.world.CommandLog().Most(loopbackCommandWindow, killedAt, restartedAt.Add(loopbackCommandLimitTime), true); n > loopbackMaxCommands {
+	if n := l.world.CommandLog().MostWithin(loopbackCommandWindow, killedAt, restartedAt.Add(loopbackCommandLimitTime), true); n > loopbackMaxCommands {
 		t.Errorf("%d commands in %v, want %d at most", n, loopbackCommandWindow, loopbackMaxCommands)
 	}
 	for n := range 3 * jobs {
--- a/internal/controller/restarts_test.go
+++ b/internal/controller/restarts_test.go
@@ -66,7 +66,7 @@
 		restarted := time.Now()
 		k.await(3*time.Minute, "the end of all reconciliations", func() bool { return k.allReconciled() })
 		limitEnds := restarted.Add(ratelimit.DefaultLimitFor)
-		if n := k.world.CommandLog().Most(time.Second, k.allEndedAt, limitEnds, !k.jobsCancelled.Load()); n > maxCommandsPerSecond {
+		if n := k.world.CommandLog().MostWithin(time.Second, k.allEndedAt, limitEnds, !k.jobsCancelled.Load()); n > maxCommandsPerSecond {
 			k.t.Errorf("%d commands in a second, want %d at most", n, maxCommandsPerSecond)
 		}
 	})
--- a/internal/testkit/orders.go
+++ b/internal/testkit/orders.go
@@ -30,9 +30,9 @@
 	o.all = append(o.all, seenOrder{time.Now(), op == wire.Start})
 }
 
-// Most returns the most starts within any time of length d between two moments, or of
+// MostWithin returns the most starts within any time of length d between two moments, or of
 // starts and stops.
-func (o *CommandLog) Most(d time.Duration, after, before time.Time, stops bool) int {
+func (o *CommandLog) MostWithin(d time.Duration, after, before time.Time, stops bool) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var seen []time.Time
