--- a/internal/controller/restarts_test.go
+++ b/internal/controller/restarts_test.go
@@ -168,7 +168,7 @@
 		"after the order": func(k *cluster) {
 			before := time.Now()
 			k.submitBacklog()
-			k.await(time.Minute, "commands", func() bool { return k.world.CommandLog().Since(before) > 3 })
+			k.await(time.Minute, "commands", func() bool { return k.world.CommandLog().CountSince(before) > 3 })
 		},
 		"after a task's end": func(k *cluster) {
 			ended := make(chan string, 2*busyJobs)
--- a/internal/controller/safe_mode_test.go
+++ b/internal/controller/safe_mode_test.go
@@ -122,7 +122,7 @@
 			}
 		}
 	}
-	if n := k.world.CommandLog().Since(began.Add(time.Second)); n > 0 {
+	if n := k.world.CommandLog().CountSince(began.Add(time.Second)); n > 0 {
 		k.t.Errorf("%d commands in safe mode, want none", n)
 	}
 	if now := k.tasks(); !slices.Equal(now, running) {
--- a/internal/testkit/orders.go
+++ b/internal/testkit/orders.go
@@ -51,8 +51,8 @@
 	return most
 }
 
-// Since returns how many orders there were after some moment.
-func (o *CommandLog) Since(after time.Time) int {
+// CountSince returns how many orders there were after some moment.
+func (o *CommandLog) CountSince(after time.Time) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	n := 0
