--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -35,12 +35,12 @@
 }
 
 // snapshotOf returns the contents of a snapshot of the state service, as the tool would read them.
-func snapshotOf(i testkit.Image) *snapshot.Contents {
+func snapshotOf(i testkit.StoreContents) *snapshot.Contents {
 	return &snapshot.Contents{Manifest: &snapshot.Manifest{Revision: i.Revision}, Records: maps.Clone(i.Entries)}
 }
 
 // operatorDecision is the decision of an operator who knows what became of a job.
-func operatorDecision(key string, truth testkit.Image) recovery.Decision {
+func operatorDecision(key string, truth testkit.StoreContents) recovery.Decision {
 	var j record.FinishedJob
 	e, finished := truth.Entries[record.FinishedJobKey(record.LastElement(key))]
 	switch {
@@ -53,7 +53,7 @@
 }
 
 // recoveryPlan makes a plan with every undecided record decided by the truth.
-func (k *cluster) recoveryPlan(c *recoverctl.Client, s *snapshot.Contents, truth testkit.Image) *recovery.Plan {
+func (k *cluster) recoveryPlan(c *recoverctl.Client, s *snapshot.Contents, truth testkit.StoreContents) *recovery.Plan {
 	k.t.Helper()
 	for range 2 {
 		g, err := c.Gather(k.t.Context(), s)
@@ -86,7 +86,7 @@
 
 // checkPlan compares a plan with the true records: recovered records must be as they were, and
 // records that controllers held must not be called lost.
-func (k *cluster) checkPlan(p *recovery.Plan, truth testkit.Image) {
+func (k *cluster) checkPlan(p *recovery.Plan, truth testkit.StoreContents) {
 	k.t.Helper()
 	for _, i := range p.Items {
 		e, existed := truth.Entries[i.Key]
@@ -123,7 +123,7 @@
 // runLoss takes a snapshot, lets jobs be accepted, end and be cancelled, and then loses data,
 // which the recovery tool rebuilds. lose returns the true records, and a newer snapshot for the
 // tool or nil. Every job must be answered, without violations.
-func runLoss(t *testing.T, lose func(k *cluster) (truth testkit.Image, newer *snapshot.Contents)) {
+func runLoss(t *testing.T, lose func(k *cluster) (truth testkit.StoreContents, newer *snapshot.Contents)) {
 	t.Helper()
 	runOnAllLayouts(t, func(k *cluster) {
 		k.losesData = true
@@ -151,7 +151,7 @@
 
 // recoverLostData rebuilds the lost records from a snapshot and the cluster, and checks the plan
 // against the truth.
-func (k *cluster) recoverLostData(older *snapshot.Contents, truth testkit.Image) {
+func (k *cluster) recoverLostData(older *snapshot.Contents, truth testkit.StoreContents) {
 	k.t.Helper()
 	c := k.recoverClient()
 	p := k.recoveryPlan(c, older, truth)
@@ -245,7 +245,7 @@
 func TestRecoverSilentLoss(t *testing.T) {
 	for name, loss := range silentLosses {
 		t.Run(name, func(t *testing.T) {
-			runLoss(t, func(k *cluster) (testkit.Image, *snapshot.Contents) {
+			runLoss(t, func(k *cluster) (testkit.StoreContents, *snapshot.Contents) {
 				truth := k.world.State.Image()
 				loss(k)
 				return truth, nil
@@ -259,7 +259,7 @@
 func TestRecoverOlderRevision(t *testing.T) {
 	for name, restart := range map[string]bool{"controllers live": false, "all restarted": true} {
 		t.Run(name, func(t *testing.T) {
-			runLoss(t, func(k *cluster) (testkit.Image, *snapshot.Contents) {
+			runLoss(t, func(k *cluster) (testkit.StoreContents, *snapshot.Contents) {
 				image := k.world.State.Image()
 				for range 40 { // a gap of fewer revisions than a restart writes cannot be noticed
 					noise := wire.Txn{Then: []wire.Op{{Put: record.ClusterPrefix + "noise", Value: []byte("1")}}}
@@ -293,7 +293,7 @@
 func TestRecoverSeededLoss(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			runLoss(t, func(k *cluster) (testkit.Image, *snapshot.Contents) {
+			runLoss(t, func(k *cluster) (testkit.StoreContents, *snapshot.Contents) {
 				truth := k.world.State.Image()
 				r := rand.New(rand.NewPCG(seed, 9))
 				if seed%2 == 1 {
--- a/internal/controller/safe_mode_test.go
+++ b/internal/controller/safe_mode_test.go
@@ -59,7 +59,7 @@
 
 // restoreData restores the records of the state service, as a recovery would, and ends the safe
 // mode.
-func (k *cluster) restoreData(full testkit.Image) {
+func (k *cluster) restoreData(full testkit.StoreContents) {
 	k.t.Helper()
 	mode := recovery.SafeMode{}
 	for _, label := range k.labels {
--- a/internal/recoverctl/measure_test.go
+++ b/internal/recoverctl/measure_test.go
@@ -62,7 +62,7 @@
 func measureRecovery(b *testing.B, machines int, kept string) {
 	service := testkit.NewService()
 	records := testkit.FleetRecords(machines, measuredJobs)
-	image := testkit.Image{Revision: uint64(len(records)), Entries: map[string]wire.Entry{}}
+	image := testkit.StoreContents{Revision: uint64(len(records)), Entries: map[string]wire.Entry{}}
 	for key, e := range records {
 		if strings.HasPrefix(key, kept) {
 			image.Entries[key] = e
--- a/internal/snapshot/measure_test.go
+++ b/internal/snapshot/measure_test.go
@@ -24,7 +24,7 @@
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			service := testkit.NewService()
 			records := testkit.FleetRecords(machines, measuredJobs)
-			service.Revert(testkit.Image{Revision: uint64(len(records)), Entries: records})
+			service.Revert(testkit.StoreContents{Revision: uint64(len(records)), Entries: records})
 			server := httptest.NewServer(service.HTTP("operator"))
 			defer server.Close()
 			store := statestore.New(strings.TrimPrefix(server.URL, "http://"), 1, measuredRPS, 10, nil)
--- a/internal/testkit/loss.go
+++ b/internal/testkit/loss.go
@@ -7,22 +7,22 @@
 	"bramblespur/internal/wire"
 )
 
-// Image is all that a state service holds at one time.
-type Image struct {
+// StoreContents is all that a state service holds at one time.
+type StoreContents struct {
 	Revision uint64
 	Entries  map[string]wire.Entry
 	log      []wire.Change
 }
 
 // Image returns what the service holds.
-func (s *Service) Image() Image {
+func (s *Service) Image() StoreContents {
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
-	return Image{s.state.rev, maps.Clone(s.state.entries), slices.Clone(s.state.log)}
+	return StoreContents{s.state.rev, maps.Clone(s.state.entries), slices.Clone(s.state.log)}
 }
 
 // Revert makes the service hold what it held before, with its revision of then. Leases go on.
-func (s *Service) Revert(i Image) {
+func (s *Service) Revert(i StoreContents) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state.mu.Lock()
