--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -131,7 +131,7 @@
 		for i := range 3 {
 			k.submit(spec(ref(firstFreeJob+i), "wide", nil), shortRun)
 		}
-		older := snapshotOf(k.world.State.Image())
+		older := snapshotOf(k.world.State.Contents())
 		cancelled := k.cancel(ref(gangJob))
 		k.await(k.timing.Cancel, "the cancellation", cancelled)
 		k.await(2*time.Minute, "the end of two jobs", func() bool {
@@ -172,7 +172,7 @@
 				heal := k.isolate(owner)
 				k.awaitNewOwner("other", owner)
 				k.awaitStableTasks()
-				truth := k.world.State.Image()
+				truth := k.world.State.Contents()
 				k.loseRecords("")
 				if !late {
 					heal()
@@ -226,9 +226,9 @@
 				k.losesData = true
 				k.load()
 				k.awaitStableTasks()
-				older := snapshotOf(k.world.State.Image())
+				older := snapshotOf(k.world.State.Contents())
 				heal := fault(k)
-				truth := k.world.State.Image()
+				truth := k.world.State.Contents()
 				k.loseRecords("")
 				time.Sleep(3 * time.Second)
 				heal()
@@ -246,7 +246,7 @@
 	for name, loss := range silentLosses {
 		t.Run(name, func(t *testing.T) {
 			runLoss(t, func(k *cluster) (testkit.StoreContents, *snapshot.Contents) {
-				truth := k.world.State.Image()
+				truth := k.world.State.Contents()
 				loss(k)
 				return truth, nil
 			})
@@ -260,7 +260,7 @@
 	for name, restart := range map[string]bool{"controllers live": false, "all restarted": true} {
 		t.Run(name, func(t *testing.T) {
 			runLoss(t, func(k *cluster) (testkit.StoreContents, *snapshot.Contents) {
-				image := k.world.State.Image()
+				image := k.world.State.Contents()
 				for range 40 { // a gap of fewer revisions than a restart writes cannot be noticed
 					noise := wire.Txn{Then: []wire.Op{{Put: record.ClusterPrefix + "noise", Value: []byte("1")}}}
 					if err := k.world.State.Put(noise); err != nil {
@@ -275,7 +275,7 @@
 					k.submit(spec(ref(firstFreeJob+6), "wide", nil), longRun)
 				}
 				k.awaitStableTasks()
-				truth := k.world.State.Image()
+				truth := k.world.State.Contents()
 				if restart {
 					for _, label := range k.labels {
 						k.crash(label)
@@ -294,7 +294,7 @@
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			runLoss(t, func(k *cluster) (testkit.StoreContents, *snapshot.Contents) {
-				truth := k.world.State.Image()
+				truth := k.world.State.Contents()
 				r := rand.New(rand.NewPCG(seed, 9))
 				if seed%2 == 1 {
 					for _, label := range k.labels {
--- a/internal/controller/safe_mode_test.go
+++ b/internal/controller/safe_mode_test.go
@@ -71,7 +71,7 @@
 		p.c.mu.Unlock()
 	}
 	mode.Active = false
-	now := k.world.State.Image()
+	now := k.world.State.Contents()
 	for key, e := range now.Entries { // jobs accepted before the loss was noticed
 		if _, known := full.Entries[key]; !known {
 			full.Entries[key] = e
@@ -141,7 +141,7 @@
 				k.submit(spec(ref(firstFreeJob), "wide", nil), shortRun)
 				k.await(2*time.Minute, "the end of a job", func() bool { return k.world.LastState(ref(firstFreeJob)) == wire.Done })
 				k.awaitStableTasks()
-				full := k.world.State.Image()
+				full := k.world.State.Contents()
 				loss(k)
 				k.await(time.Minute, "safe mode", k.allInSafeMode)
 				k.checkSafeModeHolds(2 * k.timing.Lease)
@@ -165,7 +165,7 @@
 			runOnAllLayouts(t, func(k *cluster) {
 				k.losesData = true
 				k.load()
-				old := k.world.State.Image()
+				old := k.world.State.Contents()
 				owner := k.ownerOfTeam("wide")
 				k.crash(owner) // workers then hold the shard's next fencing token, which is not in the older revision
 				k.awaitNewOwner("wide", owner)
@@ -175,7 +175,7 @@
 				}
 				time.Sleep(x.by + k.timing.Report)
 				k.awaitStableTasks()
-				full := k.world.State.Image()
+				full := k.world.State.Contents()
 				if x.restart {
 					for _, label := range k.labels {
 						k.crash(label)
@@ -204,7 +204,7 @@
 				for _, label := range k.labels {
 					k.crash(label)
 				}
-				full := k.world.State.Image()
+				full := k.world.State.Contents()
 				k.loseRecords(prefix)
 				if prefix == "" { // the controllers write their format records again
 					time.Sleep(time.Second)
--- a/internal/testkit/loss.go
+++ b/internal/testkit/loss.go
@@ -14,8 +14,8 @@
 	log      []wire.Change
 }
 
-// Image returns what the service holds.
-func (s *Service) Image() StoreContents {
+// Contents returns what the service holds.
+func (s *Service) Contents() StoreContents {
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
 	return StoreContents{s.state.rev, maps.Clone(s.state.entries), slices.Clone(s.state.log)}
