--- a/cmd/bramblespur/loopback_bench_test.go
+++ b/cmd/bramblespur/loopback_bench_test.go
@@ -26,7 +26,7 @@
 // provisionFleet provisions machines for the shards in turn, and records them.
 func (l *loopback) provisionFleet(machines int) {
 	l.t.Helper()
-	api := l.world.CloudClient(l.t.Context(), testkit.TestEnd)
+	api := l.world.CloudClient(l.t.Context(), testkit.TestSender)
 	const batch = 50
 	for n := 0; n < machines; n += batch {
 		r := record.Provision{Type: "big", Zone: []string{"a", "b"}[n/batch%2], CreatedAt: time.Now().UnixMilli()}
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -254,7 +254,7 @@
 			k.requestDrain("all", func(p *drain.Plan) { p.Selector.Types = []string{"big"} })
 			time.Sleep(2 * time.Minute)
 			for _, w := range k.world.State.Writes() {
-				if writes(w.Txn, drain.Prefix) && w.From != testkit.TestEnd {
+				if writes(w.Txn, drain.Prefix) && w.From != testkit.TestSender {
 					k.t.Errorf("%s wrote drain records without drain settings: %v", w.From, w.Txn)
 				}
 			}
--- a/internal/testkit/service.go
+++ b/internal/testkit/service.go
@@ -130,7 +130,7 @@
 
 // Entries returns all records of a prefix.
 func (s *Service) Entries(prefix string) []wire.Entry {
-	entries, _, err := s.state.List(context.Background(), statestore.Urgent(TestEnd), prefix)
+	entries, _, err := s.state.List(context.Background(), statestore.Urgent(TestSender), prefix)
 	if err != nil {
 		panic(err) // in memory, and never down
 	}
@@ -378,13 +378,13 @@
 // TakeUsage implements statestore.Store.
 func (l *StoreClient) TakeUsage() map[string]statestore.Usage { return nil }
 
-// TestEnd is who writes what a test itself puts.
-const TestEnd = "test"
+// TestSender is who writes what a test itself puts.
+const TestSender = "test"
 
 // Put carries out a transaction of the test's own.
 func (s *Service) Put(t wire.Txn) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, err := s.apply(TestEnd, t)
+	_, err := s.apply(TestSender, t)
 	return err
 }
