--- a/internal/testkit/users.go
+++ b/internal/testkit/users.go
@@ -22,7 +22,7 @@
 		status int
 		body   []byte
 	}
-	a, err := Call(w.Net, UsersEnd, label, timeout, func() (answer, error) {
+	a, err := Call(w.Net, UsersEndpoint, label, timeout, func() (answer, error) {
 		n := w.node(label)
 		if n == nil {
 			return answer{}, ErrRefused
--- a/internal/testkit/world.go
+++ b/internal/testkit/world.go
@@ -55,8 +55,8 @@
 
 // Ends of the network besides controllers, by label, and machines, by name.
 const (
-	UsersEnd = "users"
-	CloudEnd = "cloud"
+	UsersEndpoint = "users"
+	CloudEnd      = "cloud"
 )
 
 // Timeouts of the outside world's clients.
