--- a/internal/controller/fault_combinations_links_test.go
+++ b/internal/controller/fault_combinations_links_test.go
@@ -234,7 +234,7 @@
 				k.load()
 				owner := k.ownerOfTeam("wide")
 				heal := k.world.Net.Cut(&testkit.Cut{Hold: hold, Match: testkit.Between(testkit.Named(owner),
-					func(n string) bool { return n != testkit.UsersEndpoint && n != testkit.CloudEnd })})
+					func(n string) bool { return n != testkit.UsersEndpoint && n != testkit.CloudEndpoint })})
 				k.submitInBackground(spec(ref(firstFreeJob), "wide", func(s *wire.Spec) { s.Tasks = 3 }), shortRun)
 				confirmed := k.cancelAll(arrayJob, limitJob)
 				newOwner := k.awaitNewOwner("wide", owner)
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -49,7 +49,7 @@
 	{"deaf controller", func(k *cluster, r *rand.Rand) func() {
 		l := k.labels[r.IntN(len(k.labels))]
 		return k.world.Net.Cut(&testkit.Cut{Hold: r.IntN(2) == 0, Match: testkit.Between(testkit.Named(l),
-			func(n string) bool { return n != testkit.UsersEndpoint && n != testkit.CloudEnd })})
+			func(n string) bool { return n != testkit.UsersEndpoint && n != testkit.CloudEndpoint })})
 	}},
 	{"controllers apart", func(k *cluster, _ *rand.Rand) func() {
 		return k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(k.isController, k.isController)})
--- a/internal/controller/restarts_test.go
+++ b/internal/controller/restarts_test.go
@@ -313,7 +313,7 @@
 		if err := k.world.State.Put(wire.Txn{Then: []wire.Op{{Put: record.ProvisionKey("ghost"), Value: record.Encode(missing)}}}); err != nil {
 			k.t.Fatal(err)
 		}
-		heal := k.world.Net.Cut(&testkit.Cut{Match: func(from, _ string) bool { return from == testkit.CloudEnd }})
+		heal := k.world.Net.Cut(&testkit.Cut{Match: func(from, _ string) bool { return from == testkit.CloudEndpoint }})
 		k.submitBacklog()
 		time.Sleep(4 * time.Second)
 		k.crashAll()
--- a/internal/testkit/cloud.go
+++ b/internal/testkit/cloud.go
@@ -29,12 +29,12 @@
 
 // Types implements cloud.API.
 func (c *CloudClient) Types(context.Context) ([]wire.MachineType, error) {
-	return Call(c.w.Net, c.from, CloudEnd, cloudTimeout, func() ([]wire.MachineType, error) { return c.w.types, c.life.Err() })
+	return Call(c.w.Net, c.from, CloudEndpoint, cloudTimeout, func() ([]wire.MachineType, error) { return c.w.types, c.life.Err() })
 }
 
 // Provision implements cloud.API: a repeated name gives the same machines.
 func (c *CloudClient) Provision(_ context.Context, r wire.ProvisionRequest) ([]string, error) {
-	return Call(c.w.Net, c.from, CloudEnd, cloudTimeout, func() ([]string, error) {
+	return Call(c.w.Net, c.from, CloudEndpoint, cloudTimeout, func() ([]string, error) {
 		if err := c.life.Err(); err != nil {
 			return nil, err
 		}
@@ -99,7 +99,7 @@
 
 // Release implements cloud.API: the machines are gone before it answers.
 func (c *CloudClient) Release(_ context.Context, ids []string) error {
-	_, err := Call(c.w.Net, c.from, CloudEnd, cloudTimeout, func() (struct{}, error) {
+	_, err := Call(c.w.Net, c.from, CloudEndpoint, cloudTimeout, func() (struct{}, error) {
 		if err := c.life.Err(); err != nil {
 			return struct{}{}, err
 		}
@@ -122,7 +122,7 @@
 
 // List implements cloud.API.
 func (c *CloudClient) List(context.Context) ([]wire.ListedMachine, error) {
-	return Call(c.w.Net, c.from, CloudEnd, cloudTimeout, func() ([]wire.ListedMachine, error) {
+	return Call(c.w.Net, c.from, CloudEndpoint, cloudTimeout, func() ([]wire.ListedMachine, error) {
 		c.w.mu.Lock()
 		defer c.w.mu.Unlock()
 		var out []wire.ListedMachine
--- a/internal/testkit/world.go
+++ b/internal/testkit/world.go
@@ -56,7 +56,7 @@
 // Ends of the network besides controllers, by label, and machines, by name.
 const (
 	UsersEndpoint = "users"
-	CloudEnd      = "cloud"
+	CloudEndpoint = "cloud"
 )
 
 // Timeouts of the outside world's clients.
