--- a/internal/controller/fault_combinations_links_test.go
+++ b/internal/controller/fault_combinations_links_test.go
@@ -69,7 +69,7 @@
 		k.load()
 		on := k.awaitRunning(ref(arrayJob), 4)
 		earlier := k.heartbeats()
-		heal := k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(matchAgents(on), testkit.Anyone)})
+		heal := k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(matchAgents(on), testkit.AnyEndpoint)})
 		time.Sleep(k.timing.Lease + 2*time.Second)
 		heal()
 		time.Sleep(2 * k.timing.Report)
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -57,7 +57,7 @@
 	{"mute machines", func(k *cluster, r *rand.Rand) func() { return k.blockCallsFrom(matchAgents(k.randomMachines(r))) }},
 	{"deaf machines", func(k *cluster, r *rand.Rand) func() { return k.dropMessagesTo(matchAgents(k.randomMachines(r))) }},
 	{"machines cut off", func(k *cluster, r *rand.Rand) func() {
-		return k.world.Net.Cut(&testkit.Cut{Hold: r.IntN(2) == 0, Match: testkit.Between(matchAgents(k.randomMachines(r)), testkit.Anyone)})
+		return k.world.Net.Cut(&testkit.Cut{Hold: r.IntN(2) == 0, Match: testkit.Between(matchAgents(k.randomMachines(r)), testkit.AnyEndpoint)})
 	}},
 	{"machines hang", func(k *cluster, r *rand.Rand) func() {
 		ms := k.randomMachines(r)
--- a/internal/controller/restarts_test.go
+++ b/internal/controller/restarts_test.go
@@ -293,7 +293,7 @@
 		silent := k.world.MachinesOf(ref(arrayJob))
 		k.crashAll()
 		isSilent := matchAgents(silent)
-		heal := k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(isSilent, testkit.Anyone)})
+		heal := k.world.Net.Cut(&testkit.Cut{Match: testkit.Between(isSilent, testkit.AnyEndpoint)})
 		k.startInRandomOrder(r)
 		time.Sleep(3 * k.timing.Lease)
 		heal()
--- a/internal/testkit/network.go
+++ b/internal/testkit/network.go
@@ -29,8 +29,8 @@
 	return func(n string) bool { return set[n] }
 }
 
-// Anyone is the group of all.
-func Anyone(string) bool { return true }
+// AnyEndpoint is the group of all.
+func AnyEndpoint(string) bool { return true }
 
 // Network carries calls between named ends, in bubble time.
 type Network struct {
