--- a/internal/testkit/network.go
+++ b/internal/testkit/network.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Cut is a rule of a network: messages from one end to another are lost, or held
+// Partition is a rule of a network: messages from one end to another are lost, or held
 // back until the rule is taken away.
-type Cut struct {
+type Partition struct {
 	Match    func(from, to string) bool
 	Hold     bool
 	Requests bool // answers pass
@@ -35,7 +35,7 @@
 // Network carries calls between named ends, in bubble time.
 type Network struct {
 	mu    sync.Mutex
-	cuts  map[*Cut]bool
+	cuts  map[*Partition]bool
 	held  []heldMessage
 	delay time.Duration
 }
@@ -47,10 +47,10 @@
 }
 
 // NewNetwork returns a network without cuts.
-func NewNetwork() *Network { return &Network{cuts: map[*Cut]bool{}, delay: usualDelay} }
+func NewNetwork() *Network { return &Network{cuts: map[*Partition]bool{}, delay: usualDelay} }
 
 // Cut adds a rule and returns what takes it away and delivers what it held.
-func (n *Network) Cut(c *Cut) (heal func()) {
+func (n *Network) Cut(c *Partition) (heal func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cuts[c] = true
