--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -27,7 +27,7 @@
 // the partition are lost, or with hold are delivered when it ends. heal ends it.
 func (k *cluster) isolateZone(zone string, hold bool) (heal func()) {
 	inside := k.inZone(zone)
-	endCut := k.world.Net.Cut(&testkit.Partition{Match: testkit.Between(inside, not(inside)), Hold: hold})
+	endCut := k.world.Net.AddPartition(&testkit.Partition{Match: testkit.Between(inside, not(inside)), Hold: hold})
 	for _, l := range k.labels {
 		if k.zoneOf[l] == zone {
 			k.world.State.Cut(l, true)
@@ -44,7 +44,7 @@
 // isolate partitions a controller from the state service and the other controllers, but not from
 // workers and users. heal ends the partition.
 func (k *cluster) isolate(label string) (heal func()) {
-	endCut := k.world.Net.Cut(&testkit.Partition{Match: testkit.Between(testkit.Named(label), k.isController)})
+	endCut := k.world.Net.AddPartition(&testkit.Partition{Match: testkit.Between(testkit.Named(label), k.isController)})
 	k.world.State.Cut(label, true)
 	return func() {
 		k.world.State.Cut(label, false)
@@ -59,7 +59,7 @@
 // dropMessagesTo drops all messages of controllers to machines, answers and commands, until heal.
 // Heartbeats still arrive.
 func (k *cluster) dropMessagesTo(ids func(string) bool) (heal func()) {
-	return k.world.Net.Cut(&testkit.Partition{Match: func(from, to string) bool { return k.isController(from) && ids(to) }})
+	return k.world.Net.AddPartition(&testkit.Partition{Match: func(from, to string) bool { return k.isController(from) && ids(to) }})
 }
 
 // heartbeats returns copies of the latest heartbeats of all machines, the oldest of each machine
--- a/internal/controller/fault_combinations_links_test.go
+++ b/internal/controller/fault_combinations_links_test.go
@@ -69,7 +69,7 @@
 		k.load()
 		on := k.awaitRunning(ref(arrayJob), 4)
 		earlier := k.heartbeats()
-		heal := k.world.Net.Cut(&testkit.Partition{Match: testkit.Between(matchAgents(on), testkit.AnyEndpoint)})
+		heal := k.world.Net.AddPartition(&testkit.Partition{Match: testkit.Between(matchAgents(on), testkit.AnyEndpoint)})
 		time.Sleep(k.timing.Lease + 2*time.Second)
 		heal()
 		time.Sleep(2 * k.timing.Report)
@@ -122,7 +122,7 @@
 			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
 				all := k.world.Machines()
-				heal := k.world.Net.Cut(&testkit.Partition{Match: match(k, matchAgents(all)), Hold: true})
+				heal := k.world.Net.AddPartition(&testkit.Partition{Match: match(k, matchAgents(all)), Hold: true})
 				k.submitInBackground(spec(ref(firstFreeJob), "wide", func(s *wire.Spec) { s.Tasks = 3 }), longRun)
 				confirmed := k.cancelAll(arrayJob, limitJob)
 				time.Sleep(3 * time.Second)
@@ -201,7 +201,7 @@
 				k.load()
 				owner := k.ownerOfTeam("wide")
 				sent := 0
-				heal := k.world.Net.Cut(&testkit.Partition{Hold: true, Requests: true, Match: func(from, to string) bool {
+				heal := k.world.Net.AddPartition(&testkit.Partition{Hold: true, Requests: true, Match: func(from, to string) bool {
 					held := from == owner && k.isMachine(to)
 					if held {
 						sent++
@@ -233,7 +233,7 @@
 			runOnAllLayouts(t, func(k *cluster) {
 				k.load()
 				owner := k.ownerOfTeam("wide")
-				heal := k.world.Net.Cut(&testkit.Partition{Hold: hold, Match: testkit.Between(testkit.Named(owner),
+				heal := k.world.Net.AddPartition(&testkit.Partition{Hold: hold, Match: testkit.Between(testkit.Named(owner),
 					func(n string) bool { return n != testkit.UsersEndpoint && n != testkit.CloudEndpoint })})
 				k.submitInBackground(spec(ref(firstFreeJob), "wide", func(s *wire.Spec) { s.Tasks = 3 }), shortRun)
 				confirmed := k.cancelAll(arrayJob, limitJob)
--- a/internal/controller/fault_combinations_restarts_test.go
+++ b/internal/controller/fault_combinations_restarts_test.go
@@ -17,10 +17,10 @@
 func TestLimitWithLostMachinesAndNewLeader(t *testing.T) {
 	for name, fault := range map[string]func(*cluster, []*testkit.Agent) (heal func()){
 		"cut": func(k *cluster, ms []*testkit.Agent) func() {
-			return k.world.Net.Cut(&testkit.Partition{Match: testkit.Between(matchAgents(ms), testkit.AnyEndpoint)})
+			return k.world.Net.AddPartition(&testkit.Partition{Match: testkit.Between(matchAgents(ms), testkit.AnyEndpoint)})
 		},
 		"held": func(k *cluster, ms []*testkit.Agent) func() {
-			return k.world.Net.Cut(&testkit.Partition{Match: testkit.Between(matchAgents(ms), testkit.AnyEndpoint), Hold: true})
+			return k.world.Net.AddPartition(&testkit.Partition{Match: testkit.Between(matchAgents(ms), testkit.AnyEndpoint), Hold: true})
 		},
 		"hang": func(k *cluster, ms []*testkit.Agent) func() {
 			for _, m := range ms {
@@ -127,7 +127,7 @@
 func TestOwnerEndsWhileMachinesAreOutOfReach(t *testing.T) {
 	for name, fault := range map[string]func(*cluster, func(string) bool) func(){
 		"unreachable": func(k *cluster, ids func(string) bool) func() {
-			return k.world.Net.Cut(&testkit.Partition{Match: testkit.Between(ids, testkit.AnyEndpoint)})
+			return k.world.Net.AddPartition(&testkit.Partition{Match: testkit.Between(ids, testkit.AnyEndpoint)})
 		},
 		"deaf": (*cluster).dropMessagesTo,
 		"mute": (*cluster).blockCallsFrom,
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -139,7 +139,7 @@
 func TestRefusedAloneThenOutageWithDelayedCommands(t *testing.T) {
 	runOnAllLayouts(t, func(k *cluster) {
 		refusedAloneThenOutage(k, 6*time.Second, func(owner string) {
-			heal := k.world.Net.Cut(&testkit.Partition{Match: func(from, to string) bool { return from == owner && k.isMachine(to) }, Hold: true})
+			heal := k.world.Net.AddPartition(&testkit.Partition{Match: func(from, to string) bool { return from == owner && k.isMachine(to) }, Hold: true})
 			k.submit(spec(ref(firstFreeJob+1), "wide", func(s *wire.Spec) { s.Tasks = 3 }), longRun)
 			time.Sleep(500 * time.Millisecond)
 			k.cancel(ref(firstFreeJob + 1))
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -86,7 +86,7 @@
 		}
 		slow := k.owner(part)
 		k.requireOccurred(slow != k.leader(), "another than the leader is overloaded")
-		over := k.world.Net.Cut(&testkit.Partition{Match: testkit.Between(testkit.Named(slow), k.isController)})
+		over := k.world.Net.AddPartition(&testkit.Partition{Match: testkit.Between(testkit.Named(slow), k.isController)})
 		heal := k.overload(slow)
 		k.await(20*time.Second, "another owner", func() bool { return k.owner(part) != slow && k.owner(part) != "" })
 		if n := k.ownerChanges(part, time.Minute); n > 0 {
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -48,16 +48,16 @@
 	{"isolated", func(k *cluster, r *rand.Rand) func() { return k.isolate(k.labels[r.IntN(len(k.labels))]) }},
 	{"deaf controller", func(k *cluster, r *rand.Rand) func() {
 		l := k.labels[r.IntN(len(k.labels))]
-		return k.world.Net.Cut(&testkit.Partition{Hold: r.IntN(2) == 0, Match: testkit.Between(testkit.Named(l),
+		return k.world.Net.AddPartition(&testkit.Partition{Hold: r.IntN(2) == 0, Match: testkit.Between(testkit.Named(l),
 			func(n string) bool { return n != testkit.UsersEndpoint && n != testkit.CloudEndpoint })})
 	}},
 	{"controllers apart", func(k *cluster, _ *rand.Rand) func() {
-		return k.world.Net.Cut(&testkit.Partition{Match: testkit.Between(k.isController, k.isController)})
+		return k.world.Net.AddPartition(&testkit.Partition{Match: testkit.Between(k.isController, k.isController)})
 	}},
 	{"mute machines", func(k *cluster, r *rand.Rand) func() { return k.blockCallsFrom(matchAgents(k.randomMachines(r))) }},
 	{"deaf machines", func(k *cluster, r *rand.Rand) func() { return k.dropMessagesTo(matchAgents(k.randomMachines(r))) }},
 	{"machines cut off", func(k *cluster, r *rand.Rand) func() {
-		return k.world.Net.Cut(&testkit.Partition{Hold: r.IntN(2) == 0, Match: testkit.Between(matchAgents(k.randomMachines(r)), testkit.AnyEndpoint)})
+		return k.world.Net.AddPartition(&testkit.Partition{Hold: r.IntN(2) == 0, Match: testkit.Between(matchAgents(k.randomMachines(r)), testkit.AnyEndpoint)})
 	}},
 	{"machines hang", func(k *cluster, r *rand.Rand) func() {
 		ms := k.randomMachines(r)
@@ -77,7 +77,7 @@
 		return nil
 	}},
 	{"commands held", func(k *cluster, _ *rand.Rand) func() {
-		return k.world.Net.Cut(&testkit.Partition{Hold: true, Requests: true, Match: func(from, to string) bool { return k.isController(from) && k.isMachine(to) }})
+		return k.world.Net.AddPartition(&testkit.Partition{Hold: true, Requests: true, Match: func(from, to string) bool { return k.isController(from) && k.isMachine(to) }})
 	}},
 	{"late writes", func(k *cluster, r *rand.Rand) func() {
 		n, every, lost := 0, 2+r.IntN(4), r.IntN(2) == 0
--- a/internal/controller/restarts_test.go
+++ b/internal/controller/restarts_test.go
@@ -293,7 +293,7 @@
 		silent := k.world.MachinesOf(ref(arrayJob))
 		k.crashAll()
 		isSilent := matchAgents(silent)
-		heal := k.world.Net.Cut(&testkit.Partition{Match: testkit.Between(isSilent, testkit.AnyEndpoint)})
+		heal := k.world.Net.AddPartition(&testkit.Partition{Match: testkit.Between(isSilent, testkit.AnyEndpoint)})
 		k.startInRandomOrder(r)
 		time.Sleep(3 * k.timing.Lease)
 		heal()
@@ -313,7 +313,7 @@
 		if err := k.world.State.Put(wire.Txn{Then: []wire.Op{{Put: record.ProvisionKey("ghost"), Value: record.Encode(missing)}}}); err != nil {
 			k.t.Fatal(err)
 		}
-		heal := k.world.Net.Cut(&testkit.Partition{Match: func(from, _ string) bool { return from == testkit.CloudEndpoint }})
+		heal := k.world.Net.AddPartition(&testkit.Partition{Match: func(from, _ string) bool { return from == testkit.CloudEndpoint }})
 		k.submitBacklog()
 		time.Sleep(4 * time.Second)
 		k.crashAll()
--- a/internal/controller/zones_apart_test.go
+++ b/internal/controller/zones_apart_test.go
@@ -21,7 +21,7 @@
 				k.load()
 				sessions := k.sessionsWithTasks()
 				inside := k.inZone("b")
-				heal := k.world.Net.Cut(&testkit.Partition{Match: testkit.Between(inside, not(inside)), Hold: hold})
+				heal := k.world.Net.AddPartition(&testkit.Partition{Match: testkit.Between(inside, not(inside)), Hold: hold})
 				time.Sleep(2 * k.timing.Lease)
 				crossing := 0
 				for _, machine := range k.world.Machines() {
--- a/internal/testkit/network.go
+++ b/internal/testkit/network.go
@@ -49,8 +49,8 @@
 // NewNetwork returns a network without cuts.
 func NewNetwork() *Network { return &Network{cuts: map[*Partition]bool{}, delay: usualDelay} }
 
-// Cut adds a rule and returns what takes it away and delivers what it held.
-func (n *Network) Cut(c *Partition) (heal func()) {
+// AddPartition adds a rule and returns what takes it away and delivers what it held.
+func (n *Network) AddPartition(c *Partition) (heal func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cuts[c] = true
