--- a/internal/controller/fault_combinations_links_test.go
+++ b/internal/controller/fault_combinations_links_test.go
@@ -201,7 +201,7 @@
 				k.load()
 				owner := k.ownerOfTeam("wide")
 				sent := 0
-				heal := k.world.Net.AddPartition(&testkit.Partition{Hold: true, Requests: true, Match: func(from, to string) bool {
+				heal := k.world.Net.AddPartition(&testkit.Partition{Hold: true, RequestsOnly: true, Match: func(from, to string) bool {
 					held := from == owner && k.isMachine(to)
 					if held {
 						sent++
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -77,7 +77,7 @@
 		return nil
 	}},
 	{"commands held", func(k *cluster, _ *rand.Rand) func() {
-		return k.world.Net.AddPartition(&testkit.Partition{Hold: true, Requests: true, Match: func(from, to string) bool { return k.isController(from) && k.isMachine(to) }})
+		return k.world.Net.AddPartition(&testkit.Partition{Hold: true, RequestsOnly: true, Match: func(from, to string) bool { return k.isController(from) && k.isMachine(to) }})
 	}},
 	{"late writes", func(k *cluster, r *rand.Rand) func() {
 		n, every, lost := 0, 2+r.IntN(4), r.IntN(2) == 0
--- a/internal/testkit/network.go
+++ b/internal/testkit/network.go
@@ -10,9 +10,9 @@
 // Partition is a rule of a network: messages from one end to another are lost, or held
 // back until the rule is taken away.
 type Partition struct {
-	Match    func(from, to string) bool
-	Hold     bool
-	Requests bool // answers pass
+	Match        func(from, to string) bool
+	Hold         bool
+	RequestsOnly bool // answers pass
 }
 
 // Between returns a rule that matches messages both ways between two groups.
@@ -99,7 +99,7 @@
 // blocked tells whether a rule matches, and whether it holds. The lock is held.
 func (n *Network) blocked(from, to string, answer bool) (hold, blocked bool) {
 	for c := range n.cuts {
-		if c.Match(from, to) && !(answer && c.Requests) {
+		if c.Match(from, to) && !(answer && c.RequestsOnly) {
 			hold, blocked = hold || c.Hold, true
 		}
 	}
