--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -30,12 +30,12 @@
 	endCut := k.world.Net.AddPartition(&testkit.Partition{Match: testkit.Between(inside, not(inside)), Hold: hold})
 	for _, l := range k.labels {
 		if k.zoneOf[l] == zone {
-			k.world.State.Cut(l, true)
+			k.world.State.Partition(l, true)
 		}
 	}
 	return func() {
 		for _, l := range k.labels {
-			k.world.State.Cut(l, false)
+			k.world.State.Partition(l, false)
 		}
 		endCut()
 	}
@@ -45,9 +45,9 @@
 // workers and users. heal ends the partition.
 func (k *cluster) isolate(label string) (heal func()) {
 	endCut := k.world.Net.AddPartition(&testkit.Partition{Match: testkit.Between(testkit.Named(label), k.isController)})
-	k.world.State.Cut(label, true)
+	k.world.State.Partition(label, true)
 	return func() {
-		k.world.State.Cut(label, false)
+		k.world.State.Partition(label, false)
 		endCut()
 	}
 }
--- a/internal/testkit/service.go
+++ b/internal/testkit/service.go
@@ -90,8 +90,8 @@
 	s.wake()
 }
 
-// Cut begins or ends a cut between one controller and the service.
-func (s *Service) Cut(label string, on bool) {
+// Partition begins or ends a cut between one controller and the service.
+func (s *Service) Partition(label string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cut[label] = on
--- a/internal/testkit/world.go
+++ b/internal/testkit/world.go
@@ -341,7 +341,7 @@
 	w.State.Slow(0)
 	for _, label := range w.labels {
 		w.State.Refuse(label, false)
-		w.State.Cut(label, false)
+		w.State.Partition(label, false)
 	}
 	w.mu.Lock()
 	clear(w.mute)
