--- a/cmd/bramblespurctl/main_test.go
+++ b/cmd/bramblespurctl/main_test.go
@@ -19,7 +19,7 @@
 // site is a state service that the tool is run against.
 type site struct {
 	t       *testing.T
-	service *testkit.Service
+	service *testkit.StateService
 	addr    string
 }
 
--- a/internal/testkit/loopback.go
+++ b/internal/testkit/loopback.go
@@ -16,7 +16,7 @@
 )
 
 // HTTP serves the state service by its published protocol, as one of the label reaches it.
-func (s *Service) HTTP(label string) http.Handler {
+func (s *StateService) HTTP(label string) http.Handler {
 	link := s.StoreClient(context.Background(), label)
 	use := statestore.Urgent("loopback")
 	mux := http.NewServeMux()
--- a/internal/testkit/loss.go
+++ b/internal/testkit/loss.go
@@ -15,14 +15,14 @@
 }
 
 // Contents returns what the service holds.
-func (s *Service) Contents() StoreContents {
+func (s *StateService) Contents() StoreContents {
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
 	return StoreContents{s.state.rev, maps.Clone(s.state.entries), slices.Clone(s.state.log)}
 }
 
 // Revert makes the service hold what it held before, with its revision of then. Leases go on.
-func (s *Service) Revert(i StoreContents) {
+func (s *StateService) Revert(i StoreContents) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state.mu.Lock()
@@ -32,7 +32,7 @@
 }
 
 // Lose makes the service forget records without a trace, and returns them.
-func (s *Service) Lose(match func(key string) bool) []wire.Entry {
+func (s *StateService) Lose(match func(key string) bool) []wire.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state.mu.Lock()
--- a/internal/testkit/service.go
+++ b/internal/testkit/service.go
@@ -17,10 +17,10 @@
 	Delay      time.Duration // carried out so much later, without an answer; 0: at once
 }
 
-// Service is a state service whose leases end and whose watches wait, with
+// StateService is a state service whose leases end and whose watches wait, with
 // troubles for one controller or for all. It keeps time by the standard library's
 // clock, so tests run it in a bubble of testing/synctest.
-type Service struct {
+type StateService struct {
 	state *State
 
 	mu      sync.Mutex
@@ -39,7 +39,7 @@
 type Observer func(event string, args ...any)
 
 // Observe tells of every transaction: its sender, what became of it, and with which conditions.
-func (s *Service) Observe(o Observer) {
+func (s *StateService) Observe(o Observer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.observe = o
@@ -64,13 +64,13 @@
 )
 
 // NewService returns an empty state service.
-func NewService() *Service {
-	return &Service{state: NewState(), refused: map[string]bool{}, cut: map[string]bool{}, leases: map[uint64]*lease{}, changed: make(chan struct{})}
+func NewService() *StateService {
+	return &StateService{state: NewState(), refused: map[string]bool{}, cut: map[string]bool{}, leases: map[uint64]*lease{}, changed: make(chan struct{})}
 }
 
 // Outage begins or ends an outage for all. At its end every lease has its full
 // time again.
-func (s *Service) Outage(down bool) {
+func (s *StateService) Outage(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down && !down {
@@ -83,7 +83,7 @@
 }
 
 // Refuse begins or ends the refusal of one controller alone: its leases run out.
-func (s *Service) Refuse(label string, on bool) {
+func (s *StateService) Refuse(label string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refused[label] = on
@@ -91,7 +91,7 @@
 }
 
 // Partition begins or ends a cut between one controller and the service.
-func (s *Service) Partition(label string, on bool) {
+func (s *StateService) Partition(label string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cut[label] = on
@@ -99,21 +99,21 @@
 }
 
 // Slow adds to the time that each request takes.
-func (s *Service) Slow(d time.Duration) {
+func (s *StateService) Slow(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slow = d
 }
 
 // InjectTxnFaults sets what becomes of transactions, nil for nothing special.
-func (s *Service) InjectTxnFaults(fate func(from string, t wire.Txn) TxnFault) {
+func (s *StateService) InjectTxnFaults(fate func(from string, t wire.Txn) TxnFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fate = fate
 }
 
 // Repeat carries a transaction out once more, as a copy of it that comes late.
-func (s *Service) Repeat(w Write) error {
+func (s *StateService) Repeat(w Write) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, err := s.apply(w.From, w.Txn)
@@ -121,7 +121,7 @@
 }
 
 // Entry returns a record, and whether there is one.
-func (s *Service) Entry(key string) (wire.Entry, bool) {
+func (s *StateService) Entry(key string) (wire.Entry, bool) {
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
 	e, ok := s.state.entries[key]
@@ -129,7 +129,7 @@
 }
 
 // Entries returns all records of a prefix.
-func (s *Service) Entries(prefix string) []wire.Entry {
+func (s *StateService) Entries(prefix string) []wire.Entry {
 	entries, _, err := s.state.List(context.Background(), statestore.Urgent(TestSender), prefix)
 	if err != nil {
 		panic(err) // in memory, and never down
@@ -138,20 +138,20 @@
 }
 
 // Writes returns all that was carried out so far.
-func (s *Service) Writes() []Write {
+func (s *StateService) Writes() []Write {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.writes)
 }
 
 // wake lets watches look again. The lock is held.
-func (s *Service) wake() {
+func (s *StateService) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // apply carries a transaction out. The lock is held.
-func (s *Service) apply(from string, t wire.Txn) (uint64, error) {
+func (s *StateService) apply(from string, t wire.Txn) (uint64, error) {
 	for _, op := range t.Then {
 		if op.Lease != 0 && s.leases[op.Lease] == nil {
 			return 0, statestore.ErrInvalid
@@ -170,7 +170,7 @@
 	return rev, err
 }
 
-func (s *Service) expire(id uint64) {
+func (s *StateService) expire(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.leases[id]
@@ -199,7 +199,7 @@
 // StoreClient is the service as one process of a controller reaches it. It implements
 // statestore.Store.
 type StoreClient struct {
-	s     *Service
+	s     *StateService
 	label string
 	life  context.Context // the process's
 }
@@ -207,7 +207,7 @@
 var _ statestore.Store = (*StoreClient)(nil)
 
 // StoreClient returns the service for a process that lives as long as ctx.
-func (s *Service) StoreClient(ctx context.Context, label string) *StoreClient {
+func (s *StateService) StoreClient(ctx context.Context, label string) *StoreClient {
 	return &StoreClient{s: s, label: label, life: ctx}
 }
 
@@ -382,7 +382,7 @@
 const TestSender = "test"
 
 // Put carries out a transaction of the test's own.
-func (s *Service) Put(t wire.Txn) error {
+func (s *StateService) Put(t wire.Txn) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, err := s.apply(TestSender, t)
--- a/internal/testkit/world.go
+++ b/internal/testkit/world.go
@@ -24,7 +24,7 @@
 // machines, the users and the network between them, in the bubble time of
 // testing/synctest. Its checker watches.
 type World struct {
-	State   *Service
+	State   *StateService
 	Net     *Network
 	check   *Checker
 	timing  Timing
