--- a/cmd/bramblespurctl/main_test.go
+++ b/cmd/bramblespurctl/main_test.go
@@ -25,7 +25,7 @@
 
 func newSite(t *testing.T) *site {
 	t.Helper()
-	s := &site{t: t, service: testkit.NewService()}
+	s := &site{t: t, service: testkit.NewStateService()}
 	server := httptest.NewServer(s.service.HTTP("operator"))
 	t.Cleanup(server.Close)
 	s.addr = strings.TrimPrefix(server.URL, "http://")
--- a/internal/recoverctl/measure_test.go
+++ b/internal/recoverctl/measure_test.go
@@ -60,7 +60,7 @@
 
 // measureRecovery recovers a fleet whose store has kept only the records with the prefix kept.
 func measureRecovery(b *testing.B, machines int, kept string) {
-	service := testkit.NewService()
+	service := testkit.NewStateService()
 	records := testkit.FleetRecords(machines, measuredJobs)
 	image := testkit.StoreContents{Revision: uint64(len(records)), Entries: map[string]wire.Entry{}}
 	for key, e := range records {
--- a/internal/snapshot/measure_test.go
+++ b/internal/snapshot/measure_test.go
@@ -22,7 +22,7 @@
 func BenchmarkTake(b *testing.B) {
 	for _, machines := range []int{30, 300, 4000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
-			service := testkit.NewService()
+			service := testkit.NewStateService()
 			records := testkit.FleetRecords(machines, measuredJobs)
 			service.Revert(testkit.StoreContents{Revision: uint64(len(records)), Entries: records})
 			server := httptest.NewServer(service.HTTP("operator"))
--- a/internal/testkit/service.go
+++ b/internal/testkit/service.go
@@ -63,8 +63,8 @@
 	serviceTimeout = 2500 * time.Millisecond
 )
 
-// NewService returns an empty state service.
-func NewService() *StateService {
+// NewStateService returns an empty state service.
+func NewStateService() *StateService {
 	return &StateService{state: NewState(), refused: map[string]bool{}, cut: map[string]bool{}, leases: map[uint64]*lease{}, changed: make(chan struct{})}
 }
 
--- a/internal/testkit/world.go
+++ b/internal/testkit/world.go
@@ -74,7 +74,7 @@
 // Whatever it chooses follows from the seed.
 func NewWorld(labels []string, types []wire.MachineType, timing Timing, check *Checker, seed uint64) *World {
 	w := &World{
-		State: NewService(), Net: NewNetwork(), check: check, timing: timing, types: types, labels: labels,
+		State: NewStateService(), Net: NewNetwork(), check: check, timing: timing, types: types, labels: labels,
 		rand: rand.New(&lockedSource{src: rand.NewPCG(seed, 1)}), over: make(chan struct{}), nodes: map[string]Node{}, agents: map[string]*Agent{},
 		specs: map[string]wire.Spec{}, lengths: map[string]JobDurations{}, rentals: map[string][]string{}, boot: usualBoot,
 		finished: map[string]bool{}, told: map[string]string{}, mute: map[int]func(string) bool{},
