--- a/internal/controller/costs_test.go
+++ b/internal/controller/costs_test.go
@@ -75,7 +75,7 @@
 		}
 		for range 3 { // it is met, and then idle
 			o, ok := report().Body.(wire.CommandBatch)
-			if !ok || !w.Obey(o) {
+			if !ok || !w.Execute(o) {
 				t.Fatalf("answered %+v", o)
 			}
 		}
--- a/internal/controller/largest_fleet_bench_test.go
+++ b/internal/controller/largest_fleet_bench_test.go
@@ -146,7 +146,7 @@
 	for range 2 {
 		for _, w := range workers {
 			o, ok := sendHeartbeat(t, c, w).Body.(wire.CommandBatch)
-			if !ok || !w.Obey(o) {
+			if !ok || !w.Execute(o) {
 				t.Fatalf("%s was not answered", w.ID)
 			}
 		}
--- a/internal/scheduler/deposed_test.go
+++ b/internal/scheduler/deposed_test.go
@@ -67,7 +67,7 @@
 func (d *deposedHarness) reportToOldOwner(w *testkit.Worker) {
 	report := w.Report()
 	if orders, disposition := d.oldOwner.Heartbeat(&report, false, d.clock.Now()); disposition == Answered {
-		w.Obey(orders)
+		w.Execute(orders)
 	}
 }
 
@@ -197,7 +197,7 @@
 	for _, w := range workers {
 		report := w.Report()
 		if orders, disposition := r.shard.Heartbeat(&report, false, now); disposition == Answered {
-			w.Obey(orders)
+			w.Execute(orders)
 		}
 	}
 	effects := r.shard.Step(now)
--- a/internal/scheduler/direct_commands_test.go
+++ b/internal/scheduler/direct_commands_test.go
@@ -11,7 +11,7 @@
 // otherwise the answer is lost.
 func (r *harness) deliverCommand(d DirectCommand, answered bool) {
 	w := r.workers[d.Machine]
-	if w.Session != d.Orders.Session || !w.Obey(wire.CommandBatch{Token: d.Orders.Token, Commands: d.Orders.Commands}) {
+	if w.Session != d.Orders.Session || !w.Execute(wire.CommandBatch{Token: d.Orders.Token, Commands: d.Orders.Commands}) {
 		if answered {
 			r.shard.CommandDone(d, Refused, r.clock.Now())
 		}
--- a/internal/scheduler/failover_test.go
+++ b/internal/scheduler/failover_test.go
@@ -61,7 +61,7 @@
 	}
 	r.failOver()
 	r.heartbeats(1)
-	if w.Obey(late) {
+	if w.Execute(late) {
 		t.Fatal("the worker obeyed a response under the old token")
 	}
 	r.heartbeats(3)
--- a/internal/scheduler/gang_start_delay_test.go
+++ b/internal/scheduler/gang_start_delay_test.go
@@ -87,7 +87,7 @@
 			if direct {
 				r.sendStart = func(d DirectCommand) {
 					w := r.workers[d.Machine]
-					w.Obey(wire.CommandBatch{Token: d.Orders.Token, Commands: d.Orders.Commands})
+					w.Execute(wire.CommandBatch{Token: d.Orders.Token, Commands: d.Orders.Commands})
 					simulation.advance()
 					r.deliverCommand(d, true)
 				}
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -226,7 +226,7 @@
 			if w == nil || w.Session != d.Orders.Session {
 				continue
 			}
-			w.Obey(wire.CommandBatch{Token: d.Orders.Token, Commands: d.Orders.Commands})
+			w.Execute(wire.CommandBatch{Token: d.Orders.Token, Commands: d.Orders.Commands})
 			rep := w.Report()
 			r.shard.Heartbeat(&rep, true, now)
 		}
@@ -282,7 +282,7 @@
 		rep := w.Report()
 		o, v := r.shard.Heartbeat(&rep, false, r.clock.Now())
 		if v == Answered {
-			w.Obey(o)
+			w.Execute(o)
 		}
 	}
 	r.carryOutEffects()
--- a/internal/scheduler/probe_test.go
+++ b/internal/scheduler/probe_test.go
@@ -180,7 +180,7 @@
 	if len(eff.DirectCommands) != 1 || eff.DirectCommands[0].Machine != "m1" || len(eff.DirectCommands[0].Orders.Commands) != 0 {
 		t.Fatalf("direct commands %+v, want one without commands, to m1", eff.DirectCommands)
 	}
-	w1.Obey(wire.CommandBatch{Token: eff.DirectCommands[0].Orders.Token})
+	w1.Execute(wire.CommandBatch{Token: eff.DirectCommands[0].Orders.Token})
 	rep := w1.Report()
 	r.shard.Heartbeat(&rep, true, now)
 	if m := r.shard.inventory.byID["m1"]; !m.contact.fenced || !r.shard.cfg.usable(m, now) {
--- a/internal/scheduler/random_history_test.go
+++ b/internal/scheduler/random_history_test.go
@@ -88,7 +88,7 @@
 	case h.rnd.IntN(6) == 0:
 		h.lateResponses[w.ID] = lateResponse{rep.Session, rep.Seq, o}
 	default:
-		w.Obey(o)
+		w.Execute(o)
 	}
 	h.carryOutEffects()
 }
@@ -99,7 +99,7 @@
 	for _, id := range slices.Sorted(maps.Keys(h.lateResponses)) {
 		a := h.lateResponses[id]
 		if w := h.workers[id]; w != nil && w.Session == a.session && w.Seq == a.seq {
-			w.Obey(a.orders)
+			w.Execute(a.orders)
 		}
 	}
 	clear(h.lateResponses)
--- a/internal/scheduler/restart_test.go
+++ b/internal/scheduler/restart_test.go
@@ -60,7 +60,7 @@
 					r.started++
 				}
 			}
-			w.Obey(orders)
+			w.Execute(orders)
 		}
 		r.carryOutEffects()
 	}
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -110,7 +110,7 @@
 		r.clock.Advance(10 * time.Millisecond)
 		now := r.clock.Now()
 		if o, v := r.shard.Heartbeat(&rep, false, now); v == Answered {
-			w.Obey(o)
+			w.Execute(o)
 		}
 		for _, t := range r.shard.Step(now).Txns {
 			r.shard.Applied(t, r.state.Put("x", 1).Version, now)
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -340,8 +340,8 @@
 	return r
 }
 
-// Obey carries out an answer, unless its token is too low.
-func (w *Worker) Obey(o wire.CommandBatch) bool {
+// Execute carries out an answer, unless its token is too low.
+func (w *Worker) Execute(o wire.CommandBatch) bool {
 	if o.Token < w.Token {
 		return false
 	}
