--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -44,14 +44,14 @@
 	if summary := r.shard.Summary(r.clock.Now()); slices.ContainsFunc(summary.Needs, func(n fleet.Need) bool { return n.Job == jobC }) {
 		t.Error("a job that waits for others asks for machines")
 	}
-	w.End(jobA+"/0", wire.Done)
+	w.ExitTask(jobA+"/0", wire.Done)
 	r.heartbeats(2)
 	r.reportDependencyEnds()
 	r.heartbeats(2)
 	if got := startedJobs(w); slices.Contains(got, jobC) {
 		t.Fatalf("started %v while a dependency had not ended", got)
 	}
-	w.End(jobB+"/0", wire.Done)
+	w.ExitTask(jobB+"/0", wire.Done)
 	r.heartbeat()
 	endedAt := r.clock.Now()
 	r.heartbeat()
@@ -176,7 +176,7 @@
 		r.submitAfter(jobA)
 		r.heartbeats(2)
 		r.shard.SetInheritedUrgency(jobA, fragment.Urgency{Rank: Rank("normal"), HasDependents: needed})
-		w.End(jobA+"/0", wire.Done)
+		w.ExitTask(jobA+"/0", wire.Done)
 		rep := w.Report()
 		r.shard.Heartbeat(&rep, false, r.clock.Now())
 		eff := r.shard.Step(r.clock.Now())
--- a/internal/scheduler/direct_commands_test.go
+++ b/internal/scheduler/direct_commands_test.go
@@ -37,8 +37,8 @@
 		t.Fatalf("starts %v before the next heartbeat, want both", w.Started)
 	}
 	r.heartbeats(2)
-	w.End("run-000001/0", wire.Done)
-	w.End("run-000001/1", wire.Done)
+	w.ExitTask("run-000001/0", wire.Done)
+	w.ExitTask("run-000001/1", wire.Done)
 	r.heartbeats(4)
 	if len(w.Started) != 2 || r.jobState("run-000001") != wire.Done {
 		t.Fatalf("starts %v, state %s, want two starts and done", w.Started, r.jobState("run-000001"))
--- a/internal/scheduler/failover_test.go
+++ b/internal/scheduler/failover_test.go
@@ -110,8 +110,8 @@
 			r.runningOn("run-000001/0")
 			r.runningOn("run-000001/1")
 			if step > 12 {
-				w.End("run-000001/0", wire.Done)
-				w.End("run-000001/1", wire.Done)
+				w.ExitTask("run-000001/0", wire.Done)
+				w.ExitTask("run-000001/1", wire.Done)
 			}
 		}
 		if r.jobState(s.Ref) != wire.Done {
--- a/internal/scheduler/feasibility_test.go
+++ b/internal/scheduler/feasibility_test.go
@@ -100,7 +100,7 @@
 	r.heartbeats(2)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 3, 1))
 	r.heartbeats(3)
-	w.End("run-000001/0", wire.Done)
+	w.ExitTask("run-000001/0", wire.Done)
 	r.shard.ApplyFleetOrder(fleet.Order{Machine: "m1", To: 1, Emptied: true}, r.clock.Now())
 	r.heartbeats(3)
 	if summary := r.shard.Summary(r.clock.Now()); len(summary.Machines) != 1 || !summary.Machines[0].Moving || summary.Machines[0].To != 1 {
@@ -109,7 +109,7 @@
 	if r.runningOn("run-000001/1") != "m1" || r.runningOn("run-000001/2") != "" {
 		t.Fatalf("tasks 1 and 2 are on %q and %q, want the one that ran on m1 and no new one", r.runningOn("run-000001/1"), r.runningOn("run-000001/2"))
 	}
-	w.End("run-000001/1", wire.Done)
+	w.ExitTask("run-000001/1", wire.Done)
 	r.heartbeats(3)
 	if summary := r.shard.Summary(r.clock.Now()); len(summary.Machines) != 0 {
 		t.Fatalf("the shard still holds machines %+v, want none", summary.Machines)
--- a/internal/scheduler/gang_start_delay_test.go
+++ b/internal/scheduler/gang_start_delay_test.go
@@ -74,7 +74,7 @@
 			before.ImageGB = 20
 			r.submit(before)
 			r.heartbeats(3)
-			m1.End("run-000001/0", wire.Done)
+			m1.ExitTask("run-000001/0", wire.Done)
 			r.heartbeats(3)
 
 			r.addMachine("m2", "z1", false)
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -78,7 +78,7 @@
 	spec := r.submitGangOfTwo()
 	r.heartbeats(4)
 	w := r.workers[r.runningOn("run-000001/0")]
-	w.End("run-000001/0", wire.Done)
+	w.ExitTask("run-000001/0", wire.Done)
 	r.heartbeats(1, w)
 	if r.jobState(spec.Ref) != wire.Done {
 		t.Fatal("the gang is not done although one of its tasks is")
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -300,7 +300,7 @@
 	r.t.Helper()
 	r.heartbeat()
 	for name := range w.Tasks {
-		w.End(name, wire.Done)
+		w.ExitTask(name, wire.Done)
 	}
 }
 
@@ -350,13 +350,13 @@
 	if r.runningOn("run-000001/0") != "m1" || r.runningOn("run-000001/1") != "m1" || r.runningOn("run-000001/2") != "" {
 		t.Fatalf("started %v, want the first two tasks, one on each GPU", w.Started)
 	}
-	w.End("run-000001/0", wire.Done)
-	w.End("run-000001/1", wire.Done)
+	w.ExitTask("run-000001/0", wire.Done)
+	w.ExitTask("run-000001/1", wire.Done)
 	r.heartbeats(3)
 	if got := r.jobState("run-000001"); got != wire.Pending {
 		t.Fatalf("state %q before the last task has completed, want pending", got)
 	}
-	w.End("run-000001/2", wire.Done)
+	w.ExitTask("run-000001/2", wire.Done)
 	r.heartbeats(3)
 	if got := r.jobState("run-000001"); got != wire.Done {
 		t.Fatalf("state %q, want done", got)
--- a/internal/scheduler/machine_health_test.go
+++ b/internal/scheduler/machine_health_test.go
@@ -91,7 +91,7 @@
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	for range 30 {
 		for _, w := range r.workers {
-			w.End("run-000001/0", wire.ExitError)
+			w.ExitTask("run-000001/0", wire.ExitError)
 		}
 		r.heartbeat()
 	}
@@ -113,7 +113,7 @@
 	}
 	for range 8 {
 		for name := range bad.Tasks {
-			bad.End(name, wire.ExitError)
+			bad.ExitTask(name, wire.ExitError)
 		}
 		r.heartbeat()
 	}
@@ -168,10 +168,10 @@
 		t.Fatalf("starts %v and %v, want two, on the reachable machine m2", w1.Started, w2.Started)
 	}
 	for range 20 {
-		w2.End("run-000001/0", wire.Done)
-		w2.End("run-000001/1", wire.Done)
-		w2.End("run-000002/0", wire.Done)
-		w2.End("run-000002/1", wire.Done)
+		w2.ExitTask("run-000001/0", wire.Done)
+		w2.ExitTask("run-000001/1", wire.Done)
+		w2.ExitTask("run-000002/0", wire.Done)
+		w2.ExitTask("run-000002/1", wire.Done)
 		r.heartbeatUnanswered(w1)
 		r.heartbeat(w2)
 	}
--- a/internal/scheduler/pipeline_test.go
+++ b/internal/scheduler/pipeline_test.go
@@ -49,7 +49,7 @@
 	for _, w := range r.workers {
 		for name, t := range w.Tasks {
 			if t.State == wire.Running {
-				w.End(name, wire.Done)
+				w.ExitTask(name, wire.Done)
 			}
 		}
 	}
--- a/internal/scheduler/placement_records_test.go
+++ b/internal/scheduler/placement_records_test.go
@@ -41,7 +41,7 @@
 	for beat := range 30 {
 		if beat < 20 {
 			r.state.HoldTxns = rnd.IntN(3) // not applied, and without an answer
-			r.workers["m1"].End(fmt.Sprintf("run-00000%d/%d", rnd.IntN(2), rnd.IntN(8)), wire.Done)
+			r.workers["m1"].ExitTask(fmt.Sprintf("run-00000%d/%d", rnd.IntN(2), rnd.IntN(8)), wire.Done)
 		}
 		r.heartbeat()
 		r.checkNoTaskRunsTwice()
@@ -88,7 +88,7 @@
 	if now := r.shard.jobs["run-000000"].ranges[0].record; now == old {
 		t.Fatal("the range was entered again in the record that it had left")
 	}
-	w.End("run-000001/0", wire.Done) // gives the old record a completion to write
+	w.ExitTask("run-000001/0", wire.Done) // gives the old record a completion to write
 	rep := w.Report()
 	r.shard.Heartbeat(&rep, false, r.clock.Now())
 	r.clock.Advance(time.Second)
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -148,7 +148,7 @@
 					began[name] = beat
 				}
 				if beat-began[name] >= lifetime {
-					w.End(name, wire.Done)
+					w.ExitTask(name, wire.Done)
 				}
 			}
 		}
--- a/internal/scheduler/random_history_test.go
+++ b/internal/scheduler/random_history_test.go
@@ -139,7 +139,7 @@
 		for other, t := range w.Tasks {
 			of, _, _ := strings.Cut(other, "/")
 			if t.State == wire.Running && (other == name || gang && of == ref && t.Attempt == attempt) {
-				w.End(other, why)
+				w.ExitTask(other, why)
 				h.ended[other] = h.ended[other] || why == wire.Done
 			}
 		}
@@ -165,7 +165,7 @@
 		for name, t := range w.Tasks {
 			ref, _, _ := strings.Cut(name, "/")
 			if spec := h.jobs[ref]; spec.Kind == wire.Gang && t.State == wire.Running && h.running(ref, t.Attempt) < spec.Tasks {
-				w.End(name, wire.ExitGangPeersLost)
+				w.ExitTask(name, wire.ExitGangPeersLost)
 			}
 		}
 	}
--- a/internal/scheduler/restart_test.go
+++ b/internal/scheduler/restart_test.go
@@ -25,7 +25,7 @@
 	for _, w := range r.workers {
 		if n++; n%2 == 0 {
 			for name := range w.Tasks {
-				w.End(name, wire.Done)
+				w.ExitTask(name, wire.Done)
 			}
 		}
 	}
--- a/internal/scheduler/safety_test.go
+++ b/internal/scheduler/safety_test.go
@@ -56,7 +56,7 @@
 	if !slices.Equal(w.Started, []string{"run-000001/0#1"}) {
 		t.Fatalf("starts %v, want the recorded first attempt", w.Started)
 	}
-	w.End("run-000001/0", wire.Done)
+	w.ExitTask("run-000001/0", wire.Done)
 	r.state.LoseAnswers = 1
 	r.heartbeats(2)
 	if got := r.jobState("run-000001"); got != wire.Done {
@@ -152,7 +152,7 @@
 		t.Fatalf("started %v in a second zone", got)
 	}
 	r.heartbeat(w1)
-	w1.End("run-000001/0", wire.Done)
+	w1.ExitTask("run-000001/0", wire.Done)
 	r.heartbeats(3)
 	if r.runningOn("run-000001/1") == "" {
 		t.Fatal("task 1 not started after the end of task 0")
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -67,7 +67,7 @@
 	r.shard.inventory.candidatesExamined = 0
 	w := r.workers["i-000007"]
 	for name := range w.Tasks {
-		w.End(name, wire.Done)
+		w.ExitTask(name, wire.Done)
 		break
 	}
 	rep := w.Report()
@@ -102,7 +102,7 @@
 		w := r.workers[fmt.Sprintf("i-%06d", i%maxMachinesPerShard)]
 		for name, t := range w.Tasks {
 			if t.State == wire.Running {
-				w.End(name, wire.Done)
+				w.ExitTask(name, wire.Done)
 				break
 			}
 		}
--- a/internal/scheduler/unreadable_records_test.go
+++ b/internal/scheduler/unreadable_records_test.go
@@ -37,8 +37,8 @@
 	r.submit(u.runningJob)
 	r.submit(u.partialJob)
 	r.heartbeats(3)
-	w.End("run-000002/0", wire.Done)
-	w.End("run-000002/1", wire.ExitError)
+	w.ExitTask("run-000002/0", wire.Done)
+	w.ExitTask("run-000002/1", wire.ExitError)
 	r.heartbeats(1)
 	u.intactValue = slices.Clone(r.get(u.recordKey).Value)
 	u.state.Put(u.recordKey, "nonsense")
@@ -71,7 +71,7 @@
 	if !slices.Equal(all, []string{"run-000003/0#1"}) {
 		t.Errorf("started %v, want only the new job", all)
 	}
-	u.worker.End("run-000001/0", wire.Done)
+	u.worker.ExitTask("run-000001/0", wire.Done)
 	u.heartbeats(3)
 	if u.jobState(u.runningJob.Ref) != wire.Done || u.jobState(u.partialJob.Ref) != wire.Pending {
 		t.Errorf("the jobs are %q and %q, want done and pending", u.jobState(u.runningJob.Ref), u.jobState(u.partialJob.Ref))
@@ -128,7 +128,7 @@
 	u.state.Put(u.recordKey, "nonsense")
 	u.failOver()
 	u.heartbeats(2)
-	u.worker.End("run-000002/1", wire.Done)
+	u.worker.ExitTask("run-000002/1", wire.Done)
 	u.heartbeats(6)
 	started := len(u.worker.Started)
 	u.state.Put(u.recordKey, json.RawMessage(u.intactValue))
@@ -167,9 +167,9 @@
 			if u.runningOn("run-000001/0") != "m1" {
 				t.Error("the running task is no longer on m1")
 			}
-			u.worker.End("run-000001/0", wire.Done)
-			u.worker.End("run-000002/0", wire.Done)
-			u.worker.End("run-000002/1", wire.Done)
+			u.worker.ExitTask("run-000001/0", wire.Done)
+			u.worker.ExitTask("run-000002/0", wire.Done)
+			u.worker.ExitTask("run-000002/1", wire.Done)
 			u.heartbeats(3)
 			if u.jobState(u.runningJob.Ref) != wire.Done || u.jobState(u.partialJob.Ref) != wire.Done {
 				t.Error("the jobs did not finish")
--- a/internal/scheduler/upgrade_test.go
+++ b/internal/scheduler/upgrade_test.go
@@ -172,7 +172,7 @@
 		w := r.workers[id]
 		for _, task := range slices.Sorted(maps.Keys(w.Tasks)) {
 			if n++; n%10 == 0 && w.Tasks[task].State == wire.Running {
-				w.End(task, wire.Done)
+				w.ExitTask(task, wire.Done)
 			}
 		}
 	}
@@ -299,7 +299,7 @@
 			for _, w := range r.workers {
 				for task, wt := range w.Tasks {
 					if ref, i, _ := SplitTask(task); ref == "run-000001" && i >= at && i < at+60 && wt.State == wire.Running && rnd.IntN(8) == 0 {
-						w.End(task, wire.Done)
+						w.ExitTask(task, wire.Done)
 					}
 				}
 			}
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -368,8 +368,8 @@
 	return true
 }
 
-// End makes a task exit.
-func (w *Worker) End(task, why string) {
+// ExitTask makes a task exit.
+func (w *Worker) ExitTask(task, why string) {
 	if t := w.Tasks[task]; t != nil {
 		t.State, t.Why = wire.Exited, why
 	}
