--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -265,7 +265,7 @@
 // expireLease lets a worker's lease expire, during which no heartbeat was answered.
 func (r *harness) expireLease(w *testkit.Worker) {
 	r.clock.Advance(r.cfg.Lease)
-	w.Expire()
+	w.ExpireLease()
 }
 
 // heartbeat advances the clock by one heartbeat interval, lets the given workers, or all, send a
--- a/internal/scheduler/machine_health_test.go
+++ b/internal/scheduler/machine_health_test.go
@@ -163,7 +163,7 @@
 		r.heartbeatUnanswered(w1)
 		r.heartbeat(w2)
 	}
-	w1.Expire()
+	w1.ExpireLease()
 	if len(w1.Started) != 0 || len(w2.Started) != 2 {
 		t.Fatalf("starts %v and %v, want two, on the reachable machine m2", w1.Started, w2.Started)
 	}
@@ -191,7 +191,7 @@
 		r.clock.Advance(r.cfg.HeartbeatInterval)
 		r.heartbeatUnanswered(w)
 	}
-	w.Expire()
+	w.ExpireLease()
 	r.heartbeatUnanswered(w)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	r.heartbeats(5)
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -375,8 +375,8 @@
 	}
 }
 
-// Expire ends the session: the lease ran out.
-func (w *Worker) Expire() {
+// ExpireLease ends the session: the lease ran out.
+func (w *Worker) ExpireLease() {
 	w.Session++
 	w.Tasks = map[string]*WorkerTask{}
 }
