--- a/internal/controller/costs_test.go
+++ b/internal/controller/costs_test.go
@@ -59,7 +59,7 @@
 		c, state, workers := fleetController(t, machines, 0)
 		w := workers[0]
 		report := func() transport.Response {
-			b, err := json.Marshal(w.Report())
+			b, err := json.Marshal(w.NextHeartbeat())
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/controller/largest_fleet_bench_test.go
+++ b/internal/controller/largest_fleet_bench_test.go
@@ -121,7 +121,7 @@
 // that is held.
 func sendHeartbeat(t testing.TB, c *Controller, w *testkit.Worker) transport.Response {
 	t.Helper()
-	b, err := json.Marshal(w.Report())
+	b, err := json.Marshal(w.NextHeartbeat())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -234,7 +234,7 @@
 	var bodies [][]byte
 	for range 200 {
 		for _, w := range workers {
-			body, err := json.Marshal(w.Report())
+			body, err := json.Marshal(w.NextHeartbeat())
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -101,7 +101,7 @@
 	e := state.Put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0}, IDs: []string{"m"}})
 	c.applyMachineChange(e.Change(), time.Now())
 	w := testkit.NewWorker("m", "big", "z", false)
-	r := w.Report()
+	r := w.NextHeartbeat()
 	r.Addr = "" // nothing is sent straight to it
 	c.mu.Lock()
 	c.serveHeartbeatLocked(c.shards.GetLocked(0), &r, time.Now())
--- a/internal/controller/shardhost/ownership_test.go
+++ b/internal/controller/shardhost/ownership_test.go
@@ -41,7 +41,7 @@
 		host, _ := newHost(t, state)
 		shard, version := serveShardWithNewMachine(t, host, state)
 		synctest.Wait()
-		report := testkit.NewWorker("m1", "big", "z", false).Report()
+		report := testkit.NewWorker("m1", "big", "z", false).NextHeartbeat()
 		host.Lock()
 		defer host.Unlock()
 		if orders, _ := shard.Heartbeat(&report, false, time.Now()); orders.Token != version {
--- a/internal/controller/withheld_test.go
+++ b/internal/controller/withheld_test.go
@@ -54,7 +54,7 @@
 	c.applyMachineChange(e.Change(), time.Now())
 	w := testkit.NewWorker("m", "big", "z", false)
 	starts = func() int {
-		r := w.Report()
+		r := w.NextHeartbeat()
 		r.Addr = ""
 		c.mu.Lock()
 		defer c.mu.Unlock()
--- a/internal/scheduler/allocations_test.go
+++ b/internal/scheduler/allocations_test.go
@@ -52,7 +52,7 @@
 	for _, machines := range []int{40, 400} {
 		r := fleetHarness(t, machines, 80)
 		const id = "i-000000"
-		rep := r.workers[id].Report()
+		rep := r.workers[id].NextHeartbeat()
 		if len(rep.Tasks) != 2 {
 			t.Fatalf("%d tasks on the machine, want 2", len(rep.Tasks))
 		}
@@ -89,7 +89,7 @@
 	}
 	now := r.clock.Now()
 	r.shard.Step(now)
-	rep := r.workers["i-003999"].Report()
+	rep := r.workers["i-003999"].NextHeartbeat()
 	got := testing.AllocsPerRun(200, func() {
 		rep.Seq++
 		if _, v := r.shard.Heartbeat(&rep, false, now); v != Answered {
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -177,7 +177,7 @@
 		r.heartbeats(2)
 		r.shard.SetInheritedUrgency(jobA, fragment.Urgency{Rank: Rank("normal"), HasDependents: needed})
 		w.ExitTask(jobA+"/0", wire.Done)
-		rep := w.Report()
+		rep := w.NextHeartbeat()
 		r.shard.Heartbeat(&rep, false, r.clock.Now())
 		eff := r.shard.Step(r.clock.Now())
 		i := slices.IndexFunc(eff.Txns, func(t *Txn) bool { return t.Purpose == purposeJobEnd })
--- a/internal/scheduler/deposed_test.go
+++ b/internal/scheduler/deposed_test.go
@@ -65,7 +65,7 @@
 
 // reportToOldOwner sends a heartbeat of a worker to the old owner.
 func (d *deposedHarness) reportToOldOwner(w *testkit.Worker) {
-	report := w.Report()
+	report := w.NextHeartbeat()
 	if orders, disposition := d.oldOwner.Heartbeat(&report, false, d.clock.Now()); disposition == Answered {
 		w.Execute(orders)
 	}
@@ -195,7 +195,7 @@
 func (r *harness) stepWithWritesRefused(workers ...*testkit.Worker) (rereads []string) {
 	now := r.clock.Now()
 	for _, w := range workers {
-		report := w.Report()
+		report := w.NextHeartbeat()
 		if orders, disposition := r.shard.Heartbeat(&report, false, now); disposition == Answered {
 			w.Execute(orders)
 		}
@@ -280,7 +280,7 @@
 	if r.runningOn("run-000001/0") != "m1" {
 		t.Error("an owner that has a successor stopped the successor's task")
 	}
-	report := w.Report()
+	report := w.NextHeartbeat()
 	if _, disposition := d.oldOwner.Heartbeat(&report, false, r.clock.Now()); disposition != Deposed {
 		t.Errorf("a heartbeat under the successor's token: disposition %d, want %d", disposition, Deposed)
 	}
--- a/internal/scheduler/direct_commands_test.go
+++ b/internal/scheduler/direct_commands_test.go
@@ -17,7 +17,7 @@
 		}
 		return
 	}
-	rep := w.Report()
+	rep := w.NextHeartbeat()
 	if answered {
 		r.shard.CommandDone(d, Executed, r.clock.Now())
 		r.shard.Heartbeat(&rep, true, r.clock.Now())
--- a/internal/scheduler/failover_test.go
+++ b/internal/scheduler/failover_test.go
@@ -54,7 +54,7 @@
 	old := r.shard
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	r.carryOutEffects()
-	rep := w.Report()
+	rep := w.NextHeartbeat()
 	late, _ := old.Heartbeat(&rep, false, r.clock.Now())
 	if len(late.Commands) == 0 {
 		t.Fatal("the response carries no start to be delayed")
@@ -68,7 +68,7 @@
 	if len(w.Started) != 1 {
 		t.Fatalf("starts %v, want one", w.Started)
 	}
-	rep = w.Report()
+	rep = w.NextHeartbeat()
 	if _, v := old.Heartbeat(&rep, false, r.clock.Now()); v != Deposed {
 		t.Fatalf("the old owner's disposition is %v, want Deposed", v)
 	}
@@ -129,7 +129,7 @@
 	r := newHarness(t)
 	w1, w2 := r.addMachine("m1", "z1", false), r.addMachine("m2", "z1", false)
 	r.heartbeats(2)
-	empty := w1.Report()
+	empty := w1.NextHeartbeat()
 	s := spec("run-000001", "b", wire.Array, "normal", 1, 1)
 	zone := "z1"
 	s.Zone = &zone
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -227,7 +227,7 @@
 				continue
 			}
 			w.Execute(wire.CommandBatch{Token: d.Orders.Token, Commands: d.Orders.Commands})
-			rep := w.Report()
+			rep := w.NextHeartbeat()
 			r.shard.Heartbeat(&rep, true, now)
 		}
 	}
@@ -279,7 +279,7 @@
 		}
 	}
 	for _, w := range ws {
-		rep := w.Report()
+		rep := w.NextHeartbeat()
 		o, v := r.shard.Heartbeat(&rep, false, r.clock.Now())
 		if v == Answered {
 			w.Execute(o)
--- a/internal/scheduler/machine_health_test.go
+++ b/internal/scheduler/machine_health_test.go
@@ -140,7 +140,7 @@
 
 // heartbeatUnanswered lets a worker send a heartbeat whose response is lost.
 func (r *harness) heartbeatUnanswered(w *testkit.Worker) {
-	rep := w.Report()
+	rep := w.NextHeartbeat()
 	r.shard.Heartbeat(&rep, false, r.clock.Now())
 }
 
--- a/internal/scheduler/placement_records_test.go
+++ b/internal/scheduler/placement_records_test.go
@@ -89,7 +89,7 @@
 		t.Fatal("the range was entered again in the record that it had left")
 	}
 	w.ExitTask("run-000001/0", wire.Done) // gives the old record a completion to write
-	rep := w.Report()
+	rep := w.NextHeartbeat()
 	r.shard.Heartbeat(&rep, false, r.clock.Now())
 	r.clock.Advance(time.Second)
 	writes := func() []*Txn {
--- a/internal/scheduler/probe_test.go
+++ b/internal/scheduler/probe_test.go
@@ -14,7 +14,7 @@
 func (r *harness) answerProbes(eff Effects) {
 	for _, probe := range eff.Probes {
 		if slices.Contains(r.probeResponders, probe.Machine) {
-			rep := r.workers[probe.Machine].Report()
+			rep := r.workers[probe.Machine].NextHeartbeat()
 			r.shard.ProbeDone(probe.Machine, &rep, r.clock.Now())
 		} else {
 			r.shard.ProbeDone(probe.Machine, nil, r.clock.Now())
@@ -181,7 +181,7 @@
 		t.Fatalf("direct commands %+v, want one without commands, to m1", eff.DirectCommands)
 	}
 	w1.Execute(wire.CommandBatch{Token: eff.DirectCommands[0].Orders.Token})
-	rep := w1.Report()
+	rep := w1.NextHeartbeat()
 	r.shard.Heartbeat(&rep, true, now)
 	if m := r.shard.inventory.byID["m1"]; !m.contact.fenced || !r.shard.cfg.usable(m, now) {
 		t.Fatal("m1 was probed and has the new token, but takes no work")
--- a/internal/scheduler/random_history_test.go
+++ b/internal/scheduler/random_history_test.go
@@ -74,7 +74,7 @@
 func (h *history) sendHeartbeat() {
 	w := h.worker()
 	h.clock.Advance(h.cfg.HeartbeatInterval)
-	rep := w.Report()
+	rep := w.NextHeartbeat()
 	if h.rnd.IntN(3) == 0 {
 		h.heartbeatCopies = append(h.heartbeatCopies, rep)
 	}
--- a/internal/scheduler/restart_test.go
+++ b/internal/scheduler/restart_test.go
@@ -49,7 +49,7 @@
 		slice := int(r.clock.Now().Sub(begin)/(r.cfg.HeartbeatInterval/slices)) % slices
 		for i := slice; i < r.machines; i += slices {
 			w := r.workers[fmt.Sprintf("i-%06d", i)]
-			rep := w.Report()
+			rep := w.NextHeartbeat()
 			orders, v := r.shard.Heartbeat(&rep, false, r.clock.Now())
 			if v != Answered {
 				continue
--- a/internal/scheduler/safety_test.go
+++ b/internal/scheduler/safety_test.go
@@ -82,7 +82,7 @@
 // Heartbeats are ordered by incarnation and sequence number: an old one proves nothing.
 func TestLateHeartbeatIsIgnored(t *testing.T) {
 	r, w := newHarnessWithMachine(t)
-	empty := w.Report()
+	empty := w.NextHeartbeat()
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	r.heartbeats(3)
 	r.shard.Heartbeat(&empty, false, r.clock.Now())
@@ -97,7 +97,7 @@
 	r, w := newHarnessWithMachine(t)
 	r.submit(spec("run-000001", "b", wire.Array, "normal", 1, 1))
 	r.carryOutEffects()
-	rep := w.Report()
+	rep := w.NextHeartbeat()
 	r.shard.Heartbeat(&rep, false, r.clock.Now()) // the response is lost
 	r.heartbeats(2)
 	if !slices.Equal(w.Started, []string{"run-000001/0#1"}) {
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -70,7 +70,7 @@
 		w.ExitTask(name, wire.Done)
 		break
 	}
-	rep := w.Report()
+	rep := w.NextHeartbeat()
 	r.shard.Heartbeat(&rep, false, r.clock.Now())
 	if eff := r.shard.Step(r.clock.Now()); len(eff.Txns) == 0 {
 		t.Fatal("no task placed where another one ended")
@@ -86,7 +86,7 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		w := r.workers[fmt.Sprintf("i-%06d", i%maxMachinesPerShard)]
-		rep := w.Report()
+		rep := w.NextHeartbeat()
 		r.clock.Advance(r.cfg.HeartbeatInterval / maxMachinesPerShard)
 		r.shard.Heartbeat(&rep, false, r.clock.Now())
 		r.shard.Step(r.clock.Now())
@@ -106,7 +106,7 @@
 				break
 			}
 		}
-		rep := w.Report()
+		rep := w.NextHeartbeat()
 		r.clock.Advance(10 * time.Millisecond)
 		now := r.clock.Now()
 		if o, v := r.shard.Heartbeat(&rep, false, now); v == Answered {
--- a/internal/scheduler/unreadable_records_test.go
+++ b/internal/scheduler/unreadable_records_test.go
@@ -109,7 +109,7 @@
 			t.Errorf("the end of %s is not recorded", spec.Ref)
 		}
 	}
-	if len(u.worker.Report().Tasks) > 0 {
+	if len(u.worker.NextHeartbeat().Tasks) > 0 {
 		t.Error("the cancelled task still runs")
 	}
 }
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -326,8 +326,8 @@
 	return &Worker{ID: id, Type: typ, Zone: zone, Spot: spot, Session: 1, Tasks: map[string]*WorkerTask{}}
 }
 
-// Report makes the next report.
-func (w *Worker) Report() wire.Heartbeat {
+// NextHeartbeat makes the next report.
+func (w *Worker) NextHeartbeat() wire.Heartbeat {
 	w.Seq++
 	r := wire.Heartbeat{
 		Machine: w.ID, Addr: "10.1.0.1:9000", Type: w.Type, Zone: w.Zone, Spot: w.Spot,
