--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -67,7 +67,7 @@
 func (k *cluster) heartbeats() []wire.Heartbeat {
 	var out []wire.Heartbeat
 	for _, m := range k.world.Machines() {
-		out = append(out, m.Reports()...)
+		out = append(out, m.RecentHeartbeats()...)
 	}
 	return out
 }
--- a/internal/testkit/agent.go
+++ b/internal/testkit/agent.go
@@ -267,8 +267,8 @@
 	return out
 }
 
-// Reports returns copies of the latest reports, the newest last.
-func (a *Agent) Reports() []wire.Heartbeat {
+// RecentHeartbeats returns copies of the latest reports, the newest last.
+func (a *Agent) RecentHeartbeats() []wire.Heartbeat {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.last)
