--- a/cmd/bramblespurctl/drain.go
+++ b/cmd/bramblespurctl/drain.go
@@ -14,55 +14,57 @@
 	"bramblespur/internal/drainreport"
 )
 
+// drainCommand returns the command "drain" with its subcommands.
 func (t *tool) drainCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "drain", Short: "Drain and replace machines, step by step"}
-	cmd.AddCommand(t.startCommand(), t.listCommand(), t.showCommand(), t.reportCommand(),
-		t.changeCommand("pause", "Begin nothing new for a drain", drain.Paused),
-		t.changeCommand("resume", "Go on with a paused drain", drain.Active),
-		t.changeCommand("cancel", "End a drain and lift its cordons", drain.Cancelled))
+	cmd.AddCommand(t.drainStartCommand(), t.drainListCommand(), t.drainShowCommand(), t.drainReportCommand(),
+		t.drainChangeCommand("pause", "Pause a drain: no further machine is cordoned or released, and no work is evicted", drain.Paused),
+		t.drainChangeCommand("resume", "Resume a paused drain", drain.Active),
+		t.drainChangeCommand("cancel", "Cancel a drain and lift its cordons", drain.Cancelled))
 	return cmd
 }
 
-// startFlags are the flags of "drain start".
-type startFlags struct {
-	plan         drain.Plan
+// drainStartFlags holds the flags of "drain start".
+type drainStartFlags struct {
+	plan         drain.Plan // the flags that need no conversion are stored here directly
 	olderThan    time.Duration
 	rentedBefore string
 	finishBy     string
 	dryRun       bool
 }
 
-func (t *tool) startCommand() *cobra.Command {
-	var f startFlags
+// drainStartCommand returns the command "drain start".
+func (t *tool) drainStartCommand() *cobra.Command {
+	var f drainStartFlags
 	cmd := &cobra.Command{
 		Use:   "start NAME",
-		Short: "Ask for a drain",
-		Args:  oneName,
+		Short: "Start a drain, or print its steps with --dry-run",
+		Args:  drainNameArgument,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			f.plan.Name = args[0]
 			if err := f.complete(t.now()); err != nil {
 				return usageError{err}
 			}
-			return t.start(cmd.Context(), cmd.OutOrStdout(), &f)
+			return t.startDrain(cmd.Context(), cmd.OutOrStdout(), &f)
 		},
 	}
 	s := &f.plan.Selector
 	flags := cmd.Flags()
-	flags.StringSliceVar(&s.Machines, "machine", nil, "machines by name")
+	flags.StringSliceVar(&s.Machines, "machine", nil, "these machines, by ID")
 	flags.StringSliceVar(&s.Types, "type", nil, "all machines of these types")
 	flags.StringSliceVar(&s.Zones, "zone", nil, "all machines in these zones")
-	flags.DurationVar(&f.olderThan, "older-than", 0, "all machines whose image is older, as it is that of their rental: 72h")
-	flags.StringVar(&f.rentedBefore, "rented-before", "", "all machines rented before a time: 2026-11-01T00:00:00Z")
-	flags.IntVar(&f.plan.MaxConcurrent, "at-once", 1, "how many machines at a time")
-	flags.StringVar(&f.finishBy, "finish-by", "", "when it should be over: a time, or a duration from now")
-	flags.BoolVar(&f.plan.Force, "force", false, "past the finish-by, evict beyond the budgets; this is recorded")
-	flags.StringVar(&f.plan.Reason, "reason", "", "why")
-	flags.BoolVar(&f.dryRun, "dry-run", false, "print the steps and write nothing")
+	flags.DurationVar(&f.olderThan, "older-than", 0, "all machines provisioned longer ago than this, whose image is as old: 72h")
+	flags.StringVar(&f.rentedBefore, "rented-before", "", "all machines provisioned before this time: 2026-11-01T00:00:00Z")
+	flags.IntVar(&f.plan.MaxConcurrent, "at-once", 1, "how many machines the drain may have cordoned at a time")
+	flags.StringVar(&f.finishBy, "finish-by", "", "when the drain should have ended: a time (RFC 3339) or a duration from now")
+	flags.BoolVar(&f.plan.Force, "force", false, "evict beyond the disruption budgets once --finish-by is past; this is recorded")
+	flags.StringVar(&f.plan.Reason, "reason", "", "why the machines are drained; this is recorded")
+	flags.BoolVar(&f.dryRun, "dry-run", false, "print the steps and start nothing")
 	return cmd
 }
 
-// complete makes the plan that the flags ask for.
-func (f *startFlags) complete(now time.Time) error {
+// complete fills in the rest of the plan from the flags, and checks it.
+func (f *drainStartFlags) complete(now time.Time) error {
 	p := &f.plan
 	p.State, p.Created = drain.Active, now.UnixMilli()
 	if f.rentedBefore != "" && f.olderThan != 0 {
@@ -91,6 +93,7 @@
 	return p.Check()
 }
 
+// timeOrDuration parses a time in RFC 3339, or a duration from now.
 func timeOrDuration(text string, now time.Time) (time.Time, error) {
 	if d, err := time.ParseDuration(text); err == nil {
 		return now.Add(d), nil
@@ -98,7 +101,8 @@
 	return time.Parse(time.RFC3339, text)
 }
 
-func (t *tool) start(ctx context.Context, out io.Writer, f *startFlags) error {
+// startDrain starts the drain, or for a dry run prints its steps.
+func (t *tool) startDrain(ctx context.Context, out io.Writer, f *drainStartFlags) error {
 	c, err := t.drainClient()
 	if err != nil {
 		return err
@@ -120,8 +124,8 @@
 	return t.print(out, steps, func() { writeSteps(out, steps) })
 }
 
-// oneName is the check for the name of a drain.
-func oneName(_ *cobra.Command, args []string) error {
+// drainNameArgument returns a usageError unless there is one argument that is a valid name of a drain.
+func drainNameArgument(_ *cobra.Command, args []string) error {
 	if len(args) != 1 {
 		return usageError{fmt.Errorf("want the name of one drain, not %d", len(args))}
 	}
@@ -131,11 +135,12 @@
 	return nil
 }
 
-func (t *tool) changeCommand(verb, short string, to drain.State) *cobra.Command {
+// drainChangeCommand returns the command "drain VERB", which changes the state of a drain.
+func (t *tool) drainChangeCommand(verb, short string, to drain.State) *cobra.Command {
 	return &cobra.Command{
 		Use:   verb + " NAME",
 		Short: short,
-		Args:  oneName,
+		Args:  drainNameArgument,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c, err := t.drainClient()
 			if err != nil {
@@ -154,7 +159,8 @@
 	}
 }
 
-func (t *tool) listCommand() *cobra.Command {
+// drainListCommand returns the command "drain list".
+func (t *tool) drainListCommand() *cobra.Command {
 	list := func(ctx context.Context, _ []string) ([]drainctl.Summary, error) {
 		c, err := t.drainClient()
 		if err != nil {
@@ -162,15 +168,17 @@
 		}
 		return c.List(ctx)
 	}
-	return reading(t, "list", "List all drains", cobra.NoArgs, list, writeList)
+	return queryCommand(t, "list", "List all drains", cobra.NoArgs, list, writeDrains)
 }
 
-func (t *tool) showCommand() *cobra.Command {
-	show := func(ctx context.Context, args []string) (*drainctl.Status, error) { return t.status(ctx, args[0]) }
-	return reading(t, "show NAME", "Show a drain: how far it is, and what holds it up", oneName, show, writeStatus)
+// drainShowCommand returns the command "drain show".
+func (t *tool) drainShowCommand() *cobra.Command {
+	show := func(ctx context.Context, args []string) (*drainctl.Status, error) { return t.drainStatus(ctx, args[0]) }
+	return queryCommand(t, "show NAME", "Show a drain: its progress, and what holds it up", drainNameArgument, show, writeDrainStatus)
 }
 
-func (t *tool) status(ctx context.Context, name string) (*drainctl.Status, error) {
+// drainStatus reads the status of a drain by its name.
+func (t *tool) drainStatus(ctx context.Context, name string) (*drainctl.Status, error) {
 	c, err := t.drainClient()
 	if err != nil {
 		return nil, err
@@ -178,14 +186,15 @@
 	return c.Show(ctx, name)
 }
 
-func (t *tool) reportCommand() *cobra.Command {
+// drainReportCommand returns the command "drain report". The report shows budgets only with --operations.
+func (t *tool) drainReportCommand() *cobra.Command {
 	var path string
 	cmd := &cobra.Command{
 		Use:   "report NAME",
 		Short: "Write the report of a drain: one HTML page, or JSON with --output json",
-		Args:  oneName,
+		Args:  drainNameArgument,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			s, err := t.status(cmd.Context(), args[0])
+			s, err := t.drainStatus(cmd.Context(), args[0])
 			if err != nil {
 				return err
 			}
@@ -197,14 +206,15 @@
 				}
 				settings = ops.Drains
 			}
-			return t.writeReport(cmd.OutOrStdout(), path, drainreport.New(s, settings, t.now()))
+			return t.writeDrainReport(cmd.OutOrStdout(), path, drainreport.New(s, settings, t.now()))
 		},
 	}
-	cmd.Flags().StringVar(&path, "file", "", "where to write it; without it, to standard output")
+	cmd.Flags().StringVar(&path, "file", "", "file to write the report to (default: standard output)")
 	return cmd
 }
 
-func (t *tool) writeReport(out io.Writer, path string, r *drainreport.Report) error {
+// writeDrainReport writes a report as JSON or HTML to the file at path, or to out if path is empty.
+func (t *tool) writeDrainReport(out io.Writer, path string, r *drainreport.Report) error {
 	if t.output == jsonOutput {
 		return writeTo(out, path, r.JSON)
 	}
--- a/cmd/bramblespurctl/main.go
+++ b/cmd/bramblespurctl/main.go
@@ -1,5 +1,7 @@
-// Command bramblespurctl is the operators' tool: it reads and changes records in the state
-// service, by its published protocol.
+// Command bramblespurctl is the operators' tool: it drains machines, shows how controllers settled
+// after restarts, takes snapshots of all records, and recovers the records after data loss. It reads and
+// changes records in the state service, by its published protocol. Only the planning of a recovery also calls
+// the controllers and the cloud.
 package main
 
 import (
@@ -20,19 +22,20 @@
 
 // Exit codes.
 const (
-	exitFailure = 1 // what was asked for could not be done
-	exitUsage   = 2 // it was not asked for properly
+	exitFailure = 1 // the command failed
+	exitUsage   = 2 // the command line, or a file that it names, is invalid
 )
 
-// usageError is a command line or a file that makes no sense.
+// usageError wraps errors about an invalid command line, or an invalid file that it names.
 type usageError struct{ error }
 
-// Unwrap returns what is wrong.
+// Unwrap returns the wrapped error.
 func (e usageError) Unwrap() error { return e.error }
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// run carries out a command line and returns the exit code.
+// run runs a command line without the program's name and returns the exit code. Results are written to
+// out, and errors, each in one line, to errOut.
 func run(args []string, out, errOut io.Writer) int {
 	t := &tool{now: time.Now}
 	root := t.command()
@@ -45,26 +48,27 @@
 	}
 	fmt.Fprintln(errOut, "bramblespurctl:", err)
 	var usage usageError
-	if errors.As(err, &usage) || !t.began {
+	if errors.As(err, &usage) || !t.parsed {
 		return exitUsage
 	}
 	return exitFailure
 }
 
-// tool is what all commands share.
+// tool holds the persistent flags and the state that all commands share.
 type tool struct {
 	settingsPath, stateAddr, operationsPath, output string
 
-	now   func() time.Time
-	began bool // the command line was understood
+	now    func() time.Time
+	parsed bool // the flags and arguments are valid: later errors are failures unless they are usageErrors
 }
 
-// Outputs.
+// Values of the flag --output.
 const (
 	textOutput = "text"
 	jsonOutput = "json"
 )
 
+// command returns the root command with all subcommands.
 func (t *tool) command() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "bramblespurctl",
@@ -75,32 +79,33 @@
 			if t.output != textOutput && t.output != jsonOutput {
 				return usageError{fmt.Errorf("--output is %q, want %s or %s", t.output, textOutput, jsonOutput)}
 			}
-			t.began = true
+			t.parsed = true
 			return nil
 		},
 	}
 	flags := root.PersistentFlags()
-	flags.StringVar(&t.settingsPath, "config", "", "a controller's settings file, which names the state service")
+	flags.StringVar(&t.settingsPath, "config", "", "settings file of a controller, which names the state service (TOML)")
 	flags.StringVar(&t.stateAddr, "state", "", "address of the state service, instead of --config")
-	flags.StringVar(&t.operationsPath, "operations", "", "the controllers' operations file, for budgets and limits")
-	flags.StringVarP(&t.output, "output", "o", textOutput, "text or json")
+	flags.StringVar(&t.operationsPath, "operations", "", "operations file of the controllers, which sets budgets and limits (TOML)")
+	flags.StringVarP(&t.output, "output", "o", textOutput, "output format: text or json")
 	root.AddCommand(t.drainCommand(), t.restartCommand(), t.snapshotCommand(), t.recoverCommand())
 	return root
 }
 
-// Limits that the tool keeps to where no settings tell the state service's.
+// Limits of the state service that are assumed without a settings file.
 const (
-	usualRPS      = 100.0
-	usualWriteRPS = 20.0
+	defaultRPS      = 100.0 // requests per second
+	defaultWriteRPS = 20.0  // changed keys per second
 )
 
-// store returns the way to the state service, within a small share of its limits.
+// store returns a client of the state service that uses at most [drain.DefaultStoreShare] of its limits.
 func (t *tool) store() (statestore.Store, error) { return t.storeWithin(drain.DefaultStoreShare) }
 
-// storeWithin returns the way to the state service, within a share of its limits.
+// storeWithin returns a client of the state service that uses at most the given share of its limits, from
+// 0 to 1. It returns a usageError unless exactly one of --config and --state is given.
 func (t *tool) storeWithin(share float64) (statestore.Store, error) {
 	addr := t.stateAddr
-	rps, writeRPS := usualRPS, usualWriteRPS
+	rps, writeRPS := defaultRPS, defaultWriteRPS
 	switch {
 	case t.settingsPath != "" && addr != "":
 		return nil, usageError{errors.New("--config and --state exclude each other")}
@@ -116,7 +121,8 @@
 	return statestore.New(addr, 1, rps*share, writeRPS*share, nil), nil
 }
 
-// drainClient returns what reads and changes drains.
+// drainClient returns a client for the records of drains. It returns a usageError if the operations file
+// is invalid, even if the command does not use it.
 func (t *tool) drainClient() (*drainctl.Client, error) {
 	if _, err := t.operations(); err != nil {
 		return nil, err
@@ -128,7 +134,8 @@
 	return &drainctl.Client{Store: store, Now: t.now}, nil
 }
 
-// operations returns the operators' settings, or defaults without a file.
+// operations returns the settings of the operations file, or [operations.Defaults] without a file. It
+// returns a usageError if the file is invalid or does not turn drains on.
 func (t *tool) operations() (*operations.Settings, error) {
 	if t.operationsPath == "" {
 		return operations.Defaults(), nil
@@ -138,7 +145,7 @@
 		return nil, usageError{err}
 	}
 	if s.Drains == nil {
-		return nil, usageError{fmt.Errorf("%s does not turn drains on", t.operationsPath)}
+		return nil, usageError{fmt.Errorf("%s has no section [drains], so drains are off", t.operationsPath)}
 	}
 	return s, nil
 }
--- a/cmd/bramblespurctl/output.go
+++ b/cmd/bramblespurctl/output.go
@@ -10,8 +10,8 @@
 	"github.com/spf13/cobra"
 )
 
-// reading returns a command that reads something and prints it, as text or as JSON.
-func reading[T any](t *tool, use, short string, args cobra.PositionalArgs,
+// queryCommand returns a command that prints the result of read, as JSON or by text.
+func queryCommand[T any](t *tool, use, short string, args cobra.PositionalArgs,
 	read func(ctx context.Context, args []string) (T, error), text func(io.Writer, T)) *cobra.Command {
 	return &cobra.Command{
 		Use:   use,
@@ -28,7 +28,7 @@
 	}
 }
 
-// print writes what was asked for, as JSON or as text.
+// print writes v as JSON, or calls text, which writes the same as text.
 func (t *tool) print(out io.Writer, v any, text func()) error {
 	if t.output == jsonOutput {
 		e := json.NewEncoder(out)
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// writeTo writes a report to a file, or without a path to out.
+// writeTo calls write with the file at path, which it creates or overwrites, or with out if path is empty.
 func writeTo(out io.Writer, path string, write func(io.Writer) error) error {
 	if path == "" {
 		return write(out)
--- a/cmd/bramblespurctl/recover.go
+++ b/cmd/bramblespurctl/recover.go
@@ -23,24 +23,25 @@
 	"bramblespur/internal/snapshot"
 )
 
-// Bounds of what recovery writes and asks.
+// Limits of recovery.
 const (
-	recoverTxnBytes = 48 << 10 // of a transaction, well below the protocol's bound
-	recoverCloudRPS = 1.0
-	recoverTimeout  = 10 * time.Minute
-	// recoverShare is the share of the state service's limits that recovery uses: while there
-	// is a safe mode, controllers need little.
+	recoverTxnBytes = 48 << 10         // of a transaction, well below the protocol's bound
+	recoverCloudRPS = 1.0              // requests per second to the cloud
+	recoverTimeout  = 10 * time.Minute // of "recover plan" and of "recover apply"
+	// recoverShare is the share of the state service's limits that recovery uses. It may be large,
+	// since controllers in safe mode send few requests.
 	recoverShare = 0.6
 )
 
+// recoverCommand returns the command "recover" with its subcommands.
 func (t *tool) recoverCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "recover", Short: "Rebuild the records after the state service has lost data"}
 	cmd.AddCommand(t.recoverStatusCommand(), t.recoverPlanCommand(), t.recoverDecideCommand(), t.recoverApplyCommand(), t.recoverReportCommand())
 	return cmd
 }
 
-// recoverClient returns what recovers a cluster. It needs a controller's settings, which name
-// the other controllers and the cloud.
+// recoverClient returns a client that can make and apply plans. It needs the settings file of a controller,
+// which names the other controllers and the cloud, and returns a usageError without one.
 func (t *tool) recoverClient() (*recoverctl.Client, error) {
 	if t.settingsPath == "" {
 		return nil, usageError{errors.New("--config is missing: it names the controllers, the cloud and the state service")}
@@ -61,7 +62,8 @@
 		Limits: recovery.Limits{ValueBytes: s.Params.State.MaxValueBytes(), TxnOps: s.Params.State.TxnOps, TxnBytes: recoverTxnBytes}}, nil
 }
 
-// recordsClient returns what reads and writes recovery's own records, without the cluster.
+// recordsClient returns a client that can only read and write the records of safe modes and decisions. It
+// needs no settings file and calls neither controllers nor the cloud.
 func (t *tool) recordsClient() (*recoverctl.Client, error) {
 	store, err := t.store()
 	if err != nil {
@@ -70,6 +72,7 @@
 	return &recoverctl.Client{Store: store, Now: t.now}, nil
 }
 
+// recoverStatusCommand returns the command "recover status".
 func (t *tool) recoverStatusCommand() *cobra.Command {
 	status := func(ctx context.Context, _ []string) (*recovery.SafeMode, error) {
 		c, err := t.recordsClient()
@@ -82,10 +85,11 @@
 		}
 		return mode, err
 	}
-	return reading(t, "status", "Tell whether there is a safe mode, since when and why", cobra.NoArgs, status, writeMode)
+	return queryCommand(t, "status", "Show whether there is a safe mode, since when and why", cobra.NoArgs, status, writeSafeMode)
 }
 
-func writeMode(out io.Writer, m *recovery.SafeMode) {
+// writeSafeMode writes the state of the safe mode in one line.
+func writeSafeMode(out io.Writer, m *recovery.SafeMode) {
 	if !m.Active {
 		fmt.Fprintln(out, "no safe mode")
 		return
@@ -93,16 +97,17 @@
 	fmt.Fprintf(out, "safe mode %d since %s, noticed by %s: %s\n", m.Epoch, time.UnixMilli(m.Since).UTC().Format(time.RFC3339), m.By, m.Sign)
 }
 
-// snapshotChoice is how a plan's snapshot is chosen.
+// snapshotChoice holds the flags that choose the snapshot for a plan.
 type snapshotChoice struct {
-	directory, name string
-	partial         bool
+	directory, name string // directory is empty if no snapshot is used
+	partial         bool   // use the undamaged sections of a damaged snapshot
 }
 
-// latestSnapshot is the name that stands for the newest usable snapshot.
+// latestSnapshot is the value of --snapshot that chooses the newest snapshot with a valid manifest.
 const latestSnapshot = "latest"
 
-// read reads the chosen snapshot, nil if none is wanted.
+// read reads the chosen snapshot. It returns nil if there is no directory, an error that wraps
+// [snapshot.ErrUnknown] if there is no such snapshot, and an error for a damaged one unless partial is set.
 func (s *snapshotChoice) read() (*snapshot.Contents, error) {
 	if s.directory == "" {
 		return nil, nil
@@ -123,14 +128,15 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := damaged(c); err != nil && !s.partial {
+	if err := damageError(c); err != nil && !s.partial {
 		return nil, fmt.Errorf("%w with --partial", err)
 	}
 	return c, nil
 }
 
-// sameCluster refuses a snapshot of another cluster, as far as the store still tells its own.
-func sameCluster(s *snapshot.Contents, g *recoverctl.Gathered) error {
+// checkSameCluster returns an error that wraps [snapshot.ErrOtherCluster] if the snapshot is of another
+// cluster than the store. Without a snapshot, and if the store has lost the cluster's record, it returns nil.
+func checkSameCluster(s *snapshot.Contents, g *recoverctl.Gathered) error {
 	var own snapshot.Cluster
 	e, ok := g.Store[record.ClusterKey]
 	if s == nil || !ok || json.Unmarshal(e.Value, &own) != nil || own.ID == s.Manifest.Cluster {
@@ -139,12 +145,13 @@
 	return fmt.Errorf("%w: %s, this one is %s", snapshot.ErrOtherCluster, s.Manifest.Cluster, own.ID)
 }
 
+// recoverPlanCommand returns the command "recover plan".
 func (t *tool) recoverPlanCommand() *cobra.Command {
 	var from snapshotChoice
 	var path string
 	cmd := &cobra.Command{
 		Use:   "plan",
-		Short: "Gather the evidence and write a plan to a file; nothing is changed",
+		Short: "Gather the evidence and write a plan to a file; no record is changed",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if path == "" {
@@ -164,7 +171,7 @@
 			if err != nil {
 				return err
 			}
-			if err := sameCluster(s, g); err != nil {
+			if err := checkSameCluster(s, g); err != nil {
 				return err
 			}
 			p := recovery.NewPlan(g.Evidence, c.Limits)
@@ -175,14 +182,15 @@
 			return t.print(out, p, func() { writePlanText(out, p, g.Unreachable) })
 		},
 	}
-	cmd.Flags().StringVar(&from.directory, "dir", "", "the directory of the snapshots; without it, none is used")
-	cmd.Flags().StringVar(&from.name, "snapshot", latestSnapshot, "the snapshot's name")
+	cmd.Flags().StringVar(&from.directory, "dir", "", "directory of the snapshots; without it, none is used")
+	cmd.Flags().StringVar(&from.name, "snapshot", latestSnapshot, "name of the snapshot")
 	cmd.Flags().BoolVar(&from.partial, "partial", false, "use what can be read of a damaged snapshot")
-	cmd.Flags().StringVar(&path, "file", "", "where the plan is written; it must not exist")
+	cmd.Flags().StringVar(&path, "file", "", "file to write the plan to; it must not exist")
 	return cmd
 }
 
-// writePlan writes a plan to a new file, or leaves none.
+// writePlan writes a plan to a new file. It returns an error if the file exists, and deletes it again if
+// writing fails.
 func writePlan(path string, p *recovery.Plan) error {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640)
 	if err != nil {
@@ -196,7 +204,7 @@
 	return nil
 }
 
-// readPlan reads a plan.
+// readPlan reads a plan from a file. It returns a usageError if path is empty or the file is not a plan.
 func readPlan(path string) (*recovery.Plan, error) {
 	if path == "" {
 		return nil, usageError{errors.New("--file is missing")}
@@ -212,33 +220,37 @@
 	return p, nil
 }
 
-// shownItems is how many records of a verdict are named.
-const shownItems = 20
+// maxShownItems is how many records of an outcome are named in the text of a plan.
+const maxShownItems = 20
 
-func writePlanText(out io.Writer, p *recovery.Plan, silent []string) {
-	for _, label := range silent {
-		fmt.Fprintf(out, "controller %s did not answer: what it holds is missing\n", label)
+// writePlanText writes the number of records with each outcome, and names those that were lost or are
+// undecided. unreachable has the labels of controllers without evidence.
+func writePlanText(out io.Writer, p *recovery.Plan, unreachable []string) {
+	for _, label := range unreachable {
+		fmt.Fprintf(out, "controller %s did not answer: its evidence is missing\n", label)
 	}
 	count := p.Count()
-	for _, v := range []recovery.Outcome{recovery.Intact, recovery.Recovered, recovery.Finished, recovery.Lost, recovery.Undecided} {
-		fmt.Fprintf(out, "%-14s %d\n", v, count[v])
+	for _, outcome := range []recovery.Outcome{recovery.Intact, recovery.Recovered, recovery.Finished, recovery.Lost, recovery.Undecided} {
+		fmt.Fprintf(out, "%-14s %d\n", outcome, count[outcome])
 	}
-	for _, v := range []recovery.Outcome{recovery.Lost, recovery.Undecided} {
+	for _, outcome := range []recovery.Outcome{recovery.Lost, recovery.Undecided} {
 		shown := 0
 		for _, i := range p.Items {
-			if i.Outcome != v {
+			if i.Outcome != outcome {
 				continue
 			}
-			if shown++; shown > shownItems {
-				fmt.Fprintf(out, "... and %d more, in the plan\n", count[v]-shownItems)
+			if shown++; shown > maxShownItems {
+				fmt.Fprintf(out, "... and %d more, in the plan\n", count[outcome]-maxShownItems)
 				break
 			}
-			fmt.Fprintf(out, "%s: %s: %s%s\n", v, i.Key, i.Why, choices(i))
+			fmt.Fprintf(out, "%s: %s: %s%s\n", outcome, i.Key, i.Why, formatChoices(i))
 		}
 	}
 }
 
-func choices(i recovery.Item) string {
+// formatChoices returns the decisions that an operator has about an undecided record, in parentheses, or an
+// empty string if there are none.
+func formatChoices(i recovery.Item) string {
 	if len(i.Choices) == 0 {
 		return ""
 	}
@@ -249,10 +261,11 @@
 	return " (" + strings.Join(all, ", ") + ")"
 }
 
+// recoverDecideCommand returns the command "recover decide".
 func (t *tool) recoverDecideCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "decide KEY done|cancelled|again|forget",
-		Short: "Decide about an undecided record; make the plan anew after that",
+		Short: "Decide about an undecided record; make a new plan after that",
 		Args: func(_ *cobra.Command, args []string) error {
 			if len(args) != 2 {
 				return usageError{fmt.Errorf("want a key and a choice, not %d words", len(args))}
@@ -266,7 +279,7 @@
 			}
 			all := []recovery.Decision{recovery.DecideDone, recovery.DecideCancelled, recovery.DecideRerun, recovery.DecideForget}
 			if !slices.Contains(all, choice) {
-				return usageError{fmt.Errorf("%q is none of the choices", choice)}
+				return usageError{fmt.Errorf("%q is none of the choices: want done, cancelled, again or forget", choice)}
 			}
 			c, err := t.recordsClient()
 			if err != nil {
@@ -281,11 +294,12 @@
 	}
 }
 
+// recoverApplyCommand returns the command "recover apply".
 func (t *tool) recoverApplyCommand() *cobra.Command {
 	var path string
 	cmd := &cobra.Command{
 		Use:   "apply",
-		Short: "Carry a plan out and end the safe mode; it may be repeated after any cut",
+		Short: "Apply a plan and end the safe mode; may be repeated after any interruption",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			p, err := readPlan(path)
@@ -302,14 +316,15 @@
 			if err := c.Apply(ctx, p, progress); err != nil {
 				return err
 			}
-			fmt.Fprintln(cmd.OutOrStdout(), "the safe mode is over")
+			fmt.Fprintln(cmd.OutOrStdout(), "the safe mode has ended")
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&path, "file", "", "the plan")
+	cmd.Flags().StringVar(&path, "file", "", "file with the plan")
 	return cmd
 }
 
+// recoverReportCommand returns the command "recover report".
 func (t *tool) recoverReportCommand() *cobra.Command {
 	var path, to string
 	cmd := &cobra.Command{
@@ -328,7 +343,7 @@
 			return writeTo(cmd.OutOrStdout(), to, write)
 		},
 	}
-	cmd.Flags().StringVar(&path, "file", "", "the plan")
-	cmd.Flags().StringVar(&to, "to", "", "where to write it; without it, to standard output")
+	cmd.Flags().StringVar(&path, "file", "", "file with the plan")
+	cmd.Flags().StringVar(&to, "to", "", "file to write the report to (default: standard output)")
 	return cmd
 }
--- a/cmd/bramblespurctl/recover_test.go
+++ b/cmd/bramblespurctl/recover_test.go
@@ -94,7 +94,7 @@
 	key := record.ActiveJobKey("run-000001")
 	s.want(0, key+": again", "recover", "decide", key, "again")
 	s.wantWith(0, "undecided      0", "recover", "plan", "--dir", s.dir, "--file", again)
-	s.wantWith(0, "the safe mode is over", "recover", "apply", "--file", again)
+	s.wantWith(0, "the safe mode has ended", "recover", "apply", "--file", again)
 	if _, there := s.service.Entry(key); !there {
 		t.Error("the job was not recovered")
 	}
--- a/cmd/bramblespurctl/snapshot.go
+++ b/cmd/bramblespurctl/snapshot.go
@@ -16,21 +16,22 @@
 	"bramblespur/internal/snapshot"
 )
 
-// Defaults of the snapshot commands.
+// Defaults and limits of the snapshot commands' flags.
 const (
-	usualPatience = 15 * time.Second
-	usualKeep     = 24
-	usualKeepDays = 7
-	// shortestEvery bounds how often snapshots are taken: each reads all records.
-	shortestEvery = time.Minute
+	defaultAnswerTimeout = 15 * time.Second
+	defaultKeep          = 24 // snapshots
+	defaultKeepDays      = 7
+	// minSnapshotInterval bounds how often snapshots are taken, since each reads all records.
+	minSnapshotInterval = time.Minute
 )
 
-// snapshotFlags are what the snapshot commands share.
+// snapshotFlags holds the flags that several snapshot commands share.
 type snapshotFlags struct {
 	directory string
 	retention snapshot.Retention
 }
 
+// check returns a usageError if the directory is missing or the retention is invalid.
 func (f *snapshotFlags) check() error {
 	if f.directory == "" {
 		return usageError{errors.New("--dir is missing")}
@@ -41,32 +42,34 @@
 	return nil
 }
 
+// snapshotCommand returns the command "snapshot" with its subcommands.
 func (t *tool) snapshotCommand() *cobra.Command {
-	f := &snapshotFlags{retention: snapshot.Retention{Latest: usualKeep, Days: usualKeepDays}}
+	f := &snapshotFlags{retention: snapshot.Retention{Latest: defaultKeep, Days: defaultKeepDays}}
 	cmd := &cobra.Command{Use: "snapshot", Short: "Copy all records of the state service into files"}
-	cmd.PersistentFlags().StringVar(&f.directory, "dir", "", "the directory of the snapshots")
+	cmd.PersistentFlags().StringVar(&f.directory, "dir", "", "directory of the snapshots")
 	cmd.AddCommand(t.snapshotTakeCommand(f), t.snapshotListCommand(f), t.snapshotVerifyCommand(f), t.snapshotPruneCommand(f))
 	return cmd
 }
 
-// retentionFlags adds the flags of what is kept.
-func (f *snapshotFlags) retentionFlags(cmd *cobra.Command) {
-	cmd.Flags().IntVar(&f.retention.Latest, "keep", usualKeep, "how many of the newest snapshots are kept")
-	cmd.Flags().IntVar(&f.retention.Days, "keep-days", usualKeepDays, "of how many days the last snapshot of each is kept, too")
+// addRetentionFlags adds the flags that say which snapshots are kept.
+func (f *snapshotFlags) addRetentionFlags(cmd *cobra.Command) {
+	cmd.Flags().IntVar(&f.retention.Latest, "keep", defaultKeep, "how many of the newest snapshots are kept")
+	cmd.Flags().IntVar(&f.retention.Days, "keep-days", defaultKeepDays, "for how many days the last snapshot of each day is kept as well")
 }
 
+// snapshotTakeCommand returns the command "snapshot take".
 func (t *tool) snapshotTakeCommand(f *snapshotFlags) *cobra.Command {
-	var every, patience time.Duration
+	var interval, answerTimeout time.Duration
 	cmd := &cobra.Command{
 		Use:   "take",
-		Short: "Take a snapshot, or one again and again with --every",
+		Short: "Take a snapshot, or take snapshots periodically with --every",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := f.check(); err != nil {
 				return err
 			}
-			if every != 0 && every < shortestEvery {
-				return usageError{fmt.Errorf("--every is %v, want %v at least", every, shortestEvery)}
+			if interval != 0 && interval < minSnapshotInterval {
+				return usageError{fmt.Errorf("--every is %v, want %v at least", interval, minSnapshotInterval)}
 			}
 			store, err := t.store()
 			if err != nil {
@@ -74,28 +77,29 @@
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			taker := &snapshot.Taker{Source: store, Directory: f.directory, AnswerTimeout: patience, Now: t.now, Sleep: sleepFor}
-			if every == 0 {
-				return t.takeOne(ctx, cmd.OutOrStdout(), taker)
+			taker := &snapshot.Taker{Source: store, Directory: f.directory, AnswerTimeout: answerTimeout, Now: t.now, Sleep: sleep}
+			if interval == 0 {
+				return t.takeSnapshot(ctx, cmd.OutOrStdout(), taker)
 			}
-			return t.takeAgain(ctx, cmd, taker, f.retention, every)
+			return t.takePeriodically(ctx, cmd, taker, f.retention, interval)
 		},
 	}
-	cmd.Flags().DurationVar(&every, "every", 0, "take one so often, and prune after each")
-	cmd.Flags().DurationVar(&patience, "timeout", usualPatience, "how long the state service may leave requests without an answer")
-	f.retentionFlags(cmd)
+	cmd.Flags().DurationVar(&interval, "every", 0, "interval at which snapshots are taken; old ones are pruned after each")
+	cmd.Flags().DurationVar(&answerTimeout, "timeout", defaultAnswerTimeout, "time after the state service's last answer at which the command gives up")
+	f.addRetentionFlags(cmd)
 	return cmd
 }
 
-// sleepFor waits unless the context ends first.
-func sleepFor(ctx context.Context, d time.Duration) error {
+// sleep waits for d. It returns the context's error if the context ends first.
+func sleep(ctx context.Context, d time.Duration) error {
 	if !retry.Sleep(ctx, d) {
 		return ctx.Err()
 	}
 	return nil
 }
 
-func (t *tool) takeOne(ctx context.Context, out io.Writer, taker *snapshot.Taker) error {
+// takeSnapshot takes one snapshot and prints its manifest.
+func (t *tool) takeSnapshot(ctx context.Context, out io.Writer, taker *snapshot.Taker) error {
 	m, err := taker.Take(ctx)
 	if err != nil {
 		return err
@@ -103,19 +107,20 @@
 	return t.print(out, m, func() {
 		fmt.Fprintf(out, "%s: %d records, %d bytes, %d requests, %.1fs\n", m.Name(), m.Records(), m.Bytes(), m.Requests, m.Taken.Sub(m.Began).Seconds())
 		if m.Span != nil {
-			fmt.Fprintf(out, "not as of one revision but of %d to %d: %s\n", m.Span.From, m.Span.To, m.Span.Reason)
+			fmt.Fprintf(out, "not of one revision, but of revisions %d to %d: %s\n", m.Span.From, m.Span.To, m.Span.Reason)
 		}
 	})
 }
 
-// takeAgain takes snapshots until the process is to end. One that fails is told, and the next
-// one goes on with what it has read.
-func (t *tool) takeAgain(ctx context.Context, cmd *cobra.Command, taker *snapshot.Taker, keep snapshot.Retention, every time.Duration) error {
+// takePeriodically takes a snapshot at each interval and prunes the directory after it, until the context
+// ends; then it returns nil. It prints the error of a snapshot that fails. The next one resumes it and does
+// not read again what has been read.
+func (t *tool) takePeriodically(ctx context.Context, cmd *cobra.Command, taker *snapshot.Taker, retention snapshot.Retention, interval time.Duration) error {
 	for {
 		began := t.now()
-		err := t.takeOne(ctx, cmd.OutOrStdout(), taker)
+		err := t.takeSnapshot(ctx, cmd.OutOrStdout(), taker)
 		if err == nil {
-			_, err = snapshot.Prune(taker.Directory, keep, t.now())
+			_, err = snapshot.Prune(taker.Directory, retention, t.now())
 		}
 		if ctx.Err() != nil {
 			return nil
@@ -123,12 +128,13 @@
 		if err != nil {
 			fmt.Fprintln(cmd.ErrOrStderr(), "bramblespurctl:", err)
 		}
-		if !retry.Sleep(ctx, every-t.now().Sub(began)) {
+		if !retry.Sleep(ctx, interval-t.now().Sub(began)) {
 			return nil
 		}
 	}
 }
 
+// snapshotListCommand returns the command "snapshot list".
 func (t *tool) snapshotListCommand(f *snapshotFlags) *cobra.Command {
 	list := func(context.Context, []string) ([]snapshot.Listing, error) {
 		if err := f.check(); err != nil {
@@ -136,11 +142,12 @@
 		}
 		return snapshot.List(f.directory)
 	}
-	return reading(t, "list", "List the snapshots in a directory", cobra.NoArgs, list, writeSnapshots)
+	return queryCommand(t, "list", "List the snapshots in a directory", cobra.NoArgs, list, writeSnapshots)
 }
 
+// writeSnapshots writes a line for each snapshot.
 func writeSnapshots(out io.Writer, all []snapshot.Listing) {
-	table(out, func(w io.Writer) {
+	writeTable(out, func(w io.Writer) {
 		fmt.Fprintln(w, "NAME\tRECORDS\tBYTES\tREVISION\tCLUSTER")
 		for _, l := range all {
 			if l.Manifest == nil {
@@ -157,8 +164,9 @@
 	})
 }
 
-// damaged is an error of one line that names the sections of a snapshot that can't be read.
-func damaged(c *snapshot.Contents) error {
+// damageError returns an error of one line that names the sections of a snapshot that cannot be read, or
+// nil if there are none.
+func damageError(c *snapshot.Contents) error {
 	if len(c.Damaged) == 0 {
 		return nil
 	}
@@ -169,10 +177,11 @@
 	return fmt.Errorf("%s; %d records of other sections can be read", strings.Join(all, "; "), len(c.Records))
 }
 
+// snapshotVerifyCommand returns the command "snapshot verify".
 func (t *tool) snapshotVerifyCommand(f *snapshotFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   "verify NAME",
-		Short: "Read all of a snapshot and check it",
+		Short: "Read a whole snapshot and check that no section is damaged",
 		Args:  oneArgument,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := f.check(); err != nil {
@@ -182,15 +191,16 @@
 			if err != nil {
 				return err
 			}
-			if err := damaged(c); err != nil {
+			if err := damageError(c); err != nil {
 				return err
 			}
 			out := cmd.OutOrStdout()
-			return t.print(out, c.Manifest, func() { fmt.Fprintf(out, "%s is whole: %d records\n", args[0], len(c.Records)) })
+			return t.print(out, c.Manifest, func() { fmt.Fprintf(out, "%s is intact: %d records\n", args[0], len(c.Records)) })
 		},
 	}
 }
 
+// snapshotPruneCommand returns the command "snapshot prune".
 func (t *tool) snapshotPruneCommand(f *snapshotFlags) *cobra.Command {
 	prune := func(context.Context, []string) ([]string, error) {
 		if err := f.check(); err != nil {
@@ -198,11 +208,11 @@
 		}
 		return snapshot.Prune(f.directory, f.retention, t.now())
 	}
-	cmd := reading(t, "prune", "Delete the snapshots that are not to be kept", cobra.NoArgs, prune, func(out io.Writer, names []string) {
+	cmd := queryCommand(t, "prune", "Delete the snapshots that --keep and --keep-days do not keep", cobra.NoArgs, prune, func(out io.Writer, names []string) {
 		for _, name := range names {
 			fmt.Fprintln(out, name)
 		}
 	})
-	f.retentionFlags(cmd)
+	f.addRetentionFlags(cmd)
 	return cmd
 }
--- a/cmd/bramblespurctl/snapshot_test.go
+++ b/cmd/bramblespurctl/snapshot_test.go
@@ -28,7 +28,7 @@
 		t.Errorf("%d records", m.Records())
 	}
 	s.want(0, m.Cluster, "snapshot", "list", "--dir", dir)
-	s.want(0, "is whole: 5 records", "snapshot", "verify", m.Name(), "--dir", dir)
+	s.want(0, "is intact: 5 records", "snapshot", "verify", m.Name(), "--dir", dir)
 	s.want(0, "", "snapshot", "prune", "--dir", dir, "--keep", "1")
 	s.want(1, "no such snapshot: x", "snapshot", "verify", "x", "--dir", dir)
 	for _, file := range []string{"open.parquet", "runs.parquet"} {
@@ -37,8 +37,8 @@
 		}
 	}
 	out := s.want(1, "section open/ is damaged", "snapshot", "verify", m.Name(), "--dir", dir)
-	if strings.Contains(out, "whole") {
-		t.Errorf("a damaged snapshot is called whole: %s", out)
+	if strings.Contains(out, "intact") {
+		t.Errorf("a damaged snapshot is called intact: %s", out)
 	}
 	s.want(1, "section runs/ is damaged", "snapshot", "verify", m.Name(), "--dir", dir)
 	s.want(1, "3 records of other sections", "snapshot", "verify", m.Name(), "--dir", dir)
@@ -62,7 +62,7 @@
 	cmd.SetErr(&said)
 	dir := t.TempDir()
 	now := time.Now()
-	taker := &snapshot.Taker{Source: state, Directory: filepath.Join(dir, "later"), Now: func() time.Time { return now }, Sleep: sleepFor}
+	taker := &snapshot.Taker{Source: state, Directory: filepath.Join(dir, "later"), Now: func() time.Time { return now }, Sleep: sleep}
 	tool := &tool{output: textOutput, now: func() time.Time {
 		if said.Len() > 0 { // the first one failed: now there is its directory, and an hour is over
 			os.Mkdir(taker.Directory, 0o700)
@@ -70,7 +70,7 @@
 		}
 		return now
 	}}
-	if err := tool.takeAgain(ctx, cmd, taker, snapshot.Retention{Latest: 1}, time.Hour); err != nil {
+	if err := tool.takePeriodically(ctx, cmd, taker, snapshot.Retention{Latest: 1}, time.Hour); err != nil {
 		t.Fatal(err)
 	}
 	all, err := snapshot.List(taker.Directory)
--- a/cmd/bramblespurctl/text.go
+++ b/cmd/bramblespurctl/text.go
@@ -13,24 +13,25 @@
 	"bramblespur/internal/drainctl"
 )
 
-// table writes lines of cells, set apart by tabs, in columns.
-func table(out io.Writer, write func(w io.Writer)) {
+// writeTable aligns the columns of the lines that write writes, with cells separated by tabs.
+func writeTable(out io.Writer, write func(w io.Writer)) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	write(w)
 	w.Flush()
 }
 
+// writeSteps writes the steps of a dry run.
 func writeSteps(out io.Writer, steps []drainctl.Step) {
-	table(out, func(w io.Writer) {
+	writeTable(out, func(w io.Writer) {
 		fmt.Fprintln(w, "STEP\tMACHINES\tINTERRUPTS")
 		for i, s := range steps {
-			fmt.Fprintf(w, "%d\t%s\t%s\n", i+1, strings.Join(s.Machines, " "), units(s.UnitsByTeam))
+			fmt.Fprintf(w, "%d\t%s\t%s\n", i+1, strings.Join(s.Machines, " "), formatUnits(s.UnitsByTeam))
 		}
 	})
 }
 
-// units tells how many units of each team there are.
-func units(n map[string]int) string {
+// formatUnits returns the number of units of work of each team, or "-" if there are none.
+func formatUnits(n map[string]int) string {
 	var out []string
 	for _, team := range slices.Sorted(maps.Keys(n)) {
 		out = append(out, fmt.Sprintf("%s:%d", team, n[team]))
@@ -38,34 +39,37 @@
 	return cmp.Or(strings.Join(out, " "), "-")
 }
 
-func writeList(out io.Writer, all []drainctl.Summary) {
-	table(out, func(w io.Writer) {
+// writeDrains writes a line for each drain.
+func writeDrains(out io.Writer, all []drainctl.Summary) {
+	writeTable(out, func(w io.Writer) {
 		fmt.Fprintln(w, "NAME\tSTATE\tLEFT\tCORDONED\tAT ONCE\tFINISH BY\tREASON")
 		for _, s := range all {
 			if s.Invalid != "" {
 				fmt.Fprintf(w, "%s\t%s\t-\t-\t-\t-\t%s\n", s.Name, s.State, s.Invalid)
 				continue
 			}
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%s\t%s\n", s.Name, s.State, s.MachinesLeft, s.MachinesCordoned, s.MaxConcurrent, finish(s), s.Reason)
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%s\t%s\n", s.Name, s.State, s.MachinesLeft, s.MachinesCordoned, s.MaxConcurrent, formatFinishBy(s), s.Reason)
 		}
 	})
 }
 
-func finish(s drainctl.Summary) string {
+// formatFinishBy returns the time by which a drain should have ended, or "-" if there is none.
+func formatFinishBy(s drainctl.Summary) string {
 	if s.Late {
 		return s.FinishBy + " (late)"
 	}
 	return cmp.Or(s.FinishBy, "-")
 }
 
-func writeStatus(out io.Writer, s *drainctl.Status) {
-	table(out, func(w io.Writer) {
-		fmt.Fprintf(w, "name\t%s\nstate\t%s\nreason\t%s\nfinish by\t%s\n", s.Name, s.State, s.Reason, finish(s.Summary))
+// writeDrainStatus writes the fields of one drain, then its cordoned machines, teams and holds as tables.
+func writeDrainStatus(out io.Writer, s *drainctl.Status) {
+	writeTable(out, func(w io.Writer) {
+		fmt.Fprintf(w, "name\t%s\nstate\t%s\nreason\t%s\nfinish by\t%s\n", s.Name, s.State, s.Reason, formatFinishBy(s.Summary))
 		fmt.Fprintf(w, "machines left\t%d\ncordoned\t%d of %d at once\nreturned\t%d\n", s.MachinesLeft, s.MachinesCordoned, s.MaxConcurrent, s.MachinesReturned)
 	})
 	if len(s.CordonedMachines) > 0 {
 		fmt.Fprintln(out)
-		table(out, func(w io.Writer) {
+		writeTable(out, func(w io.Writer) {
 			fmt.Fprintln(w, "CORDONED\tSINCE")
 			for _, m := range s.CordonedMachines {
 				fmt.Fprintf(w, "%s\t%s\n", m.Machine, m.Since)
@@ -74,22 +78,23 @@
 	}
 	if len(s.Teams) > 0 {
 		fmt.Fprintln(out)
-		table(out, func(w io.Writer) {
+		writeTable(out, func(w io.Writer) {
 			fmt.Fprintln(w, "TEAM\tEVICTED\tBEYOND BUDGET\tLOST\tINTERRUPTED NOW")
 			for _, t := range s.Teams {
-				fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%d\n", t.Team, t.Evicted, t.Forced, span(t.LostTaskSeconds), t.InterruptedNow)
+				fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%d\n", t.Team, t.Evicted, t.Forced, formatSeconds(t.LostTaskSeconds), t.InterruptedNow)
 			}
 		})
 	}
 	if len(s.Holds) > 0 {
 		fmt.Fprintln(out)
-		table(out, func(w io.Writer) {
-			fmt.Fprintln(w, "HELD UP BY\tMACHINES' TIME")
+		writeTable(out, func(w io.Writer) {
+			fmt.Fprintln(w, "HELD UP BY\tMACHINE TIME")
 			for _, h := range s.Holds {
-				fmt.Fprintf(w, "%s\t%s\n", h.Reason, span(h.Seconds))
+				fmt.Fprintf(w, "%s\t%s\n", h.Reason, formatSeconds(h.Seconds))
 			}
 		})
 	}
 }
 
-func span(seconds float64) string { return (time.Duration(seconds) * time.Second).String() }
+// formatSeconds returns a duration in seconds as text, rounded down to whole seconds.
+func formatSeconds(seconds float64) string { return (time.Duration(seconds) * time.Second).String() }
