--- a/cmd/bramblespur/loopback_bench_test.go
+++ b/cmd/bramblespur/loopback_bench_test.go
@@ -15,7 +15,7 @@
 // benchmarkLoopback returns the size of a cluster with so many machines. The rate limits of the state service
 // grow with their number.
 func benchmarkLoopback(machines int) loopbackSize {
-	return loopbackSize{report: 4 * time.Second, rps: 300 + float64(machines)/4, writeRPS: 100 + float64(machines)/10,
+	return loopbackSize{heartbeat: 4 * time.Second, rps: 300 + float64(machines)/4, writeRPS: 100 + float64(machines)/10,
 		operations: "[restart]\nsettle_within_s = 30.0\n", cpuShare: 2}
 }
 
--- a/cmd/bramblespur/loopback_test.go
+++ b/cmd/bramblespur/loopback_test.go
@@ -43,14 +43,14 @@
 
 // loopbackSize holds the settings that depend on the size of the cluster.
 type loopbackSize struct {
-	report        time.Duration // heartbeat interval
+	heartbeat     time.Duration // heartbeat interval
 	rps, writeRPS float64       // of the state service
 	operations    string        // operations file
 	cpuShare      float64       // processor cores of each controller
 }
 
 // smallLoopback is for a few machines with a short heartbeat interval.
-var smallLoopback = loopbackSize{report: 600 * time.Millisecond, rps: 300, writeRPS: 100, operations: loopbackOperations, cpuShare: 1}
+var smallLoopback = loopbackSize{heartbeat: 600 * time.Millisecond, rps: 300, writeRPS: 100, operations: loopbackOperations, cpuShare: 1}
 
 const loopbackSettings = `
 label = %q
@@ -137,7 +137,7 @@
 	t.Helper()
 	l := &loopback{t: t, dir: t.TempDir(), publicAddrs: map[string]string{}, running: map[string]*exec.Cmd{},
 		usage: map[string]processUsage{}, requests: map[string]*atomic.Int64{}}
-	timing := testkit.Timing{Report: size.report, Lease: 10 * time.Second, GangWait: 20 * time.Second,
+	timing := testkit.Timing{Report: size.heartbeat, Lease: 10 * time.Second, GangWait: 20 * time.Second,
 		GangPeer: 2 * time.Second, Cancel: 30 * time.Second}
 	types := []wire.MachineType{{Name: "big", CPUs: 16, GPUs: 2, MemoryGB: 64, CacheGB: 100, FetchGBps: 1, Price: 5, SpotPrice: 2, BootS: 2, Zones: []string{"a", "b"}}}
 	l.checker = testkit.NewChecker(nil, timing.Cancel)
@@ -186,7 +186,7 @@
 		}
 		l.write(label+".toml", fmt.Sprintf(loopbackSettings, label, zones[label], l.publicAddrs[label], peers[label], seeds.String(),
 			strings.TrimPrefix(cloud.URL, "http://"), strings.TrimPrefix(state.URL, "http://"),
-			size.report.Seconds(), size.rps, size.writeRPS, size.cpuShare))
+			size.heartbeat.Seconds(), size.rps, size.writeRPS, size.cpuShare))
 	}
 	l.write("operations.toml", size.operations)
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -115,7 +115,7 @@
 func (s *Settings) checkTimes() error {
 	w := s.Params.Workers
 	err := checkAmounts(
-		amount{"params.workers.report_s", w.ReportS, minSeconds, maxSeconds},
+		amount{"params.workers.report_s", w.HeartbeatS, minSeconds, maxSeconds},
 		amount{"params.workers.lease_s", w.LeaseS, minSeconds, maxSeconds},
 		amount{"params.workers.gang_wait_s", w.GangWaitS, minSeconds, maxSeconds},
 		amount{"params.workers.gang_peer_s", w.GangPeerS, minSeconds, maxSeconds},
@@ -123,7 +123,7 @@
 		amount{"params.cloud.list_lag_s", s.Params.Cloud.ListLagS, 0, maxSeconds},
 		amount{"params.clock_error_ms", s.Params.ClockErrorMS, 0, maxSeconds},
 	)
-	if err == nil && w.LeaseS <= w.ReportS {
+	if err == nil && w.LeaseS <= w.HeartbeatS {
 		err = fmt.Errorf("params.workers.lease_s is too short, want more than params.workers.report_s")
 	}
 	return err
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -70,11 +70,11 @@
 
 // Workers holds the timing of the workers' protocol, in seconds.
 type Workers struct {
-	ReportS   float64 `toml:"report_s"`
-	LeaseS    float64 `toml:"lease_s"`
-	GangWaitS float64 `toml:"gang_wait_s"`
-	GangPeerS float64 `toml:"gang_peer_s"`
-	CancelS   float64 `toml:"cancel_s"`
+	HeartbeatS float64 `toml:"report_s"`
+	LeaseS     float64 `toml:"lease_s"`
+	GangWaitS  float64 `toml:"gang_wait_s"`
+	GangPeerS  float64 `toml:"gang_peer_s"`
+	CancelS    float64 `toml:"cancel_s"`
 }
 
 // State holds the limits of the state service: requests and writes per second, the size of a value and
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -99,7 +99,7 @@
 	}
 	k.params = config.Params{
 		Count: l.controllers, Zones: l.zones, Teams: []config.Team{{Name: "tight", GPUsMax: teamLimit}, {Name: "wide"}, {Name: "other"}},
-		Workers: config.Workers{ReportS: l.timing.Report.Seconds(), LeaseS: l.timing.Lease.Seconds(), GangWaitS: l.timing.GangWait.Seconds(),
+		Workers: config.Workers{HeartbeatS: l.timing.Report.Seconds(), LeaseS: l.timing.Lease.Seconds(), GangWaitS: l.timing.GangWait.Seconds(),
 			GangPeerS: l.timing.GangPeer.Seconds(), CancelS: l.timing.Cancel.Seconds()},
 		State: config.State{RPS: 200, WriteRPS: 50, ValueKB: 16, TxnOps: 16}, Cloud: config.Cloud{RPS: 4, ListLagS: 10},
 		Resources: config.Resources{CPUShare: 0.2, MemoryMB: 200, MaxSockets: 2000},
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -27,7 +27,7 @@
 	t.Helper()
 	cfg := &config.Settings{Label: "c-0", Params: config.Params{
 		Count: 1, Zones: []string{"z"}, Teams: []config.Team{{Name: "a", GPUsMax: 4}},
-		Workers: config.Workers{ReportS: 2, LeaseS: 20, CancelS: 40},
+		Workers: config.Workers{HeartbeatS: 2, LeaseS: 20, CancelS: 40},
 		State:   config.State{ValueKB: 16, TxnOps: 16},
 	}}
 	pol, err := policy.Load("")
--- a/internal/controller/dataloss/stale_reads.go
+++ b/internal/controller/dataloss/stale_reads.go
@@ -71,7 +71,7 @@
 	case before.Active():
 		r.ReportIfStaleLocked(record.ActiveJobKey(ref), before.version, 0, now)
 		return ErrSuspected
-	case now.Sub(r.host.StartedAtLocked()) < startupHeartbeats*config.Seconds(r.cfg.Params.Workers.ReportS):
+	case now.Sub(r.host.StartedAtLocked()) < startupHeartbeats*config.Seconds(r.cfg.Params.Workers.HeartbeatS):
 		return ErrSuspected
 	}
 	return statestore.ErrNotFound
--- a/internal/controller/membership_process.go
+++ b/internal/controller/membership_process.go
@@ -48,7 +48,7 @@
 			withoutPeers = false
 		}
 	}
-	silence := config.Seconds(c.cfg.Params.Workers.ReportS)*2 + time.Second
+	silence := config.Seconds(c.cfg.Params.Workers.HeartbeatS)*2 + time.Second
 	withoutWorkers := c.machines.Len() > 0 && now.Sub(c.lastHeartbeatAt) > silence
 	return membership.Status{
 		WithoutPeers: withoutPeers,
--- a/internal/controller/shardhost/config.go
+++ b/internal/controller/shardhost/config.go
@@ -34,7 +34,7 @@
 // SchedulerConfig returns the configuration of all shards, derived from the settings, the policy,
 // the rate limit of restarts and the machine types.
 func SchedulerConfig(params *config.Params, pol *policy.Policy, restartLimiter *ratelimit.Limiter, types []wire.MachineType) *scheduler.Config {
-	heartbeat := config.Seconds(params.Workers.ReportS)
+	heartbeat := config.Seconds(params.Workers.HeartbeatS)
 	limits := params.State.LowestLimits()
 	c := &scheduler.Config{
 		Teams:                map[string]scheduler.Team{},
--- a/internal/controller/workerapi/router.go
+++ b/internal/controller/workerapi/router.go
@@ -171,7 +171,7 @@
 	}
 	workers := r.settings.Params.Workers
 	search := time.Duration(unreachable) * (responseTimeout + retryPause)
-	return search+config.Seconds(workers.ReportS) >= config.Seconds(workers.LeaseS)
+	return search+config.Seconds(workers.HeartbeatS) >= config.Seconds(workers.LeaseS)
 }
 
 // servesZone reports whether a controller is alive, not isolated, and in a zone.
@@ -253,7 +253,7 @@
 // report and the search. The results are as of BetterControllerLocked.
 func (r *Router) sendToSearch(machine string, survey peerSurvey, now time.Time) (to string, leave bool) {
 	workers := r.settings.Params.Workers
-	lease, interval := config.Seconds(workers.LeaseS), config.Seconds(workers.ReportS)
+	lease, interval := config.Seconds(workers.LeaseS), config.Seconds(workers.HeartbeatS)
 	s, known := r.searches[machine]
 	if !known && len(r.searches) >= MaxRemembered {
 		return "", false
--- a/internal/controller/workerapi/router_test.go
+++ b/internal/controller/workerapi/router_test.go
@@ -25,7 +25,7 @@
 
 func newTestRouter(t *testing.T) *testRouter {
 	t.Helper()
-	settings := &config.Settings{Label: "c-0", Zone: "z", Params: config.Params{Count: 1, Workers: config.Workers{ReportS: 2, LeaseS: 20, CancelS: 40}}}
+	settings := &config.Settings{Label: "c-0", Zone: "z", Params: config.Params{Count: 1, Workers: config.Workers{HeartbeatS: 2, LeaseS: 20, CancelS: 40}}}
 	lease := &membership.Lease{}
 	lease.Grant(membership.LeaseState{ID: 1, RenewedAt: time.Now()})
 	r := &testRouter{}
--- a/internal/operations/operations.go
+++ b/internal/operations/operations.go
@@ -179,18 +179,18 @@
 	return nil
 }
 
-// minReportsWhileLimited is the number of heartbeats of a worker for which the limit on commands must
-// last at least: commands are sent in the responses to heartbeats.
-const minReportsWhileLimited = 2
+// minHeartbeatsWhileLimited is the least number of heartbeats of a worker during which commands are
+// limited: commands are sent in the responses to heartbeats.
+const minHeartbeatsWhileLimited = 2
 
-// checkRestart returns an error if the limit on commands lasts too short for commands to reach workers.
+// checkRestart returns an error if the limit on commands ends before commands can reach all workers.
 func (s *Settings) checkRestart(p *config.Params) error {
 	if s.Restart == nil || s.Restart.LimitFor == 0 {
 		return nil
 	}
-	if least := minReportsWhileLimited * config.Seconds(p.Workers.ReportS); s.Restart.LimitFor < least {
+	if least := minHeartbeatsWhileLimited * config.Seconds(p.Workers.HeartbeatS); s.Restart.LimitFor < least {
 		return fmt.Errorf("restart.settle_within_s: %v is less than the time of %d heartbeats of a worker, %v",
-			s.Restart.LimitFor, minReportsWhileLimited, least)
+			s.Restart.LimitFor, minHeartbeatsWhileLimited, least)
 	}
 	return nil
 }
--- a/internal/operations/operations_test.go
+++ b/internal/operations/operations_test.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := tooShort.Check(&config.Params{Workers: config.Workers{ReportS: 3}}); err == nil || !strings.Contains(err.Error(), "restart.settle_within_s") {
+	if err := tooShort.Check(&config.Params{Workers: config.Workers{HeartbeatS: 3}}); err == nil || !strings.Contains(err.Error(), "restart.settle_within_s") {
 		t.Errorf("settle_within_s of less than two heartbeats: err %v, want one naming it", err)
 	}
 }
--- a/internal/wire/user.go
+++ b/internal/wire/user.go
@@ -19,8 +19,8 @@
 	Cancelled = "aborted"
 )
 
-// Spec is a job as its user submits it. CPUs, GPUs, MemoryGB and SaveS are those of one task; durations
-// are in seconds.
+// Spec is a job as its user submits it. CPUs, GPUs and MemoryGB are those of one task; durations are in
+// seconds.
 type Spec struct {
 	Ref         string   `json:"ref"`
 	Class       string   `json:"thicket"`
