--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -54,12 +54,14 @@
 
 // blockCallsFrom keeps machines from opening connections to controllers until heal. Direct
 // commands still reach them, and are answered: an answer returns on the connection of its request.
-func (k *cluster) blockCallsFrom(ids func(string) bool) (heal func()) { return k.world.Mute(ids) }
+func (k *cluster) blockCallsFrom(machines func(string) bool) (heal func()) {
+	return k.world.Mute(machines)
+}
 
 // dropMessagesTo drops all messages of controllers to machines, answers and commands, until heal.
 // Heartbeats still arrive.
-func (k *cluster) dropMessagesTo(ids func(string) bool) (heal func()) {
-	return k.world.Net.AddPartition(&testkit.Partition{Match: func(from, to string) bool { return k.isController(from) && ids(to) }})
+func (k *cluster) dropMessagesTo(machines func(string) bool) (heal func()) {
+	return k.world.Net.AddPartition(&testkit.Partition{Match: func(from, to string) bool { return k.isController(from) && machines(to) }})
 }
 
 // heartbeats returns copies of the latest heartbeats of all machines, the oldest of each machine
--- a/internal/controller/cluster_jobs_test.go
+++ b/internal/controller/cluster_jobs_test.go
@@ -27,8 +27,8 @@
 // ref returns the reference of the n-th job of a test.
 func ref(n int) string { return fmt.Sprintf("run-%06d", n) }
 
-// shortRun is how long tasks run where a test needs nothing else. Tasks with longRun outlive the
-// faults of a test.
+// shortRun and longRun are durations of jobs: the tasks of longRun outlive the faults of a test,
+// and shortRun is for tests that need nothing else.
 var (
 	shortRun = testkit.JobDurations{Run: 20 * time.Second, Fetch: 2 * time.Second}
 	longRun  = testkit.JobDurations{Run: 10 * time.Minute, Fetch: 2 * time.Second}
--- a/internal/controller/fault_combinations_links_test.go
+++ b/internal/controller/fault_combinations_links_test.go
@@ -107,15 +107,15 @@
 	})
 }
 
-// All messages to machines, or all messages from them, are held up for seconds. Then they arrive, and half
-// of the machines hang for a while and resume.
+// All messages to machines, or all messages from them, are held up for seconds. Then they arrive,
+// and half of the machines hang for a while and resume.
 func TestDelayedCommands(t *testing.T) {
-	for name, match := range map[string]func(k *cluster, ids func(string) bool) func(from, to string) bool{
-		"command": func(k *cluster, ids func(string) bool) func(from, to string) bool {
-			return func(from, to string) bool { return k.isController(from) && ids(to) }
+	for name, match := range map[string]func(k *cluster, machines func(string) bool) func(from, to string) bool{
+		"command": func(k *cluster, machines func(string) bool) func(from, to string) bool {
+			return func(from, to string) bool { return k.isController(from) && machines(to) }
 		},
-		"answer": func(k *cluster, ids func(string) bool) func(from, to string) bool {
-			return func(from, to string) bool { return k.isController(to) && ids(from) }
+		"answer": func(k *cluster, machines func(string) bool) func(from, to string) bool {
+			return func(from, to string) bool { return k.isController(to) && machines(from) }
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/controller/fault_combinations_restarts_test.go
+++ b/internal/controller/fault_combinations_restarts_test.go
@@ -126,8 +126,8 @@
 // cannot call controllers, or do not receive the answers of the new owner.
 func TestOwnerEndsWhileMachinesAreOutOfReach(t *testing.T) {
 	for name, fault := range map[string]func(*cluster, func(string) bool) func(){
-		"unreachable": func(k *cluster, ids func(string) bool) func() {
-			return k.world.Net.AddPartition(&testkit.Partition{Match: testkit.Between(ids, testkit.AnyEndpoint)})
+		"unreachable": func(k *cluster, machines func(string) bool) func() {
+			return k.world.Net.AddPartition(&testkit.Partition{Match: testkit.Between(machines, testkit.AnyEndpoint)})
 		},
 		"deaf": (*cluster).dropMessagesTo,
 		"mute": (*cluster).blockCallsFrom,
--- a/internal/controller/restarts_test.go
+++ b/internal/controller/restarts_test.go
@@ -55,7 +55,7 @@
 		}
 		k.await(30*time.Second, "a leader and an owner of every shard", func() bool { return k.leader() != "" && k.allShardsOwned() })
 		for i := range busyJobs {
-			k.submit(spec(ref(firstFreeJob+i), []string{"wide", "other"}[i%2], func(s *wire.Spec) { s.Tasks = busyTasks }), busyLength(i))
+			k.submit(spec(ref(firstFreeJob+i), []string{"wide", "other"}[i%2], func(s *wire.Spec) { s.Tasks = busyTasks }), busyDurations(i))
 		}
 		k.awaitRunning(ref(firstFreeJob), busyTasks)
 		time.Sleep(20 * time.Second) // the rate limit of this start ends
@@ -72,8 +72,9 @@
 	})
 }
 
-// busyLength is the length of the tasks of the i-th busy job: some end while no controller runs.
-func busyLength(i int) testkit.JobDurations {
+// busyDurations returns the durations of the i-th busy job: some tasks end while no controller
+// runs.
+func busyDurations(i int) testkit.JobDurations {
 	return testkit.JobDurations{Run: time.Duration(25+7*i) * time.Second, Fetch: 2 * time.Second}
 }
 
@@ -142,7 +143,7 @@
 // submitBacklog submits another busyJobs arrays, so that starts are in progress.
 func (k *cluster) submitBacklog() {
 	for i := range busyJobs {
-		k.submitInBackground(spec(ref(firstFreeJob+busyJobs+i), []string{"wide", "other"}[i%2], func(s *wire.Spec) { s.Tasks = busyTasks }), busyLength(i))
+		k.submitInBackground(spec(ref(firstFreeJob+busyJobs+i), []string{"wide", "other"}[i%2], func(s *wire.Spec) { s.Tasks = busyTasks }), busyDurations(i))
 	}
 }
 
