--- a/cmd/bramblespurctl/flags_test.go
+++ b/cmd/bramblespurctl/flags_test.go
@@ -8,7 +8,7 @@
 	"bramblespur/internal/testkit"
 )
 
-// Scripts of operators name commands and flags.
+// Operators' scripts depend on the names of commands and flags and on the defaults, which must not change.
 func TestCommandLine(t *testing.T) {
 	want, err := os.ReadFile("testdata/commands.golden")
 	if err != nil {
--- a/cmd/bramblespurctl/main_test.go
+++ b/cmd/bramblespurctl/main_test.go
@@ -16,16 +16,17 @@
 	"bramblespur/internal/wire"
 )
 
-// site is a state service that the tool is run against.
-type site struct {
+// fixture is a state service against which the tool is run.
+type fixture struct {
 	t       *testing.T
 	service *testkit.StateService
-	addr    string
+	addr    string // of the service, for --state; empty if the arguments have --config
 }
 
-func newSite(t *testing.T) *site {
+// newFixture starts a state service with two groups of machines and a gang that runs on two of them.
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	s := &site{t: t, service: testkit.NewStateService()}
+	s := &fixture{t: t, service: testkit.NewStateService()}
 	server := httptest.NewServer(s.service.HTTP("operator"))
 	t.Cleanup(server.Close)
 	s.addr = strings.TrimPrefix(server.URL, "http://")
@@ -39,15 +40,16 @@
 	return s
 }
 
-func (s *site) put(key string, v any) {
+// put writes a record.
+func (s *fixture) put(key string, v any) {
 	s.t.Helper()
 	if err := s.service.Put(wire.Txn{Then: []wire.Op{{Put: key, Value: record.Encode(v)}}}); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-// run runs the tool and returns its exit code, output and messages.
-func (s *site) run(args ...string) (code int, out, said string) {
+// run runs the tool and returns its exit code and what it wrote to standard output and standard error.
+func (s *fixture) run(args ...string) (code int, stdout, stderr string) {
 	var o, e bytes.Buffer
 	if s.addr != "" {
 		args = append([]string{"--state", s.addr}, args...)
@@ -56,17 +58,19 @@
 	return code, o.String(), e.String()
 }
 
-// want runs the tool, which must end with a code and say something in one line.
-func (s *site) want(code int, says string, args ...string) string {
+// expect runs the tool and returns its standard output. The tool must exit with code, write text to one of
+// its outputs, and write one line at most to standard error.
+func (s *fixture) expect(code int, text string, args ...string) string {
 	s.t.Helper()
-	got, out, said := s.run(args...)
-	if got != code || !strings.Contains(out+said, says) || strings.Count(said, "\n") > 1 {
-		s.t.Errorf("%v: exit %d, %q %q; want %d and %q", args, got, out, said, code, says)
+	got, stdout, stderr := s.run(args...)
+	if got != code || !strings.Contains(stdout+stderr, text) || strings.Count(stderr, "\n") > 1 {
+		s.t.Errorf("%v: exit code %d, stdout %q, stderr %q; want exit code %d and %q", args, got, stdout, stderr, code, text)
 	}
-	return out
+	return stdout
 }
 
-func (s *site) drainWrites() int {
+// toolWrites returns how many transactions of the tool were executed.
+func (s *fixture) toolWrites() int {
 	n := 0
 	for _, w := range s.service.Writes() {
 		if w.From == "operator" {
@@ -76,72 +80,72 @@
 	return n
 }
 
-// What an operator does from asking for a drain to its end.
+// An operator can plan, start, pause, resume, inspect, report and cancel a drain.
 func TestDrainCommands(t *testing.T) {
-	s := newSite(t)
-	steps := s.want(0, "STEP", "drain", "start", "old", "--type", "big", "--at-once", "2", "--dry-run", "--output", "text")
+	s := newFixture(t)
+	steps := s.expect(0, "STEP", "drain", "start", "old", "--type", "big", "--at-once", "2", "--dry-run", "--output", "text")
 	if !strings.Contains(steps, "i-1 i-3") || !strings.Contains(steps, "i-2 i-4") || !strings.Contains(steps, "vision:1") {
-		t.Errorf("the machines of a gang don't go together: %s", steps)
+		t.Errorf("the machines of a gang are not in one step: %s", steps)
 	}
-	if s.drainWrites() != 0 {
-		t.Error("a dry run wrote something")
+	if s.toolWrites() != 0 {
+		t.Error("the dry run wrote to the state service")
 	}
-	s.want(0, "drain old started", "drain", "start", "old", "--type", "big", "--reason", "end of lease")
-	s.want(1, "there is a drain old already", "drain", "start", "old", "--zone", "a")
-	s.want(0, "drain old is paused", "drain", "pause", "old")
-	s.want(1, "drain old is paused", "drain", "pause", "old")
-	s.want(0, "drain old is active", "drain", "resume", "old")
-	s.want(0, "end of lease", "drain", "list")
+	s.expect(0, "drain old started", "drain", "start", "old", "--type", "big", "--reason", "end of lease")
+	s.expect(1, "there is a drain old already", "drain", "start", "old", "--zone", "a")
+	s.expect(0, "drain old is paused", "drain", "pause", "old")
+	s.expect(1, "drain old is paused", "drain", "pause", "old")
+	s.expect(0, "drain old is active", "drain", "resume", "old")
+	s.expect(0, "end of lease", "drain", "list")
 	var status struct {
 		Left int `json:"machines_left"`
 	}
-	if err := json.Unmarshal([]byte(s.want(0, "machines_left", "drain", "show", "old", "-o", "json")), &status); err != nil || status.Left != 4 {
+	if err := json.Unmarshal([]byte(s.expect(0, "machines_left", "drain", "show", "old", "-o", "json")), &status); err != nil || status.Left != 4 {
 		t.Errorf("%d machines left, %v", status.Left, err)
 	}
 	s.put(drain.ProgressKey("old", 0), drain.Progress{Cordoned: 2, Returned: 1, Teams: map[string]drain.TeamImpact{"vision": {Evicted: 1, LostS: 90}},
 		HoldSeconds: map[drain.HoldReason]float64{drain.HoldBudgetExhausted: 60},
 		Samples:     []drain.Sample{{At: 1000, Cordoned: 1}, {At: 61000, Cordoned: 2, Returned: 1, Teams: map[string]drain.BudgetUse{"vision": {Concurrent: 1, InWindow: 1}}}}})
 	html := filepath.Join(t.TempDir(), "report.html")
-	s.want(0, "", "drain", "report", "old", "--file", html)
+	s.expect(0, "", "drain", "report", "old", "--file", html)
 	page, err := os.ReadFile(html)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, part := range []string{"<svg", "Disruptions of vision", "budget used up", "1m30s"} {
-		if !strings.Contains(string(page), part) {
-			t.Errorf("the report lacks %q", part)
+	for _, want := range []string{"<svg", "Disruptions of vision", "budget used up", "1m30s"} {
+		if !strings.Contains(string(page), want) {
+			t.Errorf("the report lacks %q", want)
 		}
 	}
-	s.want(0, `"budget used up"`, "drain", "report", "old", "--output", "json")
-	s.want(0, "drain old is cancelled", "drain", "cancel", "old")
-	s.want(1, "is cancelled already", "drain", "resume", "old")
+	s.expect(0, `"budget used up"`, "drain", "report", "old", "--output", "json")
+	s.expect(0, "drain old is cancelled", "drain", "cancel", "old")
+	s.expect(1, "is cancelled already", "drain", "resume", "old")
 }
 
-// What an operator sees of restarts.
+// An operator can list, show and report restarts, also beside a malformed record.
 func TestRestartCommands(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	s.put(restart.Key("c-0"), restart.History{Episodes: []restart.Episode{
 		{Incarnation: 4, Cause: restart.Started, BeganAt: 1000, CompletedAt: 9000, Shards: []int{0, 1}, Outcomes: map[string]int{"adopted": 12}, CommandsPerSecond: []int{3, 5}, CommandLimit: 10, Malformed: 1},
 		{Incarnation: 7, Cause: restart.FailedOver, BeganAt: 20000, Shards: []int{2}, PendingTasks: 3, SilentMachines: 1, PendingNames: []string{"i-000007"}},
 	}})
 	s.put(restart.Key("c-1"), "nonsense")
-	s.want(0, "invalid", "restart", "list")
-	s.want(0, "3 tasks, 1 machines", "restart", "list")
-	s.want(0, "i-000007", "restart", "show", "c-0")
-	s.want(0, "5 at most, of 10.0", "restart", "show", "c-0/1000", "--follow")
-	s.want(0, "<svg", "restart", "report", "c-0/1000")
-	s.want(0, `"adopted": 12`, "restart", "report", "c-0/1000", "-o", "json")
-	s.want(1, "unknown restart c-9", "restart", "show", "c-9")
-	s.want(2, "want one name", "restart", "show")
+	s.expect(0, "invalid", "restart", "list")
+	s.expect(0, "3 tasks, 1 machines", "restart", "list")
+	s.expect(0, "i-000007", "restart", "show", "c-0")
+	s.expect(0, "5 at most, of 10.0", "restart", "show", "c-0/1000", "--follow")
+	s.expect(0, "<svg", "restart", "report", "c-0/1000")
+	s.expect(0, `"adopted": 12`, "restart", "report", "c-0/1000", "-o", "json")
+	s.expect(1, "unknown restart c-9", "restart", "show", "c-9")
+	s.expect(2, "want one name", "restart", "show")
 }
 
-// What makes no sense is refused in one line, before anything is written: with exit code 2
-// if it was not asked for properly, and 1 if it can't be done.
+// Drain commands with bad input fail with an error in one line, before anything is written: with exit code
+// 2 if the command line is invalid, and 1 if the command cannot be carried out.
 func TestDrainBadInput(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	for _, x := range []struct {
 		code int
-		says string
+		text string
 		args string
 	}{
 		{2, "want the name of one drain", "drain start"},
@@ -163,18 +167,18 @@
 		{1, "unknown drain x", "drain cancel x"},
 		{1, "unknown drain x", "drain report x"},
 	} {
-		s.want(x.code, x.says, strings.Fields(x.args)...)
+		s.expect(x.code, x.text, strings.Fields(x.args)...)
 	}
-	if s.drainWrites() != 0 {
-		t.Error("something was written")
+	if s.toolWrites() != 0 {
+		t.Error("a refused command wrote to the state service")
 	}
 	s.put(drain.PlanKey("bad"), map[string]any{"name": "bad", "at_once": -1})
-	s.want(0, "invalid", "drain", "list")
+	s.expect(0, "invalid", "drain", "list")
 }
 
-// Without the state service the tool says so.
+// During an outage of the state service the tool fails with an error that says what it could not read.
 func TestDrainWithoutStateService(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	s.service.Outage(true)
-	s.want(1, "read the drains", "drain", "list")
+	s.expect(1, "read the drains", "drain", "list")
 }
--- a/cmd/bramblespurctl/recover_test.go
+++ b/cmd/bramblespurctl/recover_test.go
@@ -14,6 +14,8 @@
 	"bramblespur/internal/wire"
 )
 
+// recoverSettings is a controller's settings file, as a format with the addresses of the cloud and the state
+// service.
 const recoverSettings = `
 label = "c-0"
 zone = "a"
@@ -46,15 +48,16 @@
 max_sockets = 1000
 `
 
-// recoverSite is a site with a cloud, whose controllers do not answer.
-type recoverSite struct {
-	*site
-	config, dir string
+// recoverFixture is a fixture with a cloud and the settings of a controller that does not answer.
+type recoverFixture struct {
+	*fixture
+	config, dir string // path of the settings file, and its directory
 }
 
-func newRecoverSite(t *testing.T) *recoverSite {
+// newRecoverFixture starts a state service and a cloud, and writes the settings file.
+func newRecoverFixture(t *testing.T) *recoverFixture {
 	t.Helper()
-	s := newSite(t)
+	s := newFixture(t)
 	world := testkit.NewWorld([]string{"c-0"}, nil, testkit.Timing{}, testkit.NewChecker(nil, 0), 1)
 	t.Cleanup(world.Stop)
 	cloud := httptest.NewServer(world.CloudHTTP())
@@ -65,55 +68,55 @@
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return &recoverSite{s, config, dir}
+	return &recoverFixture{s, config, dir}
 }
 
-// wantWith is want with the settings file instead of the state service's address.
-func (s *recoverSite) wantWith(code int, says string, args ...string) string {
+// expectWithConfig is expect with the settings file instead of the state service's address.
+func (s *recoverFixture) expectWithConfig(code int, text string, args ...string) string {
 	s.t.Helper()
 	addr := s.addr
 	s.addr = ""
 	defer func() { s.addr = addr }()
-	return s.want(code, says, append([]string{"--config", s.config}, args...)...)
+	return s.expect(code, text, append([]string{"--config", s.config}, args...)...)
 }
 
-// From "safe mode" to service again, without a controller that answers.
+// An operator can recover lost records and end the safe mode although no controller answers.
 func TestRecoverCommands(t *testing.T) {
-	s := newRecoverSite(t)
-	plan, again := filepath.Join(s.dir, "plan.json"), filepath.Join(s.dir, "again.json")
-	s.want(0, "no safe mode", "recover", "status")
-	s.wantWith(1, "there is no safe mode", "recover", "plan", "--file", plan)
-	s.want(0, "5 records", "snapshot", "take", "--dir", s.dir)
+	s := newRecoverFixture(t)
+	plan, secondPlan := filepath.Join(s.dir, "plan.json"), filepath.Join(s.dir, "again.json")
+	s.expect(0, "no safe mode", "recover", "status")
+	s.expectWithConfig(1, "there is no safe mode", "recover", "plan", "--file", plan)
+	s.expect(0, "5 records", "snapshot", "take", "--dir", s.dir)
 	s.put(recovery.SafeModeKey, recovery.SafeMode{Active: true, Epoch: 1, By: "c-0", Floor: 40, Sign: recovery.Finding{Kind: recovery.RevisionRegressed, Held: 9, Found: 4}})
-	s.want(0, "noticed by c-0: revision fell: 4, was 9", "recover", "status")
+	s.expect(0, "noticed by c-0: revision fell: 4, was 9", "recover", "status")
 	s.service.Lose(func(key string) bool { return strings.HasPrefix(key, record.ActiveJobPrefix) })
-	s.wantWith(0, "controller c-0 did not answer", "recover", "plan", "--dir", s.dir, "--file", plan)
-	s.wantWith(1, "some records are undecided: 1", "recover", "apply", "--file", plan)
-	s.want(0, "done cancelled again", "recover", "report", "--file", plan)
-	s.want(0, `"undecided"`, "recover", "report", "--file", plan, "-o", "json")
+	s.expectWithConfig(0, "controller c-0 did not answer", "recover", "plan", "--dir", s.dir, "--file", plan)
+	s.expectWithConfig(1, "some records are undecided: 1", "recover", "apply", "--file", plan)
+	s.expect(0, "done cancelled again", "recover", "report", "--file", plan)
+	s.expect(0, `"undecided"`, "recover", "report", "--file", plan, "-o", "json")
 	key := record.ActiveJobKey("run-000001")
-	s.want(0, key+": again", "recover", "decide", key, "again")
-	s.wantWith(0, "undecided      0", "recover", "plan", "--dir", s.dir, "--file", again)
-	s.wantWith(0, "the safe mode has ended", "recover", "apply", "--file", again)
-	if _, there := s.service.Entry(key); !there {
+	s.expect(0, key+": again", "recover", "decide", key, "again")
+	s.expectWithConfig(0, "undecided      0", "recover", "plan", "--dir", s.dir, "--file", secondPlan)
+	s.expectWithConfig(0, "the safe mode has ended", "recover", "apply", "--file", secondPlan)
+	if _, ok := s.service.Entry(key); !ok {
 		t.Error("the job was not recovered")
 	}
-	s.want(0, "no safe mode", "recover", "status")
-	s.want(0, "<td>unfinished jobs</td>", "recover", "report", "--file", again)
+	s.expect(0, "no safe mode", "recover", "status")
+	s.expect(0, "<td>unfinished jobs</td>", "recover", "report", "--file", secondPlan)
 }
 
-// What makes no sense is refused in one line, before anything is written.
+// Recover commands with bad input fail with an error in one line, before anything is written.
 func TestRecoverBadInput(t *testing.T) {
-	s := newRecoverSite(t)
+	s := newRecoverFixture(t)
 	s.put(recovery.SafeModeKey, recovery.SafeMode{Active: true, Epoch: 1})
-	s.want(0, "records", "snapshot", "take", "--dir", s.dir)
+	s.expect(0, "records", "snapshot", "take", "--dir", s.dir)
 	plan, other := filepath.Join(s.dir, "plan.json"), filepath.Join(s.dir, "other")
 	if err := os.WriteFile(plan, []byte("nonsense"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, x := range []struct {
 		code int
-		says string
+		text string
 		args string
 	}{
 		{2, "--file is missing", "recover plan"},
@@ -130,9 +133,9 @@
 		{1, "no such file", "recover plan --dir " + other + " --file " + other},
 		{1, "no such snapshot in", "recover plan --dir " + t.TempDir() + " --file " + other},
 	} {
-		s.wantWith(x.code, x.says, strings.Fields(x.args)...)
+		s.expectWithConfig(x.code, x.text, strings.Fields(x.args)...)
 	}
-	s.want(2, "--config is missing", "recover", "plan", "--file", other)
+	s.expect(2, "--config is missing", "recover", "plan", "--file", other)
 	snapshots, err := filepath.Glob(filepath.Join(s.dir, "2*"))
 	if err != nil || len(snapshots) != 1 {
 		t.Fatal(snapshots, err)
@@ -140,13 +143,13 @@
 	if err := os.Truncate(filepath.Join(snapshots[0], "open.parquet"), 5); err != nil {
 		t.Fatal(err)
 	}
-	s.wantWith(1, "section open/ is damaged", "recover", "plan", "--dir", s.dir, "--file", other)
-	s.wantWith(0, "intact", "recover", "plan", "--partial", "--dir", s.dir, "--file", other)
+	s.expectWithConfig(1, "section open/ is damaged", "recover", "plan", "--dir", s.dir, "--file", other)
+	s.expectWithConfig(0, "intact", "recover", "plan", "--partial", "--dir", s.dir, "--file", other)
 	if err := s.service.Put(wire.Txn{Then: []wire.Op{{Put: record.ClusterKey, Value: []byte(`{"id":"other"}`)}}}); err != nil {
 		t.Fatal(err)
 	}
-	s.wantWith(1, "the snapshot is of another cluster", "recover", "plan", "--partial", "--dir", s.dir, "--file", other+"2")
+	s.expectWithConfig(1, "the snapshot is of another cluster", "recover", "plan", "--partial", "--dir", s.dir, "--file", other+"2")
 	if _, err := os.Stat(other + "2"); err == nil {
-		t.Error("a plan was written")
+		t.Error("a plan was written from the snapshot of another cluster")
 	}
 }
--- a/cmd/bramblespurctl/snapshot_test.go
+++ b/cmd/bramblespurctl/snapshot_test.go
@@ -16,55 +16,55 @@
 	"bramblespur/internal/testkit"
 )
 
-// What an operator sees of snapshots.
+// An operator can take, list, verify and prune snapshots, and verify names every damaged section.
 func TestSnapshotCommands(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	dir := t.TempDir()
 	var m snapshot.Manifest
-	if err := json.Unmarshal([]byte(s.want(0, `"cluster"`, "snapshot", "take", "--dir", dir, "-o", "json")), &m); err != nil {
+	if err := json.Unmarshal([]byte(s.expect(0, `"cluster"`, "snapshot", "take", "--dir", dir, "-o", "json")), &m); err != nil {
 		t.Fatal(err)
 	}
-	if m.Records() != 5 { // four of the site and the cluster's id
-		t.Errorf("%d records", m.Records())
+	if m.Records() != 5 { // four of the fixture, and the record with the cluster's ID
+		t.Errorf("%d records, want 5", m.Records())
 	}
-	s.want(0, m.Cluster, "snapshot", "list", "--dir", dir)
-	s.want(0, "is intact: 5 records", "snapshot", "verify", m.Name(), "--dir", dir)
-	s.want(0, "", "snapshot", "prune", "--dir", dir, "--keep", "1")
-	s.want(1, "no such snapshot: x", "snapshot", "verify", "x", "--dir", dir)
+	s.expect(0, m.Cluster, "snapshot", "list", "--dir", dir)
+	s.expect(0, "is intact: 5 records", "snapshot", "verify", m.Name(), "--dir", dir)
+	s.expect(0, "", "snapshot", "prune", "--dir", dir, "--keep", "1")
+	s.expect(1, "no such snapshot: x", "snapshot", "verify", "x", "--dir", dir)
 	for _, file := range []string{"open.parquet", "runs.parquet"} {
 		if err := os.Truncate(filepath.Join(dir, m.Name(), file), 10); err != nil {
 			t.Fatal(err)
 		}
 	}
-	out := s.want(1, "section open/ is damaged", "snapshot", "verify", m.Name(), "--dir", dir)
+	out := s.expect(1, "section open/ is damaged", "snapshot", "verify", m.Name(), "--dir", dir)
 	if strings.Contains(out, "intact") {
-		t.Errorf("a damaged snapshot is called intact: %s", out)
+		t.Errorf("a damaged snapshot is reported as intact: %s", out)
 	}
-	s.want(1, "section runs/ is damaged", "snapshot", "verify", m.Name(), "--dir", dir)
-	s.want(1, "3 records of other sections", "snapshot", "verify", m.Name(), "--dir", dir)
+	s.expect(1, "section runs/ is damaged", "snapshot", "verify", m.Name(), "--dir", dir)
+	s.expect(1, "3 records of other sections", "snapshot", "verify", m.Name(), "--dir", dir)
 }
 
-// enough ends a command once it has written something.
-type enough struct{ end func() }
+// cancelOnWrite is the output of a command that it cancels at the first write.
+type cancelOnWrite struct{ cancel func() }
 
-func (e enough) Write(b []byte) (int, error) {
-	e.end()
+func (w cancelOnWrite) Write(b []byte) (int, error) {
+	w.cancel()
 	return len(b), nil
 }
 
-// Unattended, a snapshot that can't be taken is told, and the next one is taken.
-func TestSnapshotsAreTakenAgain(t *testing.T) {
+// If a periodic snapshot fails, its error is printed, and the next one is taken.
+func TestPeriodicSnapshotsContinueAfterAFailure(t *testing.T) {
 	state := testkit.NewState()
-	ctx, end := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	cmd := &cobra.Command{}
-	cmd.SetOut(enough{end})
-	var said bytes.Buffer
-	cmd.SetErr(&said)
+	cmd.SetOut(cancelOnWrite{cancel})
+	var stderr bytes.Buffer
+	cmd.SetErr(&stderr)
 	dir := t.TempDir()
 	now := time.Now()
 	taker := &snapshot.Taker{Source: state, Directory: filepath.Join(dir, "later"), Now: func() time.Time { return now }, Sleep: sleep}
 	tool := &tool{output: textOutput, now: func() time.Time {
-		if said.Len() > 0 { // the first one failed: now there is its directory, and an hour is over
+		if stderr.Len() > 0 { // the first snapshot failed: create its directory, and let the interval pass
 			os.Mkdir(taker.Directory, 0o700)
 			now = now.Add(time.Hour)
 		}
@@ -74,18 +74,18 @@
 		t.Fatal(err)
 	}
 	all, err := snapshot.List(taker.Directory)
-	if err != nil || len(all) != 1 || !strings.Contains(said.String(), "no such file") {
-		t.Errorf("taken %v, %v; said %q", all, err, said.String())
+	if err != nil || len(all) != 1 || !strings.Contains(stderr.String(), "no such file") {
+		t.Errorf("taken %v, %v, stderr %q; want one snapshot and the error of the first", all, err, stderr.String())
 	}
 }
 
-// What makes no sense is refused in one line.
+// Snapshot commands with bad input, or without the state service, fail with an error in one line.
 func TestSnapshotBadInput(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	dir := t.TempDir()
 	for _, x := range []struct {
 		code int
-		says string
+		text string
 		args string
 	}{
 		{2, "--dir is missing", "snapshot take"},
@@ -98,8 +98,8 @@
 		{1, "no such file or directory", "snapshot list --dir " + dir + "/none"},
 		{1, "not a directory", "snapshot take --dir /dev/null"},
 	} {
-		s.want(x.code, x.says, strings.Fields(x.args)...)
+		s.expect(x.code, x.text, strings.Fields(x.args)...)
 	}
 	s.service.Outage(true)
-	s.want(1, "no answer from the state service for 1s", "snapshot", "take", "--dir", dir, "--timeout", "1s")
+	s.expect(1, "no answer from the state service for 1s", "snapshot", "take", "--dir", dir, "--timeout", "1s")
 }
