--- a/internal/controller/bounds_test.go
+++ b/internal/controller/bounds_test.go
@@ -65,14 +65,14 @@
 // averaged over so many runs. It calls settled after each.
 func measureFailoverAllocs(t *testing.T, runs int, c *Controller, state *countingState, settled func()) float64 {
 	t.Helper()
-	inc := uint64(1)
+	incarnation := uint64(1)
 	return testing.AllocsPerRun(runs, func() {
 		c.mu.Lock()
-		held, _ := c.cluster.Shard(0)
+		current, _ := c.cluster.Shard(0)
 		c.shards.DropAllLocked()
 		c.mu.Unlock()
-		inc++
-		acquireTestShard(t, c, state, held, inc)
+		incarnation++
+		acquireTestShard(t, c, state, current, incarnation)
 		settled()
 	})
 }
--- a/internal/controller/costs_test.go
+++ b/internal/controller/costs_test.go
@@ -101,11 +101,11 @@
 	c, state, _ := fleetController(t, 200, 0)
 	c.submit(jobBody(t, nil))
 	c.mu.Lock()
-	held, _ := c.cluster.Shard(0)
+	current, _ := c.cluster.Shard(0)
 	c.shards.DropLocked(0)
 	c.mu.Unlock()
 	state.reset()
-	if err := c.shards.Acquire(context.Background(), 0, held, 2); err != nil {
+	if err := c.shards.Acquire(context.Background(), 0, current, 2); err != nil {
 		t.Fatal(err)
 	}
 	for state.lists.Load() < failoverLists { // another goroutine reads the last one
--- a/internal/controller/dependency_tracking_test.go
+++ b/internal/controller/dependency_tracking_test.go
@@ -189,14 +189,14 @@
 	state := testkit.NewState()
 	c := newTestController(t, state)
 	for i := range 12 {
-		roots := []string{"run-000001"}
+		dependencies := []string{"run-000001"}
 		if i > 0 {
-			roots = []string{fmt.Sprintf("run-1%05d", i-1)} // a chain; run-2... all depend on its first job
+			dependencies = []string{fmt.Sprintf("run-1%05d", i-1)} // run-1... is a chain; run-2... all depend on run-000001
 		}
 		if i == 0 {
 			c.submit(jobBody(t, withField("ref", "run-000001")))
 		}
-		c.submit(dependentBody(t, fmt.Sprintf("run-1%05d", i), roots))
+		c.submit(dependentBody(t, fmt.Sprintf("run-1%05d", i), dependencies))
 		c.submit(dependentBody(t, fmt.Sprintf("run-2%05d", i), []string{"run-000001"}))
 	}
 	c.submit(jobBody(t, withField("ref", "run-000002")))
@@ -204,13 +204,13 @@
 	state.Limit(0, 2)
 	for range 14 { // each round ends one more level of the chain
 		loadActiveJobsView(t, state, c)
-		var roots []string
+		var dependencies []string
 		after := map[string][]string{}
 		for _, r := range c.activeJobs.EndedDependencies() {
-			roots = append(roots, r)
+			dependencies = append(dependencies, r)
 			after[r] = c.activeJobs.Dependents(r)
 		}
-		for _, r := range roots {
+		for _, r := range dependencies {
 			c.lookUpDependency(context.Background(), r, after[r])
 		}
 	}
--- a/internal/controller/largest_fleet_bench_test.go
+++ b/internal/controller/largest_fleet_bench_test.go
@@ -109,10 +109,10 @@
 }
 
 // acquireTestShard acquires shard 0 and waits until all its records have been read.
-func acquireTestShard(t testing.TB, c *Controller, state *countingState, held record.Versioned[record.Shard], inc uint64) {
+func acquireTestShard(t testing.TB, c *Controller, state *countingState, current record.Versioned[record.Shard], incarnation uint64) {
 	t.Helper()
 	state.reset()
-	if err := c.shards.Acquire(context.Background(), 0, held, inc); err != nil {
+	if err := c.shards.Acquire(context.Background(), 0, current, incarnation); err != nil {
 		t.Fatal(err)
 	}
 	for state.lists.Load() < failoverLists { // another goroutine reads the last one: it must not count for a later acquisition
@@ -133,9 +133,9 @@
 
 // serveHeartbeat has a controller serve a machine's encoded heartbeat and returns the response. A
 // parked response is released at once.
-func serveHeartbeat(c *Controller, report []byte, machine string) transport.Response {
+func serveHeartbeat(c *Controller, heartbeat []byte, machine string) transport.Response {
 	later := make(chan transport.Response, 1)
-	r, now := c.handle(httpwire.Request{Method: "POST", Path: wire.HeartbeatPath, Body: report}, func(r transport.Response) { later <- r })
+	r, now := c.handle(httpwire.Request{Method: "POST", Path: wire.HeartbeatPath, Body: heartbeat}, func(r transport.Response) { later <- r })
 	if !now {
 		c.mu.Lock()
 		c.longPolls.ReleaseLocked(machine, time.Now())
@@ -177,16 +177,16 @@
 		exchangeHeartbeats(b, c, workers)
 		workers = nil
 		at := liveHeap()
-		held := func(name string, n int, drop func()) {
+		measure := func(name string, n int, drop func()) {
 			drop()
 			now := liveHeap()
 			b.ReportMetric(float64(at-now), name+"-B")
 			b.ReportMetric(float64(at-now)/float64(n), name+"-B/each")
 			at = now
 		}
-		held("scheduler", largestFleetMachines, func() { c.shards.DropAllLocked() })
-		held("fleet-view", largestFleetMachines, func() { c.machines = nil })
-		held("open-jobs", largestFleetJobs, func() { c.activeJobs = nil })
+		measure("scheduler", largestFleetMachines, func() { c.shards.DropAllLocked() })
+		measure("fleet-view", largestFleetMachines, func() { c.machines = nil })
+		measure("open-jobs", largestFleetJobs, func() { c.activeJobs = nil })
 		runtime.KeepAlive(c)
 	}
 }
@@ -200,19 +200,19 @@
 	defer debug.SetGCPercent(debug.SetGCPercent(deployedPercent))
 	c, state, _ := fleetController(b, largestFleetMachines, largestFleetJobs)
 	b.ReportAllocs()
-	inc, most := uint64(1), map[string]uint64{}
+	incarnation, most := uint64(1), map[string]uint64{}
 	for b.Loop() {
 		b.StopTimer()
 		if now := memoryClasses(); now["total"]-now["released"] > most["total"]-most["released"] {
 			most = now
 		}
 		c.mu.Lock()
-		held, _ := c.cluster.Shard(0)
+		current, _ := c.cluster.Shard(0)
 		c.shards.DropAllLocked()
 		c.mu.Unlock()
-		inc++
+		incarnation++
 		b.StartTimer()
-		acquireTestShard(b, c, state, held, inc)
+		acquireTestShard(b, c, state, current, incarnation)
 	}
 	for name, bytes := range most {
 		b.ReportMetric(float64(bytes), name)
@@ -261,8 +261,8 @@
 func BenchmarkLeaderSync(b *testing.B) {
 	c, _, workers := fleetController(b, largestFleetMachines, largestFleetJobs)
 	exchangeHeartbeats(b, c, workers)
-	var wire bytes.Buffer
-	to, from := gob.NewEncoder(&wire), gob.NewDecoder(&wire)
+	var stream bytes.Buffer
+	to, from := gob.NewEncoder(&stream), gob.NewDecoder(&stream)
 	b.Run("summary", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
@@ -271,14 +271,14 @@
 			c.mu.Unlock()
 		}
 	})
-	sums := leaderHost{c}.SummariesLocked(time.Now())
+	summaries := leaderHost{c}.SummariesLocked(time.Now())
 	b.Run("sent", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			if err := to.Encode(sums); err != nil {
+			if err := to.Encode(summaries); err != nil {
 				b.Fatal(err)
 			}
-			b.ReportMetric(float64(wire.Len()), "bytes")
+			b.ReportMetric(float64(stream.Len()), "bytes")
 			var got []fleet.Summary
 			if err := from.Decode(&got); err != nil {
 				b.Fatal(err)
