--- a/internal/controller/dataloss/stale_reads.go
+++ b/internal/controller/dataloss/stale_reads.go
@@ -13,21 +13,21 @@
 	"bramblespur/internal/wire"
 )
 
-// startupHeartbeats is for how many heartbeat intervals after its start a controller does not answer
-// that a job was never submitted.
+// startupHeartbeats is the time after its start, in heartbeat intervals, in which a controller gives no
+// answer that a job was never submitted.
 const startupHeartbeats = 2
 
-// StaleReads compares records that are read with what this controller holds, before they are relied
-// on, and looks for records that should exist according to workers.
+// StaleReads compares records that are read with the versions that this controller holds, before the
+// records are used. It also looks for records that should exist according to workers.
 type StaleReads struct{ *Detector }
 
-// Baseline is what the view of active jobs had of a job before its records were read.
+// Baseline is the state of a job in the view of active jobs before the job's records were read.
 type Baseline struct {
 	version      uint64 // of its active record, 0 if the view had none
 	viewRevision uint64 // the revision that the view had reached
 }
 
-// Active reports whether the view had the job.
+// Active reports whether the view contained the job.
 func (b Baseline) Active() bool { return b.version > 0 }
 
 // BaselineOf returns the present baseline of a job.
@@ -38,9 +38,9 @@
 	return Baseline{job.Version, r.views.ActiveJobs.Revision()}
 }
 
-// CheckActiveJob compares the version found of a job's active record with the baseline from before the
-// read. The record must not be older than in the view, nor exist if the view has already seen the end
-// of the job. Otherwise CheckActiveJob reports a finding and returns [ErrSuspected].
+// CheckActiveJob compares the version in which a job's active record was found with the baseline from
+// before the read. The record must not be older than in the view. If the view has already seen the end
+// of the job, the record must not exist. Otherwise CheckActiveJob reports a finding and returns [ErrSuspected].
 func (r StaleReads) CheckActiveJob(ref string, before Baseline, found uint64) error {
 	held := before.version
 	if held == 0 && found <= before.viewRevision {
@@ -57,8 +57,8 @@
 
 // CheckMissingJob returns the error for a job without any record, given its baseline. A job that was
 // active before is lost, so CheckMissingJob reports a finding and returns [ErrSuspected]. A controller
-// that has just started cannot know which jobs were active, so it returns [ErrSuspected], too, and
-// leaves the answer to later: the fencing tokens of workers show whether the store went back.
+// that has just started cannot know which jobs were active, so it returns [ErrSuspected], too,
+// until the fencing tokens of workers have had time to show whether the store went back.
 // Otherwise the error is [statestore.ErrNotFound].
 func (r StaleReads) CheckMissingJob(ref string, before Baseline) error {
 	if !r.enabled {
@@ -159,8 +159,8 @@
 	return false
 }
 
-// askMachine reports a finding if the machine has a fencing token, and whether the safe mode is active
-// then.
+// askMachine asks a machine for a heartbeat and records a finding if it has a fencing token. It reports
+// whether the safe mode is active as a result.
 func (r StaleReads) askMachine(ctx context.Context, id, address string) bool {
 	heartbeat, err := r.host.Agents().RequestHeartbeat(ctx, address)
 	if err != nil || heartbeat.Check() != nil || heartbeat.Machine != id || heartbeat.Token == 0 {
--- a/internal/controller/leader/leader.go
+++ b/internal/controller/leader/leader.go
@@ -6,7 +6,7 @@
 //
 // Run is the only loop. Each turn syncs with all peers, then plans and acts within one
 // critical section of the shards' lock, since a plan is valid only for the views and shards that
-// it was made from. The shards' lock guards the state of a term, too. Input and output goes on in
+// it was made from. The shards' lock guards the state of a term, too. Input and output are done by
 // goroutines that end with the context.
 package leader
 
--- a/internal/controller/leader/planning.go
+++ b/internal/controller/leader/planning.go
@@ -12,7 +12,7 @@
 	"bramblespur/internal/wire"
 )
 
-// Defaults of the leader's plan. fleet.Config describes the intervals.
+// Fixed settings of the leader's planner. The fields of fleet.Config describe the intervals.
 const (
 	balanceInterval = 30 * time.Second
 	moveAfter       = 0 * time.Second // work that fits nowhere gets a free machine of another shard at once
@@ -43,7 +43,8 @@
 	}
 }
 
-// writeLimits returns the limits to apply to writes: the size of a record and of a transaction.
+// writeLimits returns the limits that the leader's writes must keep, such as the size of a record and
+// of a transaction. Each is the lower of its present and its next value.
 func (l *Leader) writeLimits() config.State { return l.cfg.Params.State.LowestLimits() }
 
 // planLocked plans with the summaries of all shards, carries out the orders for shards hosted here,
@@ -63,7 +64,7 @@
 		}
 	}
 	// Requests are not queued, since a queue would be outdated before the rate limit of the cloud
-	// let its requests through. A request that is not made now is planned anew in a later turn.
+	// let its requests through. If a request is not made now, a later turn plans again what it needs.
 	for _, r := range selectRequests(requests, concurrentProvisions-len(t.provisions.underWay)) {
 		if l.host.AllowCloudCallLocked(now) {
 			l.startProvisionLocked(ctx, t, r)
@@ -85,10 +86,10 @@
 	}
 }
 
-// selectRequests returns n of the requests, which begin with the most urgent: the n-1 most urgent
-// and the largest of the others, which yields the most machines for one call. Otherwise small urgent
-// requests would take every place as long as many machines are missing, and the largest would
-// never be made.
+// selectRequests returns at most n of the requests, which are ordered by urgency, the most urgent
+// first: the n-1 most urgent and the largest of the others, which yields the most machines for one
+// call. If only urgency counted, small urgent requests would take every place as long as many machines
+// are missing, and the largest would never be made.
 func selectRequests(requests []fleet.ProvisionRequest, n int) []fleet.ProvisionRequest {
 	if n <= 0 || len(requests) <= n {
 		return requests[:min(len(requests), max(n, 0))]
--- a/internal/controller/shardhost/reread.go
+++ b/internal/controller/shardhost/reread.go
@@ -14,12 +14,12 @@
 	"bramblespur/internal/wire"
 )
 
-// ownershipReads bounds the attempts to read the ownership record of a lost shard. The record also
-// arrives through the watch.
+// ownershipReads bounds the attempts to read the ownership record of a lost shard. No more are needed,
+// since the record also arrives through the watch.
 const ownershipReads = 10
 
-// RetryWhileServed calls read until it succeeds. It returns false if the shard was lost or the
-// controller stopped before that.
+// RetryWhileServed calls read, with pauses, until it returns no error. It returns false if the shard
+// was lost or the controller stopped before that.
 func (h *Host) RetryWhileServed(shard *scheduler.Shard, read func(context.Context) error) bool {
 	ctx := h.env.Lifetime()
 	for {
@@ -38,7 +38,8 @@
 	return h.ServesLocked(shard)
 }
 
-// GetIfPresent reads a record from the state service. It returns nil if there is none.
+// GetIfPresent reads a record from the state service. It returns nil without an error if there is
+// none.
 func (h *Host) GetIfPresent(ctx context.Context, key string) (*wire.Entry, error) {
 	entry, err := h.env.Store().Get(ctx, statestore.Urgent("read back"), key)
 	if errors.Is(err, statestore.ErrNotFound) {
@@ -50,8 +51,9 @@
 	return &entry, nil
 }
 
-// rereadRecord reads a record whose version a shard does not know, retrying until that succeeds,
-// and applies it to the shard. The entry passed to apply is nil if there is no record.
+// rereadRecord reads a record whose present version is unknown to a shard, retrying until that
+// succeeds, and applies it to the shard unless it shows a data loss. The entry passed to apply is nil
+// if there is no record.
 func (h *Host) rereadRecord(shard *scheduler.Shard, key string, apply func(entry *wire.Entry, now time.Time) error) {
 	var entry *wire.Entry
 	intact := true
@@ -108,8 +110,8 @@
 	return h.env.PipelineEnds(ctx, &pipeline, active)
 }
 
-// RereadOwnership reads the ownership record of a shard that was lost into the view, so that the
-// later owner is known.
+// RereadOwnership reads the ownership record of a shard that this controller lost, and applies it to
+// the view, which then contains the new owner. It gives up after ownershipReads attempts.
 func (h *Host) RereadOwnership(id int) {
 	ctx := h.env.Lifetime()
 	for range ownershipReads {
@@ -125,7 +127,7 @@
 	}
 }
 
-// confirmOwnership reads a shard's ownership record after a record with the given revision was seen.
+// confirmOwnership reads a shard's ownership record after another record was seen at a revision.
 // If the ownership record is unchanged, it confirms to the shard that it was owned at that revision.
 // A later ownership record is applied, which drops the shard. A missing one is checked for data loss.
 func (h *Host) confirmOwnership(shard *scheduler.Shard, revision uint64) {
@@ -146,8 +148,7 @@
 	}
 }
 
-// applyOwnership applies an ownership record that was read to the view, after it is checked for data
-// loss.
+// applyOwnership checks an ownership record that was read for data loss and applies it to the view.
 func (h *Host) applyOwnership(id int, entry wire.Entry) {
 	var rec record.Shard
 	if err := json.Unmarshal(entry.Value, &rec); err != nil {
@@ -167,8 +168,8 @@
 	h.reportIfStaleOwnershipLocked(id, 0)
 }
 
-// reportIfStaleOwnershipLocked checks for data loss by the version of a shard's ownership record that
-// was read, 0 if there is none.
+// reportIfStaleOwnershipLocked checks for data loss by comparing the version in which a shard's
+// ownership record was found, 0 if it was missing, with the version in the view.
 func (h *Host) reportIfStaleOwnershipLocked(id int, found uint64) {
 	held, _ := h.env.OwnershipLocked(id)
 	h.env.ReportIfStaleLocked(record.ShardKey(id), held.Version, found, time.Now())
--- a/internal/drain/ledgers.go
+++ b/internal/drain/ledgers.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// CloseRecovered closes a shard's disruptions that have ended, as outcomeOf tells. It withdraws the
+// CloseRecovered closes a shard's disruptions that have ended according to outcomeOf. It withdraws the
 // grants that interrupted nothing and belong to a drain that has ended.
 func (l *Ledgers) CloseRecovered(shard int, outcomeOf func(Disruption) Outcome, now time.Time) {
 	for _, team := range l.teams() {
--- a/internal/drain/steps.go
+++ b/internal/drain/steps.go
@@ -21,7 +21,7 @@
 	CheckpointInterval time.Duration // 0: it saves no checkpoints
 	SaveTime           time.Duration // how long saving a checkpoint takes
 	LostWork           time.Duration // run time lost if it is stopped now, summed over its tasks
-	Stopping           bool
+	Stopping           bool          // it is being stopped already
 	// FitsElsewhere says that its tasks on cordoned machines fit on other machines now.
 	// FitsOnSelected says the same but includes machines that are to be cordoned later.
 	FitsElsewhere, FitsOnSelected bool
@@ -48,7 +48,8 @@
 	MaxRecordBytes int
 }
 
-// HeldMachine is a machine that is not cordoned, or has work that is not evicted, for a reason.
+// HeldMachine is a selected machine that is not cordoned yet, or a cordoned machine with work that is
+// not evicted yet, with the reason.
 type HeldMachine struct {
 	Drain, Machine string
 	Reason         HoldReason
@@ -63,10 +64,10 @@
 
 // Steps are the next steps of a shard.
 type Steps struct {
-	Cordon    []string   // IDs of the machines to cordon
-	Drain     string     // the drain that they are cordoned for
-	Evictions []Eviction // within the budgets, or forced
-	Held      []HeldMachine
+	Cordon    []string      // IDs of the machines to cordon
+	Drain     string        // the drain that they are cordoned for
+	Evictions []Eviction    // within the budgets, or forced
+	Held      []HeldMachine // machines to cordon or evict from later
 	// NeedCapacity lists the units that wait for room on other machines. Machines are to be transferred
 	// to the shard or provisioned before the units are evicted.
 	NeedCapacity []*Unit
@@ -76,11 +77,12 @@
 	// estimateSlack is the multiple of its estimate up to which work counts as ending soon: estimates
 	// are often wrong by half.
 	estimateSlack = 1.5
-	// A gang that has run for the fraction finalStretch of its estimate may finish as long as the
-	// finish-by time permits, even beyond MaxWait.
+	// finalStretch is the fraction of its estimate from which on a running gang may finish even beyond
+	// MaxWait: until the finish-by time or, if the drain has none, until its machine has been cordoned
+	// for estimateSlack times the estimate.
 	finalStretch = 0.75
-	// checkpointWait is how long a drain waits for a checkpoint, after which a stop needs no saving, as
-	// a multiple of the time that saving takes.
+	// checkpointWait is how long a drain waits for the next checkpoint of a task, as a multiple of the
+	// time that saving takes. A stop right after the checkpoint needs no saving.
 	checkpointWait = 2
 )
 
@@ -165,9 +167,9 @@
 	return ""
 }
 
-// endsSoon reports whether a drain waits for a unit to end by itself: if by its estimate it ends within
-// MaxWait, as long as its run time does not exceed the estimate by half. A drain does not wait for
-// work that loses nothing by an eviction.
+// endsSoon reports whether a drain waits for a unit to end by itself. It does so if the unit will end
+// within MaxWait by its estimate, or is a gang that may finish by finalStretch. It does not wait for a
+// unit that has run for estimateSlack times its estimate or that loses nothing by an eviction.
 func (in *Input) endsSoon(p *Plan, c Cordon, u *Unit) bool {
 	if !u.Running || u.Estimate <= 0 || u.LostWork <= 0 {
 		return false
@@ -195,8 +197,8 @@
 	return remaining <= checkpointWait*u.SaveTime && remaining < u.CheckpointInterval/2
 }
 
-// grant grants as many of the candidates as the budgets allow, those with the least lost work first. A
-// team's grants of one turn all belong to one drain, as they share a write.
+// grant grants as many of the candidates as the budgets allow, those with the least lost work first. In
+// one turn it grants a team's evictions for one drain only, since they share a write.
 func (in *Input) grant(candidates []candidate, ledgers *Ledgers, s *Steps) {
 	slices.SortStableFunc(candidates, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.unit.LostWork, b.unit.LostWork), cmp.Compare(len(a.machine.Units), len(b.machine.Units)),
@@ -218,8 +220,8 @@
 	}
 }
 
-// grantEviction adds an eviction to the team's ledger if the budget allows it; otherwise it returns the
-// reason why not.
+// grantEviction adds an eviction to the team's ledger if the budget allows it or the drain forces it.
+// Otherwise it returns the reason why not.
 func (in *Input) grantEviction(c candidate, ledgers *Ledgers) (Eviction, HoldReason) {
 	l := ledgers.forTeam(c.unit.Team)
 	if l.OpenDisruption(c.unit.UnitID) != nil {
--- a/internal/fleet/planning.go
+++ b/internal/fleet/planning.go
@@ -49,7 +49,7 @@
 }
 
 // loadDemands copies the needs from the summaries, sorted by priority, highest first, and then by
-// waiting time, longest first.
+// waiting time, longest first. It counts all of them as unmet.
 func (p *planning) loadDemands() {
 	for _, summary := range p.summaries {
 		for _, n := range summary.Needs {
@@ -102,7 +102,7 @@
 	return n
 }
 
-// countUnmet adds a number to the unmet demands of each pool whose machines could serve a demand.
+// countUnmet adds by to the count of unmet demands of each pool whose machines could serve d.
 func (p *planning) countUnmet(d *demand, by int) {
 	for i := range p.cfg.Types {
 		t := &p.cfg.Types[i]
@@ -116,7 +116,8 @@
 	}
 }
 
-// requests returns the requests to the cloud, with machines of the same pool in one request.
+// requests returns the requests to the cloud. Machines of the same pool share a request, up to
+// MaxProvision machines.
 func (p *planning) requests() []ProvisionRequest {
 	var requests []ProvisionRequest
 	open := map[pool]int{} // by pool: the index of the request to which machines are added
--- a/internal/recovery/plan_jobs.go
+++ b/internal/recovery/plan_jobs.go
@@ -10,9 +10,9 @@
 	"bramblespur/internal/wire"
 )
 
-// planFinishedJob restores the terminal record of a job. It is written once and never changes, so any
-// source will do. If the sources differ, the evidence does not show which state users were told, and
-// an operator has to decide.
+// planFinishedJob restores the terminal record of a job. The record is written once and never changes,
+// so a valid copy from any source is right. If the copies differ, the evidence does not show which state
+// was reported to users, and an operator has to decide.
 func (p *planner) planFinishedJob(key string) {
 	var states []string
 	var first wire.Entry
@@ -32,7 +32,7 @@
 		states = append(states, job.State)
 	}
 	if len(states) == 0 {
-		p.item(key, Lost, "", "no source has a value that makes sense")
+		p.item(key, Lost, "", "no source has a valid value")
 		return
 	}
 	for _, s := range states {
@@ -65,7 +65,7 @@
 	entry, from, _ := p.newest(key)
 	var job record.ActiveJob
 	if err := json.Unmarshal(entry.Value, &job); err != nil || job.Spec.Ref != ref {
-		p.undecided(key, ref, "its record makes no sense", DecideDone, DecideCancelled)
+		p.undecided(key, ref, "its record is malformed", DecideDone, DecideCancelled)
 		return
 	}
 	if why, ok := p.mayHaveEnded(key, ref, from, entry.Version); ok && !p.runsOnWorker(ref) {
@@ -86,8 +86,8 @@
 	p.restore(key, value, from, describeVersion(entry))
 }
 
-// mayHaveEnded returns why a job may have ended after the newest copy of its record was written, and
-// false if nothing suggests that it has. That copy has the given source and version.
+// mayHaveEnded returns why a job may have ended after the newest copy of its record was written, or
+// false if nothing suggests this. The newest copy came from the given source and has the given version.
 func (p *planner) mayHaveEnded(key, ref string, from Source, version uint64) (string, bool) {
 	_, held := p.Held[key]
 	_, viewed := p.View.Open[ref]
@@ -114,7 +114,8 @@
 	return false
 }
 
-// undecided adds an undecided item for a job, or carries out the decision about it.
+// undecided adds an undecided item for a job. If an operator has decided on it, undecided carries out
+// the decision instead, except DecideRerun, which it leaves to the caller.
 func (p *planner) undecided(key, ref, why string, choices ...Decision) {
 	switch p.Decisions[key] {
 	case DecideDone, DecideCancelled:
@@ -130,7 +131,7 @@
 		}
 		return
 	case DecideRerun:
-		return // the caller restores it
+		return // the caller restores the job
 	}
 	p.undecidedJobs[ref] = true
 	p.item(key, Undecided, "", why).Choices = choices
@@ -139,7 +140,7 @@
 // LostKey returns the key of the record by which an operator has accepted that a job is lost.
 func LostKey(ref string) string { return Prefix + "lost/" + ref }
 
-// planLostJobs plans the jobs of which nothing is left but tasks on workers.
+// planLostJobs plans the jobs of which only tasks on workers are left.
 func (p *planner) planLostJobs() {
 	for _, r := range p.Heartbeats {
 		for _, t := range r.Tasks {
--- a/internal/recovery/plan_machines.go
+++ b/internal/recovery/plan_machines.go
@@ -21,7 +21,7 @@
 	}
 	ids, err := machinesOf(entry)
 	if err != nil {
-		p.item(key, Lost, from, "its value makes no sense")
+		p.item(key, Lost, from, "its value is malformed")
 		return
 	}
 	for _, id := range ids {
--- a/internal/scheduler/deposed_test.go
+++ b/internal/scheduler/deposed_test.go
@@ -13,10 +13,10 @@
 	"bramblespur/internal/wire"
 )
 
-// These tests guard the condition of each write on its shard's record: an owner that has a successor
-// without having noticed, for example because only its peers lost contact with it, makes a write
+// These tests guard the condition of each write on its shard's record. In each of them an owner that has
+// not noticed its successor, for example because only its peers lost contact with it, makes a write
 // after the successor has loaded the records. The other conditions of these writes hold, since the
-// successor has changed none of those records.
+// successor has changed none of the records that they name.
 
 // deposedHarness is a shard with a new owner, and an old owner that has not noticed this.
 type deposedHarness struct {
@@ -31,7 +31,7 @@
 	return d
 }
 
-// nextTxn steps the shard until it wants to write, and returns that transaction.
+// nextTxn steps the shard until it has a transaction to write, and returns the first one.
 func (r *harness) nextTxn() *Txn {
 	r.t.Helper()
 	for range 4 {
@@ -253,9 +253,9 @@
 
 // A machine's token is raised by rewriting its override record. The watch of machine records may be
 // ahead of the watch of ownership records: then an owner that has a successor sees the machine's new
-// version first. It used that version as its own token, accepted the machine's heartbeats and
-// stopped the tasks that its successor had started there. With data loss detection it also
-// suspected a data loss, since the attempts were above those in its ledger. Without its lease it
+// version first. Such an owner once used that version as its own token, accepted the machine's
+// heartbeats and stopped the tasks that its successor had started there. With data loss detection it
+// also suspected a data loss, since the attempts were above those in its ledger. Without its lease it
 // could not have started a task.
 //
 // Random schedules showed this (far-115, "refused alone" for 40 s and then served again):
--- a/internal/scheduler/gang_start_delay.go
+++ b/internal/scheduler/gang_start_delay.go
@@ -9,7 +9,7 @@
 // A gang's task that has its image waits for the others only for GangWait. On a machine
 // that caches the image this wait begins at once. The task would give up, and the attempt
 // with it, while other tasks still fetch the image; these would give up their fetch too and
-// begin it anew in the next attempt. So starts on machines that cache the image are delayed.
+// start it again in the next attempt. So starts on machines that cache the image are delayed.
 
 const (
 	// slowestFetchFactor is the longest time that the protocol allows a fetch to take, as a
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -86,7 +86,7 @@
 }
 
 // Machines that become ready one by one are reserved for a gang that waits, so that smaller
-// jobs of its priority or a lower one can't starve it.
+// jobs of its priority or a lower one cannot starve it.
 func TestMachinesAreReservedForGang(t *testing.T) {
 	r := newHarness(t)
 	g := spec("run-000001", "b", wire.Gang, "urgent", 3, 2)
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -147,15 +147,15 @@
 	r.putActiveJob(record.ActiveJob{Spec: spec, AcceptedAt: r.clock.Now().UnixMilli()})()
 }
 
-// putActiveJob writes a job's record; tell applies it to the shard, as the watch does.
-func (r *harness) putActiveJob(o record.ActiveJob) (tell func()) {
+// putActiveJob writes a job's record; applyToShard applies it to the shard, as the watch does.
+func (r *harness) putActiveJob(o record.ActiveJob) (applyToShard func()) {
 	o.Shard = r.id
 	e := r.state.Put(record.ActiveJobKey(o.Spec.Ref), o)
 	return func() { r.shard.SetJob(o.Spec.Ref, o, e.Version, r.clock.Now()) }
 }
 
-// cancel records a cancellation, as any controller does; tell applies it to the shard.
-func (r *harness) cancel(spec wire.Spec) (tell func()) {
+// cancel records a cancellation, as any controller does; applyToShard applies it to the shard.
+func (r *harness) cancel(spec wire.Spec) (applyToShard func()) {
 	return r.putActiveJob(record.ActiveJob{Spec: spec, Cancelled: true})
 }
 
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -102,7 +102,7 @@
 	}
 	m.contact.lastContactAt = now
 	m.probes.failed, m.probes.unansweredPastLease = 0, 0
-	if !direct || !m.contact.fenced { // a worker that is told our token sends a heartbeat at once
+	if !direct || !m.contact.fenced { // a worker that receives our token sends a heartbeat at once
 		m.contact.heartbeatAt = now
 	}
 	if !m.contact.up {
@@ -132,7 +132,8 @@
 	return wire.Command{Op: wire.Stop, Task: name, Attempt: attempt, GraceS: &g}
 }
 
-// completeTask marks a task as completed, or all tasks of its gang.
+// completeTask marks a task as completed or, for a task of a gang, all tasks of the gang. It ignores
+// tasks of services.
 func (s *Shard) completeTask(k taskKey, now time.Time) {
 	if k.job.spec.Kind == wire.Service {
 		return // a service never completes by itself
@@ -165,7 +166,8 @@
 	}
 }
 
-// reportTaskStart reports in the effects how long each step of a task's start took, and ends its trace.
+// reportTaskStart adds to the effects, for the log, how long each step of a task's start took, and
+// ends the trace of the start. It does nothing if the start is not traced.
 func (s *Shard) reportTaskStart(k taskKey, t *task, now time.Time) {
 	stages := t.trace
 	if stages == nil {
@@ -181,8 +183,8 @@
 
 // countFailure counts a failure of a task of j on m. If several jobs fail on one machine, the
 // machine is at fault and is drained. A job that fails on several machines is at fault itself:
-// it backs off, and its failures no longer count against machines. Until one or the other is
-// known, a job avoids the machines on which it failed.
+// it backs off, and its failures no longer count against machines. Until it is at fault itself,
+// a job avoids the machines on which it failed.
 func (s *Shard) countFailure(j *Job, m *Machine, now time.Time) {
 	if j.faults.machines == nil {
 		j.faults.machines = map[string]bool{}
@@ -214,7 +216,8 @@
 	// jobsUntilMachineFaulty is how many jobs must fail on a machine, with no completion in
 	// between, until it is drained and released.
 	jobsUntilMachineFaulty = 2
-	maxBackoff             = 60 * time.Second
+	// maxBackoff is the longest pause of a job after a failure.
+	maxBackoff = 60 * time.Second
 )
 
 // backoff returns how long a job waits after a failure. The time doubles with each failure since
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// update indexes a machine anew after its room or its state has changed. It adds machines that
+// update updates the index entry of a machine after its room or its state has changed. It adds machines that
 // are not indexed yet.
 func (inv *inventory) update(m *Machine) {
 	c := m.class()
--- a/internal/scheduler/machine_health.go
+++ b/internal/scheduler/machine_health.go
@@ -106,8 +106,8 @@
 // SetPartitionedZones sets the zones none of whose controllers can be reached from this one.
 func (s *Shard) SetPartitionedZones(zones map[string]bool) { s.health.partitionedZones = zones }
 
-// silent reports whether a machine is lost because it is silent while others in its zone are
-// heard. If all of the shard's machines in a zone are silent, there is nothing to compare with:
+// silent reports whether a machine counts as lost because it sends no heartbeats while others in
+// its zone do. If all of the shard's machines in a zone are silent, there is nothing to compare with:
 // they may have died together, or be partitioned from this controller. Then each is probed again
 // once its lease has expired, by which it has lost its tasks unless another controller answers
 // it. Probes that it did not answer before prove nothing, since this controller may have been
@@ -152,7 +152,8 @@
 	limit time.Duration
 }
 
-// zoneCount is how many machines of a zone are heard and how many are silent.
+// zoneCount is how many machines of a zone have sent heartbeats lately and without a gap, and how many
+// have not and so count as silent.
 type zoneCount struct{ heard, silent int }
 
 // countZone counts a zone's heard and silent machines, once per check: when a zone falls silent,
@@ -167,9 +168,10 @@
 			continue
 		}
 		// Machines that are partitioned together fall silent within one heartbeat interval
-		// of each other, so only a machine that was heard well after the silent ones
-		// disproves a partition. When a partition ends they return one by one, so it must
-		// also have been heard without a gap for longer than the silent ones may be silent.
+		// of each other, so only a machine whose last heartbeat came well after those of
+		// the silent ones disproves a partition. When a partition ends, they return one by
+		// one, so the machine must also have sent heartbeats without a gap for longer than
+		// the silent ones may be silent.
 		if o.contact.up && now.Sub(o.contact.lastContactAt) < at.limit/2 && now.Sub(o.contact.steadySince) > at.limit {
 			n.heard++
 		} else {
@@ -180,8 +182,8 @@
 	return n
 }
 
-// neverBooted reports whether a machine has not been heard since it was provisioned, for longer
-// than it may boot.
+// neverBooted reports whether a machine has sent no heartbeat since it was provisioned, for longer
+// than its boot may take.
 func (s *Shard) neverBooted(m *Machine, now time.Time) bool {
 	limit := time.Duration(s.cfg.BootFactor * m.Type.BootS * float64(time.Second))
 	return !m.contact.up && len(m.tasks) == 0 && !s.health.partitionedZones[m.Zone] && now.Sub(m.provisionedAt) > limit && now.Sub(m.contact.lastContactAt) > s.cfg.Lease
--- a/internal/scheduler/overloaded_test.go
+++ b/internal/scheduler/overloaded_test.go
@@ -7,9 +7,9 @@
 	"bramblespur/internal/wire"
 )
 
-// An overloaded controller reads heartbeats late. It must neither count the machines that it has not
-// heard lately as lost, nor probe them all, which would add to its load. Dead machines are released
-// once it keeps up again, and later also if it never does.
+// An overloaded controller reads heartbeats late. It must neither count machines as lost because it has
+// read no heartbeat of them lately, nor probe them all, which would add to its load. Dead machines are
+// released once it keeps up again, and later also if it never does.
 func TestOverloadedShardReleasesNoSilentMachine(t *testing.T) {
 	for name, keepsUpAgain := range map[string]bool{"keeps up again": true, "never does": false} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/scheduler/pipeline.go
+++ b/internal/scheduler/pipeline.go
@@ -136,7 +136,7 @@
 }
 
 // PipelineRead applies a pipeline's record as read back, and the ends of its jobs that the
-// record does not contain. It returns an error if there is no record or it can't be decoded.
+// record does not contain. It returns an error if there is no record or it cannot be decoded.
 func (s *Shard) PipelineRead(ref string, e *wire.Entry, others []record.PipelineJobEnd, now time.Time) error {
 	p := s.dependencies.pipelines[ref]
 	if p == nil {
@@ -222,7 +222,7 @@
 }
 
 // addPipelineStep adds to the transaction of a job's end the changes that the end makes to its
-// pipeline and to the jobs that it releases. It reports false if the transaction can't be
+// pipeline and to the jobs that it releases. It reports false if the transaction cannot be
 // written yet: the pipeline's record is not read, or another end is being recorded.
 func (s *Shard) addPipelineStep(t *Txn, j *Job, now time.Time) bool {
 	p := j.pipeline
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -120,11 +120,12 @@
 	return next
 }
 
-// Priorities are strict: if jobs of a higher priority ask for more than the machines can
-// do, jobs of a lower priority would starve forever. So a job of which no task has run
-// agedAfter after its acceptance goes before all others, and its tasks are then
-// protected from preemption. The protected jobs of one priority together hold at most
-// agedShare of the CPUs of a shard's machines.
+// Priorities are strict: as long as jobs of a higher priority need all machines, jobs of a
+// lower priority would starve. So a job of which no task is placed or completed agedAfter
+// after its acceptance goes before all others, and its tasks are then protected from
+// preemption. Once the protected jobs of one priority together hold agedShare of the CPUs of
+// a shard's machines, no job of that priority goes before the others any more, but tasks that
+// are protected stay so.
 const (
 	agedAfter = 2 * time.Minute
 	agedShare = 0.2
@@ -294,8 +295,8 @@
 	return zone, most
 }
 
-// longWaiting reports whether a job is a gang that has waited for so long that the gangs
-// seem to ask for more than the machines can do.
+// longWaiting reports whether a job is a gang that was accepted more than longWaitAfter ago.
+// The gangs then probably need more machines than there are.
 func (j *Job) longWaiting(now time.Time) bool {
 	return j.spec.Kind == wire.Gang && now.Sub(j.accepted) > longWaitAfter
 }
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -280,7 +280,7 @@
 		for i := range 2 {
 			name := fmt.Sprintf("run-000002/%d", i)
 			if at := r.runningOn(name); at == "" || (kind == wire.Array && at != "m2") {
-				t.Errorf("%s: %s is on %q: its room was reserved or preempted for a job that can't use it", kind, name, at)
+				t.Errorf("%s: %s is on %q: its room was reserved or preempted for a job that cannot use it", kind, name, at)
 			}
 		}
 	}
--- a/internal/scheduler/probe.go
+++ b/internal/scheduler/probe.go
@@ -24,7 +24,7 @@
 	zoneAnsweredAt map[string]time.Time // when a probe of a zone's machine was last answered
 }
 
-// probeState is the state of a machine's probes since the machine was last heard.
+// probeState is the state of a machine's probes since the machine was last known to be alive.
 type probeState struct {
 	inFlight            bool      // a probe is under way
 	failed              int       // probes in a row that were not answered
@@ -61,7 +61,7 @@
 }
 
 // probeMachines probes the machines that are overdue or were acquired with the shard and, for
-// each zone in which one did not answer, another one that was heard lately. While this controller
+// each zone in which one did not answer, another one that sent a heartbeat lately. While this controller
 // is overloaded it probes no overdue machines: their heartbeats are late because of the overload,
 // and more probes add to it.
 func (s *Shard) probeMachines(now time.Time) {
--- a/internal/scheduler/probe_test.go
+++ b/internal/scheduler/probe_test.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// A controller that was paused has heard no machine meanwhile. No machine counts as lost because of
+// A controller that was paused has read no heartbeats meanwhile. No machine counts as lost because of
 // that: all of them answer once the controller continues, and probes that it sent before prove
 // nothing.
 func TestPausedControllerReleasesNoMachine(t *testing.T) {
--- a/internal/scheduler/protected_jobs.go
+++ b/internal/scheduler/protected_jobs.go
@@ -15,7 +15,7 @@
 // remove removes a job that the shard no longer holds.
 func (p *protectedJobs) remove(j *Job) { delete(p.jobs, j) }
 
-// updateShares computes shareByRank anew; cpus is the number of CPUs of the shard's machines.
+// updateShares recomputes shareByRank; cpus is the number of CPUs of the shard's machines.
 func (p *protectedJobs) updateShares(cpus float64) {
 	p.shareByRank = [highestRank + 1]float64{}
 	for j := range p.jobs {
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -9,7 +9,7 @@
 )
 
 // Contradiction is a worker's claim about a task that disagrees with what is known, for the log.
-// It does not change what users were told.
+// It does not change the states that were reported to users.
 type Contradiction struct {
 	Task, Machine, Known, Claimed string
 }
--- a/internal/scheduler/record_writes.go
+++ b/internal/scheduler/record_writes.go
@@ -9,16 +9,17 @@
 	"bramblespur/internal/wire"
 )
 
-// completionBacklogFactor is the multiple of the write backlog by which completions of jobs that go
-// on wait longer to share a write. Meanwhile their workers retain them, also for a new owner, and
-// nobody waits for them, whereas each such write uses up a request that a user or a start needs.
+// completionBacklogFactor is the multiple of the write backlog that is added to the delay of a write
+// of completions of unfinished jobs, so that more completions share the write. The delay does no harm:
+// the workers retain the completions, also for a new owner, and no user or job waits for them. Each
+// separate write would use up a request that a user or a start needs.
 const completionBacklogFactor = 8
 
-// retryAfter is the pause before a transaction is retried that was refused, had a conflict or got
+// retryAfter is the pause before the retry of a transaction that was refused, had a conflict or got
 // no answer.
 const retryAfter = 300 * time.Millisecond
 
-// Purposes of transactions in the log.
+// Purposes of transactions, as logged.
 const (
 	purposeStart       = "start"
 	purposeCompletions = "completions"
@@ -49,7 +50,7 @@
 			continue
 		}
 		// Completions without starts wait to share a write: the user may learn of the
-		// end a little later. Starts that follow each other shortly share one, too.
+		// end a little later. Starts that shortly follow a write share the next one.
 		due := rec.dirtySince.Add(s.cfg.CompletionBatchDelay + completionBacklogFactor*s.writeBacklog)
 		if rec.urgent {
 			due = rec.writtenAt.Add(s.cfg.StartBatchDelay + s.writeBacklog)
@@ -158,8 +159,9 @@
 	return rec, startsLeftOut
 }
 
-// buildRange returns the content of a range and does the same as buildPlacements for it. It reports
-// whether all new starts of the range are in it.
+// buildRange returns the content of a range. It adds the range's new starts and completions to t, and
+// the conditions that the starts rely on to conditions. It reports whether the content includes all
+// new starts of the range.
 func (l *placementLedger) buildRange(r *taskRange, t *Txn, conditions map[string]uint64) (built record.TaskRange, complete bool) {
 	complete = true
 	room := 4*l.txnOps - 2 // for conditions on jobs and machines
@@ -234,7 +236,7 @@
 	return true
 }
 
-// recordTransfer records that a machine belongs to another shard from now on. Once sent, the
+// recordTransfer records that a machine belongs to the shard m.transferTo from now on. Once sent, the
 // transaction is retried until the transfer is known to be recorded, so that no start can be
 // recorded ahead of a late copy of it.
 func (s *Shard) recordTransfer(m *Machine) {
--- a/internal/scheduler/safety_test.go
+++ b/internal/scheduler/safety_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// A team's limit counts tasks on machines that are not heard.
+// A team's limit also counts tasks on machines that send no heartbeats.
 func TestQuotaLimitCountsUnreachableTasks(t *testing.T) {
 	r := newHarness(t)
 	r.addMachine("m1", "z1", false)
@@ -159,8 +159,8 @@
 	}
 }
 
-// With Spread, at most half of a job's tasks may start in one zone; a task on a machine that is not
-// heard still counts.
+// With Spread, at most half of a job's tasks may start in one zone; a task on a machine that
+// sends no heartbeats still counts.
 func TestSpreadCountsTasksOfEarlierOwner(t *testing.T) {
 	r := newHarness(t)
 	s := spec("run-000001", "b", wire.Service, "prod", 3, 1)
