--- a/internal/controller/clusterview/machines.go
+++ b/internal/controller/clusterview/machines.go
@@ -63,8 +63,8 @@
 // NewMachines returns a view without records.
 func NewMachines() *Machines { return &Machines{fleet: record.NewFleet()} }
 
-// Forget drops all records and resets AsOf and Revision. The records are to be
-// listed again after it.
+// Forget drops all records and resets AsOf and Revision. The caller then has to list
+// the records again.
 func (v *Machines) Forget() {
 	v.forget()
 	v.mu.Lock()
@@ -74,9 +74,8 @@
 
 // Apply applies changed and deleted records to the view and returns the machines
 // that they concern. It applies all records before it looks up any machine, since
-// the first of a machine's records without the others would look as if there were
-// no such machine. It skips records that cannot be decoded and returns their
-// errors.
+// a machine may seem not to exist while only the first of its records is applied.
+// It skips records that cannot be decoded and returns their errors.
 func (v *Machines) Apply(changes []wire.Change) ([]MachineChange, []error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -165,9 +164,9 @@
 	return v.fleet.Versions()
 }
 
-// Missing returns the records that are not in a list of all records as of a
-// revision, although the view has them from that revision or earlier. It returns
-// their versions, by key.
+// Missing returns the versions, by key, of the records that the view has from the
+// given revision or earlier, but that are not in a list of all records as of that
+// revision.
 func (v *Machines) Missing(listed map[string]bool, revision uint64) map[string]uint64 {
 	missing := map[string]uint64{}
 	for key, version := range v.Versions() {
@@ -214,7 +213,7 @@
 	return v.fleet.UnfulfilledProvisions()
 }
 
-// PendingReleases returns the releases that the cloud has not carried out yet, by key.
+// PendingReleases returns the release records whose release the cloud has not confirmed yet, by key.
 func (v *Machines) PendingReleases() map[string]record.Versioned[record.Release] {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/controller/linearizable/batcher.go
+++ b/internal/controller/linearizable/batcher.go
@@ -1,6 +1,6 @@
 // Package linearizable confirms that copies of records in a view are current, so that they can
 // answer linearizable reads. A copy is current if a comparison at the state service that starts
-// after the read finds its version unchanged: no user can have been told of a newer version
+// after the read finds its version unchanged: no newer version can have been reported to a user
 // before the read. Reads that come close together share one comparison, so that the requests
 // to the state service do not grow with the rate of status queries.
 package linearizable
--- a/internal/controller/messagecheck/messagecheck.go
+++ b/internal/controller/messagecheck/messagecheck.go
@@ -1,7 +1,7 @@
 // Package messagecheck checks messages of other controllers and workers before anything in them
 // is applied. An invalid message is rejected as a whole and logged once per kind and sender.
 // Without these checks a negative number of tasks would crash the process, and a machine
-// transferred to a shard that does not exist would be lost for ever.
+// transferred to a shard that does not exist would be lost permanently.
 package messagecheck
 
 import (
--- a/internal/controller/overload/overload.go
+++ b/internal/controller/overload/overload.go
@@ -50,7 +50,7 @@
 	overloadedEndsAfter = 5 * time.Second
 	// MinRecovery is how long a process that was overloaded must keep up before its shards
 	// are transferred back to it. The time doubles, up to maxRecovery, each time the process
-	// soon is overloaded again: without its shards it cannot tell whether the cause has passed.
+	// soon is overloaded again: while it has no shards, its load does not show whether the cause has passed.
 	MinRecovery = 2 * time.Minute
 	maxRecovery = 8 * time.Minute
 )
--- a/internal/controller/shard_environment.go
+++ b/internal/controller/shard_environment.go
@@ -158,8 +158,8 @@
 }
 
 // applyOwnWritesLocked applies the changes of a transaction that was committed at a revision to this
-// controller's views and shards, before the watch delivers them. Terminal records go to the owners
-// of dependents, too. The shards' lock is held.
+// controller's views and shards, before the watch delivers them. It also notifies the owners of
+// dependent jobs of terminal records. The caller holds the shards' lock.
 func (c *Controller) applyOwnWritesLocked(t wire.Txn, rev uint64, now time.Time) {
 	for _, op := range t.Then {
 		e := wire.Change{Put: op.Put, Value: op.Value, Delete: op.Delete, Version: rev}
--- a/internal/controller/shardhost/acquisition.go
+++ b/internal/controller/shardhost/acquisition.go
@@ -41,7 +41,7 @@
 	// TransferredHere means that the ownership record offers the shard to this controller.
 	TransferredHere
 	// OwnedBefore means that the ownership record names this controller, which has restarted or
-	// has read the records anew after an outage.
+	// has read the records again after an outage.
 	OwnedBefore
 	// PreferredHere means that the shard never had an owner and this controller is its preferred
 	// owner.
--- a/internal/controller/userapi/routing.go
+++ b/internal/controller/userapi/routing.go
@@ -104,13 +104,13 @@
 	return response
 }
 
-// canForward reports whether another controller may give a better answer than a response of
-// this one, and in time: elapsed is how long this one took, wait how long the user waits.
+// canForward reports whether another controller may give a better answer than this one's
+// response, and in time: elapsed is how long this controller took, wait how long the user waits.
 func canForward(response *transport.Response, elapsed, wait time.Duration) bool {
 	return response.Status == http.StatusServiceUnavailable && !response.Authoritative && elapsed+RequestTimeout <= wait
 }
 
-// userWait is how long a user waits for the answer to a request.
+// userWait returns how long a user waits for the answer to a request with an HTTP method.
 func userWait(method string) time.Duration {
 	if method == http.MethodGet {
 		return statusQueryWait
@@ -118,8 +118,8 @@
 	return changeWait
 }
 
-// ServeForwarded answers a request that another controller forwarded. The request is not
-// forwarded again.
+// ServeForwarded answers a request that another controller forwarded. It does not forward the
+// request again, and answers with RetryLater while the renewal of this controller's lease is overdue.
 func (a *API) ServeForwarded(req ForwardedRequest) ForwardedResponse {
 	response := RetryLater()
 	if !a.cluster.LeaseOverdue() {
@@ -156,7 +156,7 @@
 	return nil, ErrNotFound
 }
 
-// routeCollection routes a request for the path of a whole resource.
+// routeCollection routes a request for the path of the collection, which only allows submissions.
 func (r *resource) routeCollection(req *httpwire.Request) (operation, error) {
 	if req.Method != http.MethodPost {
 		return nil, ErrMethodNotAllowed
@@ -165,7 +165,8 @@
 	return func() transport.Response { return r.submit(body) }, nil
 }
 
-// routeItem routes a request for one job or pipeline. rest is the path below the resource's.
+// routeItem routes a request for one job or pipeline. rest is the part of the request's path that
+// follows the path of the collection and a slash.
 func (r *resource) routeItem(method, rest string) (operation, error) {
 	ref, action, hasAction := strings.Cut(rest, "/")
 	switch {
--- a/internal/controller/workerapi/router.go
+++ b/internal/controller/workerapi/router.go
@@ -20,9 +20,9 @@
 	redirectMemory = time.Minute
 	// searchAgainLeases is the minimum time between two searches of a worker, in leases.
 	searchAgainLeases = 3
-	// MaxRemembered bounds the machines whose requests a controller remembers while it does
-	// not know its fleet: heartbeats of any name may then arrive, and memory is small. The
-	// bound is several times the number of machines that one controller serves.
+	// MaxRemembered bounds the machines whose requests a controller remembers while it has no
+	// list of machines: heartbeats may then arrive under any machine name, and memory is
+	// small. The bound is several times the number of machines that one controller serves.
 	MaxRemembered = 8192
 )
 
@@ -106,19 +106,20 @@
 // MayRedirectLocked reports whether a worker whose machine is owned by another controller may
 // be redirected.
 //
-// A worker with tasks whose owner does not answer this controller may not: it may have come
-// here because the owner did not answer it either, and have spent most of its lease waiting.
-// If it were sent back, it would wait for the owner in vain again and lose its tasks. Its
-// lease is renewed here instead. There are three exceptions. A worker without tasks has
-// nothing to lose. A refused connection between controllers does not show that the worker
-// cannot reach the owner. If this controller itself falls behind, the owner's silence shows
-// nothing, and the worker is better served anywhere else.
+// A worker may not be redirected while its machine's owner does not answer this controller: it
+// may have come here because the owner did not answer it either, and have spent most of its
+// lease waiting. If it were redirected back, it would wait for the owner in vain again and
+// lose its tasks. Its lease is renewed here instead. There are three exceptions. A worker
+// without tasks has nothing to lose. If the owner refuses this controller's connections, that
+// does not show that the worker cannot reach the owner. If this controller itself falls behind,
+// the lack of answers from the owner shows nothing, and any other controller serves the worker
+// better.
 func (r *Router) MayRedirectLocked(h *wire.Heartbeat, owner string, now time.Time) bool {
 	contact := r.peers.Contact(owner)
 	return len(h.Tasks) == 0 || r.process.Behind() || contact.Answers(now) || contact.Refuses(now)
 }
 
-// reportsTo returns the label of the controller that a machine reports to. That is one in the
+// reportsTo returns the label of the controller that a machine is to report to: one in the
 // machine's zone, so that a partition of the zone does not separate them and the worker need
 // not try the others one by one while its lease expires. The owner itself is preferred. The
 // machine reports to the owner in any zone if its own zone has no live controller that this one
@@ -148,17 +149,17 @@
 	return chooseByHash(inZone, machine)
 }
 
-// chooseByHash returns one of some controllers. It spreads machines over the controllers, and
-// returns the same one for a machine each time.
+// chooseByHash returns one of the given labels, and for a machine the same one each time as long as
+// the labels stay the same. It spreads the machines over the controllers.
 func chooseByHash(labels []string, machine string) string {
 	return labels[record.Hash(machine)%uint32(len(labels))]
 }
 
 // searchMayOutlastLease reports whether a worker that a partition of its zone separates from its
-// controller may lose its lease before it has tried all controllers that cannot serve the zone
-// and comes to one that can. If not, reporting within the zone costs more than it saves: the
-// load of a zone's machines then falls on the zone's controllers, however few they are, and
-// each relayed heartbeat is decoded twice.
+// controller may lose its lease while it tries all controllers outside the zone, before it comes to
+// one in the zone. If not, reporting within the zone costs more than it saves: the load of a
+// zone's machines then falls on the zone's controllers, however few they are, and each relayed
+// heartbeat is decoded twice.
 func (r *Router) searchMayOutlastLease(zone string) bool {
 	unreachable := 0 // controllers that the worker tries in vain
 	if !r.servesZone(r.settings.Label, r.settings.Zone, zone) {
@@ -229,10 +230,10 @@
 // search for one itself.
 //
 // A controller that reaches the state service is best, since the machine's shard probably has
-// another owner by now. If this controller reaches no other, it cannot tell whether its workers
-// are as isolated as it is. Each worker is then sent away once: to a controller of this zone
-// that does not answer here or, if this controller is alone in its zone, to search if its lease
-// is long enough for that. A worker that comes back stays. Workers also stay if the state
+// another owner by now. If this controller reaches no other, its workers may be as isolated as
+// it is, or not. Each worker is then sent away once: to a controller of this zone
+// that does not answer this one or, if this controller is alone in its zone, to search for one if
+// its lease is long enough for the search. A worker that comes back stays. Workers also stay if the state
 // service is out of reach of all controllers, and in a partitioned zone with several
 // controllers: no other controller is better then.
 func (r *Router) BetterControllerLocked(machine string, now time.Time) (to string, leave bool) {
--- a/internal/operations/operations.go
+++ b/internal/operations/operations.go
@@ -223,7 +223,7 @@
 	field, nameInvalid := "file", false
 	for {
 		if _, ok := e.ErrorKind.(*kind.PropertyNames); ok {
-			// The validator overwrites the location of an error about a name while it goes on.
+			// The validator overwrites the location of an error about a name while it validates the rest.
 			field, nameInvalid = fieldOfInvalidName(e.SchemaURL), true
 		}
 		if len(e.InstanceLocation) > 0 && !nameInvalid {
--- a/internal/record/fleet.go
+++ b/internal/record/fleet.go
@@ -7,7 +7,7 @@
 	"bramblespur/internal/wire"
 )
 
-// Phase says how far the release of a machine has progressed.
+// Phase is the stage of a machine's release to the cloud.
 type Phase int
 
 // Phases of a machine.
@@ -25,8 +25,8 @@
 	Addr    string // empty until it is recorded
 }
 
-// Fleet is the index of all records under FleetPrefix. Of the changes of a key, those older than the
-// record held are ignored. Fleet is not safe for concurrent use.
+// Fleet is the index of all records under FleetPrefix. It ignores changes that are older than the
+// record that it holds for their key. It is not safe for concurrent use.
 type Fleet struct {
 	provisions  map[string]Versioned[Provision] // by name
 	overrides   map[string]Versioned[Machine]   // by machine
@@ -49,7 +49,7 @@
 	}
 }
 
-// FleetOf returns the index of listed records. It fails if one of them is malformed.
+// FleetOf returns the index of the given records. It returns an error if one of them is malformed.
 func FleetOf(entries []wire.Entry) (*Fleet, error) {
 	fleet := NewFleet()
 	for _, entry := range entries {
@@ -60,7 +60,8 @@
 	return fleet, nil
 }
 
-// MachineIDs returns the machines of the Provision with a key.
+// MachineIDs returns the IDs of the machines of the Provision with a key. There are none if the cloud
+// has not answered yet or there is no such Provision.
 func (f *Fleet) MachineIDs(provisionKey string) []string {
 	return f.provisions[strings.TrimPrefix(provisionKey, ProvisionPrefix)].Rec.IDs
 }
@@ -129,9 +130,9 @@
 	return out
 }
 
-// Apply applies a changed or deleted record and returns the machines that it concerns. A change that
-// is not newer than the record held is ignored. A malformed record is an error and leaves the record
-// held as it was.
+// Apply applies a changed or deleted record and returns the IDs of the machines that it concerns. It
+// ignores a change that is older than the record held, a record of the version held, and keys outside
+// FleetPrefix. It returns an error for a malformed record and keeps the record held.
 func (f *Fleet) Apply(e wire.Change) ([]string, error) {
 	key := e.Put + e.Delete
 	switch {
@@ -234,7 +235,8 @@
 
 // CleanupTxn returns a transaction of at most maxOps deletions of records that are no longer needed,
 // and whether there are any. When all machines of a Provision are released, their overrides are
-// deleted first and then the Provision itself; last are Releases whose machines no Provision names.
+// deleted first and then, by a later transaction, the Provision itself. A Release is deleted once no
+// Provision names its machines any more.
 // An override never outlives its Provision: a reader that knew one without the other would assign
 // the machine to the wrong shard.
 func (f *Fleet) CleanupTxn(maxOps int) (wire.Txn, bool) {
--- a/internal/statestore/priority.go
+++ b/internal/statestore/priority.go
@@ -87,7 +87,7 @@
 }
 
 // maxWaits are the longest times for which requests wait for tokens, by priority, if their callers
-// set no earlier deadline. Callers make a refused request anew, including what has changed since.
+// set no earlier deadline. Callers build a refused request again, which then includes what has changed since.
 var maxWaits = [priorityCount]time.Duration{
 	priorityControl:    2 * time.Second, // half a lease
 	priorityDispatch:   10 * time.Second,
--- a/internal/statestore/scheduler.go
+++ b/internal/statestore/scheduler.go
@@ -17,9 +17,9 @@
 	// reserveTimeout is how long a waiting routine request leaves that share free.
 	reserveTimeout = time.Second
 	// agingUnits is the number of units (writes or requests) admitted before the request
-	// that has waited longest gets a turn, whatever its priority. Completions of jobs, which
-	// take two writes each, thus get a third of all writes. That is what they need if every
-	// job has one task.
+	// that has waited longest is admitted regardless of its priority. Completions of jobs,
+	// which take two writes each, thus get a third of all writes. That is what they need if
+	// every job has one task.
 	agingUnits = 4
 	// agingDelay is how long a request must have waited to get that turn.
 	agingDelay = reserveTimeout
@@ -30,8 +30,8 @@
 	responseTime = 100 * time.Millisecond
 	// loanRetryDelay is how long no loan is requested after one was denied.
 	loanRetryDelay = 200 * time.Millisecond
-	// minTimer is the shortest duration of the timer. With shorter ones rounding would wake the
-	// process twice.
+	// minTimer is the shortest duration that the timer is set to. With a shorter one, rounding
+	// would make the timer wake the process twice.
 	minTimer = time.Millisecond
 )
 
@@ -51,7 +51,7 @@
 
 	lender        Lender    // optional
 	loanRequested bool      // a call of the lender is in progress
-	nextLoanAt    time.Time // no loan is requested before, since the last one was denied
+	nextLoanAt    time.Time // no loan is requested before this time, since the last was denied
 }
 
 // Lender reports whether a controller may make a number of writes beyond its own share. A modest
@@ -65,7 +65,7 @@
 	writeUnits
 )
 
-// queueFor returns the queue for requests with that many writes.
+// queueFor returns the queue for requests with the given number of writes.
 func (s *requestScheduler) queueFor(writes int) *queue {
 	if writes > 0 {
 		return &s.writes
@@ -93,8 +93,8 @@
 	}
 }
 
-// enqueue puts a request into its queue. It returns nil if the queue is full or the request cannot
-// be admitted before its deadline.
+// enqueue puts a request into its queue and admits requests for which there are tokens. It returns
+// nil if the queue is full or the request cannot be admitted before its deadline.
 func (s *requestScheduler) enqueue(ctx context.Context, writes int, purpose Purpose) *waitingRequest {
 	now := time.Now()
 	level := purpose.priority()
@@ -124,8 +124,8 @@
 	return w
 }
 
-// estimate returns how long a request waits behind a number of units if no request arrives that
-// goes before it.
+// estimate returns how long a request waits if unitsAhead units are admitted before it, that is, if
+// no request of higher priority arrives meanwhile.
 func (s *requestScheduler) estimate(w *waitingRequest, unitsAhead int, now time.Time) time.Duration {
 	if w.writes > 0 {
 		return max(timeUntilTokens(s.writeTokens, float64(unitsAhead+w.writes), now), timeUntilTokens(s.requestTokens, 1, now))
@@ -143,7 +143,7 @@
 }
 
 // dispatch rejects expired requests, admits the requests for which the buckets have tokens,
-// requests a loan if one helps, and sets the timer for the next time at which one of these is due.
+// requests a loan if one helps, and sets the timer for the next time at which it has to do so again.
 // The caller holds mu, as do the callers of all methods that dispatch calls.
 func (s *requestScheduler) dispatch(now time.Time) {
 	s.reads.rejectExpired(now)
@@ -159,8 +159,8 @@
 	s.setTimer(now)
 }
 
-// next returns the request to be admitted next, or nil if there is none: of the next requests of
-// both queues the one with the higher priority. A write that lacks write tokens delays no read.
+// next returns the request to be admitted next, or nil if no request waits. Of the next requests of
+// the two queues it is the one with the higher priority, or the read if the write lacks write tokens.
 func (s *requestScheduler) next(now time.Time) *waitingRequest {
 	write, read := s.writes.next(now), s.reads.next(now)
 	if write == nil || (read != nil && (read.priority < write.priority || s.writeDelay(write, now) > 0)) {
@@ -198,9 +198,9 @@
 	return s.tokenDelay(w, s.writeTokens, tokens, least, now)
 }
 
-// tokenDelay returns how long it takes until a bucket holds a number of tokens that includes a
-// reserve, or until the request no longer has to leave that reserve and the bucket holds the least
-// number of tokens that the request needs.
+// tokenDelay returns how long a request waits for tokens of a bucket. The wait ends when the bucket
+// holds the number tokens, which includes the reserve that a routine request leaves free, or when the
+// bucket holds least, the number that the request itself needs, and reserveTimeout has passed.
 func (s *requestScheduler) tokenDelay(w *waitingRequest, limiter *rate.Limiter, tokens, least float64, now time.Time) time.Duration {
 	delay := timeUntilTokens(limiter, tokens, now)
 	if tokens <= least {
@@ -255,8 +255,8 @@
 	w.decided <- decision{admitted: true, delay: delay}
 }
 
-// setTimer sets the timer for the next time at which a request may be admitted, expires or may
-// request a loan, and stops the timer if there is none.
+// setTimer sets the timer for the next time at which a request may be admitted, a request expires or
+// a loan may be requested. It stops the timer if there is no such time.
 func (s *requestScheduler) setTimer(now time.Time) {
 	var next time.Time
 	earliest := func(at time.Time) {
--- a/internal/statestore/scheduler_test.go
+++ b/internal/statestore/scheduler_test.go
@@ -117,8 +117,8 @@
 }
 
 // A write whose caller sets no deadline has the deadline of its priority. If it waits longer than
-// estimated because requests of higher priority keep arriving, it is refused at that deadline, and its
-// caller makes it anew.
+// estimated because requests of higher priority keep arriving, it is refused at that deadline, so that
+// its caller can retry it.
 func TestWriteWithoutDeadlineIsRefusedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New("127.0.0.1:1", 1, 100, 4, nil)
