--- a/cmd/bramblespurctl/drain.go
+++ b/cmd/bramblespurctl/drain.go
@@ -53,7 +53,7 @@
 	flags.StringSliceVar(&s.Machines, "machine", nil, "these machines, by ID")
 	flags.StringSliceVar(&s.Types, "type", nil, "all machines of these types")
 	flags.StringSliceVar(&s.Zones, "zone", nil, "all machines in these zones")
-	flags.DurationVar(&f.olderThan, "older-than", 0, "all machines provisioned longer ago than this, whose image is as old: 72h")
+	flags.DurationVar(&f.olderThan, "older-than", 0, "all machines provisioned longer ago than this, since a machine keeps the image of that time: 72h")
 	flags.StringVar(&f.rentedBefore, "rented-before", "", "all machines provisioned before this time: 2026-11-01T00:00:00Z")
 	flags.IntVar(&f.plan.MaxConcurrent, "at-once", 1, "how many machines the drain may have cordoned at a time")
 	flags.StringVar(&f.finishBy, "finish-by", "", "when the drain should have ended: a time (RFC 3339) or a duration from now")
--- a/cmd/bramblespurctl/main.go
+++ b/cmd/bramblespurctl/main.go
@@ -35,7 +35,7 @@
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
 // run runs a command line without the program's name and returns the exit code. Results are written to
-// out, and errors, each in one line, to errOut.
+// out, errors, each in one line, and progress to errOut.
 func run(args []string, out, errOut io.Writer) int {
 	t := &tool{now: time.Now}
 	root := t.command()
--- a/cmd/bramblespurctl/output.go
+++ b/cmd/bramblespurctl/output.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 )
 
-// queryCommand returns a command that prints the result of read, as JSON or by text.
+// queryCommand returns a command that prints the result of read as JSON, or calls text to print it as text.
 func queryCommand[T any](t *tool, use, short string, args cobra.PositionalArgs,
 	read func(ctx context.Context, args []string) (T, error), text func(io.Writer, T)) *cobra.Command {
 	return &cobra.Command{
@@ -28,7 +28,7 @@
 	}
 }
 
-// print writes v as JSON, or calls text, which writes the same as text.
+// print writes v as JSON with --output json; otherwise it calls text, which writes the result as text.
 func (t *tool) print(out io.Writer, v any, text func()) error {
 	if t.output == jsonOutput {
 		e := json.NewEncoder(out)
--- a/cmd/bramblespurctl/text.go
+++ b/cmd/bramblespurctl/text.go
@@ -13,7 +13,7 @@
 	"bramblespur/internal/drainctl"
 )
 
-// writeTable aligns the columns of the lines that write writes, with cells separated by tabs.
+// writeTable calls write with a writer that aligns cells separated by tabs in columns.
 func writeTable(out io.Writer, write func(w io.Writer)) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	write(w)
