--- a/internal/controller/dataloss/stale_reads.go
+++ b/internal/controller/dataloss/stale_reads.go
@@ -57,8 +57,9 @@
 
 // CheckMissingJob returns the error for a job without any record, given its baseline. A job that was
 // active before is lost, so CheckMissingJob reports a finding and returns [ErrSuspected]. A controller
-// that has just started cannot know which jobs were active, so it returns [ErrSuspected], too,
-// until the fencing tokens of workers have had time to show whether the store went back.
+// that has just started has no record of which jobs were active, so it returns [ErrSuspected], too,
+// for startupHeartbeats intervals: meanwhile the fencing tokens of workers show whether the store went
+// back.
 // Otherwise the error is [statestore.ErrNotFound].
 func (r StaleReads) CheckMissingJob(ref string, before Baseline) error {
 	if !r.enabled {
--- a/internal/controller/shardhost/environment.go
+++ b/internal/controller/shardhost/environment.go
@@ -98,7 +98,7 @@
 	// was seen of the record.
 	ReportIfStaleLocked(key string, held, found uint64, now time.Time)
 	// CheckReread reports whether a record that was read again may be passed to a shard. It
-	// may not if the record is older than the version that the shard knows. CheckReread
+	// may not if the record is older than the version that the shard holds. CheckReread
 	// takes the lock.
 	CheckReread(ctx context.Context, shard *scheduler.Shard, key string, entry *wire.Entry) (bool, error)
 	// LookUpMissingRecords looks for records that explain a task which a worker reported and
--- a/internal/controller/shardhost/load.go
+++ b/internal/controller/shardhost/load.go
@@ -82,7 +82,8 @@
 	}
 }
 
-// addMissedJobs adds to a shard those of its active jobs that it does not know yet.
+// addMissedJobs adds to a shard those of the jobs that belong to it and that it does not hold in the
+// version that was read.
 func (h *Host) addMissedJobs(shard *scheduler.Shard, jobs []wire.Entry) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/controller/shardhost/step.go
+++ b/internal/controller/shardhost/step.go
@@ -35,7 +35,7 @@
 	h.logEffects(shard, &effects)
 }
 
-// reread starts to read the records whose versions a shard does not know, and the records that may
+// reread starts to read the records whose versions are unknown to a shard, and the records that may
 // explain a reported task.
 func (h *Host) reread(shard *scheduler.Shard, effects *scheduler.Effects) {
 	for _, ref := range effects.RereadJobs {
--- a/internal/controller/userapi/submissions.go
+++ b/internal/controller/userapi/submissions.go
@@ -132,7 +132,8 @@
 }
 
 // checkDependencies refuses dependencies on jobs that were never accepted, and on services,
-// which have no end. It reads the records of jobs that this controller does not know.
+// which have no end. It reads the records of jobs that are neither in this controller's view nor in
+// its cache of terminal states.
 func (a *API) checkDependencies(ctx context.Context, dependencies []string) error {
 	for _, dependency := range dependencies {
 		if err := a.checkDependency(ctx, dependency); err != nil {
--- a/internal/controller/workerapi/router.go
+++ b/internal/controller/workerapi/router.go
@@ -108,8 +108,8 @@
 //
 // A worker may not be redirected while its machine's owner does not answer this controller: it
 // may have come here because the owner did not answer it either, and have spent most of its
-// lease waiting. If it were redirected back, it would wait for the owner in vain again and
-// lose its tasks. Its lease is renewed here instead. There are three exceptions. A worker
+// lease waiting. If it were redirected back, it would wait for the owner again, get no answer
+// and lose its tasks. Its lease is renewed here instead. There are three exceptions. A worker
 // without tasks has nothing to lose. If the owner refuses this controller's connections, that
 // does not show that the worker cannot reach the owner. If this controller itself falls behind,
 // the lack of answers from the owner shows nothing, and any other controller serves the worker
@@ -161,7 +161,7 @@
 // zone's machines then falls on the zone's controllers, however few they are, and each relayed
 // heartbeat is decoded twice.
 func (r *Router) searchMayOutlastLease(zone string) bool {
-	unreachable := 0 // controllers that the worker tries in vain
+	unreachable := 0 // controllers that cannot serve the worker
 	if !r.servesZone(r.settings.Label, r.settings.Zone, zone) {
 		unreachable++
 	}
--- a/internal/record/fleet.go
+++ b/internal/record/fleet.go
@@ -237,7 +237,7 @@
 // and whether there are any. When all machines of a Provision are released, their overrides are
 // deleted first and then, by a later transaction, the Provision itself. A Release is deleted once no
 // Provision names its machines any more.
-// An override never outlives its Provision: a reader that knew one without the other would assign
+// An override never outlives its Provision: a reader that had one without the other would assign
 // the machine to the wrong shard.
 func (f *Fleet) CleanupTxn(maxOps int) (wire.Txn, bool) {
 	var t wire.Txn
--- a/internal/scheduler/feasibility.go
+++ b/internal/scheduler/feasibility.go
@@ -14,7 +14,7 @@
 
 // feasible reports whether n tasks of a gang could run in a zone ("" means all zones)
 // once all tasks there have ended that end by themselves or can be preempted for it. Machines
-// that are reserved for a gang which will never have enough of them are of use to no job.
+// that are reserved for a gang which will never have enough of them cannot be used by any job.
 func (s *Shard) feasible(j *Job, n int, zone string) bool {
 	withinGuarantee := s.quotas.withinGuarantee(j, n)
 	for _, m := range s.inventory.byID {
--- a/internal/scheduler/machine_health_test.go
+++ b/internal/scheduler/machine_health_test.go
@@ -10,8 +10,8 @@
 	"bramblespur/internal/wire"
 )
 
-// A silent machine is released while others of its zone are heard, and only that frees its tasks.
-// If all are silent, none is released.
+// A silent machine is released while others of its zone send heartbeats, and its tasks are freed only by
+// the release. If all machines of the zone are silent, none is released.
 func TestSilentMachineIsReleasedWhileOthersAreHeard(t *testing.T) {
 	r := newHarness(t)
 	r.addMachine("m1", "z1", false)
@@ -36,7 +36,7 @@
 }
 
 // Machines that are partitioned together fall silent shortly after one another. The first must not
-// be released because the others were heard a moment later.
+// be released because the last heartbeats of the others came a moment later.
 func TestZoneThatFallsSilentIsKept(t *testing.T) {
 	r := newHarness(t)
 	w1, w2, w3 := r.addMachine("m1", "z1", false), r.addMachine("m2", "z1", false), r.addMachine("m3", "z1", false)
@@ -53,9 +53,9 @@
 	}
 }
 
-// After a partition the machines of a zone return one by one. Those that are heard first must not
-// make the others count as lost, neither for an owner that heard them before nor for one that
-// acquired the shard meanwhile.
+// After a partition the machines of a zone return one by one. Those whose heartbeats arrive first must
+// not make the others count as lost, neither for an owner that received their heartbeats before the
+// partition nor for one that acquired the shard meanwhile.
 func TestZoneThatComesBackIsKept(t *testing.T) {
 	for _, failover := range []bool{false, true} {
 		r := newHarness(t)
--- a/internal/scheduler/pipeline.go
+++ b/internal/scheduler/pipeline.go
@@ -149,7 +149,7 @@
 	if err != nil {
 		return err
 	}
-	run := &fragment.Pipeline{} // without remaining jobs, for a pipeline that is over
+	run := &fragment.Pipeline{} // without remaining jobs, for a pipeline that has ended
 	if rec.State == "" {
 		net, err := rec.Net()
 		if err != nil {
@@ -227,7 +227,7 @@
 func (s *Shard) addPipelineStep(t *Txn, j *Job, now time.Time) bool {
 	p := j.pipeline
 	if p.ref == "" || j.unneeded || p.record.State != "" {
-		return true // the job has no pipeline, or its pipeline is over or no longer needs it
+		return true // the job has no pipeline, or its pipeline has ended or no longer needs it
 	}
 	if p.version == 0 || p.versionUnknown || p.writing {
 		return false
--- a/internal/scheduler/pipeline_test.go
+++ b/internal/scheduler/pipeline_test.go
@@ -28,8 +28,8 @@
 	return record.Pipeline{Jobs: []string{jobA, jobB, jobC, jobD}, Links: []wire.Link{link(jobA, jobB), link(jobA, jobC), link(jobB, jobD), link(jobC, jobD)}}
 }
 
-// fork returns a pipeline with a choice after the first job: it goes on with jobB if that job
-// is done, and with jobC if it is cancelled.
+// fork returns a pipeline with a choice after the first job: jobB is next if that job is
+// done, and jobC if it is cancelled.
 func fork() record.Pipeline {
 	return record.Pipeline{Jobs: []string{jobA, jobB, jobC, jobD},
 		Links:   []wire.Link{{From: []string{jobA}, To: []string{jobB, jobC}}, {From: []string{jobB, jobC}, To: []string{jobD}}},
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -63,7 +63,7 @@
 	const machines, waiting = 600, 60
 	r := newBusyShard(t, machines, waiting)
 	r.clock.Advance(preemptionRetry)
-	r.carryOutEffects() // preemption for the waiting jobs has just been tried in vain
+	r.carryOutEffects() // preemption for the waiting jobs has just been tried and has freed no room
 	r.shard.inventory.candidatesExamined = 0
 	w := r.workers["i-000007"]
 	for name := range w.Tasks {
--- a/internal/statestore/priority.go
+++ b/internal/statestore/priority.go
@@ -10,10 +10,10 @@
 	Routine bool
 }
 
-// Urgent returns the purpose of a request whose result somebody waits for.
+// Urgent returns the purpose of a request whose result is awaited.
 func Urgent(name string) Purpose { return Purpose{Name: name} }
 
-// Routine returns the purpose of a request whose result nobody waits for.
+// Routine returns the purpose of a request whose result is not awaited.
 func Routine(name string) Purpose { return Purpose{Name: name, Routine: true} }
 
 // priority orders the requests that wait for tokens: smaller values go first.
--- a/internal/statestore/scheduler_test.go
+++ b/internal/statestore/scheduler_test.go
@@ -154,8 +154,8 @@
 	})
 }
 
-// A request that cannot be admitted before its deadline is refused at once, so that the user is told
-// to retry instead of waiting in vain.
+// A request that cannot be admitted before its deadline is refused at once, so that the user gets an
+// answer to retry instead of waiting for nothing.
 func TestRequestThatWouldBeLateIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New("127.0.0.1:1", 1, 100, 4, nil)
