--- a/internal/contract/gob_test.go
+++ b/internal/contract/gob_test.go
@@ -83,33 +83,33 @@
 	}
 }
 
-// refusing is a listener that hands out one connection.
-type refusing struct{ conns chan net.Conn }
+// singleConnListener is a listener that hands out one connection.
+type singleConnListener struct{ conns chan net.Conn }
 
-func (l refusing) Accept() (net.Conn, error) {
+func (l singleConnListener) Accept() (net.Conn, error) {
 	c, ok := <-l.conns
 	if !ok {
 		return nil, net.ErrClosed
 	}
 	return c, nil
 }
-func (l refusing) Close() error   { return nil }
-func (l refusing) Addr() net.Addr { return &net.TCPAddr{} }
+func (l singleConnListener) Close() error   { return nil }
+func (l singleConnListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// unreached is a handler of which nothing but what can't be read is ever told.
-type unreached struct{ peer.Handler }
+// malformedOnlyHandler is a handler of which nothing but what can't be read is ever told.
+type malformedOnlyHandler struct{ peer.Handler }
 
-func (unreached) Malformed(string, error) {}
+func (malformedOnlyHandler) Malformed(string, error) {}
 
 // Every method is called by its name. Arguments of a wrong type show that it is there without
 // any of them being carried out.
 func TestPeerMethodsKeepTheirNames(t *testing.T) {
-	l := refusing{make(chan net.Conn, 1)}
+	l := singleConnListener{make(chan net.Conn, 1)}
 	defer close(l.conns)
-	near, far := net.Pipe()
-	l.conns <- far
-	go peer.Serve(l, unreached{}, 1)
-	c := rpc.NewClient(near)
+	clientConn, serverConn := net.Pipe()
+	l.conns <- serverConn
+	go peer.Serve(l, malformedOnlyHandler{}, 1)
+	c := rpc.NewClient(clientConn)
 	defer c.Close()
 	if err := c.Call("Controller.Nothing", "", new(int)); err == nil || !strings.Contains(err.Error(), "can't find method") {
 		t.Fatalf("a method that there is not: %v", err)
--- a/internal/contract/json_test.go
+++ b/internal/contract/json_test.go
@@ -145,7 +145,7 @@
 
 // A record of machines that was cut off or is of another kind is refused with its key, and
 // the records held before stay.
-func TestBadFleetRecordsLeaveWhatIsHeld(t *testing.T) {
+func TestMalformedFleetRecordsAreNotApplied(t *testing.T) {
 	layouts := readLayouts(t, "testdata/json.golden")
 	for key, layout := range map[string]string{
 		"fleet/rent/r": strings.NewReplacer(`"parts":[`, `"parts":[1,1,`).Replace(layouts["record fleet/rent/NAME"]),
@@ -178,7 +178,7 @@
 }
 
 // A record of drains that makes no sense is told with its key and nothing of it is held.
-func TestBadDrainRecordsHoldNothing(t *testing.T) {
+func TestMalformedDrainRecordsAreNotApplied(t *testing.T) {
 	layouts := readLayouts(t, "testdata/json.golden")
 	for key, name := range map[string]string{
 		"ctl/drain/plan/p":     "record ctl/drain/plan/NAME",
--- a/internal/testkit/agent.go
+++ b/internal/testkit/agent.go
@@ -26,36 +26,36 @@
 	typ  wire.MachineType
 	addr string
 
-	mu        sync.Mutex
-	gone      bool
-	hung      bool
-	returned  bool      // while it was well
-	ailsUntil time.Time // while what is stopped there counts as lost
-	session   uint64
-	seq       uint64
-	token     uint64
-	leaseFrom time.Time // when the last answered report was sent
-	tasks     map[string]*agentTask
-	images    map[string]bool
-	notice    *float64
-	changed   bool // something to report
-	tokenTold time.Time
-	lastSent  time.Time
-	queue     []func() // commands that wait for a hanging machine
-	wake      chan struct{}
-	last      []wire.Heartbeat
+	mu               sync.Mutex
+	gone             bool
+	hung             bool
+	released         bool      // while it was well
+	unreachableUntil time.Time // while what is stopped there counts as lost
+	session          uint64
+	seq              uint64
+	token            uint64
+	leaseStart       time.Time // when the last answered report was sent
+	tasks            map[string]*agentTask
+	images           map[string]bool
+	notice           *float64
+	changed          bool // something to report
+	tokenReported    time.Time
+	lastSent         time.Time
+	queue            []func() // commands that wait for a hanging machine
+	wake             chan struct{}
+	recent           []wire.Heartbeat
 }
 
 func newAgent(w *World, id string, typ wire.MachineType, zone string, spot bool) *Agent {
 	now := time.Now()
 	return &Agent{
 		Place: Place{ID: id, Type: typ.Name, Zone: zone, Spot: spot}, w: w, typ: typ, addr: "addr-" + id,
-		leaseFrom: now, session: 1, tasks: map[string]*agentTask{}, images: map[string]bool{}, wake: make(chan struct{}, 1),
+		leaseStart: now, session: 1, tasks: map[string]*agentTask{}, images: map[string]bool{}, wake: make(chan struct{}, 1),
 	}
 }
 
-// report makes the next report. The lock is held.
-func (a *Agent) report() wire.Heartbeat {
+// nextHeartbeat makes the next nextHeartbeat. The lock is held.
+func (a *Agent) nextHeartbeat() wire.Heartbeat {
 	a.seq++
 	r := wire.Heartbeat{
 		Machine: a.ID, Addr: a.addr, Type: a.Type, Zone: a.Zone, Spot: a.Spot,
@@ -68,8 +68,8 @@
 	return r
 }
 
-// kept is how many reports an agent remembers, for copies that come late.
-const kept = 64
+// maxRecent is how many reports an agent remembers, for copies that come late.
+const maxRecent = 64
 
 // run reports until the machine is gone.
 func (a *Agent) run() {
@@ -78,7 +78,7 @@
 	for {
 		a.sleep(pause)
 		a.mu.Lock()
-		if a.gone || a.w.isOver() {
+		if a.gone || a.w.isStopped() {
 			a.mu.Unlock()
 			return
 		}
@@ -87,11 +87,11 @@
 			pause = 100 * time.Millisecond
 			continue
 		}
-		r := a.report()
+		r := a.nextHeartbeat()
 		sent := time.Now()
 		a.changed, a.lastSent = false, sent
-		a.last = append(a.last, r)
-		a.last = a.last[max(0, len(a.last)-kept):]
+		a.recent = append(a.recent, r)
+		a.recent = a.recent[max(0, len(a.recent)-maxRecent):]
 		a.mu.Unlock()
 		status, to, orders, err := a.w.deliver(a.ID, a.w.labels[node], r)
 		a.mu.Lock()
@@ -108,9 +108,9 @@
 			}
 		default:
 			if !a.hung && r.Session == a.session && orders.Token >= a.token {
-				a.leaseFrom = sent
-				a.see(orders.Token)
-				a.obey(orders.Commands)
+				a.leaseStart = sent
+				a.raiseToken(orders.Token)
+				a.executeCommands(orders.Commands)
 			}
 			every := a.w.timing.Report
 			pause = every*3/4 + time.Duration(a.w.rand.Int64N(int64(every/2)))
@@ -128,7 +128,7 @@
 		select {
 		case <-t.C:
 			return
-		case <-a.w.over:
+		case <-a.w.stopped:
 			return
 		case <-a.wake:
 			a.mu.Lock()
@@ -142,33 +142,33 @@
 	}
 }
 
-// see takes in a token. The lock is held.
-func (a *Agent) see(token uint64) {
+// raiseToken takes in a token. The lock is held.
+func (a *Agent) raiseToken(token uint64) {
 	if token <= a.token {
 		return
 	}
 	a.token = token
-	if time.Since(a.tokenTold) > a.w.timing.Lease/2 {
-		a.tokenTold = time.Now()
-		a.note()
+	if time.Since(a.tokenReported) > a.w.timing.Lease/2 {
+		a.tokenReported = time.Now()
+		a.markChanged()
 	}
 }
 
-// note marks a change that is to be reported. The lock is held.
-func (a *Agent) note() {
+// markChanged marks a change that is to be reported. The lock is held.
+func (a *Agent) markChanged() {
 	a.changed = true
-	a.poke()
+	a.wakeUp()
 }
 
-func (a *Agent) poke() {
+func (a *Agent) wakeUp() {
 	select {
 	case a.wake <- struct{}{}:
 	default:
 	}
 }
 
-// command carries out direct orders, or holds them while the machine hangs.
-func (a *Agent) command(o wire.DirectCommands) (r wire.Heartbeat, ok bool, err error) {
+// executeDirect carries out direct orders, or holds them while the machine hangs.
+func (a *Agent) executeDirect(o wire.DirectCommands) (r wire.Heartbeat, ok bool, err error) {
 	a.mu.Lock()
 	if a.gone {
 		a.mu.Unlock()
@@ -185,7 +185,7 @@
 		select {
 		case <-done:
 			return r, ok, nil
-		case <-a.w.over:
+		case <-a.w.stopped:
 			return r, false, ErrLost
 		}
 	}
@@ -198,16 +198,16 @@
 func (a *Agent) execute(o wire.DirectCommands) (wire.Heartbeat, bool) {
 	ok := o.Token >= a.token && o.Session == a.session
 	if ok {
-		a.see(o.Token)
-		a.obey(o.Commands)
+		a.raiseToken(o.Token)
+		a.executeCommands(o.Commands)
 	}
-	r := a.report()
-	a.noteReached(&r)
+	r := a.nextHeartbeat()
+	a.markDelivered(&r)
 	return r, ok
 }
 
-// show returns the worker's report.
-func (a *Agent) show() (wire.Heartbeat, error) {
+// heartbeat returns the worker's report.
+func (a *Agent) heartbeat() (wire.Heartbeat, error) {
 	a.mu.Lock()
 	if a.gone || a.hung {
 		a.mu.Unlock()
@@ -215,8 +215,8 @@
 		return wire.Heartbeat{}, ErrLost
 	}
 	defer a.mu.Unlock()
-	r := a.report()
-	a.noteReached(&r)
+	r := a.nextHeartbeat()
+	a.markDelivered(&r)
 	return r, nil
 }
 
@@ -235,11 +235,11 @@
 	a.hung = hung
 	switch {
 	case hung:
-		a.ailsUntil = time.Now().Add(ailsLong)
-	case a.ailsUntil.After(time.Now()):
-		a.ailsUntil = time.Now().Add(ailsAfter)
+		a.unreachableUntil = time.Now().Add(unreachableWholeTest)
+	case a.unreachableUntil.After(time.Now()):
+		a.unreachableUntil = time.Now().Add(unreachableAfterHang)
 	}
-	a.poke()
+	a.wakeUp()
 }
 
 // Die ends the machine with all that is on it.
@@ -247,9 +247,9 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.gone {
-		a.drop()
+		a.dropTasks()
 		a.gone, a.queue = true, nil
-		a.poke()
+		a.wakeUp()
 	}
 }
 
@@ -259,7 +259,7 @@
 	defer a.mu.Unlock()
 	var out []string
 	for name, t := range a.tasks {
-		if t.on() {
+		if t.active() {
 			out = append(out, name)
 		}
 	}
@@ -271,7 +271,7 @@
 func (a *Agent) RecentHeartbeats() []wire.Heartbeat {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return slices.Clone(a.last)
+	return slices.Clone(a.recent)
 }
 
 // Session is the worker's, 1 until its lease first runs out.
--- a/internal/testkit/agent_tasks.go
+++ b/internal/testkit/agent_tasks.go
@@ -9,27 +9,27 @@
 )
 
 type agentTask struct {
-	ref     string
-	i       int
-	attempt uint64
-	state   string
-	why     string
-	saved   bool
-	since   time.Time // in this state
-	stopped bool
-	saveEnd time.Time
-	alone   time.Time // since when a gang's mate is missing
-	reached bool      // a report with its end has reached a controller
+	ref               string
+	index             int
+	attempt           uint64
+	state             string
+	why               string
+	saved             bool
+	since             time.Time // in this state
+	stopped           bool
+	saveEnd           time.Time
+	peersMissingSince time.Time // since when a gang's mate is missing
+	delivered         bool      // a report with its end has reached a controller
 	// injected says that a test put it there.
 	injected bool
 }
 
-func (t *agentTask) on() bool { return t.state != wire.Exited }
+func (t *agentTask) active() bool { return t.state != wire.Exited }
 
-// obey carries out commands in order. The lock is held.
-func (a *Agent) obey(commands []wire.Command) {
+// executeCommands carries out commands in order. The lock is held.
+func (a *Agent) executeCommands(commands []wire.Command) {
 	for _, c := range commands {
-		a.w.orders.note(c.Op)
+		a.w.commandLog.add(c.Op)
 		t := a.tasks[c.Task]
 		switch c.Op {
 		case wire.Start:
@@ -37,7 +37,7 @@
 				a.start(c.Task, c.Attempt)
 			}
 		case wire.Stop:
-			if t != nil && t.attempt == c.Attempt && t.on() {
+			if t != nil && t.attempt == c.Attempt && t.active() {
 				grace := time.Duration(0)
 				if c.GraceS != nil {
 					grace = time.Duration(*c.GraceS * float64(time.Second))
@@ -45,7 +45,7 @@
 				a.stop(t, grace)
 			}
 		case wire.Forget:
-			if t != nil && t.attempt == c.Attempt && !t.on() {
+			if t != nil && t.attempt == c.Attempt && !t.active() {
 				delete(a.tasks, c.Task)
 			}
 		}
@@ -58,18 +58,18 @@
 	i := 0
 	fmt.Sscanf(num, "%d", &i)
 	now := time.Now()
-	t := &agentTask{ref: ref, i: i, attempt: attempt, state: wire.Exited, since: now}
+	t := &agentTask{ref: ref, index: i, attempt: attempt, state: wire.Exited, since: now}
 	spec, known := a.w.spec(ref)
 	old := a.tasks[name]
 	var cpus, gpus, mem float64
 	for _, o := range a.tasks {
-		if s, ok := a.w.spec(o.ref); ok && o.on() {
+		if s, ok := a.w.spec(o.ref); ok && o.active() {
 			cpus, gpus, mem = cpus+s.CPUs, gpus+s.GPUs, mem+s.MemoryGB
 		}
 	}
 	const slack = 1e-6
 	switch {
-	case old != nil && old.on():
+	case old != nil && old.active():
 		return // in use: the other attempt stays, which its reports tell
 	case !known || i >= spec.Tasks:
 		t.why = wire.ExitUnknownTask
@@ -80,7 +80,7 @@
 		a.w.check.TaskStarted(name, a.Place)
 	}
 	a.tasks[name] = t
-	a.note()
+	a.markChanged()
 }
 
 // stop carries out a stop. The lock is held.
@@ -89,7 +89,7 @@
 	save := time.Duration(spec.SaveS * float64(time.Second))
 	if t.state == wire.Running && !t.stopped && spec.CheckpointS > 0 && grace >= save {
 		t.stopped, t.state, t.since, t.saveEnd = true, wire.Checkpointing, time.Now(), time.Now().Add(save)
-		a.note()
+		a.markChanged()
 		return
 	}
 	if t.state == wire.Checkpointing && grace > 0 {
@@ -101,28 +101,28 @@
 // exit ends a task. The lock is held.
 func (a *Agent) exit(t *agentTask, why string, saved bool) {
 	t.state, t.why, t.saved, t.since = wire.Exited, why, saved, time.Now()
-	a.note()
+	a.markChanged()
 	if t.injected {
 		return
 	}
 	a.w.check.TaskGone(t.name(), a.Place)
 	if why == wire.Done {
-		a.w.finish(t.ref, t.i)
-		a.w.check.TaskCompleted(t.ref, t.i)
+		a.w.completeTask(t.ref, t.index)
+		a.w.check.TaskCompleted(t.ref, t.index)
 	}
 }
 
-func (t *agentTask) name() string { return fmt.Sprintf("%s/%d", t.ref, t.i) }
+func (t *agentTask) name() string { return fmt.Sprintf("%s/%d", t.ref, t.index) }
 
-// drop ends all tasks without a word. The lock is held.
-func (a *Agent) drop() {
+// dropTasks ends all tasks without a word. The lock is held.
+func (a *Agent) dropTasks() {
 	for name, t := range a.tasks {
 		switch {
 		case t.injected:
-		case t.on():
+		case t.active():
 			a.w.check.TaskGone(name, a.Place)
 		case t.why == wire.Done:
-			a.w.check.CompletionLost(t.ref, t.i, t.reached)
+			a.w.check.CompletionLost(t.ref, t.index, t.delivered)
 		}
 	}
 	a.tasks = map[string]*agentTask{}
@@ -133,26 +133,26 @@
 	if a.gone || a.hung {
 		return
 	}
-	if now.Sub(a.leaseFrom) > a.w.timing.Lease {
-		a.drop()
+	if now.Sub(a.leaseStart) > a.w.timing.Lease {
+		a.dropTasks()
 		a.session++
-		a.leaseFrom = now
-		a.note()
+		a.leaseStart = now
+		a.markChanged()
 		return
 	}
 	for _, t := range a.tasks {
 		spec, ok := a.w.spec(t.ref)
-		if !ok || !t.on() {
+		if !ok || !t.active() {
 			continue
 		}
-		length := a.w.length(t.ref)
+		length := a.w.jobDurations(t.ref)
 		switch t.state {
 		case wire.Fetching:
 			if !a.images[spec.Image] && now.Sub(t.since) < length.Fetch {
 				continue
 			}
 			a.images[spec.Image] = true
-			if a.w.completed(t.ref, t.i) {
+			if a.w.completed(t.ref, t.index) {
 				a.exit(t, wire.Done, false) // its result is kept
 				continue
 			}
@@ -160,7 +160,7 @@
 			if spec.Kind == wire.Gang {
 				t.state = wire.AwaitingGang
 			}
-			a.note()
+			a.markChanged()
 		case wire.AwaitingGang:
 			if now.Sub(t.since) > a.w.timing.GangWait {
 				a.exit(t, wire.ExitGangIncomplete, false)
@@ -177,12 +177,12 @@
 	}
 }
 
-// noteReached notes which ends a report brings to a controller. The lock is held.
-func (a *Agent) noteReached(r *wire.Heartbeat) {
+// markDelivered notes which ends a report brings to a controller. The lock is held.
+func (a *Agent) markDelivered(r *wire.Heartbeat) {
 	for _, reported := range r.Tasks {
 		t := a.tasks[reported.Task]
 		if t != nil && t.attempt == reported.Attempt && reported.State == wire.Exited {
-			t.reached = true
+			t.delivered = true
 		}
 	}
 }
@@ -192,7 +192,7 @@
 func (a *Agent) Inject(ref string, i int, attempt uint64, state, why string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	t := &agentTask{ref: ref, i: i, attempt: attempt, state: state, why: why, since: time.Now(), injected: true}
+	t := &agentTask{ref: ref, index: i, attempt: attempt, state: state, why: why, since: time.Now(), injected: true}
 	a.tasks[t.name()] = t
-	a.note()
+	a.markChanged()
 }
--- a/internal/testkit/checker.go
+++ b/internal/testkit/checker.go
@@ -43,49 +43,49 @@
 // Checker watches what happens on the machines and what users are told, and
 // collects what the protocol's rules forbid.
 type Checker struct {
-	mu      sync.Mutex
-	teams   map[string]float64       // limits in cards, 0: none
-	cancelS time.Duration            // how long a cancelled task may live on
-	jobs    map[string]*watched      // submitted ones
-	on      map[string]map[Place]int // task names by where they are, with a count of attempts
-	broken  []string
-	seen    map[string]bool
+	mu          sync.Mutex
+	teamLimits  map[string]float64       // limits in cards, 0: none
+	cancelLimit time.Duration            // how long a cancelled task may live on
+	jobs        map[string]*jobHistory   // submitted ones
+	placements  map[string]map[Place]int // task names by where they are, with a count of attempts
+	violations  []string
+	reported    map[string]bool
 	// recorded tells whether a task's completion is on record; nil: none is.
-	recorded func(ref string, task int) bool
-	calm     time.Time // when the last trouble ended, zero while there are some
+	recorded       func(ref string, task int) bool
+	faultFreeSince time.Time // when the last trouble ended, zero while there are some
 }
 
-// watched is what the checker knows of a job.
-type watched struct {
-	spec       wire.Spec
-	accepted   time.Time // when a user was first told so
-	asked      bool      // its user asked for its end
-	cancelled  time.Time // when its user was told so
-	doneTold   time.Time
-	done       map[int]bool
-	lost       map[int]bool // done, but gone with their machine
-	unheard    map[int]bool // those of them of which no controller ever heard
-	lastAnswer time.Time
-	waits      time.Time // since when it waits beside room
+// jobHistory is what the checker knows of a job.
+type jobHistory struct {
+	spec            wire.Spec
+	accepted        time.Time // when a user was first told so
+	cancelRequested bool      // its user asked for its end
+	cancelled       time.Time // when its user was told so
+	doneAnswered    time.Time
+	done            map[int]bool
+	lost            map[int]bool // done, but gone with their machine
+	undelivered     map[int]bool // those of them of which no controller ever heard
+	lastAnswer      time.Time
+	waitsSince      time.Time // since when it waits beside room
 }
 
 // NewChecker returns a checker for teams with limits in cards, 0 for none.
 func NewChecker(teams map[string]float64, cancelAfter time.Duration) *Checker {
-	return &Checker{teams: teams, cancelS: cancelAfter, jobs: map[string]*watched{}, on: map[string]map[Place]int{}, seen: map[string]bool{}}
+	return &Checker{teamLimits: teams, cancelLimit: cancelAfter, jobs: map[string]*jobHistory{}, placements: map[string]map[Place]int{}, reported: map[string]bool{}}
 }
 
 // Violations returns what was found, each once, in the order found.
 func (c *Checker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Clone(c.broken)
+	return slices.Clone(c.violations)
 }
 
-func (c *Checker) fail(rule, format string, args ...any) {
+func (c *Checker) report(rule, format string, args ...any) {
 	text := rule + ": " + fmt.Sprintf(format, args...)
-	if key := rule + strings.Fields(fmt.Sprintf(format, args...))[0]; !c.seen[key] {
-		c.seen[key] = true
-		c.broken = append(c.broken, fmt.Sprintf("%s (%s)", text, time.Now().Format("15:04:05.000")))
+	if key := rule + strings.Fields(fmt.Sprintf(format, args...))[0]; !c.reported[key] {
+		c.reported[key] = true
+		c.violations = append(c.violations, fmt.Sprintf("%s (%s)", text, time.Now().Format("15:04:05.000")))
 	}
 }
 
@@ -94,7 +94,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.jobs[spec.Ref] == nil {
-		c.jobs[spec.Ref] = &watched{spec: spec, done: map[int]bool{}, lost: map[int]bool{}, unheard: map[int]bool{}}
+		c.jobs[spec.Ref] = &jobHistory{spec: spec, done: map[int]bool{}, lost: map[int]bool{}, undelivered: map[int]bool{}}
 	}
 }
 
@@ -103,7 +103,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if j := c.jobs[ref]; j != nil {
-		j.asked = true
+		j.cancelRequested = true
 	}
 }
 
@@ -126,16 +126,16 @@
 	ok := status == 200 || status == 201
 	if j == nil {
 		if ok {
-			c.fail(Invented, "%s was never submitted, answer %d %s", ref, status, state)
+			c.report(Invented, "%s was never submitted, answer %d %s", ref, status, state)
 		}
 		return
 	}
 	known := !j.accepted.IsZero() && !asked.Before(j.accepted)
 	switch {
 	case known && kind == Poll && status == 404, known && kind == Submission && (status == 400 || status == 422):
-		c.fail(Forgotten, "%s was accepted, answer %d", ref, status)
+		c.report(Forgotten, "%s was accepted, answer %d", ref, status)
 	case known && kind == Cancellation && status >= 400 && status < 500 && status != 429:
-		c.fail(Forgotten, "%s was accepted, its cancellation is answered %d", ref, status)
+		c.report(Forgotten, "%s was accepted, its cancellation is answered %d", ref, status)
 	}
 	if !ok {
 		return
@@ -145,28 +145,28 @@
 		j.accepted = got
 	}
 	if kind == Cancellation && state != wire.Cancelled && state != wire.Done {
-		c.fail(WentBack, "%s: a cancellation is answered 200 %s", ref, state)
+		c.report(WentBack, "%s: a cancellation is answered 200 %s", ref, state)
 	}
 	switch {
-	case !j.doneTold.IsZero() && !asked.Before(j.doneTold) && state != wire.Done:
-		c.fail(WentBack, "%s was done, answer %s", ref, state)
+	case !j.doneAnswered.IsZero() && !asked.Before(j.doneAnswered) && state != wire.Done:
+		c.report(WentBack, "%s was done, answer %s", ref, state)
 	case !j.cancelled.IsZero() && !asked.Before(j.cancelled) && state != wire.Cancelled:
-		c.fail(WentBack, "%s was cancelled, answer %s", ref, state)
+		c.report(WentBack, "%s was cancelled, answer %s", ref, state)
 	case state == wire.Cancelled && !c.mayBeCancelled(j, map[string]bool{}):
-		c.fail(WentBack, "%s is called cancelled though nobody asked for that", ref)
+		c.report(WentBack, "%s is called cancelled though nobody asked for that", ref)
 	case state == wire.Done && len(j.done) < j.spec.Tasks:
-		c.fail(NotDone, "%s is called done with %d of %d tasks", ref, len(j.done), j.spec.Tasks)
+		c.report(NotDone, "%s is called done with %d of %d tasks", ref, len(j.done), j.spec.Tasks)
 	}
 	if state == wire.Pending || state == wire.Running {
 		for _, root := range j.spec.DependsOn {
 			// One that is submitted later has its time from then on.
-			if r := c.jobs[root]; r != nil && !r.cancelled.IsZero() && asked.Sub(later(r.cancelled, j.accepted)) > c.cancelS {
-				c.fail(Orphaned, "%s is %s long after %s was cancelled", ref, state, root)
+			if r := c.jobs[root]; r != nil && !r.cancelled.IsZero() && asked.Sub(later(r.cancelled, j.accepted)) > c.cancelLimit {
+				c.report(Orphaned, "%s is %s long after %s was cancelled", ref, state, root)
 			}
 		}
 	}
-	if state == wire.Done && j.doneTold.IsZero() {
-		j.doneTold = got
+	if state == wire.Done && j.doneAnswered.IsZero() {
+		j.doneAnswered = got
 	}
 	if state == wire.Cancelled && j.cancelled.IsZero() {
 		j.cancelled = got
@@ -175,8 +175,8 @@
 
 // mayBeCancelled reports whether a job's user, or that of one that it needs, asked
 // for its end.
-func (c *Checker) mayBeCancelled(j *watched, seen map[string]bool) bool {
-	if j.asked {
+func (c *Checker) mayBeCancelled(j *jobHistory, seen map[string]bool) bool {
+	if j.cancelRequested {
 		return true
 	}
 	for _, root := range j.spec.DependsOn {
@@ -197,33 +197,33 @@
 	ref, _, _ := strings.Cut(task, "/")
 	j := c.jobs[ref]
 	if j == nil {
-		c.fail(Invented, "%s starts, its job was never submitted", task)
+		c.report(Invented, "%s starts, its job was never submitted", task)
 		return
 	}
 	spec := j.spec
-	for p := range c.on[task] {
+	for p := range c.placements[task] {
 		if p != at {
-			c.fail(RanTwice, "%s starts on %s while on %s", task, at.ID, p.ID)
+			c.report(RanTwice, "%s starts on %s while on %s", task, at.ID, p.ID)
 		}
 	}
 	if (spec.Types != nil && !slices.Contains(spec.Types, at.Type)) || (spec.Zone != nil && *spec.Zone != at.Zone) || (at.Spot && !spec.Spot) {
-		c.fail(WrongPlace, "%s starts on %v", task, at)
+		c.report(WrongPlace, "%s starts on %v", task, at)
 	}
 	if !j.cancelled.IsZero() {
-		c.fail(StartedLate, "%s starts on %s", task, at.ID)
+		c.report(StartedLate, "%s starts on %s", task, at.ID)
 	}
 	for _, root := range spec.DependsOn {
 		if r := c.jobs[root]; r == nil || len(r.done) < r.spec.Tasks {
-			c.fail(TooEarly, "%s starts before %s is done", task, root)
+			c.report(TooEarly, "%s starts before %s is done", task, root)
 		}
 	}
-	if c.on[task] == nil {
-		c.on[task] = map[Place]int{}
+	if c.placements[task] == nil {
+		c.placements[task] = map[Place]int{}
 	}
-	c.on[task][at]++
+	c.placements[task][at]++
 	zones := map[string]int{}
 	used := 0.0
-	for name, places := range c.on {
+	for name, places := range c.placements {
 		r, _, _ := strings.Cut(name, "/")
 		other := c.jobs[r]
 		for p := range places {
@@ -235,15 +235,15 @@
 			}
 		}
 	}
-	if limit := c.teams[spec.Team]; limit > 0 && used > limit+1e-6 {
-		c.fail(OverQuota, "%s uses %v of %v at %s", spec.Team, used, limit, task)
+	if limit := c.teamLimits[spec.Team]; limit > 0 && used > limit+1e-6 {
+		c.report(OverQuota, "%s uses %v of %v at %s", spec.Team, used, limit, task)
 	}
 	for zone, n := range zones {
 		if spec.OneZone && zone != at.Zone {
-			c.fail(WrongPlace, "%s starts in %s while others are in %s", task, at.Zone, zone)
+			c.report(WrongPlace, "%s starts in %s while others are in %s", task, at.Zone, zone)
 		}
 		if spec.Spread && zone == at.Zone && n+1 > (spec.Tasks+1)/2 {
-			c.fail(WrongPlace, "%s starts in %s as number %d of %d there", task, zone, n+1, spec.Tasks)
+			c.report(WrongPlace, "%s starts in %s as number %d of %d there", task, zone, n+1, spec.Tasks)
 		}
 	}
 }
@@ -252,11 +252,11 @@
 func (c *Checker) TaskGone(task string, at Place) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.on[task][at]--; c.on[task][at] <= 0 {
-		delete(c.on[task], at)
+	if c.placements[task][at]--; c.placements[task][at] <= 0 {
+		delete(c.placements[task], at)
 	}
-	if len(c.on[task]) == 0 {
-		delete(c.on, task)
+	if len(c.placements[task]) == 0 {
+		delete(c.placements, task)
 	}
 }
 
@@ -267,7 +267,7 @@
 	if j := c.jobs[ref]; j != nil {
 		j.done[task] = true
 		delete(j.lost, task)
-		delete(j.unheard, task)
+		delete(j.undelivered, task)
 	}
 }
 
@@ -280,7 +280,7 @@
 	if j := c.jobs[ref]; j != nil {
 		j.lost[task] = true
 		if !reached {
-			j.unheard[task] = true
+			j.undelivered[task] = true
 		}
 	}
 }
@@ -294,8 +294,8 @@
 
 // knownDone reports whether the controllers must know that all tasks of a job are done: their
 // machines still tell so, or it is on record. Of a gang one completion tells all.
-func (c *Checker) knownDone(j *watched) bool {
-	if !j.doneTold.IsZero() {
+func (c *Checker) knownDone(j *jobHistory) bool {
+	if !j.doneAnswered.IsZero() {
 		return true
 	}
 	if len(j.done) < j.spec.Tasks {
@@ -311,20 +311,20 @@
 }
 
 // mustRun reports whether a task certainly has to be started for its job to end.
-func (j *watched) mustRun(task int) bool {
-	if j.spec.Kind == wire.Gang && len(j.done) == j.spec.Tasks && len(j.unheard) < j.spec.Tasks {
+func (j *jobHistory) mustRun(task int) bool {
+	if j.spec.Kind == wire.Gang && len(j.done) == j.spec.Tasks && len(j.undelivered) < j.spec.Tasks {
 		return false
 	}
-	return !j.done[task] || j.unheard[task]
+	return !j.done[task] || j.undelivered[task]
 }
 
 // SetFaultFree takes in that all troubles are over, or that they begin.
 func (c *Checker) SetFaultFree(calm bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.calm = time.Time{}
+	c.faultFreeSince = time.Time{}
 	if calm {
-		c.calm = time.Now()
+		c.faultFreeSince = time.Now()
 	}
 }
 
@@ -338,37 +338,37 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	used := map[string]float64{}
-	for task, places := range c.on {
+	for task, places := range c.placements {
 		ref, _, _ := strings.Cut(task, "/")
 		j := c.jobs[ref]
 		if j == nil {
 			continue
 		}
 		used[j.spec.Team] += j.spec.GPUs * float64(len(places))
-		if !j.cancelled.IsZero() && now.Sub(j.cancelled) > c.cancelS {
-			c.fail(RanCancelled, "%s is there %v after its user was told", task, now.Sub(j.cancelled).Round(time.Second))
+		if !j.cancelled.IsZero() && now.Sub(j.cancelled) > c.cancelLimit {
+			c.report(RanCancelled, "%s is there %v after its user was told", task, now.Sub(j.cancelled).Round(time.Second))
 		}
 	}
 	for ref, j := range c.jobs {
-		if j.accepted.IsZero() || c.calm.IsZero() || j.asked {
-			j.waits = time.Time{}
+		if j.accepted.IsZero() || c.faultFreeSince.IsZero() || j.cancelRequested {
+			j.waitsSince = time.Time{}
 			continue
 		}
-		if !j.doneTold.IsZero() || !j.cancelled.IsZero() {
+		if !j.doneAnswered.IsZero() || !j.cancelled.IsZero() {
 			continue
 		}
-		if since := later(c.calm, later(j.lastAnswer, j.accepted)); now.Sub(since) > pollLimit {
-			c.fail(Forgotten, "%s: no answer for %v after the troubles", ref, now.Sub(since).Round(time.Second))
+		if since := later(c.faultFreeSince, later(j.lastAnswer, j.accepted)); now.Sub(since) > pollLimit {
+			c.report(Forgotten, "%s: no answer for %v after the troubles", ref, now.Sub(since).Round(time.Second))
 		}
-		if !c.waitsBesideRoom(j, used, room) {
-			j.waits = time.Time{}
+		if !c.waitsDespiteRoom(j, used, room) {
+			j.waitsSince = time.Time{}
 			continue
 		}
-		if j.waits.IsZero() {
-			j.waits = now
+		if j.waitsSince.IsZero() {
+			j.waitsSince = now
 		}
-		if now.Sub(later(c.calm, j.waits)) > waitLimit {
-			c.fail(Waited, "%s has waited since %s", ref, j.waits.Format("15:04:05"))
+		if now.Sub(later(c.faultFreeSince, j.waitsSince)) > waitLimit {
+			c.report(Waited, "%s has waited since %s", ref, j.waitsSince.Format("15:04:05"))
 		}
 	}
 }
@@ -380,14 +380,14 @@
 	return b
 }
 
-// waitsBesideRoom reports whether a job has a task that is nowhere, though it may
+// waitsDespiteRoom reports whether a job has a task that is nowhere, though it may
 // start and a machine has room for it.
-func (c *Checker) waitsBesideRoom(j *watched, used map[string]float64, room Room) bool {
+func (c *Checker) waitsDespiteRoom(j *jobHistory, used map[string]float64, room Room) bool {
 	spec := &j.spec
 	missing := 0
 	zones := map[string]int{}
 	for i := range spec.Tasks {
-		places := c.on[fmt.Sprintf("%s/%d", spec.Ref, i)]
+		places := c.placements[fmt.Sprintf("%s/%d", spec.Ref, i)]
 		if j.mustRun(i) && len(places) == 0 {
 			missing++
 		}
@@ -407,7 +407,7 @@
 	if spec.Kind == wire.Gang {
 		need = missing
 	}
-	limit := c.teams[spec.Team]
+	limit := c.teamLimits[spec.Team]
 	return missing > 0 && (limit <= 0 || used[spec.Team]+float64(need)*spec.GPUs <= limit+1e-6) && room(spec, may)
 }
 
@@ -416,6 +416,6 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if status != want && status != 503 && status != 429 {
-		c.fail(BadAnswer, "%s answered %d, not %d", what, status, want)
+		c.report(BadAnswer, "%s answered %d, not %d", what, status, want)
 	}
 }
--- a/internal/testkit/checker_test.go
+++ b/internal/testkit/checker_test.go
@@ -11,7 +11,7 @@
 
 // Each rule is broken by a small script, which the checker must catch; and the
 // scripts without the last step break none.
-func TestCheckerCatches(t *testing.T) {
+func TestCheckerDetectsViolations(t *testing.T) {
 	const cancelAfter = 30 * time.Second
 	zoneA, zoneB := Place{ID: "m1", Type: "big", Zone: "a"}, Place{ID: "m2", Type: "big", Zone: "b"}
 	other := Place{ID: "m3", Type: "big", Zone: "a"}
@@ -174,7 +174,7 @@
 }
 
 // What waits for a limit, for a dependency or for a machine waits rightly.
-func TestCheckerLetsWait(t *testing.T) {
+func TestCheckerAllowsJustifiedWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewChecker(map[string]float64{"tight": 2}, time.Minute)
 		c.JobSubmitted(wire.Spec{Ref: "r1", Team: "tight", Kind: wire.Array, Tasks: 4, GPUs: 1})
@@ -200,7 +200,7 @@
 // Chance schedules showed it (near-823): both tasks of run-000011 reported "done" only in
 // heartbeats without an answer, their machine died, "job waits job=run-000011 reason=team_limit"
 // and "job waits job=run-000013 reason=dependencies" stood side by side.
-func TestCheckerLetsWaitForLostCompletion(t *testing.T) {
+func TestCheckerAllowsWaitForLostCompletion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewChecker(map[string]float64{"tight": 1}, time.Minute)
 		c.JobSubmitted(wire.Spec{Ref: "r1", Team: "tight", Kind: wire.Array, Tasks: 2, GPUs: 1})
--- a/internal/testkit/cloud.go
+++ b/internal/testkit/cloud.go
@@ -13,9 +13,9 @@
 
 // CloudClient is how a controller's process reaches the cloud. It implements cloud.API.
 type CloudClient struct {
-	w    *World
-	from string
-	life context.Context
+	w        *World
+	from     string
+	lifetime context.Context
 }
 
 var _ cloud.API = (*CloudClient)(nil)
@@ -29,32 +29,32 @@
 
 // Types implements cloud.API.
 func (c *CloudClient) Types(context.Context) ([]wire.MachineType, error) {
-	return Call(c.w.Net, c.from, CloudEndpoint, cloudTimeout, func() ([]wire.MachineType, error) { return c.w.types, c.life.Err() })
+	return Call(c.w.Net, c.from, CloudEndpoint, cloudTimeout, func() ([]wire.MachineType, error) { return c.w.types, c.lifetime.Err() })
 }
 
 // Provision implements cloud.API: a repeated name gives the same machines.
 func (c *CloudClient) Provision(_ context.Context, r wire.ProvisionRequest) ([]string, error) {
 	return Call(c.w.Net, c.from, CloudEndpoint, cloudTimeout, func() ([]string, error) {
-		if err := c.life.Err(); err != nil {
+		if err := c.lifetime.Err(); err != nil {
 			return nil, err
 		}
-		return c.w.rent(r)
+		return c.w.provision(r)
 	})
 }
 
-func (w *World) rent(r wire.ProvisionRequest) ([]string, error) {
+func (w *World) provision(r wire.ProvisionRequest) ([]string, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if ids, ok := w.rentals[r.Request]; ok {
+	if ids, ok := w.provisioned[r.Request]; ok {
 		return ids, nil
 	}
-	if w.full {
+	if w.noCapacity {
 		return nil, cloud.ErrNoCapacity
 	}
 	var ids []string
 	for range r.Count {
-		w.rented++
-		id := fmt.Sprintf("i-%06d", w.rented)
+		w.machineCount++
+		id := fmt.Sprintf("i-%06d", w.machineCount)
 		ids = append(ids, id)
 		for _, t := range w.types {
 			if t.Name == r.Type {
@@ -62,19 +62,19 @@
 			}
 		}
 	}
-	w.rentals[r.Request] = ids
+	w.provisioned[r.Request] = ids
 	return ids, nil
 }
 
 // bootLater lets a rented machine come up. The lock is held.
 func (w *World) bootLater(a *Agent) {
 	a.gone = true
-	if w.listen != nil {
-		a.addr = w.listen(a)
+	if w.assignAddr != nil {
+		a.addr = w.assignAddr(a)
 	}
 	w.agents[a.ID] = a
-	boot := w.boot
-	w.running.Go(func() {
+	boot := w.bootTime
+	w.goroutines.Go(func() {
 		if !w.Sleep(boot) {
 			return
 		}
@@ -82,7 +82,7 @@
 		still := w.agents[a.ID] == a
 		w.mu.Unlock()
 		a.mu.Lock()
-		a.gone, a.leaseFrom = !still, time.Now()
+		a.gone, a.leaseStart = !still, time.Now()
 		a.mu.Unlock()
 		if still {
 			a.run()
@@ -94,13 +94,13 @@
 func (w *World) SetBoot(d time.Duration, full bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.boot, w.full = d, full
+	w.bootTime, w.noCapacity = d, full
 }
 
 // Release implements cloud.API: the machines are gone before it answers.
 func (c *CloudClient) Release(_ context.Context, ids []string) error {
 	_, err := Call(c.w.Net, c.from, CloudEndpoint, cloudTimeout, func() (struct{}, error) {
-		if err := c.life.Err(); err != nil {
+		if err := c.lifetime.Err(); err != nil {
 			return struct{}{}, err
 		}
 		for _, id := range ids {
@@ -110,7 +110,7 @@
 			c.w.mu.Unlock()
 			if a != nil {
 				a.mu.Lock()
-				a.returned = !a.gone
+				a.released = !a.gone
 				a.mu.Unlock()
 				a.Die()
 			}
@@ -130,7 +130,7 @@
 			out = append(out, wire.ListedMachine{ID: a.ID, Addr: a.addr, Type: a.Type, Zone: a.Zone, Spot: a.Spot, State: wire.Running})
 		}
 		slices.SortFunc(out, func(a, b wire.ListedMachine) int { return strings.Compare(a.ID, b.ID) })
-		return out, c.life.Err()
+		return out, c.lifetime.Err()
 	})
 }
 
--- a/internal/testkit/direct.go
+++ b/internal/testkit/direct.go
@@ -10,9 +10,9 @@
 
 // WorkerClient is how a controller's process reaches workers. It implements agent.API.
 type WorkerClient struct {
-	w    *World
-	from string
-	life context.Context
+	w        *World
+	from     string
+	lifetime context.Context
 }
 
 var _ agent.API = (*WorkerClient)(nil)
@@ -22,8 +22,8 @@
 	return &WorkerClient{w, from, ctx}
 }
 
-// at returns the machine at an address.
-func (w *World) at(addr string) *Agent {
+// machineAt returns the machine machineAt an address.
+func (w *World) machineAt(addr string) *Agent {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.agents[strings.TrimPrefix(addr, "addr-")]
@@ -31,8 +31,8 @@
 
 // SendCommands implements agent.API.
 func (d *WorkerClient) SendCommands(_ context.Context, addr string, o wire.DirectCommands) (wire.Heartbeat, bool, error) {
-	a := d.w.at(addr)
-	if a == nil || d.life.Err() != nil {
+	a := d.w.machineAt(addr)
+	if a == nil || d.lifetime.Err() != nil {
 		return wire.Heartbeat{}, false, ErrLost
 	}
 	type answer struct {
@@ -40,10 +40,10 @@
 		ok bool
 	}
 	got, err := Call(d.w.Net, d.from, a.ID, directTimeout, func() (answer, error) {
-		r, ok, err := a.command(o)
+		r, ok, err := a.executeDirect(o)
 		return answer{r, ok}, err
 	})
-	if d.life.Err() != nil {
+	if d.lifetime.Err() != nil {
 		return wire.Heartbeat{}, false, ErrLost
 	}
 	return got.r, got.ok, err
@@ -51,12 +51,12 @@
 
 // RequestHeartbeat implements agent.API.
 func (d *WorkerClient) RequestHeartbeat(_ context.Context, addr string) (wire.Heartbeat, error) {
-	a := d.w.at(addr)
-	if a == nil || d.life.Err() != nil {
+	a := d.w.machineAt(addr)
+	if a == nil || d.lifetime.Err() != nil {
 		return wire.Heartbeat{}, ErrLost
 	}
-	r, err := Call(d.w.Net, d.from, a.ID, showTimeout, a.show)
-	if d.life.Err() != nil {
+	r, err := Call(d.w.Net, d.from, a.ID, showTimeout, a.heartbeat)
+	if d.lifetime.Err() != nil {
 		return wire.Heartbeat{}, ErrLost
 	}
 	return r, err
--- a/internal/testkit/gangs.go
+++ b/internal/testkit/gangs.go
@@ -8,25 +8,25 @@
 	"bramblespur/internal/wire"
 )
 
-// member is a gang's task on its machine.
-type member struct {
+// gangMember is a gang's task on its machine.
+type gangMember struct {
 	a *Agent
 	t *agentTask
 }
 
-// gangs lets gangs start, complete and fall apart.
-func (w *World) gangs(all []*Agent, now time.Time) {
-	gangs := map[string][]member{}
+// stepGangs lets stepGangs start, complete and fall apart.
+func (w *World) stepGangs(all []*Agent, now time.Time) {
+	gangs := map[string][]gangMember{}
 	var names []string
 	for _, a := range all {
 		a.mu.Lock()
 		for _, t := range a.tasks {
-			if spec, ok := w.spec(t.ref); ok && spec.Kind == wire.Gang && t.on() && !a.hung {
+			if spec, ok := w.spec(t.ref); ok && spec.Kind == wire.Gang && t.active() && !a.hung {
 				key := fmt.Sprintf("%s#%d", t.ref, t.attempt)
 				if gangs[key] == nil {
 					names = append(names, key)
 				}
-				gangs[key] = append(gangs[key], member{a, t})
+				gangs[key] = append(gangs[key], gangMember{a, t})
 			}
 		}
 		a.mu.Unlock()
@@ -46,18 +46,18 @@
 		active := count[wire.Running] + count[wire.Checkpointing]
 		switch {
 		case count[wire.AwaitingGang] == spec.Tasks:
-			w.each(ms, func(m member) { m.t.state, m.t.since = wire.Running, now; m.a.note() })
-		case count[wire.Running] == spec.Tasks && now.Sub(since) >= w.length(spec.Ref).Run:
-			w.each(ms, func(m member) { m.a.exit(m.t, wire.Done, false) })
+			w.forEachActive(ms, func(m gangMember) { m.t.state, m.t.since = wire.Running, now; m.a.markChanged() })
+		case count[wire.Running] == spec.Tasks && now.Sub(since) >= w.jobDurations(spec.Ref).Run:
+			w.forEachActive(ms, func(m gangMember) { m.a.exit(m.t, wire.Done, false) })
 		case active > 0 && active < spec.Tasks:
-			w.each(ms, func(m member) {
+			w.forEachActive(ms, func(m gangMember) {
 				if m.t.state != wire.Running {
 					return
 				}
-				if m.t.alone.IsZero() {
-					m.t.alone = now
+				if m.t.peersMissingSince.IsZero() {
+					m.t.peersMissingSince = now
 				}
-				if now.Sub(m.t.alone) >= w.timing.GangPeer {
+				if now.Sub(m.t.peersMissingSince) >= w.timing.GangPeer {
 					m.a.exit(m.t, wire.ExitGangPeersLost, false)
 				}
 			})
@@ -65,18 +65,18 @@
 	}
 }
 
-func (w *World) each(ms []member, f func(member)) {
+func (w *World) forEachActive(ms []gangMember, f func(gangMember)) {
 	for _, m := range ms {
 		m.a.mu.Lock()
-		if m.t.on() {
+		if m.t.active() {
 			f(m)
 		}
 		m.a.mu.Unlock()
 	}
 }
 
-// room reports whether what a job still needs fits on the machines that are up.
-func (w *World) room(spec *wire.Spec, may func(zone string) bool) bool {
+// hasRoom reports whether what a job still needs fits on the machines that are up.
+func (w *World) hasRoom(spec *wire.Spec, may func(zone string) bool) bool {
 	fits := map[string]int{} // by zone where all have to be in one
 	for _, a := range w.Machines() {
 		if (spec.Types != nil && !slices.Contains(spec.Types, a.Type)) || (spec.Zone != nil && *spec.Zone != a.Zone) || (a.Spot && !spec.Spot) || !may(a.Zone) {
@@ -86,7 +86,7 @@
 		a.mu.Lock()
 		usable := !a.hung && a.notice == nil
 		for _, t := range a.tasks {
-			if o, ok := w.spec(t.ref); ok && t.on() {
+			if o, ok := w.spec(t.ref); ok && t.active() {
 				cpus, gpus, mem = cpus-o.CPUs, gpus-o.GPUs, mem-o.MemoryGB
 			}
 		}
--- a/internal/testkit/interruptions.go
+++ b/internal/testkit/interruptions.go
@@ -19,34 +19,34 @@
 	inWindow int
 	window   time.Duration
 
-	mu     sync.Mutex
-	units  map[string]*watchedUnit
-	chosen map[string][]time.Time // when work was stopped by choice, by team
-	broken []string
-	above  map[string]bool // teams that had too much open when last looked at
+	mu         sync.Mutex
+	units      map[string]*watchedUnit
+	voluntary  map[string][]time.Time // when work was stopped by choice, by team
+	violations []string
+	overLimit  map[string]bool // teams that had too much open when last looked at
 }
 
 type watchedUnit struct {
-	team   string
-	up     bool
-	downBy downBy
-	on     map[*Agent]uint64 // sessions of the machines where it last ran
+	team          string
+	up            bool
+	interruptedBy interruptionCause
+	on            map[*Agent]uint64 // sessions of the machines where it last ran
 }
 
-type downBy int
+type interruptionCause int
 
 const (
-	notDown downBy = iota
-	byChoice
-	byLoss
+	notInterrupted interruptionCause = iota
+	voluntarily
+	involuntarily
 )
 
 // CountInterruptions begins to count against a budget that every team has.
 func (w *World) CountInterruptions(atOnce, inWindow int, window time.Duration) *Interruptions {
-	n := &Interruptions{w: w, atOnce: atOnce, inWindow: inWindow, window: window, units: map[string]*watchedUnit{}, chosen: map[string][]time.Time{}, above: map[string]bool{}}
-	w.running.Go(func() {
-		for w.Sleep(worldStep) {
-			n.look(time.Now())
+	n := &Interruptions{w: w, atOnce: atOnce, inWindow: inWindow, window: window, units: map[string]*watchedUnit{}, voluntary: map[string][]time.Time{}, overLimit: map[string]bool{}}
+	w.goroutines.Go(func() {
+		for w.Sleep(stepInterval) {
+			n.observe(time.Now())
 		}
 	})
 	return n
@@ -56,14 +56,14 @@
 func (n *Interruptions) Violations() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return slices.Clone(n.broken)
+	return slices.Clone(n.violations)
 }
 
 // Voluntary returns how many stops by choice there were of a team's work.
 func (n *Interruptions) Voluntary(team string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return len(n.chosen[team])
+	return len(n.voluntary[team])
 }
 
 // runningTask is a task that runs, and where.
@@ -72,8 +72,8 @@
 	session uint64
 }
 
-// look takes in how things stand.
-func (n *Interruptions) look(now time.Time) {
+// observe takes in how things stand.
+func (n *Interruptions) observe(now time.Time) {
 	running := n.w.runningTasks()
 	n.w.mu.Lock()
 	specs := make([]wire.Spec, 0, len(n.w.specs))
@@ -85,25 +85,25 @@
 	defer n.mu.Unlock()
 	for _, spec := range specs {
 		if spec.Kind == wire.Gang {
-			n.lookAt(spec, spec.Ref, 0, spec.Tasks, running, now)
+			n.observeUnit(spec, spec.Ref, 0, spec.Tasks, running, now)
 			continue
 		}
 		for i := range spec.Tasks {
-			n.lookAt(spec, spec.Ref+"/"+strconv.Itoa(i), i, i+1, running, now)
+			n.observeUnit(spec, spec.Ref+"/"+strconv.Itoa(i), i, i+1, running, now)
 		}
 	}
 	n.verify(now)
 }
 
-// lookAt takes in how a unit of some of a job's tasks stands.
-func (n *Interruptions) lookAt(spec wire.Spec, name string, first, end int, running map[string]runningTask, now time.Time) {
+// observeUnit takes in how a unit of some of a job's tasks stands.
+func (n *Interruptions) observeUnit(spec wire.Spec, name string, first, end int, running map[string]runningTask, now time.Time) {
 	u := n.units[name]
 	if u == nil {
 		u = &watchedUnit{team: spec.Team}
 		n.units[name] = u
 	}
 	on := map[*Agent]uint64{}
-	up, over := true, n.w.check.askedToEnd(spec.Ref)
+	up, over := true, n.w.check.cancellationRequested(spec.Ref)
 	for i := first; i < end; i++ {
 		at, ok := running[spec.Ref+"/"+strconv.Itoa(i)]
 		up = up && ok
@@ -114,42 +114,42 @@
 	}
 	switch {
 	case over:
-		u.up, u.downBy = false, notDown
+		u.up, u.interruptedBy = false, notInterrupted
 	case up:
-		u.up, u.downBy, u.on = true, notDown, on
+		u.up, u.interruptedBy, u.on = true, notInterrupted, on
 	case u.up:
-		u.up, u.downBy = false, n.cause(u)
-		if u.downBy == byChoice {
-			n.chosen[u.team] = append(n.chosen[u.team], now)
+		u.up, u.interruptedBy = false, n.cause(u)
+		if u.interruptedBy == voluntarily {
+			n.voluntary[u.team] = append(n.voluntary[u.team], now)
 		}
 	}
 }
 
 // cause tells whether a unit that ran on some machines was stopped by choice.
-func (n *Interruptions) cause(u *watchedUnit) downBy {
+func (n *Interruptions) cause(u *watchedUnit) interruptionCause {
 	for a, session := range u.on {
 		a.mu.Lock()
-		lost := (a.gone && !a.returned) || time.Now().Before(a.ailsUntil) || a.session != session || a.notice != nil
+		lost := (a.gone && !a.released) || time.Now().Before(a.unreachableUntil) || a.session != session || a.notice != nil
 		a.mu.Unlock()
 		if lost {
-			return byLoss
+			return involuntarily
 		}
 	}
-	return byChoice
+	return voluntarily
 }
 
-// ailsLong outlasts every test, and ailsAfter what the service may still do about a machine
+// unreachableWholeTest outlasts every test, and unreachableAfterHang what the service may still do about a machine
 // that hung once it goes on.
 const (
-	ailsLong  = 24 * time.Hour
-	ailsAfter = time.Minute
+	unreachableWholeTest = 24 * time.Hour
+	unreachableAfterHang = time.Minute
 )
 
 // MarkUnreachable notes that a test keeps machines from being reached: what is stopped there is lost.
 func MarkUnreachable(machines ...*Agent) {
 	for _, a := range machines {
 		a.mu.Lock()
-		a.ailsUntil = time.Now().Add(ailsLong)
+		a.unreachableUntil = time.Now().Add(unreachableWholeTest)
 		a.mu.Unlock()
 	}
 }
@@ -158,12 +158,12 @@
 func (n *Interruptions) verify(now time.Time) {
 	open, names := map[string]int{}, map[string][]string{}
 	for name, u := range n.units {
-		if u.downBy == byChoice {
+		if u.interruptedBy == voluntarily {
 			open[u.team]++
 			names[u.team] = append(names[u.team], name)
 		}
 	}
-	for team, at := range n.chosen {
+	for team, at := range n.voluntary {
 		recent := 0
 		for _, t := range at {
 			if now.Sub(t) <= n.window {
@@ -172,10 +172,10 @@
 		}
 		// Machines are looked at one after the other, so one look alone may see a unit that
 		// is back already beside one that was stopped since.
-		again := n.above[team] && open[team] > n.atOnce
-		n.above[team] = open[team] > n.atOnce
+		again := n.overLimit[team] && open[team] > n.atOnce
+		n.overLimit[team] = open[team] > n.atOnce
 		if again || recent > n.inWindow {
-			n.broken = append(n.broken, fmt.Sprintf("%s: %v interrupted at once of %d, %d in %v of %d (%s)",
+			n.violations = append(n.violations, fmt.Sprintf("%s: %v interrupted at once of %d, %d in %v of %d (%s)",
 				team, names[team], n.atOnce, recent, n.window, n.inWindow, now.Format("15:04:05.0")))
 		}
 	}
@@ -196,11 +196,11 @@
 	return out
 }
 
-// askedToEnd reports whether a job's user asked for its end.
-func (c *Checker) askedToEnd(ref string) bool {
+// cancellationRequested reports whether a job's user asked for its end.
+func (c *Checker) cancellationRequested(ref string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.jobs[ref] != nil && c.jobs[ref].asked
+	return c.jobs[ref] != nil && c.jobs[ref].cancelRequested
 }
 
 // Notice gives a machine a spot notice, after which the cloud takes it.
@@ -208,9 +208,9 @@
 	seconds := left.Seconds()
 	a.mu.Lock()
 	a.notice = &seconds
-	a.note()
+	a.markChanged()
 	a.mu.Unlock()
-	a.w.running.Go(func() {
+	a.w.goroutines.Go(func() {
 		if a.w.Sleep(left) {
 			a.Die()
 		}
--- a/internal/testkit/loopback.go
+++ b/internal/testkit/loopback.go
@@ -130,7 +130,7 @@
 	var servers []*httptest.Server
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.listen = func(a *Agent) string {
+	w.assignAddr = func(a *Agent) string {
 		s := httptest.NewServer(a.http())
 		servers = append(servers, s)
 		return strings.TrimPrefix(s.URL, "http://")
@@ -153,7 +153,7 @@
 		if !decodeBody(w, r, &o) {
 			return
 		}
-		rep, ok, err := a.command(o)
+		rep, ok, err := a.executeDirect(o)
 		switch {
 		case err != nil:
 			w.WriteHeader(http.StatusInternalServerError)
@@ -165,7 +165,7 @@
 		}
 	})
 	mux.HandleFunc("GET "+wire.ShowPath, func(w http.ResponseWriter, r *http.Request) {
-		rep, err := a.show()
+		rep, err := a.heartbeat()
 		answer(w, rep, err)
 	})
 	return mux
--- a/internal/testkit/loss.go
+++ b/internal/testkit/loss.go
@@ -28,7 +28,7 @@
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
 	s.state.rev, s.state.entries, s.state.log = i.Revision, maps.Clone(i.Entries), slices.Clone(i.log)
-	s.wake()
+	s.wakeWatches()
 }
 
 // Lose makes the service forget records without a trace, and returns them.
--- a/internal/testkit/network.go
+++ b/internal/testkit/network.go
@@ -34,10 +34,10 @@
 
 // Network carries calls between named ends, in bubble time.
 type Network struct {
-	mu    sync.Mutex
-	cuts  map[*Partition]bool
-	held  []heldMessage
-	delay time.Duration
+	mu         sync.Mutex
+	partitions map[*Partition]bool
+	held       []heldMessage
+	delay      time.Duration
 }
 
 type heldMessage struct {
@@ -47,16 +47,16 @@
 }
 
 // NewNetwork returns a network without cuts.
-func NewNetwork() *Network { return &Network{cuts: map[*Partition]bool{}, delay: usualDelay} }
+func NewNetwork() *Network { return &Network{partitions: map[*Partition]bool{}, delay: defaultDelay} }
 
 // AddPartition adds a rule and returns what takes it away and delivers what it held.
 func (n *Network) AddPartition(c *Partition) (heal func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cuts[c] = true
+	n.partitions[c] = true
 	return func() {
 		n.mu.Lock()
-		delete(n.cuts, c)
+		delete(n.partitions, c)
 		var rest, due []heldMessage
 		for _, h := range n.held {
 			if _, blocked := n.blocked(h.from, h.to, h.answer); blocked {
@@ -77,17 +77,17 @@
 func (n *Network) Slow(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.delay = usualDelay + d
+	n.delay = defaultDelay + d
 }
 
-// usualDelay is how long a message takes.
-const usualDelay = time.Millisecond
+// defaultDelay is how long a message takes.
+const defaultDelay = time.Millisecond
 
 // Heal takes all rules away.
 func (n *Network) Heal() {
 	n.mu.Lock()
-	clear(n.cuts)
-	n.delay = usualDelay
+	clear(n.partitions)
+	n.delay = defaultDelay
 	due := n.held
 	n.held = nil
 	n.mu.Unlock()
@@ -98,7 +98,7 @@
 
 // blocked tells whether a rule matches, and whether it holds. The lock is held.
 func (n *Network) blocked(from, to string, answer bool) (hold, blocked bool) {
-	for c := range n.cuts {
+	for c := range n.partitions {
 		if c.Match(from, to) && !(answer && c.RequestsOnly) {
 			hold, blocked = hold || c.Hold, true
 		}
--- a/internal/testkit/orders.go
+++ b/internal/testkit/orders.go
@@ -10,24 +10,24 @@
 // CommandLog are the starts and stops that workers were given, as they saw them.
 type CommandLog struct {
 	mu  sync.Mutex
-	all []seenOrder
+	all []receivedCommand
 }
 
-type seenOrder struct {
+type receivedCommand struct {
 	at    time.Time
 	start bool
 }
 
 // CommandLog returns the orders of all workers.
-func (w *World) CommandLog() *CommandLog { return &w.orders }
+func (w *World) CommandLog() *CommandLog { return &w.commandLog }
 
-func (o *CommandLog) note(op string) {
+func (o *CommandLog) add(op string) {
 	if op == wire.Forget {
 		return
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.all = append(o.all, seenOrder{time.Now(), op == wire.Start})
+	o.all = append(o.all, receivedCommand{time.Now(), op == wire.Start})
 }
 
 // MostWithin returns the most starts within any time of length d between two moments, or of
--- a/internal/testkit/service.go
+++ b/internal/testkit/service.go
@@ -23,16 +23,16 @@
 type StateService struct {
 	state *State
 
-	mu      sync.Mutex
-	down    bool
-	refused map[string]bool
-	cut     map[string]bool
-	leases  map[uint64]*lease
-	changed chan struct{} // closed at the next change
-	slow    time.Duration
-	fate    func(from string, t wire.Txn) TxnFault
-	writes  []Write
-	observe Observer
+	mu          sync.Mutex
+	down        bool
+	refused     map[string]bool
+	partitioned map[string]bool
+	leases      map[uint64]*lease
+	changed     chan struct{} // closed at the next change
+	slow        time.Duration
+	chooseFault func(from string, t wire.Txn) TxnFault
+	writes      []Write
+	observe     Observer
 }
 
 // Observer is told what happens among scripted peers, with keys and values as a logger.
@@ -65,7 +65,7 @@
 
 // NewStateService returns an empty state service.
 func NewStateService() *StateService {
-	return &StateService{state: NewState(), refused: map[string]bool{}, cut: map[string]bool{}, leases: map[uint64]*lease{}, changed: make(chan struct{})}
+	return &StateService{state: NewState(), refused: map[string]bool{}, partitioned: map[string]bool{}, leases: map[uint64]*lease{}, changed: make(chan struct{})}
 }
 
 // Outage begins or ends an outage for all. At its end every lease has its full
@@ -79,7 +79,7 @@
 		}
 	}
 	s.down = down
-	s.wake()
+	s.wakeWatches()
 }
 
 // Refuse begins or ends the refusal of one controller alone: its leases run out.
@@ -87,15 +87,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refused[label] = on
-	s.wake()
+	s.wakeWatches()
 }
 
 // Partition begins or ends a cut between one controller and the service.
 func (s *StateService) Partition(label string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cut[label] = on
-	s.wake()
+	s.partitioned[label] = on
+	s.wakeWatches()
 }
 
 // Slow adds to the time that each request takes.
@@ -109,7 +109,7 @@
 func (s *StateService) InjectTxnFaults(fate func(from string, t wire.Txn) TxnFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fate = fate
+	s.chooseFault = fate
 }
 
 // Repeat carries a transaction out once more, as a copy of it that comes late.
@@ -144,8 +144,8 @@
 	return slices.Clone(s.writes)
 }
 
-// wake lets watches look again. The lock is held.
-func (s *StateService) wake() {
+// wakeWatches lets watches look again. The lock is held.
+func (s *StateService) wakeWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -165,7 +165,7 @@
 	}
 	if err == nil && len(t.Then) > 0 {
 		s.writes = append(s.writes, Write{from, time.Now(), t})
-		s.wake()
+		s.wakeWatches()
 	}
 	return rev, err
 }
@@ -192,23 +192,23 @@
 	}
 	if len(t.Then) > 0 {
 		s.state.apply(t) // no conditions: it can't fail
-		s.wake()
+		s.wakeWatches()
 	}
 }
 
 // StoreClient is the service as one process of a controller reaches it. It implements
 // statestore.Store.
 type StoreClient struct {
-	s     *StateService
-	label string
-	life  context.Context // the process's
+	s        *StateService
+	label    string
+	lifetime context.Context // the process's
 }
 
 var _ statestore.Store = (*StoreClient)(nil)
 
 // StoreClient returns the service for a process that lives as long as ctx.
 func (s *StateService) StoreClient(ctx context.Context, label string) *StoreClient {
-	return &StoreClient{s: s, label: label, life: ctx}
+	return &StoreClient{s: s, label: label, lifetime: ctx}
 }
 
 // wait sleeps unless the caller or its process ends first.
@@ -217,16 +217,16 @@
 	defer t.Stop()
 	select {
 	case <-t.C:
-		return l.life.Err()
+		return l.lifetime.Err()
 	case <-ctx.Done():
 		return ErrLost
-	case <-l.life.Done():
-		return l.life.Err()
+	case <-l.lifetime.Done():
+		return l.lifetime.Err()
 	}
 }
 
-// begin carries a request to the service, which is locked if it arrives.
-func (l *StoreClient) begin(ctx context.Context) error {
+// sendRequest carries a request to the service, which is locked if it arrives.
+func (l *StoreClient) sendRequest(ctx context.Context) error {
 	l.s.mu.Lock()
 	delay := serviceDelay + l.s.slow
 	l.s.mu.Unlock()
@@ -235,7 +235,7 @@
 	}
 	l.s.mu.Lock()
 	switch {
-	case l.s.cut[l.label]:
+	case l.s.partitioned[l.label]:
 		l.s.mu.Unlock()
 		l.wait(ctx, serviceTimeout)
 		return ErrLost
@@ -248,7 +248,7 @@
 
 // Get implements statestore.Store.
 func (l *StoreClient) Get(ctx context.Context, purpose statestore.Purpose, key string) (wire.Entry, error) {
-	if err := l.begin(ctx); err != nil {
+	if err := l.sendRequest(ctx); err != nil {
 		return wire.Entry{}, err
 	}
 	defer l.s.mu.Unlock()
@@ -257,7 +257,7 @@
 
 // List implements statestore.Store.
 func (l *StoreClient) List(ctx context.Context, purpose statestore.Purpose, prefix string) ([]wire.Entry, uint64, error) {
-	if err := l.begin(ctx); err != nil {
+	if err := l.sendRequest(ctx); err != nil {
 		return nil, 0, err
 	}
 	defer l.s.mu.Unlock()
@@ -266,7 +266,7 @@
 
 // ListPage implements statestore.Store.
 func (l *StoreClient) ListPage(ctx context.Context, purpose statestore.Purpose, prefix, after string, limit int) (wire.EntryPage, error) {
-	if err := l.begin(ctx); err != nil {
+	if err := l.sendRequest(ctx); err != nil {
 		return wire.EntryPage{}, err
 	}
 	defer l.s.mu.Unlock()
@@ -275,12 +275,12 @@
 
 // Txn implements statestore.Store.
 func (l *StoreClient) Txn(ctx context.Context, _ statestore.Purpose, t wire.Txn) (uint64, error) {
-	if err := l.begin(ctx); err != nil {
+	if err := l.sendRequest(ctx); err != nil {
 		return 0, err
 	}
 	var f TxnFault
-	if l.s.fate != nil {
-		f = l.s.fate(l.label, t)
+	if l.s.chooseFault != nil {
+		f = l.s.chooseFault(l.label, t)
 	}
 	if l.s.observe != nil && f != (TxnFault{}) {
 		l.s.observe("fate of the next transaction", "from", l.label, "fate", f, "then", t.Then)
@@ -310,7 +310,7 @@
 
 // Grant implements statestore.Store.
 func (l *StoreClient) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
-	if err := l.begin(ctx); err != nil {
+	if err := l.sendRequest(ctx); err != nil {
 		return 0, err
 	}
 	defer l.s.mu.Unlock()
@@ -321,7 +321,7 @@
 
 // Renew implements statestore.Store.
 func (l *StoreClient) Renew(ctx context.Context, id uint64) error {
-	if err := l.begin(ctx); err != nil {
+	if err := l.sendRequest(ctx); err != nil {
 		return err
 	}
 	defer l.s.mu.Unlock()
@@ -335,7 +335,7 @@
 
 // Watch implements statestore.Store. One that is open waits through an outage.
 func (l *StoreClient) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (wire.Changes, error) {
-	if err := l.begin(ctx); err != nil {
+	if err := l.sendRequest(ctx); err != nil {
 		return wire.Changes{}, err
 	}
 	until := time.NewTimer(wait)
@@ -344,7 +344,7 @@
 	defer gaveUp.Stop()
 	over := false
 	for { // the service is locked here
-		if !l.s.down && !l.s.refused[l.label] && !l.s.cut[l.label] {
+		if !l.s.down && !l.s.refused[l.label] && !l.s.partitioned[l.label] {
 			ch, err := l.s.state.Watch(ctx, prefix, since, 0)
 			if err != nil || len(ch.Events) > 0 || over {
 				l.s.mu.Unlock()
@@ -359,8 +359,8 @@
 			over = true
 		case <-gaveUp.C:
 			return wire.Changes{}, ErrLost
-		case <-l.life.Done():
-			return wire.Changes{}, l.life.Err()
+		case <-l.lifetime.Done():
+			return wire.Changes{}, l.lifetime.Err()
 		}
 		l.s.mu.Lock()
 	}
--- a/internal/testkit/users.go
+++ b/internal/testkit/users.go
@@ -45,7 +45,7 @@
 func (w *World) Register(spec wire.Spec, l JobDurations) {
 	w.mu.Lock()
 	w.specs[spec.Ref] = spec
-	w.lengths[spec.Ref] = l
+	w.durations[spec.Ref] = l
 	w.mu.Unlock()
 	w.check.JobSubmitted(spec)
 }
@@ -71,7 +71,7 @@
 		}
 		if status, state := w.Ask(kind, label, ref, body); status == 200 || status == 201 {
 			w.mu.Lock()
-			w.told[ref] = state
+			w.lastStates[ref] = state
 			w.mu.Unlock()
 			return state, true
 		}
@@ -84,7 +84,7 @@
 
 // Follow polls a job every few seconds until it is over, as its user does.
 func (w *World) Follow(ref string) {
-	w.running.Go(func() {
+	w.goroutines.Go(func() {
 		for {
 			state, _ := w.AskUntilAnswered(Poll, ref, nil, 20*time.Second)
 			if state == wire.Done || state == wire.Cancelled || !w.Sleep(5*time.Second) {
@@ -104,5 +104,5 @@
 func (w *World) LastState(ref string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.told[ref]
+	return w.lastStates[ref]
 }
--- a/internal/testkit/world.go
+++ b/internal/testkit/world.go
@@ -24,33 +24,33 @@
 // machines, the users and the network between them, in the bubble time of
 // testing/synctest. Its checker watches.
 type World struct {
-	State   *StateService
-	Net     *Network
-	check   *Checker
-	timing  Timing
-	types   []wire.MachineType
-	labels  []string
-	rand    *rand.Rand
-	over    chan struct{}
-	running sync.WaitGroup
-
-	mu       sync.Mutex
-	nodes    map[string]Node
-	agents   map[string]*Agent
-	specs    map[string]wire.Spec
-	lengths  map[string]JobDurations
-	rentals  map[string][]string
-	rented   int
-	boot     time.Duration
-	full     bool
-	finished map[string]bool // completed tasks, whose results are kept
-	told     map[string]string
-	onEnd    func(ref string) // called when the last task of a job completes
-	mute     map[int]func(string) bool
-	mutes    int
-	orders   CommandLog
-	observe  Observer
-	listen   func(*Agent) string // gives a machine an address; nil: one of the scripted network
+	State      *StateService
+	Net        *Network
+	check      *Checker
+	timing     Timing
+	types      []wire.MachineType
+	labels     []string
+	rand       *rand.Rand
+	stopped    chan struct{}
+	goroutines sync.WaitGroup
+
+	mu             sync.Mutex
+	nodes          map[string]Node
+	agents         map[string]*Agent
+	specs          map[string]wire.Spec
+	durations      map[string]JobDurations
+	provisioned    map[string][]string
+	machineCount   int
+	bootTime       time.Duration
+	noCapacity     bool
+	completedTasks map[string]bool // completed tasks, whose results are kept
+	lastStates     map[string]string
+	onJobCompleted func(ref string) // called when the last task of a job completes
+	muted          map[int]func(string) bool
+	muteCount      int
+	commandLog     CommandLog
+	observe        Observer
+	assignAddr     func(*Agent) string // gives a machine an address; nil: one of the scripted network
 }
 
 // Ends of the network besides controllers, by label, and machines, by name.
@@ -61,13 +61,13 @@
 
 // Timeouts of the outside world's clients.
 const (
-	reportTimeout = 4 * time.Second
-	pollTimeout   = 2 * time.Second
-	submitTimeout = 5 * time.Second
-	directTimeout = 3 * time.Second
-	showTimeout   = 1500 * time.Millisecond
-	worldStep     = 100 * time.Millisecond
-	usualBoot     = 5 * time.Second
+	reportTimeout   = 4 * time.Second
+	pollTimeout     = 2 * time.Second
+	submitTimeout   = 5 * time.Second
+	directTimeout   = 3 * time.Second
+	showTimeout     = 1500 * time.Millisecond
+	stepInterval    = 100 * time.Millisecond
+	defaultBootTime = 5 * time.Second
 )
 
 // NewWorld returns a world for controllers of the given labels, and starts its time.
@@ -75,12 +75,12 @@
 func NewWorld(labels []string, types []wire.MachineType, timing Timing, check *Checker, seed uint64) *World {
 	w := &World{
 		State: NewStateService(), Net: NewNetwork(), check: check, timing: timing, types: types, labels: labels,
-		rand: rand.New(&lockedSource{src: rand.NewPCG(seed, 1)}), over: make(chan struct{}), nodes: map[string]Node{}, agents: map[string]*Agent{},
-		specs: map[string]wire.Spec{}, lengths: map[string]JobDurations{}, rentals: map[string][]string{}, boot: usualBoot,
-		finished: map[string]bool{}, told: map[string]string{}, mute: map[int]func(string) bool{},
+		rand: rand.New(&lockedSource{src: rand.NewPCG(seed, 1)}), stopped: make(chan struct{}), nodes: map[string]Node{}, agents: map[string]*Agent{},
+		specs: map[string]wire.Spec{}, durations: map[string]JobDurations{}, provisioned: map[string][]string{}, bootTime: defaultBootTime,
+		completedTasks: map[string]bool{}, lastStates: map[string]string{}, muted: map[int]func(string) bool{},
 	}
 	check.SetCompletionLookup(w.completionRecorded)
-	w.running.Go(w.tick)
+	w.goroutines.Go(w.run)
 	return w
 }
 
@@ -118,13 +118,13 @@
 
 // Stop ends the world and waits until nothing of it runs.
 func (w *World) Stop() {
-	close(w.over)
-	w.running.Wait()
+	close(w.stopped)
+	w.goroutines.Wait()
 }
 
-func (w *World) isOver() bool {
+func (w *World) isStopped() bool {
 	select {
-	case <-w.over:
+	case <-w.stopped:
 		return true
 	default:
 		return false
@@ -132,7 +132,7 @@
 }
 
 // Go runs f beside the test; Stop waits for it.
-func (w *World) Go(f func()) { w.running.Go(f) }
+func (w *World) Go(f func()) { w.goroutines.Go(f) }
 
 // Sleep waits, and reports false if the world is over first.
 func (w *World) Sleep(d time.Duration) bool {
@@ -141,7 +141,7 @@
 	select {
 	case <-t.C:
 		return true
-	case <-w.over:
+	case <-w.stopped:
 		return false
 	}
 }
@@ -170,16 +170,16 @@
 	return spec, ok
 }
 
-func (w *World) length(ref string) JobDurations {
+func (w *World) jobDurations(ref string) JobDurations {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.lengths[ref]
+	return w.durations[ref]
 }
 
 func (w *World) completed(ref string, i int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.finished[ref+"/"+strconv.Itoa(i)]
+	return w.completedTasks[ref+"/"+strconv.Itoa(i)]
 }
 
 // Machines returns all machines that are up, by name.
@@ -213,9 +213,9 @@
 	})
 }
 
-// tick moves the machines.
-func (w *World) tick() {
-	for w.Sleep(worldStep) {
+// run moves the machines.
+func (w *World) run() {
+	for w.Sleep(stepInterval) {
 		now := time.Now()
 		all := w.Machines()
 		for _, a := range all {
@@ -223,22 +223,22 @@
 			a.step(now)
 			a.mu.Unlock()
 		}
-		w.gangs(all, now)
-		w.check.CheckDurations(w.room)
+		w.stepGangs(all, now)
+		w.check.CheckDurations(w.hasRoom)
 	}
 }
 
-func (w *World) finish(ref string, i int) {
+func (w *World) completeTask(ref string, i int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.finished[ref+"/"+strconv.Itoa(i)] = true
+	w.completedTasks[ref+"/"+strconv.Itoa(i)] = true
 	for i := range w.specs[ref].Tasks {
-		if !w.finished[ref+"/"+strconv.Itoa(i)] {
+		if !w.completedTasks[ref+"/"+strconv.Itoa(i)] {
 			return
 		}
 	}
-	if w.onEnd != nil {
-		go w.onEnd(ref)
+	if w.onJobCompleted != nil {
+		go w.onJobCompleted(ref)
 	}
 }
 
@@ -246,7 +246,7 @@
 func (w *World) OnEnd(f func(ref string)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.onEnd = f
+	w.onJobCompleted = f
 }
 
 // Observe tells of every heartbeat that is delivered, with its answer, and of every transaction.
@@ -276,7 +276,7 @@
 		status int
 		body   []byte
 	}
-	if w.isMute(from) {
+	if w.isMuted(from) {
 		w.Sleep(reportTimeout)
 		return 0, "", o, ErrLost
 	}
@@ -285,7 +285,7 @@
 		if n == nil {
 			return answer{}, ErrRefused
 		}
-		w.noteReached(&r)
+		w.markDelivered(&r)
 		status, body, err := n.Handle("POST", wire.HeartbeatPath, body)
 		return answer{status, body}, err
 	})
@@ -303,8 +303,8 @@
 	return a.status, redirect, o, err
 }
 
-// noteReached notes that a report, perhaps a late copy, is brought to a controller.
-func (w *World) noteReached(r *wire.Heartbeat) {
+// markDelivered notes that a report, perhaps a late copy, is brought to a controller.
+func (w *World) markDelivered(r *wire.Heartbeat) {
 	w.mu.Lock()
 	a := w.agents[r.Machine]
 	w.mu.Unlock()
@@ -314,7 +314,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if r.Session == a.session {
-		a.noteReached(r)
+		a.markDelivered(r)
 	}
 }
 
@@ -323,13 +323,13 @@
 func (w *World) Mute(ids func(string) bool) (heal func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.mutes++
-	n := w.mutes
-	w.mute[n] = ids
+	w.muteCount++
+	n := w.muteCount
+	w.muted[n] = ids
 	return func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		delete(w.mute, n)
+		delete(w.muted, n)
 	}
 }
 
@@ -344,18 +344,18 @@
 		w.State.Partition(label, false)
 	}
 	w.mu.Lock()
-	clear(w.mute)
-	w.boot, w.full = usualBoot, false
+	clear(w.muted)
+	w.bootTime, w.noCapacity = defaultBootTime, false
 	w.mu.Unlock()
 	for _, a := range w.Machines() {
 		a.Hang(false)
 	}
 }
 
-func (w *World) isMute(id string) bool {
+func (w *World) isMuted(id string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, ids := range w.mute {
+	for _, ids := range w.muted {
 		if ids(id) {
 			return true
 		}
