--- a/internal/contract/fill_test.go
+++ b/internal/contract/fill_test.go
@@ -14,11 +14,11 @@
 	"time"
 )
 
-// update writes the golden files anew. It is for layouts that are added.
+// update rewrites the golden files. It is meant for added layouts only.
 var update = flag.Bool("update", false, "write the golden files")
 
-// fill sets everything in a value, each field by its name in the contract: two fields that
-// changed their names with each other come out different.
+// fill sets every field in a value, each by its name in the contract, so that two fields that swapped
+// their names get different values.
 func fill(v reflect.Value, name string, nameOf func(reflect.StructField) string) {
 	h := fnv.New32a()
 	h.Write([]byte(name))
@@ -66,18 +66,18 @@
 	case reflect.Uint8, reflect.Uint64:
 		v.SetUint(uint64(n % 256))
 	default:
-		panic("no value of " + v.Type().String())
+		panic("no test value for type " + v.Type().String())
 	}
 }
 
-// filled returns a value of the type of another with everything set.
+// filled returns a value of the same type as like with every field set.
 func filled(like any, nameOf func(reflect.StructField) string) reflect.Value {
 	v := reflect.New(reflect.TypeOf(like)).Elem()
 	fill(v, "", nameOf)
 	return v
 }
 
-// tagged returns a field's name by a tag, or its position where it has none.
+// tagged returns a function that names a field by a tag, or by its position if it has none.
 func tagged(tag string) func(reflect.StructField) string {
 	return func(f reflect.StructField) string {
 		name, _, _ := strings.Cut(f.Tag.Get(tag), ",")
@@ -88,7 +88,7 @@
 	}
 }
 
-// shape lists the names of a type's fields, and of theirs, with their kinds.
+// shape lists the paths of all fields in a type, nested ones as well, with their kinds.
 func shape(t reflect.Type, path string, nameOf func(reflect.StructField) string) []string {
 	switch t.Kind() {
 	case reflect.Pointer:
@@ -129,7 +129,7 @@
 			if i < len(s) {
 				return s[i]
 			}
-			return "nothing"
+			return "no line"
 		}
 		if line(got) != line(want) {
 			t.Fatalf("%s:%d:\n got %s\nwant %s", path, i+1, line(got), line(want))
--- a/internal/contract/gob_test.go
+++ b/internal/contract/gob_test.go
@@ -16,8 +16,8 @@
 	"bramblespur/internal/wire"
 )
 
-// gobLayouts are what controllers send each other. The bytes name fields, so that one of
-// another name would arrive empty and nobody would notice.
+// gobLayouts are the messages between controllers. Gob matches fields by name, so a renamed field
+// would arrive empty without an error.
 var gobLayouts = []struct {
 	name  string
 	value any
@@ -35,10 +35,11 @@
 	{"Status reply", wire.Status{}},
 }
 
+// fieldName names a field as gob does.
 func fieldName(f reflect.StructField) string { return f.Name }
 
-// The fields of every message keep their names, kinds and order, and so their bytes but for
-// the names of Go types, which gob does not match.
+// The fields of every message keep their names, kinds and order. Their bytes are then the same except
+// for the names of Go types, which gob does not compare.
 func TestPeerMessagesKeepTheirFields(t *testing.T) {
 	var got []string
 	for _, x := range gobLayouts {
@@ -49,7 +50,7 @@
 	golden(t, "peer-fields.golden", got)
 }
 
-// What the earlier version sends arrives whole, and what was cut off is an error.
+// A message of the earlier version is decoded with all its fields, and a truncated one is an error.
 func TestPeerMessagesAreReadAsSent(t *testing.T) {
 	if *update {
 		var written []string
@@ -77,13 +78,13 @@
 		}
 		for at := 0; at < len(sent); at += 1 + len(sent)/9 {
 			if err := gob.NewDecoder(bytes.NewReader(sent[:at])).DecodeValue(reflect.New(reflect.TypeOf(x.value))); err == nil {
-				t.Errorf("%s: its first %d bytes are taken for all", x.name, at)
+				t.Errorf("%s: its first %d bytes are decoded without an error", x.name, at)
 			}
 		}
 	}
 }
 
-// singleConnListener is a listener that hands out one connection.
+// singleConnListener is a listener that accepts one connection.
 type singleConnListener struct{ conns chan net.Conn }
 
 func (l singleConnListener) Accept() (net.Conn, error) {
@@ -96,13 +97,13 @@
 func (l singleConnListener) Close() error   { return nil }
 func (l singleConnListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// malformedOnlyHandler is a handler of which nothing but what can't be read is ever told.
+// malformedOnlyHandler is a handler that ignores malformed messages and is called for no others.
 type malformedOnlyHandler struct{ peer.Handler }
 
 func (malformedOnlyHandler) Malformed(string, error) {}
 
-// Every method is called by its name. Arguments of a wrong type show that it is there without
-// any of them being carried out.
+// Every method can be called by its name. Arguments of a wrong type show that a method exists without
+// executing it.
 func TestPeerMethodsKeepTheirNames(t *testing.T) {
 	l := singleConnListener{make(chan net.Conn, 1)}
 	defer close(l.conns)
@@ -112,11 +113,11 @@
 	c := rpc.NewClient(clientConn)
 	defer c.Close()
 	if err := c.Call("Controller.Nothing", "", new(int)); err == nil || !strings.Contains(err.Error(), "can't find method") {
-		t.Fatalf("a method that there is not: %v", err)
+		t.Fatalf("unknown method: error %v, want that it cannot be found", err)
 	}
 	for _, method := range []string{"Sync", "Nudge", "Report", "User", "Ping", "Format", "Lend", "Evidence", "Status"} {
 		if err := c.Call("Controller."+method, []complex128{1}, new(int)); err == nil || err == io.EOF || strings.Contains(err.Error(), "can't find") || !strings.Contains(err.Error(), "type") {
-			t.Errorf("%s: %v", method, err)
+			t.Errorf("%s: error %v, want one about the type of the arguments", method, err)
 		}
 	}
 	var got []string
--- a/internal/contract/json_test.go
+++ b/internal/contract/json_test.go
@@ -21,7 +21,7 @@
 	"bramblespur/internal/wire"
 )
 
-// jsonLayouts are the types that are written as JSON, by the names of the golden file.
+// jsonLayouts are the types that are written as JSON, by their names in the golden file.
 var jsonLayouts = []struct {
 	name  string
 	value any
@@ -78,8 +78,8 @@
 	{"snapshot manifest", snapshot.Manifest{}},
 }
 
-// Every layout is written byte by byte as before, with everything and with nothing set, and
-// what was written before is read as it was meant.
+// Every layout is encoded byte by byte as before, with all fields set and with none, and the golden
+// text decodes to the same values.
 func TestJSONLayouts(t *testing.T) {
 	var written []string
 	for _, x := range jsonLayouts {
@@ -103,8 +103,8 @@
 	}
 }
 
-// Every record is in the table of package record with its Go type, its writer, its readers and
-// when it goes.
+// Every record is in the table of package record with its Go type, its writer, its readers and when
+// it is deleted.
 func TestEveryRecordIsListed(t *testing.T) {
 	text, err := os.ReadFile("../record/doc.go")
 	if err != nil {
@@ -114,7 +114,7 @@
 	for _, row := range regexp.MustCompile(`(?m)^//\t(\S+)\s+(\S+)\s+(.+)$`).FindAllStringSubmatch(string(text), -1) {
 		listed["record "+row[1]] = row[2]
 		if !regexp.MustCompile(`^\S.*: .+\. Read by .+\. (Stays|Goes|Deleted).*\.$`).MatchString(row[3]) {
-			t.Errorf("%s: %s", row[1], row[3])
+			t.Errorf("%s: description %q lacks a writer, readers or when it is deleted", row[1], row[3])
 		}
 	}
 	want := map[string]string{}
@@ -124,11 +124,11 @@
 		}
 	}
 	if !reflect.DeepEqual(listed, want) {
-		t.Errorf("listed are\n%v, want\n%v", listed, want)
+		t.Errorf("listed records are\n%v, want\n%v", listed, want)
 	}
 }
 
-// readLayouts reads the layouts of a golden file by their names.
+// readLayouts reads the layouts of a golden file by name.
 func readLayouts(t *testing.T, path string) map[string]string {
 	t.Helper()
 	b, err := os.ReadFile(path)
@@ -143,8 +143,8 @@
 	return out
 }
 
-// A record of machines that was cut off or is of another kind is refused with its key, and
-// the records held before stay.
+// A fleet record that is truncated or of another kind is rejected with its key in the error, and the
+// records held before stay.
 func TestMalformedFleetRecordsAreNotApplied(t *testing.T) {
 	layouts := readLayouts(t, "testdata/json.golden")
 	for key, layout := range map[string]string{
@@ -159,7 +159,7 @@
 		held := f.Entries()
 		for _, bad := range badValues(layout) {
 			if _, err := f.Apply(wire.Change{Put: key, Value: bad, Version: 2}); err == nil || !strings.Contains(err.Error(), key) {
-				t.Errorf("%s: %s: error %v", key, bad, err)
+				t.Errorf("%s: %s: error %v, want one with the key", key, bad, err)
 			}
 			if got := f.Entries(); !reflect.DeepEqual(got, held) {
 				t.Errorf("%s: %s: held %v, want %v", key, bad, got, held)
@@ -168,7 +168,7 @@
 	}
 }
 
-// badValues returns a layout cut off at several places, and values of other kinds.
+// badValues returns a layout truncated at several places, and values of other kinds.
 func badValues(layout string) [][]byte {
 	out := [][]byte{nil, []byte(`[]`), []byte(`"x"`), []byte(`{"ids":7,"type":7}`)}
 	for at := 1; at < len(layout); at += 1 + len(layout)/7 {
@@ -177,7 +177,7 @@
 	return out
 }
 
-// A record of drains that makes no sense is told with its key and nothing of it is held.
+// A malformed record of a drain is rejected with its key in the error, and nothing of it is held.
 func TestMalformedDrainRecordsAreNotApplied(t *testing.T) {
 	layouts := readLayouts(t, "testdata/json.golden")
 	for key, name := range map[string]string{
@@ -191,11 +191,11 @@
 			v := drain.NewView()
 			err := v.Apply(wire.Change{Put: key, Value: []byte(layout[:at]), Version: 1})
 			if err == nil || !strings.Contains(err.Error(), key) {
-				t.Errorf("%s: %q: error %v", key, layout[:at], err)
+				t.Errorf("%s: %q: error %v, want one with the key", key, layout[:at], err)
 			}
 			held := len(v.Plans()) + len(v.Ledger("a").Rec.Open) + len(v.AllProgress("p")) + len(v.Cordons().Rec.Machines)
 			if held != 0 || v.InUse() {
-				t.Errorf("%s: %q: %d records are held", key, layout[:at], held)
+				t.Errorf("%s: %q: %d records are held, want none", key, layout[:at], held)
 			}
 		}
 	}
--- a/internal/contract/names_test.go
+++ b/internal/contract/names_test.go
@@ -16,7 +16,7 @@
 	"bramblespur/internal/wire"
 )
 
-// Keys and prefixes of records, by what the golden text of each is.
+// Keys and prefixes of records keep their text.
 func TestKeys(t *testing.T) {
 	for want, got := range map[string]string{
 		"ctl/": record.ClusterPrefix, "ctl/leader": record.LeaderKey, "ctl/types": record.MachineTypesKey,
@@ -44,11 +44,11 @@
 		}
 	}
 	if got := strings.Join(record.Prefixes(), " "); got != "ctl/ fleet/ jobs/ open/ pipes/ runs/" {
-		t.Errorf("prefixes: %s", got)
+		t.Errorf("prefixes: %s, want ctl/ fleet/ jobs/ open/ pipes/ runs/", got)
 	}
 }
 
-// Which shard a job or a team belongs to is the same in every version.
+// A job or a team belongs to the same shard in every version.
 func TestShardsOfNames(t *testing.T) {
 	teams := []string{"a", "b", "c"}
 	for team, want := range map[string]int{"a": 0, "b": 1, "c": 0} {
@@ -63,7 +63,7 @@
 	}
 }
 
-// The words that stand in the published protocols.
+// The words of the published protocols stay.
 func TestWordsOfProtocols(t *testing.T) {
 	for want, got := range map[string]string{
 		"batch": wire.Array, "ensemble": wire.Gang, "standing": wire.Service,
@@ -81,7 +81,7 @@
 	}
 }
 
-// Every field of the platform's settings file.
+// The fields of the settings file keep their names and kinds.
 func TestSettingsFields(t *testing.T) {
 	golden(t, "settings.golden", shape(reflect.TypeFor[config.Settings](), "", tagged("toml")))
 }
@@ -115,7 +115,7 @@
 window_s = 18.0
 `
 
-// Every field of the operators' file is taken, and makes a difference.
+// Every field of the operators' file is accepted and has an effect; an unknown field is rejected.
 func TestOperationsFields(t *testing.T) {
 	full, err := operations.Parse(fullOperations)
 	if err != nil {
@@ -128,7 +128,7 @@
 		}
 		changed := "5" + number
 		if n, err := strconv.Atoi(number); err == nil {
-			changed = strconv.Itoa(n - 1) // a class may not have more than its team
+			changed = strconv.Itoa(n - 1) // the budget of a class must not exceed that of its team
 		} else if strings.HasPrefix(number, "0.") {
 			changed = "0.3"
 		}
@@ -138,16 +138,17 @@
 		if err != nil {
 			t.Errorf("%s = %s: %v", name, changed, err)
 		} else if reflect.DeepEqual(other, full) {
-			t.Errorf("%s on line %d makes no difference", name, i+1)
+			t.Errorf("%s on line %d has no effect", name, i+1)
 		}
 		lines[i] = "un" + line
 		if _, err := operations.Parse(strings.Join(lines, "\n")); err == nil {
-			t.Errorf("un%s is taken", name)
+			t.Errorf("unknown field un%s is accepted", name)
 		}
 	}
 }
 
-// Every setting of a policy file, with everything that it may depend on.
+// Every setting of a policy file is accepted, with every variable that it may use; an unknown setting
+// is rejected.
 func TestPolicyFields(t *testing.T) {
 	for _, text := range []string{
 		`share = 'team == "a" ? cpus : gpus'`,
@@ -159,7 +160,7 @@
 			t.Errorf("%s: %v", text, err)
 		}
 		if _, err := policy.Parse("un" + text); err == nil {
-			t.Errorf("un%s is taken", text)
+			t.Errorf("unknown setting un%s is accepted", text)
 		}
 	}
 }
--- a/internal/contract/snapshot_test.go
+++ b/internal/contract/snapshot_test.go
@@ -15,8 +15,8 @@
 	"bramblespur/internal/wire"
 )
 
-// store is a state service with a record of each prefix, of one revision. It answers so many
-// requests for pages.
+// store is a state service with two records for each prefix, all of one revision. It answers as many
+// requests for pages as pages says.
 type store struct{ pages int }
 
 var errDown = errors.New("down")
@@ -51,7 +51,7 @@
 	goldenPartial   = "testdata/partial"
 )
 
-// takeInto takes a snapshot of a store into a directory.
+// takeInto takes a snapshot into a directory from a store that answers the given number of pages.
 func takeInto(t *testing.T, dir string, pages int) (*snapshot.Manifest, error) {
 	t.Helper()
 	now := time.Date(2026, 3, 9, 12, 0, 0, 0, time.UTC)
@@ -60,7 +60,7 @@
 	return taker.Take(t.Context())
 }
 
-// files returns what is in a directory's files, but for the lock, by their names.
+// files returns the contents of a directory's files by their names, without the lock file.
 func files(t *testing.T, dir string) map[string][]byte {
 	t.Helper()
 	out := map[string][]byte{}
@@ -82,7 +82,7 @@
 	return out
 }
 
-// copyTo writes golden files where they may be changed.
+// copyTo writes files to a directory, for instance copies of golden files that a test changes.
 func copyTo(t *testing.T, dir string, contents map[string][]byte) {
 	t.Helper()
 	for name, b := range contents {
@@ -98,8 +98,7 @@
 
 const allPages = 6 // one for each prefix
 
-// A snapshot is written byte by byte as before, and one that was written before is read as it
-// was meant.
+// A snapshot is written byte by byte as before, and one of the earlier version is read completely.
 func TestSnapshotLayout(t *testing.T) {
 	dir := t.TempDir()
 	m, err := takeInto(t, dir, allPages)
@@ -132,7 +131,7 @@
 	}
 }
 
-// A snapshot that was cut off is gone on with, whichever version began it.
+// An interrupted snapshot is continued, whichever version began it.
 func TestPartialSnapshotLayout(t *testing.T) {
 	dir := t.TempDir()
 	const half = allPages / 2
@@ -150,6 +149,6 @@
 	begun := t.TempDir()
 	copyTo(t, begun, want)
 	if _, err := takeInto(t, begun, allPages-half); err != nil {
-		t.Errorf("gone on with: %v", err)
+		t.Errorf("continuing the interrupted snapshot: %v", err)
 	}
 }
--- a/internal/testkit/agent.go
+++ b/internal/testkit/agent.go
@@ -9,17 +9,18 @@
 	"bramblespur/internal/wire"
 )
 
-// Timing is what the settings say of workers.
+// Timing holds the settings of workers: the interval of heartbeats, the lease, how long a task awaits
+// its gang, how long it outlives its gang's peers, and how long a cancelled task may remain.
 type Timing struct {
 	Report, Lease, GangWait, GangPeer, Cancel time.Duration
 }
 
-// JobDurations says how long a job's tasks run and its image takes to come.
+// JobDurations is how long each task of a job runs, and how long a machine fetches its image.
 type JobDurations struct{ Run, Fetch time.Duration }
 
-// Agent is a machine with its worker, which keeps the protocol in full: reports,
-// tokens, sessions, leases, commands, gangs, fetches, saving and hanging. Its world
-// moves it.
+// Agent is a machine with its worker, which implements the whole protocol: heartbeats, tokens,
+// incarnations, leases, commands, gangs, image fetches and checkpoints. It can also hang. Its world
+// advances it by calls of step. Its exported methods are safe for concurrent use.
 type Agent struct {
 	Place
 	w    *World
@@ -27,23 +28,23 @@
 	addr string
 
 	mu               sync.Mutex
-	gone             bool
-	hung             bool
-	released         bool      // while it was well
-	unreachableUntil time.Time // while what is stopped there counts as lost
-	session          uint64
-	seq              uint64
+	gone             bool      // not up: it boots, has died or was released
+	hung             bool      // it sends nothing and its tasks do not advance
+	released         bool      // released while it was up
+	unreachableUntil time.Time // until then, a stop of its tasks counts as involuntary
+	session          uint64    // agent incarnation
+	seq              uint64    // number of the last heartbeat
 	token            uint64
-	leaseStart       time.Time // when the last answered report was sent
-	tasks            map[string]*agentTask
-	images           map[string]bool
-	notice           *float64
-	changed          bool // something to report
-	tokenReported    time.Time
-	lastSent         time.Time
-	queue            []func() // commands that wait for a hanging machine
-	wake             chan struct{}
-	recent           []wire.Heartbeat
+	leaseStart       time.Time             // when the last answered heartbeat was sent
+	tasks            map[string]*agentTask // by REF/INDEX
+	images           map[string]bool       // images on the machine
+	notice           *float64              // seconds left of a spot notice; nil: none
+	changed          bool                  // something changed since the last heartbeat
+	tokenReported    time.Time             // when a raised token last caused a heartbeat
+	lastSent         time.Time             // when the last heartbeat was sent
+	queue            []func()              // direct commands that wait while the machine hangs
+	wake             chan struct{}         // ends a sleep early
+	recent           []wire.Heartbeat      // latest heartbeats, the newest last
 }
 
 func newAgent(w *World, id string, typ wire.MachineType, zone string, spot bool) *Agent {
@@ -54,7 +55,7 @@
 	}
 }
 
-// nextHeartbeat makes the next nextHeartbeat. The lock is held.
+// nextHeartbeat returns the next heartbeat, with all tasks in the order of their names. The lock is held.
 func (a *Agent) nextHeartbeat() wire.Heartbeat {
 	a.seq++
 	r := wire.Heartbeat{
@@ -68,10 +69,10 @@
 	return r
 }
 
-// maxRecent is how many reports an agent remembers, for copies that come late.
+// maxRecent is how many heartbeats an agent keeps, for copies that are delivered late.
 const maxRecent = 64
 
-// run reports until the machine is gone.
+// run sends heartbeats until the machine is gone or the world is stopped.
 func (a *Agent) run() {
 	node := int(a.w.rand.Uint32()) % len(a.w.labels)
 	pause := time.Duration(a.w.rand.Int64N(int64(a.w.timing.Report)))
@@ -119,8 +120,8 @@
 	}
 }
 
-// sleep waits for d, or until something changed, but half a second since the last
-// report at least.
+// sleep waits for d. A change to report ends it earlier, but not within half a second of the last
+// heartbeat.
 func (a *Agent) sleep(d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -142,7 +143,8 @@
 	}
 }
 
-// raiseToken takes in a token. The lock is held.
+// raiseToken adopts a token if it is higher. It causes a heartbeat, but at most one in half a lease.
+// The lock is held.
 func (a *Agent) raiseToken(token uint64) {
 	if token <= a.token {
 		return
@@ -154,12 +156,13 @@
 	}
 }
 
-// markChanged marks a change that is to be reported. The lock is held.
+// markChanged notes a change that the next heartbeat should report soon. The lock is held.
 func (a *Agent) markChanged() {
 	a.changed = true
 	a.wakeUp()
 }
 
+// wakeUp lets a sleeping agent examine its state.
 func (a *Agent) wakeUp() {
 	select {
 	case a.wake <- struct{}{}:
@@ -167,12 +170,13 @@
 	}
 }
 
-// executeDirect carries out direct orders, or holds them while the machine hangs.
+// executeDirect executes direct commands and returns a heartbeat, and whether the token and the
+// incarnation were accepted. While the machine hangs it blocks.
 func (a *Agent) executeDirect(o wire.DirectCommands) (r wire.Heartbeat, ok bool, err error) {
 	a.mu.Lock()
 	if a.gone {
 		a.mu.Unlock()
-		a.w.Sleep(directTimeout) // it is silent
+		a.w.Sleep(directTimeout) // a machine that is gone does not answer
 		return r, false, ErrLost
 	}
 	if a.hung {
@@ -194,7 +198,7 @@
 	return r, ok, nil
 }
 
-// execute carries out direct orders. The lock is held.
+// execute executes direct commands and returns what executeDirect does. The lock is held.
 func (a *Agent) execute(o wire.DirectCommands) (wire.Heartbeat, bool) {
 	ok := o.Token >= a.token && o.Session == a.session
 	if ok {
@@ -206,7 +210,7 @@
 	return r, ok
 }
 
-// heartbeat returns the worker's report.
+// heartbeat returns a heartbeat on request. A machine that hangs or is gone does not answer.
 func (a *Agent) heartbeat() (wire.Heartbeat, error) {
 	a.mu.Lock()
 	if a.gone || a.hung {
@@ -220,13 +224,13 @@
 	return r, nil
 }
 
-// Hang makes the machine stand still, or go on.
+// Hang makes the machine hang, or resumes it: it then executes the direct commands that waited.
 func (a *Agent) Hang(hung bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.hung && !hung && !a.gone {
 		a.hung = false
-		a.step(time.Now()) // its lease first
+		a.step(time.Now()) // its lease may have expired, which comes before any command
 		for _, f := range a.queue {
 			f()
 		}
@@ -242,7 +246,7 @@
 	a.wakeUp()
 }
 
-// Die ends the machine with all that is on it.
+// Die ends the machine and all its tasks.
 func (a *Agent) Die() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -253,7 +257,7 @@
 	}
 }
 
-// Tasks returns the names of the tasks on the machine, in order.
+// Tasks returns the names, REF/INDEX, of the tasks that have not exited, in order.
 func (a *Agent) Tasks() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -267,14 +271,14 @@
 	return out
 }
 
-// RecentHeartbeats returns copies of the latest reports, the newest last.
+// RecentHeartbeats returns copies of the latest heartbeats, the newest last.
 func (a *Agent) RecentHeartbeats() []wire.Heartbeat {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.recent)
 }
 
-// Session is the worker's, 1 until its lease first runs out.
+// Session returns the agent incarnation. It is 1 until the lease first expires.
 func (a *Agent) Session() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/testkit/agent_tasks.go
+++ b/internal/testkit/agent_tasks.go
@@ -8,25 +8,27 @@
 	"bramblespur/internal/wire"
 )
 
+// agentTask is an attempt of a task on a machine. The lock of its agent protects it.
 type agentTask struct {
 	ref               string
 	index             int
 	attempt           uint64
 	state             string
-	why               string
-	saved             bool
-	since             time.Time // in this state
-	stopped           bool
-	saveEnd           time.Time
-	peersMissingSince time.Time // since when a gang's mate is missing
-	delivered         bool      // a report with its end has reached a controller
-	// injected says that a test put it there.
+	why               string    // reason of the exit
+	saved             bool      // a checkpoint was saved at the exit
+	since             time.Time // when it entered its state
+	stopped           bool      // it was told to stop and saves a checkpoint
+	saveEnd           time.Time // when the checkpoint is saved
+	peersMissingSince time.Time // since when a peer of its gang is missing; zero: none is
+	delivered         bool      // a heartbeat with its exit has reached a controller
+	// injected marks a task that a test put there without a command.
 	injected bool
 }
 
+// active reports whether the task has not exited.
 func (t *agentTask) active() bool { return t.state != wire.Exited }
 
-// executeCommands carries out commands in order. The lock is held.
+// executeCommands executes commands in order. The lock is held.
 func (a *Agent) executeCommands(commands []wire.Command) {
 	for _, c := range commands {
 		a.w.commandLog.add(c.Op)
@@ -52,7 +54,7 @@
 	}
 }
 
-// start carries out a start. The lock is held.
+// start executes a start command. The lock is held.
 func (a *Agent) start(name string, attempt uint64) {
 	ref, num, _ := strings.Cut(name, "/")
 	i := 0
@@ -70,7 +72,7 @@
 	const slack = 1e-6
 	switch {
 	case old != nil && old.active():
-		return // in use: the other attempt stays, which its reports tell
+		return // another attempt is active; the heartbeats report it
 	case !known || i >= spec.Tasks:
 		t.why = wire.ExitUnknownTask
 	case cpus+spec.CPUs > a.typ.CPUs+slack || gpus+spec.GPUs > a.typ.GPUs+slack || mem+spec.MemoryGB > a.typ.MemoryGB+slack:
@@ -83,7 +85,7 @@
 	a.markChanged()
 }
 
-// stop carries out a stop. The lock is held.
+// stop executes a stop command. The lock is held.
 func (a *Agent) stop(t *agentTask, grace time.Duration) {
 	spec, _ := a.w.spec(t.ref)
 	save := time.Duration(spec.SaveS * float64(time.Second))
@@ -98,7 +100,7 @@
 	a.exit(t, wire.ExitStopped, false)
 }
 
-// exit ends a task. The lock is held.
+// exit makes a task exit for a reason. The lock is held.
 func (a *Agent) exit(t *agentTask, why string, saved bool) {
 	t.state, t.why, t.saved, t.since = wire.Exited, why, saved, time.Now()
 	a.markChanged()
@@ -112,9 +114,10 @@
 	}
 }
 
+// name returns REF/INDEX.
 func (t *agentTask) name() string { return fmt.Sprintf("%s/%d", t.ref, t.index) }
 
-// dropTasks ends all tasks without a word. The lock is held.
+// dropTasks removes all tasks without any exit that could be reported. The lock is held.
 func (a *Agent) dropTasks() {
 	for name, t := range a.tasks {
 		switch {
@@ -128,7 +131,7 @@
 	a.tasks = map[string]*agentTask{}
 }
 
-// step moves time on: the lease, fetches, runs and saves. The lock is held.
+// step advances the lease, image fetches, runs and checkpoints to a time. The lock is held.
 func (a *Agent) step(now time.Time) {
 	if a.gone || a.hung {
 		return
@@ -153,7 +156,7 @@
 			}
 			a.images[spec.Image] = true
 			if a.w.completed(t.ref, t.index) {
-				a.exit(t, wire.Done, false) // its result is kept
+				a.exit(t, wire.Done, false) // the result of an earlier attempt is kept
 				continue
 			}
 			t.state, t.since = wire.Running, now
@@ -177,7 +180,7 @@
 	}
 }
 
-// markDelivered notes which ends a report brings to a controller. The lock is held.
+// markDelivered notes which exits a heartbeat delivers to a controller. The lock is held.
 func (a *Agent) markDelivered(r *wire.Heartbeat) {
 	for _, reported := range r.Tasks {
 		t := a.tasks[reported.Task]
@@ -187,8 +190,8 @@
 	}
 }
 
-// Inject puts a task on the machine that nobody ordered there, running or exited. The checker
-// does not count it: it is the test that breaks a rule by it.
+// Inject puts a task on the machine without a command, running or exited. The checker is not told of
+// it, since it is the test that breaks a rule.
 func (a *Agent) Inject(ref string, i int, attempt uint64, state, why string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/testkit/checker.go
+++ b/internal/testkit/checker.go
@@ -10,7 +10,7 @@
 	"bramblespur/internal/wire"
 )
 
-// The protocol's rules as the checker names them, and what else is expected.
+// Names of the rules of the protocol, and of further expectations, in violations.
 const (
 	RanTwice     = "ran_twice"
 	OverQuota    = "quota"
@@ -27,60 +27,62 @@
 	BadAnswer    = "wrong answer to bad input"
 )
 
-// waitLimit is how long a fitting job may wait, and pollLimit how long its polls may
-// stay unanswered, once all troubles are over.
+// Limits that apply while no fault is injected: waitLimit is how long a job may wait although a
+// machine has room for it, and pollLimit how long its polls may stay unanswered.
 const (
 	waitLimit = 90 * time.Second
 	pollLimit = 75 * time.Second
 )
 
-// Place is a machine as the checker needs to know it.
+// Place is a machine with the properties that restrict placement.
 type Place struct {
 	ID, Type, Zone string
 	Spot           bool
 }
 
-// Checker watches what happens on the machines and what users are told, and
-// collects what the protocol's rules forbid.
+// Checker verifies the protocol's rules. It is given each event on machines and each answer to a
+// user, and collects the violations. Its methods are safe for concurrent use.
 type Checker struct {
 	mu          sync.Mutex
-	teamLimits  map[string]float64       // limits in cards, 0: none
-	cancelLimit time.Duration            // how long a cancelled task may live on
-	jobs        map[string]*jobHistory   // submitted ones
-	placements  map[string]map[Place]int // task names by where they are, with a count of attempts
+	teamLimits  map[string]float64       // limits in GPUs, 0: none
+	cancelLimit time.Duration            // how long a task may remain on a machine after its cancellation
+	jobs        map[string]*jobHistory   // submitted jobs by REF
+	placements  map[string]map[Place]int // by task, REF/INDEX: the machines it is on, with the number of attempts on each
 	violations  []string
-	reported    map[string]bool
-	// recorded tells whether a task's completion is on record; nil: none is.
+	reported    map[string]bool // rules with the first word of a violation, of those reported
+	// recorded reports whether a task's completion is recorded in the state service; nil: none is.
 	recorded       func(ref string, task int) bool
-	faultFreeSince time.Time // when the last trouble ended, zero while there are some
+	faultFreeSince time.Time // when the last fault ended, zero while there are faults
 }
 
-// jobHistory is what the checker knows of a job.
+// jobHistory is what the checker has observed of a job. Its maps are keyed by task index.
 type jobHistory struct {
 	spec            wire.Spec
-	accepted        time.Time // when a user was first told so
-	cancelRequested bool      // its user asked for its end
-	cancelled       time.Time // when its user was told so
-	doneAnswered    time.Time
-	done            map[int]bool
-	lost            map[int]bool // done, but gone with their machine
-	undelivered     map[int]bool // those of them of which no controller ever heard
-	lastAnswer      time.Time
-	waitsSince      time.Time // since when it waits beside room
+	accepted        time.Time    // when a user was first answered that it is accepted
+	cancelRequested bool         // its user requested its cancellation
+	cancelled       time.Time    // when its user was first answered that it is cancelled
+	doneAnswered    time.Time    // when its user was first answered that it is done
+	done            map[int]bool // completed tasks
+	lost            map[int]bool // completed tasks whose machine is gone
+	undelivered     map[int]bool // lost tasks whose completion was in no heartbeat that reached a controller
+	lastAnswer      time.Time    // when its user last had an answer with a state
+	waitsSince      time.Time    // since when it waits although a machine has room; zero: it does not
 }
 
-// NewChecker returns a checker for teams with limits in cards, 0 for none.
+// NewChecker returns a checker for teams with limits in GPUs, 0 for none. A task may remain on a
+// machine for cancelAfter after its cancellation.
 func NewChecker(teams map[string]float64, cancelAfter time.Duration) *Checker {
 	return &Checker{teamLimits: teams, cancelLimit: cancelAfter, jobs: map[string]*jobHistory{}, placements: map[string]map[Place]int{}, reported: map[string]bool{}}
 }
 
-// Violations returns what was found, each once, in the order found.
+// Violations returns the violations in the order found, one for each rule and job, task or team.
 func (c *Checker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.violations)
 }
 
+// report adds a violation, unless one of this rule with the same first word was reported. The lock is held.
 func (c *Checker) report(rule, format string, args ...any) {
 	text := rule + ": " + fmt.Sprintf(format, args...)
 	if key := rule + strings.Fields(fmt.Sprintf(format, args...))[0]; !c.reported[key] {
@@ -89,7 +91,7 @@
 	}
 }
 
-// JobSubmitted takes in that a user is about to submit a job.
+// JobSubmitted notes that a user is about to submit a job.
 func (c *Checker) JobSubmitted(spec wire.Spec) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,7 +100,7 @@
 	}
 }
 
-// CancellationRequested takes in that a user asks for a job's end.
+// CancellationRequested notes that a user is about to request the cancellation of a job.
 func (c *Checker) CancellationRequested(ref string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,18 +109,18 @@
 	}
 }
 
-// Request is what a user asked of a node.
+// Request is a kind of user request.
 type Request int
 
-// The requests that the checker knows.
+// Kinds of user requests.
 const (
 	Submission Request = iota
 	Poll
 	Cancellation
 )
 
-// Answered takes in a node's answer: its status, and the job's state if that is 200
-// or 201.
+// Answered verifies the answer of a controller to a request sent at asked: its status, and the
+// job's state if the status is 200 or 201.
 func (c *Checker) Answered(kind Request, ref string, asked, got time.Time, status int, state string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,15 +155,15 @@
 	case !j.cancelled.IsZero() && !asked.Before(j.cancelled) && state != wire.Cancelled:
 		c.report(WentBack, "%s was cancelled, answer %s", ref, state)
 	case state == wire.Cancelled && !c.mayBeCancelled(j, map[string]bool{}):
-		c.report(WentBack, "%s is called cancelled though nobody asked for that", ref)
+		c.report(WentBack, "%s is reported cancelled, but no user requested it", ref)
 	case state == wire.Done && len(j.done) < j.spec.Tasks:
-		c.report(NotDone, "%s is called done with %d of %d tasks", ref, len(j.done), j.spec.Tasks)
+		c.report(NotDone, "%s is reported done with %d of %d tasks completed", ref, len(j.done), j.spec.Tasks)
 	}
 	if state == wire.Pending || state == wire.Running {
 		for _, root := range j.spec.DependsOn {
-			// One that is submitted later has its time from then on.
+			// The limit of a job accepted after the cancellation counts from its acceptance.
 			if r := c.jobs[root]; r != nil && !r.cancelled.IsZero() && asked.Sub(later(r.cancelled, j.accepted)) > c.cancelLimit {
-				c.report(Orphaned, "%s is %s long after %s was cancelled", ref, state, root)
+				c.report(Orphaned, "%s is still %s after its dependency %s was cancelled", ref, state, root)
 			}
 		}
 	}
@@ -173,8 +175,8 @@
 	}
 }
 
-// mayBeCancelled reports whether a job's user, or that of one that it needs, asked
-// for its end.
+// mayBeCancelled reports whether the cancellation of a job, or of one that it depends on, directly or
+// not, was requested. The lock is held; seen holds the jobs visited.
 func (c *Checker) mayBeCancelled(j *jobHistory, seen map[string]bool) bool {
 	if j.cancelRequested {
 		return true
@@ -190,20 +192,20 @@
 	return false
 }
 
-// TaskStarted takes in that a task starts on a machine.
+// TaskStarted verifies the start of a task on a machine.
 func (c *Checker) TaskStarted(task string, at Place) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ref, _, _ := strings.Cut(task, "/")
 	j := c.jobs[ref]
 	if j == nil {
-		c.report(Invented, "%s starts, its job was never submitted", task)
+		c.report(Invented, "%s starts, but its job was never submitted", task)
 		return
 	}
 	spec := j.spec
 	for p := range c.placements[task] {
 		if p != at {
-			c.report(RanTwice, "%s starts on %s while on %s", task, at.ID, p.ID)
+			c.report(RanTwice, "%s starts on %s while it is on %s", task, at.ID, p.ID)
 		}
 	}
 	if (spec.Types != nil && !slices.Contains(spec.Types, at.Type)) || (spec.Zone != nil && *spec.Zone != at.Zone) || (at.Spot && !spec.Spot) {
@@ -248,7 +250,7 @@
 	}
 }
 
-// TaskGone takes in that a task is not on a machine any more.
+// TaskGone notes that an attempt of a task is no longer on a machine.
 func (c *Checker) TaskGone(task string, at Place) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -260,7 +262,7 @@
 	}
 }
 
-// TaskCompleted takes in that a task has completed.
+// TaskCompleted notes that a task has completed.
 func (c *Checker) TaskCompleted(ref string, task int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -271,21 +273,21 @@
 	}
 }
 
-// CompletionLost takes in that a completed task is gone with its machine. If no report of it ever
-// reached a controller, or no controller has recorded it, nobody knows of the completion until the
-// task is started once more.
-func (c *Checker) CompletionLost(ref string, task int, reached bool) {
+// CompletionLost notes that the machine of a completed task is gone. delivered says whether a
+// heartbeat with the completion reached a controller. If none did, or no controller has recorded the
+// completion, the controllers cannot learn of it until the task is started again.
+func (c *Checker) CompletionLost(ref string, task int, delivered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if j := c.jobs[ref]; j != nil {
 		j.lost[task] = true
-		if !reached {
+		if !delivered {
 			j.undelivered[task] = true
 		}
 	}
 }
 
-// SetCompletionLookup sets how the checker learns whether the state service holds a task's completion.
+// SetCompletionLookup sets the function that reports whether the state service has a task's completion.
 func (c *Checker) SetCompletionLookup(recorded func(ref string, task int) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -293,7 +295,7 @@
 }
 
 // knownDone reports whether the controllers must know that all tasks of a job are done: their
-// machines still tell so, or it is on record. Of a gang one completion tells all.
+// machines still report it, or it is recorded. One completion of a gang implies all. The lock is held.
 func (c *Checker) knownDone(j *jobHistory) bool {
 	if !j.doneAnswered.IsZero() {
 		return true
@@ -310,7 +312,7 @@
 	return unknown == 0 || (j.spec.Kind == wire.Gang && unknown < j.spec.Tasks)
 }
 
-// mustRun reports whether a task certainly has to be started for its job to end.
+// mustRun reports whether a task certainly has to be started before its job can end.
 func (j *jobHistory) mustRun(task int) bool {
 	if j.spec.Kind == wire.Gang && len(j.done) == j.spec.Tasks && len(j.undelivered) < j.spec.Tasks {
 		return false
@@ -318,21 +320,22 @@
 	return !j.done[task] || j.undelivered[task]
 }
 
-// SetFaultFree takes in that all troubles are over, or that they begin.
-func (c *Checker) SetFaultFree(calm bool) {
+// SetFaultFree notes that all faults have ended, or that faults begin.
+func (c *Checker) SetFaultFree(faultFree bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.faultFreeSince = time.Time{}
-	if calm {
+	if faultFree {
 		c.faultFreeSince = time.Now()
 	}
 }
 
-// Room tells whether a task, or a gang, fits as things stand on machines of the zones
-// that are left to it.
+// Room reports whether a task, or a whole gang, fits on the present machines of the zones that are
+// allowed.
 type Room func(s *wire.Spec, may func(zone string) bool) bool
 
-// CheckDurations is to be called now and then: it finds what lasts too long.
+// CheckDurations verifies limits of time: of cancelled tasks on machines, of unanswered polls, and of
+// waiting jobs. It must be called regularly.
 func (c *Checker) CheckDurations(room Room) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -346,7 +349,7 @@
 		}
 		used[j.spec.Team] += j.spec.GPUs * float64(len(places))
 		if !j.cancelled.IsZero() && now.Sub(j.cancelled) > c.cancelLimit {
-			c.report(RanCancelled, "%s is there %v after its user was told", task, now.Sub(j.cancelled).Round(time.Second))
+			c.report(RanCancelled, "%s is on a machine %v after its user was answered that it is cancelled", task, now.Sub(j.cancelled).Round(time.Second))
 		}
 	}
 	for ref, j := range c.jobs {
@@ -358,7 +361,7 @@
 			continue
 		}
 		if since := later(c.faultFreeSince, later(j.lastAnswer, j.accepted)); now.Sub(since) > pollLimit {
-			c.report(Forgotten, "%s: no answer for %v after the troubles", ref, now.Sub(since).Round(time.Second))
+			c.report(Forgotten, "%s: no answer for %v without faults", ref, now.Sub(since).Round(time.Second))
 		}
 		if !c.waitsDespiteRoom(j, used, room) {
 			j.waitsSince = time.Time{}
@@ -373,6 +376,7 @@
 	}
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -380,8 +384,8 @@
 	return b
 }
 
-// waitsDespiteRoom reports whether a job has a task that is nowhere, though it may
-// start and a machine has room for it.
+// waitsDespiteRoom reports whether a job has a task that is on no machine, although it may start and
+// machines have room for it. The lock is held.
 func (c *Checker) waitsDespiteRoom(j *jobHistory, used map[string]float64, room Room) bool {
 	spec := &j.spec
 	missing := 0
@@ -411,11 +415,12 @@
 	return missing > 0 && (limit <= 0 || used[spec.Team]+float64(need)*spec.GPUs <= limit+1e-6) && room(spec, may)
 }
 
-// BadInput checks the answer to a request that is to be refused.
+// BadInput verifies the answer to a request that must be refused with the status wanted; 503 and 429
+// are allowed as well.
 func (c *Checker) BadInput(what string, status, want int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if status != want && status != 503 && status != 429 {
-		c.report(BadAnswer, "%s answered %d, not %d", what, status, want)
+		c.report(BadAnswer, "%s answered %d, want %d", what, status, want)
 	}
 }
--- a/internal/testkit/checker_test.go
+++ b/internal/testkit/checker_test.go
@@ -9,8 +9,8 @@
 	"bramblespur/internal/wire"
 )
 
-// Each rule is broken by a small script, which the checker must catch; and the
-// scripts without the last step break none.
+// Each script breaks one rule in its last step, which the checker must detect. Without that step the
+// script breaks no rule.
 func TestCheckerDetectsViolations(t *testing.T) {
 	const cancelAfter = 30 * time.Second
 	zoneA, zoneB := Place{ID: "m1", Type: "big", Zone: "a"}, Place{ID: "m2", Type: "big", Zone: "b"}
@@ -147,22 +147,22 @@
 				c := NewChecker(map[string]float64{"tight": 2}, cancelAfter)
 				x.ready(c)
 				if b := c.Violations(); len(b) > 0 {
-					t.Fatalf("before anything is wrong: %q", b)
+					t.Fatalf("violations %q before the last step, want none", b)
 				}
 				x.wrong(c)
 				if b := c.Violations(); len(b) != 1 || !strings.HasPrefix(b[0], x.rule+":") {
-					t.Errorf("found %q, want one of %s", b, x.rule)
+					t.Errorf("violations %q, want one of rule %s", b, x.rule)
 				}
 			})
 		})
 	}
 }
 
-// everywhere is room for any task.
+// everywhere is a Room that has room for any task.
 func everywhere(*wire.Spec, func(string) bool) bool { return true }
 
-// watchPending lets the checker look for longer than a job may wait, while users are told that their
-// jobs are pending.
+// watchPending lets the checker check durations for longer than a job may wait, while users are
+// answered that their jobs are pending.
 func watchPending(c *Checker, room Room, refs ...string) {
 	for range 30 {
 		for _, ref := range refs {
@@ -173,7 +173,7 @@
 	}
 }
 
-// What waits for a limit, for a dependency or for a machine waits rightly.
+// A job that waits for its team's limit, for a dependency or for a machine breaks no rule.
 func TestCheckerAllowsJustifiedWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewChecker(map[string]float64{"tight": 2}, time.Minute)
@@ -190,16 +190,16 @@
 		noGangs := func(spec *wire.Spec, may func(string) bool) bool { return spec.Kind != wire.Gang && may("a") }
 		watchPending(c, noGangs, "r1", "r2", "r3", "r4", "r5")
 		if b := c.Violations(); len(b) > 0 {
-			t.Errorf("found %q", b)
+			t.Errorf("violations %q, want none", b)
 		}
 	})
 }
 
-// A task that completed on a machine which was gone before it could tell so has to be started
-// again, and what depends on its job waits for that: here for the limit of the first job's team.
-// Chance schedules showed it (near-823): both tasks of run-000011 reported "done" only in
-// heartbeats without an answer, their machine died, "job waits job=run-000011 reason=team_limit"
-// and "job waits job=run-000013 reason=dependencies" stood side by side.
+// A task that completed on a machine that died before it could report the completion must be started
+// again, and jobs that depend on its job wait for that: here for the limit of the first job's team.
+// Random schedules showed it (near-823): both tasks of run-000011 reported "done" only in heartbeats
+// without an answer, their machine died, and "job waits job=run-000011 reason=team_limit" and "job
+// waits job=run-000013 reason=dependencies" were logged side by side.
 func TestCheckerAllowsWaitForLostCompletion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewChecker(map[string]float64{"tight": 1}, time.Minute)
@@ -214,17 +214,18 @@
 		c.SetFaultFree(true)
 		look()
 		if b := c.Violations(); len(b) > 0 {
-			t.Errorf("found %q", b)
+			t.Errorf("violations %q, want none", b)
 		}
 		c.TaskCompleted("r1", 1) // again
 		look()
 		if b := c.Violations(); len(b) != 1 || !strings.HasPrefix(b[0], Waited+": r2") {
-			t.Errorf("found %q once r1 is known to be done, want that r2 waits", b)
+			t.Errorf("violations %q once r1 is known to be done, want one: r2 waits", b)
 		}
 	})
 }
 
-// What is on record counts though the machine that told it is gone: a dependent job must start.
+// A recorded completion counts even if the machine that reported it is gone: a dependent job must
+// start.
 func TestCheckerCountsRecordedCompletion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewChecker(map[string]float64{"tight": 1}, time.Minute)
@@ -240,7 +241,7 @@
 		for _, recorded = range []bool{false, true} {
 			watchPending(c, everywhere, "r1", "r2", "r3")
 			if b := c.Violations(); (len(b) > 0) != recorded {
-				t.Errorf("recorded %t: found %q", recorded, b)
+				t.Errorf("completion recorded %t: violations %q", recorded, b)
 			}
 		}
 	})
--- a/internal/testkit/cloud.go
+++ b/internal/testkit/cloud_client.go
@@ -11,16 +11,16 @@
 	"bramblespur/internal/wire"
 )
 
-// CloudClient is how a controller's process reaches the cloud. It implements cloud.API.
+// CloudClient is the client of the cloud in one controller process. It implements cloud.API.
 type CloudClient struct {
 	w        *World
-	from     string
-	lifetime context.Context
+	from     string          // label of the controller
+	lifetime context.Context // ends with the process
 }
 
 var _ cloud.API = (*CloudClient)(nil)
 
-// CloudClient returns the cloud for a process that lives as long as ctx.
+// CloudClient returns a client for the process of the controller from that lives as long as ctx.
 func (w *World) CloudClient(ctx context.Context, from string) *CloudClient {
 	return &CloudClient{w, from, ctx}
 }
@@ -32,7 +32,7 @@
 	return Call(c.w.Net, c.from, CloudEndpoint, cloudTimeout, func() ([]wire.MachineType, error) { return c.w.types, c.lifetime.Err() })
 }
 
-// Provision implements cloud.API: a repeated name gives the same machines.
+// Provision implements cloud.API: a repeated request name returns the same machines.
 func (c *CloudClient) Provision(_ context.Context, r wire.ProvisionRequest) ([]string, error) {
 	return Call(c.w.Net, c.from, CloudEndpoint, cloudTimeout, func() ([]string, error) {
 		if err := c.lifetime.Err(); err != nil {
@@ -42,6 +42,7 @@
 	})
 }
 
+// provision creates machines, which boot later, and returns their IDs.
 func (w *World) provision(r wire.ProvisionRequest) ([]string, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -66,7 +67,8 @@
 	return ids, nil
 }
 
-// bootLater lets a rented machine come up. The lock is held.
+// bootLater adds a machine that is up after the boot time, unless it is released before. The lock is
+// held.
 func (w *World) bootLater(a *Agent) {
 	a.gone = true
 	if w.assignAddr != nil {
@@ -90,14 +92,14 @@
 	})
 }
 
-// SetBoot sets how long machines take to come up, and whether there are any.
+// SetBoot sets the boot time of machines provisioned from now on, and whether the cloud has no capacity.
 func (w *World) SetBoot(d time.Duration, full bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.bootTime, w.noCapacity = d, full
 }
 
-// Release implements cloud.API: the machines are gone before it answers.
+// Release implements cloud.API: the machines are gone before it returns.
 func (c *CloudClient) Release(_ context.Context, ids []string) error {
 	_, err := Call(c.w.Net, c.from, CloudEndpoint, cloudTimeout, func() (struct{}, error) {
 		if err := c.lifetime.Err(); err != nil {
--- a/internal/testkit/command_lines.go
+++ b/internal/testkit/command_lines.go
@@ -7,7 +7,7 @@
 	"github.com/spf13/pflag"
 )
 
-// CommandLines lists a command with its flags, and those below it, a line each.
+// CommandLines describes a command, its flags and its subcommands, one line for each.
 func CommandLines(c *cobra.Command) []string {
 	out := []string{c.CommandPath() + " | " + c.Use}
 	c.LocalFlags().VisitAll(func(f *pflag.Flag) {
--- a/internal/testkit/orders.go
+++ b/internal/testkit/command_log.go
@@ -7,20 +7,23 @@
 	"bramblespur/internal/wire"
 )
 
-// CommandLog are the starts and stops that workers were given, as they saw them.
+// CommandLog is a log of the start and stop commands that workers received. Its methods are safe for
+// concurrent use.
 type CommandLog struct {
 	mu  sync.Mutex
 	all []receivedCommand
 }
 
+// receivedCommand is a start or a stop.
 type receivedCommand struct {
 	at    time.Time
 	start bool
 }
 
-// CommandLog returns the orders of all workers.
+// CommandLog returns the log of the commands of all workers.
 func (w *World) CommandLog() *CommandLog { return &w.commandLog }
 
+// add logs a command, unless it is a forget.
 func (o *CommandLog) add(op string) {
 	if op == wire.Forget {
 		return
@@ -30,8 +33,8 @@
 	o.all = append(o.all, receivedCommand{time.Now(), op == wire.Start})
 }
 
-// MostWithin returns the most starts within any time of length d between two moments, or of
-// starts and stops.
+// MostWithin returns the largest number of starts within a period of length d, of those received from
+// after until before. With stops, it counts starts and stops.
 func (o *CommandLog) MostWithin(d time.Duration, after, before time.Time, stops bool) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -51,7 +54,7 @@
 	return most
 }
 
-// CountSince returns how many orders there were after some moment.
+// CountSince returns the number of starts and stops received after a time.
 func (o *CommandLog) CountSince(after time.Time) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/testkit/fleet_records.go
+++ b/internal/testkit/fleet_records.go
@@ -7,18 +7,18 @@
 	"bramblespur/internal/wire"
 )
 
-// Shape of the fleets of FleetRecords.
+// Sizes and times of the fleets of FleetRecords.
 const (
-	fleetRental = 50 // machines of a rental
-	fleetTasks  = 10 // of a job
-	fleetBorn   = 1767600000000
+	fleetRental = 50            // machines of a provision request
+	fleetTasks  = 10            // tasks of a job
+	fleetBorn   = 1767600000000 // creation time of all records, in ms since 1970
 )
 
-// FleetMachine names a machine of FleetRecords.
+// FleetMachine returns the ID of machine n of FleetRecords.
 func FleetMachine(n int) string { return fmt.Sprintf("i-%06d", n) }
 
-// FleetRecords are the records of a fleet of which every machine runs two tasks of unfinished
-// jobs, and of jobs that are over, so many jobs together.
+// FleetRecords returns, by key, the records of a fleet in which every machine runs two tasks of active
+// jobs. Finished jobs make up the rest of the number of jobs.
 func FleetRecords(machines, jobs int) map[string]wire.Entry {
 	out := map[string]wire.Entry{}
 	put := func(key string, v any) {
--- a/internal/testkit/gangs.go
+++ b/internal/testkit/gangs.go
@@ -8,13 +8,14 @@
 	"bramblespur/internal/wire"
 )
 
-// gangMember is a gang's task on its machine.
+// gangMember is a task of a gang with its machine.
 type gangMember struct {
 	a *Agent
 	t *agentTask
 }
 
-// stepGangs lets stepGangs start, complete and fall apart.
+// stepGangs lets gangs start once all their tasks are there, complete, and exit when peers have been
+// missing for too long.
 func (w *World) stepGangs(all []*Agent, now time.Time) {
 	gangs := map[string][]gangMember{}
 	var names []string
@@ -65,6 +66,7 @@
 	}
 }
 
+// forEachActive calls f for each member that has not exited, with the lock of its agent held.
 func (w *World) forEachActive(ms []gangMember, f func(gangMember)) {
 	for _, m := range ms {
 		m.a.mu.Lock()
@@ -75,9 +77,10 @@
 	}
 }
 
-// hasRoom reports whether what a job still needs fits on the machines that are up.
+// hasRoom reports whether a task of a job, or its whole gang, fits on the machines that are up in the
+// allowed zones.
 func (w *World) hasRoom(spec *wire.Spec, may func(zone string) bool) bool {
-	fits := map[string]int{} // by zone where all have to be in one
+	fits := map[string]int{} // tasks that fit, by zone if all must be in one zone
 	for _, a := range w.Machines() {
 		if (spec.Types != nil && !slices.Contains(spec.Types, a.Type)) || (spec.Zone != nil && *spec.Zone != a.Zone) || (a.Spot && !spec.Spot) || !may(a.Zone) {
 			continue
--- a/internal/testkit/interruptions.go
+++ b/internal/testkit/interruptions.go
@@ -10,29 +10,31 @@
 	"bramblespur/internal/wire"
 )
 
-// Interruptions counts, by what workers do and nothing else, how often running work of
-// each team stops without having ended: a task, or a gang as a whole. It tells stops by
-// the service's choice from machines that the test lets die, hang or be taken back.
+// Interruptions counts, from the tasks on workers alone, how often running work of each team stops
+// before it has ended: a task, or a gang as a whole. It distinguishes voluntary stops, by the
+// controllers' choice, from those of machines that the test lets die, hang or be reclaimed.
 type Interruptions struct {
 	w        *World
-	atOnce   int
-	inWindow int
+	atOnce   int // units of a team that may be interrupted at a time
+	inWindow int // voluntary stops of a team allowed within the window
 	window   time.Duration
 
 	mu         sync.Mutex
-	units      map[string]*watchedUnit
-	voluntary  map[string][]time.Time // when work was stopped by choice, by team
+	units      map[string]*watchedUnit // by REF for gangs, by REF/INDEX for other tasks
+	voluntary  map[string][]time.Time  // times of voluntary stops, by team
 	violations []string
-	overLimit  map[string]bool // teams that had too much open when last looked at
+	overLimit  map[string]bool // teams with too many interrupted units at the last observation
 }
 
+// watchedUnit is a task, or a gang as a whole, as last observed.
 type watchedUnit struct {
 	team          string
 	up            bool
 	interruptedBy interruptionCause
-	on            map[*Agent]uint64 // sessions of the machines where it last ran
+	on            map[*Agent]uint64 // incarnations of the machines where it last ran
 }
 
+// interruptionCause says why a unit does not run.
 type interruptionCause int
 
 const (
@@ -41,7 +43,7 @@
 	involuntarily
 )
 
-// CountInterruptions begins to count against a budget that every team has.
+// CountInterruptions starts to count, and to verify the same disruption budget for every team.
 func (w *World) CountInterruptions(atOnce, inWindow int, window time.Duration) *Interruptions {
 	n := &Interruptions{w: w, atOnce: atOnce, inWindow: inWindow, window: window, units: map[string]*watchedUnit{}, voluntary: map[string][]time.Time{}, overLimit: map[string]bool{}}
 	w.goroutines.Go(func() {
@@ -52,27 +54,27 @@
 	return n
 }
 
-// Violations returns what was found over the budget.
+// Violations returns the observations that exceeded the budget.
 func (n *Interruptions) Violations() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Clone(n.violations)
 }
 
-// Voluntary returns how many stops by choice there were of a team's work.
+// Voluntary returns the number of voluntary stops of a team's work.
 func (n *Interruptions) Voluntary(team string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.voluntary[team])
 }
 
-// runningTask is a task that runs, and where.
+// runningTask is where a running task is: its machine and the agent incarnation.
 type runningTask struct {
 	machine *Agent
 	session uint64
 }
 
-// observe takes in how things stand.
+// observe compares all units with the running tasks, and verifies the budget.
 func (n *Interruptions) observe(now time.Time) {
 	running := n.w.runningTasks()
 	n.w.mu.Lock()
@@ -95,7 +97,7 @@
 	n.verify(now)
 }
 
-// observeUnit takes in how a unit of some of a job's tasks stands.
+// observeUnit compares the unit of a job's tasks from first to before end. The lock is held.
 func (n *Interruptions) observeUnit(spec wire.Spec, name string, first, end int, running map[string]runningTask, now time.Time) {
 	u := n.units[name]
 	if u == nil {
@@ -125,7 +127,8 @@
 	}
 }
 
-// cause tells whether a unit that ran on some machines was stopped by choice.
+// cause returns whether a unit was stopped voluntarily: none of the machines where it last ran was
+// lost, unreachable or about to be reclaimed, and none began a new incarnation.
 func (n *Interruptions) cause(u *watchedUnit) interruptionCause {
 	for a, session := range u.on {
 		a.mu.Lock()
@@ -138,14 +141,15 @@
 	return voluntarily
 }
 
-// unreachableWholeTest outlasts every test, and unreachableAfterHang what the service may still do about a machine
-// that hung once it goes on.
+// unreachableWholeTest is longer than any test. unreachableAfterHang is how long the controllers may
+// still react to a hang after the machine has resumed.
 const (
 	unreachableWholeTest = 24 * time.Hour
 	unreachableAfterHang = time.Minute
 )
 
-// MarkUnreachable notes that a test keeps machines from being reached: what is stopped there is lost.
+// MarkUnreachable notes that a test makes machines unreachable from now on, so that stops of their
+// tasks count as involuntary.
 func MarkUnreachable(machines ...*Agent) {
 	for _, a := range machines {
 		a.mu.Lock()
@@ -154,7 +158,7 @@
 	}
 }
 
-// verify compares with the budget.
+// verify compares the interrupted units with the budget. The lock is held.
 func (n *Interruptions) verify(now time.Time) {
 	open, names := map[string]int{}, map[string][]string{}
 	for name, u := range n.units {
@@ -170,18 +174,18 @@
 				recent++
 			}
 		}
-		// Machines are looked at one after the other, so one look alone may see a unit that
-		// is back already beside one that was stopped since.
+		// Machines are read one after another, so a single observation may count a unit that already
+		// runs again together with one that was stopped later.
 		again := n.overLimit[team] && open[team] > n.atOnce
 		n.overLimit[team] = open[team] > n.atOnce
 		if again || recent > n.inWindow {
-			n.violations = append(n.violations, fmt.Sprintf("%s: %v interrupted at once of %d, %d in %v of %d (%s)",
+			n.violations = append(n.violations, fmt.Sprintf("%s: interrupted are %v, at most %d may be at once; %d stops within %v, want at most %d (%s)",
 				team, names[team], n.atOnce, recent, n.window, n.inWindow, now.Format("15:04:05.0")))
 		}
 	}
 }
 
-// runningTasks returns all tasks that run on machines which are there, by name.
+// runningTasks returns all running tasks on machines that are up, by REF/INDEX.
 func (w *World) runningTasks() map[string]runningTask {
 	out := map[string]runningTask{}
 	for _, a := range w.Machines() {
@@ -196,14 +200,14 @@
 	return out
 }
 
-// cancellationRequested reports whether a job's user asked for its end.
+// cancellationRequested reports whether a job's user requested its cancellation.
 func (c *Checker) cancellationRequested(ref string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.jobs[ref] != nil && c.jobs[ref].cancelRequested
 }
 
-// Notice gives a machine a spot notice, after which the cloud takes it.
+// Notice gives a machine a spot notice; the cloud reclaims it when the time left has passed.
 func (a *Agent) Notice(left time.Duration) {
 	seconds := left.Seconds()
 	a.mu.Lock()
--- a/internal/testkit/loopback.go
+++ b/internal/testkit/loopback.go
@@ -15,7 +15,7 @@
 	"bramblespur/internal/wire"
 )
 
-// HTTP serves the state service by its published protocol, as one of the label reaches it.
+// HTTP returns a server of the state service's published protocol, as the endpoint label reaches it.
 func (s *StateService) HTTP(label string) http.Handler {
 	link := s.StoreClient(context.Background(), label)
 	use := statestore.Urgent("loopback")
@@ -61,6 +61,7 @@
 	return mux
 }
 
+// decodeBody decodes a JSON body into v. If it is malformed, it answers 400 and returns false.
 func decodeBody(w http.ResponseWriter, r *http.Request, v any) bool {
 	if err := json.NewDecoder(r.Body).Decode(v); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -69,7 +70,7 @@
 	return true
 }
 
-// answer writes what a call came to, with the protocol's statuses.
+// answer writes the result of a call with the protocol's status for its error.
 func answer(w http.ResponseWriter, v any, err error) {
 	var conflict *statestore.ConflictError
 	status := http.StatusOK
@@ -90,7 +91,7 @@
 	json.NewEncoder(w).Encode(v)
 }
 
-// CloudHTTP serves the cloud by its published protocol.
+// CloudHTTP returns a server of the cloud's published protocol.
 func (w *World) CloudHTTP() http.Handler {
 	api := w.CloudClient(context.Background(), "loopback")
 	mux := http.NewServeMux()
@@ -124,8 +125,8 @@
 	return mux
 }
 
-// ServeWorkers gives every machine that is rented from now on an address of its own on
-// which it serves direct commands, until the returned function is called.
+// ServeWorkers gives every machine provisioned from now on an HTTP server for direct commands, with an
+// address of its own. The returned function stops the servers.
 func (w *World) ServeWorkers() (stop func()) {
 	var servers []*httptest.Server
 	w.mu.Lock()
@@ -145,7 +146,7 @@
 	}
 }
 
-// http serves a worker's direct commands.
+// http returns a server for direct commands and heartbeats on request.
 func (a *Agent) http() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+wire.CommandPath, func(w http.ResponseWriter, r *http.Request) {
@@ -171,7 +172,7 @@
 	return mux
 }
 
-// RemoteNode is a controller's process that listens on an address.
+// RemoteNode is a controller process that listens on an address.
 type RemoteNode struct{ Addr string }
 
 // Handle implements Node.
@@ -192,7 +193,7 @@
 	return resp.StatusCode, raw, nil
 }
 
-// remote follows no redirects, as users and workers do.
+// remote does not follow redirects, like the clients of users and workers.
 var remote = &http.Client{
 	Timeout:       submitTimeout,
 	CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
--- a/internal/testkit/network.go
+++ b/internal/testkit/network.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Partition is a rule of a network: messages from one end to another are lost, or held
-// back until the rule is taken away.
+// Partition is a rule of a network: matching messages from one endpoint to another are lost, or held
+// until the rule is removed.
 type Partition struct {
 	Match        func(from, to string) bool
-	Hold         bool
-	RequestsOnly bool // answers pass
+	Hold         bool // hold messages instead of losing them
+	RequestsOnly bool // answers are delivered
 }
 
-// Between returns a rule that matches messages both ways between two groups.
+// Between returns a match of the messages in both directions between two groups of endpoints.
 func Between(a, b func(name string) bool) func(from, to string) bool {
 	return func(from, to string) bool { return (a(from) && b(to)) || (b(from) && a(to)) }
 }
 
-// Named returns a group of names.
+// Named returns the group of the endpoints with the given names.
 func Named(names ...string) func(string) bool {
 	set := map[string]bool{}
 	for _, n := range names {
@@ -29,27 +29,30 @@
 	return func(n string) bool { return set[n] }
 }
 
-// AnyEndpoint is the group of all.
+// AnyEndpoint is the group of all endpoints.
 func AnyEndpoint(string) bool { return true }
 
-// Network carries calls between named ends, in bubble time.
+// Network carries requests and answers between named endpoints, in the time of a testing/synctest
+// bubble. Its methods are safe for concurrent use.
 type Network struct {
 	mu         sync.Mutex
 	partitions map[*Partition]bool
-	held       []heldMessage
-	delay      time.Duration
+	held       []heldMessage // in the order sent
+	delay      time.Duration // of each message
 }
 
+// heldMessage is a message that a partition holds.
 type heldMessage struct {
 	from, to string
 	answer   bool
 	deliver  func()
 }
 
-// NewNetwork returns a network without cuts.
+// NewNetwork returns a network without partitions.
 func NewNetwork() *Network { return &Network{partitions: map[*Partition]bool{}, delay: defaultDelay} }
 
-// AddPartition adds a rule and returns what takes it away and delivers what it held.
+// AddPartition adds a rule. The returned function removes it and delivers the messages it held, unless
+// another rule still matches them.
 func (n *Network) AddPartition(c *Partition) (heal func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -73,17 +76,17 @@
 	}
 }
 
-// Slow adds to the time that each message takes.
+// Slow sets what is added to the usual delay of each message.
 func (n *Network) Slow(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.delay = defaultDelay + d
 }
 
-// defaultDelay is how long a message takes.
+// defaultDelay is the delay of each message.
 const defaultDelay = time.Millisecond
 
-// Heal takes all rules away.
+// Heal removes all partitions and the added delay, and delivers the held messages.
 func (n *Network) Heal() {
 	n.mu.Lock()
 	clear(n.partitions)
@@ -96,7 +99,7 @@
 	}
 }
 
-// blocked tells whether a rule matches, and whether it holds. The lock is held.
+// blocked reports whether a rule matches a message, and whether one holds it. The lock is held.
 func (n *Network) blocked(from, to string, answer bool) (hold, blocked bool) {
 	for c := range n.partitions {
 		if c.Match(from, to) && !(answer && c.RequestsOnly) {
@@ -106,7 +109,7 @@
 	return hold, blocked
 }
 
-// send delivers a message, now, later or never.
+// send delivers a message after the delay, holds it, or loses it.
 func (n *Network) send(from, to string, answer bool, deliver func()) {
 	n.mu.Lock()
 	hold, blocked := n.blocked(from, to, answer)
@@ -120,11 +123,11 @@
 	}
 }
 
-// ErrRefused is a connection refused by a machine that runs no such process.
+// ErrRefused is returned for a connection to an endpoint where no process listens.
 var ErrRefused = fmt.Errorf("testkit: %w", syscall.ECONNREFUSED)
 
-// Call sends a request to the other end, where serve answers it, and waits for the
-// answer at most timeout. serve also runs when the answer comes too late.
+// Call sends a request to another endpoint, where serve answers it, and waits at most timeout for the
+// answer; then it returns ErrLost. serve may run, and its answer arrive, after that.
 func Call[T any](n *Network, from, to string, timeout time.Duration, serve func() (T, error)) (T, error) {
 	type answer struct {
 		v   T
--- a/internal/testkit/loss.go
+++ b/internal/testkit/state_contents.go
@@ -7,21 +7,21 @@
 	"bramblespur/internal/wire"
 )
 
-// StoreContents is all that a state service holds at one time.
+// StoreContents is a copy of all records of a state service, with its revision and changes.
 type StoreContents struct {
 	Revision uint64
 	Entries  map[string]wire.Entry
 	log      []wire.Change
 }
 
-// Contents returns what the service holds.
+// Contents returns a copy of what the service holds.
 func (s *StateService) Contents() StoreContents {
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
 	return StoreContents{s.state.rev, maps.Clone(s.state.entries), slices.Clone(s.state.log)}
 }
 
-// Revert makes the service hold what it held before, with its revision of then. Leases go on.
+// Revert restores earlier contents, with their revision. Leases are not changed.
 func (s *StateService) Revert(i StoreContents) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -31,7 +31,7 @@
 	s.wakeWatches()
 }
 
-// Lose makes the service forget records without a trace, and returns them.
+// Lose removes the records whose keys match, without a change that watches see, and returns them.
 func (s *StateService) Lose(match func(key string) bool) []wire.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testkit/service.go
+++ b/internal/testkit/state_service.go
@@ -10,66 +10,68 @@
 	"bramblespur/internal/wire"
 )
 
-// TxnFault is what becomes of a transaction.
+// TxnFault is a fault of a transaction. At most one of its fields is set; the zero value is no fault.
 type TxnFault struct {
-	Refused    bool          // 503, not carried out
-	AnswerLost bool          // carried out at once, without an answer
-	Delay      time.Duration // carried out so much later, without an answer; 0: at once
+	Refused    bool          // answered 503, not applied
+	AnswerLost bool          // applied at once, without an answer
+	Delay      time.Duration // applied after this time, without an answer; 0: no delay
 }
 
-// StateService is a state service whose leases end and whose watches wait, with
-// troubles for one controller or for all. It keeps time by the standard library's
-// clock, so tests run it in a bubble of testing/synctest.
+// StateService is a state service with leases that expire, watches that block, and faults for one
+// controller or for all. It uses the clock of the standard library, so tests run it in a
+// testing/synctest bubble. Its methods are safe for concurrent use.
 type StateService struct {
 	state *State
 
 	mu          sync.Mutex
-	down        bool
-	refused     map[string]bool
-	partitioned map[string]bool
+	down        bool            // an outage for all
+	refused     map[string]bool // labels of controllers whose requests are refused
+	partitioned map[string]bool // labels of controllers that do not reach the service
 	leases      map[uint64]*lease
 	changed     chan struct{} // closed at the next change
-	slow        time.Duration
+	slow        time.Duration // added to the time of each request
 	chooseFault func(from string, t wire.Txn) TxnFault
-	writes      []Write
+	writes      []Write // transactions applied
 	observe     Observer
 }
 
-// Observer is told what happens among scripted peers, with keys and values as a logger.
+// Observer is called for events among scripted peers, with keys and values in turn as for a logger.
 type Observer func(event string, args ...any)
 
-// Observe tells of every transaction: its sender, what became of it, and with which conditions.
+// Observe sets a function that is called for every transaction, with its sender, result, conditions
+// and changes.
 func (s *StateService) Observe(o Observer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.observe = o
 }
 
-// Write is a transaction that was carried out.
+// Write is an applied transaction with its sender, a controller's label or TestSender.
 type Write struct {
 	From string
 	At   time.Time
 	Txn  wire.Txn
 }
 
+// lease is a lease with the timer of its expiry.
 type lease struct {
 	ttl   time.Duration
 	timer *time.Timer
 }
 
-// Delays of the state service and of its clients.
+// Duration of a request to the state service, and timeout of its clients.
 const (
 	serviceDelay   = 3 * time.Millisecond
 	serviceTimeout = 2500 * time.Millisecond
 )
 
-// NewStateService returns an empty state service.
+// NewStateService returns an empty state service without faults.
 func NewStateService() *StateService {
 	return &StateService{state: NewState(), refused: map[string]bool{}, partitioned: map[string]bool{}, leases: map[uint64]*lease{}, changed: make(chan struct{})}
 }
 
-// Outage begins or ends an outage for all. At its end every lease has its full
-// time again.
+// Outage begins or ends an outage for all. No lease expires during an outage; at its end each lease
+// has its full duration again.
 func (s *StateService) Outage(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +84,7 @@
 	s.wakeWatches()
 }
 
-// Refuse begins or ends the refusal of one controller alone: its leases run out.
+// Refuse begins or ends the refusal of all requests of one controller. Its leases expire meanwhile.
 func (s *StateService) Refuse(label string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,7 +92,7 @@
 	s.wakeWatches()
 }
 
-// Partition begins or ends a cut between one controller and the service.
+// Partition begins or ends a partition between one controller and the service.
 func (s *StateService) Partition(label string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,21 +100,21 @@
 	s.wakeWatches()
 }
 
-// Slow adds to the time that each request takes.
+// Slow sets what is added to the time of each request.
 func (s *StateService) Slow(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slow = d
 }
 
-// InjectTxnFaults sets what becomes of transactions, nil for nothing special.
+// InjectTxnFaults sets the function that chooses the fault of each transaction; nil: none has one.
 func (s *StateService) InjectTxnFaults(fate func(from string, t wire.Txn) TxnFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.chooseFault = fate
 }
 
-// Repeat carries a transaction out once more, as a copy of it that comes late.
+// Repeat applies a transaction once more, as a copy that is delivered late.
 func (s *StateService) Repeat(w Write) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +122,7 @@
 	return err
 }
 
-// Entry returns a record, and whether there is one.
+// Entry returns the record of a key, and whether there is one.
 func (s *StateService) Entry(key string) (wire.Entry, bool) {
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
@@ -128,29 +130,29 @@
 	return e, ok
 }
 
-// Entries returns all records of a prefix.
+// Entries returns all records with a prefix, ordered by key.
 func (s *StateService) Entries(prefix string) []wire.Entry {
 	entries, _, err := s.state.List(context.Background(), statestore.Urgent(TestSender), prefix)
 	if err != nil {
-		panic(err) // in memory, and never down
+		panic(err) // it is in memory and never down
 	}
 	return entries
 }
 
-// Writes returns all that was carried out so far.
+// Writes returns all transactions applied so far that changed something, in order.
 func (s *StateService) Writes() []Write {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.writes)
 }
 
-// wakeWatches lets watches look again. The lock is held.
+// wakeWatches makes blocked watches look for changes. The lock is held.
 func (s *StateService) wakeWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// apply carries a transaction out. The lock is held.
+// apply applies a transaction if its conditions hold and its leases exist. The lock is held.
 func (s *StateService) apply(from string, t wire.Txn) (uint64, error) {
 	for _, op := range t.Then {
 		if op.Lease != 0 && s.leases[op.Lease] == nil {
@@ -170,6 +172,7 @@
 	return rev, err
 }
 
+// expire ends a lease and deletes its records. During an outage it starts the lease anew.
 func (s *StateService) expire(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,7 +181,7 @@
 		return
 	}
 	if s.down {
-		l.timer.Reset(l.ttl) // an outage ends none
+		l.timer.Reset(l.ttl) // no lease expires during an outage
 		return
 	}
 	delete(s.leases, id)
@@ -191,27 +194,27 @@
 		}
 	}
 	if len(t.Then) > 0 {
-		s.state.apply(t) // no conditions: it can't fail
+		s.state.apply(t) // without conditions it cannot fail
 		s.wakeWatches()
 	}
 }
 
-// StoreClient is the service as one process of a controller reaches it. It implements
+// StoreClient is the client of the state service in one controller process. It implements
 // statestore.Store.
 type StoreClient struct {
 	s        *StateService
 	label    string
-	lifetime context.Context // the process's
+	lifetime context.Context // ends with the process
 }
 
 var _ statestore.Store = (*StoreClient)(nil)
 
-// StoreClient returns the service for a process that lives as long as ctx.
+// StoreClient returns a client for a process of the controller label that lives as long as ctx.
 func (s *StateService) StoreClient(ctx context.Context, label string) *StoreClient {
 	return &StoreClient{s: s, label: label, lifetime: ctx}
 }
 
-// wait sleeps unless the caller or its process ends first.
+// wait waits for d. It returns an error if the request's context or the process ends first.
 func (l *StoreClient) wait(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -225,7 +228,8 @@
 	}
 }
 
-// sendRequest carries a request to the service, which is locked if it arrives.
+// sendRequest delivers a request to the service after its delay. Without an error, the service is
+// locked on return.
 func (l *StoreClient) sendRequest(ctx context.Context) error {
 	l.s.mu.Lock()
 	delay := serviceDelay + l.s.slow
@@ -283,7 +287,7 @@
 		f = l.s.chooseFault(l.label, t)
 	}
 	if l.s.observe != nil && f != (TxnFault{}) {
-		l.s.observe("fate of the next transaction", "from", l.label, "fate", f, "then", t.Then)
+		l.s.observe("fault of the next transaction", "from", l.label, "fate", f, "then", t.Then)
 	}
 	switch {
 	case f.Refused:
@@ -333,7 +337,7 @@
 	return nil
 }
 
-// Watch implements statestore.Store. One that is open waits through an outage.
+// Watch implements statestore.Store. A watch that is open blocks through an outage.
 func (l *StoreClient) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (wire.Changes, error) {
 	if err := l.sendRequest(ctx); err != nil {
 		return wire.Changes{}, err
@@ -343,7 +347,7 @@
 	gaveUp := time.NewTimer(wait + serviceTimeout)
 	defer gaveUp.Stop()
 	over := false
-	for { // the service is locked here
+	for { // the service is locked at the start of each pass
 		if !l.s.down && !l.s.refused[l.label] && !l.s.partitioned[l.label] {
 			ch, err := l.s.state.Watch(ctx, prefix, since, 0)
 			if err != nil || len(ch.Events) > 0 || over {
@@ -366,7 +370,7 @@
 	}
 }
 
-// SetLimits implements statestore.Store: the service has no limits here.
+// SetLimits implements statestore.Store; requests are not limited.
 func (l *StoreClient) SetLimits(float64, float64) {}
 
 // TakeDemand implements statestore.Store.
@@ -378,10 +382,10 @@
 // TakeUsage implements statestore.Store.
 func (l *StoreClient) TakeUsage() map[string]statestore.Usage { return nil }
 
-// TestSender is who writes what a test itself puts.
+// TestSender is the sender of the test's own transactions.
 const TestSender = "test"
 
-// Put carries out a transaction of the test's own.
+// Put applies a transaction of the test itself.
 func (s *StateService) Put(t wire.Txn) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -1,5 +1,7 @@
-// Package testkit holds scripted peers for tests: a clock, the state service,
-// the cloud and workers, all in memory and under the test's control.
+// Package testkit holds scripted peers for tests, all in memory and under the test's control: a
+// clock, the state service, the cloud, workers, users and the network between them. A World joins
+// them in the time of a testing/synctest bubble, injects faults, and has a Checker verify that the
+// controllers keep the protocol's rules. The same peers can be served over loopback HTTP.
 package testkit
 
 import (
@@ -18,7 +20,7 @@
 	"bramblespur/internal/wire"
 )
 
-// Clock is a clock that moves only when told.
+// Clock is a clock that a test advances. It is not safe for concurrent use.
 type Clock struct{ T time.Time }
 
 // NewClock returns a clock at a fixed time.
@@ -30,10 +32,11 @@
 // Advance moves the clock.
 func (c *Clock) Advance(d time.Duration) { c.T = c.T.Add(d) }
 
-// ErrLost is an answer that never came.
+// ErrLost is returned for a request whose answer never arrives.
 var ErrLost = errors.New("testkit: no answer")
 
-// State is a state service in memory. It implements statestore.Store.
+// State is a state service in memory. It implements statestore.Store and answers at once; its
+// leases never expire. Tests set its exported fields before other goroutines use it.
 type State struct {
 	mu      sync.Mutex
 	rev     uint64
@@ -42,12 +45,12 @@
 	log     []wire.Change
 	held    []wire.Txn
 
-	KeepChanges      int // so many of the latest changes are kept for watches; 0: all
-	MaxValue, MaxOps int // larger values and transactions are not taken; 0: no limit
+	KeepChanges      int // number of latest changes kept for watches; 0: all
+	MaxValue, MaxOps int // bytes of a value and changes of a transaction that are accepted at most; 0: no limit
 
 	Down        bool // every request is refused
-	LoseAnswers int  // so many transactions are applied but not answered
-	HoldTxns    int  // so many transactions are neither applied nor answered, until Release
+	LoseAnswers int  // number of transactions that will be applied without an answer
+	HoldTxns    int  // number of transactions that will be neither applied nor answered until Release
 }
 
 // NewState returns an empty state service.
@@ -55,7 +58,7 @@
 
 var _ statestore.Store = (*State)(nil)
 
-// Outage begins or ends an outage, also while other goroutines use the state.
+// Outage begins or ends an outage. Unlike the field Down, it is safe for concurrent use.
 func (s *State) Outage(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,16 +126,17 @@
 	return rev, err
 }
 
-// Limit sets the largest value and transaction, also while others use the state.
+// Limit sets MaxValue, in bytes, and MaxOps. It is safe for concurrent use.
 func (s *State) Limit(value, ops int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.MaxValue, s.MaxOps = value, ops
 }
 
-// condsPerOp is how many conditions the protocol allows for each change.
+// condsPerOp is the number of conditions that the protocol allows for each change.
 const condsPerOp = 4
 
+// tooLarge reports whether a transaction exceeds a limit. The lock is held.
 func (s *State) tooLarge(t wire.Txn) bool {
 	if s.MaxOps > 0 && (len(t.Then) > s.MaxOps || len(t.If) > condsPerOp*s.MaxOps) {
 		return true
@@ -145,7 +149,7 @@
 	return false
 }
 
-// Release carries out the held transactions and returns their outcomes.
+// Release applies the held transactions and returns their errors in order.
 func (s *State) Release() []error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,6 +162,7 @@
 	return out
 }
 
+// apply applies a transaction if its conditions hold. The lock is held.
 func (s *State) apply(t wire.Txn) (uint64, error) {
 	var failed []string
 	for _, c := range t.If {
@@ -181,7 +186,7 @@
 	return s.rev, nil
 }
 
-// Put writes a key without conditions and returns its entry.
+// Put writes a key without conditions, with the value as JSON, and returns its entry.
 func (s *State) Put(key string, v any) wire.Entry {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -219,7 +224,7 @@
 	return nil
 }
 
-// Watch implements statestore.Store; it answers at once with what is there.
+// Watch implements statestore.Store; it answers at once with the changes so far.
 func (s *State) Watch(_ context.Context, prefix string, since uint64, _ time.Duration) (wire.Changes, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -250,14 +255,15 @@
 // TakeUsage implements statestore.Store.
 func (s *State) TakeUsage() map[string]statestore.Usage { return nil }
 
-// Cloud rents without limit, or as scripted. It implements cloud.API.
+// Cloud provisions machines without limit, or none while Full is set. It implements cloud.API; its
+// list of machines is always empty.
 type Cloud struct {
 	mu       sync.Mutex
 	n        int
-	Rentals  map[string][]string
-	Returned []string
-	Full     bool // no capacity
-	Offer    []wire.MachineType
+	Rentals  map[string][]string // machines by the name of the provision request
+	Returned []string            // released machines, in order
+	Full     bool                // no capacity
+	Offer    []wire.MachineType  // machine types
 }
 
 var _ cloud.API = (*Cloud)(nil)
@@ -265,7 +271,7 @@
 // Types implements cloud.API.
 func (c *Cloud) Types(context.Context) ([]wire.MachineType, error) { return c.Offer, nil }
 
-// Provision implements cloud.API: a repeated name gives the same machines.
+// Provision implements cloud.API: a repeated request name returns the same machines.
 func (c *Cloud) Provision(_ context.Context, r wire.ProvisionRequest) ([]string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -309,24 +315,24 @@
 	Saved   bool
 }
 
-// Worker keeps the protocol's rules of tokens, sessions and commands. What its
-// tasks do is the test's choice.
+// Worker is a scripted worker that keeps the protocol's rules for tokens, agent incarnations and
+// commands. The test decides what its tasks do.
 type Worker struct {
 	ID, Type, Zone string
 	Spot           bool
-	Session, Seq   uint64
+	Session, Seq   uint64 // agent incarnation, and number of the last heartbeat
 	Token          uint64
-	Notice         *float64
+	Notice         *float64 // seconds left of a spot notice; nil: none
 	Tasks          map[string]*WorkerTask
 	Started        []string // every start carried out, as task#attempt
 }
 
-// NewWorker returns an empty worker in its first session.
+// NewWorker returns a worker without tasks in its first incarnation.
 func NewWorker(id, typ, zone string, spot bool) *Worker {
 	return &Worker{ID: id, Type: typ, Zone: zone, Spot: spot, Session: 1, Tasks: map[string]*WorkerTask{}}
 }
 
-// NextHeartbeat makes the next report.
+// NextHeartbeat returns the next heartbeat, with all tasks in the order of their names.
 func (w *Worker) NextHeartbeat() wire.Heartbeat {
 	w.Seq++
 	r := wire.Heartbeat{
@@ -340,7 +346,7 @@
 	return r
 }
 
-// Execute carries out an answer, unless its token is too low.
+// Execute executes a batch of commands and reports true, unless its token is too low.
 func (w *Worker) Execute(o wire.CommandBatch) bool {
 	if o.Token < w.Token {
 		return false
@@ -368,14 +374,14 @@
 	return true
 }
 
-// ExitTask makes a task exit.
+// ExitTask makes a task exit for a reason, if the worker has the task.
 func (w *Worker) ExitTask(task, why string) {
 	if t := w.Tasks[task]; t != nil {
 		t.State, t.Why = wire.Exited, why
 	}
 }
 
-// ExpireLease ends the session: the lease ran out.
+// ExpireLease begins a new incarnation without tasks, as after a lease expiry.
 func (w *Worker) ExpireLease() {
 	w.Session++
 	w.Tasks = map[string]*WorkerTask{}
--- a/internal/testkit/users.go
+++ b/internal/testkit/users.go
@@ -7,7 +7,8 @@
 	"bramblespur/internal/wire"
 )
 
-// Ask sends a user's request to a node and has the checker look at the answer.
+// Ask sends a user's request to a controller, lets the checker verify the answer, and returns it. The
+// status is 0 if there is no answer.
 func (w *World) Ask(kind Request, label, ref string, body []byte) (status int, state string) {
 	method, path, timeout := "POST", wire.JobsPath, submitTimeout
 	switch kind {
@@ -41,7 +42,7 @@
 	return a.status, s.State
 }
 
-// Register uploads a job's description, as users do before they submit it.
+// Register notes a job's specification and durations before a user submits it.
 func (w *World) Register(spec wire.Spec, l JobDurations) {
 	w.mu.Lock()
 	w.specs[spec.Ref] = spec
@@ -50,15 +51,15 @@
 	w.check.JobSubmitted(spec)
 }
 
-// Submit submits a job once.
+// Submit registers a job and sends its submission once.
 func (w *World) Submit(label string, spec wire.Spec, l JobDurations) (status int, state string) {
 	w.Register(spec, l)
 	body, _ := json.Marshal(spec)
 	return w.Ask(Submission, label, spec.Ref, body)
 }
 
-// AskUntilAnswered repeats a request, at one node after the other as a load balancer would,
-// until it is answered with a state, or for at most d.
+// AskUntilAnswered repeats a request, to one controller after another as a load balancer would,
+// until an answer has a state or d has passed.
 func (w *World) AskUntilAnswered(kind Request, ref string, body []byte, d time.Duration) (state string, ok bool) {
 	end := time.Now().Add(d)
 	for i := int(w.rand.Uint32() % uint32(len(w.labels))); time.Now().Before(end); i++ {
@@ -82,7 +83,7 @@
 	return "", false
 }
 
-// Follow polls a job every few seconds until it is over, as its user does.
+// Follow polls a job every few seconds until its state is terminal, as its user does.
 func (w *World) Follow(ref string) {
 	w.goroutines.Go(func() {
 		for {
@@ -100,7 +101,7 @@
 	return spec.Kind == wire.Service
 }
 
-// LastState returns the state of a job that its user was told last.
+// LastState returns the last state of a job that its user was given.
 func (w *World) LastState(ref string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/testkit/direct.go
+++ b/internal/testkit/worker_client.go
@@ -8,21 +8,21 @@
 	"bramblespur/internal/wire"
 )
 
-// WorkerClient is how a controller's process reaches workers. It implements agent.API.
+// WorkerClient is the client of workers in one controller process. It implements agent.API.
 type WorkerClient struct {
 	w        *World
-	from     string
-	lifetime context.Context
+	from     string          // label of the controller
+	lifetime context.Context // ends with the process
 }
 
 var _ agent.API = (*WorkerClient)(nil)
 
-// WorkerClient returns the way to workers for a process that lives as long as ctx.
+// WorkerClient returns a client for the process of the controller from that lives as long as ctx.
 func (w *World) WorkerClient(ctx context.Context, from string) *WorkerClient {
 	return &WorkerClient{w, from, ctx}
 }
 
-// machineAt returns the machine machineAt an address.
+// machineAt returns the machine with an address of the scripted network, nil if there is none.
 func (w *World) machineAt(addr string) *Agent {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/testkit/world.go
+++ b/internal/testkit/world.go
@@ -14,15 +14,15 @@
 	"bramblespur/internal/wire"
 )
 
-// Node is a process of a controller as workers and users reach it.
+// Node is a controller process as workers and users reach it.
 type Node interface {
-	// Handle answers a request; it may take its time.
+	// Handle answers a request. It may block.
 	Handle(method, path string, body []byte) (status int, answer []byte, err error)
 }
 
-// World is all that surrounds the controllers: the state service, the cloud, the
-// machines, the users and the network between them, in the bubble time of
-// testing/synctest. Its checker watches.
+// World is everything around the controllers: the state service, the cloud, the machines, the users
+// and the network between them, in the time of a testing/synctest bubble. It reports the events on
+// machines and the answers to users to its checker. Its methods are safe for concurrent use.
 type World struct {
 	State      *StateService
 	Net        *Network
@@ -31,35 +31,35 @@
 	types      []wire.MachineType
 	labels     []string
 	rand       *rand.Rand
-	stopped    chan struct{}
+	stopped    chan struct{} // closed by Stop
 	goroutines sync.WaitGroup
 
 	mu             sync.Mutex
-	nodes          map[string]Node
-	agents         map[string]*Agent
-	specs          map[string]wire.Spec
-	durations      map[string]JobDurations
-	provisioned    map[string][]string
-	machineCount   int
+	nodes          map[string]Node         // by label
+	agents         map[string]*Agent       // by machine ID
+	specs          map[string]wire.Spec    // by REF
+	durations      map[string]JobDurations // by REF
+	provisioned    map[string][]string     // machines by the name of the provision request
+	machineCount   int                     // machines provisioned so far
 	bootTime       time.Duration
-	noCapacity     bool
-	completedTasks map[string]bool // completed tasks, whose results are kept
-	lastStates     map[string]string
-	onJobCompleted func(ref string) // called when the last task of a job completes
-	muted          map[int]func(string) bool
+	noCapacity     bool                      // the cloud provisions nothing
+	completedTasks map[string]bool           // completed tasks by REF/INDEX; their results are kept
+	lastStates     map[string]string         // last state of a job that its user was given, by REF
+	onJobCompleted func(ref string)          // called with a REF when the last task of the job completes
+	muted          map[int]func(string) bool // groups of machines that cannot connect to controllers
 	muteCount      int
 	commandLog     CommandLog
 	observe        Observer
-	assignAddr     func(*Agent) string // gives a machine an address; nil: one of the scripted network
+	assignAddr     func(*Agent) string // starts the server of a machine and returns its address; nil: addresses are of the scripted network
 }
 
-// Ends of the network besides controllers, by label, and machines, by name.
+// Endpoints of the network besides controllers, which are named by label, and machines, by ID.
 const (
 	UsersEndpoint = "users"
 	CloudEndpoint = "cloud"
 )
 
-// Timeouts of the outside world's clients.
+// Timeouts of workers, users and controllers as clients, and the pace of the world.
 const (
 	reportTimeout   = 4 * time.Second
 	pollTimeout     = 2 * time.Second
@@ -70,8 +70,8 @@
 	defaultBootTime = 5 * time.Second
 )
 
-// NewWorld returns a world for controllers of the given labels, and starts its time.
-// Whatever it chooses follows from the seed.
+// NewWorld returns a world for controllers of the given labels, and starts its machines' time.
+// All its random choices follow from the seed.
 func NewWorld(labels []string, types []wire.MachineType, timing Timing, check *Checker, seed uint64) *World {
 	w := &World{
 		State: NewStateService(), Net: NewNetwork(), check: check, timing: timing, types: types, labels: labels,
@@ -84,7 +84,7 @@
 	return w
 }
 
-// completionRecorded reports whether a record tells that a task has completed.
+// completionRecorded reports whether the state service has a record of a task's completion.
 func (w *World) completionRecorded(ref string, task int) bool {
 	if _, ended := w.State.Entry(record.FinishedJobKey(ref)); ended {
 		return true
@@ -103,7 +103,7 @@
 	return false
 }
 
-// lockedSource is a source for several goroutines.
+// lockedSource is a random source that is safe for concurrent use.
 type lockedSource struct {
 	mu  sync.Mutex
 	src rand.Source
@@ -116,7 +116,7 @@
 	return l.src.Uint64()
 }
 
-// Stop ends the world and waits until nothing of it runs.
+// Stop stops the world and waits until all its goroutines have ended.
 func (w *World) Stop() {
 	close(w.stopped)
 	w.goroutines.Wait()
@@ -131,10 +131,10 @@
 	}
 }
 
-// Go runs f beside the test; Stop waits for it.
+// Go runs f in a goroutine that Stop waits for.
 func (w *World) Go(f func()) { w.goroutines.Go(f) }
 
-// Sleep waits, and reports false if the world is over first.
+// Sleep waits for d and reports true, or reports false as soon as the world is stopped.
 func (w *World) Sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -146,7 +146,7 @@
 	}
 }
 
-// SetNode puts a process at a label, nil for none.
+// SetNode sets the process that is reached at a label; nil: none, connections are refused.
 func (w *World) SetNode(label string, n Node) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -182,7 +182,7 @@
 	return w.completedTasks[ref+"/"+strconv.Itoa(i)]
 }
 
-// Machines returns all machines that are up, by name.
+// Machines returns all machines that are up, ordered by ID.
 func (w *World) Machines() []*Agent {
 	w.mu.Lock()
 	out := slices.Collect(maps.Values(w.agents))
@@ -196,7 +196,7 @@
 	return out
 }
 
-// Zone returns a machine's zone, "" for what is none.
+// Zone returns a machine's zone, or an empty string if there is no such machine.
 func (w *World) Zone(id string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -206,14 +206,14 @@
 	return ""
 }
 
-// MachinesOf returns the machines with a task of a job, by name.
+// MachinesOf returns the machines with a task of a job that has not exited, ordered by ID.
 func (w *World) MachinesOf(ref string) []*Agent {
 	return slices.DeleteFunc(w.Machines(), func(a *Agent) bool {
 		return !slices.ContainsFunc(a.Tasks(), func(t string) bool { return strings.HasPrefix(t, ref+"/") })
 	})
 }
 
-// run moves the machines.
+// run advances the machines at each interval and lets the checker verify durations.
 func (w *World) run() {
 	for w.Sleep(stepInterval) {
 		now := time.Now()
@@ -228,6 +228,7 @@
 	}
 }
 
+// completeTask notes that a task has completed, and calls onJobCompleted after a job's last task.
 func (w *World) completeTask(ref string, i int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -242,14 +243,14 @@
 	}
 }
 
-// OnEnd sets what happens beside the test when the last task of a job completes.
+// OnEnd sets a function that is called in a goroutine when the last task of a job completes.
 func (w *World) OnEnd(f func(ref string)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.onJobCompleted = f
 }
 
-// Observe tells of every heartbeat that is delivered, with its answer, and of every transaction.
+// Observe sets a function that is called for every delivered heartbeat, with its answer, and for every transaction.
 func (w *World) Observe(o Observer) {
 	w.State.Observe(o)
 	w.mu.Lock()
@@ -263,7 +264,7 @@
 	return w.observe
 }
 
-// deliver brings a worker's report to a controller.
+// deliver sends a worker's heartbeat to a controller and returns its answer.
 func (w *World) deliver(from, to string, r wire.Heartbeat) (status int, redirect string, o wire.CommandBatch, err error) {
 	if observe := w.observer(); observe != nil {
 		sent := time.Now().Format(time.TimeOnly)
@@ -303,7 +304,7 @@
 	return a.status, redirect, o, err
 }
 
-// markDelivered notes that a report, perhaps a late copy, is brought to a controller.
+// markDelivered notes that a heartbeat, perhaps a late copy, was delivered to a controller.
 func (w *World) markDelivered(r *wire.Heartbeat) {
 	w.mu.Lock()
 	a := w.agents[r.Machine]
@@ -318,8 +319,8 @@
 	}
 }
 
-// Mute keeps machines from opening connections to controllers, while direct commands
-// reach them, until heal is called.
+// Mute keeps machines from opening connections to controllers until heal is called. Direct commands
+// still reach them.
 func (w *World) Mute(ids func(string) bool) (heal func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -333,7 +334,7 @@
 	}
 }
 
-// ClearFaults ends every trouble of the network, the state service and the machines.
+// ClearFaults ends all injected faults of the network, the state service, the cloud and the machines.
 func (w *World) ClearFaults() {
 	w.Net.Heal()
 	w.State.InjectTxnFaults(nil)
@@ -363,8 +364,8 @@
 	return false
 }
 
-// Replay brings copies of reports to a controller, as a network does late. What is
-// answered goes to nobody. It reports how many were answered.
+// Replay delivers copies of heartbeats to a controller, as a network may do late, and discards the
+// answers. It returns how many were answered.
 func (w *World) Replay(to string, reports ...wire.Heartbeat) int {
 	n := 0
 	for _, r := range reports {
