--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain.go
@@ -36,13 +36,13 @@
 // WatchInterruptions sets whether interruptions of running work are reported in the effects.
 func (s *Shard) WatchInterruptions(watch bool) { s.drains.watchInterruptions = watch }
 
-// CordonsAsOf returns how many changes of the drains' view are reflected in the cordons.
+// CordonsAsOf returns the generation of the drain view that the cordons reflect (drain.View.Generation).
 func (s *Shard) CordonsAsOf() uint64 { return s.drains.cordonsAsOf }
 
 // SetCordons sets each machine's cordon and whether it is to be cordoned later, as cordonOf returns
-// them. They reflect so many changes of the drains' view.
-func (s *Shard) SetCordons(changes uint64, cordonOf func(m *Machine) (c Cordon, later bool)) {
-	s.drains.cordonsAsOf = changes
+// them. generation is that of the drain view from which cordonOf takes them.
+func (s *Shard) SetCordons(generation uint64, cordonOf func(m *Machine) (c Cordon, later bool)) {
+	s.drains.cordonsAsOf = generation
 	for _, m := range s.inventory.byID {
 		c, later := cordonOf(m)
 		if m.cordon == c && m.cordonedLater == later {
@@ -83,7 +83,8 @@
 	return out
 }
 
-// ServingByZone counts the machines that take work now, or would but for a cordon, by zone.
+// ServingByZone counts, by zone, the machines that take work now, or would if they were not cordoned
+// and no write or read of their records were under way.
 func (s *Shard) ServingByZone(now time.Time) map[string]int {
 	out := map[string]int{}
 	for _, m := range s.inventory.byID {
@@ -219,7 +220,8 @@
 }
 
 // Evict stops a unit for a granted disruption, with time to save a checkpoint if that loses less
-// work. It does nothing if the unit is no longer placed under that attempt or is already stopping.
+// work. It skips tasks of the unit that are no longer placed under that attempt, that are already
+// stopping, or whose placement is not recorded yet.
 func (s *Shard) Evict(d drain.Disruption, now time.Time) {
 	j := s.jobs[d.Job]
 	if j == nil {
@@ -289,8 +291,9 @@
 	return drain.StillInterrupted
 }
 
-// recordInterruption reports a running task that is proven gone without having completed, if
-// interruptions are watched.
+// recordInterruption adds an interruption to the effects for a task that is proven gone without having
+// completed. It does so only if interruptions are watched, the task was running or saving a
+// checkpoint, and its job was not cancelled.
 func (s *Shard) recordInterruption(k taskKey) {
 	t := &k.job.tasks[k.index]
 	if !s.drains.watchInterruptions || k.job.cancelled || (t.phase != wire.Running && t.phase != wire.Checkpointing) {
--- a/internal/scheduler/pipeline.go
+++ b/internal/scheduler/pipeline.go
@@ -195,7 +195,7 @@
 }
 
 // after returns the pipeline as it is once a job has ended, and the jobs of the shard that
-// this end releases. The algorithm of the paper decides which these are.
+// this end releases. Package fragment decides which these are.
 func (p *pipeline) after(j *Job, shard *Shard) (*pipeline, []*Job) {
 	end := record.PipelineJobEnd{Ref: j.ref, State: wire.Done}
 	if j.cancelled {
@@ -223,7 +223,7 @@
 
 // addPipelineStep adds to the transaction of a job's end the changes that the end makes to its
 // pipeline and to the jobs that it releases. It reports false if the transaction cannot be
-// written yet: the pipeline's record is not read, or another end is being recorded.
+// written yet: the pipeline's record has not been read, or another end is being recorded.
 func (s *Shard) addPipelineStep(t *Txn, j *Job, now time.Time) bool {
 	p := j.pipeline
 	if p.ref == "" || j.unneeded || p.record.State != "" {
@@ -237,8 +237,8 @@
 	t.Body.If = append(t.Body.If, wire.Condition{Key: at, Version: p.version})
 	t.pipelineAfter, t.releasedJobs = next, map[*Job]record.ActiveJob{}
 	p.writing = true
-	if over := next.record.Compacted(s.ledger.valueBytes); over.State != "" {
-		next.record = over
+	if compacted := next.record.Compacted(s.ledger.valueBytes); compacted.State != "" {
+		next.record = compacted
 	}
 	ops := []wire.Op{{Put: at, Value: record.Encode(next.record)}}
 	opens := make([]record.ActiveJob, len(releasable))
--- a/internal/scheduler/placement_records.go
+++ b/internal/scheduler/placement_records.go
@@ -15,14 +15,14 @@
 // ranges.
 //
 // The first version of the program writes unsized records: it derives the size of their ranges
-// from the value size limit of the state service. A record read with another size than it was
-// written with would lose placements, and tasks would run twice. Therefore, where a tighter limit
-// is to come, ranges state their size. As long as a controller may still be of the first version,
+// from the value size limit of the state service. If ranges were read with another size than they
+// were written with, placements would be lost and tasks would run twice. Therefore, where a tighter
+// limit is to come, ranges state their size. As long as a controller may still be of the first version,
 // records are written unsized, and both versions read them alike. After that, unsized records are
 // never rewritten: each of their ranges moves, in pieces, to sized records, which are written as
-// usual, and an unsized record is deleted once all of its ranges have moved. Of a range that two
-// records hold, the one that it was entered in later counts, so that a crash between any two
-// writes neither loses nor duplicates a placement.
+// usual, and an unsized record is deleted once all of its ranges have moved. If two
+// records hold a range, the record that it was entered in later counts, so that a crash between any
+// two writes neither loses nor duplicates a placement.
 
 const (
 	// unsizedPlacementBytes is the maximum size of a placement in an unsized record, in bytes.
@@ -56,7 +56,7 @@
 	first, end     int
 	record         *placementRecord
 	bytes          int              // upper bound of its size in the record, in bytes
-	generation     int              // of ranges that overlap, the one with the highest counts; raised with each entry in a sized record
+	generation     int              // of overlapping ranges, the one with the highest generation counts; raised each time the range is entered in a sized record
 	attempt        uint64           // highest attempt ever used
 	previousRecord *placementRecord // the record that holds it in the state service until record is written; nil: none
 }
@@ -209,8 +209,8 @@
 
 // recordWithRoom returns the first record with room for a range of so many bytes, a new one if
 // there is none. Records keep to valueBytes where they can: only a range that alone exceeds it gets
-// a record to itself. A range that moves out of a record must not be entered there again, since
-// that record would wait for its own write: source is that record, nil if the range is new.
+// a record to itself. source is the record that the range moves out of, nil if the range is new. The
+// range must not be entered there again, since source would then wait for its own write.
 func (l *placementLedger) recordWithRoom(bytes int, source *placementRecord) *placementRecord {
 	limit := l.valueBytes
 	if l.sized {
@@ -309,9 +309,9 @@
 	}
 }
 
-// splitOversized makes a sized record, whose encoding has size bytes, keep to the limit of a value:
-// it moves ranges that do not fit to other records. It returns false if the record must wait for
-// these to be written. The sizes of ranges are estimated well above the actual ones, so this
+// splitOversized keeps a sized record, whose encoding has size bytes, within the limit of a value: it
+// moves ranges that do not fit to other records. It returns false if the record must not be written
+// before these are. The sizes of ranges are estimated well above the actual ones, so this
 // handles only unexpected growth, such as longer machine IDs.
 func (l *placementLedger) splitOversized(rec *placementRecord, size int) bool {
 	if !rec.sized || size <= l.valueBytes {
@@ -344,7 +344,8 @@
 }
 
 // loadPlacements decodes the placement records and returns their ranges of active jobs, those that
-// were entered later first.
+// were entered later first. It returns an error for a record whose number or format is not valid,
+// and for an undecodable one that skipUnreadable does not skip.
 func (s *Shard) loadPlacements(entries []wire.Entry) ([]loadedRange, error) {
 	var out []loadedRange
 	for _, e := range entries {
@@ -383,7 +384,7 @@
 			}
 		}
 	}
-	// Of two ranges with the same tasks the one that was entered later counts.
+	// If two ranges have tasks in common, the one that was entered later counts.
 	sort.Slice(out, func(a, b int) bool {
 		if x, y := out[a].recorded.Generation, out[b].recorded.Generation; x != y {
 			return x > y
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -19,7 +19,8 @@
 }
 
 // preemptFor preempts tasks of other jobs to make room for n tasks of a job that has waited
-// long enough for a free machine. Of what the preemption rules allow it chooses the least loss.
+// long enough for a free machine. Among the options that the preemption rules allow, it chooses
+// those with the least loss.
 func (s *Shard) preemptFor(j *Job, n int, now time.Time) {
 	if !s.preemptionDue(j, now) {
 		return
@@ -231,7 +232,7 @@
 			}
 		}
 		if ran < countedAfter.Seconds() {
-			loss += spec.ImageGB // its start will not count
+			loss += spec.ImageGB // the task is stopped before its start counts: see countedAfter
 		}
 	}
 	loss += 1 + spec.ImageGB/2
@@ -256,7 +257,8 @@
 
 // preemptWhereCached preempts a task of lower priority for a service on a machine that caches
 // its image, if only machines without the image are free: stopping a task takes less time
-// than the fetch of a large image. It reports whether the service's next task should wait
+// than the fetch of a large image. found is the free machine that the service would get
+// otherwise. preemptWhereCached reports whether the service's next task should wait
 // for such room, and whether more room may be sought for the service's other tasks. This
 // extends the preference for machines that cache the image to machines in use.
 func (s *Shard) preemptWhereCached(j *Job, found *Machine, now time.Time) (wait, more bool) {
@@ -334,7 +336,8 @@
 }
 
 const (
-	// minFetchToPreempt is the shortest fetch of its image that a service avoids by preemption.
+	// minFetchToPreempt is the least time that the fetch of an image must take for a service to
+	// avoid it by preemption.
 	minFetchToPreempt = 4 * time.Second
 	// cachedRoomWait is how long after its acceptance a service waits for room where its
 	// image is cached, and how long such room is reserved for it.
