--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -30,7 +30,7 @@
 
 // Maximums of durations and labels. Larger values are mistakes.
 const (
-	maxSeconds    = 1e6
+	maxSeconds    = 1e6 // bounds params.clock_error_ms, too, as a number of milliseconds
 	maxLabelBytes = 100 // a label is part of keys
 )
 
@@ -226,7 +226,7 @@
 	return nil
 }
 
-// minSockets returns the number of sockets that each of so many controllers needs. A quarter of the
+// minSockets returns the least number of sockets for each of so many controllers. A quarter of the
 // sockets is left for connections that are not those of workers or users: two to each of the other
 // controllers, and those to the state service and the cloud.
 func minSockets(controllers int) int { return 4 * (2*(controllers-1) + outboundSockets) }
--- a/internal/controller/dependency_tracking.go
+++ b/internal/controller/dependency_tracking.go
@@ -46,7 +46,7 @@
 		go func() {
 			args := peer.NotifyArgs{Key: op.Put, Value: op.Value}
 			if err := owner.Call("Nudge", args, new(struct{}), peerNoticeTimeout); err != nil {
-				c.log.Debug("owner of a dependent not notified", "key", args.Key, "err", err) // its view will show it
+				c.log.Debug("owner of a dependent not notified", "key", args.Key, "err", err) // the owner's view will show that the job has ended
 			}
 		}()
 	}
@@ -57,7 +57,7 @@
 // of their dependents cannot cancel the dependents of a cancelled job. The shards' lock is held.
 func (c *Controller) lookUpDependenciesLocked(ctx context.Context, now time.Time) {
 	if !c.activeJobs.Loaded() {
-		return // without a loaded view, absence from it proves nothing
+		return // absence from a view that is not loaded proves nothing
 	}
 	awaitedHere := c.passKnownDependenciesLocked(now)
 	for _, ref := range c.activeJobs.EndedDependencies() {
@@ -171,7 +171,7 @@
 	}
 	rev, err := c.store.Txn(ctx, statestore.Urgent("cascade"), t)
 	if err != nil {
-		c.log.Debug("dependent not cancelled", "job", ref, "err", err) // the tick tries again, unless the owner does it
+		c.log.Debug("dependent not cancelled", "job", ref, "err", err) // the next tick tries again, unless the owner has cancelled it by then
 		return
 	}
 	c.mu.Lock()
--- a/internal/controller/leader/leader.go
+++ b/internal/controller/leader/leader.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	syncInterval = time.Second // between turns
-	syncTimeout  = 1500 * time.Millisecond
+	syncInterval = time.Second             // between turns
+	syncTimeout  = 1500 * time.Millisecond // of one Sync call to a peer
 	// planIntervalWhenBehind is the time between plans of a leader that is behind with its work.
 	planIntervalWhenBehind = 3 * syncInterval
 	// overloadedCampaignDelayTurns is the number of turns without a leader in which an overloaded
@@ -157,7 +157,8 @@
 	}
 }
 
-// Turn takes one turn of the leader. Only Run and tests call it.
+// Turn takes one turn of the leader, or steps down if this controller may no longer lead. Only Run and
+// tests call it. It takes the shards' lock.
 func (l *Leader) Turn(ctx context.Context) {
 	now := time.Now()
 	t := l.ensureTerm(now)
--- a/internal/controller/leader/provision.go
+++ b/internal/controller/leader/provision.go
@@ -29,7 +29,7 @@
 // provisions holds the provisions that a leader carries out. The shards' lock guards it.
 type provisions struct {
 	underWay map[string]record.Provision // by name
-	// addresses holds the addresses of machines by id, as their owners or the cloud's list have
+	// addresses holds the addresses of machines by ID, as their owners or the cloud's list have
 	// them.
 	addresses map[string]string
 	// recordingAddresses holds the names of the provisions whose addresses are being recorded.
@@ -40,8 +40,8 @@
 	return provisions{underWay: map[string]record.Provision{}, addresses: map[string]string{}, recordingAddresses: map[string]bool{}}
 }
 
-// MaxProvision returns how many machines a provision may ask for, so that their ids and addresses,
-// if of the usual size, fit into a record of recordBytes.
+// MaxProvision returns the maximum number of machines in one provision. It is chosen such that the
+// machines' IDs and addresses, at their usual lengths, fit into a record of recordBytes bytes.
 func MaxProvision(recordBytes int) int {
 	id, addr := "i-"+strings.Repeat("0", 8), "255.255.255.255:65535"
 	return record.LargestFitting(recordBytes, 1, protocolMaxProvision, func(n int) any {
@@ -114,8 +114,9 @@
 	l.commit(ctx, statestore.Urgent("rental"), wire.Txn{If: []wire.Condition{{Key: key, Version: version}}, Then: []wire.Op{op}}, now)
 }
 
-// callCloud requests a provision from the cloud until the cloud answers. It returns the ids of the
-// machines, none if the cloud has no capacity, or false if the term or the context ended first.
+// callCloud requests a provision from the cloud until the cloud answers. It returns the IDs of the
+// machines, none if the cloud has no capacity. ok is false if the term or the context ended before the
+// cloud answered.
 func (l *Leader) callCloud(ctx context.Context, t *term, name string, rec record.Provision) (ids []string, ok bool) {
 	request := wire.ProvisionRequest{Request: name, Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot, Count: len(rec.Shards)}
 	for ctx.Err() == nil {
--- a/internal/controller/membership/member.go
+++ b/internal/controller/membership/member.go
@@ -137,7 +137,7 @@
 	return err
 }
 
-// renewOrGrant renews the lease. If there is no lease, or no longer, it has another one granted
+// renewOrGrant renews the lease. If there is no lease or it has expired, it requests a new one
 // and writes the member record under it.
 func (m *Member) renewOrGrant(ctx context.Context, sent time.Time) error {
 	current := m.lease.Current()
@@ -174,7 +174,7 @@
 // PublishStatus writes the member record if the process's status has changed since the record
 // was written, so that others learn of it: a controller that is partitioned from all others
 // and all workers still owns its shards, but is of no use to them. It also writes the record
-// again if the view shows a different one or none: a delayed write of the last process with
+// again if the view shows a different one or none: a delayed write of the previous process with
 // this label may have replaced the record, and will be deleted when that process's lease expires.
 func (m *Member) PublishStatus(ctx context.Context) {
 	observed := m.process.Observe()
--- a/internal/controller/overload/overload.go
+++ b/internal/controller/overload/overload.go
@@ -6,8 +6,8 @@
 //     without awaiting the replies;
 //   - behind: leases, heartbeats and health checks come first. Only a few status queries are
 //     served at a time, and the others are refused at once, to be repeated; the few are served
-//     however long it lasts, so that no job is forgotten. The leader plans less often, and a
-//     machine that sends no heartbeats is not taken for failed;
+//     however long the process is behind, so that no job is forgotten. The leader plans less often, and a
+//     machine that sends no heartbeats is not considered failed;
 //   - overloaded: the process is still late after a while of being behind, and another
 //     controller that has room acquires one of its shards.
 package overload
@@ -50,7 +50,8 @@
 	overloadedEndsAfter = 5 * time.Second
 	// MinRecovery is how long a process that was overloaded must keep up before its shards
 	// are transferred back to it. The time doubles, up to maxRecovery, each time the process
-	// soon is overloaded again: while it has no shards, its load does not show whether the cause has passed.
+	// is soon overloaded again: while it has no shards, its load does not show whether the cause has
+	// passed.
 	MinRecovery = 2 * time.Minute
 	maxRecovery = 8 * time.Minute
 )
--- a/internal/controller/shardhost/acquire.go
+++ b/internal/controller/shardhost/acquire.go
@@ -61,8 +61,9 @@
 }
 
 // Acquire writes the ownership record of a shard, reads the shard's records and begins to serve
-// it. It fails if the ownership record is no longer the one in seen. The other errors are
-// ErrLostWhileLoading, ErrSafeModeBegan, *AcquiredByOtherError and those of the context.
+// it. The write fails if the ownership record is no longer the one in seen; its error is wrapped. The
+// other errors are ErrLostWhileLoading, ErrSafeModeBegan, *AcquiredByOtherError and those of the
+// context. The caller must not hold the Host's lock.
 func (h *Host) Acquire(ctx context.Context, id int, seen Ownership, incarnation uint64) error {
 	token, err := h.recordOwnership(ctx, id, seen, incarnation)
 	if err != nil {
@@ -75,8 +76,8 @@
 	return h.install(ctx, shard)
 }
 
-// loadUntilLost loads a shard under its token. It retries until that succeeds or a later
-// ownership record is seen, which makes the token outdated.
+// loadUntilLost loads a shard under its token. It retries until that succeeds, the context ends, or
+// the view has a later ownership record, which makes the token outdated.
 func (h *Host) loadUntilLost(ctx context.Context, id int, token uint64) (*scheduler.Shard, error) {
 	h.mu.Lock()
 	config := h.schedulerConfig
--- a/internal/controller/view_watches.go
+++ b/internal/controller/view_watches.go
@@ -21,8 +21,8 @@
 	// staleAfterWaits is the number of watch waits, each without a response, after which a view is
 	// stale once watchSlack has passed as well.
 	staleAfterWaits = 2
-	// firstViewWait is how long a controller waits for its first view of the active jobs until
-	// the view counts as stale. It is shorter than renewalRetryTimeout, so that workers keep their
+	// firstViewWait is how long after its start a controller without a first view of the active
+	// jobs considers that view stale. It is shorter than renewalRetryTimeout, so that workers keep their
 	// leases if the controller has restarted while the state service is out of reach.
 	firstViewWait = renewalRetryTimeout - renewalRetryInterval
 )
--- a/internal/drain/view.go
+++ b/internal/drain/view.go
@@ -60,13 +60,13 @@
 // Cordon says for which drain a machine takes no new work.
 type Cordon struct {
 	Drain string `json:"d"`
-	Since int64  `json:"at"` // milliseconds
+	Since int64  `json:"at"` // Unix time, milliseconds
 	Shard int    `json:"p"`  // the shard whose owner lifts the cordon
 	Zone  string `json:"z"`
 }
 
 // Cordons is the record of all cordoned machines. There is one record for all drains, so that the limit
-// of machines that may be cordoned at a time applies to all drains together.
+// on machines that may be cordoned at a time applies to all drains together.
 type Cordons struct {
 	Machines map[string]Cordon `json:"m"` // by machine ID
 }
@@ -114,8 +114,9 @@
 // skips such a record.
 var ErrMalformed = errors.New("malformed drain record")
 
-// Apply applies the change of a record, unless the view has a newer one. A malformed record replaces the
-// one before it, and Apply returns an error that wraps ErrMalformed.
+// Apply applies the change of a drain record. It ignores changes of other records, and those that are
+// not newer than the last change of the same key. A malformed record removes the one before it from the
+// view, and Apply returns an error that wraps ErrMalformed.
 func (v *View) Apply(e wire.Change) error {
 	key := e.Put + e.Delete
 	if !strings.HasPrefix(key, Prefix) || e.Version <= v.versions[key] {
@@ -264,7 +265,8 @@
 // Cordons returns the record of the cordoned machines. The caller must not change its map.
 func (v *View) Cordons() Versioned[Cordons] { return v.cordons }
 
-// Ledger returns a team's ledger. A caller that changes it clones it first.
+// Ledger returns a team's ledger, with version 0 if there is none. A caller must clone it before
+// changing it.
 func (v *View) Ledger(team string) Versioned[Ledger] { return v.ledgers[ledgerName(team)] }
 
 // openDisruptions returns the open disruptions of a shard.
@@ -280,7 +282,7 @@
 	return out
 }
 
-// Progress returns a drain's progress on a shard.
+// Progress returns a drain's progress on a shard, with version 0 if there is no record of it.
 func (v *View) Progress(name string, shard int) Versioned[Progress] {
 	return v.progress[ProgressKey(name, shard)]
 }
@@ -296,7 +298,8 @@
 	return out
 }
 
-// Invalid returns why records are malformed, by key.
+// Invalid returns the errors of the records that are malformed, by key. The caller must not change the
+// map.
 func (v *View) Invalid() map[string]error { return v.invalid }
 
 // Participant returns the record by which a controller takes part in drains, and whether there is one.
--- a/internal/fragment/fragment.go
+++ b/internal/fragment/fragment.go
@@ -1,8 +1,8 @@
 // Package fragment decides which jobs of a pipeline may run. It implements the algorithm of
 // "Dynamic workflow model fragmentation for distributed execution" (Tan and Fan, 2007), sections 2
 // and 3: after each finished job the remainder of its fragment is cut into fragments, one for each
-// successor. Of the branches of a parallel split only the first carries the join and the jobs that
-// follow it.
+// successor. Of the branches of a parallel split, only the first one's fragment contains the join and
+// the jobs that follow it.
 //
 // The package also checks that a pipeline is well structured (NetFromLinks), and computes the
 // urgency that jobs inherit from the jobs that depend on them (Dependencies).
@@ -27,7 +27,7 @@
 	out    map[string][]int // by job: the indexes of its output places
 }
 
-// NewNet returns a net with places. It returns an error unless there is exactly one start place and
+// NewNet returns the net of the given places. It returns an error unless there is exactly one start place and
 // each job has an input place.
 func NewNet(places []Place) (*Net, error) {
 	n := &Net{places: places, in: map[string][]int{}, out: map[string][]int{}}
@@ -54,9 +54,9 @@
 	return n, nil
 }
 
-// BeginAfter starts the pipeline of a job that depends on others, which were submitted before it
-// and may have started or finished: a split into the dependencies, and the job as their join. As
-// any join, the job is carried by one fragment.
+// BeginAfter returns the pipeline of a job that depends on others, which were submitted before it
+// and may have started or finished: a split into the dependencies, and the job as their join. Like
+// any join, the job is part of one fragment. The split is finished already.
 func BeginAfter(job string, dependencies []string) *Pipeline {
 	const split = "" // not the ref of a job
 	places := []Place{{Out: []string{split}}, {In: []string{job}}}
@@ -72,7 +72,7 @@
 	return p
 }
 
-// Fragment is a part of a net. Source is the job of it that runs first.
+// Fragment is a part of a net. Source is the one of its jobs that runs first.
 type Fragment struct {
 	Source string
 	Jobs   map[string]bool
@@ -136,8 +136,8 @@
 }
 
 // next returns the fragments that follow f's source. It is Algorithm 3 with an added restriction
-// (Algorithm 6): a job with several inputs that an earlier branch carries, which is a partial join,
-// is not carried again.
+// (Algorithm 6): a partial join, which is a job with several inputs that is in the fragment of an
+// earlier branch, is left out of the later fragments.
 func (n *Net) next(f Fragment) []Fragment {
 	var list []Fragment
 	outs := n.out[f.Source]
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -89,7 +89,8 @@
 	return &Limiter{settings: s}
 }
 
-// Settings returns the settings with their defaults.
+// Settings returns the settings, with defaults in place of those that were 0. The caller must not change
+// them.
 func (l *Limiter) Settings() *Settings { return &l.settings }
 
 // Start makes the limiter active, with an empty bucket for commands and a share in commands per
@@ -169,7 +170,7 @@
 	return l.share * l.factor * math.Exp2(min(max(0, late), maxDoublings))
 }
 
-// maxDoublings bounds the exponent. By then no command is delayed.
+// maxDoublings bounds the exponent in rate. After so many doublings no command is delayed.
 const maxDoublings = 20
 
 // capacity returns the capacity of the bucket for commands. It is at least one command, since
@@ -208,8 +209,8 @@
 	l.perSecond[max(second, 0)]++
 }
 
-// ReleasedPerSecond returns how many commands were released in each second, beginning with the second
-// of from.
+// ReleasedPerSecond returns how many commands were released in each second since the limiter became
+// active, beginning with the second that contains from.
 func (l *Limiter) ReleasedPerSecond(from time.Time) []int {
 	first := max(0, int(from.Sub(l.startedAt)/time.Second))
 	return l.perSecond[min(first, len(l.perSecond)):]
--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -148,7 +148,7 @@
 	return i
 }
 
-// planNewest restores the newest copy of a record.
+// planNewest restores the newest copy of a record, or plans the record as lost if that copy is not JSON.
 func (p *planner) planNewest(key string) {
 	e, from, _ := p.newest(key)
 	if !json.Valid(e.Value) {
--- a/internal/snapshot/take.go
+++ b/internal/snapshot/take.go
@@ -89,7 +89,7 @@
 	return m, s.remove()
 }
 
-// retry repeats a request until the store answers it, also with an error. It gives up if the store has
+// retry repeats a request until the store answers it, even if the answer is an error. It gives up if the store has
 // not answered any request for the Taker's AnswerTimeout, or if the context ends.
 func retry[T any](ctx context.Context, t *Taker, request func() (T, error)) (T, error) {
 	for {
@@ -167,8 +167,8 @@
 }
 
 // align brings all sections to one revision, which it sets in the manifest. If the store no longer keeps
-// the changes of some sections, these are read again and all sections are aligned again. After
-// maxSectionReads the manifest gets a Span instead.
+// the changes of some sections, these are read again and all sections are aligned again. If that still
+// fails after maxSectionReads reads, the manifest gets a Span, since there is no one revision.
 func (t *Taker) align(ctx context.Context, s *spool, sections []*section, m *Manifest) error {
 	for attempt := 1; ; attempt++ {
 		stale, err := t.applyChanges(ctx, sections, m)
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -17,8 +17,8 @@
 	"bramblespur/internal/wire"
 )
 
-// connections is the number of connections that a client keeps for requests, and as many again
-// for watches.
+// connections is the number of connections that a client keeps for requests. It keeps as many
+// again for watches.
 const connections = 4
 
 // Client is a Store over HTTP. It is safe for concurrent use.
@@ -101,8 +101,8 @@
 	return c.execute(ctx, purpose, method, target, Usage{}, in, out)
 }
 
-// execute makes a request that puts and deletes as many keys as counted in used. Writes wait for
-// tokens as long as their callers do; a query's wait counts towards callTimeout. It returns the
+// execute makes a request that puts and deletes as many keys as counted in used. A write waits for
+// tokens as long as its caller's context allows; a query's wait counts towards callTimeout. It returns the
 // status and the body of the response; see decode.
 func (c *Client) execute(ctx context.Context, purpose Purpose, method, target string, used Usage, in, out any) (int, []byte, error) {
 	writes := used.writes()
--- a/internal/statestore/loans.go
+++ b/internal/statestore/loans.go
@@ -14,8 +14,8 @@
 }
 
 // awaitsLoan reports whether an urgent request needs more writes than this controller's burst
-// while a loan is requested or may be. A loan can spare the request the time that it takes
-// to reserve the writes beyond the burst in advance.
+// while a loan is requested or may be. Without a loan the request would have to wait until the
+// writes beyond the burst are reserved in advance.
 func (s *requestScheduler) awaitsLoan(w *waitingRequest, now time.Time) bool {
 	return !w.routine && w.writes > s.writeTokens.Burst() && (s.loanRequested || s.canBorrow(w, now))
 }
