--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -38,19 +38,19 @@
 type heartbeatOutcome int
 
 const (
-	// renewInSafeMode: the state service has lost data. The lease may be renewed, and nothing
-	// else is done.
+	// renewInSafeMode means that the state service has lost data. The lease may be renewed, and
+	// nothing else is done.
 	renewInSafeMode heartbeatOutcome = iota
-	// renewUnrecorded: the machine has no record. Its lease is renewed if that is allowed.
+	// renewUnrecorded means that the machine has no record. Its lease is renewed if that is allowed.
 	renewUnrecorded
-	// redirectWorker: the worker is sent to another controller.
+	// redirectWorker means that the worker is sent to another controller.
 	redirectWorker
-	// serveHere: the machine's shard is hosted here.
+	// serveHere means that the machine's shard is hosted here.
 	serveHere
-	// renewForOwner: the owner cannot be reached. The lease is renewed on its behalf.
+	// renewForOwner means that the owner cannot be reached. The lease is renewed on its behalf.
 	renewForOwner
-	// relayToOwner: another controller owns the machine's shard, but the worker is to report to
-	// this one, or it was redirected and has come back.
+	// relayToOwner means that another controller owns the machine's shard, but the worker is to
+	// report to this one, or it was redirected and has come back.
 	relayToOwner
 )
 
--- a/internal/controller/shardhost/config.go
+++ b/internal/controller/shardhost/config.go
@@ -12,8 +12,8 @@
 
 // Defaults of the shards' timers and limits.
 const (
-	// A machine counts as lost after missedHeartbeats heartbeat intervals plus silenceMargin
-	// without a heartbeat.
+	// missedHeartbeats is the number of heartbeat intervals that, with silenceMargin added, a
+	// machine may send no heartbeat before it counts as lost.
 	missedHeartbeats = 3
 	silenceMargin    = 2 * time.Second
 	socketsPerProbe  = 32 // one in so many sockets may be used to probe a silent machine
--- a/internal/controller/userapi/cancellations.go
+++ b/internal/controller/userapi/cancellations.go
@@ -29,8 +29,8 @@
 // that was done before.
 //
 // A cancellation is confirmed to the user only once the job's owner has proven that every
-// task is gone and has recorded the end. So no task outlives the confirmation, whatever is
-// partitioned, paused or late, and a controller that cannot learn of cancellations may still
+// task is gone and has recorded the end. So no task outlives the confirmation, regardless of
+// partitions, pauses and delays, and a controller that receives no cancellations may still
 // renew leases. Until then CancelJob returns ErrNotTerminal, and the user has to ask again.
 // It returns ErrNotFound for a job that was never accepted, and ErrUnavailable if the
 // cancellation cannot be decided now.
--- a/internal/controller/workerapi/router.go
+++ b/internal/controller/workerapi/router.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// By the protocol, a worker waits responseTimeout for a response and tries the next
-	// controller after retryPause.
+	// responseTimeout is how long, by the protocol, a worker waits for a response. After a
+	// pause of retryPause it tries the next controller.
 	responseTimeout = 4 * time.Second
 	retryPause      = time.Second
 	// redirectMemory is how long a redirect is remembered.
--- a/internal/drain/ledger.go
+++ b/internal/drain/ledger.go
@@ -58,7 +58,7 @@
 	Classes map[string]Limit `json:"classes,omitempty"`
 }
 
-// Disruptions of a class that are closed within spentResolution of each other share one entry of
+// spentResolution is the time within which disruptions of a class are closed that share one entry of
 // Ledger.Spent.
 const spentResolution = 10 * time.Second
 
--- a/internal/drain/serving.go
+++ b/internal/drain/serving.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// A drain must leave each zone machines that take work. Only a shard's owner can tell which of its
-// machines do, because a machine that boots, hangs or sends no heartbeats has the same records as one
+// A drain must leave each zone machines that take work. Only a shard's owner can determine which of
+// its machines do, because a machine that boots, hangs or sends no heartbeats has the same records as one
 // that works. So while a drain is active, each owner records how many of its machines take work, by
 // zone. A cordon is conditional on the records of all shards. If two controllers decide at the same
 // moment, the transaction of one of them fails, and so does one that is based on an outdated count of
@@ -28,8 +28,8 @@
 	Zones map[string]int `json:"z"` // machines by zone
 }
 
-// A count is recorded lower by 1/servingRounding, rounded down, so that not each machine that comes or
-// goes needs a write. Small counts are exact.
+// servingRounding determines how much lower a count is recorded than it is: by 1/servingRounding of it,
+// rounded down, so that not each machine that comes or goes needs a write. Small counts are exact.
 const servingRounding = 16
 
 // Update returns the record for the present token, plan version and counts by zone, and whether it has
--- a/internal/scheduler/deposed_test.go
+++ b/internal/scheduler/deposed_test.go
@@ -63,17 +63,17 @@
 	return false
 }
 
-// reportToOldOwner sends a heartbeat of a worker to the old owner.
-func (d *deposedHarness) reportToOldOwner(w *testkit.Worker) {
-	report := w.NextHeartbeat()
-	if orders, disposition := d.oldOwner.Heartbeat(&report, false, d.clock.Now()); disposition == Answered {
-		w.Execute(orders)
+// sendHeartbeatToOldOwner sends a heartbeat of a worker to the old owner.
+func (d *deposedHarness) sendHeartbeatToOldOwner(w *testkit.Worker) {
+	heartbeat := w.NextHeartbeat()
+	if batch, disposition := d.oldOwner.Heartbeat(&heartbeat, false, d.clock.Now()); disposition == Answered {
+		w.Execute(batch)
 	}
 }
 
-// notifyOldOwner applies a machine's present record to the old owner and sends it three heartbeats of
+// updateOldOwner applies a machine's present record to the old owner and sends it three heartbeats of
 // the worker.
-func (d *deposedHarness) notifyOldOwner(w *testkit.Worker) {
+func (d *deposedHarness) updateOldOwner(w *testkit.Worker) {
 	d.t.Helper()
 	view, _ := d.fleet.Machine(w.ID)
 	if err := d.oldOwner.SetMachine(w.ID, view, d.clock.Now()); err != nil {
@@ -81,7 +81,7 @@
 	}
 	for range 3 {
 		d.clock.Advance(d.cfg.HeartbeatInterval)
-		d.reportToOldOwner(w)
+		d.sendHeartbeatToOldOwner(w)
 	}
 }
 
@@ -95,7 +95,7 @@
 	start := r.nextTxn()
 	d := depose(r)
 	refused := d.commitLate(start)
-	d.reportToOldOwner(w1)
+	d.sendHeartbeatToOldOwner(w1)
 	w2 := r.addMachine("m2", "z1", false)
 	r.heartbeats(4, w2)
 	if at := r.runningOn("run-000001/0"); at != "m2" {
@@ -195,9 +195,9 @@
 func (r *harness) stepWithWritesRefused(workers ...*testkit.Worker) (rereads []string) {
 	now := r.clock.Now()
 	for _, w := range workers {
-		report := w.NextHeartbeat()
-		if orders, disposition := r.shard.Heartbeat(&report, false, now); disposition == Answered {
-			w.Execute(orders)
+		heartbeat := w.NextHeartbeat()
+		if batch, disposition := r.shard.Heartbeat(&heartbeat, false, now); disposition == Answered {
+			w.Execute(batch)
 		}
 	}
 	effects := r.shard.Step(now)
@@ -276,12 +276,12 @@
 	if w.Token != raised.Version {
 		t.Fatalf("the worker has token %d, want %d", w.Token, raised.Version)
 	}
-	d.notifyOldOwner(w)
+	d.updateOldOwner(w)
 	if r.runningOn("run-000001/0") != "m1" {
 		t.Error("an owner that has a successor stopped the successor's task")
 	}
-	report := w.NextHeartbeat()
-	if _, disposition := d.oldOwner.Heartbeat(&report, false, r.clock.Now()); disposition != Deposed {
+	heartbeat := w.NextHeartbeat()
+	if _, disposition := d.oldOwner.Heartbeat(&heartbeat, false, r.clock.Now()); disposition != Deposed {
 		t.Errorf("a heartbeat under the successor's token: disposition %d, want %d", disposition, Deposed)
 	}
 }
@@ -301,7 +301,7 @@
 	if r.runningOn("run-000001/0") != "m1" {
 		t.Fatal("the successor did not start the task")
 	}
-	d.notifyOldOwner(w)
+	d.updateOldOwner(w)
 	if r.runningOn("run-000001/0") != "m1" {
 		t.Error("an owner that has a successor stopped the successor's task")
 	}
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -30,9 +30,9 @@
 	if freshness == reconcile.Superseded {
 		return wire.CommandBatch{}, Deposed
 	}
-	orders := wire.CommandBatch{Token: token, Commands: []wire.Command{}}
+	batch := wire.CommandBatch{Token: token, Commands: []wire.Command{}}
 	if freshness == reconcile.Stale {
-		return orders, Answered // an outdated heartbeat changes nothing and gets no commands
+		return batch, Answered // an outdated heartbeat changes nothing and gets no commands
 	}
 	defer s.inventory.update(m)
 	// After a failover the new owner does not have the position of the last heartbeat, so the
@@ -45,9 +45,9 @@
 		// for this shard or transferred to it: an earlier owner can only have sent
 		// starts that are in the records we read.
 		if !direct && live {
-			orders.Commands = append(orders.Commands, s.startCommands(m, now)...)
+			batch.Commands = append(batch.Commands, s.startCommands(m, now)...)
 		}
-		return orders, Answered
+		return batch, Answered
 	}
 	if !m.contact.fenced {
 		m.contact.fenced = true
@@ -55,16 +55,16 @@
 		s.placementDue = true
 	}
 	var missed bool
-	orders.Commands, missed = s.appendReconciliationCommands(orders.Commands, m, r, direct, now)
+	batch.Commands, missed = s.appendReconciliationCommands(batch.Commands, m, r, direct, now)
 	if direct {
-		return orders, Answered
+		return batch, Answered
 	}
 	s.countMissedStart(m, missed, now)
-	orders.Commands = s.appendCommands(orders.Commands, m, startsAndStops, now)
-	if len(orders.Commands) > maxCommands {
-		orders.Commands = orders.Commands[:maxCommands]
+	batch.Commands = s.appendCommands(batch.Commands, m, startsAndStops, now)
+	if len(batch.Commands) > maxCommands {
+		batch.Commands = batch.Commands[:maxCommands]
 	}
-	return orders, Answered
+	return batch, Answered
 }
 
 // recordContact records what a heartbeat shows about its machine, apart from the tasks there.
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -83,9 +83,9 @@
 	}
 	sort.Slice(queue, func(a, b int) bool {
 		x, y := queue[a], queue[b]
-		if old := s.protection.aged(x, now); old != s.protection.aged(y, now) {
-			return old
-		} else if old {
+		if aged := s.protection.aged(x, now); aged != s.protection.aged(y, now) {
+			return aged
+		} else if aged {
 			return beforeAged(x, y)
 		}
 		if x.rank != y.rank {
@@ -93,9 +93,9 @@
 		}
 		// Gangs that have waited for long are ordered by their age alone. Otherwise
 		// small and short gangs would overtake the large ones forever.
-		if late := x.longWaiting(now); late != y.longWaiting(now) {
-			return late
-		} else if late && !x.accepted.Equal(y.accepted) {
+		if long := x.longWaiting(now); long != y.longWaiting(now) {
+			return long
+		} else if long && !x.accepted.Equal(y.accepted) {
 			return x.accepted.Before(y.accepted)
 		}
 		if urgency[x] != urgency[y] {
@@ -160,9 +160,9 @@
 // of teamB's. Aged jobs go first, then jobs within their team's guarantee, then the higher
 // priority, then the team that uses less of its fair share.
 func (s *Shard) teamBefore(a *Job, teamA string, b *Job, teamB string, now time.Time) bool {
-	if old := s.protection.aged(a, now); old != s.protection.aged(b, now) {
-		return old
-	} else if old {
+	if aged := s.protection.aged(a, now); aged != s.protection.aged(b, now) {
+		return aged
+	} else if aged {
 		return beforeAged(a, b)
 	}
 	if x, y := s.quotas.withinGuarantee(a, a.unitSize()), s.quotas.withinGuarantee(b, b.unitSize()); x != y {
--- a/internal/scheduler/random_graph_test.go
+++ b/internal/scheduler/random_graph_test.go
@@ -158,8 +158,8 @@
 		p.t.Fatal(err)
 	}
 	p.graph.cancelled[ref] = true
-	tell := p.ownerOf(ref).cancel(o.Spec)
-	tell()
+	applyToShard := p.ownerOf(ref).cancel(o.Spec)
+	applyToShard()
 }
 
 // settle runs all shards undisturbed for as many rounds as all jobs may need to end.
--- a/internal/statestore/errors.go
+++ b/internal/statestore/errors.go
@@ -27,11 +27,11 @@
 
 // Outcomes of transactions.
 const (
-	// Unknown: the transaction may have been applied, or may be applied later.
+	// Unknown means that the transaction may have been applied, or may be applied later.
 	Unknown Outcome = iota
-	// Applied: all changes were made.
+	// Applied means that all changes were made.
 	Applied
-	// NotApplied: no change was made, and none will be.
+	// NotApplied means that no change was made, and none will be.
 	NotApplied
 )
 
