--- a/internal/testkit/agent.go
+++ b/internal/testkit/agent.go
@@ -94,7 +94,7 @@
 		a.recent = append(a.recent, r)
 		a.recent = a.recent[max(0, len(a.recent)-maxRecent):]
 		a.mu.Unlock()
-		status, to, orders, err := a.w.deliver(a.ID, a.w.labels[node], r)
+		status, to, batch, err := a.w.deliver(a.ID, a.w.labels[node], r)
 		a.mu.Lock()
 		switch {
 		case a.gone:
@@ -108,10 +108,10 @@
 				node, pause = (node+1)%len(a.w.labels), time.Second
 			}
 		default:
-			if !a.hung && r.Session == a.session && orders.Token >= a.token {
+			if !a.hung && r.Session == a.session && batch.Token >= a.token {
 				a.leaseStart = sent
-				a.raiseToken(orders.Token)
-				a.executeCommands(orders.Commands)
+				a.raiseToken(batch.Token)
+				a.executeCommands(batch.Commands)
 			}
 			every := a.w.timing.Report
 			pause = every*3/4 + time.Duration(a.w.rand.Int64N(int64(every/2)))
@@ -215,7 +215,7 @@
 	a.mu.Lock()
 	if a.gone || a.hung {
 		a.mu.Unlock()
-		a.w.Sleep(showTimeout)
+		a.w.Sleep(heartbeatRequestTimeout)
 		return wire.Heartbeat{}, ErrLost
 	}
 	defer a.mu.Unlock()
--- a/internal/testkit/agent_tasks.go
+++ b/internal/testkit/agent_tasks.go
@@ -17,7 +17,7 @@
 	why               string    // reason of the exit
 	saved             bool      // a checkpoint was saved at the exit
 	since             time.Time // when it entered its state
-	stopped           bool      // it was told to stop and saves a checkpoint
+	stopped           bool      // it received a stop command with enough time for a checkpoint
 	saveEnd           time.Time // when the checkpoint is saved
 	peersMissingSince time.Time // since when a peer of its gang is missing; zero: none is
 	delivered         bool      // a heartbeat with its exit has reached a controller
@@ -190,8 +190,8 @@
 	}
 }
 
-// Inject puts a task on the machine without a command, running or exited. The checker is not told of
-// it, since it is the test that breaks a rule.
+// Inject puts a task on the machine without a command, running or exited. The checker does
+// not count it, since it is the test that breaks a rule.
 func (a *Agent) Inject(ref string, i int, attempt uint64, state, why string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/testkit/checker.go
+++ b/internal/testkit/checker.go
@@ -12,19 +12,19 @@
 
 // Names of the rules of the protocol, and of further expectations, in violations.
 const (
-	RanTwice     = "ran_twice"
-	OverQuota    = "quota"
-	WrongPlace   = "wrong_place"
-	RanCancelled = "ran_cancelled"
-	Forgotten    = "forgotten"
-	Invented     = "invented"
-	NotDone      = "not_done"
-	WentBack     = "went_back"
-	TooEarly     = "too_early"
-	Orphaned     = "orphaned"
-	StartedLate  = "start after a confirmed cancellation"
-	Waited       = "waits though a machine has room"
-	BadAnswer    = "wrong answer to bad input"
+	RanTwice     = "ran_twice"                            // a task is on two machines at once
+	OverQuota    = "quota"                                // a team uses more GPUs than its limit
+	WrongPlace   = "wrong_place"                          // a task starts on a machine that its specification excludes
+	RanCancelled = "ran_cancelled"                        // a task remains too long after its user was answered that the job is cancelled
+	Forgotten    = "forgotten"                            // an accepted job is unknown to a controller, or its polls stay unanswered
+	Invented     = "invented"                             // a job that no user submitted is reported or started
+	NotDone      = "not_done"                             // a job is reported done before all its tasks completed
+	WentBack     = "went_back"                            // a job leaves a terminal state, or is cancelled without a request, or a cancellation does not end it
+	TooEarly     = "too_early"                            // a task starts before a dependency of its job is done
+	Orphaned     = "orphaned"                             // a job stays active after a dependency was cancelled
+	StartedLate  = "start after a confirmed cancellation" // a task starts after its user was answered that the job is cancelled
+	Waited       = "waits though a machine has room"      // a job waits too long although machines have room for it
+	BadAnswer    = "wrong answer to bad input"            // a request that must be refused has another status
 )
 
 // Limits that apply while no fault is injected: waitLimit is how long a job may wait although a
--- a/internal/testkit/checker_test.go
+++ b/internal/testkit/checker_test.go
@@ -16,7 +16,7 @@
 	zoneA, zoneB := Place{ID: "m1", Type: "big", Zone: "a"}, Place{ID: "m2", Type: "big", Zone: "b"}
 	other := Place{ID: "m3", Type: "big", Zone: "a"}
 	now := func() time.Time { return time.Now() }
-	told := func(c *Checker, kind Request, ref string, status int, state string) {
+	answer := func(c *Checker, kind Request, ref string, status int, state string) {
 		c.Answered(kind, ref, now(), now().Add(time.Millisecond), status, state)
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -26,22 +26,22 @@
 			change(&spec)
 		}
 		c.JobSubmitted(spec)
-		told(c, Submission, ref, 201, wire.Pending)
+		answer(c, Submission, ref, 201, wire.Pending)
 	}
 	room := func(_ *wire.Spec, may func(string) bool) bool { return may("a") }
 	none := func(*wire.Spec, func(string) bool) bool { return false }
 	waits := func(c *Checker, ref string) {
 		c.SetFaultFree(true)
 		for range waitLimit / (10 * time.Second) {
-			told(c, Poll, ref, 200, wire.Pending)
+			answer(c, Poll, ref, 200, wire.Pending)
 			c.CheckDurations(room)
 			time.Sleep(10 * time.Second)
 		}
 	}
 	for name, x := range map[string]struct {
-		rule  string
-		ready func(c *Checker)
-		wrong func(c *Checker)
+		rule      string
+		prepare   func(c *Checker)
+		breakRule func(c *Checker)
 	}{
 		"on two machines": {RanTwice, func(c *Checker) { job(c, "r1", nil); c.TaskStarted("r1/0", zoneA) }, func(c *Checker) { c.TaskStarted("r1/0", zoneB) }},
 		"above the limit": {OverQuota, func(c *Checker) {
@@ -65,49 +65,49 @@
 		"start after a cancellation": {StartedLate, func(c *Checker) {
 			job(c, "r1", nil)
 			c.CancellationRequested("r1")
-			told(c, Cancellation, "r1", 200, wire.Cancelled)
+			answer(c, Cancellation, "r1", 200, wire.Cancelled)
 		},
 			func(c *Checker) { c.TaskStarted("r1/0", zoneA) }},
 		"lives on after a cancellation": {RanCancelled, func(c *Checker) {
 			job(c, "r1", nil)
 			c.TaskStarted("r1/0", zoneA)
 			c.CancellationRequested("r1")
-			told(c, Cancellation, "r1", 200, wire.Cancelled)
+			answer(c, Cancellation, "r1", 200, wire.Cancelled)
 			time.Sleep(cancelAfter - time.Second)
 			c.CheckDurations(none)
 		}, func(c *Checker) { time.Sleep(2 * time.Second); c.CheckDurations(none) }},
-		"404 for an accepted job": {Forgotten, func(c *Checker) { job(c, "r1", nil) }, func(c *Checker) { told(c, Poll, "r1", 404, "") }},
-		"422 for a repeat":        {Forgotten, func(c *Checker) { job(c, "r1", nil) }, func(c *Checker) { told(c, Submission, "r1", 422, "") }},
-		"404 for a cancellation":  {Forgotten, func(c *Checker) { job(c, "r1", nil) }, func(c *Checker) { told(c, Cancellation, "r1", 404, "") }},
+		"404 for an accepted job": {Forgotten, func(c *Checker) { job(c, "r1", nil) }, func(c *Checker) { answer(c, Poll, "r1", 404, "") }},
+		"422 for a repeat":        {Forgotten, func(c *Checker) { job(c, "r1", nil) }, func(c *Checker) { answer(c, Submission, "r1", 422, "") }},
+		"404 for a cancellation":  {Forgotten, func(c *Checker) { job(c, "r1", nil) }, func(c *Checker) { answer(c, Cancellation, "r1", 404, "") }},
 		"no answer after the troubles": {Forgotten, func(c *Checker) {
 			job(c, "r1", nil)
 			c.SetFaultFree(true)
 			time.Sleep(pollLimit)
 			c.CheckDurations(none)
 		}, func(c *Checker) { time.Sleep(time.Second); c.CheckDurations(none) }},
-		"200 for what nobody submitted":  {Invented, func(c *Checker) { told(c, Poll, "r9", 404, "") }, func(c *Checker) { told(c, Poll, "r9", 200, wire.Pending) }},
+		"200 for what nobody submitted":  {Invented, func(c *Checker) { answer(c, Poll, "r9", 404, "") }, func(c *Checker) { answer(c, Poll, "r9", 200, wire.Pending) }},
 		"start of what nobody submitted": {Invented, func(*Checker) {}, func(c *Checker) { c.TaskStarted("r9/0", zoneA) }},
-		"done too early":                 {NotDone, func(c *Checker) { job(c, "r1", nil); c.TaskCompleted("r1", 0) }, func(c *Checker) { told(c, Poll, "r1", 200, wire.Done) }},
+		"done too early":                 {NotDone, func(c *Checker) { job(c, "r1", nil); c.TaskCompleted("r1", 0) }, func(c *Checker) { answer(c, Poll, "r1", 200, wire.Done) }},
 		"pending after done": {WentBack, func(c *Checker) {
 			job(c, "r1", nil)
 			c.TaskCompleted("r1", 0)
 			c.TaskCompleted("r1", 1)
-			told(c, Poll, "r1", 200, wire.Done)
-		}, func(c *Checker) { told(c, Poll, "r1", 200, wire.Pending) }},
+			answer(c, Poll, "r1", 200, wire.Done)
+		}, func(c *Checker) { answer(c, Poll, "r1", 200, wire.Pending) }},
 		"running after a cancellation": {WentBack, func(c *Checker) {
 			job(c, "r1", nil)
 			c.CancellationRequested("r1")
-			told(c, Cancellation, "r1", 200, wire.Cancelled)
-		}, func(c *Checker) { told(c, Submission, "r1", 200, wire.Running) }},
+			answer(c, Cancellation, "r1", 200, wire.Cancelled)
+		}, func(c *Checker) { answer(c, Submission, "r1", 200, wire.Running) }},
 		"done after a cancellation": {WentBack, func(c *Checker) {
 			job(c, "r1", nil)
 			c.TaskCompleted("r1", 0)
 			c.TaskCompleted("r1", 1)
 			c.CancellationRequested("r1")
-			told(c, Poll, "r1", 200, wire.Cancelled)
-		}, func(c *Checker) { told(c, Poll, "r1", 200, wire.Done) }},
-		"cancelled by nobody":           {WentBack, func(c *Checker) { job(c, "r1", nil) }, func(c *Checker) { told(c, Poll, "r1", 200, wire.Cancelled) }},
-		"cancellation answered pending": {WentBack, func(c *Checker) { job(c, "r1", nil); c.CancellationRequested("r1") }, func(c *Checker) { told(c, Cancellation, "r1", 200, wire.Pending) }},
+			answer(c, Poll, "r1", 200, wire.Cancelled)
+		}, func(c *Checker) { answer(c, Poll, "r1", 200, wire.Done) }},
+		"cancelled by nobody":           {WentBack, func(c *Checker) { job(c, "r1", nil) }, func(c *Checker) { answer(c, Poll, "r1", 200, wire.Cancelled) }},
+		"cancellation answered pending": {WentBack, func(c *Checker) { job(c, "r1", nil); c.CancellationRequested("r1") }, func(c *Checker) { answer(c, Cancellation, "r1", 200, wire.Pending) }},
 		"before its dependency is done": {TooEarly, func(c *Checker) {
 			job(c, "r1", nil)
 			job(c, "r2", func(spec *wire.Spec) { spec.DependsOn = []string{"r1"} })
@@ -117,10 +117,10 @@
 			job(c, "r1", nil)
 			job(c, "r2", func(spec *wire.Spec) { spec.DependsOn = []string{"r1"} })
 			c.CancellationRequested("r1")
-			told(c, Cancellation, "r1", 200, wire.Cancelled)
+			answer(c, Cancellation, "r1", 200, wire.Cancelled)
 			time.Sleep(cancelAfter - time.Second)
-			told(c, Poll, "r2", 200, wire.Pending)
-		}, func(c *Checker) { time.Sleep(2 * time.Second); told(c, Poll, "r2", 200, wire.Pending) }},
+			answer(c, Poll, "r2", 200, wire.Pending)
+		}, func(c *Checker) { time.Sleep(2 * time.Second); answer(c, Poll, "r2", 200, wire.Pending) }},
 		"waits beside room": {Waited, func(c *Checker) {
 			job(c, "r1", nil)
 			waits(c, "r1")
@@ -137,7 +137,7 @@
 			job(c, "r2", func(spec *wire.Spec) { spec.DependsOn = []string{"r1"} })
 			c.TaskCompleted("r1", 0)
 			c.TaskCompleted("r1", 1)
-			told(c, Poll, "r1", 200, wire.Done)
+			answer(c, Poll, "r1", 200, wire.Done)
 			waits(c, "r2")
 		}, func(c *Checker) { c.CheckDurations(room) }},
 		"bad input accepted": {BadAnswer, func(c *Checker) { c.BadInput("no team", 400, 400) }, func(c *Checker) { c.BadInput("no team", 201, 400) }},
@@ -145,11 +145,11 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := NewChecker(map[string]float64{"tight": 2}, cancelAfter)
-				x.ready(c)
+				x.prepare(c)
 				if b := c.Violations(); len(b) > 0 {
 					t.Fatalf("violations %q before the last step, want none", b)
 				}
-				x.wrong(c)
+				x.breakRule(c)
 				if b := c.Violations(); len(b) != 1 || !strings.HasPrefix(b[0], x.rule+":") {
 					t.Errorf("violations %q, want one of rule %s", b, x.rule)
 				}
--- a/internal/testkit/gangs.go
+++ b/internal/testkit/gangs.go
@@ -10,12 +10,12 @@
 
 // gangMember is a task of a gang with its machine.
 type gangMember struct {
-	a *Agent
-	t *agentTask
+	agent *Agent
+	task  *agentTask
 }
 
-// stepGangs lets gangs start once all their tasks are there, complete, and exit when peers have been
-// missing for too long.
+// stepGangs starts a gang once all its tasks await it, completes it after its run time, and makes its
+// running tasks exit when peers have been missing for too long.
 func (w *World) stepGangs(all []*Agent, now time.Time) {
 	gangs := map[string][]gangMember{}
 	var names []string
@@ -34,32 +34,32 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		ms := gangs[name]
-		spec, _ := w.spec(ms[0].t.ref)
+		members := gangs[name]
+		spec, _ := w.spec(members[0].task.ref)
 		count := map[string]int{}
 		var since time.Time
-		for _, m := range ms {
-			m.a.mu.Lock()
-			count[m.t.state]++
-			since = later(since, m.t.since)
-			m.a.mu.Unlock()
+		for _, m := range members {
+			m.agent.mu.Lock()
+			count[m.task.state]++
+			since = later(since, m.task.since)
+			m.agent.mu.Unlock()
 		}
 		active := count[wire.Running] + count[wire.Checkpointing]
 		switch {
 		case count[wire.AwaitingGang] == spec.Tasks:
-			w.forEachActive(ms, func(m gangMember) { m.t.state, m.t.since = wire.Running, now; m.a.markChanged() })
+			w.forEachActive(members, func(m gangMember) { m.task.state, m.task.since = wire.Running, now; m.agent.markChanged() })
 		case count[wire.Running] == spec.Tasks && now.Sub(since) >= w.jobDurations(spec.Ref).Run:
-			w.forEachActive(ms, func(m gangMember) { m.a.exit(m.t, wire.Done, false) })
+			w.forEachActive(members, func(m gangMember) { m.agent.exit(m.task, wire.Done, false) })
 		case active > 0 && active < spec.Tasks:
-			w.forEachActive(ms, func(m gangMember) {
-				if m.t.state != wire.Running {
+			w.forEachActive(members, func(m gangMember) {
+				if m.task.state != wire.Running {
 					return
 				}
-				if m.t.peersMissingSince.IsZero() {
-					m.t.peersMissingSince = now
+				if m.task.peersMissingSince.IsZero() {
+					m.task.peersMissingSince = now
 				}
-				if now.Sub(m.t.peersMissingSince) >= w.timing.GangPeer {
-					m.a.exit(m.t, wire.ExitGangPeersLost, false)
+				if now.Sub(m.task.peersMissingSince) >= w.timing.GangPeer {
+					m.agent.exit(m.task, wire.ExitGangPeersLost, false)
 				}
 			})
 		}
@@ -69,11 +69,11 @@
 // forEachActive calls f for each member that has not exited, with the lock of its agent held.
 func (w *World) forEachActive(ms []gangMember, f func(gangMember)) {
 	for _, m := range ms {
-		m.a.mu.Lock()
-		if m.t.active() {
+		m.agent.mu.Lock()
+		if m.task.active() {
 			f(m)
 		}
-		m.a.mu.Unlock()
+		m.agent.mu.Unlock()
 	}
 }
 
--- a/internal/testkit/loopback.go
+++ b/internal/testkit/loopback.go
@@ -18,27 +18,27 @@
 // HTTP returns a server of the state service's published protocol, as the endpoint label reaches it.
 func (s *StateService) HTTP(label string) http.Handler {
 	link := s.StoreClient(context.Background(), label)
-	use := statestore.Urgent("loopback")
+	purpose := statestore.Urgent("loopback")
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /store/{key...}", func(w http.ResponseWriter, r *http.Request) {
-		e, err := link.Get(r.Context(), use, r.PathValue("key"))
-		answer(w, e, err)
+		e, err := link.Get(r.Context(), purpose, r.PathValue("key"))
+		writeAnswer(w, e, err)
 	})
 	mux.HandleFunc("GET /store", func(w http.ResponseWriter, r *http.Request) {
 		limit, err := strconv.Atoi(r.FormValue("page"))
 		if err != nil {
 			limit = statestore.MaxPage
 		}
-		page, err := link.ListPage(r.Context(), use, r.FormValue("prefix"), r.FormValue("since"), limit)
-		answer(w, page, err)
+		page, err := link.ListPage(r.Context(), purpose, r.FormValue("prefix"), r.FormValue("since"), limit)
+		writeAnswer(w, page, err)
 	})
 	mux.HandleFunc("POST /txn", func(w http.ResponseWriter, r *http.Request) {
 		var t wire.Txn
 		if !decodeBody(w, r, &t) {
 			return
 		}
-		rev, err := link.Txn(r.Context(), use, t)
-		answer(w, wire.TxnResult{Revision: rev}, err)
+		rev, err := link.Txn(r.Context(), purpose, t)
+		writeAnswer(w, wire.TxnResult{Revision: rev}, err)
 	})
 	mux.HandleFunc("POST /holds", func(w http.ResponseWriter, r *http.Request) {
 		var q wire.LeaseRequest
@@ -46,17 +46,17 @@
 			return
 		}
 		id, err := link.Grant(r.Context(), time.Duration(q.TTLMillis)*time.Millisecond)
-		answer(w, wire.LeaseGrant{Lease: id}, err)
+		writeAnswer(w, wire.LeaseGrant{Lease: id}, err)
 	})
 	mux.HandleFunc("POST /holds/{id}/renew", func(w http.ResponseWriter, r *http.Request) {
 		id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
-		answer(w, wire.LeaseGrant{Lease: id}, link.Renew(r.Context(), id))
+		writeAnswer(w, wire.LeaseGrant{Lease: id}, link.Renew(r.Context(), id))
 	})
 	mux.HandleFunc("GET /follow", func(w http.ResponseWriter, r *http.Request) {
 		since, _ := strconv.ParseUint(r.FormValue("since"), 10, 64)
 		wait, _ := strconv.Atoi(r.FormValue("wait_ms"))
 		ch, err := link.Watch(r.Context(), r.FormValue("prefix"), since, time.Duration(wait)*time.Millisecond)
-		answer(w, ch, err)
+		writeAnswer(w, ch, err)
 	})
 	return mux
 }
@@ -70,8 +70,8 @@
 	return true
 }
 
-// answer writes the result of a call with the protocol's status for its error.
-func answer(w http.ResponseWriter, v any, err error) {
+// writeAnswer writes the result of a call with the protocol's status for its error.
+func writeAnswer(w http.ResponseWriter, v any, err error) {
 	var conflict *statestore.ConflictError
 	status := http.StatusOK
 	switch {
@@ -97,19 +97,19 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /machine_types", func(rw http.ResponseWriter, r *http.Request) {
 		types, err := api.Types(r.Context())
-		answer(rw, wire.MachineTypes{Types: types}, err)
+		writeAnswer(rw, wire.MachineTypes{Types: types}, err)
 	})
 	mux.HandleFunc("POST /rentals", func(rw http.ResponseWriter, r *http.Request) {
 		var q wire.ProvisionRequest
 		if decodeBody(rw, r, &q) {
 			ids, err := api.Provision(r.Context(), q)
-			answer(rw, wire.MachineNames{Machines: ids}, err)
+			writeAnswer(rw, wire.MachineNames{Machines: ids}, err)
 		}
 	})
 	mux.HandleFunc("POST /rentals/return", func(rw http.ResponseWriter, r *http.Request) {
 		var q wire.MachineNames
 		if decodeBody(rw, r, &q) {
-			answer(rw, struct{}{}, api.Release(r.Context(), q.Machines))
+			writeAnswer(rw, struct{}{}, api.Release(r.Context(), q.Machines))
 		}
 	})
 	mux.HandleFunc("GET /rentals", func(rw http.ResponseWriter, r *http.Request) {
@@ -120,7 +120,7 @@
 				page.Machines = append(page.Machines, m)
 			}
 		}
-		answer(rw, page, err)
+		writeAnswer(rw, page, err)
 	})
 	return mux
 }
@@ -162,12 +162,12 @@
 			w.WriteHeader(http.StatusConflict)
 			json.NewEncoder(w).Encode(rep)
 		default:
-			answer(w, rep, nil)
+			writeAnswer(w, rep, nil)
 		}
 	})
 	mux.HandleFunc("GET "+wire.ShowPath, func(w http.ResponseWriter, r *http.Request) {
 		rep, err := a.heartbeat()
-		answer(w, rep, err)
+		writeAnswer(w, rep, err)
 	})
 	return mux
 }
@@ -181,7 +181,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	resp, err := remote.Do(req)
+	resp, err := remoteClient.Do(req)
 	if err != nil {
 		return 0, nil, ErrLost
 	}
@@ -193,8 +193,8 @@
 	return resp.StatusCode, raw, nil
 }
 
-// remote does not follow redirects, like the clients of users and workers.
-var remote = &http.Client{
+// remoteClient does not follow redirects, like the clients of users and workers.
+var remoteClient = &http.Client{
 	Timeout:       submitTimeout,
 	CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 }
--- a/internal/testkit/state_service.go
+++ b/internal/testkit/state_service.go
@@ -10,7 +10,8 @@
 	"bramblespur/internal/wire"
 )
 
-// TxnFault is a fault of a transaction. At most one of its fields is set; the zero value is no fault.
+// TxnFault is a fault of a transaction. The first field that is set applies; the zero value is no
+// fault.
 type TxnFault struct {
 	Refused    bool          // answered 503, not applied
 	AnswerLost bool          // applied at once, without an answer
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -35,8 +35,8 @@
 // ErrLost is returned for a request whose answer never arrives.
 var ErrLost = errors.New("testkit: no answer")
 
-// State is a state service in memory. It implements statestore.Store and answers at once; its
-// leases never expire. Tests set its exported fields before other goroutines use it.
+// State is a state service in memory. It implements statestore.Store and answers at once; its leases
+// never expire. Its exported fields may be set only while no other goroutine uses it.
 type State struct {
 	mu      sync.Mutex
 	rev     uint64
--- a/internal/testkit/worker_client.go
+++ b/internal/testkit/worker_client.go
@@ -55,7 +55,7 @@
 	if a == nil || d.lifetime.Err() != nil {
 		return wire.Heartbeat{}, ErrLost
 	}
-	r, err := Call(d.w.Net, d.from, a.ID, showTimeout, a.heartbeat)
+	r, err := Call(d.w.Net, d.from, a.ID, heartbeatRequestTimeout, a.heartbeat)
 	if d.lifetime.Err() != nil {
 		return wire.Heartbeat{}, ErrLost
 	}
--- a/internal/testkit/world.go
+++ b/internal/testkit/world.go
@@ -61,13 +61,13 @@
 
 // Timeouts of workers, users and controllers as clients, and the pace of the world.
 const (
-	reportTimeout   = 4 * time.Second
-	pollTimeout     = 2 * time.Second
-	submitTimeout   = 5 * time.Second
-	directTimeout   = 3 * time.Second
-	showTimeout     = 1500 * time.Millisecond
-	stepInterval    = 100 * time.Millisecond
-	defaultBootTime = 5 * time.Second
+	heartbeatTimeout        = 4 * time.Second
+	pollTimeout             = 2 * time.Second
+	submitTimeout           = 5 * time.Second
+	directTimeout           = 3 * time.Second
+	heartbeatRequestTimeout = 1500 * time.Millisecond
+	stepInterval            = 100 * time.Millisecond
+	defaultBootTime         = 5 * time.Second
 )
 
 // NewWorld returns a world for controllers of the given labels, and starts its machines' time.
@@ -278,10 +278,10 @@
 		body   []byte
 	}
 	if w.isMuted(from) {
-		w.Sleep(reportTimeout)
+		w.Sleep(heartbeatTimeout)
 		return 0, "", o, ErrLost
 	}
-	a, err := Call(w.Net, from, to, reportTimeout, func() (answer, error) {
+	a, err := Call(w.Net, from, to, heartbeatTimeout, func() (answer, error) {
 		n := w.node(to)
 		if n == nil {
 			return answer{}, ErrRefused
@@ -297,9 +297,9 @@
 	case 200:
 		err = json.Unmarshal(a.body, &o)
 	case 421:
-		var red wire.Redirect
-		err = json.Unmarshal(a.body, &red)
-		redirect = red.Label
+		var redirected wire.Redirect
+		err = json.Unmarshal(a.body, &redirected)
+		redirect = redirected.Label
 	}
 	return a.status, redirect, o, err
 }
