--- a/internal/controller/leader/inventory.go
+++ b/internal/controller/leader/inventory.go
@@ -29,7 +29,7 @@
 // records. The shards' lock guards it, except for nextListAt, which belongs to the goroutine that
 // takes the turns.
 type inventory struct {
-	unrecorded     map[string]int       // listed, but not recorded, in so many lists in a row
+	unrecorded     map[string]int       // by machine: how many lists in a row named it while no record did
 	lastRecordedAt map[string]time.Time // when a record last named the machine
 	nextListAt     time.Time
 }
--- a/internal/controller/shardhost/config.go
+++ b/internal/controller/shardhost/config.go
@@ -16,7 +16,7 @@
 	// machine may send no heartbeat before it counts as lost.
 	missedHeartbeats = 3
 	silenceMargin    = 2 * time.Second
-	socketsPerProbe  = 32 // one in so many sockets may be used to probe a silent machine
+	socketsPerProbe  = 32 // number of sockets for each probe of a silent machine that may be under way
 	// bootFactor is the multiple of the nominal boot time after which a machine that has not
 	// come up is replaced.
 	bootFactor   = 3
--- a/internal/controller/shardhost/load.go
+++ b/internal/controller/shardhost/load.go
@@ -69,8 +69,8 @@
 }
 
 // rereadActiveJobs reads the active jobs once more after an acquisition. It finds the jobs that were
-// accepted between the first read and the moment from which the shard was served, of which the
-// shard was not notified.
+// accepted after the first read but before the shard was served: the shard was not notified of
+// these.
 func (h *Host) rereadActiveJobs(ctx context.Context, shard *scheduler.Shard) {
 	for ctx.Err() == nil {
 		jobs, _, err := h.env.Store().List(ctx, statestore.Urgent("take over"), record.ActiveJobPrefix)
--- a/internal/controller/shardhost/worker_calls.go
+++ b/internal/controller/shardhost/worker_calls.go
@@ -10,8 +10,7 @@
 	"bramblespur/internal/wire"
 )
 
-// socketsPerCommand is the number of sockets per direct command under way: one in so many sockets
-// may be used by a direct command. Many commands to machines that hang must leave sockets for
+// socketsPerCommand is the number of sockets for each direct command that may be under way. Many commands to machines that hang must leave sockets for
 // peers and the state service.
 const socketsPerCommand = 16
 
--- a/internal/fleet/planner.go
+++ b/internal/fleet/planner.go
@@ -10,8 +10,8 @@
 type Config struct {
 	Types []wire.MachineType
 	Zones []string
-	// BalanceInterval is how often free machines are transferred to demand no matter how short
-	// the demand has waited.
+	// BalanceInterval is the interval at which free machines are transferred to demand
+	// regardless of how long the demand has waited.
 	BalanceInterval time.Duration
 	// MoveAfter is how long demand waits before a free machine of another shard is transferred
 	// to its shard, and PreemptAfter is how long it waits before a machine with tasks of lower
--- a/internal/recovery/plan_machines.go
+++ b/internal/recovery/plan_machines.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// shardFor returns the shard for the machine of a worker: that of the first active job of which the
-// worker has a task, or else the first shard. A machine that is not needed there is transferred later.
+// shardFor returns the shard for the machine of a worker: that of the first active job with a task on
+// the worker, or else the first shard. A machine that is not needed there is transferred later.
 func (p *planner) shardFor(heartbeat *wire.Heartbeat) int {
 	for _, t := range heartbeat.Tasks {
 		ref, _, _ := scheduler.SplitTask(t.Task)
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -8,7 +8,7 @@
 	"bramblespur/internal/wire"
 )
 
-// Contradiction is a worker's claim about a task that disagrees with what is known, for the log.
+// Contradiction is a worker's claim about a task that disagrees with the ledger, for the log.
 // It does not change the states that were reported to users.
 type Contradiction struct {
 	Task, Machine, Known, Claimed string
--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -26,8 +26,8 @@
 //   - then the machine with the fewest images, so that caches stay for the jobs that use them.
 //
 // A task without GPUs goes beside tasks with GPUs, even where its image, which is small,
-// has to be fetched first: a machine of which it takes a few CPUs is lost to a gang that
-// needs the whole machine.
+// has to be fetched first: a gang that needs a whole machine cannot use one on which a
+// task takes a few CPUs.
 func (j *Job) score(m *Machine) float64 {
 	v := 0.0
 	if m.hasImage(j.spec.Image) {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -27,7 +27,7 @@
 	Cluster string    `json:"cluster"` // ID of the cluster to which the records belong
 	Began   time.Time `json:"began"`   // when reading began, before any interruption
 	Taken   time.Time `json:"taken"`   // when all records had been read
-	// Revision is the store's revision of which the records are.
+	// Revision is the revision of the store whose state the records show.
 	Revision uint64 `json:"revision"`
 	// Span is set if the records are not all of one revision.
 	Span     *Span     `json:"span,omitempty"`
