--- a/internal/controller/drainer/shard_turn.go
+++ b/internal/controller/drainer/shard_turn.go
@@ -56,7 +56,7 @@
 // RefreshCordonsLocked sets the cordons of a shard's machines, if the drain records have changed since
 // they were last set.
 func (d *Drainer) RefreshCordonsLocked(shard *scheduler.Shard) {
-	if d.Enabled() && shard.CordonsAsOf() != d.view.Generation() {
+	if d.Enabled() && shard.CordonsGeneration() != d.view.Generation() {
 		d.setCordonsLocked(shard)
 	}
 }
--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// item adds the item of a record, in place of an earlier one. The caller sets what it writes.
-func (p *planner) item(key string, outcome Outcome, from Source, why string) *Item {
+// addItem adds the item of a record, in place of an earlier one. The caller sets what it writes.
+func (p *planner) addItem(key string, outcome Outcome, from Source, why string) *Item {
 	i := &Item{Key: key, Outcome: outcome, From: from, Why: why, Version: p.Store[key].Version}
 	p.items[key] = i
 	return i
@@ -141,9 +141,9 @@
 // restore adds an item that writes a value, or one that is intact if the store has the same value.
 func (p *planner) restore(key string, value json.RawMessage, from Source, why string) *Item {
 	if s, ok := p.Store[key]; ok && bytes.Equal(s.Value, value) {
-		return p.item(key, Intact, FromStore, "")
+		return p.addItem(key, Intact, FromStore, "")
 	}
-	i := p.item(key, Recovered, from, why)
+	i := p.addItem(key, Recovered, from, why)
 	i.Put = value
 	return i
 }
@@ -152,7 +152,7 @@
 func (p *planner) planNewest(key string) {
 	e, from, _ := p.newest(key)
 	if !json.Valid(e.Value) {
-		p.item(key, Lost, from, "its value is malformed")
+		p.addItem(key, Lost, from, "its value is malformed")
 		return
 	}
 	p.restore(key, e.Value, from, describeVersion(e))
--- a/internal/recovery/plan_jobs.go
+++ b/internal/recovery/plan_jobs.go
@@ -32,7 +32,7 @@
 		states = append(states, job.State)
 	}
 	if len(states) == 0 {
-		p.item(key, Lost, "", "no source has a valid value")
+		p.addItem(key, Lost, "", "no source has a valid value")
 		return
 	}
 	for _, s := range states {
@@ -55,7 +55,7 @@
 	ref := record.LastElement(key)
 	_, stored := p.Store[key]
 	if p.hasFinished(ref) {
-		item := p.item(key, Finished, p.items[record.FinishedJobKey(ref)].From, "its final state is known")
+		item := p.addItem(key, Finished, p.items[record.FinishedJobKey(ref)].From, "its final state is known")
 		item.Delete = stored
 		return
 	}
@@ -124,17 +124,17 @@
 			state = wire.Cancelled
 		}
 		terminal := record.FinishedJobKey(ref)
-		item := p.item(terminal, Recovered, FromOperator, why)
+		item := p.addItem(terminal, Recovered, FromOperator, why)
 		item.Put = record.Encode(record.FinishedJob{State: state})
 		if _, stored := p.Store[record.ActiveJobKey(ref)]; stored {
-			p.item(record.ActiveJobKey(ref), Finished, FromOperator, why).Delete = true
+			p.addItem(record.ActiveJobKey(ref), Finished, FromOperator, why).Delete = true
 		}
 		return
 	case DecideRerun:
 		return // the caller restores the job
 	}
 	p.undecidedJobs[ref] = true
-	p.item(key, Undecided, "", why).Choices = choices
+	p.addItem(key, Undecided, "", why).Choices = choices
 }
 
 // LostKey returns the key of the record by which an operator has accepted that a job is lost.
@@ -164,6 +164,6 @@
 		p.undecided(key, ref, why, DecideDone, DecideCancelled, DecideForget)
 		return
 	}
-	p.item(key, Lost, FromOperator, why)
-	p.item(LostKey(ref), Recovered, FromOperator, "so that its tasks are stopped").Put = record.Encode(true)
+	p.addItem(key, Lost, FromOperator, why)
+	p.addItem(LostKey(ref), Recovered, FromOperator, "so that its tasks are stopped").Put = record.Encode(true)
 }
--- a/internal/recovery/plan_machines.go
+++ b/internal/recovery/plan_machines.go
@@ -21,7 +21,7 @@
 	}
 	ids, err := machinesOf(entry)
 	if err != nil {
-		p.item(key, Lost, from, "its value is malformed")
+		p.addItem(key, Lost, from, "its value is malformed")
 		return
 	}
 	for _, id := range ids {
@@ -30,7 +30,7 @@
 			return
 		}
 	}
-	p.item(key, Finished, from, "the cloud lists none of its machines")
+	p.addItem(key, Finished, from, "the cloud lists none of its machines")
 }
 
 // machinesOf returns the IDs of the machines in a record.
@@ -75,7 +75,7 @@
 			continue
 		}
 		provision := record.Provision{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot, Shards: []int{p.shardFor(&heartbeat)}, IDs: []string{id}, Addrs: []string{heartbeat.Addr}, CreatedAt: p.Mode.Since}
-		item := p.item(record.ProvisionKey("recovered-"+id), Recovered, FromHeartbeat, "its worker and the cloud tell it")
+		item := p.addItem(record.ProvisionKey("recovered-"+id), Recovered, FromHeartbeat, "its worker and the cloud tell it")
 		item.Put = record.Encode(provision)
 	}
 }
--- a/internal/recovery/plan_placements.go
+++ b/internal/recovery/plan_placements.go
@@ -195,7 +195,7 @@
 	if w.ranges == nil {
 		return
 	}
-	item := w.p.item(record.PlacementsKey(w.shard, w.next), Recovered, FromHeartbeat, fmt.Sprintf("%d ranges that no record had", len(w.ranges)))
+	item := w.p.addItem(record.PlacementsKey(w.shard, w.next), Recovered, FromHeartbeat, fmt.Sprintf("%d ranges that no record had", len(w.ranges)))
 	item.Put = record.Encode(record.Placements{Format: record.SizedRanges, Ranges: w.ranges})
 	w.next, w.ranges = w.next+1, nil
 }
--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain.go
@@ -27,7 +27,7 @@
 
 // drainState is a shard's state of drains.
 type drainState struct {
-	cordonsAsOf        uint64 // see CordonsAsOf
+	cordonsGeneration  uint64 // see CordonsGeneration
 	watchInterruptions bool   // interruptions are reported in the effects
 	// replacements counts by job the tasks for which room is to be found before their eviction.
 	replacements map[*Job]int
@@ -36,13 +36,13 @@
 // WatchInterruptions sets whether interruptions of running work are reported in the effects.
 func (s *Shard) WatchInterruptions(watch bool) { s.drains.watchInterruptions = watch }
 
-// CordonsAsOf returns the generation of the drain view that the cordons reflect (drain.View.Generation).
-func (s *Shard) CordonsAsOf() uint64 { return s.drains.cordonsAsOf }
+// CordonsGeneration returns the generation of the drain view that the cordons reflect (drain.View.Generation).
+func (s *Shard) CordonsGeneration() uint64 { return s.drains.cordonsGeneration }
 
 // SetCordons sets each machine's cordon and whether it is to be cordoned later, as cordonOf returns
 // them. generation is that of the drain view from which cordonOf takes them.
 func (s *Shard) SetCordons(generation uint64, cordonOf func(m *Machine) (c Cordon, later bool)) {
-	s.drains.cordonsAsOf = generation
+	s.drains.cordonsGeneration = generation
 	for _, m := range s.inventory.byID {
 		c, later := cordonOf(m)
 		if m.cordon == c && m.cordonedLater == later {
--- a/internal/scheduler/pipeline.go
+++ b/internal/scheduler/pipeline.go
@@ -241,10 +241,10 @@
 		next.record = compacted
 	}
 	ops := []wire.Op{{Put: at, Value: record.Encode(next.record)}}
-	opens := make([]record.ActiveJob, len(releasable))
+	activeRecords := make([]record.ActiveJob, len(releasable))
 	for i, released := range releasable {
-		opens[i] = record.ActiveJob{Spec: *released.spec, Shard: s.id, AcceptedAt: now.UnixMilli(), Pipeline: p.ref}
-		ops = append(ops, wire.Op{Put: record.ActiveJobKey(released.ref), Value: record.Encode(opens[i])})
+		activeRecords[i] = record.ActiveJob{Spec: *released.spec, Shard: s.id, AcceptedAt: now.UnixMilli(), Pipeline: p.ref}
+		ops = append(ops, wire.Op{Put: record.ActiveJobKey(released.ref), Value: record.Encode(activeRecords[i])})
 	}
 	large := func(op wire.Op) bool { return len(op.Value) > s.ledger.valueBytes }
 	if slices.ContainsFunc(ops, large) || len(t.Body.Then)+len(ops) > s.ledger.txnOps {
@@ -261,7 +261,7 @@
 	t.Body.Then = append(t.Body.Then, ops...)
 	for i, released := range releasable {
 		t.Body.If = append(t.Body.If, wire.Condition{Key: record.ActiveJobKey(released.ref), Version: released.record.version})
-		t.releasedJobs[released] = opens[i]
+		t.releasedJobs[released] = activeRecords[i]
 	}
 	return true
 }
@@ -286,12 +286,12 @@
 	if len(t.Body.Then) > jobEndOps {
 		p.version = revision
 	}
-	for released, open := range t.releasedJobs {
-		if open.Spec.Ref == "" {
+	for released, activeRecord := range t.releasedJobs {
+		if activeRecord.Spec.Ref == "" {
 			s.releaseJob(released, now, now)
 			continue
 		}
-		s.SetJob(released.ref, open, revision, now)
+		s.SetJob(released.ref, activeRecord, revision, now)
 	}
 	s.cancelUnneeded(p, now)
 	if p.record.State != "" && len(s.activeJobsOf(p)) == 0 {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -31,7 +31,7 @@
 	if chosen == nil && j.longWaiting(now) {
 		// There is not enough room for the whole gang at once: preempt where machines are
 		// reserved for it, so that its reservations grow step by step.
-		chosen = s.pass.optionsWhereReserving(j, options)
+		chosen = s.pass.optionsInZoneReservedFor(j, options)
 	}
 	if chosen == nil {
 		j.preemption.triedAt = now
@@ -71,7 +71,7 @@
 func (s *Shard) addPreemptionOptions(byZone map[string][]preemptionOption, j *Job, n int, now time.Time) {
 	withinGuarantee := s.quotas.withinGuarantee(j, n)
 	s.eachPreemptionCandidate(j, withinGuarantee, now, func(m *Machine) {
-		if !allows(j.spec, m) || !j.allowsZone(m.Zone) || !s.cfg.usable(m, now) || m.reservedForOther(j, now) || s.pass.reservedByLongWaitingGang(m, j, now) {
+		if !allows(j.spec, m) || !j.allowsZone(m.Zone) || !s.cfg.usable(m, now) || m.reservedForOther(j, now) || s.pass.zoneReservedByLongWaitingGang(m, j, now) {
 			return
 		}
 		if o := s.preemptionOption(m, j, n, withinGuarantee, now); o.units > 0 {
@@ -151,9 +151,9 @@
 	return nil, math.Inf(1)
 }
 
-// optionsWhereReserving returns the options in the zone where machines are reserved for a
-// gang, nil if there are none.
-func (p *placementPass) optionsWhereReserving(gang *Job, byZone map[string][]preemptionOption) []preemptionOption {
+// optionsInZoneReservedFor returns the options in the zone where machines are reserved for
+// a gang, nil if there are none.
+func (p *placementPass) optionsInZoneReservedFor(gang *Job, byZone map[string][]preemptionOption) []preemptionOption {
 	for zone, options := range byZone {
 		if p.gangByZone[zone] == gang {
 			return options
@@ -173,10 +173,10 @@
 // preemptionRetry is how long after a failed attempt a job tries again to preempt others.
 const preemptionRetry = time.Second
 
-// reservedByLongWaitingGang reports whether a gang that has waited for long, and has the
+// zoneReservedByLongWaitingGang reports whether a gang that has waited for long, and has the
 // same priority as j or a higher one, reserves machines in the zone of m. j must not
 // preempt tasks there meanwhile.
-func (p *placementPass) reservedByLongWaitingGang(m *Machine, j *Job, now time.Time) bool {
+func (p *placementPass) zoneReservedByLongWaitingGang(m *Machine, j *Job, now time.Time) bool {
 	g := p.gangByZone[m.Zone]
 	if g == nil {
 		g = p.gangByZone[""]
@@ -231,8 +231,8 @@
 				loss, grace = spec.SaveS, k.job.gracePeriod()
 			}
 		}
-		if ran < countedAfter.Seconds() {
-			loss += spec.ImageGB // the task is stopped before its start counts: see countedAfter
+		if ran < startCountsAfter.Seconds() {
+			loss += spec.ImageGB // the task is stopped before its start counts: see startCountsAfter
 		}
 	}
 	loss += 1 + spec.ImageGB/2
@@ -242,8 +242,8 @@
 	return loss, grace
 }
 
-// countedAfter is how long a task must run for its start to count for its users.
-const countedAfter = 30 * time.Second
+// startCountsAfter is how long a task must run for its start to count for its users.
+const startCountsAfter = 30 * time.Second
 
 // preemptTask stops a task to make room for another job; a gang is stopped as a whole.
 func (s *Shard) preemptTask(k taskKey, now time.Time) {
