--- a/internal/controller/fault_combinations_jobs_test.go
+++ b/internal/controller/fault_combinations_jobs_test.go
@@ -18,7 +18,7 @@
 	runOnAllLayouts(t, func(k *cluster) {
 		k.load()
 		var atEnd atomic.Int64
-		k.world.OnEnd(func(ref string) {
+		k.world.OnJobCompleted(func(ref string) {
 			if ref[len(ref)-1]%4 == 3 {
 				atEnd.Add(1)
 				k.cancel(ref)
@@ -62,7 +62,7 @@
 			s := spec(ref(firstFreeJob+i), "wide", func(s *wire.Spec) { s.Tasks = 1 + i%2 })
 			specs[s.Ref] = s
 		}
-		k.world.OnEnd(func(ref string) {
+		k.world.OnJobCompleted(func(ref string) {
 			s, ok := specs[ref]
 			if !ok {
 				return
--- a/internal/controller/restarts_test.go
+++ b/internal/controller/restarts_test.go
@@ -173,7 +173,7 @@
 		},
 		"after a task's end": func(k *cluster) {
 			ended := make(chan string, 2*busyJobs)
-			k.world.OnEnd(func(ref string) { ended <- ref })
+			k.world.OnJobCompleted(func(ref string) { ended <- ref })
 			k.submitBacklog()
 			<-ended
 		},
--- a/internal/testkit/world.go
+++ b/internal/testkit/world.go
@@ -243,8 +243,8 @@
 	}
 }
 
-// OnEnd sets a function that is called in a goroutine when the last task of a job completes.
-func (w *World) OnEnd(f func(ref string)) {
+// OnJobCompleted sets a function that is called in a goroutine when the last task of a job completes.
+func (w *World) OnJobCompleted(f func(ref string)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.onJobCompleted = f
