--- a/internal/testkit/command_log.go
+++ b/internal/testkit/command_log.go
@@ -33,8 +33,8 @@
 	o.all = append(o.all, receivedCommand{time.Now(), op == wire.Start})
 }
 
-// MostWithin returns the largest number of starts within a period of length d, of those received from
-// after until before. With stops, it counts starts and stops.
+// MostWithin returns the largest number of starts within any period of length d, counting those received
+// at after or later and before before. With stops, it counts starts and stops.
 func (o *CommandLog) MostWithin(d time.Duration, after, before time.Time, stops bool) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/testkit/world.go
+++ b/internal/testkit/world.go
@@ -26,7 +26,7 @@
 type World struct {
 	State      *StateService
 	Net        *Network
-	check      *Checker
+	check      *Checker // verifies the events
 	timing     Timing
 	types      []wire.MachineType
 	labels     []string
@@ -70,8 +70,8 @@
 	defaultBootTime         = 5 * time.Second
 )
 
-// NewWorld returns a world for controllers of the given labels, and starts its machines' time.
-// All its random choices follow from the seed.
+// NewWorld returns a world for controllers of the given labels, and starts the goroutine that advances
+// its machines. All its random choices follow from the seed.
 func NewWorld(labels []string, types []wire.MachineType, timing Timing, check *Checker, seed uint64) *World {
 	w := &World{
 		State: NewStateService(), Net: NewNetwork(), check: check, timing: timing, types: types, labels: labels,
@@ -116,7 +116,8 @@
 	return l.src.Uint64()
 }
 
-// Stop stops the world and waits until all its goroutines have ended.
+// Stop stops the world and waits for its goroutines, except calls of the function set by
+// OnJobCompleted.
 func (w *World) Stop() {
 	close(w.stopped)
 	w.goroutines.Wait()
@@ -250,7 +251,8 @@
 	w.onJobCompleted = f
 }
 
-// Observe sets a function that is called for every delivered heartbeat, with its answer, and for every transaction.
+// Observe sets a function that is called for every heartbeat sent, with its answer or error, and for
+// every transaction.
 func (w *World) Observe(o Observer) {
 	w.State.Observe(o)
 	w.mu.Lock()
