--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -152,7 +152,7 @@
 func (p *planner) planNewest(key string) {
 	e, from, _ := p.newest(key)
 	if !json.Valid(e.Value) {
-		p.addItem(key, Lost, from, "its value is malformed")
+		p.addItem(key, Lost, from, "its value makes no sense")
 		return
 	}
 	p.restore(key, e.Value, from, describeVersion(e))
--- a/internal/recovery/plan_jobs.go
+++ b/internal/recovery/plan_jobs.go
@@ -32,7 +32,7 @@
 		states = append(states, job.State)
 	}
 	if len(states) == 0 {
-		p.addItem(key, Lost, "", "no source has a valid value")
+		p.addItem(key, Lost, "", "no source has a value that makes sense")
 		return
 	}
 	for _, s := range states {
@@ -65,7 +65,7 @@
 	entry, from, _ := p.newest(key)
 	var job record.ActiveJob
 	if err := json.Unmarshal(entry.Value, &job); err != nil || job.Spec.Ref != ref {
-		p.undecided(key, ref, "its record is malformed", DecideDone, DecideCancelled)
+		p.undecided(key, ref, "its record makes no sense", DecideDone, DecideCancelled)
 		return
 	}
 	if why, ok := p.mayHaveEnded(key, ref, from, entry.Version); ok && !p.runsOnWorker(ref) {
--- a/internal/recovery/plan_machines.go
+++ b/internal/recovery/plan_machines.go
@@ -21,7 +21,7 @@
 	}
 	ids, err := machinesOf(entry)
 	if err != nil {
-		p.addItem(key, Lost, from, "its value is malformed")
+		p.addItem(key, Lost, from, "its value makes no sense")
 		return
 	}
 	for _, id := range ids {
