--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -158,14 +158,14 @@
 			leading.leaderDuties.Turn(ctx)
 			synctest.Wait()
 		}
-		if len(cl.Rentals[name]) == 0 {
-			t.Fatalf("provisions %v in the cloud, want %s", cl.Rentals, name)
+		if len(cl.Provisioned[name]) == 0 {
+			t.Fatalf("provisions %v in the cloud, want %s", cl.Provisioned, name)
 		}
-		if v, ok := leading.machines.Machine(cl.Rentals[name][0]); !ok || v.Shard != 0 {
+		if v, ok := leading.machines.Machine(cl.Provisioned[name][0]); !ok || v.Shard != 0 {
 			t.Fatalf("machine %+v, want it in the owner's shard 0", v)
 		}
-		if len(cl.Rentals) != 1 {
-			t.Fatalf("provisions %v in the cloud, want one", cl.Rentals)
+		if len(cl.Provisioned) != 1 {
+			t.Fatalf("provisions %v in the cloud, want one", cl.Provisioned)
 		}
 	})
 }
--- a/internal/controller/leader/harness_test.go
+++ b/internal/controller/leader/harness_test.go
@@ -40,7 +40,7 @@
 
 func (c *listingCloud) List(context.Context) ([]wire.ListedMachine, error) {
 	var list []wire.ListedMachine
-	for _, ids := range c.Rentals {
+	for _, ids := range c.Provisioned {
 		for _, id := range ids {
 			list = append(list, wire.ListedMachine{ID: id, Addr: c.addresses[id]})
 		}
--- a/internal/controller/leader/provision_test.go
+++ b/internal/controller/leader/provision_test.go
@@ -157,10 +157,10 @@
 	l.EndTermLocked() // as when its lease is not certain
 	host.Unlock()
 	if second := provisionOne(ctx, host, l); second == first {
-		t.Errorf("provision record %s is used twice, the cloud's provisions are %v", first, host.cloud.Rentals)
+		t.Errorf("provision record %s is used twice, the cloud's provisions are %v", first, host.cloud.Provisioned)
 	}
-	if len(host.cloud.Rentals) != 2 {
-		t.Errorf("the cloud's provisions are %v, want two", host.cloud.Rentals)
+	if len(host.cloud.Provisioned) != 2 {
+		t.Errorf("the cloud's provisions are %v, want two", host.cloud.Provisioned)
 	}
 }
 
@@ -197,7 +197,7 @@
 	host, l := newTestLeader(t, state)
 	put := host.recordWriter(state)
 	put(record.ProvisionKey("r"), record.Provision{Type: "big", Zone: "z", Shards: []int{0, 0}, IDs: []string{"a", "b"}})
-	host.cloud.Rentals = map[string][]string{"r": {"a", "b"}}
+	host.cloud.Provisioned = map[string][]string{"r": {"a", "b"}}
 	host.cloud.addresses = map[string]string{"a": "a:1", "b": "b:1"}
 	term := l.ensureTerm(time.Now())
 	l.compareCloudList(t.Context(), term)
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -258,12 +258,12 @@
 // Cloud provisions machines without limit, or none while Full is set. It implements cloud.API; its
 // list of machines is always empty.
 type Cloud struct {
-	mu       sync.Mutex
-	n        int
-	Rentals  map[string][]string // machines by the name of the provision request
-	Returned []string            // released machines, in order
-	Full     bool                // no capacity
-	Offer    []wire.MachineType  // machine types
+	mu          sync.Mutex
+	n           int
+	Provisioned map[string][]string // machines by the name of the provision request
+	Returned    []string            // released machines, in order
+	Full        bool                // no capacity
+	Offer       []wire.MachineType  // machine types
 }
 
 var _ cloud.API = (*Cloud)(nil)
@@ -275,7 +275,7 @@
 func (c *Cloud) Provision(_ context.Context, r wire.ProvisionRequest) ([]string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if ids, ok := c.Rentals[r.Request]; ok {
+	if ids, ok := c.Provisioned[r.Request]; ok {
 		return ids, nil
 	}
 	if c.Full {
@@ -286,10 +286,10 @@
 		c.n++
 		ids = append(ids, fmt.Sprintf("i-%06d", c.n))
 	}
-	if c.Rentals == nil {
-		c.Rentals = map[string][]string{}
+	if c.Provisioned == nil {
+		c.Provisioned = map[string][]string{}
 	}
-	c.Rentals[r.Request] = ids
+	c.Provisioned[r.Request] = ids
 	return ids, nil
 }
 
