--- a/internal/controller/leader/inventory_test.go
+++ b/internal/controller/leader/inventory_test.go
@@ -88,8 +88,8 @@
 	for range 2 {
 		l.compareCloudList(t.Context(), term)
 	}
-	if len(host.cloud.Returned) != 1 || host.cloud.Returned[0] != ids[0] {
-		t.Errorf("released %v, want %v", host.cloud.Returned, ids)
+	if len(host.cloud.Released) != 1 || host.cloud.Released[0] != ids[0] {
+		t.Errorf("released %v, want %v", host.cloud.Released, ids)
 	}
 }
 
--- a/internal/scheduler/deposed_test.go
+++ b/internal/scheduler/deposed_test.go
@@ -181,8 +181,8 @@
 	}
 	refused := d.commitLate(back)
 	r.releaseMachines()
-	if len(r.cloud.Returned) != 0 {
-		t.Errorf("%v was released with a task on it", r.cloud.Returned)
+	if len(r.cloud.Released) != 0 {
+		t.Errorf("%v was released with a task on it", r.cloud.Released)
 	}
 	if !refused {
 		t.Error("a machine was released by an owner that has a successor")
@@ -240,8 +240,8 @@
 	}
 	r.heartbeats(3, stays)
 	other.heartbeats(2)
-	if len(r.cloud.Returned) != 0 {
-		t.Errorf("%v was released while run-000001/0 runs there", r.cloud.Returned)
+	if len(r.cloud.Released) != 0 {
+		t.Errorf("%v was released while run-000001/0 runs there", r.cloud.Released)
 	}
 	if other.runningOn("run-000001/0") != "m1" || len(moved.Started) != 1 {
 		t.Errorf("starts on m1 are %v, want one, whose task still runs", moved.Started)
--- a/internal/scheduler/failover_test.go
+++ b/internal/scheduler/failover_test.go
@@ -166,8 +166,8 @@
 		late()
 		r.heartbeat(w2)
 	}
-	if !slices.Equal(r.cloud.Returned, []string{at}) {
-		t.Fatalf("released %v, want the silent machine despite the late copies", r.cloud.Returned)
+	if !slices.Equal(r.cloud.Released, []string{at}) {
+		t.Fatalf("released %v, want the silent machine despite the late copies", r.cloud.Released)
 	}
 }
 
--- a/internal/scheduler/machine_health_test.go
+++ b/internal/scheduler/machine_health_test.go
@@ -21,12 +21,12 @@
 	r.heartbeats(2)
 	r.clock.Advance(10 * time.Second)
 	r.carryOutEffects()
-	if len(r.cloud.Returned) != 0 {
-		t.Fatalf("released %v while all machines were silent, want none", r.cloud.Returned)
+	if len(r.cloud.Released) != 0 {
+		t.Fatalf("released %v while all machines were silent, want none", r.cloud.Released)
 	}
 	r.heartbeats(8, w2)
-	if !slices.Equal(r.cloud.Returned, []string{"m1"}) {
-		t.Fatalf("released %v, want m1", r.cloud.Returned)
+	if !slices.Equal(r.cloud.Released, []string{"m1"}) {
+		t.Fatalf("released %v, want m1", r.cloud.Released)
 	}
 	delete(r.workers, "m1")
 	r.heartbeats(2)
@@ -48,8 +48,8 @@
 		r.clock.Advance(time.Second)
 		r.carryOutEffects()
 	}
-	if len(r.cloud.Returned) != 0 {
-		t.Fatalf("released %v, want none", r.cloud.Returned)
+	if len(r.cloud.Released) != 0 {
+		t.Fatalf("released %v, want none", r.cloud.Released)
 	}
 }
 
@@ -75,8 +75,8 @@
 			r.clock.Advance(-r.cfg.HeartbeatInterval * 3 / 4)
 		}
 		r.heartbeats(3)
-		if len(r.cloud.Returned) != 0 {
-			t.Errorf("failover %t: released %v, want none", failover, r.cloud.Returned)
+		if len(r.cloud.Released) != 0 {
+			t.Errorf("failover %t: released %v, want none", failover, r.cloud.Released)
 		}
 	}
 }
@@ -95,8 +95,8 @@
 		}
 		r.heartbeat()
 	}
-	if len(r.cloud.Returned) > 0 {
-		t.Fatalf("failures of one job released %v, want no machine", r.cloud.Returned)
+	if len(r.cloud.Released) > 0 {
+		t.Fatalf("failures of one job released %v, want no machine", r.cloud.Released)
 	}
 	n := 0
 	for _, w := range r.workers {
@@ -117,8 +117,8 @@
 		}
 		r.heartbeat()
 	}
-	if !slices.Equal(r.cloud.Returned, []string{"m1"}) {
-		t.Fatalf("released %v, want the faulty machine m1", r.cloud.Returned)
+	if !slices.Equal(r.cloud.Released, []string{"m1"}) {
+		t.Fatalf("released %v, want the faulty machine m1", r.cloud.Released)
 	}
 }
 
@@ -133,8 +133,8 @@
 	left := 10.0
 	w.Notice = &left
 	r.heartbeats(4)
-	if len(w.Tasks) != 0 || !slices.Equal(r.cloud.Returned, []string{"m1"}) {
-		t.Fatalf("tasks %v, released %v, want no task and m1 released", w.Tasks, r.cloud.Returned)
+	if len(w.Tasks) != 0 || !slices.Equal(r.cloud.Released, []string{"m1"}) {
+		t.Fatalf("tasks %v, released %v, want no task and m1 released", w.Tasks, r.cloud.Released)
 	}
 }
 
@@ -175,8 +175,8 @@
 		r.heartbeatUnanswered(w1)
 		r.heartbeat(w2)
 	}
-	if !slices.Equal(r.cloud.Returned, []string{"m1"}) {
-		t.Fatalf("released %v, want the unreachable machine m1", r.cloud.Returned)
+	if !slices.Equal(r.cloud.Released, []string{"m1"}) {
+		t.Fatalf("released %v, want the unreachable machine m1", r.cloud.Released)
 	}
 	if len(w2.Started) != 4 {
 		t.Fatalf("starts %v, want all four tasks on m2", w2.Started)
@@ -199,8 +199,8 @@
 		t.Fatalf("started %v on an unreachable machine", w.Started)
 	}
 	r.heartbeats(8) // the incarnation outlives its lease: responses arrive
-	if len(w.Started) != 1 || len(r.cloud.Returned) != 0 {
-		t.Fatalf("starts %v, released %v, want one start and no release", w.Started, r.cloud.Returned)
+	if len(w.Started) != 1 || len(r.cloud.Released) != 0 {
+		t.Fatalf("starts %v, released %v, want one start and no release", w.Started, r.cloud.Released)
 	}
 }
 
--- a/internal/scheduler/random_history_test.go
+++ b/internal/scheduler/random_history_test.go
@@ -195,7 +195,7 @@
 // replaceMachines removes the machines that were released, with their tasks, and provisions others.
 func (h *history) replaceMachines() {
 	h.releaseMachines() // also those whose release was recorded late
-	for _, id := range h.cloud.Returned {
+	for _, id := range h.cloud.Released {
 		delete(h.workers, id)
 	}
 	for len(h.workers) < historyMachines {
--- a/internal/scheduler/safety_test.go
+++ b/internal/scheduler/safety_test.go
@@ -252,8 +252,8 @@
 		if len(w.Started) != 0 {
 			t.Fatalf("started %v on a released machine", w.Started)
 		}
-		if len(r.cloud.Returned) == 0 || r.shard.HasMachine("m1") {
-			t.Fatalf("released %v, want m1", r.cloud.Returned)
+		if len(r.cloud.Released) == 0 || r.shard.HasMachine("m1") {
+			t.Fatalf("released %v, want m1", r.cloud.Released)
 		}
 	}
 }
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -261,7 +261,7 @@
 	mu          sync.Mutex
 	n           int
 	Provisioned map[string][]string // machines by the name of the provision request
-	Returned    []string            // released machines, in order
+	Released    []string            // released machines, in order
 	Full        bool                // no capacity
 	Offer       []wire.MachineType  // machine types
 }
@@ -297,7 +297,7 @@
 func (c *Cloud) Release(_ context.Context, ids []string) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.Returned = append(c.Returned, ids...)
+	c.Released = append(c.Released, ids...)
 	return nil
 }
 
