--- a/internal/testkit/checker.go
+++ b/internal/testkit/checker.go
@@ -238,7 +238,7 @@
 		}
 	}
 	if limit := c.teamLimits[spec.Team]; limit > 0 && used > limit+1e-6 {
-		c.report(OverQuota, "%s uses %v of %v at %s", spec.Team, used, limit, task)
+		c.report(OverQuota, "%s uses %v of %v GPUs at the start of %s", spec.Team, used, limit, task)
 	}
 	for zone, n := range zones {
 		if spec.OneZone && zone != at.Zone {
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -324,7 +324,7 @@
 	Token          uint64
 	Notice         *float64 // seconds left of a spot notice; nil: none
 	Tasks          map[string]*WorkerTask
-	Started        []string // every start carried out, as task#attempt
+	Started        []string // every start executed, as TASK#ATTEMPT
 }
 
 // NewWorker returns a worker without tasks in its first incarnation.
