--- a/internal/httpwire/parser.go
+++ b/internal/httpwire/parser.go
@@ -1,6 +1,6 @@
-// Package httpwire is the project's HTTP/1.1: an incremental parser for both
-// sides, response writing, and a pooled client. It does no pipelining and
-// bounds every size.
+// Package httpwire implements HTTP/1.1: incremental parsers of requests and responses, functions that
+// write both, and a client with a connection pool. The client does no pipelining, and the size of every
+// message is limited.
 package httpwire
 
 import (
@@ -10,30 +10,31 @@
 	"strings"
 )
 
-// Limits of what a peer may send.
+// Limits on the size of a request.
 const (
 	MaxHead = 16 << 10 // bytes of start line and headers
 	MaxBody = 64 << 10 // bytes of a request's body
-	// MaxRequest is how many bytes a request may take on its way, so how many its
-	// receiver has to keep of one that is not complete.
-	MaxRequest = MaxHead + MaxBody + MaxBody/chunkShare + leastOverhead
+	// MaxRequest is the largest number of bytes of a request as it is sent, and thus of an
+	// incomplete request that its receiver has to buffer.
+	MaxRequest = MaxHead + MaxBody + MaxBody/chunkOverheadDivisor + minChunkOverhead
 )
 
-// A chunked body may be larger on its way by a part of what it holds and a little
-// more: chunks of a few bytes each, or with long extensions, serve nobody.
+// The chunk headers of a chunked body may take a fraction of the body's size, 1/chunkOverheadDivisor,
+// and minChunkOverhead bytes in addition. Chunks of a few bytes each, or with long extensions, have no
+// use.
 const (
-	chunkShare    = 4
-	leastOverhead = 1 << 10
-	maxChunkLine  = 256 // bytes of a chunk's size and extensions
+	chunkOverheadDivisor = 4
+	minChunkOverhead     = 1 << 10
+	maxChunkLine         = 256 // bytes of the line with a chunk's size and extensions
 )
 
-// Errors of the parser. After any of them the connection must be closed.
+// Errors of the parsers. After either of them the connection must be closed.
 var (
 	ErrMalformed = errors.New("httpwire: malformed message")
 	ErrTooLarge  = errors.New("httpwire: message too large")
 )
 
-// Request is a parsed request.
+// Request is a parsed request. Close reports whether the connection is to be closed after the response.
 type Request struct {
 	Method string
 	Path   string
@@ -42,7 +43,8 @@
 	Close  bool
 }
 
-// Response is a parsed response.
+// Response is a parsed response. RetryAfter is the value of its header, empty if there is none. Close
+// reports whether the connection cannot be used again.
 type Response struct {
 	Status     int
 	RetryAfter string
@@ -50,11 +52,11 @@
 	Close      bool
 }
 
-// ParseRequest parses one request at the start of buf. It returns the bytes
-// used, 0 if buf does not yet hold a whole request. The body is a copy.
+// ParseRequest parses one request at the start of buf and returns its length in bytes, or 0 if buf does
+// not hold a whole request yet. The body is a copy.
 func ParseRequest(buf []byte) (Request, int, error) {
 	var r Request
-	line, headers, n, err := head(buf)
+	line, headers, n, err := splitHead(buf)
 	if n == 0 || err != nil {
 		return r, 0, err
 	}
@@ -65,11 +67,11 @@
 	}
 	r.Method = method
 	r.Path, r.Query, _ = strings.Cut(target, "?")
-	f, err := framing(headers)
+	f, err := parseFraming(headers)
 	if err != nil {
 		return r, 0, err
 	}
-	r.Close = f.close || (proto == "HTTP/1.0" && !f.keep)
+	r.Close = f.close || (proto == "HTTP/1.0" && !f.keepAlive)
 	body, used, err := readBody(buf[n:], f, MaxBody)
 	if err != nil || used < 0 {
 		return r, 0, err
@@ -78,11 +80,11 @@
 	return r, n + used, nil
 }
 
-// ParseResponse parses one response at the start of buf, allowing a body of
-// max bytes. It returns the bytes used, 0 if more are needed.
+// ParseResponse parses one response at the start of buf, with a body of at most max bytes, and returns
+// its length in bytes, or 0 if buf does not hold a whole response yet. The body is a copy.
 func ParseResponse(buf []byte, max int) (Response, int, error) {
 	var r Response
-	line, headers, n, err := head(buf)
+	line, headers, n, err := splitHead(buf)
 	if n == 0 || err != nil {
 		return r, 0, err
 	}
@@ -93,17 +95,17 @@
 		return r, 0, ErrMalformed
 	}
 	r.Status = status
-	f, err := framing(headers)
+	f, err := parseFraming(headers)
 	if err != nil {
 		return r, 0, err
 	}
-	r.Close = f.close || (proto == "HTTP/1.0" && !f.keep)
+	r.Close = f.close || (proto == "HTTP/1.0" && !f.keepAlive)
 	r.RetryAfter = f.retryAfter
 	if status == 204 || status == 304 || status < 200 {
 		return r, n, nil
 	}
 	if f.length < 0 && !f.chunked {
-		return r, 0, ErrMalformed // a body until close is never sent by our peers
+		return r, 0, ErrMalformed // Our servers never send a body that ends with the connection.
 	}
 	body, used, err := readBody(buf[n:], f, max)
 	if err != nil || used < 0 {
@@ -113,15 +115,17 @@
 	return r, n + used, nil
 }
 
+// frame holds the headers that determine the framing of a message, and Retry-After.
 type frame struct {
-	length      int // -1: not given
-	chunked     bool
-	close, keep bool
-	retryAfter  string
+	length           int // of the body; -1 if not given
+	chunked          bool
+	close, keepAlive bool
+	retryAfter       string
 }
 
-// head splits off the start line and headers; n is 0 while they are incomplete.
-func head(buf []byte) (line, headers string, n int, err error) {
+// splitHead splits a message into its start line and its headers, and returns their length in bytes, or
+// 0 while they are incomplete.
+func splitHead(buf []byte) (line, headers string, n int, err error) {
 	i := bytes.Index(buf, []byte("\r\n\r\n"))
 	if i < 0 {
 		if len(buf) > MaxHead {
@@ -136,7 +140,8 @@
 	return line, headers, i + 4, nil
 }
 
-func framing(headers string) (frame, error) {
+// parseFraming parses the headers of a message. It refuses those that leave the body's length ambiguous.
+func parseFraming(headers string) (frame, error) {
 	f := frame{length: -1}
 	for headers != "" {
 		var h string
@@ -160,7 +165,7 @@
 			f.chunked = true
 		case "connection":
 			f.close = strings.EqualFold(value, "close")
-			f.keep = strings.EqualFold(value, "keep-alive")
+			f.keepAlive = strings.EqualFold(value, "keep-alive")
 		case "retry-after":
 			f.retryAfter = value
 		}
@@ -171,7 +176,8 @@
 	return f, nil
 }
 
-// readBody returns the body and the bytes it took, -1 if more are needed.
+// readBody returns the body at the start of buf and its length as sent, or -1 if buf does not hold the
+// whole body yet.
 func readBody(buf []byte, f frame, max int) ([]byte, int, error) {
 	if f.chunked {
 		return readChunks(buf, max)
@@ -192,12 +198,12 @@
 	return bytes.Clone(buf[:n]), n, nil
 }
 
-// readChunks does the same with a chunked body.
+// readChunks is readBody for a chunked body.
 func readChunks(buf []byte, max int) ([]byte, int, error) {
 	var body []byte
 	used := 0
 	for {
-		if used-len(body) > len(body)/chunkShare+leastOverhead {
+		if used-len(body) > len(body)/chunkOverheadDivisor+minChunkOverhead {
 			return nil, 0, ErrTooLarge
 		}
 		n, line, err := chunkSize(buf[used:])
@@ -215,7 +221,7 @@
 			return nil, -1, nil
 		}
 		if !bytes.Equal(buf[used+n:used+n+2], []byte("\r\n")) {
-			return nil, 0, ErrMalformed // trailers are not accepted either
+			return nil, 0, ErrMalformed // Trailers are refused as well.
 		}
 		body = append(body, buf[used:used+n]...)
 		used += n + 2
@@ -225,8 +231,8 @@
 	}
 }
 
-// chunkSize reads the line that begins a chunk: the chunk's size and the line's
-// length, 0 if that is not complete.
+// chunkSize parses the first line of a chunk. It returns the chunk's size and the line's length in
+// bytes, which is 0 if the line is incomplete.
 func chunkSize(buf []byte) (size, line int, err error) {
 	i := bytes.Index(buf[:min(len(buf), maxChunkLine)], []byte("\r\n"))
 	if i < 0 {
@@ -243,18 +249,19 @@
 	return int(n), i + 2, nil
 }
 
-var reasons = map[int]string{
+var reasonPhrases = map[int]string{
 	200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	409: "Conflict", 421: "Misdirected Request", 422: "Unprocessable Entity", 429: "Too Many Requests",
 	500: "Internal Server Error", 503: "Service Unavailable", 504: "Gateway Timeout",
 }
 
-// AppendResponse writes a response. A retryAfter of 0 leaves the header out.
+// AppendResponse appends a response with a JSON body to dst. retryAfter is in seconds; 0 omits the
+// header. close announces that the connection will be closed.
 func AppendResponse(dst []byte, status int, body []byte, retryAfter int, close bool) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
 	dst = append(dst, ' ')
-	dst = append(dst, reasons[status]...)
+	dst = append(dst, reasonPhrases[status]...)
 	dst = append(dst, "\r\nContent-Type: application/json\r\nContent-Length: "...)
 	dst = strconv.AppendInt(dst, int64(len(body)), 10)
 	if retryAfter > 0 {
@@ -268,7 +275,8 @@
 	return append(dst, body...)
 }
 
-// AppendRequest writes a request.
+// AppendRequest appends a request with a JSON body to dst. Without a body, a request other than POST has
+// no Content-Length.
 func AppendRequest(dst []byte, method, target, host string, body []byte) []byte {
 	dst = append(dst, method...)
 	dst = append(dst, ' ')
