--- a/internal/controller/user_requests_harness_test.go
+++ b/internal/controller/user_requests_harness_test.go
@@ -8,7 +8,8 @@
 	"bramblespur/internal/wire"
 )
 
-// Users' requests as tests make them, answered without any other controller.
+// The methods below serve a user's request as this controller does without forwarding it to
+// another.
 
 func (c *Controller) submit(body []byte) transport.Response {
 	return c.serveLocally(http.MethodPost, wire.JobsPath, body)
--- a/internal/controller/view_harness_test.go
+++ b/internal/controller/view_harness_test.go
@@ -8,25 +8,27 @@
 	"bramblespur/internal/wire"
 )
 
-// setViewsAsOf makes all views as recent as a time.
+// setViewsAsOf sets the time up to which all views are complete.
 func setViewsAsOf(c *Controller, at time.Time) {
 	c.cluster.SetAsOf(at)
 	c.machines.SetAsOf(at)
 	c.activeJobs.SetAsOf(at)
 }
 
-// setMember puts a controller's member record into the view.
+// setMember puts a controller's member record into the cluster view.
 func setMember(c *Controller, label string, m record.Member) {
 	applyToCluster(c, wire.Change{Put: record.MemberPrefix + label, Value: record.Encode(m)})
 }
 
+// applyToCluster applies a change to the cluster view. It panics on an error.
 func applyToCluster(c *Controller, change wire.Change) {
 	if _, err := c.cluster.Apply(change); err != nil {
 		panic(err)
 	}
 }
 
-// setActiveJob puts an active job's record into the view alone.
+// setActiveJob puts an active job's record only into the view. It panics if the view does not apply
+// it.
 func setActiveJob(c *Controller, ref string, r record.ActiveJob, version uint64) {
 	change := wire.Change{Put: record.ActiveJobKey(ref), Value: record.Encode(r), Version: version}
 	if _, applied, err := c.activeJobs.Apply(change); err != nil || !applied {
@@ -34,13 +36,13 @@
 	}
 }
 
-// activeJob returns an active job as the view has it.
+// activeJob returns an active job from the view.
 func activeJob(c *Controller, ref string) clusterview.ActiveJob {
 	j, _ := c.activeJobs.Job(ref)
 	return j
 }
 
-// shardRecord returns a shard's record as the view has it.
+// shardRecord returns a shard's record from the view.
 func shardRecord(c *Controller, id int) record.Versioned[record.Shard] {
 	r, _ := c.cluster.Shard(id)
 	return r
